--- a/src/main/java/org/dunespindle/AdminCommands.java
+++ b/src/main/java/org/dunespindle/AdminCommands.java
@@ -47,18 +47,39 @@
     static void addTo(CommandSpec spec) {
         READS.forEach((name, text) -> spec.addSubcommand(name, command(name, text)));
         spec.addSubcommand("job", command("job", "Show one job.").addPositional(argument("ID", "the job's id")));
-        spec.addSubcommand("drain", command("drain", "Give a machine back once its tasks have ended.").addPositional(argument("HOST", "the machine's id")));
-        spec.addSubcommand("set", command("set", "Change one of the operators' settings for all controllers.").addPositional(argument("NAME=VALUE", "see 'options' for names and ranges")));
+        spec.addSubcommand(
+                "drain",
+                command("drain", "Give a machine back once its tasks have ended.")
+                        .addPositional(argument("HOST", "the machine's id")));
+        spec.addSubcommand(
+                "set",
+                command("set", "Change one of the operators' settings for all controllers.")
+                        .addPositional(argument("NAME=VALUE", "see 'options' for names and ranges")));
     }
 
     private static CommandSpec command(String name, String text) {
         CommandSpec c = CommandSpec.create().name(name).mixinStandardHelpOptions(true);
-        c.usageMessage().description(text).exitCodeListHeading("%nExit codes:%n").exitCodeList(Map.of("0", "done", "1", "the service refused", "2", "wrong use", "3", "no answer"));
-        return c.addOption(OptionSpec.builder("--at").paramLabel("ADDRESS:PORT").type(String.class).required(true).description("A controller's peer_listen address.").build());
+        c.usageMessage()
+                .description(text)
+                .exitCodeListHeading("%nExit codes:%n")
+                .exitCodeList(Map.of("0", "done", "1", "the service refused", "2", "wrong use", "3", "no answer"));
+        return c.addOption(OptionSpec.builder("--at")
+                .paramLabel("ADDRESS:PORT")
+                .type(String.class)
+                .required(true)
+                .description("A controller's peer_listen address.")
+                .build());
     }
 
     private static PositionalParamSpec argument(String label, String text) {
-        return PositionalParamSpec.builder().paramLabel(label).type(String.class).index("0").arity("1").required(true).description(text).build();
+        return PositionalParamSpec.builder()
+                .paramLabel(label)
+                .type(String.class)
+                .index("0")
+                .arity("1")
+                .required(true)
+                .description(text)
+                .build();
     }
 
     static int run(ParseResult parsed) {
@@ -75,7 +96,8 @@
                 default -> print(call(http, at, "GET", "/v1/" + name, new byte[0]));
             };
         } catch (CompletionException e) {
-            System.err.println("dunespindle: " + at + " does not answer: " + e.getCause().getMessage());
+            System.err.println(
+                    "dunespindle: " + at + " does not answer: " + e.getCause().getMessage());
             return UNREACHABLE;
         } catch (IOException e) {
             System.err.println("dunespindle: " + at + " answers unreadably: " + e.getMessage());
@@ -106,7 +128,8 @@
         if (now.status() != 200) {
             return print(now);
         }
-        ObjectNode change = Pack.map().put("stamp", JSON.readTree(now.body()).path("stamp").longValue());
+        ObjectNode change =
+                Pack.map().put("stamp", JSON.readTree(now.body()).path("stamp").longValue());
         change.putObject("values").set(parts.get(0), value);
         return print(call(http, at, "PUT", "/v1/options", Admin.write(change)));
     }
@@ -117,7 +140,8 @@
             System.out.println(JSON.writerWithDefaultPrettyPrinter().writeValueAsString(body));
             return 0;
         }
-        System.err.println("dunespindle: refused (" + answer.status() + "): " + body.path("error").asText("no reason given"));
+        System.err.println("dunespindle: refused (" + answer.status() + "): "
+                + body.path("error").asText("no reason given"));
         return REFUSED;
     }
 }
--- a/src/main/java/org/dunespindle/Daemon.java
+++ b/src/main/java/org/dunespindle/Daemon.java
@@ -31,6 +31,7 @@
     private static final int PEER_BODY_LIMIT = 1 << 20;
     /** Workers keep a connection each to this controller; idle ones to them may take this part of the sockets. */
     private static final int KEPT_PART = 10;
+
     private static final String JSON = "application/json";
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final Sockets sockets;
@@ -43,8 +44,20 @@
         EventLoop loop = group.next();
         var timeline = new LoopTimeline(loop);
         controller = new Controller(settings, new HttpCaller(loop, settings.sockets() / KEPT_PART, sockets), timeline);
-        front = HttpListener.open(group, settings.front(), BODY_LIMIT, this::front, status -> packed(status, Pack.map().put("error", refusal(status)), Optional.empty()), sockets);
-        peer = HttpListener.open(group, settings.peerListen(), PEER_BODY_LIMIT, this::peer, status -> json(status, Pack.map().put("error", refusal(status))), sockets);
+        front = HttpListener.open(
+                group,
+                settings.front(),
+                BODY_LIMIT,
+                this::front,
+                status -> packed(status, Pack.map().put("error", refusal(status)), Optional.empty()),
+                sockets);
+        peer = HttpListener.open(
+                group,
+                settings.peerListen(),
+                PEER_BODY_LIMIT,
+                this::peer,
+                status -> json(status, Pack.map().put("error", refusal(status))),
+                sockets);
         loop.execute(controller::start);
     }
 
@@ -115,14 +128,24 @@
         } else if (path.equals("/healthz")) {
             only("GET", call, reply, () -> {
                 boolean well = controller.healthy();
-                reply.accept(new HttpReply(well ? 200 : 503, "text/plain", (well ? "ok" : "not ready").getBytes(StandardCharsets.US_ASCII), Optional.empty()));
+                reply.accept(new HttpReply(
+                        well ? 200 : 503,
+                        "text/plain",
+                        (well ? "ok" : "not ready").getBytes(StandardCharsets.US_ASCII),
+                        Optional.empty()));
             });
         } else if (path.equals("/submissions")) {
             only("POST", call, reply, () -> controller.frontDesk().submit(call.body(), user));
         } else if (path.startsWith("/submissions/")) {
             String rest = path.substring("/submissions/".length());
             if (rest.endsWith("/withdraw")) {
-                only("POST", call, reply, () -> controller.frontDesk().cancel(rest.substring(0, rest.length() - "/withdraw".length()), user));
+                only(
+                        "POST",
+                        call,
+                        reply,
+                        () -> controller
+                                .frontDesk()
+                                .cancel(rest.substring(0, rest.length() - "/withdraw".length()), user));
             } else if (rest.indexOf('/') < 0 && !rest.isEmpty()) {
                 only("GET", call, reply, () -> controller.frontDesk().poll(rest, user));
             } else {
@@ -161,7 +184,9 @@
         if (call.path().equals("/peer/heartbeat") && call.method().equals("POST")) {
             reply.accept(json(200, controller.heard(call.body())));
         } else {
-            controller.admin().handle(call.method(), call.path(), call.body(), a -> reply.accept(json(a.status(), a.body())));
+            controller
+                    .admin()
+                    .handle(call.method(), call.path(), call.body(), a -> reply.accept(json(a.status(), a.body())));
         }
     }
 }
--- a/src/main/java/org/dunespindle/Main.java
+++ b/src/main/java/org/dunespindle/Main.java
@@ -31,11 +31,20 @@
     }
 
     private static CommandSpec spec() {
-        CommandSpec spec = CommandSpec.create().name("dunespindle").mixinStandardHelpOptions(true).version("dunespindle 0.1.0");
+        CommandSpec spec = CommandSpec.create()
+                .name("dunespindle")
+                .mixinStandardHelpOptions(true)
+                .version("dunespindle 0.1.0");
         spec.usageMessage().description("A cluster scheduler: runs arrays and gangs on rented machines.");
-        spec.addOption(OptionSpec.builder("--config").paramLabel("FILE").type(Path.class).description("Run a controller with this settings file (TOML).").build());
+        spec.addOption(OptionSpec.builder("--config")
+                .paramLabel("FILE")
+                .type(Path.class)
+                .description("Run a controller with this settings file (TOML).")
+                .build());
         CommandSpec rehearse = CommandSpec.create().name("rehearse");
-        rehearse.usageMessage().description("Start up against nothing and end, for the build's class archive.").hidden(true);
+        rehearse.usageMessage()
+                .description("Start up against nothing and end, for the build's class archive.")
+                .hidden(true);
         spec.addSubcommand("rehearse", rehearse);
         AdminCommands.addTo(spec);
         return spec;
--- a/src/main/java/org/dunespindle/Rehearsal.java
+++ b/src/main/java/org/dunespindle/Rehearsal.java
@@ -48,8 +48,10 @@
     private void play() throws IOException, MalformedException, InterruptedException {
         var group = new NioEventLoopGroup(1);
         var sockets = new Sockets(SOCKETS);
-        Channel outside = HttpListener.open(group, new InetSocketAddress(HOST, 0), 1 << 16, this::answer, s -> reply(s, Pack.map()), sockets);
-        Channel probe = HttpListener.open(group, new InetSocketAddress(HOST, 0), 1 << 16, this::answer, s -> reply(s, Pack.map()), sockets);
+        Channel outside = HttpListener.open(
+                group, new InetSocketAddress(HOST, 0), 1 << 16, this::answer, s -> reply(s, Pack.map()), sockets);
+        Channel probe = HttpListener.open(
+                group, new InetSocketAddress(HOST, 0), 1 << 16, this::answer, s -> reply(s, Pack.map()), sockets);
         int front = port(probe);
         probe.close().sync();
         String there = HOST + ":" + port(outside);
@@ -96,7 +98,13 @@
             http.send(self, "POST", "/submissions", Pack.write(job("wk-1", "array")), Pack.TYPE, TIMEOUT);
             http.send(self, "POST", "/submissions", Pack.write(job("wk-2", "group")), Pack.TYPE, TIMEOUT);
             Thread.sleep(LENGTH.toMillis() / 4);
-            http.send(self, "POST", "/agent/beat", Pack.write(workerReport(there).put("tick", 2).put("baton", 2)), Pack.TYPE, TIMEOUT);
+            http.send(
+                    self,
+                    "POST",
+                    "/agent/beat",
+                    Pack.write(workerReport(there).put("tick", 2).put("baton", 2)),
+                    Pack.TYPE,
+                    TIMEOUT);
             http.send(self, "GET", "/submissions/wk-1", new byte[0], Pack.TYPE, TIMEOUT);
             http.send(self, "POST", "/submissions/wk-1/withdraw", new byte[0], Pack.TYPE, TIMEOUT);
             Thread.sleep(LENGTH.toMillis() / 4);
@@ -116,15 +124,43 @@
     }
 
     private static ObjectNode workerReport(String address) {
-        ObjectNode n = Pack.map().put("host", "i-1").put("address", address).put("hull", "m").put("dune", "z").put("driftwood", false).put("tenure", 1).put("tick", 1).put("baton", 0);
-        n.putArray("pieces").addObject().put("piece", "wk-9/0").put("try", 1).put("phase", "exited").put("cause", "done");
+        ObjectNode n = Pack.map()
+                .put("host", "i-1")
+                .put("address", address)
+                .put("hull", "m")
+                .put("dune", "z")
+                .put("driftwood", false)
+                .put("tenure", 1)
+                .put("tick", 1)
+                .put("baton", 0);
+        n.putArray("pieces")
+                .addObject()
+                .put("piece", "wk-9/0")
+                .put("try", 1)
+                .put("phase", "exited")
+                .put("cause", "done");
         return n;
     }
 
     private static ObjectNode job(String id, String shape) {
-        return Pack.map().put("id", id).put("jobclass", "c").put("owner", "t").put("shape", shape).put("rank", "urgent").put("pieces", 2).put("vcpus", 1.0)
-                .put("accelerators", 1.0).put("ramGb", 1.0).put("samePlace", true).put("apart", false).put("driftwood", true).put("bundle", "i").put("imageGb", 1.0)
-                .put("guessS", 1.0).put("snapshotS", 0.0).put("flushS", 0.0);
+        return Pack.map()
+                .put("id", id)
+                .put("jobclass", "c")
+                .put("owner", "t")
+                .put("shape", shape)
+                .put("rank", "urgent")
+                .put("pieces", 2)
+                .put("vcpus", 1.0)
+                .put("accelerators", 1.0)
+                .put("ramGb", 1.0)
+                .put("samePlace", true)
+                .put("apart", false)
+                .put("driftwood", true)
+                .put("bundle", "i")
+                .put("imageGb", 1.0)
+                .put("guessS", 1.0)
+                .put("snapshotS", 0.0)
+                .put("flushS", 0.0);
     }
 
     private void answer(HttpCall call, Consumer<HttpReply> out) {
@@ -132,18 +168,35 @@
         switch (call.path()) {
             case "/txn" -> n.put("epoch", ++revision);
             case "/holds" -> n.put("tether", 1);
-            case "/orders" -> n = workerReport("").put("address", "127.0.0.1:1").put("baton", 2).put("tick", 3);
+            case "/orders" ->
+                n = workerReport("")
+                        .put("address", "127.0.0.1:1")
+                        .put("baton", 2)
+                        .put("tick", 3);
             case "/catalog" -> {
                 ObjectNode h = n.putArray("hulls").addObject();
-                h.put("name", "m").put("vcpus", 4.0).put("accelerators", 4.0).put("ramGb", 4.0).put("cacheGb", 4.0).put("fetchGbPerS", 1.0).put("hourly", 1.0).put("lowPrice", 1.0)
+                h.put("name", "m")
+                        .put("vcpus", 4.0)
+                        .put("accelerators", 4.0)
+                        .put("ramGb", 4.0)
+                        .put("cacheGb", 4.0)
+                        .put("fetchGbPerS", 1.0)
+                        .put("hourly", 1.0)
+                        .put("lowPrice", 1.0)
                         .put("readyS", 1.0);
                 h.putArray("dunes").add("z");
             }
             case "/rentals" -> {
                 ObjectNode h = n.putArray("hosts").addObject();
-                h.put("id", "i-1").put("address", "127.0.0.1:1").put("hull", "m").put("dune", "z").put("driftwood", false).put("phase", "running").put("ageS", 1.0);
+                h.put("id", "i-1")
+                        .put("address", "127.0.0.1:1")
+                        .put("hull", "m")
+                        .put("dune", "z")
+                        .put("driftwood", false)
+                        .put("phase", "running")
+                        .put("ageS", 1.0);
             }
-            default -> { }
+            default -> {}
         }
         out.accept(reply(200, n));
     }
--- a/src/main/java/org/dunespindle/bookkeeping/HostRecord.java
+++ b/src/main/java/org/dunespindle/bookkeeping/HostRecord.java
@@ -12,11 +12,23 @@
  * @param keepUntil no rebalancing before then: the owner took the machine because its worker could not reach the other
  * @param leaving being returned; nothing may be placed on it any more
  */
-public record HostRecord(String id, String address, String type, String zone, boolean spot, String owner, long incarnation, long token, Instant rented,
-        Instant keepUntil, boolean leaving, String why) {
+public record HostRecord(
+        String id,
+        String address,
+        String type,
+        String zone,
+        boolean spot,
+        String owner,
+        long incarnation,
+        long token,
+        Instant rented,
+        Instant keepUntil,
+        boolean leaving,
+        String why) {
 
     /** Reasons for leaving that let present work end first. */
     public static final String IDLE = "it is idle";
+
     public static final String DRAINED = "an operator drains it";
 
     /** Whether the machine is given back only once its tasks have ended. */
@@ -30,31 +42,60 @@
 
     /** The same owner under a higher token: commands still under way with the old one become void. */
     public HostRecord fenced() {
-        return new HostRecord(id, address, type, zone, spot, owner, incarnation, token + 1, rented, keepUntil, leaving, why);
+        return new HostRecord(
+                id, address, type, zone, spot, owner, incarnation, token + 1, rented, keepUntil, leaving, why);
     }
 
     /** The same under a token that the worker has not seen yet, should it know a higher one than was stored. */
     public HostRecord above(long seen) {
-        return token > seen ? this : new HostRecord(id, address, type, zone, spot, owner, incarnation, seen + 1, rented, keepUntil, leaving, why);
+        return token > seen
+                ? this
+                : new HostRecord(
+                        id, address, type, zone, spot, owner, incarnation, seen + 1, rented, keepUntil, leaving, why);
     }
 
     public HostRecord leaving(String reason) {
-        return new HostRecord(id, address, type, zone, spot, owner, incarnation, token, rented, keepUntil, true, reason);
+        return new HostRecord(
+                id, address, type, zone, spot, owner, incarnation, token, rented, keepUntil, true, reason);
     }
 
     public HostRecord at(String newAddress) {
-        return newAddress.isEmpty() || newAddress.equals(address) ? this
-                : new HostRecord(id, newAddress, type, zone, spot, owner, incarnation, token, rented, keepUntil, leaving, why);
+        return newAddress.isEmpty() || newAddress.equals(address)
+                ? this
+                : new HostRecord(
+                        id, newAddress, type, zone, spot, owner, incarnation, token, rented, keepUntil, leaving, why);
     }
 
     /** A row of the page that the machine is kept on; rows are short, since a page holds several. */
     ArrayNode toRow() {
-        return JsonNodeFactory.instance.arrayNode().add(address).add(type).add(zone).add(spot).add(owner).add(incarnation).add(token)
-                .add(rented.toEpochMilli()).add(keepUntil.toEpochMilli()).add(leaving).add(why);
+        return JsonNodeFactory.instance
+                .arrayNode()
+                .add(address)
+                .add(type)
+                .add(zone)
+                .add(spot)
+                .add(owner)
+                .add(incarnation)
+                .add(token)
+                .add(rented.toEpochMilli())
+                .add(keepUntil.toEpochMilli())
+                .add(leaving)
+                .add(why);
     }
 
     static HostRecord parse(String id, JsonNode n) {
-        return new HostRecord(id, n.path(0).asText(), n.path(1).asText(), n.path(2).asText(), n.path(3).booleanValue(), n.path(4).asText(), n.path(5).longValue(),
-                n.path(6).longValue(), Instant.ofEpochMilli(n.path(7).longValue()), Instant.ofEpochMilli(n.path(8).longValue()), n.path(9).booleanValue(), n.path(10).asText(""));
+        return new HostRecord(
+                id,
+                n.path(0).asText(),
+                n.path(1).asText(),
+                n.path(2).asText(),
+                n.path(3).booleanValue(),
+                n.path(4).asText(),
+                n.path(5).longValue(),
+                n.path(6).longValue(),
+                Instant.ofEpochMilli(n.path(7).longValue()),
+                Instant.ofEpochMilli(n.path(8).longValue()),
+                n.path(9).booleanValue(),
+                n.path(10).asText(""));
     }
 }
--- a/src/main/java/org/dunespindle/bookkeeping/JobRecord.java
+++ b/src/main/java/org/dunespindle/bookkeeping/JobRecord.java
@@ -30,17 +30,51 @@
  * @param attempt a gang's common attempt, while {@link Mode#REAL}
  * @param order place in the team's queue of gangs: arrival in milliseconds, later after a requeue
  */
-public record JobRecord(String id, Optional<Submission> spec, Instant arrived, End end, long generation, int next, List<Integer> again, List<Claim> claims,
-        Mode mode, long attempt, long order, int failures, Optional<Instant> notBefore) {
+public record JobRecord(
+        String id,
+        Optional<Submission> spec,
+        Instant arrived,
+        End end,
+        long generation,
+        int next,
+        List<Integer> again,
+        List<Claim> claims,
+        Mode mode,
+        long attempt,
+        long order,
+        int failures,
+        Optional<Instant> notBefore) {
 
     /** How a job ended, if it did. */
-    public enum End { OPEN, DONE, CANCELLED }
+    public enum End {
+        OPEN,
+        DONE,
+        CANCELLED
+    }
 
     /** Where a gang stands: queued, placeholders being placed, real tasks, or being stopped as a whole. */
-    public enum Mode { IDLE, HOLD, REAL, STOP }
+    public enum Mode {
+        IDLE,
+        HOLD,
+        REAL,
+        STOP
+    }
 
     public static JobRecord accepted(Submission spec, Instant now) {
-        return new JobRecord(spec.id(), Optional.of(spec), now, End.OPEN, 1, 0, List.of(), List.of(), Mode.IDLE, 0, now.toEpochMilli(), 0, Optional.empty());
+        return new JobRecord(
+                spec.id(),
+                Optional.of(spec),
+                now,
+                End.OPEN,
+                1,
+                0,
+                List.of(),
+                List.of(),
+                Mode.IDLE,
+                0,
+                now.toEpochMilli(),
+                0,
+                Optional.empty());
     }
 
     public boolean open() {
@@ -71,7 +105,9 @@
             }
             var placed = new java.util.BitSet();
             claims.forEach(c -> placed.set(c.task()));
-            for (int i = placed.nextClearBit(0); i < job().tasks() && list.size() < most; i = placed.nextClearBit(i + 1)) {
+            for (int i = placed.nextClearBit(0);
+                    i < job().tasks() && list.size() < most;
+                    i = placed.nextClearBit(i + 1)) {
                 list.add(i);
             }
             return list;
@@ -99,7 +135,9 @@
 
     /** The attempt under which a claim's task should be on its machine. */
     public long wantedAttempt(Claim c) {
-        return !job().gang() ? c.base() : mode == Mode.REAL || (mode == Mode.STOP && attempt > 0) ? attempt : c.base() + c.task();
+        return !job().gang()
+                ? c.base()
+                : mode == Mode.REAL || (mode == Mode.STOP && attempt > 0) ? attempt : c.base() + c.task();
     }
 
     public Optional<Claim> claim(int task) {
@@ -133,12 +171,38 @@
         }
         long used = job().gang() ? job().tasks() : 1;
         Mode m = job().gang() && mode == Mode.IDLE ? Mode.HOLD : mode;
-        return new JobRecord(id, spec, arrived, end, generation + used, first, List.copyOf(waiting), List.copyOf(all), m, attempt, order, failures, Optional.empty());
+        return new JobRecord(
+                id,
+                spec,
+                arrived,
+                end,
+                generation + used,
+                first,
+                List.copyOf(waiting),
+                List.copyOf(all),
+                m,
+                attempt,
+                order,
+                failures,
+                Optional.empty());
     }
 
     /** Starts the real tasks of a gang whose placeholders all idle: one common new attempt. */
     public JobRecord real() {
-        return new JobRecord(id, spec, arrived, end, generation + 1, next, again, claims, Mode.REAL, generation, order, failures, notBefore);
+        return new JobRecord(
+                id,
+                spec,
+                arrived,
+                end,
+                generation + 1,
+                next,
+                again,
+                claims,
+                Mode.REAL,
+                generation,
+                order,
+                failures,
+                notBefore);
     }
 
     /** Books a placeholder again on its machine, after it gave up waiting. */
@@ -150,7 +214,14 @@
 
     /** Stops a whole gang: it comes back once every member is released. */
     public JobRecord stopGang() {
-        return with(end, generation, next, again, claims, Mode.STOP, mode == Mode.REAL ? attempt : mode == Mode.STOP ? attempt : 0);
+        return with(
+                end,
+                generation,
+                next,
+                again,
+                claims,
+                Mode.STOP,
+                mode == Mode.REAL ? attempt : mode == Mode.STOP ? attempt : 0);
     }
 
     public JobRecord stopTask(int task) {
@@ -174,7 +245,8 @@
         });
         if (spec.isEmpty() || job().gang()) {
             Mode m = all.isEmpty() ? Mode.IDLE : mode;
-            return with(end, generation, next, again, all, m, m == Mode.IDLE ? 0 : attempt).compact();
+            return with(end, generation, next, again, all, m, m == Mode.IDLE ? 0 : attempt)
+                    .compact();
         }
         var waiting = new ArrayList<>(again);
         ended.forEach((task, done) -> {
@@ -183,7 +255,8 @@
             }
         });
         boolean over = end == End.OPEN && next == job().tasks() && waiting.isEmpty() && all.isEmpty();
-        return with(over ? End.DONE : end, generation, next, waiting, all, mode, attempt).compact();
+        return with(over ? End.DONE : end, generation, next, waiting, all, mode, attempt)
+                .compact();
     }
 
     /** A gang is done as one: its members complete together. */
@@ -193,19 +266,23 @@
 
     /** Cancelled for good; claims stay until each task is proven gone. */
     public JobRecord cancelled() {
-        return with(End.CANCELLED, generation, next, List.of(), claims, mode, attempt).compact();
+        return with(End.CANCELLED, generation, next, List.of(), claims, mode, attempt)
+                .compact();
     }
 
     public JobRecord failed(int more, Optional<Instant> until) {
-        return new JobRecord(id, spec, arrived, end, generation, next, again, claims, mode, attempt, order, failures + more, until);
+        return new JobRecord(
+                id, spec, arrived, end, generation, next, again, claims, mode, attempt, order, failures + more, until);
     }
 
     public JobRecord requeued(long newOrder) {
-        return new JobRecord(id, spec, arrived, end, generation, next, again, claims, mode, attempt, newOrder, failures, notBefore);
+        return new JobRecord(
+                id, spec, arrived, end, generation, next, again, claims, mode, attempt, newOrder, failures, notBefore);
     }
 
     private JobRecord with(End e, long g, int n, List<Integer> a, List<Claim> c, Mode m, long t) {
-        return new JobRecord(id, spec, arrived, e, g, n, List.copyOf(a), List.copyOf(c), m, t, order, failures, notBefore);
+        return new JobRecord(
+                id, spec, arrived, e, g, n, List.copyOf(a), List.copyOf(c), m, t, order, failures, notBefore);
     }
 
     private JobRecord compact() {
@@ -213,7 +290,20 @@
             return this;
         }
         int finished = spec.isEmpty() ? next : end == End.DONE ? job().tasks() : 0;
-        return new JobRecord(id, Optional.empty(), arrived, end, 0, finished, List.of(), List.of(), Mode.IDLE, 0, 0, 0, Optional.empty());
+        return new JobRecord(
+                id,
+                Optional.empty(),
+                arrived,
+                end,
+                0,
+                finished,
+                List.of(),
+                List.of(),
+                Mode.IDLE,
+                0,
+                0,
+                0,
+                Optional.empty());
     }
 
     public ObjectNode toNode() {
@@ -223,7 +313,12 @@
             return n.put("next", next);
         }
         n.set("job", job().toNode());
-        n.put("gen", generation).put("next", next).put("mode", mode.name()).put("try", attempt).put("order", order).put("fails", failures);
+        n.put("gen", generation)
+                .put("next", next)
+                .put("mode", mode.name())
+                .put("try", attempt)
+                .put("order", order)
+                .put("fails", failures);
         notBefore.ifPresent(t -> n.put("wait", t.toEpochMilli()));
         n.put("again", TaskSet.format(new IntArrayList(new IntRBTreeSet(again))));
         n.set("claims", claimsNode());
@@ -235,7 +330,9 @@
         record Booked(long base, boolean stopping) {}
         var groups = new LinkedHashMap<Booked, Map<String, IntRBTreeSet>>();
         for (Claim c : claims) {
-            groups.computeIfAbsent(new Booked(c.base(), c.stopping()), g -> new TreeMap<>()).computeIfAbsent(c.host(), h -> new IntRBTreeSet()).add(c.task());
+            groups.computeIfAbsent(new Booked(c.base(), c.stopping()), g -> new TreeMap<>())
+                    .computeIfAbsent(c.host(), h -> new IntRBTreeSet())
+                    .add(c.task());
         }
         ArrayNode list = JsonNodeFactory.instance.arrayNode();
         groups.forEach((g, hosts) -> {
@@ -253,7 +350,11 @@
         for (var page : (Iterable<Map.Entry<String, JsonNode>>) group.path(2)::fields) {
             for (var row : (Iterable<Map.Entry<String, JsonNode>>) page.getValue()::fields) {
                 for (int task : TaskSet.parse(row.getValue().textValue())) {
-                    into.add(new Claim(task, page.getKey() + row.getKey(), group.get(0).longValue(), group.get(1).booleanValue()));
+                    into.add(new Claim(
+                            task,
+                            page.getKey() + row.getKey(),
+                            group.get(0).longValue(),
+                            group.get(1).booleanValue()));
                 }
             }
         }
@@ -263,13 +364,38 @@
         Instant at = Instant.ofEpochMilli(n.path("at").longValue());
         End end = End.valueOf(n.path("end").asText("OPEN"));
         if (!n.has("job")) {
-            return new JobRecord(id, Optional.empty(), at, end, 0, n.path("next").intValue(), List.of(), List.of(), Mode.IDLE, 0, 0, 0, Optional.empty());
+            return new JobRecord(
+                    id,
+                    Optional.empty(),
+                    at,
+                    end,
+                    0,
+                    n.path("next").intValue(),
+                    List.of(),
+                    List.of(),
+                    Mode.IDLE,
+                    0,
+                    0,
+                    0,
+                    Optional.empty());
         }
         var claims = new ArrayList<Claim>();
         n.path("claims").forEach(g -> readClaims(g, claims));
-        Optional<Instant> wait = n.has("wait") ? Optional.of(Instant.ofEpochMilli(n.get("wait").longValue())) : Optional.empty();
-        return new JobRecord(id, Optional.of(Submission.parse(n.get("job"))), at, end, n.path("gen").longValue(), n.path("next").intValue(),
-                List.copyOf(TaskSet.parse(n.path("again").asText(""))), List.copyOf(claims), Mode.valueOf(n.path("mode").asText("IDLE")), n.path("try").longValue(),
-                n.path("order").longValue(), n.path("fails").intValue(), wait);
+        Optional<Instant> wait =
+                n.has("wait") ? Optional.of(Instant.ofEpochMilli(n.get("wait").longValue())) : Optional.empty();
+        return new JobRecord(
+                id,
+                Optional.of(Submission.parse(n.get("job"))),
+                at,
+                end,
+                n.path("gen").longValue(),
+                n.path("next").intValue(),
+                List.copyOf(TaskSet.parse(n.path("again").asText(""))),
+                List.copyOf(claims),
+                Mode.valueOf(n.path("mode").asText("IDLE")),
+                n.path("try").longValue(),
+                n.path("order").longValue(),
+                n.path("fails").intValue(),
+                wait);
     }
 }
--- a/src/main/java/org/dunespindle/bookkeeping/Keys.java
+++ b/src/main/java/org/dunespindle/bookkeeping/Keys.java
@@ -6,6 +6,7 @@
     public static final String JOB = ROOT + "job/";
     /** Machines are kept several to a record: what concerns them together then costs one write. */
     public static final String PAGE = ROOT + "page/";
+
     public static final String TEAM = ROOT + "team/";
     public static final String MEMBER = ROOT + "member/";
     public static final String INCARNATION = ROOT + "incarnation/";
--- a/src/main/java/org/dunespindle/bookkeeping/MeteredCaller.java
+++ b/src/main/java/org/dunespindle/bookkeeping/MeteredCaller.java
@@ -35,7 +35,8 @@
         budget.submit(first, 1, () -> {
             Duration begun = timeline.now();
             http.send(address, method, target, body, Pack.TYPE, timeout).whenComplete((a, e) -> {
-                latency.recordValue(Math.min(LONGEST_MICROS, timeline.now().minus(begun).toNanos() / 1000));
+                latency.recordValue(
+                        Math.min(LONGEST_MICROS, timeline.now().minus(begun).toNanos() / 1000));
                 if (e != null) {
                     result.completeExceptionally(e);
                 } else {
--- a/src/main/java/org/dunespindle/bookkeeping/Replica.java
+++ b/src/main/java/org/dunespindle/bookkeeping/Replica.java
@@ -31,6 +31,7 @@
     private static final int PAGE = 500;
     /** So many readings of the log in a row that got no answer: it may be too long to arrive in time, so pages are tried. */
     private static final int LOG_TRIES = 3;
+
     private final StateClient state;
     private final Timeline timeline;
     private final Duration interval;
@@ -42,10 +43,12 @@
     private final Map<String, JsonNode> plain = new HashMap<>();
     /** Stamps of keys; negative for a key that was removed then. */
     private final Map<String, Long> stamps = new HashMap<>();
+
     private final Map<String, List<Placed>> byHost = new HashMap<>();
     private final Map<String, Map<String, HostRecord>> pages = new HashMap<>();
     /** Machines whose record or claims changed since they were last asked for. */
     private Set<String> touched = new LinkedHashSet<>();
+
     private long version;
     private long memberVersion;
     private final Set<String> unreadable = new HashSet<>();
@@ -53,6 +56,7 @@
     private final TreeMap<Long, List<String>> cancelled = new TreeMap<>();
     /** Own changes that were applied while everything is being read again: the pages read before them do not show them. */
     private final List<Own> appliedWhileLoading = new ArrayList<>();
+
     private long syncedTo = -1;
     private Duration freshAt = Duration.ZERO;
     private boolean reading;
@@ -61,6 +65,7 @@
     private boolean logLost;
     /** What has been read so far; a page that fails is asked for again, not all of them. */
     private Optional<Loading> loading = Optional.empty();
+
     private boolean timerSet;
     private List<Waiter> waiting = new ArrayList<>();
 
@@ -227,7 +232,10 @@
                 for (JsonNode entry : body.path("log")) {
                     any = true;
                     boolean write = entry.has("write");
-                    put(entry.path(write ? "write" : "remove").asText(), write ? Optional.of(entry.path("v")) : Optional.empty(), entry.path("stamp").longValue());
+                    put(
+                            entry.path(write ? "write" : "remove").asText(),
+                            write ? Optional.of(entry.path("v")) : Optional.empty(),
+                            entry.path("stamp").longValue());
                 }
                 syncedTo = Math.max(syncedTo, body.path("epoch").longValue());
                 freshAt = begun;
@@ -285,7 +293,8 @@
         loading = Optional.of(l);
         state.list(Keys.ROOT, l.since, PAGE).whenComplete((body, failure) -> {
             if (failure != null) {
-                logFailures = 0; // an outage looks the same from here: the log is tried again in turn, if it may still do
+                logFailures =
+                        0; // an outage looks the same from here: the log is tried again in turn, if it may still do
                 finish(served, false);
                 return;
             }
@@ -305,7 +314,8 @@
             logFailures = 0;
             replaceAll(l.rows);
             // Users were told of these: a copy that shows an older state, even for a moment, would deny it.
-            appliedWhileLoading.forEach(own -> own.txn.changes().forEach((key, change) -> put(key, change.value(), own.revision)));
+            appliedWhileLoading.forEach(
+                    own -> own.txn.changes().forEach((key, change) -> put(key, change.value(), own.revision)));
             appliedWhileLoading.clear();
             syncedTo = l.epoch;
             freshAt = l.begun;
@@ -378,7 +388,8 @@
     private void putPage(String key, Optional<JsonNode> value) {
         Map<String, HostRecord> before = pages.getOrDefault(key, Map.of());
         var after = new TreeMap<String, HostRecord>();
-        value.ifPresent(v -> v.fields().forEachRemaining(f -> after.put(f.getKey(), HostRecord.parse(f.getKey(), f.getValue()))));
+        value.ifPresent(v ->
+                v.fields().forEachRemaining(f -> after.put(f.getKey(), HostRecord.parse(f.getKey(), f.getValue()))));
         before.keySet().forEach(id -> {
             if (!after.containsKey(id)) {
                 hosts.remove(id);
@@ -403,7 +414,8 @@
         Optional<JobRecord> job = value.isEmpty() ? Optional.empty() : Optional.of(JobRecord.parse(id, value.get()));
         unreadable.remove(Keys.job(id));
         Optional<JobRecord> before = Optional.ofNullable(job.isPresent() ? jobs.put(id, job.get()) : jobs.remove(id));
-        if (job.filter(j -> j.end() == JobRecord.End.CANCELLED).isPresent() && before.filter(j -> j.end() == JobRecord.End.CANCELLED).isEmpty()) {
+        if (job.filter(j -> j.end() == JobRecord.End.CANCELLED).isPresent()
+                && before.filter(j -> j.end() == JobRecord.End.CANCELLED).isEmpty()) {
             cancelled.computeIfAbsent(stamp, k -> new ArrayList<>(1)).add(id);
         }
         if (job.isPresent() && job.get().spec().isPresent()) {
@@ -418,8 +430,12 @@
     private void index(String id, Optional<JobRecord> before, Optional<JobRecord> after) {
         Map<String, List<Claim>> old = byHost(before);
         Map<String, List<Claim>> now = byHost(after);
-        boolean turned = before.isPresent() != after.isPresent() || before.isPresent() && after.isPresent()
-                && (before.get().open() != after.get().open() || before.get().mode() != after.get().mode() || before.get().attempt() != after.get().attempt());
+        boolean turned = before.isPresent() != after.isPresent()
+                || before.isPresent()
+                        && after.isPresent()
+                        && (before.get().open() != after.get().open()
+                                || before.get().mode() != after.get().mode()
+                                || before.get().attempt() != after.get().attempt());
         old.forEach((host, claims) -> {
             byHost.computeIfPresent(host, (h, list) -> {
                 list.removeIf(p -> p.job().id().equals(id));
@@ -443,7 +459,10 @@
             return Map.of();
         }
         var map = new HashMap<String, List<Claim>>();
-        job.get().claims().forEach(c -> map.computeIfAbsent(c.host(), h -> new ArrayList<>(2)).add(c));
+        job.get()
+                .claims()
+                .forEach(c ->
+                        map.computeIfAbsent(c.host(), h -> new ArrayList<>(2)).add(c));
         return map;
     }
 }
--- a/src/main/java/org/dunespindle/bookkeeping/StateClient.java
+++ b/src/main/java/org/dunespindle/bookkeeping/StateClient.java
@@ -11,8 +11,8 @@
 import org.dunespindle.protocol.Pack;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.transport.CallFailure;
-import org.dunespindle.transport.HttpAnswer;
 import org.dunespindle.transport.Caller;
+import org.dunespindle.transport.HttpAnswer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -22,6 +22,7 @@
     private static final Duration TIMEOUT = Duration.ofMillis(1800);
     /** Controllers' clocks differ a little, so their shares leave some of the rate unused. */
     private static final double SAFE_PART = 0.9;
+
     private final MeteredCaller service;
     private final RateBudget writes;
     private int failuresInARow;
@@ -30,7 +31,8 @@
         int sharers = settings.seeds().size() + 1;
         double requestShare = SAFE_PART * settings.state().rps() / sharers;
         double writeShare = SAFE_PART * settings.state().writeRps() / sharers;
-        this.service = new MeteredCaller(http, settings.stateAddress(), timeline, new RateBudget(timeline, requestShare), TIMEOUT);
+        this.service = new MeteredCaller(
+                http, settings.stateAddress(), timeline, new RateBudget(timeline, requestShare), TIMEOUT);
         this.writes = new RateBudget(timeline, writeShare);
     }
 
@@ -50,7 +52,11 @@
 
     /** A page of keys; fails unless it was answered with 200. */
     public CompletableFuture<JsonNode> list(String under, String since, int limit) {
-        return ok(call(false, "GET", "/keys?under=" + under + (since.isEmpty() ? "" : "&since=" + since) + "&limit=" + limit, new byte[0]));
+        return ok(call(
+                false,
+                "GET",
+                "/keys?under=" + under + (since.isEmpty() ? "" : "&since=" + since) + "&limit=" + limit,
+                new byte[0]));
     }
 
     /** All changes after a revision, without waiting for any; status 410 when it is too old. */
@@ -61,16 +67,19 @@
     /** A new lease, as the service's number for it. */
     public CompletableFuture<OptionalLong> openLease(Duration ttl) {
         return ok(call(true, "POST", "/holds", Pack.write(Pack.map().put("ttlMs", ttl.toMillis()))))
-                .thenApply(n -> n.path("tether").isIntegralNumber() ? OptionalLong.of(n.get("tether").longValue()) : OptionalLong.empty());
+                .thenApply(n -> n.path("tether").isIntegralNumber()
+                        ? OptionalLong.of(n.get("tether").longValue())
+                        : OptionalLong.empty());
     }
 
     /** Renews; false when the lease has ended. */
     public CompletableFuture<Boolean> renewLease(long lease) {
-        return call(true, "POST", "/holds/" + lease + "/renew", Pack.write(Pack.map())).thenCompose(a -> switch (a.status()) {
-            case 200 -> CompletableFuture.completedFuture(true);
-            case 404 -> CompletableFuture.completedFuture(false);
-            default -> CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
-        });
+        return call(true, "POST", "/holds/" + lease + "/renew", Pack.write(Pack.map()))
+                .thenCompose(a -> switch (a.status()) {
+                    case 200 -> CompletableFuture.completedFuture(true);
+                    case 404 -> CompletableFuture.completedFuture(false);
+                    default -> CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
+                });
     }
 
     /** Ends a lease and removes what is attached to it. */
@@ -93,13 +102,16 @@
         return switch (answer.status()) {
             case 200 -> {
                 try {
-                    yield new TxnResult.Applied(Pack.read(answer.body()).path("epoch").longValue());
+                    yield new TxnResult.Applied(
+                            Pack.read(answer.body()).path("epoch").longValue());
                 } catch (MalformedException e) {
                     yield new TxnResult.Unknown();
                 }
             }
             case 409 -> new TxnResult.Conflict(failedKeys(answer));
-            case 400, 413, 429, 503 -> new TxnResult.Refused(answer.status(), new String(answer.body(), java.nio.charset.StandardCharsets.ISO_8859_1));
+            case 400, 413, 429, 503 ->
+                new TxnResult.Refused(
+                        answer.status(), new String(answer.body(), java.nio.charset.StandardCharsets.ISO_8859_1));
             default -> new TxnResult.Unknown();
         };
     }
--- a/src/main/java/org/dunespindle/bookkeeping/TaskSet.java
+++ b/src/main/java/org/dunespindle/bookkeeping/TaskSet.java
@@ -10,7 +10,7 @@
     /** Writes indexes given in rising order. */
     public static String format(IntList sorted) {
         var text = new StringBuilder();
-        for (int i = 0; i < sorted.size();) {
+        for (int i = 0; i < sorted.size(); ) {
             int first = sorted.getInt(i);
             int last = first;
             while (++i < sorted.size() && sorted.getInt(i) == last + 1) {
--- a/src/main/java/org/dunespindle/bookkeeping/Txn.java
+++ b/src/main/java/org/dunespindle/bookkeeping/Txn.java
@@ -13,6 +13,7 @@
 public final class Txn {
     /** The state service takes 64 KiB; some are left for what stands around keys and values. */
     private static final int MOST_BYTES = 60 << 10;
+
     private static final int PER_ENTRY = 48;
     private static final int GUARDS_PER_CHANGE = 4;
     private final Map<String, Long> guards = new LinkedHashMap<>();
@@ -86,7 +87,9 @@
                 return false;
             }
         }
-        if (changes.size() + other.changes.size() > mostChanges || guards.size() + other.guards.size() - common > mostGuards(mostChanges) || bytes + other.bytes > MOST_BYTES) {
+        if (changes.size() + other.changes.size() > mostChanges
+                || guards.size() + other.guards.size() - common > mostGuards(mostChanges)
+                || bytes + other.bytes > MOST_BYTES) {
             return false;
         }
         guards.putAll(other.guards);
--- a/src/main/java/org/dunespindle/coordination/Admin.java
+++ b/src/main/java/org/dunespindle/coordination/Admin.java
@@ -37,7 +37,15 @@
     /** An answer before it is put on the wire. */
     public record Answer(int status, ObjectNode body) {}
 
-    Admin(Settings settings, Replica replica, Membership membership, Committer committer, MachineEdits edits, Decisions decisions, Controller controller, Map<String, Histogram> latencies) {
+    Admin(
+            Settings settings,
+            Replica replica,
+            Membership membership,
+            Committer committer,
+            MachineEdits edits,
+            Decisions decisions,
+            Controller controller,
+            Map<String, Histogram> latencies) {
         this.settings = settings;
         this.replica = replica;
         this.membership = membership;
@@ -54,7 +62,9 @@
         } else if (!replica.loaded()) {
             answer.accept(error(503, "this controller is still reading the stored state"));
         } else if (method.equals("GET")) {
-            replica.refresh(() -> answer.accept(read(path.substring(PREFIX.length()))), () -> answer.accept(error(503, "the state service does not answer")));
+            replica.refresh(
+                    () -> answer.accept(read(path.substring(PREFIX.length()))),
+                    () -> answer.accept(error(503, "the state service does not answer")));
         } else if (method.equals("PUT") && path.equals(PREFIX + "options")) {
             setOptions(body, answer);
         } else if (method.equals("POST") && path.startsWith(PREFIX + "hosts/") && path.endsWith("/drain")) {
@@ -71,13 +81,17 @@
     private Answer read(String what) {
         ObjectNode n = Pack.map();
         if (what.startsWith("jobs/")) {
-            return replica.job(what.substring("jobs/".length())).map(j -> new Answer(200, show(j, true))).orElseGet(() -> error(404, "no such job"));
+            return replica.job(what.substring("jobs/".length()))
+                    .map(j -> new Answer(200, show(j, true)))
+                    .orElseGet(() -> error(404, "no such job"));
         }
         switch (what) {
             case "jobs" -> {
                 var list = n.putArray("jobs");
                 replica.livingJobs().forEach(j -> list.add(show(j, false)));
-                n.put("finished", replica.jobs().values().stream().filter(j -> !j.open()).count());
+                n.put(
+                        "finished",
+                        replica.jobs().values().stream().filter(j -> !j.open()).count());
             }
             case "hosts" -> {
                 var list = n.putArray("hosts");
@@ -87,15 +101,30 @@
             case "controllers" -> {
                 membership.leader().ifPresent(l -> n.put("leader", l));
                 var list = n.putArray("controllers");
-                replica.members().forEach((name, v) -> list.addObject().put("name", name).put("incarnation", v.path("inc").longValue())
-                        .put("machines", replica.hosts().values().stream().filter(h -> h.owner().equals(name)).count()));
+                replica.members()
+                        .forEach((name, v) -> list.addObject()
+                                .put("name", name)
+                                .put("incarnation", v.path("inc").longValue())
+                                .put(
+                                        "machines",
+                                        replica.hosts().values().stream()
+                                                .filter(h -> h.owner().equals(name))
+                                                .count()));
             }
-            case "options" -> n.put("stamp", replica.stamp(Keys.OPTIONS)).set("options", controller.options().describe());
+            case "options" ->
+                n.put("stamp", replica.stamp(Keys.OPTIONS))
+                        .set("options", controller.options().describe());
             case "decisions" -> decisions.toNode(n.put("controller", settings.nodeName()));
-            case "latency" -> latencies.forEach((name, h) -> n.putObject(name).put("count", h.getTotalCount()).put("p50Ms", h.getValueAtPercentile(50) / 1000.0)
-                    .put("p90Ms", h.getValueAtPercentile(90) / 1000.0).put("p99Ms", h.getValueAtPercentile(99) / 1000.0).put("maxMs", h.getMaxValue() / 1000.0));
+            case "latency" ->
+                latencies.forEach((name, h) -> n.putObject(name)
+                        .put("count", h.getTotalCount())
+                        .put("p50Ms", h.getValueAtPercentile(50) / 1000.0)
+                        .put("p90Ms", h.getValueAtPercentile(90) / 1000.0)
+                        .put("p99Ms", h.getValueAtPercentile(99) / 1000.0)
+                        .put("maxMs", h.getMaxValue() / 1000.0));
             default -> {
-                return error(404, "no such path; there are jobs, hosts, teams, controllers, options, decisions, latency");
+                return error(
+                        404, "no such path; there are jobs, hosts, teams, controllers, options, decisions, latency");
             }
         }
         return new Answer(200, n);
@@ -103,7 +132,12 @@
 
     private ObjectNode show(JobRecord j, boolean whole) {
         ObjectNode n = FrontDesk.show(j).body();
-        j.spec().ifPresent(s -> n.put("class", s.jobClass()).put("team", s.team()).put("shape", s.shape().wire()).put("priority", s.priority().wire()).put("tasks", s.tasks()));
+        j.spec()
+                .ifPresent(s -> n.put("class", s.jobClass())
+                        .put("team", s.team())
+                        .put("shape", s.shape().wire())
+                        .put("priority", s.priority().wire())
+                        .put("tasks", s.tasks()));
         n.put("accepted", j.arrived().toString());
         boolean placing = j.open() && j.job().gang() && j.mode() != JobRecord.Mode.REAL;
         if (placing || j.unplacedCount() > 0) {
@@ -113,15 +147,27 @@
             n.put("mode", j.mode().name().toLowerCase(java.util.Locale.ROOT)).put("failures", j.failures());
             var list = n.putArray("places");
             for (Claim c : j.claims()) {
-                list.addObject().put("task", c.task()).put("host", c.host()).put("attempt", j.wantedAttempt(c)).put("stopping", c.stopping());
+                list.addObject()
+                        .put("task", c.task())
+                        .put("host", c.host())
+                        .put("attempt", j.wantedAttempt(c))
+                        .put("stopping", c.stopping());
             }
         }
         return n;
     }
 
     private ObjectNode show(HostRecord h) {
-        ObjectNode n = Pack.map().put("id", h.id()).put("type", h.type()).put("zone", h.zone()).put("spot", h.spot()).put("owner", h.owner()).put("token", h.token())
-                .put("rented", h.rented().toString()).put("tasks", replica.claimsOn(h.id()).size()).put("leaving", h.leaving());
+        ObjectNode n = Pack.map()
+                .put("id", h.id())
+                .put("type", h.type())
+                .put("zone", h.zone())
+                .put("spot", h.spot())
+                .put("owner", h.owner())
+                .put("token", h.token())
+                .put("rented", h.rented().toString())
+                .put("tasks", replica.claimsOn(h.id()).size())
+                .put("leaving", h.leaving());
         membership.hashed(h.id()).filter(home -> !home.equals(h.owner())).ifPresent(home -> n.put("lentBy", home));
         return h.leaving() ? n.put("why", h.why()) : n;
     }
@@ -131,7 +177,12 @@
         var list = n.putArray("teams");
         settings.teams().values().forEach(t -> {
             Resources r = use.getOrDefault(t.name(), Resources.NONE);
-            ObjectNode o = list.addObject().put("name", t.name()).put("cpusUsed", r.cpus()).put("gpusUsed", r.gpus()).put("cpusGuaranteed", t.cpus()).put("gpusGuaranteed", t.gpus());
+            ObjectNode o = list.addObject()
+                    .put("name", t.name())
+                    .put("cpusUsed", r.cpus())
+                    .put("gpusUsed", r.gpus())
+                    .put("cpusGuaranteed", t.cpus())
+                    .put("gpusGuaranteed", t.gpus());
             if (Double.isFinite(t.cpusMax())) {
                 o.put("cpusMost", t.cpusMax());
             }
@@ -149,21 +200,30 @@
         } catch (IOException e) {
             n = null;
         }
-        if (n == null || !n.path("stamp").isIntegralNumber() || !n.path("values").isObject()) {
+        if (n == null
+                || !n.path("stamp").isIntegralNumber()
+                || !n.path("values").isObject()) {
             answer.accept(error(400, "expected {\"stamp\": as read, \"values\": {name: value}}"));
             return;
         }
-        ObjectNode merged = replica.value(Keys.OPTIONS).filter(JsonNode::isObject).map(v -> ((ObjectNode) v).deepCopy()).orElseGet(Pack::map);
-        for (Iterator<Map.Entry<String, JsonNode>> it = n.get("values").fields(); it.hasNext();) {
+        ObjectNode merged = replica.value(Keys.OPTIONS)
+                .filter(JsonNode::isObject)
+                .map(v -> ((ObjectNode) v).deepCopy())
+                .orElseGet(Pack::map);
+        for (Iterator<Map.Entry<String, JsonNode>> it = n.get("values").fields(); it.hasNext(); ) {
             var e = it.next();
-            Optional<String> wrong = Options.complaint(e.getKey(), e.getValue(), settings.workers().lease());
+            Optional<String> wrong = Options.complaint(
+                    e.getKey(), e.getValue(), settings.workers().lease());
             if (wrong.isPresent()) {
                 answer.accept(error(400, wrong.get()));
                 return;
             }
             merged.set(e.getKey(), e.getValue());
         }
-        commit(new Txn().guard(Keys.OPTIONS, n.get("stamp").longValue()).write(Keys.OPTIONS, merged), Keys.OPTIONS, answer,
+        commit(
+                new Txn().guard(Keys.OPTIONS, n.get("stamp").longValue()).write(Keys.OPTIONS, merged),
+                Keys.OPTIONS,
+                answer,
                 () -> new Answer(200, Pack.map().put("stamp", replica.stamp(Keys.OPTIONS))));
     }
 
@@ -177,7 +237,11 @@
             answer.accept(error(409, "another change is under way; read again and repeat"));
             return;
         }
-        edits.change(Committer.Lane.USERS, h.leaving(HostRecord.DRAINED), r -> answer.accept(after(r, () -> new Answer(200, Pack.map().put("id", id).put("leaving", true)))));
+        edits.change(
+                Committer.Lane.USERS,
+                h.leaving(HostRecord.DRAINED),
+                r -> answer.accept(after(
+                        r, () -> new Answer(200, Pack.map().put("id", id).put("leaving", true)))));
     }
 
     private void commit(Txn txn, String key, Consumer<Answer> answer, java.util.function.Supplier<Answer> good) {
@@ -192,7 +256,9 @@
         if (r instanceof TxnResult.Applied) {
             return good.get();
         }
-        return r instanceof TxnResult.Conflict ? error(409, "changed by somebody else meanwhile; read again and repeat") : error(503, "the state service does not answer");
+        return r instanceof TxnResult.Conflict
+                ? error(409, "changed by somebody else meanwhile; read again and repeat")
+                : error(503, "the state service does not answer");
     }
 
     /** The body of a JSON answer. */
--- a/src/main/java/org/dunespindle/coordination/Cancellations.java
+++ b/src/main/java/org/dunespindle/coordination/Cancellations.java
@@ -79,7 +79,11 @@
         if (told.isEmpty()) {
             return claims;
         }
-        return claims.stream().map(p -> p.job().open() && told.contains(p.job().id()) ? new Placed(p.job().cancelled(), p.claim()) : p).toList();
+        return claims.stream()
+                .map(p -> p.job().open() && told.contains(p.job().id())
+                        ? new Placed(p.job().cancelled(), p.claim())
+                        : p)
+                .toList();
     }
 
     /** Forgets what the copy shows by itself. */
--- a/src/main/java/org/dunespindle/coordination/CloudClient.java
+++ b/src/main/java/org/dunespindle/coordination/CloudClient.java
@@ -16,8 +16,8 @@
 import org.dunespindle.protocol.Pack;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.transport.CallFailure;
-import org.dunespindle.transport.HttpAnswer;
 import org.dunespindle.transport.Caller;
+import org.dunespindle.transport.HttpAnswer;
 
 /** The cloud, called within its rate. */
 public final class CloudClient {
@@ -25,6 +25,7 @@
     private static final int PAGE = 500;
     /** Only the leader makes more than a rare call, so it gets most of the rate; the rest is for the others' catalogs. */
     private static final double LEADERS_PART = 0.7;
+
     private final MeteredCaller service;
 
     /** A rental's outcome: machines, or a refusal for want of capacity. */
@@ -32,7 +33,8 @@
 
     public CloudClient(Caller http, Settings settings, Timeline timeline) {
         double rate = LEADERS_PART * settings.cloud().rps();
-        this.service = new MeteredCaller(http, settings.cloudAddress(), timeline, new RateBudget(timeline, rate), TIMEOUT);
+        this.service =
+                new MeteredCaller(http, settings.cloudAddress(), timeline, new RateBudget(timeline, rate), TIMEOUT);
     }
 
     public Histogram latency() {
@@ -49,24 +51,33 @@
     }
 
     private CompletableFuture<List<ListedMachine>> page(String since, List<ListedMachine> got) {
-        return call("GET", "/rentals?since=" + since + "&limit=" + PAGE, new byte[0]).thenCompose(a -> parsed(a, n -> n)).thenCompose(body -> {
-            String last = since;
-            for (JsonNode row : body.path("hosts")) {
-                try {
-                    ListedMachine m = ListedMachine.parse(row);
-                    got.add(m);
-                    last = m.id();
-                } catch (MalformedException e) {
-                    return CompletableFuture.failedFuture(new CallFailure("unreadable list", true));
-                }
-            }
-            return body.path("more").asBoolean(false) && !last.equals(since) ? page(last, got) : CompletableFuture.completedFuture(got);
-        });
+        return call("GET", "/rentals?since=" + since + "&limit=" + PAGE, new byte[0])
+                .thenCompose(a -> parsed(a, n -> n))
+                .thenCompose(body -> {
+                    String last = since;
+                    for (JsonNode row : body.path("hosts")) {
+                        try {
+                            ListedMachine m = ListedMachine.parse(row);
+                            got.add(m);
+                            last = m.id();
+                        } catch (MalformedException e) {
+                            return CompletableFuture.failedFuture(new CallFailure("unreadable list", true));
+                        }
+                    }
+                    return body.path("more").asBoolean(false) && !last.equals(since)
+                            ? page(last, got)
+                            : CompletableFuture.completedFuture(got);
+                });
     }
 
     /** Rents machines; repeating it with the same charter is safe until it was answered with 200. */
     public CompletableFuture<Rented> rent(String charter, Planner.Market market, int count) {
-        ObjectNode body = Pack.map().put("charter", charter).put("hull", market.type()).put("dune", market.zone()).put("driftwood", market.spot()).put("count", count);
+        ObjectNode body = Pack.map()
+                .put("charter", charter)
+                .put("hull", market.type())
+                .put("dune", market.zone())
+                .put("driftwood", market.spot())
+                .put("count", count);
         return call("POST", "/rentals", Pack.write(body)).thenCompose(a -> {
             if (a.status() == 200) {
                 return parsed(a, n -> {
@@ -75,8 +86,11 @@
                     return new Rented(hosts, false);
                 });
             }
-            boolean none = a.status() == 503 && new String(a.body(), java.nio.charset.StandardCharsets.ISO_8859_1).contains("no capacity");
-            return none ? CompletableFuture.completedFuture(new Rented(List.of(), true)) : CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
+            boolean none = a.status() == 503
+                    && new String(a.body(), java.nio.charset.StandardCharsets.ISO_8859_1).contains("no capacity");
+            return none
+                    ? CompletableFuture.completedFuture(new Rented(List.of(), true))
+                    : CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
         });
     }
 
@@ -84,8 +98,10 @@
     public CompletableFuture<Void> giveBack(List<String> hosts) {
         ObjectNode body = Pack.map();
         hosts.forEach(body.withArray("/hosts")::add);
-        return call("POST", "/rentals/return", Pack.write(body)).thenCompose(a -> a.status() == 200 ? CompletableFuture.completedFuture(null)
-                : CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true)));
+        return call("POST", "/rentals/return", Pack.write(body))
+                .thenCompose(a -> a.status() == 200
+                        ? CompletableFuture.completedFuture(null)
+                        : CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true)));
     }
 
     @FunctionalInterface
--- a/src/main/java/org/dunespindle/coordination/Committer.java
+++ b/src/main/java/org/dunespindle/coordination/Committer.java
@@ -31,6 +31,7 @@
     private static final int KEPT_BACK = 2;
     /** Changes to a transaction: what fails costs the write rate all of them, and requests are plenty beside writes. */
     private static final int FEW = 4;
+
     private static final int CAUTIOUS = 2;
     private static final int WIDEN = 10;
     private static final Duration CAUTIOUS_FOR = Duration.ofSeconds(2);
@@ -51,7 +52,11 @@
     private final Map<String, Integer> kinds = new TreeMap<>();
 
     /** Who goes first when writes are scarce. */
-    public enum Lane { USERS, PLACING, KEEPING }
+    public enum Lane {
+        USERS,
+        PLACING,
+        KEEPING
+    }
 
     private record Proposal(Lane lane, Set<String> locks, Txn txn, Consumer<TxnResult> then) {}
 
@@ -123,7 +128,8 @@
         while (inFlight < MOST_IN_FLIGHT && (head = head()) != null) {
             Duration pause = notBefore.minus(timeline.now());
             int cost = head.txn.changeCount();
-            // What users wait for may be paid off afterwards; the rest waits until it is paid for, bookkeeping until some is left over.
+            // What users wait for may be paid off afterwards; the rest waits until it is paid for, bookkeeping until
+            // some is left over.
             double wanted = head.lane == Lane.USERS ? -USERS_AHEAD : cost + (head.lane == Lane.KEEPING ? KEPT_BACK : 0);
             if (pause.isNegative() && state.writes().lacks(wanted)) {
                 pause = state.writes().until(wanted);
@@ -135,7 +141,10 @@
             if (!head.txn.fits(txnOps)) {
                 // Proposers split what is too large; one that did not must at least not hold up the others.
                 lanes.get(head.lane).pollFirst();
-                LOG.error("a change of {} keys under {} guards is more than a transaction takes", cost, head.txn.guards().size());
+                LOG.error(
+                        "a change of {} keys under {} guards is more than a transaction takes",
+                        cost,
+                        head.txn.guards().size());
                 finish(List.of(head), new TxnResult.Refused(0, "more than a transaction takes"));
                 continue;
             }
@@ -152,7 +161,10 @@
         var batch = new ArrayList<Proposal>();
         var txn = new Txn();
         for (ArrayDeque<Proposal> lane : lanes.values()) {
-            while (!lane.isEmpty() && (batch.isEmpty() || txn.changeCount() + lane.peekFirst().txn.changeCount() <= mostWrites) && txn.absorb(lane.peekFirst().txn, txnOps)) {
+            while (!lane.isEmpty()
+                    && (batch.isEmpty()
+                            || txn.changeCount() + lane.peekFirst().txn.changeCount() <= mostWrites)
+                    && txn.absorb(lane.peekFirst().txn, txnOps)) {
                 batch.add(lane.pollFirst());
             }
         }
@@ -195,7 +207,8 @@
             var stale = new ArrayList<Proposal>();
             for (int i = batch.size() - 1; i >= 0; i--) {
                 Proposal p = batch.get(i);
-                if (conflict.failed().isEmpty() || p.txn.guards().keySet().stream().anyMatch(conflict.failed()::contains)) {
+                if (conflict.failed().isEmpty()
+                        || p.txn.guards().keySet().stream().anyMatch(conflict.failed()::contains)) {
                     stale.add(p);
                 } else {
                     lanes.get(p.lane).addFirst(p);
--- a/src/main/java/org/dunespindle/coordination/Controller.java
+++ b/src/main/java/org/dunespindle/coordination/Controller.java
@@ -37,6 +37,7 @@
     private static final Duration ROUND_AT_LEAST_EVERY = Duration.ofMillis(500);
     /** For what looks through all machines or jobs. */
     private static final Duration LOOK_EVERY = Duration.ofMillis(100);
+
     private static final Duration PLAN_AT_MOST_EVERY = Duration.ofMillis(150);
     private static final Duration PLAN_AT_LEAST_EVERY = Duration.ofSeconds(1);
     private static final Duration HEARTBEAT_EVERY = Duration.ofMillis(1000);
@@ -53,6 +54,7 @@
      * job's record, and a record of small bookings holds a fraction of the tasks.
      */
     private static final int MANY_UNDER_WAY = 200;
+
     private static final Duration GATHER_MANY = Duration.ofMillis(900);
     private static final Duration TELL_LOAD_EVERY = Duration.ofSeconds(10);
     private static final int ROUND_SHARE = 4;
@@ -60,6 +62,7 @@
     private static final int RECORD_RESERVE = 1600;
     /** What a task takes of its job's record at least, however many share a machine: a run of tasks breaks up while they end one by one. */
     private static final int RECORD_PER_TASK = 6;
+
     private static final long LONGEST_MICROS = 60_000_000L;
     private final Settings settings;
     private final Timeline timeline;
@@ -97,6 +100,7 @@
     private final Map<String, Planner.Place> places = new HashMap<>();
     /** Since when a job's record has been as it is, as seen here. */
     private final Map<String, Duration> stillSince = new HashMap<>();
+
     private final Map<Planner.Started, Duration> startedAt = new HashMap<>();
     private final Map<String, Long> stillAt = new HashMap<>();
     private Optional<List<MachineType>> catalog = Optional.empty();
@@ -122,24 +126,107 @@
         this.state = new StateClient(http, settings, timeline);
         this.replica = new Replica(state, timeline, SYNC_EVERY, this::wake);
         this.membership = new Membership(settings.nodeName(), state, replica, timeline);
-        this.committer = new Committer(state, replica, timeline, settings.state().txnOps(), this::wake);
+        this.committer =
+                new Committer(state, replica, timeline, settings.state().txnOps(), this::wake);
         this.edits = new MachineEdits(replica, committer, timeline);
         this.faults = new Faults(replica::job);
         this.cancellations = new Cancellations(settings, replica, timeline);
-        this.hostDesk = new HostDesk(settings, replica, membership, edits, http, timeline, sessions, decisions, preemptions, cancellations, stalls, this::wake);
-        this.reportDesk = new ReportDesk(settings, replica, membership, edits, hostDesk, timeline, sessions, decisions, cancellations, this::cutOff, this::fellQuiet, this::wake);
-        this.peers = new Peers(settings, http, timeline, membership::incarnation, membership::leader, (host, image) -> sessions.of(host).fetched(image), replica,
-                (node, asked, cancelled) -> hostDesk.cancelledElsewhere(cancellations.answered(node, asked, cancelled)));
+        this.hostDesk = new HostDesk(
+                settings,
+                replica,
+                membership,
+                edits,
+                http,
+                timeline,
+                sessions,
+                decisions,
+                preemptions,
+                cancellations,
+                stalls,
+                this::wake);
+        this.reportDesk = new ReportDesk(
+                settings,
+                replica,
+                membership,
+                edits,
+                hostDesk,
+                timeline,
+                sessions,
+                decisions,
+                cancellations,
+                this::cutOff,
+                this::fellQuiet,
+                this::wake);
+        this.peers = new Peers(
+                settings,
+                http,
+                timeline,
+                membership::incarnation,
+                membership::leader,
+                (host, image) -> sessions.of(host).fetched(image),
+                replica,
+                (node, asked, cancelled) ->
+                        hostDesk.cancelledElsewhere(cancellations.answered(node, asked, cancelled)));
         this.writeShare = new WriteShare(settings, peers, membership, committer, state, timeline);
         this.cloud = new CloudClient(http, settings, timeline);
-        this.fleet = new Fleet(settings, replica, membership, edits, hostDesk, cloud, timeline, sessions, peers, decisions, targets, stalls, faults, this::options, () -> catalog);
-        this.ownership = new Ownership(settings, replica, membership, hostDesk, edits, peers, sessions, timeline, this::options);
-        this.outcomes = new Outcomes(settings, replica, membership, committer, hostDesk, sessions, timeline, decisions, faults);
-        this.placements = new Placements(settings, replica, membership, committer, edits, outcomes, preemptions, hostDesk, timeline, decisions, this::takesTasks);
+        this.fleet = new Fleet(
+                settings,
+                replica,
+                membership,
+                edits,
+                hostDesk,
+                cloud,
+                timeline,
+                sessions,
+                peers,
+                decisions,
+                targets,
+                stalls,
+                faults,
+                this::options,
+                () -> catalog);
+        this.ownership =
+                new Ownership(settings, replica, membership, hostDesk, edits, peers, sessions, timeline, this::options);
+        this.outcomes =
+                new Outcomes(settings, replica, membership, committer, hostDesk, sessions, timeline, decisions, faults);
+        this.placements = new Placements(
+                settings,
+                replica,
+                membership,
+                committer,
+                edits,
+                outcomes,
+                preemptions,
+                hostDesk,
+                timeline,
+                decisions,
+                this::takesTasks);
         this.gangs = new Gangs(settings, replica, committer, hostDesk, sessions, timeline, decisions, this::options);
-        this.admin = new Admin(settings, replica, membership, committer, edits, decisions, this, new TreeMap<>(Map.of("decisionRound", rounds, "plan", plans, "stateCall", state.latency(),
-                "cloudCall", cloud.latency(), "holdPlacement", gangs.holdPlacement(), "replacement", gangs.replacement(), "accept", accepts)));
-        this.hearing = new Hearing(settings, replica, membership, hostDesk, peers, sessions, timeline, stalls, decisions);
+        this.admin = new Admin(
+                settings,
+                replica,
+                membership,
+                committer,
+                edits,
+                decisions,
+                this,
+                new TreeMap<>(Map.of(
+                        "decisionRound",
+                        rounds,
+                        "plan",
+                        plans,
+                        "stateCall",
+                        state.latency(),
+                        "cloudCall",
+                        cloud.latency(),
+                        "holdPlacement",
+                        gangs.holdPlacement(),
+                        "replacement",
+                        gangs.replacement(),
+                        "accept",
+                        accepts)));
+        this.hearing =
+                new Hearing(settings, replica, membership, hostDesk, peers, sessions, timeline, stalls, decisions);
         this.headroom = new Headroom(settings.objectives());
         this.frontDesk = new FrontDesk(settings, replica, state, committer, timeline, () -> catalog, accepts);
     }
@@ -167,12 +254,20 @@
             return "its members are being stopped before it is placed again";
         }
         if (faults.faultyJob(j.id())) {
-            return "its tasks have failed " + j.failures() + " times, on " + faults.machinesOf(j.id()).size() + " machines seen from here, and none ended well; one is tried at a time, with growing pauses";
+            return "its tasks have failed " + j.failures() + " times, on "
+                    + faults.machinesOf(j.id()).size()
+                    + " machines seen from here, and none ended well; one is tried at a time, with growing pauses";
         }
         if (j.unplacedCount() == 0) {
             return "its placeholders fetch the image";
         }
-        return plan.reasons().getOrDefault(j.id(), j.job().gang() && !membership.leads() ? "the leading controller places gangs; ask " + membership.leader().orElse("it") : "it is about to be placed");
+        return plan.reasons()
+                .getOrDefault(
+                        j.id(),
+                        j.job().gang() && !membership.leads()
+                                ? "the leading controller places gangs; ask "
+                                        + membership.leader().orElse("it")
+                                : "it is about to be placed");
     }
 
     public FrontDesk frontDesk() {
@@ -206,7 +301,9 @@
             return false;
         }
         List<Peers.Heartbeat> heartbeats = peers.fresh();
-        return heartbeats.isEmpty() ? !settings.seeds().isEmpty() : heartbeats.stream().anyMatch(w -> w.viewAge().compareTo(PLACING_VIEW) < 0);
+        return heartbeats.isEmpty()
+                ? !settings.seeds().isEmpty()
+                : heartbeats.stream().anyMatch(w -> w.viewAge().compareTo(PLACING_VIEW) < 0);
     }
 
     private boolean fellQuiet(String owner) {
@@ -261,14 +358,30 @@
             }
             boolean up = takesTasks(h);
             boolean bad = fleet.bad(h.id());
-            Duration silent = up ? Duration.ZERO : stalls.silence(s.get().unprovenSince.filter(u -> u.compareTo(s.get().heardAt.get()) < 0).orElse(s.get().heardAt.get()));
-            String told = h.token() + (up ? "u" : "d" + silent.toSeconds() / 3) + bad + s.get().images().hashCode();
+            Duration silent = up
+                    ? Duration.ZERO
+                    : stalls.silence(s.get()
+                            .unprovenSince
+                            .filter(u -> u.compareTo(s.get().heardAt.get()) < 0)
+                            .orElse(s.get().heardAt.get()));
+            String told = h.token()
+                    + (up ? "u" : "d" + silent.toSeconds() / 3)
+                    + bad
+                    + s.get().images().hashCode();
             if (!told.equals(s.get().told)) {
                 s.get().told = told;
                 s.get().toldAs = ++newsNumber;
             }
             String address = s.get().report.map(r -> r.address()).orElse(h.address());
-            list.add(new Peers.News(h.id(), s.get().toldAs, h.token(), up, bad, silent, address, s.get().images()));
+            list.add(new Peers.News(
+                    h.id(),
+                    s.get().toldAs,
+                    h.token(),
+                    up,
+                    bad,
+                    silent,
+                    address,
+                    s.get().images()));
         }
         list.sort((a, b) -> Long.compare(a.number(), b.number()));
         return list;
@@ -279,7 +392,17 @@
             return false;
         }
         Sessions.Session s = sessions.of(h.id());
-        return s.report.get().notice().isEmpty() && !hostDesk.mute(s) && s.aliveAt().filter(t -> timeline.now().minus(t).compareTo(settings.workers().report().multipliedBy(3).plusSeconds(1)) < 0).isPresent();
+        return s.report.get().notice().isEmpty()
+                && !hostDesk.mute(s)
+                && s.aliveAt()
+                        .filter(t -> timeline.now()
+                                        .minus(t)
+                                        .compareTo(settings.workers()
+                                                .report()
+                                                .multipliedBy(3)
+                                                .plusSeconds(1))
+                                < 0)
+                        .isPresent();
     }
 
     /** Asks for a round soon. A dear round is followed by a longer pause, so that answers to users and workers keep their turn. */
@@ -289,7 +412,9 @@
         }
         roundSet = true;
         Duration gap = lastCost.multipliedBy(ROUND_SHARE);
-        Duration next = lastRound.plus(gap.compareTo(ROUND_AT_MOST_EVERY) > 0 ? gap : ROUND_AT_MOST_EVERY).minus(timeline.now());
+        Duration next = lastRound
+                .plus(gap.compareTo(ROUND_AT_MOST_EVERY) > 0 ? gap : ROUND_AT_MOST_EVERY)
+                .minus(timeline.now());
         timeline.after(next.compareTo(Duration.ofMillis(2)) < 0 ? Duration.ofMillis(2) : next, () -> {
             roundSet = false;
             Duration begun = timeline.now();
@@ -345,10 +470,17 @@
     private List<Reconciler.Event> onGoneMachines() {
         var events = new ArrayList<Reconciler.Event>();
         var hosts = new ArrayList<>(fleet.gone());
-        replica.hostsWithClaims().stream().filter(h -> !replica.hosts().containsKey(h) && !fleet.isGone(h)).forEach(hosts::add);
+        replica.hostsWithClaims().stream()
+                .filter(h -> !replica.hosts().containsKey(h) && !fleet.isGone(h))
+                .forEach(hosts::add);
         for (String host : hosts) {
             for (Replica.Placed p : replica.claimsOn(host)) {
-                events.add(new Reconciler.Event(p.job().id(), p.claim().task(), p.claim().base(), Reconciler.Fate.GONE, "its machine " + host + " is gone"));
+                events.add(new Reconciler.Event(
+                        p.job().id(),
+                        p.claim().task(),
+                        p.claim().base(),
+                        Reconciler.Fate.GONE,
+                        "its machine " + host + " is gone"));
             }
         }
         return events;
@@ -358,7 +490,8 @@
         Duration since = timeline.now().minus(lastPlan);
         Duration gap = planCost.multipliedBy(PLAN_SHARE);
         boolean may = since.compareTo(gap.compareTo(PLAN_AT_MOST_EVERY) > 0 ? gap : PLAN_AT_MOST_EVERY) >= 0;
-        return may && (replica.version() + hostDesk.version() != plannedFor || since.compareTo(PLAN_AT_LEAST_EVERY) >= 0);
+        return may
+                && (replica.version() + hostDesk.version() != plannedFor || since.compareTo(PLAN_AT_LEAST_EVERY) >= 0);
     }
 
     private void plan() {
@@ -399,16 +532,38 @@
             if (type == null || fleet.leaves(h) || !mine && !leads) {
                 continue;
             }
-            boolean up = mine ? takesTasks(h) : told(h, trusted).filter(m -> m.up() && !m.bad()).isPresent();
+            boolean up = mine
+                    ? takesTasks(h)
+                    : told(h, trusted).filter(m -> m.up() && !m.bad()).isPresent();
             if (up || fleet.booting(h) && fleet.bootsInTime(h)) {
-                hosts.add(new Planner.Host(h.id(), h.type(), h.zone(), h.spot(), type.size(), up, mine, sessions.known(h.id()).map(Sessions.Session::images).orElse(Set.of())));
+                hosts.add(new Planner.Host(
+                        h.id(),
+                        h.type(),
+                        h.zone(),
+                        h.spot(),
+                        type.size(),
+                        up,
+                        mine,
+                        sessions.known(h.id()).map(Sessions.Session::images).orElse(Set.of())));
             }
         }
         int most = Math.max(8, (settings.state().valueBytes() - RECORD_RESERVE) / RECORD_PER_TASK);
         // A job that fails everywhere takes the room of one task, until one ends well or its user cancels it.
         ToIntFunction<JobRecord> mostTasks = j -> faults.faultyJob(j.id()) ? 1 : most;
-        return new Planner.Snapshot(timeline.wallTime(), jobs, hosts, settings.teams(), places, fleet.refused(), mostTasks, outcomes.ended(), leftAlone(jobs), leads,
-                leads ? headroom.phantoms(options().spareJobs(), timeline.wallTime()) : List.of(), targets, leads ? progress(jobs) : p -> Duration.ZERO);
+        return new Planner.Snapshot(
+                timeline.wallTime(),
+                jobs,
+                hosts,
+                settings.teams(),
+                places,
+                fleet.refused(),
+                mostTasks,
+                outcomes.ended(),
+                leftAlone(jobs),
+                leads,
+                leads ? headroom.phantoms(options().spareJobs(), timeline.wallTime()) : List.of(),
+                targets,
+                leads ? progress(jobs) : p -> Duration.ZERO);
     }
 
     /**
@@ -416,7 +571,9 @@
      * its machines until then; nothing is placed on one before it has been borrowed and has reported here.
      */
     private Optional<Peers.Machine> told(HostRecord h, Map<String, Boolean> trusted) {
-        boolean trust = trusted.computeIfAbsent(h.owner(), o -> peers.heartbeat(o).isPresent()) || membership.isAlive(h.owner(), h.incarnation());
+        boolean trust =
+                trusted.computeIfAbsent(h.owner(), o -> peers.heartbeat(o).isPresent())
+                        || membership.isAlive(h.owner(), h.incarnation());
         return trust ? peers.lastTold(h) : Optional.empty();
     }
 
@@ -456,10 +613,15 @@
             if (!stamp.equals(stillAt.put(j.id(), stamp))) {
                 stillSince.put(j.id(), now);
             }
-            boolean home = membership.homeOf(j.id()).filter(settings.nodeName()::equals).isPresent();
+            boolean home = membership
+                    .homeOf(j.id())
+                    .filter(settings.nodeName()::equals)
+                    .isPresent();
             Duration still = now.minus(stillSince.get(j.id()));
-            Duration patience = j.claims().size() >= MANY_UNDER_WAY && gather.compareTo(GATHER_MANY) < 0 ? GATHER_MANY : gather;
-            if (still.compareTo(home ? j.claims().isEmpty() ? Duration.ZERO : patience : OTHERS_FIRST.plus(patience)) < 0) {
+            Duration patience =
+                    j.claims().size() >= MANY_UNDER_WAY && gather.compareTo(GATHER_MANY) < 0 ? GATHER_MANY : gather;
+            if (still.compareTo(home ? j.claims().isEmpty() ? Duration.ZERO : patience : OTHERS_FIRST.plus(patience))
+                    < 0) {
                 alone.add(j.id());
             }
         }
@@ -476,15 +638,36 @@
         var byPhase = new TreeMap<String, Double>();
         for (HostRecord h : replica.hosts().values()) {
             if (membership.owns(h)) {
-                sessions.known(h.id()).flatMap(s -> s.report).ifPresent(r -> r.tasks().forEach(t -> replica.job(t.task().job()).flatMap(JobRecord::spec)
-                        .ifPresent(spec -> byPhase.merge(spec.jobClass() + " " + t.phase().wire(), spec.perTask().gpus(), Double::sum))));
+                sessions.known(h.id())
+                        .flatMap(s -> s.report)
+                        .ifPresent(r -> r.tasks()
+                                .forEach(t -> replica.job(t.task().job())
+                                        .flatMap(JobRecord::spec)
+                                        .ifPresent(spec -> byPhase.merge(
+                                                spec.jobClass() + " "
+                                                        + t.phase().wire(),
+                                                spec.perTask().gpus(),
+                                                Double::sum))));
             }
         }
         LOG.debug("accelerators by class and phase: {}", byPhase);
-        LOG.debug("load: {} reports, {} calls, {} writes ({} wait, {} in vain), rounds {} (p90 {} ms), plans {} (p50 {} ms, p90 {} ms), state calls {} (p90 {} ms), own {} of {} machines, may write {}/s, {}", reportDesk.reports(),
-                hostDesk.calls(), committer.written(), committer.waiting(), committer.wasted(), rounds.getTotalCount(), rounds.getValueAtPercentile(90) / 1000, plans.getTotalCount(),
-                plans.getValueAtPercentile(50) / 1000, plans.getValueAtPercentile(90) / 1000, state.latency().getTotalCount(), state.latency().getValueAtPercentile(90) / 1000,
-                replica.hosts().values().stream().filter(membership::owns).count(), replica.hosts().size(),
-                Math.round(state.writes().perSecond()), committer.kinds());
+        LOG.debug(
+                "load: {} reports, {} calls, {} writes ({} wait, {} in vain), rounds {} (p90 {} ms), plans {} (p50 {} ms, p90 {} ms), state calls {} (p90 {} ms), own {} of {} machines, may write {}/s, {}",
+                reportDesk.reports(),
+                hostDesk.calls(),
+                committer.written(),
+                committer.waiting(),
+                committer.wasted(),
+                rounds.getTotalCount(),
+                rounds.getValueAtPercentile(90) / 1000,
+                plans.getTotalCount(),
+                plans.getValueAtPercentile(50) / 1000,
+                plans.getValueAtPercentile(90) / 1000,
+                state.latency().getTotalCount(),
+                state.latency().getValueAtPercentile(90) / 1000,
+                replica.hosts().values().stream().filter(membership::owns).count(),
+                replica.hosts().size(),
+                Math.round(state.writes().perSecond()),
+                committer.kinds());
     }
 }
--- a/src/main/java/org/dunespindle/coordination/FailureDetector.java
+++ b/src/main/java/org/dunespindle/coordination/FailureDetector.java
@@ -45,7 +45,15 @@
 
     private record Command(long token, Duration since) {}
 
-    FailureDetector(Settings settings, Replica replica, Membership membership, HostDesk hostDesk, Peers peers, Sessions sessions, Timeline timeline, StallDetector stalls,
+    FailureDetector(
+            Settings settings,
+            Replica replica,
+            Membership membership,
+            HostDesk hostDesk,
+            Peers peers,
+            Sessions sessions,
+            Timeline timeline,
+            StallDetector stalls,
             Function<String, Optional<String>> listedAddress) {
         this.settings = settings;
         this.replica = replica;
@@ -63,9 +71,11 @@
      * reports: without them their leases run out. Another's may report to their owner alone, so an answer is enough.
      */
     Optional<Duration> heard(HostRecord host) {
-        Optional<Duration> here = sessions.known(host.id()).flatMap(s -> membership.owns(host) ? s.heardAt : s.aliveAt());
+        Optional<Duration> here =
+                sessions.known(host.id()).flatMap(s -> membership.owns(host) ? s.heardAt : s.aliveAt());
         Optional<Duration> there = peers.aliveAt(host);
-        return here.filter(h -> there.isEmpty() || h.compareTo(there.get()) >= 0).or(() -> there);
+        return here.filter(h -> there.isEmpty() || h.compareTo(there.get()) >= 0)
+                .or(() -> there);
     }
 
     /** Forgets everything: what was seen as an earlier leader says nothing. */
@@ -118,7 +128,9 @@
     /** How long a machine has been silent. Whoever takes one over has not heard it yet, and what its earlier owner told last may be minutes old. */
     Duration of(HostRecord h, Duration leadingSince) {
         Duration now = timeline.now();
-        Duration commanded = commands.compute(h.id(), (id, c) -> c != null && c.token == h.token() ? c : new Command(h.token(), now)).since;
+        Duration commanded = commands.compute(
+                        h.id(), (id, c) -> c != null && c.token == h.token() ? c : new Command(h.token(), now))
+                .since;
         return stalls.silence(later(heard(h).orElse(leadingSince), later(commanded, leadingSince)));
     }
 
@@ -131,7 +143,12 @@
         Duration now = timeline.now();
         boolean ownerTalks = membership.owns(h) || peers.heartbeat(h.owner()).isPresent();
         Duration limit = most.plus(ownerTalks ? Duration.ZERO : OWNER_MUTE);
-        spared.computeIfPresent(h.id(), (id, s) -> silent.compareTo(limit.dividedBy(2)) < 0 && now.minus(s.at).compareTo(limit) > 0 ? null : s);
+        spared.computeIfPresent(
+                h.id(),
+                (id, s) -> silent.compareTo(limit.dividedBy(2)) < 0
+                                && now.minus(s.at).compareTo(limit) > 0
+                        ? null
+                        : s);
         return silent.compareTo(limit) > 0 && !spares(h, silent) && !answersWhenAsked(h);
     }
 
@@ -142,7 +159,9 @@
      */
     boolean spares(HostRecord h, Duration silent) {
         var w = settings.workers();
-        Duration patience = w.cancel().compareTo(w.lease()) > 0 ? w.cancel().plus(w.lease().dividedBy(2)) : w.lease().multipliedBy(3).dividedBy(2);
+        Duration patience = w.cancel().compareTo(w.lease()) > 0
+                ? w.cancel().plus(w.lease().dividedBy(2))
+                : w.lease().multipliedBy(3).dividedBy(2);
         return (cutOff.containsKey(h.zone()) || cutOff.containsKey(ownerKey(h))) && silent.compareTo(patience) <= 0;
     }
 
@@ -154,7 +173,8 @@
     boolean answersWhenAsked(HostRecord h) {
         Duration now = timeline.now();
         Duration vain = askedInVain.get(h.id());
-        if (vain != null && now.minus(vain).compareTo(ASKED_LATELY) < 0 || spared.getOrDefault(h.id(), new Spared(0, now)).times >= MOST_SPARED) {
+        if (vain != null && now.minus(vain).compareTo(ASKED_LATELY) < 0
+                || spared.getOrDefault(h.id(), new Spared(0, now)).times >= MOST_SPARED) {
             return false;
         }
         String known = peers.address(h).orElse(hostDesk.address(h));
--- a/src/main/java/org/dunespindle/coordination/Faults.java
+++ b/src/main/java/org/dunespindle/coordination/Faults.java
@@ -20,10 +20,12 @@
     private static final int MACHINES = 2;
     /** So many failures elsewhere, and none of its tasks done, show the same of a job that failed on one machine here. */
     private static final int ELSEWHERE = 2;
+
     private final Function<String, Optional<JobRecord>> record;
     private final Map<String, Set<String>> machinesOfJob = new HashMap<>();
     /** How often each job failed on a machine since one of its tasks last ended well. */
     private final Map<String, Map<String, Integer>> failuresByMachine = new HashMap<>();
+
     private final Set<String> endedWell = new HashSet<>();
 
     Faults(Function<String, Optional<JobRecord>> record) {
@@ -41,20 +43,25 @@
     }
 
     boolean faultyJob(String job) {
-        return !endedWell.contains(job) && machinesOfJob.getOrDefault(job, Set.of()).size() >= MACHINES;
+        return !endedWell.contains(job)
+                && machinesOfJob.getOrDefault(job, Set.of()).size() >= MACHINES;
     }
 
     /** How many jobs failed on a machine that are not at fault themselves, as far as is known by now. */
     int jobsFailedOn(String machine) {
         int count = 0;
-        for (Map.Entry<String, Integer> e : failuresByMachine.getOrDefault(machine, Map.of()).entrySet()) {
+        for (Map.Entry<String, Integer> e :
+                failuresByMachine.getOrDefault(machine, Map.of()).entrySet()) {
             count += faultyJob(e.getKey()) || failsElsewhere(e.getKey(), e.getValue()) ? 0 : 1;
         }
         return count;
     }
 
     private boolean failsElsewhere(String job, int here) {
-        return !endedWell.contains(job) && record.apply(job).filter(j -> j.failures() - here >= ELSEWHERE && j.doneCount() == 0).isPresent();
+        return !endedWell.contains(job)
+                && record.apply(job)
+                        .filter(j -> j.failures() - here >= ELSEWHERE && j.doneCount() == 0)
+                        .isPresent();
     }
 
     /** Machines on which a job has failed. */
--- a/src/main/java/org/dunespindle/coordination/Fleet.java
+++ b/src/main/java/org/dunespindle/coordination/Fleet.java
@@ -38,6 +38,7 @@
     private static final Duration FETCH_ALLOWANCE = Duration.ofSeconds(12);
     /** Most machines are up by then; on the others nothing is planned any more. */
     private static final int LATE_BOOT_TENTHS = 16;
+
     private static final Duration SURE_OF_LIST = Duration.ofSeconds(2);
     private static final Duration RUNS_UNHEARD = Duration.ofSeconds(20);
     private static final Duration JUDGE_EVERY = Duration.ofMillis(900);
@@ -71,6 +72,7 @@
     private final Map<String, Duration> quarantinedSince = new HashMap<>();
     /** Machines rented here whose records are not stored yet; nothing more is rented until they count as room. */
     private final Map<String, Runnable> unrecorded = new LinkedHashMap<>();
+
     private Map<String, ListedMachine> listed = Map.of();
     private Optional<Duration> leadingSince = Optional.empty();
     private Duration listAgainAt = Duration.ZERO;
@@ -86,8 +88,22 @@
 
     private record Refusal(Duration until, Duration pause) {}
 
-    public Fleet(Settings settings, Replica replica, Membership membership, MachineEdits edits, HostDesk hostDesk, CloudClient cloud, Timeline timeline, Sessions sessions,
-            Peers peers, Decisions decisions, Targets targets, StallDetector stalls, Faults faults, Supplier<Options> options, Supplier<Optional<List<MachineType>>> catalog) {
+    public Fleet(
+            Settings settings,
+            Replica replica,
+            Membership membership,
+            MachineEdits edits,
+            HostDesk hostDesk,
+            CloudClient cloud,
+            Timeline timeline,
+            Sessions sessions,
+            Peers peers,
+            Decisions decisions,
+            Targets targets,
+            StallDetector stalls,
+            Faults faults,
+            Supplier<Options> options,
+            Supplier<Optional<List<MachineType>>> catalog) {
         this.settings = settings;
         this.replica = replica;
         this.membership = membership;
@@ -101,7 +117,18 @@
         this.decisions = decisions;
         this.stalls = stalls;
         this.faults = faults;
-        this.failures = new FailureDetector(settings, replica, membership, hostDesk, peers, sessions, timeline, stalls, id -> Optional.ofNullable(listed.get(id)).map(ListedMachine::address).filter(a -> !a.isEmpty()));
+        this.failures = new FailureDetector(
+                settings,
+                replica,
+                membership,
+                hostDesk,
+                peers,
+                sessions,
+                timeline,
+                stalls,
+                id -> Optional.ofNullable(listed.get(id))
+                        .map(ListedMachine::address)
+                        .filter(a -> !a.isEmpty()));
         this.options = options;
         this.catalog = catalog;
     }
@@ -129,7 +156,8 @@
     /** Whether a machine that has not reported yet is still worth waiting for. */
     public boolean bootsInTime(HostRecord h) {
         // A controller that has just started has heard nobody yet: that says nothing about the machines.
-        return timeline.now().compareTo(EARLY) < 0 || age(h).compareTo(bootTime(h).multipliedBy(LATE_BOOT_TENTHS).dividedBy(10)) < 0;
+        return timeline.now().compareTo(EARLY) < 0
+                || age(h).compareTo(bootTime(h).multipliedBy(LATE_BOOT_TENTHS).dividedBy(10)) < 0;
     }
 
     private Duration age(HostRecord h) {
@@ -163,7 +191,9 @@
             // While no machine is known at all this is the first leader ever, and what the list names is there.
             firstOfAll = replica.hosts().isEmpty();
         }
-        goneAt.entrySet().removeIf(e -> now.minus(e.getValue()).compareTo(REMEMBER_GONE) > 0 && !replica.hosts().containsKey(e.getKey()));
+        goneAt.entrySet()
+                .removeIf(e -> now.minus(e.getValue()).compareTo(REMEMBER_GONE) > 0
+                        && !replica.hosts().containsKey(e.getKey()));
         list(now);
         if (now.compareTo(judgeAgainAt) >= 0) {
             judgeAgainAt = now.plus(JUDGE_EVERY);
@@ -204,10 +234,19 @@
         double holding = 0;
         for (JobRecord j : replica.livingJobs()) {
             claimed += j.job().perTask().gpus() * j.claims().size();
-            holding += j.job().gang() && j.mode() != JobRecord.Mode.REAL ? j.job().perTask().gpus() * j.claims().size() : 0;
+            holding += j.job().gang() && j.mode() != JobRecord.Mode.REAL
+                    ? j.job().perTask().gpus() * j.claims().size()
+                    : 0;
         }
-        double all = replica.hosts().values().stream().mapToDouble(h -> known(h.type()).map(t -> t.size().gpus()).orElse(0.0)).sum();
-        LOG.debug("fleet: {}, accelerators {} claimed ({} by placeholders) of {}", counts, Math.round(claimed), Math.round(holding), Math.round(all));
+        double all = replica.hosts().values().stream()
+                .mapToDouble(h -> known(h.type()).map(t -> t.size().gpus()).orElse(0.0))
+                .sum();
+        LOG.debug(
+                "fleet: {}, accelerators {} claimed ({} by placeholders) of {}",
+                counts,
+                Math.round(claimed),
+                Math.round(holding),
+                Math.round(all));
     }
 
     private void list(Duration now) {
@@ -234,12 +273,18 @@
      */
     private void adopt() {
         Duration sure = settings.cloud().listLag().multipliedBy(2).plus(SURE_OF_LIST);
-        if (!firstOfAll && timeline.now().minus(leadingSince.orElse(timeline.now())).compareTo(sure) < 0) {
+        if (!firstOfAll
+                && timeline.now().minus(leadingSince.orElse(timeline.now())).compareTo(sure) < 0) {
             return;
         }
         for (ListedMachine m : listed.values()) {
             if (!m.failed() && !replica.hosts().containsKey(m.id()) && !isGone(m.id()) && !edits.busy(m.id())) {
-                record(m.id(), m.address(), new Planner.Market(m.type(), m.zone(), m.spot()), timeline.wallTime().minus(m.age()), false);
+                record(
+                        m.id(),
+                        m.address(),
+                        new Planner.Market(m.type(), m.zone(), m.spot()),
+                        timeline.wallTime().minus(m.age()),
+                        false);
             }
         }
     }
@@ -248,9 +293,24 @@
     private void record(String id, String address, Planner.Market market, Instant rented, boolean forGang) {
         String owner = forGang ? settings.nodeName() : membership.hashed(id).orElse(settings.nodeName());
         long inc = membership.incarnationOf(owner).orElse(membership.incarnation());
-        long token = sessions.known(id).flatMap(x -> x.report).map(r -> r.token() + 1).orElse(1L);
-        var host = new HostRecord(id, address, market.type(), market.zone(), market.spot(), owner, inc, token, rented, Instant.EPOCH, false, "");
-        edits.change(Committer.Lane.PLACING, host, r -> { });
+        long token = sessions.known(id)
+                .flatMap(x -> x.report)
+                .map(r -> r.token() + 1)
+                .orElse(1L);
+        var host = new HostRecord(
+                id,
+                address,
+                market.type(),
+                market.zone(),
+                market.spot(),
+                owner,
+                inc,
+                token,
+                rented,
+                Instant.EPOCH,
+                false,
+                "");
+        edits.change(Committer.Lane.PLACING, host, r -> {});
     }
 
     private void removeGone() {
@@ -270,24 +330,29 @@
     }
 
     private void judge(Duration now, Planner.Plan plan) {
-        failures.look(leadingSince.orElse(now), h -> age(h).compareTo(bootTime(h).multipliedBy(LATE_BOOT_TENTHS).dividedBy(10)) > 0);
+        failures.look(
+                leadingSince.orElse(now),
+                h -> age(h).compareTo(bootTime(h).multipliedBy(LATE_BOOT_TENTHS).dividedBy(10)) > 0);
         for (HostRecord h : List.copyOf(replica.hosts().values())) {
             if (h.leaving() || isGone(h.id()) || edits.busy(h.id()) || dropped.contains(h.id())) {
                 continue;
             }
-            boolean idle = replica.claimsOn(h.id()).isEmpty() && !plan.wantedHosts().contains(h.id());
+            boolean idle =
+                    replica.claimsOn(h.id()).isEmpty() && !plan.wantedHosts().contains(h.id());
             if (!idle) {
                 idleSince.remove(h.id());
             } else {
                 idleSince.putIfAbsent(h.id(), now);
             }
-            whyLeave(h, now).filter(why -> !why.equals(HostRecord.IDLE) || !edits.crowded()).ifPresent(why -> {
-                if (why.equals(HostRecord.IDLE) || why.equals(FAILS)) {
-                    leave(h, why);
-                } else {
-                    drop(h, why);
-                }
-            });
+            whyLeave(h, now)
+                    .filter(why -> !why.equals(HostRecord.IDLE) || !edits.crowded())
+                    .ifPresent(why -> {
+                        if (why.equals(HostRecord.IDLE) || why.equals(FAILS)) {
+                            leave(h, why);
+                        } else {
+                            drop(h, why);
+                        }
+                    });
         }
     }
 
@@ -298,7 +363,8 @@
         }
         // In quarantine first: jobs that failed there may turn out to fail elsewhere too.
         boolean fails = peers.machine(h).filter(Peers.Machine::bad).isPresent() || bad(h.id());
-        Duration quarantined = quarantinedSince.compute(h.id(), (id, since) -> !fails ? null : since == null ? now : since);
+        Duration quarantined =
+                quarantinedSince.compute(h.id(), (id, since) -> !fails ? null : since == null ? now : since);
         if (quarantined != null && now.minus(quarantined).compareTo(QUARANTINE) > 0) {
             return Optional.of(FAILS);
         }
@@ -307,16 +373,25 @@
         if (heard(h).isEmpty()) {
             Duration seen = now.minus(firstSeen.computeIfAbsent(h.id(), k -> now));
             boolean sure = leading.compareTo(silentLimit.plus(EARLY)) > 0 && !failures.spares(h, leading);
-            boolean runs = row != null && row.phase().equals("running") && seen.compareTo(silentLimit.plus(RUNS_UNHEARD)) > 0;
-            boolean late = age(h).compareTo(bootTime(h).multipliedBy(options.get().bootPatience())) > 0;
-            return !sure || !runs && !late || failures.answersWhenAsked(h) ? Optional.empty() : Optional.of(runs ? "it runs but no controller hears it" : "it did not come up in time");
+            boolean runs =
+                    row != null && row.phase().equals("running") && seen.compareTo(silentLimit.plus(RUNS_UNHEARD)) > 0;
+            boolean late =
+                    age(h).compareTo(bootTime(h).multipliedBy(options.get().bootPatience())) > 0;
+            return !sure || !runs && !late || failures.answersWhenAsked(h)
+                    ? Optional.empty()
+                    : Optional.of(runs ? "it runs but no controller hears it" : "it did not come up in time");
         }
         Duration silent = failures.of(h, leadingSince.orElse(now));
         if (failures.proven(h, silent, silentLimit)) {
             return Optional.of("it has been silent for " + silent.toSeconds() + " s");
         }
         boolean reports = silent.compareTo(settings.workers().report().multipliedBy(2)) < 0;
-        if (membership.owns(h) && reports && leading.compareTo(silentLimit) > 0 && hostDesk.oneWayFor(h.id()).filter(d -> d.compareTo(silentLimit) > 0).isPresent()) {
+        if (membership.owns(h)
+                && reports
+                && leading.compareTo(silentLimit) > 0
+                && hostDesk.oneWayFor(h.id())
+                        .filter(d -> d.compareTo(silentLimit) > 0)
+                        .isPresent()) {
             return Optional.of("it reports but takes no commands");
         }
         Duration idle = now.minus(idleSince.getOrDefault(h.id(), now));
@@ -326,7 +401,8 @@
     /** The more machines there are, the sooner another one is free for the next job, and the less each has to wait for it. */
     private Duration idleLimit(boolean spot) {
         Duration set = options.get().idleBeforeReturn(spot);
-        double part = Math.sqrt((double) SMALL_FLEET / Math.max(SMALL_FLEET, replica.hosts().size()));
+        double part = Math.sqrt(
+                (double) SMALL_FLEET / Math.max(SMALL_FLEET, replica.hosts().size()));
         Duration limit = Duration.ofMillis((long) (set.toMillis() * part));
         return limit.compareTo(LEAST_IDLE) > 0 ? limit : set.compareTo(LEAST_IDLE) > 0 ? LEAST_IDLE : set;
     }
@@ -338,7 +414,7 @@
 
     private void leave(HostRecord h, String why) {
         decisions.tell(LOG, "machine {} is given back: {}", h.id(), why);
-        edits.change(Committer.Lane.KEEPING, h.leaving(why), r -> { });
+        edits.change(Committer.Lane.KEEPING, h.leaving(why), r -> {});
     }
 
     /**
@@ -361,7 +437,8 @@
         }
         var hosts = new ArrayList<String>();
         for (HostRecord h : replica.hosts().values()) {
-            // Placements guard the record's stamp: once it says leaving and everything up to it is known, nothing new can come.
+            // Placements guard the record's stamp: once it says leaving and everything up to it is known, nothing new
+            // can come.
             boolean settled = h.leaving() && replica.syncedTo() >= replica.stamp(Keys.host(h.id())) && !isGone(h.id());
             boolean unused = replica.claimsOn(h.id()).isEmpty() || !h.leavesWhenEmpty();
             if ((settled && unused || dropped.contains(h.id()) && !isGone(h.id())) && hosts.size() < MOST_RETURNED) {
@@ -393,14 +470,22 @@
 
     private void rent(Planner.Plan plan) {
         recordRented();
-        if (!unrecorded.isEmpty() || renting || catalog.get().isEmpty() || replica.age().compareTo(Duration.ofSeconds(3)) > 0) {
+        if (!unrecorded.isEmpty()
+                || renting
+                || catalog.get().isEmpty()
+                || replica.age().compareTo(Duration.ofSeconds(3)) > 0) {
             return;
         }
         for (Map.Entry<Planner.Market, Need> need : needs(plan).entrySet()) {
             int count = Math.min(MOST_RENTED, need.getValue().count);
             if (count > 0) {
                 renting = true;
-                request("r-" + settings.nodeName() + "-" + membership.incarnation() + "-" + ++charters, need.getKey(), count, need.getValue().forGang, 4);
+                request(
+                        "r-" + settings.nodeName() + "-" + membership.incarnation() + "-" + ++charters,
+                        need.getKey(),
+                        count,
+                        need.getValue().forGang,
+                        4);
                 return;
             }
         }
@@ -428,7 +513,9 @@
                 queued = queued.plus(job.estimate().multipliedBy(gap.tasks()));
                 keepCheapestIfInTime(gap, markets, queued, slots);
             }
-            Optional<Planner.Market> market = markets.stream().filter(x -> gap.zone().isEmpty() || gap.zone().get().equals(x.zone())).findFirst();
+            Optional<Planner.Market> market = markets.stream()
+                    .filter(x -> gap.zone().isEmpty() || gap.zone().get().equals(x.zone()))
+                    .findFirst();
             if (market.isEmpty()) {
                 continue;
             }
@@ -454,14 +541,16 @@
         Duration sum = Duration.ZERO;
         for (JobRecord j : replica.livingJobs()) {
             if (j.open() && !j.job().gang()) {
-                sum = sum.plus(j.job().estimate().multipliedBy(j.claims().size()).dividedBy(2));
+                sum = sum.plus(
+                        j.job().estimate().multipliedBy(j.claims().size()).dividedBy(2));
             }
         }
         return sum;
     }
 
     /** Work that ends in time even if it queues for the cheapest kind is not worth a dear machine. */
-    private void keepCheapestIfInTime(Planner.Shortfall gap, List<Planner.Market> markets, Duration queued, Map<Ask, Integer> known) {
+    private void keepCheapestIfInTime(
+            Planner.Shortfall gap, List<Planner.Market> markets, Duration queued, Map<Ask, Integer> known) {
         var job = gap.job().job();
         Optional<Duration> target = targets.nearest(job);
         if (target.isEmpty()) {
@@ -471,9 +560,16 @@
         if (slots == 0) {
             return;
         }
-        Duration end = Duration.between(gap.job().arrived(), timeline.wallTime()).plus(queued.dividedBy(slots)).plus(job.estimate().multipliedBy(4).dividedBy(3)).plus(FETCH_ALLOWANCE);
+        Duration end = Duration.between(gap.job().arrived(), timeline.wallTime())
+                .plus(queued.dividedBy(slots))
+                .plus(job.estimate().multipliedBy(4).dividedBy(3))
+                .plus(FETCH_ALLOWANCE);
         if (end.compareTo(target.get().multipliedBy(4).dividedBy(5)) < 0) {
-            double cheapest = catalog.get().orElse(List.of()).stream().filter(t -> job.types().map(a -> a.contains(t.name())).orElse(true)).mapToDouble(t -> t.price(job.spot())).min().orElse(0);
+            double cheapest = catalog.get().orElse(List.of()).stream()
+                    .filter(t -> job.types().map(a -> a.contains(t.name())).orElse(true))
+                    .mapToDouble(t -> t.price(job.spot()))
+                    .min()
+                    .orElse(0);
             markets.removeIf(m -> type(m.type()).price(m.spot()) > cheapest * 1.2);
         }
     }
@@ -486,7 +582,9 @@
         var perType = new HashMap<String, Integer>();
         int slots = 0;
         for (HostRecord h : replica.hosts().values()) {
-            if (h.spot() == ask.spot && !h.leaving() && (ask.types.isEmpty() || ask.types.get().contains(h.type()))) {
+            if (h.spot() == ask.spot
+                    && !h.leaving()
+                    && (ask.types.isEmpty() || ask.types.get().contains(h.type()))) {
                 slots += perType.computeIfAbsent(h.type(), t -> fits(ask.perTask, t));
             }
         }
@@ -498,7 +596,9 @@
     }
 
     private Optional<MachineType> known(String name) {
-        return catalog.get().flatMap(types -> types.stream().filter(t -> t.name().equals(name)).findFirst());
+        return catalog.get()
+                .flatMap(types ->
+                        types.stream().filter(t -> t.name().equals(name)).findFirst());
     }
 
     private MachineType type(String name) {
@@ -511,7 +611,8 @@
         Set<Planner.Market> refused = refused();
         var list = new ArrayList<Planner.Market>();
         for (MachineType t : catalog.get().orElse(List.of())) {
-            if (!job.types().map(a -> a.contains(t.name())).orElse(true) || !job.perTask().fitsIn(t.size())) {
+            if (!job.types().map(a -> a.contains(t.name())).orElse(true)
+                    || !job.perTask().fitsIn(t.size())) {
                 continue;
             }
             for (String z : t.zones()) {
@@ -523,14 +624,17 @@
                 }
             }
         }
-        list.sort(Comparator.comparingDouble((Planner.Market m) -> type(m.type()).price(m.spot())).thenComparing(m -> perZone.getOrDefault(m.zone(), 0)));
+        list.sort(
+                Comparator.comparingDouble((Planner.Market m) -> type(m.type()).price(m.spot()))
+                        .thenComparing(m -> perZone.getOrDefault(m.zone(), 0)));
         return list;
     }
 
     private void request(String charter, Planner.Market market, int count, boolean forGang, int tries) {
         cloud.rent(charter, market, count).whenComplete((rented, failure) -> {
             if (failure != null) {
-                // Its answer may be lost, so the same charter is sent again; what it rents all the same shows in the list.
+                // Its answer may be lost, so the same charter is sent again; what it rents all the same shows in the
+                // list.
                 timeline.after(RETRY, () -> {
                     if (tries > 1 && membership.leads()) {
                         request(charter, market, count, forGang, tries - 1);
@@ -547,7 +651,13 @@
                 refusals.remove(market);
             }
             if (!rented.hosts().isEmpty()) {
-                decisions.tell(LOG, "rented {} of {} in {} ({})", rented.hosts().size(), market.type(), market.zone(), market.spot() ? "spot" : "ordinary");
+                decisions.tell(
+                        LOG,
+                        "rented {} of {} in {} ({})",
+                        rented.hosts().size(),
+                        market.type(),
+                        market.zone(),
+                        market.spot() ? "spot" : "ordinary");
                 Instant at = timeline.wallTime();
                 rented.hosts().forEach(id -> unrecorded.put(id, () -> record(id, "", market, at, forGang)));
                 recordRented();
@@ -556,11 +666,19 @@
     }
 
     private void refuse(Planner.Market market) {
-        Duration pause = Optional.ofNullable(refusals.get(market)).map(r -> r.pause.multipliedBy(2)).orElse(NO_CAPACITY_PAUSE);
+        Duration pause = Optional.ofNullable(refusals.get(market))
+                .map(r -> r.pause.multipliedBy(2))
+                .orElse(NO_CAPACITY_PAUSE);
         if (pause.compareTo(LONGEST_PAUSE) > 0) {
             pause = LONGEST_PAUSE;
         }
         refusals.put(market, new Refusal(timeline.now().plus(pause), pause));
-        decisions.tell(LOG, "no more {} in {} ({}); asked again in {} s", market.type(), market.zone(), market.spot() ? "spot" : "ordinary", pause.toSeconds());
+        decisions.tell(
+                LOG,
+                "no more {} in {} ({}); asked again in {} s",
+                market.type(),
+                market.zone(),
+                market.spot() ? "spot" : "ordinary",
+                pause.toSeconds());
     }
 }
--- a/src/main/java/org/dunespindle/coordination/FrontDesk.java
+++ b/src/main/java/org/dunespindle/coordination/FrontDesk.java
@@ -55,7 +55,14 @@
         }
     }
 
-    public FrontDesk(Settings settings, Replica replica, StateClient state, Committer committer, Timeline timeline, Supplier<Optional<List<MachineType>>> catalog, Histogram accepts) {
+    public FrontDesk(
+            Settings settings,
+            Replica replica,
+            StateClient state,
+            Committer committer,
+            Timeline timeline,
+            Supplier<Optional<List<MachineType>>> catalog,
+            Histogram accepts) {
         this.settings = settings;
         this.replica = replica;
         this.state = state;
@@ -90,7 +97,10 @@
         }
         Optional<String> never = whyNever(job, types.get());
         if (never.isPresent()) {
-            replica.refresh(() -> replica.job(job.id()).ifPresentOrElse(j -> answer.accept(show(j)), () -> answer.accept(Answer.error(422, never.get()))),
+            replica.refresh(
+                    () -> replica.job(job.id())
+                            .ifPresentOrElse(
+                                    j -> answer.accept(show(j)), () -> answer.accept(Answer.error(422, never.get()))),
                     () -> answer.accept(out()));
             return;
         }
@@ -114,7 +124,8 @@
         }
         Duration begun = timeline.now();
         committer.propose(Committer.Lane.USERS, new Txn().guard(key, 0).write(key, record.toNode()), r -> {
-            accepts.recordValue(Math.min(60_000_000L, timeline.now().minus(begun).toNanos() / 1000));
+            accepts.recordValue(
+                    Math.min(60_000_000L, timeline.now().minus(begun).toNanos() / 1000));
             Optional<JobRecord> now = replica.job(job.id());
             if (r instanceof TxnResult.Applied) {
                 answer.accept(Answer.of(201, Pack.map().put("id", job.id()).put("phase", "queued")));
@@ -143,7 +154,8 @@
             return Optional.of("samePlace and apart exclude each other");
         }
         if (job.gang() && job.spread() && job.tasks() > 1 && zones.size() < 2) {
-            return Optional.of("apart needs a second zone, and only " + zones.iterator().next() + " is allowed or has machines that fit");
+            return Optional.of("apart needs a second zone, and only "
+                    + zones.iterator().next() + " is allowed or has machines that fit");
         }
         return Optional.empty();
     }
@@ -152,8 +164,11 @@
     private static Set<String> zonesFor(Submission job, List<MachineType> types) {
         var zones = new TreeSet<String>();
         for (MachineType t : types) {
-            if (job.types().map(a -> a.contains(t.name())).orElse(true) && job.perTask().fitsIn(t.size())) {
-                t.zones().stream().filter(z -> job.zone().map(z::equals).orElse(true)).forEach(zones::add);
+            if (job.types().map(a -> a.contains(t.name())).orElse(true)
+                    && job.perTask().fitsIn(t.size())) {
+                t.zones().stream()
+                        .filter(z -> job.zone().map(z::equals).orElse(true))
+                        .forEach(zones::add);
             }
         }
         return zones;
@@ -179,13 +194,17 @@
         } else if (state.failing()) {
             answer.accept(out());
         } else {
-            replica.refresh(() -> answer.accept(replica.job(id).map(FrontDesk::show).orElseGet(() -> absent(id))), () -> answer.accept(out()));
+            replica.refresh(
+                    () -> answer.accept(replica.job(id).map(FrontDesk::show).orElseGet(() -> absent(id))),
+                    () -> answer.accept(out()));
         }
     }
 
     /** A record that cannot be understood is not an absent one: its job was accepted. */
     private Answer absent(String id) {
-        return replica.unreadable(Keys.job(id)) ? Answer.later("the job's record cannot be read", LATER) : Answer.error(404, "no such job");
+        return replica.unreadable(Keys.job(id))
+                ? Answer.later("the job's record cannot be read", LATER)
+                : Answer.error(404, "no such job");
     }
 
     public void cancel(String id, Consumer<Answer> answer) {
@@ -197,27 +216,35 @@
             answer.accept(out());
             return;
         }
-        replica.refresh(() -> {
-            Optional<JobRecord> known = replica.job(id);
-            String key = Keys.job(id);
-            if (known.isEmpty()) {
-                answer.accept(absent(id));
-            } else if (!known.get().open()) {
-                answer.accept(show(known.get()));
-            } else if (committer.isLocked(key)) {
-                again(id, until, answer);
-            } else if (committer.waiting(Committer.Lane.USERS) >= 2 * mostWaiting) {
-                answer.accept(Answer.later("more requests wait than can be stored in time", LATER));
-            } else {
-                committer.propose(Committer.Lane.USERS, new Txn().guard(key, replica.stamp(key)).write(key, known.get().cancelled().toNode()), r -> {
-                    if (r instanceof TxnResult.Applied) {
-                        answer.accept(Answer.of(200, Pack.map().put("id", id).put("phase", "cancelled")));
-                    } else {
+        replica.refresh(
+                () -> {
+                    Optional<JobRecord> known = replica.job(id);
+                    String key = Keys.job(id);
+                    if (known.isEmpty()) {
+                        answer.accept(absent(id));
+                    } else if (!known.get().open()) {
+                        answer.accept(show(known.get()));
+                    } else if (committer.isLocked(key)) {
                         again(id, until, answer);
+                    } else if (committer.waiting(Committer.Lane.USERS) >= 2 * mostWaiting) {
+                        answer.accept(Answer.later("more requests wait than can be stored in time", LATER));
+                    } else {
+                        committer.propose(
+                                Committer.Lane.USERS,
+                                new Txn()
+                                        .guard(key, replica.stamp(key))
+                                        .write(key, known.get().cancelled().toNode()),
+                                r -> {
+                                    if (r instanceof TxnResult.Applied) {
+                                        answer.accept(Answer.of(
+                                                200, Pack.map().put("id", id).put("phase", "cancelled")));
+                                    } else {
+                                        again(id, until, answer);
+                                    }
+                                });
                     }
-                });
-            }
-        }, () -> answer.accept(out()));
+                },
+                () -> answer.accept(out()));
     }
 
     private void again(String id, Duration until, Consumer<Answer> answer) {
@@ -229,7 +256,8 @@
     }
 
     private static Answer out() {
-        return Answer.later("the state service does not answer; the request was not carried out as far as is known", LATER);
+        return Answer.later(
+                "the state service does not answer; the request was not carried out as far as is known", LATER);
     }
 
     static Answer show(JobRecord j) {
@@ -238,7 +266,11 @@
             case CANCELLED -> "cancelled";
             case OPEN -> running(j) > 0 ? "running" : "queued";
         };
-        ObjectNode body = Pack.map().put("id", j.id()).put("phase", phase).put("done", j.doneCount()).put("running", running(j));
+        ObjectNode body = Pack.map()
+                .put("id", j.id())
+                .put("phase", phase)
+                .put("done", j.doneCount())
+                .put("running", running(j));
         return Answer.of(200, j.failures() > 0 ? body.put("failures", j.failures()) : body);
     }
 
--- a/src/main/java/org/dunespindle/coordination/Gangs.java
+++ b/src/main/java/org/dunespindle/coordination/Gangs.java
@@ -40,7 +40,15 @@
     private final Map<String, Duration> replacingSince = new HashMap<>();
     private final Map<String, Duration> firstHold = new HashMap<>();
 
-    Gangs(Settings settings, Replica replica, Committer committer, HostDesk hostDesk, Sessions sessions, Timeline timeline, Decisions decisions, Supplier<Options> options) {
+    Gangs(
+            Settings settings,
+            Replica replica,
+            Committer committer,
+            HostDesk hostDesk,
+            Sessions sessions,
+            Timeline timeline,
+            Decisions decisions,
+            Supplier<Options> options) {
         this.settings = settings;
         this.replica = replica;
         this.committer = committer;
@@ -68,7 +76,8 @@
                 continue;
             }
             if (replacingSince.containsKey(j.id()) && j.mode() == JobRecord.Mode.REAL && allIn(j, TaskPhase.RUNNING)) {
-                replacement.recordValue(Math.min(LONGEST_MICROS, now.minus(replacingSince.remove(j.id())).toNanos() / 1000));
+                replacement.recordValue(Math.min(
+                        LONGEST_MICROS, now.minus(replacingSince.remove(j.id())).toNanos() / 1000));
             }
             if (j.mode() != JobRecord.Mode.HOLD) {
                 continue;
@@ -77,7 +86,9 @@
             moveOn(j, now.minus(firstHold.computeIfAbsent(j.id(), k -> now)));
         }
         firstHold.keySet().retainAll(holding);
-        replacingSince.keySet().removeIf(id -> replica.job(id).filter(JobRecord::open).isEmpty());
+        replacingSince
+                .keySet()
+                .removeIf(id -> replica.job(id).filter(JobRecord::open).isEmpty());
     }
 
     private void moveOn(JobRecord j, Duration since) {
@@ -85,21 +96,42 @@
             return;
         }
         boolean all = j.claims().size() == j.job().tasks();
-        Duration limit = all ? options.get().firstHoldTimer().plus(settings.workers().gangWait()).plus(FETCH_ALLOWANCE) : options.get().firstHoldTimer();
+        Duration limit = all
+                ? options.get()
+                        .firstHoldTimer()
+                        .plus(settings.workers().gangWait())
+                        .plus(FETCH_ALLOWANCE)
+                : options.get().firstHoldTimer();
         if (all && allIn(j, TaskPhase.ASSEMBLING)) {
             holdPlacement.recordValue(Math.min(LONGEST_MICROS, since.toNanos() / 1000));
-            decisions.tell(LOG, "gang {}: all {} placeholders are placed; real tasks replace them", j.id(), j.job().tasks());
+            decisions.tell(
+                    LOG,
+                    "gang {}: all {} placeholders are placed; real tasks replace them",
+                    j.id(),
+                    j.job().tasks());
             replacingSince.put(j.id(), timeline.now());
             change(j, j.real());
         } else if (since.compareTo(limit) > 0) {
-            decisions.tell(LOG, "gang {}: its placement ended after {} s with {} of {} placeholders; queued again", j.id(), since.toSeconds(), j.claims().size(), j.job().tasks());
+            decisions.tell(
+                    LOG,
+                    "gang {}: its placement ended after {} s with {} of {} placeholders; queued again",
+                    j.id(),
+                    since.toSeconds(),
+                    j.claims().size(),
+                    j.job().tasks());
             change(j, j.stopGang().requeued(timeline.wallTime().toEpochMilli()));
         }
     }
 
     private void change(JobRecord from, JobRecord to) {
         String key = Keys.job(from.id());
-        committer.propose(Committer.Lane.PLACING, new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER)).guard(key, replica.stamp(key)).write(key, to.toNode()), r -> { });
+        committer.propose(
+                Committer.Lane.PLACING,
+                new Txn()
+                        .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
+                        .guard(key, replica.stamp(key))
+                        .write(key, to.toNode()),
+                r -> {});
     }
 
     /** Whether every member is reported in a phase, by machines commanded here. */
@@ -109,7 +141,8 @@
             if (h == null || !hostDesk.ready(h) || sessions.of(h.id()).calling) {
                 return false;
             }
-            Optional<TaskStatus> t = sessions.of(h.id()).report.get().find(new PieceId(j.id(), c.task()), j.wantedAttempt(c));
+            Optional<TaskStatus> t =
+                    sessions.of(h.id()).report.get().find(new PieceId(j.id(), c.task()), j.wantedAttempt(c));
             if (t.filter(x -> x.phase() == phase).isEmpty()) {
                 return false;
             }
@@ -126,13 +159,28 @@
             }
             for (Placed p : replica.claimsOn(h.id())) {
                 JobRecord j = p.job();
-                if (committer.isLocked(Keys.job(j.id())) || !j.open() || p.claim().stopping() || j.mode() == JobRecord.Mode.STOP || !(j.job().saves() || j.mode() == JobRecord.Mode.HOLD)) {
+                if (committer.isLocked(Keys.job(j.id()))
+                        || !j.open()
+                        || p.claim().stopping()
+                        || j.mode() == JobRecord.Mode.STOP
+                        || !(j.job().saves() || j.mode() == JobRecord.Mode.HOLD)) {
                     continue;
                 }
-                decisions.tell(LOG, "machine {} is about to be taken away; {} stops there", h.id(), j.job().gang() ? "gang " + j.id() : "task " + j.id() + "/" + p.claim().task());
+                decisions.tell(
+                        LOG,
+                        "machine {} is about to be taken away; {} stops there",
+                        h.id(),
+                        j.job().gang()
+                                ? "gang " + j.id()
+                                : "task " + j.id() + "/" + p.claim().task());
                 String key = Keys.job(j.id());
-                var txn = new Txn().guard(Keys.host(h.id()), replica.stamp(Keys.host(h.id()))).guard(key, replica.stamp(key));
-                committer.propose(Committer.Lane.PLACING, txn.write(key, (j.job().gang() ? j.stopGang() : stopAllOn(j, h.id())).toNode()), r -> { });
+                var txn = new Txn()
+                        .guard(Keys.host(h.id()), replica.stamp(Keys.host(h.id())))
+                        .guard(key, replica.stamp(key));
+                committer.propose(
+                        Committer.Lane.PLACING,
+                        txn.write(key, (j.job().gang() ? j.stopGang() : stopAllOn(j, h.id())).toNode()),
+                        r -> {});
             }
         }
     }
--- a/src/main/java/org/dunespindle/coordination/Headroom.java
+++ b/src/main/java/org/dunespindle/coordination/Headroom.java
@@ -48,7 +48,8 @@
                 if (list.size() > REMEMBERED) {
                     list.removeFirst();
                 }
-                came.computeIfAbsent(j.job().jobClass(), c -> new ArrayDeque<>()).addLast(new Came(j.arrived(), j.job().tasks()));
+                came.computeIfAbsent(j.job().jobClass(), c -> new ArrayDeque<>())
+                        .addLast(new Came(j.arrived(), j.job().tasks()));
             }
         }
         seen.retainAll(present);
@@ -58,7 +59,10 @@
     private static String common(ArrayDeque<Submission> jobs) {
         var counts = new LinkedHashMap<String, Integer>();
         jobs.forEach(j -> counts.merge(j.image(), 1, Integer::sum));
-        return counts.entrySet().stream().max(Map.Entry.comparingByValue()).orElseThrow().getKey();
+        return counts.entrySet().stream()
+                .max(Map.Entry.comparingByValue())
+                .orElseThrow()
+                .getKey();
     }
 
     /** Tasks of a class that are likely to come within seconds, by what came lately. */
@@ -77,8 +81,25 @@
         recent.forEach((name, jobs) -> {
             int[] sizes = jobs.stream().mapToInt(Submission::tasks).sorted().toArray();
             Submission s = jobs.getLast();
-            var typical = new Submission("~" + name, name, s.team(), s.shape(), s.priority(), perClass * sizes[sizes.length / 2], s.perTask(), s.types(), Optional.empty(), s.sameZone(), s.spread(),
-                    s.spot(), common(jobs), 0, s.estimate(), Duration.ZERO, Duration.ZERO, Optional.empty());
+            var typical = new Submission(
+                    "~" + name,
+                    name,
+                    s.team(),
+                    s.shape(),
+                    s.priority(),
+                    perClass * sizes[sizes.length / 2],
+                    s.perTask(),
+                    s.types(),
+                    Optional.empty(),
+                    s.sameZone(),
+                    s.spread(),
+                    s.spot(),
+                    common(jobs),
+                    0,
+                    s.estimate(),
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    Optional.empty());
             int soon = soon(name, now);
             // A class from which nothing has come for long is not expected any more.
             if (perClass > 0 && !came.get(name).isEmpty()) {
--- a/src/main/java/org/dunespindle/coordination/Hearing.java
+++ b/src/main/java/org/dunespindle/coordination/Hearing.java
@@ -36,10 +36,20 @@
     private final Decisions decisions;
     /** Reports come at this interval, give or take a quarter. */
     private final Duration overdue;
+
     private Optional<Duration> awaySince = Optional.empty();
     private Duration askAgainAt = Duration.ZERO;
 
-    Hearing(Settings settings, Replica replica, Membership membership, HostDesk hostDesk, Peers peers, Sessions sessions, Timeline timeline, StallDetector stalls, Decisions decisions) {
+    Hearing(
+            Settings settings,
+            Replica replica,
+            Membership membership,
+            HostDesk hostDesk,
+            Peers peers,
+            Sessions sessions,
+            Timeline timeline,
+            StallDetector stalls,
+            Decisions decisions) {
         this.settings = settings;
         this.replica = replica;
         this.membership = membership;
@@ -60,7 +70,10 @@
         }
         if (awaySince.isPresent()) {
             comeBack(now);
-        } else if (membership.joined() && replica.age().compareTo(VIEW) < 0 && stalls.awake().compareTo(overdue) > 0 && othersServe()) {
+        } else if (membership.joined()
+                && replica.age().compareTo(VIEW) < 0
+                && stalls.awake().compareTo(overdue) > 0
+                && othersServe()) {
             List<HostRecord> silent = silentOnes();
             if (!silent.isEmpty()) {
                 askAgainAt = now.plus(ASK_EVERY);
@@ -70,7 +83,11 @@
     }
 
     private boolean othersServe() {
-        return settings.seeds().stream().anyMatch(s -> membership.incarnationOf(s.name()).isPresent() && peers.heartbeat(s.name()).filter(w -> w.viewAge().compareTo(VIEW) < 0).isPresent());
+        return settings.seeds().stream()
+                .anyMatch(s -> membership.incarnationOf(s.name()).isPresent()
+                        && peers.heartbeat(s.name())
+                                .filter(w -> w.viewAge().compareTo(VIEW) < 0)
+                                .isPresent());
     }
 
     /** The silent ones of the machines that have reported under this controller's command; none unless nearly all are. */
@@ -78,8 +95,11 @@
         var silent = new ArrayList<HostRecord>();
         int all = 0;
         for (HostRecord h : replica.hosts().values()) {
-            Optional<Sessions.Session> s = membership.owns(h) && !h.leaving() ? sessions.known(h.id()) : Optional.empty();
-            if (s.isPresent() && s.get().heardAt.isPresent() && s.get().report.filter(r -> r.token() == h.token()).isPresent()) {
+            Optional<Sessions.Session> s =
+                    membership.owns(h) && !h.leaving() ? sessions.known(h.id()) : Optional.empty();
+            if (s.isPresent()
+                    && s.get().heardAt.isPresent()
+                    && s.get().report.filter(r -> r.token() == h.token()).isPresent()) {
                 all++;
                 if (stalls.silence(s.get().heardAt.get()).compareTo(overdue) > 0) {
                     silent.add(h);
@@ -92,7 +112,10 @@
     /** Machines of any controller that have been heard here. */
     private List<HostRecord> known() {
         var known = new ArrayList<HostRecord>();
-        replica.hosts().values().stream().filter(h -> sessions.known(h.id()).filter(s -> s.report.isPresent()).isPresent()).forEach(known::add);
+        replica.hosts().values().stream()
+                .filter(h ->
+                        sessions.known(h.id()).filter(s -> s.report.isPresent()).isPresent())
+                .forEach(known::add);
         return known;
     }
 
--- a/src/main/java/org/dunespindle/coordination/HostDesk.java
+++ b/src/main/java/org/dunespindle/coordination/HostDesk.java
@@ -46,6 +46,7 @@
     private static final int MOST_KEPT_EXITS = 6;
     /** Calls to machines may take this part of the sockets, those to silent ones half of it: in a cut they hang by the hundred. */
     private static final int CALLS_PART = 8;
+
     private static final int LEAST_CALLS = 16;
     private final Settings settings;
     private final Replica replica;
@@ -70,8 +71,19 @@
     /** Machines that a call is due to once another has ended; what to say is decided then. */
     private final LinkedHashSet<String> inLine = new LinkedHashSet<>();
 
-    public HostDesk(Settings settings, Replica replica, Membership membership, MachineEdits edits, Caller http, Timeline timeline, Sessions sessions, Decisions decisions,
-            Preemptions preemptions, Cancellations cancellations, StallDetector stalls, Runnable changed) {
+    public HostDesk(
+            Settings settings,
+            Replica replica,
+            Membership membership,
+            MachineEdits edits,
+            Caller http,
+            Timeline timeline,
+            Sessions sessions,
+            Decisions decisions,
+            Preemptions preemptions,
+            Cancellations cancellations,
+            StallDetector stalls,
+            Runnable changed) {
         this.settings = settings;
         this.replica = replica;
         this.membership = membership;
@@ -103,7 +115,10 @@
 
     /** Machines that are about to be taken away, as they last reported. */
     public Set<String> noticed() {
-        noticed.removeIf(h -> sessions.known(h).flatMap(s -> s.report).flatMap(WorkerReport::notice).isEmpty());
+        noticed.removeIf(h -> sessions.known(h)
+                .flatMap(s -> s.report)
+                .flatMap(WorkerReport::notice)
+                .isEmpty());
         return noticed;
     }
 
@@ -133,7 +148,10 @@
     List<Order> cancelledOn(WorkerReport r) {
         var halts = new ArrayList<Order>();
         r.tasks().forEach(t -> {
-            if (!t.exited() && replica.job(t.task().job()).filter(cancellations::cancelled).isPresent()) {
+            if (!t.exited()
+                    && replica.job(t.task().job())
+                            .filter(cancellations::cancelled)
+                            .isPresent()) {
                 halts.add(new Order.Halt(t.task(), t.attempt(), Duration.ZERO));
             }
         });
@@ -160,12 +178,13 @@
         }
         session.verifying = true;
         underWay++;
-        http.send(address, "GET", "/inspect", new byte[0], Pack.TYPE, INSPECT_TIMEOUT).whenComplete((a, e) -> {
-            session.verifying = false;
-            underWay--;
-            nextInLine();
-            then.accept(a != null && a.status() == 200 && answered(host, session, a.body()));
-        });
+        http.send(address, "GET", "/inspect", new byte[0], Pack.TYPE, INSPECT_TIMEOUT)
+                .whenComplete((a, e) -> {
+                    session.verifying = false;
+                    underWay--;
+                    nextInLine();
+                    then.accept(a != null && a.status() == 200 && answered(host, session, a.body()));
+                });
     }
 
     /** Asks a machine itself whether it is there; false if it cannot be asked now. */
@@ -185,14 +204,21 @@
 
     /** The same for a machine whose address somebody else told: it can be commanded before it finds its way here. */
     public void take(HostRecord record, String address, Instant keep, Consumer<TxnResult> then) {
-        HostRecord mine = record.ownedBy(settings.nodeName(), membership.incarnation(), keep).at(address);
-        long seen = sessions.known(record.id()).flatMap(s -> s.report).map(WorkerReport::token).orElse(0L);
+        HostRecord mine = record.ownedBy(settings.nodeName(), membership.incarnation(), keep)
+                .at(address);
+        long seen = sessions.known(record.id())
+                .flatMap(s -> s.report)
+                .map(WorkerReport::token)
+                .orElse(0L);
         edits.change(Committer.Lane.PLACING, mine.above(seen), then);
     }
 
     /** Where a machine is reached, as far as known here. */
     String address(HostRecord record) {
-        return sessions.known(record.id()).flatMap(s -> s.report).map(WorkerReport::address).orElse(record.address());
+        return sessions.known(record.id())
+                .flatMap(s -> s.report)
+                .map(WorkerReport::address)
+                .orElse(record.address());
     }
 
     /** Whether conclusions about this machine may be drawn and orders given here and now. */
@@ -203,8 +229,13 @@
     /** A worker under our token whose last report stands and whom commands reach: its machine can take tasks. */
     public boolean ready(HostRecord record) {
         Optional<Sessions.Session> s = sessions.known(record.id());
-        return s.isPresent() && commands(record) && !record.leaving() && s.get().report.isPresent() && s.get().report.get().token() == record.token()
-                && s.get().unansweredUnder.isEmpty() && s.get().unprovenSince.isEmpty();
+        return s.isPresent()
+                && commands(record)
+                && !record.leaving()
+                && s.get().report.isPresent()
+                && s.get().report.get().token() == record.token()
+                && s.get().unansweredUnder.isEmpty()
+                && s.get().unprovenSince.isEmpty();
     }
 
     /** How long a machine has reported without taking commands; empty while it takes them. */
@@ -243,7 +274,10 @@
         }
         if (s.report.isPresent() && s.report.get().token() > record.token()) {
             if (!edits.busy(host)) {
-                edits.change(Committer.Lane.PLACING, record.fenced().above(s.report.get().token()), r -> due.add(host));
+                edits.change(
+                        Committer.Lane.PLACING,
+                        record.fenced().above(s.report.get().token()),
+                        r -> due.add(host));
             }
         } else if (s.proves(record.token())) {
             conclude(record, s);
@@ -272,7 +306,13 @@
     }
 
     private boolean olderThan(Optional<Duration> sign, Duration beyondTwoReports) {
-        return sign.filter(t -> stalls.silence(t).compareTo(settings.workers().report().multipliedBy(2).plus(beyondTwoReports)) < 0).isEmpty();
+        return sign.filter(t -> stalls.silence(t)
+                                .compareTo(settings.workers()
+                                        .report()
+                                        .multipliedBy(2)
+                                        .plus(beyondTwoReports))
+                        < 0)
+                .isEmpty();
     }
 
     private void conclude(HostRecord record, Sessions.Session s) {
@@ -290,7 +330,10 @@
         boolean mute = mute(s);
         if (s.unprovenSince.isPresent() || mute) {
             startsWait = true;
-            if (mute || oneWayFor(record.id()).filter(d -> d.compareTo(ONE_WAY_AFTER) > 0).isPresent()) {
+            if (mute
+                    || oneWayFor(record.id())
+                            .filter(d -> d.compareTo(ONE_WAY_AFTER) > 0)
+                            .isPresent()) {
                 events = withoutStarts(v, replica.claimsOn(record.id()));
             }
         }
@@ -313,7 +356,12 @@
         v.orders().stream().filter(o -> o instanceof Order.Run).forEach(o -> unstarted.add(o.task()));
         for (Replica.Placed p : claims) {
             if (unstarted.contains(new PieceId(p.job().id(), p.claim().task()))) {
-                events.add(new Reconciler.Event(p.job().id(), p.claim().task(), p.claim().base(), Reconciler.Fate.GONE, "the machine and its controllers do not reach each other"));
+                events.add(new Reconciler.Event(
+                        p.job().id(),
+                        p.claim().task(),
+                        p.claim().base(),
+                        Reconciler.Fate.GONE,
+                        "the machine and its controllers do not reach each other"));
             }
         }
         return events;
@@ -354,14 +402,16 @@
         var kept = new ArrayList<Order>();
         int held = 0;
         for (Order o : orders) {
-            if (o instanceof Order.Forget f && s.mayStartAgain(f, record.token()) && !done.contains(new Order.Run(f.task(), f.attempt()))) {
+            if (o instanceof Order.Forget f
+                    && s.mayStartAgain(f, record.token())
+                    && !done.contains(new Order.Run(f.task(), f.attempt()))) {
                 held++;
             } else {
                 kept.add(o);
             }
         }
         if (held > MOST_KEPT_EXITS && !edits.busy(record.id())) {
-            edits.change(Committer.Lane.KEEPING, record.fenced(), r -> { });
+            edits.change(Committer.Lane.KEEPING, record.fenced(), r -> {});
         }
         return kept;
     }
@@ -390,8 +440,12 @@
         if (address.isEmpty() || timeline.now().compareTo(s.callAgainAt) < 0) {
             return; // a timer brings it back
         }
-        // A silent machine is asked seldom: in a cut there are hundreds, and each attempt holds a socket. Its next report ends the pause.
-        boolean silent = s.aliveAt().filter(t -> stalls.silence(t).compareTo(settings.workers().report().multipliedBy(2)) < 0).isEmpty();
+        // A silent machine is asked seldom: in a cut there are hundreds, and each attempt holds a socket. Its next
+        // report ends the pause.
+        boolean silent = s.aliveAt()
+                .filter(t ->
+                        stalls.silence(t).compareTo(settings.workers().report().multipliedBy(2)) < 0)
+                .isEmpty();
         if (underWay >= mostCalls || silent && underWayToSilent >= mostCalls / 2) {
             inLine.add(record.id());
             return;
@@ -407,28 +461,29 @@
         calls++;
         underWay++;
         underWayToSilent += silent ? 1 : 0;
-        http.send(address, "POST", "/orders", Pack.write(Order.command(token, session, some)), Pack.TYPE, ORDER_TIMEOUT).whenComplete((a, e) -> {
-            s.calling = false;
-            underWay--;
-            underWayToSilent -= silent ? 1 : 0;
-            nextInLine();
-            version++;
-            if (a != null && (a.status() == 200 || a.status() == 409)) {
-                if (!answered(record.id(), s, a.body()) && starts) {
-                    unanswered(record, s, token);
-                }
-                pause(record.id(), s, a.status() == 200 ? Duration.ZERO : REFUSED_PAUSE);
-            } else {
-                if (s.report.isPresent()) {
-                    s.unanswered(timeline.now()); // one that never reported may still be booting
-                }
-                boolean sent = e == null || !(CallFailure.cause(e) instanceof CallFailure f) || f.sent();
-                if (starts && sent && (a == null || a.status() >= 500)) {
-                    unanswered(record, s, token);
-                }
-                pause(record.id(), s, silent ? SILENT_PAUSE : CALL_PAUSE);
-            }
-        });
+        http.send(address, "POST", "/orders", Pack.write(Order.command(token, session, some)), Pack.TYPE, ORDER_TIMEOUT)
+                .whenComplete((a, e) -> {
+                    s.calling = false;
+                    underWay--;
+                    underWayToSilent -= silent ? 1 : 0;
+                    nextInLine();
+                    version++;
+                    if (a != null && (a.status() == 200 || a.status() == 409)) {
+                        if (!answered(record.id(), s, a.body()) && starts) {
+                            unanswered(record, s, token);
+                        }
+                        pause(record.id(), s, a.status() == 200 ? Duration.ZERO : REFUSED_PAUSE);
+                    } else {
+                        if (s.report.isPresent()) {
+                            s.unanswered(timeline.now()); // one that never reported may still be booting
+                        }
+                        boolean sent = e == null || !(CallFailure.cause(e) instanceof CallFailure f) || f.sent();
+                        if (starts && sent && (a == null || a.status() >= 500)) {
+                            unanswered(record, s, token);
+                        }
+                        pause(record.id(), s, silent ? SILENT_PAUSE : CALL_PAUSE);
+                    }
+                });
     }
 
     private void nextInLine() {
@@ -442,7 +497,8 @@
     private void unanswered(HostRecord record, Sessions.Session s, long token) {
         s.unansweredUnder = Optional.of(token);
         s.unansweredAt = timeline.now();
-        decisions.tell(LOG, "machine {} did not answer a start; it is fenced before anything is concluded", record.id());
+        decisions.tell(
+                LOG, "machine {} did not answer a start; it is fenced before anything is concluded", record.id());
     }
 
     private void pause(String host, Sessions.Session s, Duration pause) {
--- a/src/main/java/org/dunespindle/coordination/JobChanges.java
+++ b/src/main/java/org/dunespindle/coordination/JobChanges.java
@@ -52,7 +52,8 @@
         if (e.fate() == Reconciler.Fate.ERROR && after.open()) {
             after = after.failed(1, pause(after.failures() + 1, now));
             if (gang && after.failures() > FREE_FAILURES) {
-                after = after.requeued(now.toEpochMilli()); // it lets the gangs of its team go first, one of which may not fail
+                after = after.requeued(
+                        now.toEpochMilli()); // it lets the gangs of its team go first, one of which may not fail
             }
         } else if (e.fate() == Reconciler.Fate.REFUSED && after.open()) {
             after = after.failed(0, Optional.of(now.plus(FIRST_PAUSE)));
--- a/src/main/java/org/dunespindle/coordination/MachineEdits.java
+++ b/src/main/java/org/dunespindle/coordination/MachineEdits.java
@@ -50,7 +50,8 @@
     /** Whether a change to this machine is under way, or to one that shares its page. */
     public boolean busy(String host) {
         String key = Keys.host(host);
-        return committer.isLocked(key) || open.containsKey(key) && open.get(key).changes.containsKey(host);
+        return committer.isLocked(key)
+                || open.containsKey(key) && open.get(key).changes.containsKey(host);
     }
 
     /** Whether what can wait would only queue now, and lock pages meanwhile. */
--- a/src/main/java/org/dunespindle/coordination/Membership.java
+++ b/src/main/java/org/dunespindle/coordination/Membership.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.OptionalLong;
+import java.util.Set;
 import org.dunespindle.bookkeeping.HostRecord;
 import org.dunespindle.bookkeeping.Keys;
 import org.dunespindle.bookkeeping.Replica;
@@ -61,7 +61,8 @@
     }
 
     public Optional<Long> incarnationOf(String name) {
-        return Optional.ofNullable(replica.members().get(name)).map(m -> m.path("inc").longValue());
+        return Optional.ofNullable(replica.members().get(name))
+                .map(m -> m.path("inc").longValue());
     }
 
     public boolean owns(HostRecord host) {
@@ -73,7 +74,11 @@
     }
 
     public boolean leads() {
-        return joined() && replica.value(Keys.LEADER).filter(v -> v.path("node").asText().equals(node) && v.path("inc").longValue() == incarnation).isPresent();
+        return joined()
+                && replica.value(Keys.LEADER)
+                        .filter(v -> v.path("node").asText().equals(node)
+                                && v.path("inc").longValue() == incarnation)
+                        .isPresent();
     }
 
     /**
@@ -150,7 +155,9 @@
         if (incarnation == 0) {
             String key = Keys.INCARNATION + node;
             long next = replica.value(key).map(v -> v.path("n").longValue()).orElse(0L) + 1;
-            var txn = new Txn().guard(key, replica.stamp(key)).write(key, Pack.map().put("n", next));
+            var txn = new Txn()
+                    .guard(key, replica.stamp(key))
+                    .write(key, Pack.map().put("n", next));
             state.commit(txn).thenAccept(r -> {
                 if (r instanceof TxnResult.Applied a) {
                     replica.adopt(txn, a.revision());
@@ -177,7 +184,9 @@
                 return;
             }
             long id = opened.getAsLong();
-            var txn = new Txn().writeTethered(Keys.member(node), Pack.map().put("inc", incarnation), id).guard(Keys.member(node), replica.stamp(Keys.member(node)));
+            var txn = new Txn()
+                    .writeTethered(Keys.member(node), Pack.map().put("inc", incarnation), id)
+                    .guard(Keys.member(node), replica.stamp(Keys.member(node)));
             state.commit(txn).thenAccept(r -> {
                 if (r instanceof TxnResult.Applied a) {
                     replica.adopt(txn, a.revision());
@@ -214,12 +223,15 @@
 
     private void elect() {
         Optional<JsonNode> now = replica.value(Keys.LEADER);
-        boolean held = now.filter(v -> isAlive(v.path("node").asText(), v.path("inc").longValue())).isPresent();
+        boolean held = now.filter(
+                        v -> isAlive(v.path("node").asText(), v.path("inc").longValue()))
+                .isPresent();
         if (held || electing) {
             return;
         }
         electing = true;
-        var txn = new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER))
+        var txn = new Txn()
+                .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
                 .writeTethered(Keys.LEADER, Pack.map().put("node", node).put("inc", incarnation), lease.orElseThrow());
         state.commit(txn).thenAccept(r -> {
             if (r instanceof TxnResult.Applied a) {
--- a/src/main/java/org/dunespindle/coordination/Options.java
+++ b/src/main/java/org/dunespindle/coordination/Options.java
@@ -33,15 +33,57 @@
     private static Map<String, Kind> kinds(Duration lease) {
         Duration silent = lease.compareTo(LONGEST_SILENCE) > 0 ? LONGEST_SILENCE : lease;
         var k = new LinkedHashMap<String, Kind>();
-        k.put("first_hold_timer_s", new Kind(5, 3600, false, 60, "how long a gang's placement may take from its first placeholder on"));
-        k.put("idle_return_s", new Kind(0, 86_400, false, 25, "how long an ordinary machine may idle before it is given back, in a fleet of up to 30; less in a larger one, by the square root of its size, down to 8 s"));
+        k.put(
+                "first_hold_timer_s",
+                new Kind(5, 3600, false, 60, "how long a gang's placement may take from its first placeholder on"));
+        k.put(
+                "idle_return_s",
+                new Kind(
+                        0,
+                        86_400,
+                        false,
+                        25,
+                        "how long an ordinary machine may idle before it is given back, in a fleet of up to 30; less in a larger one, by the square root of its size, down to 8 s"));
         k.put("idle_spot_return_s", new Kind(0, 86_400, false, 60, "the same for spot machines"));
-        k.put("silent_return_s", new Kind(3, 3600, false, silent.toSeconds(), "silence after which a machine is given back and its tasks start elsewhere"));
-        k.put("quarantine_errors", new Kind(1, 100, true, 2, "failures in a row, of different jobs, after which a machine is given back"));
-        k.put("boot_patience", new Kind(1, 20, true, 3, "multiple of the boot time after which a machine that never reported is given back"));
-        k.put("spare_jobs", new Kind(0, 10, true, 1, "typical next jobs of each class with a wait aim that spare room is kept for"));
-        k.put("borrowed_machines", new Kind(0, 100_000, true, 100_000, "machines of other controllers that the leader may borrow at a time for gangs"));
-        k.put("lent_s", new Kind(0, 86_400, false, 60, "how long the leader keeps a borrowed machine after the last gang on it"));
+        k.put(
+                "silent_return_s",
+                new Kind(
+                        3,
+                        3600,
+                        false,
+                        silent.toSeconds(),
+                        "silence after which a machine is given back and its tasks start elsewhere"));
+        k.put(
+                "quarantine_errors",
+                new Kind(1, 100, true, 2, "failures in a row, of different jobs, after which a machine is given back"));
+        k.put(
+                "boot_patience",
+                new Kind(
+                        1,
+                        20,
+                        true,
+                        3,
+                        "multiple of the boot time after which a machine that never reported is given back"));
+        k.put(
+                "spare_jobs",
+                new Kind(
+                        0, 10, true, 1, "typical next jobs of each class with a wait aim that spare room is kept for"));
+        k.put(
+                "borrowed_machines",
+                new Kind(
+                        0,
+                        100_000,
+                        true,
+                        100_000,
+                        "machines of other controllers that the leader may borrow at a time for gangs"));
+        k.put(
+                "lent_s",
+                new Kind(
+                        0,
+                        86_400,
+                        false,
+                        60,
+                        "how long the leader keeps a borrowed machine after the last gang on it"));
         return k;
     }
 
@@ -60,10 +102,17 @@
     public static Optional<String> complaint(String name, JsonNode value, Duration lease) {
         Kind k = kinds(lease).get(name);
         if (k == null) {
-            return Optional.of("unknown option " + name + "; there are " + String.join(", ", kinds(lease).keySet()));
+            return Optional.of("unknown option " + name + "; there are "
+                    + String.join(", ", kinds(lease).keySet()));
         }
-        boolean fine = value.isNumber() && value.doubleValue() >= k.least && value.doubleValue() <= k.most && (!k.whole || value.doubleValue() == Math.rint(value.doubleValue()));
-        return fine ? Optional.empty() : Optional.of(name + " must be a " + (k.whole ? "whole number" : "number") + " from " + plain(k.least) + " to " + plain(k.most));
+        boolean fine = value.isNumber()
+                && value.doubleValue() >= k.least
+                && value.doubleValue() <= k.most
+                && (!k.whole || value.doubleValue() == Math.rint(value.doubleValue()));
+        return fine
+                ? Optional.empty()
+                : Optional.of(name + " must be a " + (k.whole ? "whole number" : "number") + " from " + plain(k.least)
+                        + " to " + plain(k.most));
     }
 
     private static String plain(double d) {
@@ -116,7 +165,13 @@
         ArrayNode list = Pack.map().putArray("options");
         kinds.forEach((name, k) -> {
             ObjectNode o = list.addObject();
-            o.put("name", name).put("value", value(name)).put("default", k.standard).put("least", k.least).put("most", k.most).put("type", k.whole ? "whole number" : "number").put("meaning", k.meaning);
+            o.put("name", name)
+                    .put("value", value(name))
+                    .put("default", k.standard)
+                    .put("least", k.least)
+                    .put("most", k.most)
+                    .put("type", k.whole ? "whole number" : "number")
+                    .put("meaning", k.meaning);
         });
         return list;
     }
--- a/src/main/java/org/dunespindle/coordination/Outcomes.java
+++ b/src/main/java/org/dunespindle/coordination/Outcomes.java
@@ -32,6 +32,7 @@
     private static final Duration GATHER_LAST = Duration.ofMillis(400);
     /** While the team is close to its limit, which counts tasks until their end is stored. */
     private static final Duration GATHER_TIGHT = Duration.ofMillis(1500);
+
     private static final Duration LOOK_AT_TEAMS_EVERY = Duration.ofSeconds(1);
     private static final int MOST_WAITING = 6;
     private static final double TIGHT = 0.75;
@@ -52,7 +53,16 @@
 
     private record Seen(Reconciler.Event event, Duration since) {}
 
-    Outcomes(Settings settings, Replica replica, Membership membership, Committer committer, HostDesk hostDesk, Sessions sessions, Timeline timeline, Decisions decisions, Faults faults) {
+    Outcomes(
+            Settings settings,
+            Replica replica,
+            Membership membership,
+            Committer committer,
+            HostDesk hostDesk,
+            Sessions sessions,
+            Timeline timeline,
+            Decisions decisions,
+            Faults faults) {
         this.faults = faults;
         this.settings = settings;
         this.membership = membership;
@@ -70,7 +80,9 @@
         var set = new HashSet<Planner.Ended>();
         for (String host : hostDesk.withEvents()) {
             // A placeholder that waited in vain is booked again where it was, so its room is not free.
-            sessions.of(host).events.stream().filter(e -> e.fate() != Reconciler.Fate.WAITED_IN_VAIN).forEach(e -> set.add(new Planner.Ended(e.job(), e.task(), e.base())));
+            sessions.of(host).events.stream()
+                    .filter(e -> e.fate() != Reconciler.Fate.WAITED_IN_VAIN)
+                    .forEach(e -> set.add(new Planner.Ended(e.job(), e.task(), e.base())));
         }
         return set;
     }
@@ -81,10 +93,13 @@
         byJob = new LinkedHashMap<>();
         for (String host : hostDesk.withEvents()) {
             Sessions.Session s = sessions.of(host);
-            s.events.forEach(e -> byJob.computeIfAbsent(e.job(), k -> new ArrayList<>()).add(new Seen(e, s.eventsSince)));
+            s.events.forEach(
+                    e -> byJob.computeIfAbsent(e.job(), k -> new ArrayList<>()).add(new Seen(e, s.eventsSince)));
         }
         gone.forEach(e -> byJob.computeIfAbsent(e.job(), k -> new ArrayList<>()).add(new Seen(e, Duration.ZERO)));
-        byJob.forEach((id, seen) -> replica.job(id).filter(j -> !committer.isLocked(Keys.job(id)) && due(j, seen)).ifPresent(this::store));
+        byJob.forEach((id, seen) -> replica.job(id)
+                .filter(j -> !committer.isLocked(Keys.job(id)) && due(j, seen))
+                .ifPresent(this::store));
     }
 
     private void lookAtTeams() {
@@ -102,7 +117,12 @@
     }
 
     private boolean due(JobRecord j, List<Seen> seen) {
-        if (j.spec().isEmpty() || !j.open() || j.job().gang() || seen.stream().anyMatch(s -> s.event.fate() != Reconciler.Fate.DONE && timeline.now().minus(s.since).compareTo(GATHER_LAST) >= 0)) {
+        if (j.spec().isEmpty()
+                || !j.open()
+                || j.job().gang()
+                || seen.stream()
+                        .anyMatch(s -> s.event.fate() != Reconciler.Fate.DONE
+                                && timeline.now().minus(s.since).compareTo(GATHER_LAST) >= 0)) {
             return true;
         }
         boolean last = false;
@@ -110,7 +130,11 @@
             if (j.claims().size() <= seen.size()) {
                 return true;
             }
-            long here = j.claims().stream().filter(c -> Optional.ofNullable(replica.hosts().get(c.host())).filter(membership::owns).isPresent()).count();
+            long here = j.claims().stream()
+                    .filter(c -> Optional.ofNullable(replica.hosts().get(c.host()))
+                            .filter(membership::owns)
+                            .isPresent())
+                    .count();
             last = here <= seen.size();
         }
         Duration patience = last ? GATHER_LAST : tightTeams.contains(j.job().team()) ? GATHER_TIGHT : GATHER;
@@ -129,11 +153,14 @@
         if (!hurry && committer.waiting() >= MOST_WAITING) {
             return; // it would lock the record for long; the job's next placement takes it along
         }
-        committer.propose(hurry ? Committer.Lane.PLACING : Committer.Lane.KEEPING, txn.guard(key, replica.stamp(key)).write(key, after.toNode()), r -> {
-            if (r instanceof TxnResult.Applied) {
-                events.forEach(e -> tell(j, e));
-            }
-        });
+        committer.propose(
+                hurry ? Committer.Lane.PLACING : Committer.Lane.KEEPING,
+                txn.guard(key, replica.stamp(key)).write(key, after.toNode()),
+                r -> {
+                    if (r instanceof TxnResult.Applied) {
+                        events.forEach(e -> tell(j, e));
+                    }
+                });
     }
 
     /**
@@ -160,11 +187,20 @@
     void tell(JobRecord job, Reconciler.Event e) {
         String host = job.claim(e.task()).map(Claim::host).orElse("?");
         if (e.fate() == Reconciler.Fate.ERROR) {
-            decisions.tell(LOG, "task {}/{} failed on machine {}; it is started again elsewhere or later", job.id(), e.task(), host);
+            decisions.tell(
+                    LOG,
+                    "task {}/{} failed on machine {}; it is started again elsewhere or later",
+                    job.id(),
+                    e.task(),
+                    host);
             boolean known = faults.faultyJob(job.id());
             faults.failed(job.id(), host);
             if (!known && faults.faultyJob(job.id())) {
-                decisions.tell(LOG, "job {} fails on every machine: on {} so far; it is taken for faulty and tried ever more seldom until its user cancels it", job.id(), faults.machinesOf(job.id()));
+                decisions.tell(
+                        LOG,
+                        "job {} fails on every machine: on {} so far; it is taken for faulty and tried ever more seldom until its user cancels it",
+                        job.id(),
+                        faults.machinesOf(job.id()));
             }
         } else if (e.fate() == Reconciler.Fate.DONE) {
             faults.succeeded(job.id(), host);
--- a/src/main/java/org/dunespindle/coordination/Ownership.java
+++ b/src/main/java/org/dunespindle/coordination/Ownership.java
@@ -48,7 +48,16 @@
     private Duration lookAgainAt = Duration.ZERO;
     private Duration returnAgainAt = Duration.ZERO;
 
-    Ownership(Settings settings, Replica replica, Membership membership, HostDesk hostDesk, MachineEdits edits, Peers peers, Sessions sessions, Timeline timeline, Supplier<Options> options) {
+    Ownership(
+            Settings settings,
+            Replica replica,
+            Membership membership,
+            HostDesk hostDesk,
+            MachineEdits edits,
+            Peers peers,
+            Sessions sessions,
+            Timeline timeline,
+            Supplier<Options> options) {
         this.settings = settings;
         this.replica = replica;
         this.membership = membership;
@@ -120,15 +129,22 @@
                 orphans.add(h);
             }
         }
-        orphans.sort(Comparator.comparing(h -> replica.claimsOn(h.id()).isEmpty())); // what runs is in a hurry, what idles is not
+        orphans.sort(Comparator.comparing(
+                h -> replica.claimsOn(h.id()).isEmpty())); // what runs is in a hurry, what idles is not
         var gangPages = new HashSet<String>();
         orphans.stream().filter(this::hasGang).forEach(h -> gangPages.add(Keys.host(h.id())));
         for (HostRecord h : orphans) {
-            Optional<String> home = gangPages.contains(Keys.host(h.id())) ? membership.leader() : membership.hashed(h.id());
+            Optional<String> home =
+                    gangPages.contains(Keys.host(h.id())) ? membership.leader() : membership.hashed(h.id());
             boolean comesBack = early && !membership.hashedAmong(all, h.id()).equals(Optional.of(settings.nodeName()));
-            if (!edits.busy(h.id()) && !comesBack && home.filter(settings.nodeName()::equals).isPresent()) {
+            if (!edits.busy(h.id())
+                    && !comesBack
+                    && home.filter(settings.nodeName()::equals).isPresent()) {
                 // A rented machine's record may not tell its address; its owner did.
-                peers.address(h).ifPresentOrElse(a -> hostDesk.take(h, a, Instant.EPOCH, r -> { }), () -> hostDesk.take(h, Instant.EPOCH, r -> { }));
+                peers.address(h)
+                        .ifPresentOrElse(
+                                a -> hostDesk.take(h, a, Instant.EPOCH, r -> {}),
+                                () -> hostDesk.take(h, Instant.EPOCH, r -> {}));
             }
         }
     }
@@ -150,14 +166,17 @@
         }
         Duration kept = membership.leads() ? options.get().lentAtLeast() : Duration.ZERO;
         Optional<Sessions.Session> s = sessions.known(h.id());
-        boolean calm = h.keepUntil().isBefore(timeline.wallTime()) && now.minus(gangAt.getOrDefault(h.id(), Duration.ZERO)).compareTo(kept) > 0
-                && s.filter(x -> x.calling || x.unansweredUnder.isPresent() || !x.events.isEmpty()).isEmpty();
+        boolean calm = h.keepUntil().isBefore(timeline.wallTime())
+                && now.minus(gangAt.getOrDefault(h.id(), Duration.ZERO)).compareTo(kept) > 0
+                && s.filter(x -> x.calling || x.unansweredUnder.isPresent() || !x.events.isEmpty())
+                        .isEmpty();
         Optional<Long> inc = membership.incarnationOf(home.get());
-        // A few pages at a time: after a controller came back there are many, and even load is less urgent than all else that is written.
+        // A few pages at a time: after a controller came back there are many, and even load is less urgent than all
+        // else that is written.
         boolean turn = handedOn.contains(Keys.host(h.id())) || handedOn.size() < MOST_PAGES_HANDED_ON;
         if (calm && turn && inc.isPresent() && peers.heartbeat(home.get()).isPresent()) {
             handedOn.add(Keys.host(h.id()));
-            edits.change(Committer.Lane.KEEPING, h.ownedBy(home.get(), inc.get(), Instant.EPOCH), r -> { });
+            edits.change(Committer.Lane.KEEPING, h.ownedBy(home.get(), inc.get(), Instant.EPOCH), r -> {});
         }
     }
 
@@ -168,18 +187,28 @@
         wanted.addAll(placeholdersElsewhere());
         for (String host : wanted) {
             HostRecord h = replica.hosts().get(host);
-            if (h == null || membership.owns(h) || h.leaving() || edits.busy(host) || !h.keepUntil().isBefore(timeline.wallTime())) {
+            if (h == null
+                    || membership.owns(h)
+                    || h.leaving()
+                    || edits.busy(host)
+                    || !h.keepUntil().isBefore(timeline.wallTime())) {
                 continue;
             }
             if (borrowed < 0) {
-                borrowed = replica.hosts().values().stream().filter(membership::owns).filter(o -> membership.hashed(o.id()).filter(settings.nodeName()::equals).isEmpty()).count();
+                borrowed = replica.hosts().values().stream()
+                        .filter(membership::owns)
+                        .filter(o -> membership
+                                .hashed(o.id())
+                                .filter(settings.nodeName()::equals)
+                                .isEmpty())
+                        .count();
             }
             if (borrowed++ >= options.get().borrowedMachines()) {
                 return;
             }
             gangAt.put(host, timeline.now());
             String address = peers.address(h).orElse(h.address());
-            hostDesk.take(h, address, Instant.EPOCH, r -> { });
+            hostDesk.take(h, address, Instant.EPOCH, r -> {});
         }
     }
 }
--- a/src/main/java/org/dunespindle/coordination/Peers.java
+++ b/src/main/java/org/dunespindle/coordination/Peers.java
@@ -35,6 +35,7 @@
     private static final int MOST_AT_ONCE = 400;
     /** A list of cancelled jobs longer than this is not sent: the asker then goes by the age of its copy. */
     private static final int MOST_CANCELLED = 2000;
+
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Settings settings;
     private final Caller http;
@@ -43,9 +44,11 @@
     private final Supplier<Optional<String>> leader;
     /** Told of machine and image: what a machine has fetched outlives the change of its owner. */
     private final BiConsumer<String, String> imageSeen;
+
     private final Replica replica;
     /** Told of a controller, when it was asked, and which cancelled jobs it knows that the copy here may lack. */
     private final CancelledListener cancelledHeard;
+
     private final Map<String, Heartbeat> heartbeats = new HashMap<>();
     private final Map<String, Heard> heard = new HashMap<>();
     /** Up to which number each controller has taken our news. */
@@ -63,7 +66,15 @@
     public record Machine(boolean up, boolean bad, Duration silentFor, Duration toldAt, String address, long token) {}
 
     /** A machine's state as its owner tells it, with a number that grows with every change. */
-    public record News(String host, long number, long token, boolean up, boolean bad, Duration silentFor, String address, Set<String> images) {}
+    public record News(
+            String host,
+            long number,
+            long token,
+            boolean up,
+            boolean bad,
+            Duration silentFor,
+            String address,
+            Set<String> images) {}
 
     /** What this controller needs of the write rate. */
     public record Need(double writes, int waiting) {}
@@ -74,7 +85,14 @@
         final Map<String, Machine> machines = new HashMap<>();
     }
 
-    public Peers(Settings settings, Caller http, Timeline timeline, LongSupplier incarnation, Supplier<Optional<String>> leader, BiConsumer<String, String> imageSeen, Replica replica,
+    public Peers(
+            Settings settings,
+            Caller http,
+            Timeline timeline,
+            LongSupplier incarnation,
+            Supplier<Optional<String>> leader,
+            BiConsumer<String, String> imageSeen,
+            Replica replica,
             CancelledListener cancelledHeard) {
         this.replica = replica;
         this.cancelledHeard = cancelledHeard;
@@ -88,7 +106,8 @@
 
     /** A controller's last heartbeat while it is fresh. */
     public Optional<Heartbeat> heartbeat(String node) {
-        return Optional.ofNullable(heartbeats.get(node)).filter(w -> timeline.now().minus(w.at).compareTo(FRESH) < 0);
+        return Optional.ofNullable(heartbeats.get(node))
+                .filter(w -> timeline.now().minus(w.at).compareTo(FRESH) < 0);
     }
 
     /**
@@ -110,7 +129,9 @@
 
     /** What a machine's owner told of it under its present token, while the owner's heartbeat is fresh. */
     public Optional<Machine> machine(HostRecord host) {
-        return heartbeat(host.owner()).isEmpty() ? Optional.empty() : told(host.owner(), host.id()).filter(m -> m.token == host.token());
+        return heartbeat(host.owner()).isEmpty()
+                ? Optional.empty()
+                : told(host.owner(), host.id()).filter(m -> m.token == host.token());
     }
 
     /** The same however old it is: for an owner that lives but cannot talk to this controller. */
@@ -136,7 +157,10 @@
         for (Map.Entry<String, Heard> e : heard.entrySet()) {
             Machine m = e.getValue().machines.get(host.id());
             if (m != null) {
-                boolean present = m.up && e.getKey().equals(host.owner()) && m.token == host.token() && heartbeats.containsKey(e.getKey());
+                boolean present = m.up
+                        && e.getKey().equals(host.owner())
+                        && m.token == host.token()
+                        && heartbeats.containsKey(e.getKey());
                 Duration at = present ? heartbeats.get(e.getKey()).at : m.toldAt.minus(m.silentFor);
                 last = last.filter(l -> l.compareTo(at) >= 0).or(() -> Optional.of(at));
             }
@@ -166,16 +190,22 @@
             if (leader.get().filter(seed.name()::equals).isPresent()) {
                 add(n, news, taken.getOrDefault(seed.name(), 0L));
             }
-            http.send(seed.address(), "POST", "/peer/heartbeat", Admin.write(n), "application/json", TIMEOUT).whenComplete((a, e) -> {
-                if (a != null && a.status() == 200) {
-                    answered(seed.name(), asked, a.body());
-                }
-            });
+            http.send(seed.address(), "POST", "/peer/heartbeat", Admin.write(n), "application/json", TIMEOUT)
+                    .whenComplete((a, e) -> {
+                        if (a != null && a.status() == 200) {
+                            answered(seed.name(), asked, a.body());
+                        }
+                    });
         }
     }
 
     private ObjectNode head(Duration viewAge, Need need) {
-        return Pack.map().put("node", settings.nodeName()).put("inc", incarnation.getAsLong()).put("viewAgeMs", viewAge.toMillis()).put("writes", need.writes).put("waiting", need.waiting);
+        return Pack.map()
+                .put("node", settings.nodeName())
+                .put("inc", incarnation.getAsLong())
+                .put("viewAgeMs", viewAge.toMillis())
+                .put("writes", need.writes)
+                .put("waiting", need.waiting);
     }
 
     private static void add(ObjectNode n, List<News> news, long from) {
@@ -184,7 +214,13 @@
         for (News m : news) {
             if (m.number > from && list.size() < MOST_AT_ONCE) {
                 upTo = m.number;
-                ArrayNode row = list.addArray().add(m.host).add(m.token).add(m.up).add(m.bad).add(m.silentFor.toMillis()).add(m.address);
+                ArrayNode row = list.addArray()
+                        .add(m.host)
+                        .add(m.token)
+                        .add(m.up)
+                        .add(m.bad)
+                        .add(m.silentFor.toMillis())
+                        .add(m.address);
                 m.images.forEach(row::add);
             }
         }
@@ -230,7 +266,15 @@
 
     private void take(Heard h, JsonNode row) {
         String host = row.path(0).asText();
-        h.machines.put(host, new Machine(row.path(2).asBoolean(), row.path(3).asBoolean(), Duration.ofMillis(row.path(4).asLong()), timeline.now(), row.path(5).asText(), row.path(1).asLong()));
+        h.machines.put(
+                host,
+                new Machine(
+                        row.path(2).asBoolean(),
+                        row.path(3).asBoolean(),
+                        Duration.ofMillis(row.path(4).asLong()),
+                        timeline.now(),
+                        row.path(5).asText(),
+                        row.path(1).asLong()));
         for (int i = 6; i < row.size(); i++) {
             imageSeen.accept(host, row.get(i).asText());
         }
@@ -246,7 +290,11 @@
                     n.get("cancelled").forEach(id -> ids.add(id.asText()));
                     cancelledHeard.heard(node, asked, ids);
                 }
-                taken.put(node, n.path("tookOf").asLong() == incarnation.getAsLong() ? n.path("took").asLong() : 0L);
+                taken.put(
+                        node,
+                        n.path("tookOf").asLong() == incarnation.getAsLong()
+                                ? n.path("took").asLong()
+                                : 0L);
             }
         } catch (IOException e) {
             // counts as no heartbeat
@@ -254,6 +302,13 @@
     }
 
     private void note(String node, JsonNode n) {
-        heartbeats.put(node, new Heartbeat(timeline.now(), n.path("inc").asLong(), Duration.ofMillis(n.path("viewAgeMs").asLong()), n.path("writes").asDouble(), n.path("waiting").asInt()));
+        heartbeats.put(
+                node,
+                new Heartbeat(
+                        timeline.now(),
+                        n.path("inc").asLong(),
+                        Duration.ofMillis(n.path("viewAgeMs").asLong()),
+                        n.path("writes").asDouble(),
+                        n.path("waiting").asInt()));
     }
 }
--- a/src/main/java/org/dunespindle/coordination/Placements.java
+++ b/src/main/java/org/dunespindle/coordination/Placements.java
@@ -29,6 +29,7 @@
     private static final double FILLED_BY_PLACING = 0.7;
     /** A run of tasks on a machine is short in the record, and at its longest when every other one has left and is to start again. */
     private static final int BROKEN_UP_PER_TASK = 6;
+
     private static final double FILLED_WHEN_BROKEN_UP = 0.9;
     private static final int OTHER_GUARDS = 3;
     private static final int MOST_WAITING = 8;
@@ -46,6 +47,7 @@
     private final HostDesk hostDesk;
     /** Records proposed but not stored yet: their room is taken, or another job would be booked on it too. */
     private final Map<String, JobRecord> proposed = new HashMap<>();
+
     private final Map<String, Spending> spending = new HashMap<>();
 
     /** What was placed under a team's record as it stands. */
@@ -59,8 +61,18 @@
         }
     }
 
-    Placements(Settings settings, Replica replica, Membership membership, Committer committer, MachineEdits edits, Outcomes outcomes, Preemptions preemptions, HostDesk hostDesk, Timeline timeline,
-            Decisions decisions, Predicate<HostRecord> takesTasks) {
+    Placements(
+            Settings settings,
+            Replica replica,
+            Membership membership,
+            Committer committer,
+            MachineEdits edits,
+            Outcomes outcomes,
+            Preemptions preemptions,
+            HostDesk hostDesk,
+            Timeline timeline,
+            Decisions decisions,
+            Predicate<HostRecord> takesTasks) {
         this.settings = settings;
         this.replica = replica;
         this.membership = membership;
@@ -87,7 +99,8 @@
             if (committer.waiting() >= (b.job().job().gang() ? MOST_WAITING_GANGS : MOST_WAITING)) {
                 return;
             }
-            if (committer.isLocked(Keys.job(b.job().id())) || committer.isLocked(Keys.team(b.job().job().team()))) {
+            if (committer.isLocked(Keys.job(b.job().id()))
+                    || committer.isLocked(Keys.team(b.job().job().team()))) {
                 continue;
             }
             Map<Integer, String> places = ownPart(b);
@@ -110,7 +123,12 @@
         var places = new LinkedHashMap<Integer, String>();
         b.places().forEach((task, host) -> {
             HostRecord h = replica.hosts().get(host);
-            if (may && h != null && membership.owns(h) && !edits.busy(host) && takesTasks.test(h) && (pages.contains(Keys.host(host)) || pages.size() < room)) {
+            if (may
+                    && h != null
+                    && membership.owns(h)
+                    && !edits.busy(host)
+                    && takesTasks.test(h)
+                    && (pages.contains(Keys.host(host)) || pages.size() < room)) {
                 pages.add(Keys.host(host));
                 places.put(task, host);
             }
@@ -133,14 +151,31 @@
         if (!settings.teams().get(team).withinLimit(used.plus(need))) {
             return;
         }
-        Spending s = spending.compute(team, (t, old) -> old != null && old.stamp == replica.stamp(teamKey) ? old : new Spending(replica.stamp(teamKey)));
-        // A process that started after the record was written can't know what an earlier one of its name placed under it.
+        Spending s = spending.compute(
+                team,
+                (t, old) -> old != null && old.stamp == replica.stamp(teamKey)
+                        ? old
+                        : new Spending(replica.stamp(teamKey)));
+        // A process that started after the record was written can't know what an earlier one of its name placed under
+        // it.
         boolean entitled = s.stamp > replica.stamp(Keys.INCARNATION + settings.nodeName());
-        var view = new TeamLedger.View(settings.teams().get(team), settings.seeds().size() + 1, TeamLedger.Entry.parse(replica.value(teamKey)), entitled, s.spent, s.unsure,
-                replica.syncedTo() >= s.stamp, used);
+        var view = new TeamLedger.View(
+                settings.teams().get(team),
+                settings.seeds().size() + 1,
+                TeamLedger.Entry.parse(replica.value(teamKey)),
+                entitled,
+                s.spent,
+                s.unsure,
+                replica.syncedTo() >= s.stamp,
+                used);
         TeamLedger.Way way = TeamLedger.way(view, need);
         if (way instanceof TeamLedger.Way.Close close) {
-            committer.propose(Committer.Lane.PLACING, new Txn().guard(teamKey, s.stamp).write(teamKey, close.entry().toNode()), r -> { });
+            committer.propose(
+                    Committer.Lane.PLACING,
+                    new Txn()
+                            .guard(teamKey, s.stamp)
+                            .write(teamKey, close.entry().toNode()),
+                    r -> {});
             return;
         }
         if (way instanceof TeamLedger.Way.Wait) {
@@ -166,7 +201,14 @@
         }
         use.merge(team, need, Resources::plus);
         s.spent = s.spent.plus(need);
-        LOG.debug("{} ({}): {} placed {} ms after it came", job.id(), job.job().jobClass(), places.size(), LOG.isDebugEnabled() ? Duration.between(job.arrived(), timeline.wallTime()).toMillis() : 0);
+        LOG.debug(
+                "{} ({}): {} placed {} ms after it came",
+                job.id(),
+                job.job().jobClass(),
+                places.size(),
+                LOG.isDebugEnabled()
+                        ? Duration.between(job.arrived(), timeline.wallTime()).toMillis()
+                        : 0);
         propose(txn, job.id(), placed, r -> {
             if (r instanceof TxnResult.Applied) {
                 told.forEach(e -> outcomes.tell(job, e));
@@ -195,7 +237,8 @@
     /** Whether a record stays within a value's limit whatever becomes of its tasks: one that grows beyond it could never be written again. */
     static boolean fits(JobRecord placed, int valueBytes) {
         int size = Pack.countedSize(placed.toNode());
-        return size <= valueBytes * FILLED_BY_PLACING && size + BROKEN_UP_PER_TASK * placed.claims().size() <= valueBytes * FILLED_WHEN_BROKEN_UP;
+        return size <= valueBytes * FILLED_BY_PLACING
+                && size + BROKEN_UP_PER_TASK * placed.claims().size() <= valueBytes * FILLED_WHEN_BROKEN_UP;
     }
 
     private void propose(Txn txn, String id, JobRecord record, java.util.function.Consumer<TxnResult> then) {
@@ -214,7 +257,13 @@
             if (h != null && membership.owns(h) && !e.claim().stopping()) {
                 preemptions.add(Preemptions.of(e.victim(), e.claim()), h.id());
                 hostDesk.attend(h.id());
-                decisions.tell(LOG, "task {}/{} on {} gives way to {}", e.victim().id(), e.claim().task(), e.claim().host(), e.forJob());
+                decisions.tell(
+                        LOG,
+                        "task {}/{} on {} gives way to {}",
+                        e.victim().id(),
+                        e.claim().task(),
+                        e.claim().host(),
+                        e.forJob());
             }
         }
     }
