--- a/src/main/java/org/dunespindle/coordination/Planner.java
+++ b/src/main/java/org/dunespindle/coordination/Planner.java
@@ -30,7 +30,15 @@
     private Planner() {}
 
     /** A machine as the plan sees it. */
-    public record Host(String id, String type, String zone, boolean spot, Resources size, boolean up, boolean mine, Set<String> images) {}
+    public record Host(
+            String id,
+            String type,
+            String zone,
+            boolean spot,
+            Resources size,
+            boolean up,
+            boolean mine,
+            Set<String> images) {}
 
     /**
      * Everything a plan depends on.
@@ -41,8 +49,19 @@
      * @param gangs whether gangs are planned here
      * @param progress how long tasks have been under way, as far as known here
      */
-    public record Snapshot(Instant now, List<JobRecord> jobs, List<Host> hosts, Map<String, Settings.Team> teams, Map<String, Place> whereabouts,
-            Set<Market> refused, ToIntFunction<JobRecord> mostTasks, Set<Ended> ended, Set<String> leftAlone, boolean gangs, List<Headroom.Phantom> phantoms, Targets targets,
+    public record Snapshot(
+            Instant now,
+            List<JobRecord> jobs,
+            List<Host> hosts,
+            Map<String, Settings.Team> teams,
+            Map<String, Place> whereabouts,
+            Set<Market> refused,
+            ToIntFunction<JobRecord> mostTasks,
+            Set<Ended> ended,
+            Set<String> leftAlone,
+            boolean gangs,
+            List<Headroom.Phantom> phantoms,
+            Targets targets,
             Function<Started, Duration> progress) {}
 
     /** A claim whose task has ended. */
@@ -73,7 +92,13 @@
      * @param wantedHosts machines that something is planned on
      * @param gangHosts those of them that gangs are planned on
      */
-    public record Plan(List<Booking> bookings, List<Eviction> evictions, List<Shortfall> shortfalls, Map<String, String> reasons, Set<String> wantedHosts, Set<String> gangHosts) {
+    public record Plan(
+            List<Booking> bookings,
+            List<Eviction> evictions,
+            List<Shortfall> shortfalls,
+            Map<String, String> reasons,
+            Set<String> wantedHosts,
+            Set<String> gangHosts) {
         public static final Plan NONE = new Plan(List.of(), List.of(), List.of(), Map.of(), Set.of(), Set.of());
     }
 
@@ -86,7 +111,9 @@
     public static Map<String, Resources> use(Iterable<JobRecord> jobs) {
         var use = new HashMap<String, Resources>();
         for (JobRecord j : jobs) {
-            j.spec().ifPresent(spec -> use.merge(spec.team(), spec.perTask().times(j.claims().size()), Resources::plus));
+            j.spec()
+                    .ifPresent(spec -> use.merge(
+                            spec.team(), spec.perTask().times(j.claims().size()), Resources::plus));
         }
         return use;
     }
@@ -95,13 +122,16 @@
     public static Set<String> guaranteed(List<JobRecord> jobs, Map<String, Settings.Team> teams) {
         var sums = new HashMap<String, Resources>();
         var within = new HashSet<String>();
-        jobs.stream().filter(JobRecord::open).sorted(Comparator.comparing(JobRecord::arrived).thenComparing(JobRecord::id)).forEach(j -> {
-            Resources sum = sums.merge(j.job().team(), j.job().wholeAsk(), Resources::plus);
-            Settings.Team team = teams.get(j.job().team());
-            if (team != null && team.withinGuarantee(sum)) {
-                within.add(j.id());
-            }
-        });
+        jobs.stream()
+                .filter(JobRecord::open)
+                .sorted(Comparator.comparing(JobRecord::arrived).thenComparing(JobRecord::id))
+                .forEach(j -> {
+                    Resources sum = sums.merge(j.job().team(), j.job().wholeAsk(), Resources::plus);
+                    Settings.Team team = teams.get(j.job().team());
+                    if (team != null && team.withinGuarantee(sum)) {
+                        within.add(j.id());
+                    }
+                });
         return within;
     }
 
@@ -124,6 +154,7 @@
         boolean later;
         /** Tasks that may have to give way, the latest booked first: they have least to lose. */
         final ArrayList<Victim> victims = new ArrayList<>(2);
+
         double score;
 
         Slot(Host host) {
@@ -142,13 +173,16 @@
         private static final int MOST_COUNTED = 64;
         /** What a fetch counts for, and how much of a task's work at most, when it is chosen who gives way. */
         private static final Duration FETCH_COST = Duration.ofSeconds(20);
+
         private static final Duration MOST_LOST = Duration.ofSeconds(120);
         private static final int LOST_CAUSE = 1000;
         /** Gangs behind others of their team that machines are looked for already. */
         private static final int MOST_AHEAD = 12;
+
         private static final Duration BEGIN_WITHIN = Duration.ofSeconds(120);
         /** A gang that has waited so long for its team's limit is not overtaken by the team's later work any more. */
         private static final Duration OVERTAKEN_AT_MOST = Duration.ofSeconds(20);
+
         private final Snapshot s;
         private final List<Slot> slots = new ArrayList<>();
         private final Map<String, Resources> use;
@@ -204,25 +238,35 @@
             // A gang of one never holds partial room, so it does not queue for placement either.
             var heads = new HashMap<String, JobRecord>();
             for (JobRecord j : s.jobs()) {
-                // Nor does one that pauses after its tasks failed: it would keep its team's other gangs waiting for as long as it fails.
-                boolean pauses = j.mode() == JobRecord.Mode.IDLE && j.notBefore().filter(t -> t.isAfter(s.now())).isPresent();
+                // Nor does one that pauses after its tasks failed: it would keep its team's other gangs waiting for as
+                // long as it fails.
+                boolean pauses = j.mode() == JobRecord.Mode.IDLE
+                        && j.notBefore().filter(t -> t.isAfter(s.now())).isPresent();
                 if (j.open() && j.job().gang() && j.job().tasks() > 1 && j.unplacedCount() > 0 && !pauses) {
                     heads.merge(j.job().team(), j, (a, b) -> earlier(a, b) ? a : b);
                 }
             }
             heads.forEach((team, head) -> {
                 boolean waited = Duration.between(head.arrived(), s.now()).compareTo(OVERTAKEN_AT_MOST) > 0;
-                if (waited && head.mode() == JobRecord.Mode.IDLE && !teamAllows(head.job(), head.job().tasks())) {
+                if (waited
+                        && head.mode() == JobRecord.Mode.IDLE
+                        && !teamAllows(head.job(), head.job().tasks())) {
                     reserved.put(team, head.job().wholeAsk());
                 }
             });
             var ordered = new ArrayList<>(s.jobs());
-            ordered.removeIf(j -> !j.open() || j.unplacedCount() == 0 || !s.gangs() && (j.job().gang() || s.leftAlone().contains(j.id())));
+            ordered.removeIf(j -> !j.open()
+                    || j.unplacedCount() == 0
+                    || !s.gangs() && (j.job().gang() || s.leftAlone().contains(j.id())));
             var ranks = new HashMap<String, Rank>();
             ordered.forEach(j -> ranks.put(j.id(), rank(j)));
-            // The oldest unfinished jobs are what counts as guaranteed first; those that are late anyway must not push others past their time too.
-            ordered.sort(Comparator.comparing((JobRecord j) -> j.job().priority(), Comparator.reverseOrder()).thenComparing(j -> ranks.get(j.id()).tier() == LOST_CAUSE).thenComparing(j -> !guaranteed.contains(j.id()))
-                    .thenComparing(j -> ranks.get(j.id())).thenComparing(JobRecord::id));
+            // The oldest unfinished jobs are what counts as guaranteed first; those that are late anyway must not push
+            // others past their time too.
+            ordered.sort(Comparator.comparing((JobRecord j) -> j.job().priority(), Comparator.reverseOrder())
+                    .thenComparing(j -> ranks.get(j.id()).tier() == LOST_CAUSE)
+                    .thenComparing(j -> !guaranteed.contains(j.id()))
+                    .thenComparing(j -> ranks.get(j.id()))
+                    .thenComparing(JobRecord::id));
             var kept = new HashMap<String, Integer>();
             var alike = new ArrayList<ArrayWork>();
             var queued = new ArrayList<JobRecord>();
@@ -234,14 +278,22 @@
                 }
                 before = j;
                 if (!j.job().gang()) {
-                    // Room that gangs will need within seconds is not filled with lower work that would have to give way again.
-                    s.phantoms().stream().filter(p -> p.job().job().priority().compareTo(j.job().priority()) > 0).forEach(p -> kept.computeIfAbsent(p.job().id(), id -> reserve(p)));
+                    // Room that gangs will need within seconds is not filled with lower work that would have to give
+                    // way again.
+                    s.phantoms().stream()
+                            .filter(p ->
+                                    p.job().job().priority().compareTo(j.job().priority()) > 0)
+                            .forEach(p -> kept.computeIfAbsent(p.job().id(), id -> reserve(p)));
                 }
                 if (j.notBefore().isPresent() && j.notBefore().get().isAfter(s.now())) {
-                    reasons.put(j.id(), "its tasks fail or were refused; tried again at " + j.notBefore().get());
+                    reasons.put(
+                            j.id(),
+                            "its tasks fail or were refused; tried again at "
+                                    + j.notBefore().get());
                 } else if (j.job().gang()) {
                     JobRecord head = heads.get(j.job().team());
-                    boolean single = j.job().tasks() == 1 && (head == null || teamAllows(head.job(), head.unplacedCount()) || earlier(j, head));
+                    boolean single = j.job().tasks() == 1
+                            && (head == null || teamAllows(head.job(), head.unplacedCount()) || earlier(j, head));
                     if (head == j || single) {
                         gang(j);
                     } else {
@@ -286,7 +338,9 @@
             if (job.gang()) {
                 return new Rank(0, j.arrived().toEpochMilli());
             }
-            if (j.claims().isEmpty() && j.next() == 0 && Duration.between(j.arrived(), s.now()).compareTo(BEGIN_WITHIN) > 0) {
+            if (j.claims().isEmpty()
+                    && j.next() == 0
+                    && Duration.between(j.arrived(), s.now()).compareTo(BEGIN_WITHIN) > 0) {
                 return new Rank(0, j.arrived().toEpochMilli());
             }
             List<Duration> ends = s.targets().all(job);
@@ -299,7 +353,9 @@
                 }
                 tier++;
             }
-            return ends.isEmpty() ? new Rank(1, work) : new Rank(LOST_CAUSE, j.arrived().toEpochMilli());
+            return ends.isEmpty()
+                    ? new Rank(1, work)
+                    : new Rank(LOST_CAUSE, j.arrived().toEpochMilli());
         }
 
         private boolean teamAllows(Submission job, int tasks) {
@@ -308,7 +364,10 @@
 
         private boolean withinLimit(Submission job, Resources besides, int tasks) {
             Settings.Team team = s.teams().get(job.team());
-            return team != null && team.withinLimit(use.getOrDefault(job.team(), Resources.NONE).plus(besides).plus(job.perTask().times(tasks)));
+            return team != null
+                    && team.withinLimit(use.getOrDefault(job.team(), Resources.NONE)
+                            .plus(besides)
+                            .plus(job.perTask().times(tasks)));
         }
 
         /** How many more tasks the team's limit leaves room for. */
@@ -342,7 +401,9 @@
             List<String> types = job.types().orElse(null);
             for (Slot slot : slots) {
                 Host h = slot.host;
-                if ((job.spot() || !h.spot()) && (zone == null || zone.equals(h.zone())) && (types == null || types.contains(h.type()))) {
+                if ((job.spot() || !h.spot())
+                        && (zone == null || zone.equals(h.zone()))
+                        && (types == null || types.contains(h.type()))) {
                     list.add(slot);
                 }
             }
@@ -365,12 +426,19 @@
         /** Up before booting, a fetched image before a cheap kind, cheap kinds before dear ones, full before empty. */
         private static double score(Submission job, Slot slot) {
             Host h = slot.host;
-            double fill = h.size().gpus() > 0 ? 1 - slot.free.gpus() / h.size().gpus() : 1 - slot.free.cpus() / Math.max(1e-9, h.size().cpus());
-            return (h.up() ? 8 : 0) + (h.spot() && job.spot() ? 2 : 0) + (h.images().contains(job.image()) ? 3 : 0) + fill;
+            double fill = h.size().gpus() > 0
+                    ? 1 - slot.free.gpus() / h.size().gpus()
+                    : 1 - slot.free.cpus() / Math.max(1e-9, h.size().cpus());
+            return (h.up() ? 8 : 0)
+                    + (h.spot() && job.spot() ? 2 : 0)
+                    + (h.images().contains(job.image()) ? 3 : 0)
+                    + fill;
         }
 
         private boolean equalStanding(JobRecord a, JobRecord b, Map<String, Rank> ranks) {
-            return a.job().gang() == b.job().gang() && a.job().priority() == b.job().priority() && guaranteed.contains(a.id()) == guaranteed.contains(b.id())
+            return a.job().gang() == b.job().gang()
+                    && a.job().priority() == b.job().priority()
+                    && guaranteed.contains(a.id()) == guaranteed.contains(b.id())
                     && ranks.get(a.id()).tier() == ranks.get(b.id()).tier();
         }
 
@@ -392,7 +460,9 @@
                 kept = reserved.getOrDefault(job.team(), Resources.NONE);
                 zones = new Zones(j);
                 unplaced = j.unplacedCount();
-                most = Math.min(unplaced, Math.max(0, s.mostTasks().applyAsInt(j) - j.claims().size() + endedOf.getOrDefault(j.id(), 0)));
+                most = Math.min(
+                        unplaced,
+                        Math.max(0, s.mostTasks().applyAsInt(j) - j.claims().size() + endedOf.getOrDefault(j.id(), 0)));
                 order = j.unplaced(most).iterator();
             }
 
@@ -445,7 +515,11 @@
             }
             int allowed = w.left();
             if (w.placed + allowed < w.unplaced) {
-                reasons.put(w.record.id(), w.placed + allowed == w.most ? "as many of its tasks are under way as its record takes" : "its team's limit is used up");
+                reasons.put(
+                        w.record.id(),
+                        w.placed + allowed == w.most
+                                ? "as many of its tasks are under way as its record takes"
+                                : "its team's limit is used up");
             }
             int waiting = allowed(w.job, w.kept.plus(pending.getOrDefault(w.job.team(), Resources.NONE)), allowed);
             if (waiting > 0) {
@@ -458,8 +532,15 @@
         /** Whether an earlier job that asked for no more, and could go wherever this one can, already found no room left. */
         private boolean full(Submission job) {
             for (Submission f : fullFor) {
-                boolean asWide = (f.spot() || !job.spot()) && !f.sameZone() && !f.spread() && (f.zone().isEmpty() || f.zone().equals(job.zone()))
-                        && (f.types().isEmpty() || job.types().isPresent() && f.types().get().containsAll(job.types().get()));
+                boolean asWide = (f.spot() || !job.spot())
+                        && !f.sameZone()
+                        && !f.spread()
+                        && (f.zone().isEmpty() || f.zone().equals(job.zone()))
+                        && (f.types().isEmpty()
+                                || job.types().isPresent()
+                                        && f.types()
+                                                .get()
+                                                .containsAll(job.types().get()));
                 if (asWide && f.perTask().fitsIn(job.perTask())) {
                     return true;
                 }
@@ -550,12 +631,15 @@
                 }
                 only = job.zone();
                 if (job.sameZone() && only.isEmpty()) {
-                    only = taken.isEmpty() ? zoneFor(j, j.unplacedCount()) : taken.keySet().stream().findFirst();
+                    only = taken.isEmpty()
+                            ? zoneFor(j, j.unplacedCount())
+                            : taken.keySet().stream().findFirst();
                 }
             }
 
             boolean allows(Host h) {
-                return (only.isEmpty() || only.get().equals(h.zone())) && (most == Integer.MAX_VALUE || taken.getOrDefault(h.zone(), 0) < most);
+                return (only.isEmpty() || only.get().equals(h.zone()))
+                        && (most == Integer.MAX_VALUE || taken.getOrDefault(h.zone(), 0) < most);
             }
 
             void add(String zone) {
@@ -586,7 +670,10 @@
                 left = fill(j, roomy(job, candidates, zones, false), zones, order, left, places);
             }
             if (left > 0) {
-                reasons.put(j.id(), "no room for " + left + " of " + job.tasks() + " members" + zones.only.map(z -> " in zone " + z).orElse(""));
+                reasons.put(
+                        j.id(),
+                        "no room for " + left + " of " + job.tasks() + " members"
+                                + zones.only.map(z -> " in zone " + z).orElse(""));
                 shortfalls.add(new Shortfall(j, left, zones.only));
                 pending.merge(job.team(), job.perTask().times(left), Resources::plus);
             }
@@ -603,7 +690,9 @@
             var fetched = new ArrayList<Slot>();
             int room = 0;
             for (Slot slot : candidates) {
-                if (slot.host.up() && zones.allows(slot.host) && slot.host.images().contains(j.job().image())) {
+                if (slot.host.up()
+                        && zones.allows(slot.host)
+                        && slot.host.images().contains(j.job().image())) {
                     fetched.add(slot);
                     room += room < missing ? fitCount(j.job().perTask(), withVictims(slot, j), missing) : 0;
                 }
@@ -611,7 +700,13 @@
             return room >= missing && !j.job().spread() ? fetched : candidates;
         }
 
-        private int fill(JobRecord j, List<Slot> roomy, Zones zones, java.util.Iterator<Integer> order, int members, Map<Integer, String> places) {
+        private int fill(
+                JobRecord j,
+                List<Slot> roomy,
+                Zones zones,
+                java.util.Iterator<Integer> order,
+                int members,
+                Map<Integer, String> places) {
             Submission job = j.job();
             int left = members;
             for (Slot slot : roomy) {
@@ -640,7 +735,9 @@
                     room[2] += fits;
                     continue;
                 }
-                int freed = slot.victims.isEmpty() && slot.ending == Resources.NONE ? 0 : fitCount(job.perTask(), withVictims(slot, j), Math.min(MOST_COUNTED, missing)) - fits;
+                int freed = slot.victims.isEmpty() && slot.ending == Resources.NONE
+                        ? 0
+                        : fitCount(job.perTask(), withVictims(slot, j), Math.min(MOST_COUNTED, missing)) - fits;
                 room[0] += fits;
                 room[1] += freed;
                 room[3] += slot.host.images().contains(job.image()) ? fits + freed : 0;
@@ -652,7 +749,8 @@
                 int now = Math.min(missing, room[0]);
                 int freed = Math.min(missing - now, room[1]);
                 int soon = Math.min(missing - now - freed, room[2]);
-                double score = 3 * now + 2 * freed + soon + (room[3] >= missing ? 1.5 : 0.1) * Math.min(missing, room[3]);
+                double score =
+                        3 * now + 2 * freed + soon + (room[3] >= missing ? 1.5 : 0.1) * Math.min(missing, room[3]);
                 for (Market m : s.refused()) {
                     score -= m.zone().equals(e.getKey()) && !m.spot() ? 0.5 * (missing - now - freed - soon) + 0.1 : 0;
                 }
@@ -705,7 +803,8 @@
                 return Optional.empty();
             }
             // Tasks already being stopped cost nothing more; a second machine must not be emptied beside them.
-            long cost = chosen.isEmpty() ? -1 : slot.host.images().contains(j.job().image()) ? 0 : FETCH_COST.toMillis();
+            long cost =
+                    chosen.isEmpty() ? -1 : slot.host.images().contains(j.job().image()) ? 0 : FETCH_COST.toMillis();
             for (Victim v : chosen) {
                 cost += 1000 + lost(v).toMillis();
             }
@@ -714,14 +813,16 @@
 
         /** The work that stopping a task throws away: what it did since it started, or since it last saved. */
         private Duration lost(Victim v) {
-            Duration done = s.progress().apply(new Started(v.job().id(), v.claim().base()));
+            Duration done =
+                    s.progress().apply(new Started(v.job().id(), v.claim().base()));
             Duration kept = v.job().job().saves() ? v.job().job().checkpointEvery() : MOST_LOST;
             return done.compareTo(kept) > 0 ? kept : done;
         }
 
         /** Makes room where lower tasks lose least by giving way; a fetch counts as some more loss. */
         private int evict(JobRecord j, List<Slot> candidates, Zones zones, int members) {
-            var ways = new PriorityQueue<Way>(Comparator.comparingLong(Way::cost).thenComparing(w -> w.slot.host.id()));
+            var ways =
+                    new PriorityQueue<Way>(Comparator.comparingLong(Way::cost).thenComparing(w -> w.slot.host.id()));
             for (Slot slot : candidates) {
                 if (slot.host.up() && zones.allows(slot.host)) {
                     way(j, slot).ifPresent(ways::add);
--- a/src/main/java/org/dunespindle/coordination/Preemptions.java
+++ b/src/main/java/org/dunespindle/coordination/Preemptions.java
@@ -26,8 +26,16 @@
     /** A machine's claims, with those marked that are to give way. */
     List<Placed> marked(String host, List<Placed> claims) {
         Set<Planner.Ended> stops = byHost.get(host);
-        return stops == null ? claims
-                : claims.stream().map(p -> stops.contains(new Planner.Ended(p.job().id(), p.claim().task(), p.claim().base())) ? new Placed(p.job(), p.claim().stopped()) : p).toList();
+        return stops == null
+                ? claims
+                : claims.stream()
+                        .map(p -> stops.contains(new Planner.Ended(
+                                        p.job().id(),
+                                        p.claim().task(),
+                                        p.claim().base()))
+                                ? new Placed(p.job(), p.claim().stopped())
+                                : p)
+                        .toList();
     }
 
     /** A job with those of its claims marked that are to give way. */
--- a/src/main/java/org/dunespindle/coordination/Reconciler.java
+++ b/src/main/java/org/dunespindle/coordination/Reconciler.java
@@ -27,7 +27,13 @@
     private Reconciler() {}
 
     /** What became of a claim. */
-    public enum Fate { DONE, GONE, ERROR, WAITED_IN_VAIN, REFUSED }
+    public enum Fate {
+        DONE,
+        GONE,
+        ERROR,
+        WAITED_IN_VAIN,
+        REFUSED
+    }
 
     /**
      * A claim's fate, to be recorded before the worker may forget the task. It names the claim by its base too: by the time it
@@ -42,7 +48,9 @@
         var orders = new ArrayList<Order>();
         var events = new ArrayList<Event>();
         var byTask = new HashMap<PieceId, List<TaskStatus>>();
-        report.tasks().forEach(t -> byTask.computeIfAbsent(t.task(), k -> new ArrayList<>(2)).add(t));
+        report.tasks()
+                .forEach(t -> byTask.computeIfAbsent(t.task(), k -> new ArrayList<>(2))
+                        .add(t));
         Set<PieceId> claimed = new HashSet<>();
         for (Placed p : claims) {
             PieceId id = new PieceId(p.job().id(), p.claim().task());
@@ -51,13 +59,18 @@
         }
         for (Map.Entry<PieceId, List<TaskStatus>> e : byTask.entrySet()) {
             if (!claimed.contains(e.getKey())) {
-                e.getValue().forEach(t -> orders.add(t.exited() ? new Order.Forget(t.task(), t.attempt()) : new Order.Halt(t.task(), t.attempt(), Duration.ZERO)));
+                e.getValue()
+                        .forEach(t -> orders.add(
+                                t.exited()
+                                        ? new Order.Forget(t.task(), t.attempt())
+                                        : new Order.Halt(t.task(), t.attempt(), Duration.ZERO)));
             }
         }
         return new Verdict(orders, events);
     }
 
-    private static void judgeClaim(Placed p, PieceId id, List<TaskStatus> present, List<Order> orders, List<Event> events) {
+    private static void judgeClaim(
+            Placed p, PieceId id, List<TaskStatus> present, List<Order> orders, List<Event> events) {
         JobRecord job = p.job();
         long wanted = job.wantedAttempt(p.claim());
         boolean stop = !job.open() || p.claim().stopping() || job.mode() == JobRecord.Mode.STOP;
@@ -70,7 +83,8 @@
                 orders.add(new Order.Forget(id, t.attempt()));
             } else {
                 othersLive = true;
-                // Another attempt: a placeholder to be replaced, or a leftover. Its release is confirmed by the next report.
+                // Another attempt: a placeholder to be replaced, or a leftover. Its release is confirmed by the next
+                // report.
                 orders.add(new Order.Halt(id, t.attempt(), Duration.ZERO));
             }
         }
@@ -103,7 +117,10 @@
             case DONE -> Fate.DONE;
             case ERROR -> Fate.ERROR;
             case NO_ROOM, BUSY, UNKNOWN -> Fate.REFUSED;
-            case INCOMPLETE -> job.mode() == JobRecord.Mode.HOLD && job.open() && !p.claim().stopping() ? Fate.WAITED_IN_VAIN : Fate.GONE;
+            case INCOMPLETE ->
+                job.mode() == JobRecord.Mode.HOLD && job.open() && !p.claim().stopping()
+                        ? Fate.WAITED_IN_VAIN
+                        : Fate.GONE;
             default -> Fate.GONE;
         };
     }
--- a/src/main/java/org/dunespindle/coordination/ReportDesk.java
+++ b/src/main/java/org/dunespindle/coordination/ReportDesk.java
@@ -34,6 +34,7 @@
     private static final Duration TURNED_AWAY_GAP = Duration.ofMillis(1500);
     /** What a lease may outlast the last renewal by, beside its length: clocks, and what is under way. */
     private static final Duration MARGIN = Duration.ofSeconds(4);
+
     private static final Duration LEAST_VIEW = Duration.ofSeconds(2);
     private static final int STRAYS_UNSEEN = 4;
     private final Settings settings;
@@ -50,10 +51,22 @@
     private final Runnable changed;
     /** With older knowledge of cancellations no lease is renewed: one told elsewhere may be unknown here, and must end its tasks in time. */
     private final Duration viewLimit;
+
     private long reports;
 
-    ReportDesk(Settings settings, Replica replica, Membership membership, MachineEdits edits, HostDesk hostDesk, Timeline timeline, Sessions sessions, Decisions decisions,
-            Cancellations cancellations, BooleanSupplier cutOff, Predicate<String> fellQuiet, Runnable changed) {
+    ReportDesk(
+            Settings settings,
+            Replica replica,
+            Membership membership,
+            MachineEdits edits,
+            HostDesk hostDesk,
+            Timeline timeline,
+            Sessions sessions,
+            Decisions decisions,
+            Cancellations cancellations,
+            BooleanSupplier cutOff,
+            Predicate<String> fellQuiet,
+            Runnable changed) {
         this.settings = settings;
         this.replica = replica;
         this.membership = membership;
@@ -66,7 +79,8 @@
         this.cutOff = cutOff;
         this.fellQuiet = fellQuiet;
         this.changed = changed;
-        Duration spare = settings.workers().cancel().minus(settings.workers().lease()).minus(MARGIN);
+        Duration spare =
+                settings.workers().cancel().minus(settings.workers().lease()).minus(MARGIN);
         this.viewLimit = spare.compareTo(LEAST_VIEW) < 0 ? LEAST_VIEW : spare;
     }
 
@@ -90,7 +104,8 @@
             hostDesk.attendIfNews(r, before);
         }
         if (newer && wasSilent && session.unprovenSince.isPresent()) {
-            // After a cut, or when it has just found its way here: that no command arrived before does not show that none does now.
+            // After a cut, or when it has just found its way here: that no command arrived before does not show that
+            // none does now.
             session.unprovenSince = Optional.of(now);
             session.callAgainAt = now;
             hostDesk.attend(r.host());
@@ -127,7 +142,10 @@
      * all, taking over takes longer than is left of its lease. Without orders, an equal token does nothing but renew.
      */
     private boolean keepsAlive(WorkerReport r, HostRecord record, BiConsumer<Integer, ObjectNode> answer) {
-        boolean orphan = record != null && !membership.isAlive(record.owner(), record.incarnation()) && replica.age().compareTo(HostDesk.START_VIEW) < 0 && accepts(r, record);
+        boolean orphan = record != null
+                && !membership.isAlive(record.owner(), record.incarnation())
+                && replica.age().compareTo(HostDesk.START_VIEW) < 0
+                && accepts(r, record);
         if (orphan) {
             renew(r, record, answer);
         }
@@ -146,26 +164,50 @@
 
     /** Renews a worker's lease and ends what is cancelled, nothing else. */
     private void renew(WorkerReport r, HostRecord record, BiConsumer<Integer, ObjectNode> answer) {
-        answer.accept(200, Order.reply(record.token(), hostDesk.cancelledOn(r).stream().limit(HostDesk.ORDERS_AT_ONCE).toList()));
+        answer.accept(
+                200,
+                Order.reply(
+                        record.token(),
+                        hostDesk.cancelledOn(r).stream()
+                                .limit(HostDesk.ORDERS_AT_ONCE)
+                                .toList()));
     }
 
     private static ObjectNode error(String text) {
         return Pack.map().put("error", text);
     }
 
-    private void answerOwned(WorkerReport r, HostRecord record, Sessions.Session session, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
+    private void answerOwned(
+            WorkerReport r,
+            HostRecord record,
+            Sessions.Session session,
+            boolean newer,
+            BiConsumer<Integer, ObjectNode> answer) {
         if (!accepts(r, record)) {
             answer.accept(503, error("its token is being raised"));
             return;
         }
-        // Halts ride along for a worker that reaches this controller but cannot be reached, and forgetting has time; starts never ride.
-        boolean proof = newer && r.token() == record.token() && session.unansweredUnder.isEmpty() && !session.calling && replica.syncedTo() >= replica.stamp(Keys.host(r.host()));
+        // Halts ride along for a worker that reaches this controller but cannot be reached, and forgetting has time;
+        // starts never ride.
+        boolean proof = newer
+                && r.token() == record.token()
+                && session.unansweredUnder.isEmpty()
+                && !session.calling
+                && replica.syncedTo() >= replica.stamp(Keys.host(r.host()));
         if (!proof) {
             renew(r, record, answer);
             return;
         }
-        List<Order> orders = hostDesk.keepExits(record, session, Reconciler.judge(hostDesk.claims(r.host()), r).orders()).stream()
-                .filter(o -> !(o instanceof Order.Run)).limit(HostDesk.ORDERS_AT_ONCE).toList();
+        List<Order> orders =
+                hostDesk
+                        .keepExits(
+                                record,
+                                session,
+                                Reconciler.judge(hostDesk.claims(r.host()), r).orders())
+                        .stream()
+                        .filter(o -> !(o instanceof Order.Run))
+                        .limit(HostDesk.ORDERS_AT_ONCE)
+                        .toList();
         answer.accept(200, Order.reply(record.token(), orders));
     }
 
@@ -174,7 +216,8 @@
      * act takes its machines over, so its workers are sent to find that one. One that comes back was turned
      * away everywhere: it is better kept alive than left to die, as long as no cancellation can have been missed.
      */
-    private void answerCutOff(WorkerReport r, HostRecord record, Sessions.Session session, BiConsumer<Integer, ObjectNode> answer) {
+    private void answerCutOff(
+            WorkerReport r, HostRecord record, Sessions.Session session, BiConsumer<Integer, ObjectNode> answer) {
         Duration now = timeline.now();
         boolean ours = record != null && membership.owns(record) && accepts(r, record);
         Optional<Duration> away = session.turnedAwayAt.map(now::minus).filter(d -> d.compareTo(TURNED_AWAY_MEMORY) < 0);
@@ -193,7 +236,9 @@
     private boolean hearsOtherZones() {
         Duration recent = settings.workers().report().multipliedBy(2).plusSeconds(1);
         for (Sessions.Session s : sessions.all().values()) {
-            if (s.heardAt.isPresent() && timeline.now().minus(s.heardAt.get()).compareTo(recent) < 0 && s.report.filter(x -> !x.zone().equals(settings.zone())).isPresent()) {
+            if (s.heardAt.isPresent()
+                    && timeline.now().minus(s.heardAt.get()).compareTo(recent) < 0
+                    && s.report.filter(x -> !x.zone().equals(settings.zone())).isPresent()) {
                 return true;
             }
         }
@@ -201,7 +246,8 @@
     }
 
     /** A machine that no record names. Its report may be a late copy and the machine long gone, so it is asked itself first. */
-    private void unknown(WorkerReport r, Sessions.Session session, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
+    private void unknown(
+            WorkerReport r, Sessions.Session session, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
         Optional<String> steward = membership.hashed(r.host());
         if (!membership.joined() || steward.isEmpty()) {
             answer.accept(503, error("not a member yet"));
@@ -215,8 +261,19 @@
                     answer.accept(503, error("machine could not be taken up"));
                     return;
                 }
-                var record = new HostRecord(r.host(), r.address(), r.type(), r.zone(), r.spot(), settings.nodeName(), membership.incarnation(),
-                        session.report.map(WorkerReport::token).orElse(r.token()) + 1, timeline.wallTime(), Instant.EPOCH, false, "");
+                var record = new HostRecord(
+                        r.host(),
+                        r.address(),
+                        r.type(),
+                        r.zone(),
+                        r.spot(),
+                        settings.nodeName(),
+                        membership.incarnation(),
+                        session.report.map(WorkerReport::token).orElse(r.token()) + 1,
+                        timeline.wallTime(),
+                        Instant.EPOCH,
+                        false,
+                        "");
                 decisions.tell(LOG, "machine {} reported without having been rented by us; taken up", r.host());
                 edits.change(Committer.Lane.PLACING, record, answerAfter(r, answer));
             });
@@ -239,9 +296,21 @@
      * back soon, it could not reach the owner (a cut zone, a crash): then the machine changes hands. Late copies of
      * reports count for nothing, and the worker itself is asked before its tasks' token is raised.
      */
-    private void stray(WorkerReport r, HostRecord record, Sessions.Session session, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
+    private void stray(
+            WorkerReport r,
+            HostRecord record,
+            Sessions.Session session,
+            boolean newer,
+            BiConsumer<Integer, ObjectNode> answer) {
         Duration now = timeline.now();
-        Runnable sendOn = () -> answer.accept(421, Pack.map().put("steward", membership.isAlive(record.owner(), record.incarnation()) ? record.owner() : membership.hashed(r.host()).orElse(record.owner())));
+        Runnable sendOn = () -> answer.accept(
+                421,
+                Pack.map()
+                        .put(
+                                "steward",
+                                membership.isAlive(record.owner(), record.incarnation())
+                                        ? record.owner()
+                                        : membership.hashed(r.host()).orElse(record.owner())));
         if (!newer) {
             sendOn.run();
             return;
@@ -257,20 +326,24 @@
             session.strayAt = now;
         }
         if (replica.age().compareTo(HostDesk.START_VIEW) >= 0 && session.strays >= 2 && accepts(r, record)) {
-            // In an outage that all share nobody can take it over from a controller that has ended; until then it is kept alive.
+            // In an outage that all share nobody can take it over from a controller that has ended; until then it is
+            // kept alive.
             renew(r, record, answer);
             return;
         }
-        // A controller that has just ended takes all its workers here: its pages are soon taken as a whole, not machine by machine.
+        // A controller that has just ended takes all its workers here: its pages are soon taken as a whole, not machine
+        // by machine.
         if (!membership.joined() || session.verifying || edits.busy(r.host()) || fellQuiet.test(record.owner())) {
             sendOn.run();
         } else if (session.strays >= 2) {
             hostDesk.verify(r, session, alive -> {
                 HostRecord present = replica.hosts().get(r.host());
-                // A worker that reaches only this controller, and that nobody reaches, is taken over once it has insisted.
+                // A worker that reaches only this controller, and that nobody reaches, is taken over once it has
+                // insisted.
                 boolean insists = session.strays >= STRAYS_UNSEEN && r.token() == record.token();
                 if (present != null && !membership.owns(present) && (alive || insists)) {
-                    decisions.tell(LOG, "machine {} cannot reach its controller {}; taken over", r.host(), present.owner());
+                    decisions.tell(
+                            LOG, "machine {} cannot reach its controller {}; taken over", r.host(), present.owner());
                     hostDesk.take(present, timeline.wallTime().plus(KEEP), answerAfter(r, answer));
                 } else {
                     sendOn.run();
--- a/src/main/java/org/dunespindle/coordination/Sessions.java
+++ b/src/main/java/org/dunespindle/coordination/Sessions.java
@@ -27,6 +27,7 @@
         Optional<Duration> heardAt = Optional.empty();
         /** When it last answered when asked or commanded. */
         Optional<Duration> answeredAt = Optional.empty();
+
         private long answeredUnder = -1;
         /** When anything new came from it, be it an old copy. */
         Duration seenAt = Duration.ZERO;
@@ -34,9 +35,11 @@
         boolean calling;
         /** A {@code run} went unanswered under this token and may still land; empty once fenced off. */
         Optional<Long> unansweredUnder = Optional.empty();
+
         Duration unansweredAt = Duration.ZERO;
         /** Since when no command is known to arrive: reports alone prove a machine alive, not that it can be commanded. */
         Optional<Duration> unprovenSince = Optional.empty();
+
         Duration callAgainAt = Duration.ZERO;
         Duration strayAt = Duration.ZERO;
         long strayStamp = -1;
@@ -46,14 +49,17 @@
         Optional<Duration> turnedAwayAt = Optional.empty();
         /** What became of claims here, not stored yet; since when. */
         List<Reconciler.Event> events = List.of();
+
         Duration eventsSince = Duration.ZERO;
         final LinkedHashMap<String, Boolean> images = new LinkedHashMap<>();
         /** Starts sent under {@link #startsToken} in {@link #startsSession}: late copies of them are void only under a higher one. */
         final Set<Order.Run> starts = new HashSet<>();
+
         long startsToken;
         long startsSession;
         /** For the heartbeat to the leader: what was told last, and its number. */
         String told = "";
+
         long toldAs;
 
         /** Takes a report that came by itself; late copies change nothing, and the first of all may be one: it proves no life. */
@@ -95,7 +101,8 @@
 
         /** The last sign of life of any kind. */
         Optional<Duration> aliveAt() {
-            return heardAt.filter(h -> answeredAt.isEmpty() || h.compareTo(answeredAt.get()) >= 0).or(() -> answeredAt);
+            return heardAt.filter(h -> answeredAt.isEmpty() || h.compareTo(answeredAt.get()) >= 0)
+                    .or(() -> answeredAt);
         }
 
         void unanswered(Duration now) {
@@ -116,7 +123,10 @@
 
         /** Whether the last report can prove something: under this token, with no unanswered start. */
         boolean proves(long token) {
-            return !calling && unansweredUnder.isEmpty() && report.isPresent() && report.get().token() == token;
+            return !calling
+                    && unansweredUnder.isEmpty()
+                    && report.isPresent()
+                    && report.get().token() == token;
         }
 
         /** Notes starts about to be sent. */
@@ -156,6 +166,9 @@
      * they are old.
      */
     public void forget(Set<String> present, Duration now) {
-        byHost.entrySet().removeIf(e -> !present.contains(e.getKey()) && !e.getValue().verifying && now.minus(e.getValue().seenAt).compareTo(REMEMBER) > 0);
+        byHost.entrySet()
+                .removeIf(e -> !present.contains(e.getKey())
+                        && !e.getValue().verifying
+                        && now.minus(e.getValue().seenAt).compareTo(REMEMBER) > 0);
     }
 }
--- a/src/main/java/org/dunespindle/coordination/Targets.java
+++ b/src/main/java/org/dunespindle/coordination/Targets.java
@@ -30,7 +30,11 @@
             return List.copyOf(finished.getOrDefault(job.jobClass(), new TreeSet<>()));
         }
         TreeSet<Double> times = deadlines.get(job.jobClass());
-        return times == null ? List.of(job.due().get()) : times.stream().map(t -> Duration.ofMillis(Math.round(job.due().get().toMillis() * t))).toList();
+        return times == null
+                ? List.of(job.due().get())
+                : times.stream()
+                        .map(t -> Duration.ofMillis(Math.round(job.due().get().toMillis() * t)))
+                        .toList();
     }
 
     /** The first time that a job is measured by. */
--- a/src/main/java/org/dunespindle/coordination/TeamLedger.java
+++ b/src/main/java/org/dunespindle/coordination/TeamLedger.java
@@ -29,12 +29,22 @@
         static final Entry NONE = new Entry(Resources.NONE, Resources.NONE);
 
         static Entry parse(Optional<JsonNode> stored) {
-            return stored.map(n -> new Entry(new Resources(n.path("cpus").asDouble(), n.path("gpus").asDouble(), 0),
-                    new Resources(n.path("shareCpus").asDouble(0), n.path("shareGpus").asDouble(0), 0))).orElse(NONE);
+            return stored.map(n -> new Entry(
+                            new Resources(
+                                    n.path("cpus").asDouble(), n.path("gpus").asDouble(), 0),
+                            new Resources(
+                                    n.path("shareCpus").asDouble(0),
+                                    n.path("shareGpus").asDouble(0),
+                                    0)))
+                    .orElse(NONE);
         }
 
         ObjectNode toNode() {
-            return Pack.map().put("cpus", bound.cpus()).put("gpus", bound.gpus()).put("shareCpus", share.cpus()).put("shareGpus", share.gpus());
+            return Pack.map()
+                    .put("cpus", bound.cpus())
+                    .put("gpus", bound.gpus())
+                    .put("shareCpus", share.cpus())
+                    .put("shareGpus", share.gpus());
         }
 
         boolean closed() {
@@ -67,7 +77,15 @@
      * @param upToDate whether the view reaches up to the record
      * @param use all claims as seen, with what this controller has proposed
      */
-    record View(Settings.Team team, int names, Entry entry, boolean entitled, Resources spent, Resources unsure, boolean upToDate, Resources use) {}
+    record View(
+            Settings.Team team,
+            int names,
+            Entry entry,
+            boolean entitled,
+            Resources spent,
+            Resources unsure,
+            boolean upToDate,
+            Resources use) {}
 
     static Way way(View v, Resources need) {
         if (v.entitled && !v.entry.closed() && within(v.spent.plus(need), v.entry.share)) {
@@ -76,12 +94,15 @@
         if (!v.upToDate) {
             return new Way.Wait();
         }
-        Resources bound = v.use.plus(v.entry.share.times(v.entitled ? v.names - 1 : v.names)).plus(v.unsure);
+        Resources bound = v.use.plus(v.entry.share.times(v.entitled ? v.names - 1 : v.names))
+                .plus(v.unsure);
         if (v.team.withinLimit(bound.plus(need))) {
             return new Way.Write(open(v.team, bound.plus(need), v.names));
         }
-        // What may or may not have been stored counts until it cannot be any more: a new record voids what is still under way, and
-        // shows what was stored. Without that a team near its limit would wait for ever after a few answers that stayed out.
+        // What may or may not have been stored counts until it cannot be any more: a new record voids what is still
+        // under way, and
+        // shows what was stored. Without that a team near its limit would wait for ever after a few answers that stayed
+        // out.
         boolean unsure = v.unsure.cpus() > 0 || v.unsure.gpus() > 0;
         return v.entry.closed() && !unsure ? new Way.Wait() : new Way.Close(new Entry(bound, Resources.NONE));
     }
--- a/src/main/java/org/dunespindle/coordination/WriteShare.java
+++ b/src/main/java/org/dunespindle/coordination/WriteShare.java
@@ -13,6 +13,7 @@
 final class WriteShare {
     /** Controllers hear of one another's need late, so some of the rate is left unused. */
     private static final double SAFE_PART = 0.92;
+
     private static final double LEAST_PART = 0.08;
     private final Settings settings;
     private final Peers peers;
@@ -24,7 +25,13 @@
     private Duration at = Duration.ZERO;
     private double rate;
 
-    WriteShare(Settings settings, Peers peers, Membership membership, Committer committer, StateClient state, Timeline timeline) {
+    WriteShare(
+            Settings settings,
+            Peers peers,
+            Membership membership,
+            Committer committer,
+            StateClient state,
+            Timeline timeline) {
         this.settings = settings;
         this.peers = peers;
         this.membership = membership;
--- a/src/main/java/org/dunespindle/protocol/ExitCause.java
+++ b/src/main/java/org/dunespindle/protocol/ExitCause.java
@@ -4,7 +4,14 @@
 
 /** Why a task ended. */
 public enum ExitCause {
-    DONE, STOPPED, PEERS, INCOMPLETE, ERROR, NO_ROOM, BUSY, UNKNOWN;
+    DONE,
+    STOPPED,
+    PEERS,
+    INCOMPLETE,
+    ERROR,
+    NO_ROOM,
+    BUSY,
+    UNKNOWN;
 
     /** An unheard-of cause counts as {@link #STOPPED}: the task is gone and not done. */
     public static ExitCause parse(String text) {
--- a/src/main/java/org/dunespindle/protocol/ListedMachine.java
+++ b/src/main/java/org/dunespindle/protocol/ListedMachine.java
@@ -4,14 +4,21 @@
 import java.time.Duration;
 
 /** A row of the cloud's machine list, which lags. */
-public record ListedMachine(String id, String address, String type, String zone, boolean spot, String phase, Duration age) {
+public record ListedMachine(
+        String id, String address, String type, String zone, boolean spot, String phase, Duration age) {
     public boolean failed() {
         return phase.equals("failed");
     }
 
     public static ListedMachine parse(JsonNode n) throws MalformedException {
         var f = new Submission.Fields(n);
-        return new ListedMachine(f.text("id", 200), f.optionalText("address", 200).orElse(""), f.text("hull", 200), f.text("dune", 200), f.flag("driftwood"),
-                f.text("phase", 32), f.seconds("ageS"));
+        return new ListedMachine(
+                f.text("id", 200),
+                f.optionalText("address", 200).orElse(""),
+                f.text("hull", 200),
+                f.text("dune", 200),
+                f.flag("driftwood"),
+                f.text("phase", 32),
+                f.seconds("ageS"));
     }
 }
--- a/src/main/java/org/dunespindle/protocol/MachineType.java
+++ b/src/main/java/org/dunespindle/protocol/MachineType.java
@@ -6,7 +6,15 @@
 import java.util.List;
 
 /** A rentable machine type from the cloud's catalog. */
-public record MachineType(String name, Resources size, double cacheGb, double fetchGbPerS, double price, double spotPrice, Duration boot, List<String> zones) {
+public record MachineType(
+        String name,
+        Resources size,
+        double cacheGb,
+        double fetchGbPerS,
+        double price,
+        double spotPrice,
+        Duration boot,
+        List<String> zones) {
     public double price(boolean spot) {
         return spot ? spotPrice : price;
     }
@@ -20,8 +28,15 @@
         var types = new ArrayList<MachineType>();
         for (JsonNode h : hulls) {
             var f = new Submission.Fields(h);
-            types.add(new MachineType(f.text("name", 200), new Resources(f.amount("vcpus"), f.amount("accelerators"), f.amount("ramGb")), f.amount("cacheGb"),
-                    f.amount("fetchGbPerS"), f.amount("hourly"), f.amount("lowPrice"), f.seconds("readyS"), f.optionalTexts("dunes", 64).orElse(List.of())));
+            types.add(new MachineType(
+                    f.text("name", 200),
+                    new Resources(f.amount("vcpus"), f.amount("accelerators"), f.amount("ramGb")),
+                    f.amount("cacheGb"),
+                    f.amount("fetchGbPerS"),
+                    f.amount("hourly"),
+                    f.amount("lowPrice"),
+                    f.seconds("readyS"),
+                    f.optionalTexts("dunes", 64).orElse(List.of())));
         }
         return List.copyOf(types);
     }
--- a/src/main/java/org/dunespindle/protocol/Pack.java
+++ b/src/main/java/org/dunespindle/protocol/Pack.java
@@ -26,7 +26,6 @@
 
     private Pack() {}
 
-
     public static ObjectNode map() {
         return JsonNodeFactory.instance.objectNode();
     }
@@ -61,7 +60,9 @@
                 return BooleanNode.valueOf(in.unpackBoolean());
             }
             case INTEGER -> {
-                return format == MessageFormat.UINT64 ? BigIntegerNode.valueOf(in.unpackBigInteger()) : LongNode.valueOf(in.unpackLong());
+                return format == MessageFormat.UINT64
+                        ? BigIntegerNode.valueOf(in.unpackBigInteger())
+                        : LongNode.valueOf(in.unpackLong());
             }
             case FLOAT -> {
                 return DoubleNode.valueOf(in.unpackDouble());
--- a/src/main/java/org/dunespindle/protocol/Priority.java
+++ b/src/main/java/org/dunespindle/protocol/Priority.java
@@ -5,7 +5,10 @@
 
 /** Job priorities, lowest first so that {@code compareTo} orders them. */
 public enum Priority {
-    LOW, NORMAL, URGENT, CRITICAL;
+    LOW,
+    NORMAL,
+    URGENT,
+    CRITICAL;
 
     public static Optional<Priority> parse(String text) {
         for (Priority p : values()) {
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -13,8 +13,21 @@
 import java.util.Map;
 
 /** The platform's settings file, checked. Unknown settings are ignored. */
-public record Settings(String nodeName, String zone, InetSocketAddress front, InetSocketAddress peerListen, List<Seed> seeds, String cloudAddress,
-        String stateAddress, List<String> zones, Map<String, Team> teams, List<Objective> objectives, Workers workers, State state, Cloud cloud, int sockets) {
+public record Settings(
+        String nodeName,
+        String zone,
+        InetSocketAddress front,
+        InetSocketAddress peerListen,
+        List<Seed> seeds,
+        String cloudAddress,
+        String stateAddress,
+        List<String> zones,
+        Map<String, Team> teams,
+        List<Objective> objectives,
+        Workers workers,
+        State state,
+        Cloud cloud,
+        int sockets) {
 
     private static final int DEFAULT_SOCKETS = 1024;
 
@@ -29,7 +42,9 @@
 
         /** Whether a use lies within the guarantee; an amount without a guarantee does not count. */
         public boolean withinGuarantee(Resources use) {
-            return (cpus > 0 || gpus > 0) && (cpus == 0 || use.cpus() <= cpus + 1e-6) && (gpus == 0 || use.gpus() <= gpus + 1e-6);
+            return (cpus > 0 || gpus > 0)
+                    && (cpus == 0 || use.cpus() <= cpus + 1e-6)
+                    && (gpus == 0 || use.gpus() <= gpus + 1e-6);
         }
     }
 
@@ -51,7 +66,8 @@
         try {
             root = new TomlMapper().readTree(Files.readAllBytes(file));
         } catch (IOException e) {
-            throw new MalformedException("cannot read " + file + ": " + e.getMessage().lines().findFirst().orElse("unreadable"));
+            throw new MalformedException("cannot read " + file + ": "
+                    + e.getMessage().lines().findFirst().orElse("unreadable"));
         }
         return parse(root);
     }
@@ -70,9 +86,15 @@
         for (JsonNode t : d.path("teams")) {
             String at = "deployment.teams.";
             String name = text(t, at, "name");
-            var team = new Team(name, amount(t, at, "cpus"), limit(amount(t, at, "cpus_max")), amount(t, at, "gpus"), limit(amount(t, at, "gpus_max")));
+            var team = new Team(
+                    name,
+                    amount(t, at, "cpus"),
+                    limit(amount(t, at, "cpus_max")),
+                    amount(t, at, "gpus"),
+                    limit(amount(t, at, "gpus_max")));
             if (team.cpus > team.cpusMax || team.gpus > team.gpusMax) {
-                throw new MalformedException(at + (team.gpus > team.gpusMax ? "gpus" : "cpus") + " of " + name + " is above its limit");
+                throw new MalformedException(
+                        at + (team.gpus > team.gpusMax ? "gpus" : "cpus") + " of " + name + " is above its limit");
             }
             if (teams.put(name, team) != null) {
                 throw new MalformedException(at + "name " + name + " occurs twice");
@@ -83,29 +105,54 @@
         }
         var objectives = new ArrayList<Objective>();
         for (JsonNode o : d.path("objectives")) {
-            objectives.add(new Objective(o.path("kind").asText(""), o.path("class").asText(""), seconds(optional(o, "deployment.objectives.", "within_s", 0)), optional(o, "deployment.objectives.", "share", 0),
+            objectives.add(new Objective(
+                    o.path("kind").asText(""),
+                    o.path("class").asText(""),
+                    seconds(optional(o, "deployment.objectives.", "within_s", 0)),
+                    optional(o, "deployment.objectives.", "share", 0),
                     optional(o, "deployment.objectives.", "times", 1)));
         }
         var zones = new ArrayList<String>();
         d.path("zones").forEach(z -> zones.add(z.asText()));
         JsonNode w = table(d, "workers");
         String at = "deployment.workers.";
-        var workers = new Workers(duration(w, at, "report_s"), duration(w, at, "lease_s"), duration(w, at, "gang_wait_s"), duration(w, at, "gang_peer_s"), duration(w, at, "cancel_s"));
+        var workers = new Workers(
+                duration(w, at, "report_s"),
+                duration(w, at, "lease_s"),
+                duration(w, at, "gang_wait_s"),
+                duration(w, at, "gang_peer_s"),
+                duration(w, at, "cancel_s"));
         if (workers.report.compareTo(workers.lease) >= 0) {
             throw new MalformedException(at + "lease_s must be longer than report_s");
         }
         JsonNode s = table(d, "state");
-        var state = new State(positive(s, "deployment.state.", "rps"), positive(s, "deployment.state.", "write_rps"),
-                (int) (positive(s, "deployment.state.", "value_kb") * 1024), (int) positive(s, "deployment.state.", "txn_ops"));
+        var state = new State(
+                positive(s, "deployment.state.", "rps"),
+                positive(s, "deployment.state.", "write_rps"),
+                (int) (positive(s, "deployment.state.", "value_kb") * 1024),
+                (int) positive(s, "deployment.state.", "txn_ops"));
         JsonNode c = table(d, "cloud");
-        var cloud = new Cloud(positive(c, "deployment.cloud.", "rps"), seconds(amount(c, "deployment.cloud.", "list_lag_s")));
+        var cloud = new Cloud(
+                positive(c, "deployment.cloud.", "rps"), seconds(amount(c, "deployment.cloud.", "list_lag_s")));
         JsonNode outside = table(root, "outside");
         String cloudAddress = text(outside, "outside.", "cloud");
         String stateAddress = text(outside, "outside.", "state");
         socket("outside.cloud", cloudAddress);
         socket("outside.state", stateAddress);
-        return new Settings(text(root, "", "node_name"), root.path("area").asText(""), socket("front", text(root, "", "front")), socket("peer_listen", text(root, "", "peer_listen")),
-                List.copyOf(seeds), cloudAddress, stateAddress, List.copyOf(zones), Map.copyOf(teams), List.copyOf(objectives), workers, state, cloud,
+        return new Settings(
+                text(root, "", "node_name"),
+                root.path("area").asText(""),
+                socket("front", text(root, "", "front")),
+                socket("peer_listen", text(root, "", "peer_listen")),
+                List.copyOf(seeds),
+                cloudAddress,
+                stateAddress,
+                List.copyOf(zones),
+                Map.copyOf(teams),
+                List.copyOf(objectives),
+                workers,
+                state,
+                cloud,
                 (int) Math.max(1, optional(d.path("resources"), "deployment.resources.", "fd_limit", DEFAULT_SOCKETS)));
     }
 
--- a/src/main/java/org/dunespindle/protocol/Submission.java
+++ b/src/main/java/org/dunespindle/protocol/Submission.java
@@ -9,9 +9,25 @@
 import java.util.Optional;
 
 /** A job as its user describes it. */
-public record Submission(String id, String jobClass, String team, Shape shape, Priority priority, int tasks, Resources perTask,
-        Optional<List<String>> types, Optional<String> zone, boolean sameZone, boolean spread, boolean spot, String image, double imageGb,
-        Duration estimate, Duration checkpointEvery, Duration saveTime, Optional<Duration> due) {
+public record Submission(
+        String id,
+        String jobClass,
+        String team,
+        Shape shape,
+        Priority priority,
+        int tasks,
+        Resources perTask,
+        Optional<List<String>> types,
+        Optional<String> zone,
+        boolean sameZone,
+        boolean spread,
+        boolean spot,
+        String image,
+        double imageGb,
+        Duration estimate,
+        Duration checkpointEvery,
+        Duration saveTime,
+        Optional<Duration> due) {
     public static final int MOST_TASKS = 100_000;
 
     public Resources wholeAsk() {
@@ -37,13 +53,31 @@
         if (!wellFormedId(id)) {
             throw new MalformedException("id must look like wk-000412");
         }
-        Shape shape = Shape.parse(f.text("shape", 16)).orElseThrow(() -> new MalformedException("shape must be array, group or daemon"));
-        Priority priority = Priority.parse(f.text("rank", 16)).orElseThrow(() -> new MalformedException("rank must be critical, urgent, normal or low"));
+        Shape shape = Shape.parse(f.text("shape", 16))
+                .orElseThrow(() -> new MalformedException("shape must be array, group or daemon"));
+        Priority priority = Priority.parse(f.text("rank", 16))
+                .orElseThrow(() -> new MalformedException("rank must be critical, urgent, normal or low"));
         long pieces = f.whole("pieces", 1, MOST_TASKS);
         var per = new Resources(f.amount("vcpus"), f.amount("accelerators"), f.amount("ramGb"));
-        return new Submission(id, f.text("jobclass", 128), f.text("owner", 128), shape, priority, (int) pieces, per,
-                f.optionalTexts("hulls", 64), f.optionalText("dune", 128), f.flag("samePlace"), f.flag("apart"), f.flag("driftwood"),
-                f.text("bundle", 200), f.amount("imageGb"), f.seconds("guessS"), f.seconds("snapshotS"), f.seconds("flushS"), f.optionalSeconds("dueS"));
+        return new Submission(
+                id,
+                f.text("jobclass", 128),
+                f.text("owner", 128),
+                shape,
+                priority,
+                (int) pieces,
+                per,
+                f.optionalTexts("hulls", 64),
+                f.optionalText("dune", 128),
+                f.flag("samePlace"),
+                f.flag("apart"),
+                f.flag("driftwood"),
+                f.text("bundle", 200),
+                f.amount("imageGb"),
+                f.seconds("guessS"),
+                f.seconds("snapshotS"),
+                f.seconds("flushS"),
+                f.optionalSeconds("dueS"));
     }
 
     /** Ids are letters, a dash, then digits, as in the example; other text is no job's id. */
@@ -65,15 +99,26 @@
     /** The same map that {@link #parse} reads. */
     public ObjectNode toNode() {
         ObjectNode n = JsonNodeFactory.instance.objectNode();
-        n.put("id", id).put("jobclass", jobClass).put("owner", team).put("shape", shape.wire()).put("rank", priority.wire()).put("pieces", tasks);
+        n.put("id", id)
+                .put("jobclass", jobClass)
+                .put("owner", team)
+                .put("shape", shape.wire())
+                .put("rank", priority.wire())
+                .put("pieces", tasks);
         n.put("vcpus", perTask.cpus()).put("accelerators", perTask.gpus()).put("ramGb", perTask.ramGb());
         types.ifPresent(list -> list.forEach(n.withArray("/hulls")::add));
         if (types.isPresent() && types.get().isEmpty()) {
             n.putArray("hulls");
         }
         zone.ifPresent(z -> n.put("dune", z));
-        n.put("samePlace", sameZone).put("apart", spread).put("driftwood", spot).put("bundle", image).put("imageGb", imageGb);
-        n.put("guessS", Fields.inSeconds(estimate)).put("snapshotS", Fields.inSeconds(checkpointEvery)).put("flushS", Fields.inSeconds(saveTime));
+        n.put("samePlace", sameZone)
+                .put("apart", spread)
+                .put("driftwood", spot)
+                .put("bundle", image)
+                .put("imageGb", imageGb);
+        n.put("guessS", Fields.inSeconds(estimate))
+                .put("snapshotS", Fields.inSeconds(checkpointEvery))
+                .put("flushS", Fields.inSeconds(saveTime));
         due.ifPresent(d -> n.put("dueS", Fields.inSeconds(d)));
         return n;
     }
--- a/src/main/java/org/dunespindle/protocol/TaskPhase.java
+++ b/src/main/java/org/dunespindle/protocol/TaskPhase.java
@@ -4,7 +4,11 @@
 
 /** What a worker says of a task. */
 public enum TaskPhase {
-    FETCHING("pulling"), ASSEMBLING("gathering"), RUNNING("running"), SAVING("saving"), EXITED("exited");
+    FETCHING("pulling"),
+    ASSEMBLING("gathering"),
+    RUNNING("running"),
+    SAVING("saving"),
+    EXITED("exited");
 
     private final String wire;
 
--- a/src/main/java/org/dunespindle/protocol/WorkerReport.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerReport.java
@@ -7,8 +7,17 @@
 import java.util.Optional;
 
 /** A worker's report; {@code token} is the highest fencing token it has seen. */
-public record WorkerReport(String host, String address, String type, String zone, boolean spot, long session, long tick, long token,
-        Optional<Duration> notice, List<TaskStatus> tasks) {
+public record WorkerReport(
+        String host,
+        String address,
+        String type,
+        String zone,
+        boolean spot,
+        long session,
+        long tick,
+        long token,
+        Optional<Duration> notice,
+        List<TaskStatus> tasks) {
     /** Whether this report is newer than another of the same worker. */
     public boolean newerThan(WorkerReport other) {
         return session != other.session ? session > other.session : tick > other.tick;
@@ -16,7 +25,11 @@
 
     /** Whether it says the same as another but for its number: most reports only say that the machine lives. */
     public boolean sameAs(WorkerReport other) {
-        return session == other.session && token == other.token && notice.isPresent() == other.notice.isPresent() && address.equals(other.address) && tasks.equals(other.tasks);
+        return session == other.session
+                && token == other.token
+                && notice.isPresent() == other.notice.isPresent()
+                && address.equals(other.address)
+                && tasks.equals(other.tasks);
     }
 
     public Optional<TaskStatus> find(PieceId task, long attempt) {
@@ -43,9 +56,17 @@
                 tasks.add(status(p));
             }
         }
-        return new WorkerReport(f.text("host", 200), f.text("address", 200), f.text("hull", 200), f.text("dune", 200),
-                n.path("driftwood").asBoolean(false), f.whole("tenure", 0, Long.MAX_VALUE), f.whole("tick", 0, Long.MAX_VALUE),
-                f.whole("baton", 0, Long.MAX_VALUE), f.optionalSeconds("warningS"), List.copyOf(tasks));
+        return new WorkerReport(
+                f.text("host", 200),
+                f.text("address", 200),
+                f.text("hull", 200),
+                f.text("dune", 200),
+                n.path("driftwood").asBoolean(false),
+                f.whole("tenure", 0, Long.MAX_VALUE),
+                f.whole("tick", 0, Long.MAX_VALUE),
+                f.whole("baton", 0, Long.MAX_VALUE),
+                f.optionalSeconds("warningS"),
+                List.copyOf(tasks));
     }
 
     private static TaskStatus status(JsonNode p) throws MalformedException {
@@ -53,9 +74,18 @@
             throw new MalformedException("pieces must hold maps");
         }
         var f = new Submission.Fields(p);
-        PieceId id = PieceId.parse(f.text("piece", 200)).orElseThrow(() -> new MalformedException("piece must be a task's name"));
-        TaskPhase phase = TaskPhase.parse(f.text("phase", 32)).orElseThrow(() -> new MalformedException("phase is unknown"));
-        Optional<ExitCause> cause = phase == TaskPhase.EXITED ? Optional.of(ExitCause.parse(p.path("cause").asText(""))) : Optional.empty();
-        return new TaskStatus(id, f.whole("try", 0, Long.MAX_VALUE), phase, cause, p.path("saved").asBoolean(false));
+        PieceId id = PieceId.parse(f.text("piece", 200))
+                .orElseThrow(() -> new MalformedException("piece must be a task's name"));
+        TaskPhase phase =
+                TaskPhase.parse(f.text("phase", 32)).orElseThrow(() -> new MalformedException("phase is unknown"));
+        Optional<ExitCause> cause = phase == TaskPhase.EXITED
+                ? Optional.of(ExitCause.parse(p.path("cause").asText("")))
+                : Optional.empty();
+        return new TaskStatus(
+                id,
+                f.whole("try", 0, Long.MAX_VALUE),
+                phase,
+                cause,
+                p.path("saved").asBoolean(false));
     }
 }
--- a/src/main/java/org/dunespindle/transport/Caller.java
+++ b/src/main/java/org/dunespindle/transport/Caller.java
@@ -7,5 +7,6 @@
 @FunctionalInterface
 public interface Caller {
     /** Sends a request; the result fails with a {@link CallFailure} when no whole answer came in time. */
-    CompletableFuture<HttpAnswer> send(String address, String method, String target, byte[] body, String contentType, Duration timeout);
+    CompletableFuture<HttpAnswer> send(
+            String address, String method, String target, byte[] body, String contentType, Duration timeout);
 }
--- a/src/main/java/org/dunespindle/transport/HttpCaller.java
+++ b/src/main/java/org/dunespindle/transport/HttpCaller.java
@@ -31,6 +31,7 @@
 public final class HttpCaller implements Caller {
     /** Pages of the state service have 512 KiB at most; only a log of changes may be longer, and it is then read as pages. */
     private static final int ANSWER_LIMIT = 2 << 20;
+
     private static final int KEPT_PER_ADDRESS = 3;
     private final int mostKept;
     private final Sockets sockets;
@@ -38,6 +39,7 @@
     private final Bootstrap bootstrap;
     /** Idle connections by address, the longest unused address first. */
     private final LinkedHashMap<String, ArrayDeque<Channel>> kept = new LinkedHashMap<>(16, 0.75f, true);
+
     private int idleCount;
 
     /**
@@ -50,7 +52,10 @@
         this.sockets = sockets;
         this.mostKept = mostKept;
         this.loop = loop;
-        this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
@@ -60,10 +65,12 @@
     }
 
     @Override
-    public CompletableFuture<HttpAnswer> send(String address, String method, String target, byte[] body, String contentType, Duration timeout) {
+    public CompletableFuture<HttpAnswer> send(
+            String address, String method, String target, byte[] body, String contentType, Duration timeout) {
         var pending = new Pending(address, request(address, method, target, body, contentType));
         pending.until = System.nanoTime() + timeout.toNanos();
-        pending.timer = loop.schedule(() -> pending.fail("no answer in time"), timeout.toMillis(), TimeUnit.MILLISECONDS);
+        pending.timer =
+                loop.schedule(() -> pending.fail("no answer in time"), timeout.toMillis(), TimeUnit.MILLISECONDS);
         ArrayDeque<Channel> idle = kept.getOrDefault(address, new ArrayDeque<>());
         Channel channel;
         while ((channel = idle.pollLast()) != null) {
@@ -76,7 +83,8 @@
         int colon = address.lastIndexOf(':');
         InetSocketAddress target4;
         try {
-            target4 = new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+            target4 =
+                    new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
         } catch (RuntimeException e) {
             pending.fail("not an address: " + address);
             return pending.result;
@@ -118,8 +126,10 @@
         }
     }
 
-    private static DefaultFullHttpRequest request(String address, String method, String target, byte[] body, String contentType) {
-        var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.valueOf(method), target, Unpooled.wrappedBuffer(body));
+    private static DefaultFullHttpRequest request(
+            String address, String method, String target, byte[] body, String contentType) {
+        var request = new DefaultFullHttpRequest(
+                HttpVersion.HTTP_1_1, HttpMethod.valueOf(method), target, Unpooled.wrappedBuffer(body));
         request.headers().set(HttpHeaderNames.HOST, address);
         request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
         if (body.length > 0) {
@@ -135,6 +145,7 @@
         ScheduledFuture<?> timer;
         /** In the loop's own time. */
         long until;
+
         Channel channel;
         Channel connecting;
         boolean tooLong;
--- a/src/main/java/org/dunespindle/transport/HttpListener.java
+++ b/src/main/java/org/dunespindle/transport/HttpListener.java
@@ -3,9 +3,9 @@
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
@@ -53,26 +53,45 @@
      * @param sockets counts its connections
      * @param refusal builds the answer to a request that cannot be read, from its status code
      */
-    public static Channel open(EventLoopGroup loop, InetSocketAddress address, int bodyLimit, Handler handler, IntFunction<HttpReply> refusal, Sockets sockets)
+    public static Channel open(
+            EventLoopGroup loop,
+            InetSocketAddress address,
+            int bodyLimit,
+            Handler handler,
+            IntFunction<HttpReply> refusal,
+            Sockets sockets)
             throws InterruptedException {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, BACKLOG).childOption(ChannelOption.TCP_NODELAY, true)
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         sockets.opened();
                         channel.closeFuture().addListener(closed -> sockets.closed());
-                        channel.pipeline().addLast(new HttpServerCodec(4096, 8192, 8192), new Whole(bodyLimit, refusal), new Serial(handler, refusal));
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpServerCodec(4096, 8192, 8192),
+                                        new Whole(bodyLimit, refusal),
+                                        new Serial(handler, refusal));
                     }
-                }).bind(address).sync().channel();
+                })
+                .bind(address)
+                .sync()
+                .channel();
     }
 
     private static DefaultFullHttpResponse response(HttpReply reply, boolean keepAlive) {
-        var response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
+        var response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
         var headers = response.headers();
         headers.set(HttpHeaderNames.CONTENT_TYPE, reply.contentType());
         headers.setInt(HttpHeaderNames.CONTENT_LENGTH, reply.body().length);
-        reply.retryAfter().ifPresent(d -> headers.set(HttpHeaderNames.RETRY_AFTER, Long.toString(Math.max(1, d.toSeconds()))));
+        reply.retryAfter()
+                .ifPresent(d -> headers.set(HttpHeaderNames.RETRY_AFTER, Long.toString(Math.max(1, d.toSeconds()))));
         if (!keepAlive) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -90,8 +109,11 @@
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            // Closing while the rest still arrives would reset the connection, and the peer might never read the answer.
-            ctx.writeAndFlush(response(refusal.apply(413), false)).addListener(sent -> ctx.executor().schedule(() -> ctx.close(), LINGER.toMillis(), TimeUnit.MILLISECONDS));
+            // Closing while the rest still arrives would reset the connection, and the peer might never read the
+            // answer.
+            ctx.writeAndFlush(response(refusal.apply(413), false))
+                    .addListener(sent ->
+                            ctx.executor().schedule(() -> ctx.close(), LINGER.toMillis(), TimeUnit.MILLISECONDS));
         }
     }
 
@@ -151,7 +173,11 @@
             request.content().readBytes(body);
             String uri = ((HttpRequest) request).uri();
             int mark = uri.indexOf('?');
-            return new HttpCall(request.method().name(), mark < 0 ? uri : uri.substring(0, mark), mark < 0 ? "" : uri.substring(mark + 1), body);
+            return new HttpCall(
+                    request.method().name(),
+                    mark < 0 ? uri : uri.substring(0, mark),
+                    mark < 0 ? "" : uri.substring(mark + 1),
+                    body);
         }
 
         private void answer(ChannelHandlerContext ctx, HttpReply reply, boolean wanted) {
--- a/src/main/java/org/dunespindle/transport/Sockets.java
+++ b/src/main/java/org/dunespindle/transport/Sockets.java
@@ -10,6 +10,7 @@
     private static final int OTHER = 24;
     /** The part for users, health checks and the few calls that must always go through. */
     private static final int KEPT_FREE_PART = 6;
+
     private final int most;
     private int open;
 
--- a/src/test/java/org/dunespindle/DaemonTest.java
+++ b/src/test/java/org/dunespindle/DaemonTest.java
@@ -23,7 +23,8 @@
 
     @BeforeAll
     static void start() throws Exception {
-        daemon = new Daemon(Settings.parse(TestSettings.node("a", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:1", "")));
+        daemon = new Daemon(
+                Settings.parse(TestSettings.node("a", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:1", "")));
     }
 
     @AfterAll
@@ -31,12 +32,17 @@
         daemon.close();
     }
 
-    private static HttpResponse<byte[]> send(int port, String method, String path, byte[] body) throws IOException, InterruptedException {
-        var request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path)).version(HttpClient.Version.HTTP_1_1).method(method, HttpRequest.BodyPublishers.ofByteArray(body)).build();
+    private static HttpResponse<byte[]> send(int port, String method, String path, byte[] body)
+            throws IOException, InterruptedException {
+        var request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
+                .version(HttpClient.Version.HTTP_1_1)
+                .method(method, HttpRequest.BodyPublishers.ofByteArray(body))
+                .build();
         return HTTP.send(request, HttpResponse.BodyHandlers.ofByteArray());
     }
 
-    private static HttpResponse<byte[]> front(String method, String path, byte[] body) throws IOException, InterruptedException {
+    private static HttpResponse<byte[]> front(String method, String path, byte[] body)
+            throws IOException, InterruptedException {
         return send(daemon.frontAddress().getPort(), method, path, body);
     }
 
@@ -66,14 +72,18 @@
         refused(503, poll);
         assertTrue(Integer.parseInt(poll.headers().firstValue("Retry-After").orElse("0")) >= 1);
         assertEquals(503, front("GET", "/healthz", new byte[0]).statusCode());
-        assertEquals(503, send(daemon.peerAddress().getPort(), "GET", "/v1/jobs", new byte[0]).statusCode());
+        assertEquals(
+                503,
+                send(daemon.peerAddress().getPort(), "GET", "/v1/jobs", new byte[0])
+                        .statusCode());
     }
 
     @Test
     void pipelinedAndGarbledRequestsAreAnsweredInOrder() throws Exception {
         try (var socket = new Socket("127.0.0.1", daemon.frontAddress().getPort())) {
             socket.setSoTimeout(10_000);
-            String two = "GET /first HTTP/1.1\r\nHost: x\r\n\r\nGET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+            String two =
+                    "GET /first HTTP/1.1\r\nHost: x\r\n\r\nGET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
             socket.getOutputStream().write(two.getBytes(StandardCharsets.US_ASCII));
             String answers = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(answers.indexOf("404") >= 0 && answers.indexOf("404") < answers.lastIndexOf("503"), answers);
--- a/src/test/java/org/dunespindle/TestSettings.java
+++ b/src/test/java/org/dunespindle/TestSettings.java
@@ -8,7 +8,8 @@
 public final class TestSettings {
     private TestSettings() {}
 
-    public static JsonNode node(String name, String front, String peerListen, String cloud, String state, String seeds) {
+    public static JsonNode node(
+            String name, String front, String peerListen, String cloud, String state, String seeds) {
         String file = """
                 node_name = "%s"
                 area = "east"
--- a/src/test/java/org/dunespindle/bookkeeping/JobRecordTest.java
+++ b/src/test/java/org/dunespindle/bookkeeping/JobRecordTest.java
@@ -27,8 +27,27 @@
 /** Job records under generated orders of placement, release and failure. */
 class JobRecordTest {
     private static JobRecord job(Shape shape, int tasks) {
-        return JobRecord.accepted(new Submission("wk-000001", "c", "t", shape, Priority.LOW, tasks, new Resources(1, 1, 1), Optional.empty(), Optional.empty(), false, false, false, "i", 1,
-                Duration.ofSeconds(1), Duration.ZERO, Duration.ZERO, Optional.empty()), Instant.ofEpochMilli(1000));
+        return JobRecord.accepted(
+                new Submission(
+                        "wk-000001",
+                        "c",
+                        "t",
+                        shape,
+                        Priority.LOW,
+                        tasks,
+                        new Resources(1, 1, 1),
+                        Optional.empty(),
+                        Optional.empty(),
+                        false,
+                        false,
+                        false,
+                        "i",
+                        1,
+                        Duration.ofSeconds(1),
+                        Duration.ZERO,
+                        Duration.ZERO,
+                        Optional.empty()),
+                Instant.ofEpochMilli(1000));
     }
 
     @Property(seed = "11", tries = 150)
@@ -51,7 +70,10 @@
                 }
                 for (Claim c : j.claims()) {
                     if (places.containsKey(c.task())) {
-                        assertTrue(attempts.computeIfAbsent(c.task(), t -> new HashSet<>()).add(c.base()), "an attempt was used twice");
+                        assertTrue(
+                                attempts.computeIfAbsent(c.task(), t -> new HashSet<>())
+                                        .add(c.base()),
+                                "an attempt was used twice");
                     }
                 }
             } else if (!j.claims().isEmpty()) {
@@ -84,25 +106,31 @@
         j.claims().forEach(c -> attempts.add(c.base() + c.task()));
         assertEquals(3, attempts.size());
         JobRecord again = j.rebooked(1);
-        assertEquals(List.of("a", "b", "c"), again.claims().stream().map(Claim::host).toList());
+        assertEquals(
+                List.of("a", "b", "c"), again.claims().stream().map(Claim::host).toList());
         long before = j.wantedAttempt(j.claim(1).orElseThrow());
         long after = again.wantedAttempt(again.claim(1).orElseThrow());
         assertTrue(after > before && !attempts.contains(after));
         JobRecord real = again.real();
-        assertEquals(1, real.claims().stream().map(real::wantedAttempt).distinct().count());
+        assertEquals(
+                1, real.claims().stream().map(real::wantedAttempt).distinct().count());
         assertTrue(real.attempt() > after, "the common attempt is new");
     }
 
     @Test
     void aServiceNeverCompletesByItself() {
-        JobRecord j = job(Shape.SERVICE, 1).placed(new java.util.TreeMap<>(java.util.Map.of(0, "h"))).released(0, true);
+        JobRecord j = job(Shape.SERVICE, 1)
+                .placed(new java.util.TreeMap<>(java.util.Map.of(0, "h")))
+                .released(0, true);
         assertTrue(j.open());
         assertEquals(1, j.unplacedCount());
     }
 
     @Test
     void aCancelledJobKeepsItsClaimsUntilTheyAreReleased() {
-        JobRecord j = job(Shape.ARRAY, 2).placed(new java.util.TreeMap<>(java.util.Map.of(0, "h", 1, "h"))).cancelled();
+        JobRecord j = job(Shape.ARRAY, 2)
+                .placed(new java.util.TreeMap<>(java.util.Map.of(0, "h", 1, "h")))
+                .cancelled();
         assertEquals(2, j.claims().size());
         assertEquals(0, j.unplacedCount());
         j = j.released(0, false).released(1, true);
@@ -138,7 +166,10 @@
             j = random.nextBoolean() && t < 100 ? j.stopTask(t) : j;
         }
         assertTrue(Pack.countedSize(j.toNode()) < 8 << 10, "bytes: " + Pack.countedSize(j.toNode()));
-        assertEquals(Set.copyOf(j.claims()), Set.copyOf(JobRecord.parse(j.id(), Pack.read(Pack.write(j.toNode()))).claims()));
+        assertEquals(
+                Set.copyOf(j.claims()),
+                Set.copyOf(JobRecord.parse(j.id(), Pack.read(Pack.write(j.toNode())))
+                        .claims()));
     }
 
     /** However a huge array's claims come about, within the number that a plan allows at once, the record can be written. */
--- a/src/test/java/org/dunespindle/bookkeeping/ReplicaTest.java
+++ b/src/test/java/org/dunespindle/bookkeeping/ReplicaTest.java
@@ -26,13 +26,20 @@
     private static final int ROWS = 40;
     private static final int PER_PAGE = 10;
 
-    private enum Trouble { TOO_LONG, NEVER_ARRIVES, UNREADABLE, TOO_OLD, REFUSED }
+    private enum Trouble {
+        TOO_LONG,
+        NEVER_ARRIVES,
+        UNREADABLE,
+        TOO_OLD,
+        REFUSED
+    }
 
     private final Sim sim = new Sim(1);
     private final List<String> asked = new ArrayList<>();
     private long epoch = 100;
     /** Logs that reach back before this cannot be had. */
     private long logFrom;
+
     private Trouble trouble = Trouble.TOO_OLD;
     private int failPages;
     private boolean out;
@@ -46,8 +53,11 @@
             sim.after(timeout, () -> result.completeExceptionally(new CallFailure("no answer in time", true)));
             return result;
         };
-        var state = new StateClient(http, Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", "")), process);
-        var replica = new Replica(state, process, Duration.ofMillis(300), () -> { });
+        var state = new StateClient(
+                http,
+                Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", "")),
+                process);
+        var replica = new Replica(state, process, Duration.ofMillis(300), () -> {});
         replica.start();
         return replica;
     }
@@ -65,7 +75,7 @@
             }
             switch (trouble) {
                 case TOO_LONG -> result.completeExceptionally(new AnswerTooLong());
-                case NEVER_ARRIVES -> { }
+                case NEVER_ARRIVES -> {}
                 case UNREADABLE -> result.complete(new HttpAnswer(200, new byte[] {(byte) 0xc1}));
                 case TOO_OLD -> result.complete(new HttpAnswer(410, Pack.write(Pack.map())));
                 default -> result.complete(new HttpAnswer(503, Pack.write(Pack.map())));
@@ -79,7 +89,10 @@
             var rows = n.putArray("rows");
             int from = since.isEmpty() ? 0 : Integer.parseInt(since.substring(since.lastIndexOf('/') + 1)) + 1;
             for (int i = from; i < Math.min(ROWS, from + PER_PAGE); i++) {
-                rows.addObject().put("key", "ds/x/%03d".formatted(i)).put("stamp", epoch).set("v", Pack.map().put("at", epoch));
+                rows.addObject()
+                        .put("key", "ds/x/%03d".formatted(i))
+                        .put("stamp", epoch)
+                        .set("v", Pack.map().put("at", epoch));
             }
             epoch++; // others go on writing while pages are read
             result.complete(new HttpAnswer(200, Pack.write(n.put("more", from + PER_PAGE < ROWS))));
@@ -111,7 +124,9 @@
         failPages = 6;
         sim.run(Duration.ofSeconds(12));
         assertTrue(replica.age().compareTo(Duration.ofSeconds(1)) < 0, "its view is " + replica.age());
-        long first = asked.stream().filter(t -> t.startsWith("/keys") && !t.contains("since=")).count();
+        long first = asked.stream()
+                .filter(t -> t.startsWith("/keys") && !t.contains("since="))
+                .count();
         long good = asked.stream().filter(t -> t.startsWith("/keys")).count() - 6;
         assertEquals(ROWS / PER_PAGE, good, "pages read more than once; the first one " + first + " times: " + asked);
     }
@@ -127,6 +142,7 @@
         asked.clear();
         sim.run(Duration.ofSeconds(24));
         assertTrue(replica.age().compareTo(Duration.ofSeconds(1)) < 0);
-        assertTrue(asked.stream().noneMatch(t -> t.startsWith("/keys")), "everything was read again after a mere outage");
+        assertTrue(
+                asked.stream().noneMatch(t -> t.startsWith("/keys")), "everything was read again after a mere outage");
     }
 }
--- a/src/test/java/org/dunespindle/coordination/CommitterTest.java
+++ b/src/test/java/org/dunespindle/coordination/CommitterTest.java
@@ -65,20 +65,29 @@
             });
             return result;
         };
-        var state = new StateClient(http, Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", "")), process);
-        var replica = new Replica(state, process, Duration.ofMillis(300), () -> { });
+        var state = new StateClient(
+                http,
+                Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", "")),
+                process);
+        var replica = new Replica(state, process, Duration.ofMillis(300), () -> {});
         replica.start();
         sim.run(Duration.ofSeconds(1));
-        var committer = new Committer(state, replica, process, 16, () -> { });
+        var committer = new Committer(state, replica, process, 16, () -> {});
         Map<String, TxnResult> results = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             String key = "ds/x/" + (i % 10 == 5 ? "stale" : "good") + i;
-            committer.propose(Committer.Lane.PLACING, new Txn().guard(key, 0).write(key, Pack.map().put("n", i)), r -> results.put(key, r));
+            committer.propose(
+                    Committer.Lane.PLACING,
+                    new Txn().guard(key, 0).write(key, Pack.map().put("n", i)),
+                    r -> results.put(key, r));
         }
         sim.run(Duration.ofSeconds(10));
         assertEquals(60, results.size());
-        results.forEach((key, r) -> assertEquals(key.contains("stale") ? TxnResult.Conflict.class : TxnResult.Applied.class, r.getClass(), key));
+        results.forEach((key, r) -> assertEquals(
+                key.contains("stale") ? TxnResult.Conflict.class : TxnResult.Applied.class, r.getClass(), key));
         assertEquals(failed.stream().mapToInt(Integer::intValue).sum(), committer.wasted());
-        assertTrue(committer.wasted() <= 24, committer.wasted() + " changes were paid for in vain, for 6 stale ones: " + failed);
+        assertTrue(
+                committer.wasted() <= 24,
+                committer.wasted() + " changes were paid for in vain, for 6 stale ones: " + failed);
     }
 }
--- a/src/test/java/org/dunespindle/coordination/FaultsTest.java
+++ b/src/test/java/org/dunespindle/coordination/FaultsTest.java
@@ -28,8 +28,29 @@
     }
 
     private JobRecord record(String job) {
-        return records.computeIfAbsent(job, id -> JobRecord.accepted(new Submission(id, "class", "red", Shape.ARRAY, Priority.LOW, 9, new Resources(1, 1, 1), Optional.empty(), Optional.empty(), false,
-                false, true, "image", 2, Duration.ofSeconds(4), Duration.ZERO, Duration.ZERO, Optional.empty()), Instant.EPOCH));
+        return records.computeIfAbsent(
+                job,
+                id -> JobRecord.accepted(
+                        new Submission(
+                                id,
+                                "class",
+                                "red",
+                                Shape.ARRAY,
+                                Priority.LOW,
+                                9,
+                                new Resources(1, 1, 1),
+                                Optional.empty(),
+                                Optional.empty(),
+                                false,
+                                false,
+                                true,
+                                "image",
+                                2,
+                                Duration.ofSeconds(4),
+                                Duration.ZERO,
+                                Duration.ZERO,
+                                Optional.empty()),
+                        Instant.EPOCH));
     }
 
     @Test
--- a/src/test/java/org/dunespindle/coordination/PeersTest.java
+++ b/src/test/java/org/dunespindle/coordination/PeersTest.java
@@ -21,8 +21,15 @@
 /** What controllers tell one another of machines, and what of it still holds later. */
 class PeersTest {
     private final Sim sim = new Sim(1);
-    private final Peers peers = new Peers(settings(), (address, method, target, body, type, timeout) -> new java.util.concurrent.CompletableFuture<>(), sim.new Process(), () -> 1L,
-            () -> Optional.of("n0"), (host, image) -> { }, new Replica(null, sim.new Process(), Duration.ofSeconds(1), () -> { }), (node, asked, ids) -> { });
+    private final Peers peers = new Peers(
+            settings(),
+            (address, method, target, body, type, timeout) -> new java.util.concurrent.CompletableFuture<>(),
+            sim.new Process(),
+            () -> 1L,
+            () -> Optional.of("n0"),
+            (host, image) -> {},
+            new Replica(null, sim.new Process(), Duration.ofSeconds(1), () -> {}),
+            (node, asked, ids) -> {});
 
     private static Settings settings() {
         try {
@@ -37,9 +44,24 @@
     }
 
     private ObjectNode heartbeat(String node, long inc, long from, long upTo, boolean withNews) {
-        ObjectNode n = Pack.map().put("node", node).put("inc", inc).put("viewAgeMs", 0).put("writes", 0.0).put("waiting", 0);
+        ObjectNode n = Pack.map()
+                .put("node", node)
+                .put("inc", inc)
+                .put("viewAgeMs", 0)
+                .put("writes", 0.0)
+                .put("waiting", 0);
         if (withNews) {
-            n.put("from", from).put("upTo", upTo).putArray("news").addArray().add("i-1").add(3).add(true).add(false).add(0).add("a:1").add("image");
+            n.put("from", from)
+                    .put("upTo", upTo)
+                    .putArray("news")
+                    .addArray()
+                    .add("i-1")
+                    .add(3)
+                    .add(true)
+                    .add(false)
+                    .add(0)
+                    .add("a:1")
+                    .add("image");
         }
         return peers.hear(Admin.write(n), Duration.ZERO, new Peers.Need(0, 0));
     }
@@ -62,7 +84,8 @@
         sim.run(Duration.ofSeconds(20));
         heartbeat("n1", 1, 1, 1, false);
         assertEquals(Optional.of(Duration.ZERO), peers.aliveAt(host("n0", 4)));
-        assertEquals(Optional.of(Duration.ZERO), peers.aliveAt(host("n1", 5)), "back under a new token, not proven yet");
+        assertEquals(
+                Optional.of(Duration.ZERO), peers.aliveAt(host("n1", 5)), "back under a new token, not proven yet");
         assertEquals(Optional.empty(), peers.machine(host("n1", 5)));
     }
 
--- a/src/test/java/org/dunespindle/coordination/PlacementsTest.java
+++ b/src/test/java/org/dunespindle/coordination/PlacementsTest.java
@@ -26,8 +26,27 @@
     private static final int VALUE = 8192;
 
     private static JobRecord array(int tasks) {
-        return JobRecord.accepted(new Submission("wk-000001", "class", "red", Shape.ARRAY, Priority.LOW, tasks, new Resources(0.25, 0, 1), Optional.empty(), Optional.empty(), false, false, true, "image",
-                2, Duration.ofSeconds(4), Duration.ZERO, Duration.ZERO, Optional.empty()), Instant.EPOCH);
+        return JobRecord.accepted(
+                new Submission(
+                        "wk-000001",
+                        "class",
+                        "red",
+                        Shape.ARRAY,
+                        Priority.LOW,
+                        tasks,
+                        new Resources(0.25, 0, 1),
+                        Optional.empty(),
+                        Optional.empty(),
+                        false,
+                        false,
+                        true,
+                        "image",
+                        2,
+                        Duration.ofSeconds(4),
+                        Duration.ZERO,
+                        Duration.ZERO,
+                        Optional.empty()),
+                Instant.EPOCH);
     }
 
     /** Many or few to a machine, ending, failing and placed again in any order. */
@@ -51,7 +70,9 @@
             int pattern = random.nextInt(3);
             var ended = new TreeMap<Integer, Boolean>();
             for (Claim c : j.claims()) {
-                if (pattern == 0 ? random.nextInt(3) == 0 : pattern == 1 ? c.task() % 2 == 0 : random.nextInt(10) == 0) {
+                if (pattern == 0
+                        ? random.nextInt(3) == 0
+                        : pattern == 1 ? c.task() % 2 == 0 : random.nextInt(10) == 0) {
                     ended.put(c.task(), pattern != 1 && random.nextInt(4) > 0);
                 }
             }
@@ -74,7 +95,12 @@
         var events = new ArrayList<Reconciler.Event>();
         for (Claim c : j.claims()) {
             if (random.nextInt(3) > 0) {
-                events.add(new Reconciler.Event(j.id(), c.task(), random.nextInt(8) == 0 ? 99 : c.base(), List.of(Reconciler.Fate.DONE, Reconciler.Fate.GONE).get(random.nextInt(2)), "ended"));
+                events.add(new Reconciler.Event(
+                        j.id(),
+                        c.task(),
+                        random.nextInt(8) == 0 ? 99 : c.base(),
+                        List.of(Reconciler.Fate.DONE, Reconciler.Fate.GONE).get(random.nextInt(2)),
+                        "ended"));
             }
         }
         JobRecord one = j;
--- a/src/test/java/org/dunespindle/coordination/PlannerTest.java
+++ b/src/test/java/org/dunespindle/coordination/PlannerTest.java
@@ -26,14 +26,48 @@
 
 /** Decisions as a pure function of a snapshot. */
 class PlannerTest {
-    private static final Map<String, Settings.Team> TEAMS = Map.of("red", new Settings.Team("red", 0, Double.POSITIVE_INFINITY, 4, 6), "blue", new Settings.Team("blue", 0, Double.POSITIVE_INFINITY, 2, 9));
+    private static final Map<String, Settings.Team> TEAMS = Map.of(
+            "red",
+            new Settings.Team("red", 0, Double.POSITIVE_INFINITY, 4, 6),
+            "blue",
+            new Settings.Team("blue", 0, Double.POSITIVE_INFINITY, 2, 9));
 
-    private static final Targets TARGETS = new Targets(List.of(new Settings.Objective("finished", "c", Duration.ofSeconds(900), 0.9, 1),
-            new Settings.Objective("finished", "c", Duration.ofSeconds(200), 0.9, 1), new Settings.Objective("deadline", "d", Duration.ZERO, 0.9, 1.5), new Settings.Objective("deadline", "d", Duration.ZERO, 0.9, 1)));
+    private static final Targets TARGETS = new Targets(List.of(
+            new Settings.Objective("finished", "c", Duration.ofSeconds(900), 0.9, 1),
+            new Settings.Objective("finished", "c", Duration.ofSeconds(200), 0.9, 1),
+            new Settings.Objective("deadline", "d", Duration.ZERO, 0.9, 1.5),
+            new Settings.Objective("deadline", "d", Duration.ZERO, 0.9, 1)));
 
-    private static JobRecord job(int id, String team, Shape shape, Priority priority, int tasks, boolean sameZone, boolean spread, boolean spot) {
-        return JobRecord.accepted(new Submission("wk-%06d".formatted(id), "c", team, shape, priority, tasks, new Resources(1, 1, 1), Optional.empty(), Optional.empty(), sameZone, spread, spot, "i", 1,
-                Duration.ofSeconds(10), Duration.ZERO, Duration.ZERO, Optional.empty()), Instant.ofEpochSecond(id));
+    private static JobRecord job(
+            int id,
+            String team,
+            Shape shape,
+            Priority priority,
+            int tasks,
+            boolean sameZone,
+            boolean spread,
+            boolean spot) {
+        return JobRecord.accepted(
+                new Submission(
+                        "wk-%06d".formatted(id),
+                        "c",
+                        team,
+                        shape,
+                        priority,
+                        tasks,
+                        new Resources(1, 1, 1),
+                        Optional.empty(),
+                        Optional.empty(),
+                        sameZone,
+                        spread,
+                        spot,
+                        "i",
+                        1,
+                        Duration.ofSeconds(10),
+                        Duration.ZERO,
+                        Duration.ZERO,
+                        Optional.empty()),
+                Instant.ofEpochSecond(id));
     }
 
     private static Planner.Host host(String id, String zone, boolean spot, int gpus) {
@@ -43,7 +77,20 @@
     private static Planner.Plan plan(List<JobRecord> jobs, List<Planner.Host> hosts) {
         var places = new HashMap<String, Planner.Place>();
         hosts.forEach(h -> places.put(h.id(), new Planner.Place(h.type(), h.zone(), h.spot())));
-        return Planner.plan(new Planner.Snapshot(Instant.ofEpochSecond(1000), jobs, hosts, TEAMS, places, Set.of(), j -> 100, Set.of(), Set.of(), true, List.of(), TARGETS, p -> Duration.ZERO));
+        return Planner.plan(new Planner.Snapshot(
+                Instant.ofEpochSecond(1000),
+                jobs,
+                hosts,
+                TEAMS,
+                places,
+                Set.of(),
+                j -> 100,
+                Set.of(),
+                Set.of(),
+                true,
+                List.of(),
+                TARGETS,
+                p -> Duration.ZERO));
     }
 
     @Property(seed = "21", tries = 200)
@@ -52,19 +99,29 @@
         var jobs = new ArrayList<JobRecord>();
         for (int i = 0; i < 8; i++) {
             boolean sameZone = random.nextBoolean();
-            jobs.add(job(i, random.nextBoolean() ? "red" : "blue", random.nextBoolean() ? Shape.GANG : Shape.ARRAY, Priority.values()[random.nextInt(4)], 1 + random.nextInt(5), sameZone,
-                    !sameZone && random.nextBoolean(), random.nextBoolean()));
+            jobs.add(job(
+                    i,
+                    random.nextBoolean() ? "red" : "blue",
+                    random.nextBoolean() ? Shape.GANG : Shape.ARRAY,
+                    Priority.values()[random.nextInt(4)],
+                    1 + random.nextInt(5),
+                    sameZone,
+                    !sameZone && random.nextBoolean(),
+                    random.nextBoolean()));
         }
         var hosts = new ArrayList<Planner.Host>();
         for (int i = 0; i < 5; i++) {
-            hosts.add(host("h" + i, random.nextBoolean() ? "east" : "west", random.nextBoolean(), 1 + random.nextInt(3)));
+            hosts.add(
+                    host("h" + i, random.nextBoolean() ? "east" : "west", random.nextBoolean(), 1 + random.nextInt(3)));
         }
         for (int round = 0; round < 4; round++) {
             Planner.Plan plan = plan(jobs, hosts);
             var byId = new LinkedHashMap<String, JobRecord>();
             jobs.forEach(j -> byId.put(j.id(), j));
             plan.bookings().forEach(b -> byId.put(b.job().id(), b.job().placed(b.places())));
-            plan.evictions().forEach(e -> byId.computeIfPresent(e.victim().id(), (id, j) -> j.released(e.claim().task(), false)));
+            plan.evictions()
+                    .forEach(e -> byId.computeIfPresent(
+                            e.victim().id(), (id, j) -> j.released(e.claim().task(), false)));
             jobs.clear();
             jobs.addAll(byId.values());
             check(jobs, hosts);
@@ -77,13 +134,20 @@
         for (JobRecord j : jobs) {
             var zones = new HashMap<String, Integer>();
             j.claims().forEach(c -> {
-                Planner.Host h = hosts.stream().filter(x -> x.id().equals(c.host())).findFirst().orElseThrow();
+                Planner.Host h = hosts.stream()
+                        .filter(x -> x.id().equals(c.host()))
+                        .findFirst()
+                        .orElseThrow();
                 room.merge(h.id(), 1, Integer::sum);
                 zones.merge(h.zone(), 1, Integer::sum);
                 assertTrue(j.job().spot() || !h.spot(), "spot not allowed");
             });
             assertTrue(!j.job().sameZone() || zones.size() <= 1, "one zone");
-            assertTrue(!j.job().spread() || zones.values().stream().allMatch(n -> n <= (j.job().tasks() + 1) / 2), "apart");
+            assertTrue(
+                    !j.job().spread()
+                            || zones.values().stream()
+                                    .allMatch(n -> n <= (j.job().tasks() + 1) / 2),
+                    "apart");
         }
         hosts.forEach(h -> assertTrue(room.getOrDefault(h.id(), 0) <= h.size().gpus(), "room on " + h.id()));
     }
@@ -92,30 +156,47 @@
     void noPlaceholderBeforeTheLimitCoversTheWholeGang() {
         JobRecord running = job(1, "red", Shape.ARRAY, Priority.URGENT, 3, false, false, true);
         running = running.placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
-        Planner.Plan plan = plan(List.of(running, job(2, "red", Shape.GANG, Priority.URGENT, 4, false, false, true)), List.of(host("a", "east", false, 8)));
+        Planner.Plan plan = plan(
+                List.of(running, job(2, "red", Shape.GANG, Priority.URGENT, 4, false, false, true)),
+                List.of(host("a", "east", false, 8)));
         assertEquals(List.of(), plan.bookings());
         assertTrue(plan.reasons().get("wk-000002").contains("limit"));
     }
 
     @Test
     void oneGangPerTeamIsInPlacementAndOthersGoOn() {
-        Planner.Plan plan = plan(List.of(job(1, "blue", Shape.GANG, Priority.NORMAL, 4, false, false, true), job(2, "blue", Shape.GANG, Priority.URGENT, 2, false, false, true),
-                job(3, "red", Shape.GANG, Priority.URGENT, 2, false, false, true), job(4, "blue", Shape.ARRAY, Priority.LOW, 1, false, false, true)), List.of(host("a", "east", false, 4)));
+        Planner.Plan plan = plan(
+                List.of(
+                        job(1, "blue", Shape.GANG, Priority.NORMAL, 4, false, false, true),
+                        job(2, "blue", Shape.GANG, Priority.URGENT, 2, false, false, true),
+                        job(3, "red", Shape.GANG, Priority.URGENT, 2, false, false, true),
+                        job(4, "blue", Shape.ARRAY, Priority.LOW, 1, false, false, true)),
+                List.of(host("a", "east", false, 4)));
         assertTrue(plan.reasons().get("wk-000002").contains("behind gang wk-000001"));
-        assertEquals(List.of("wk-000003", "wk-000001"), plan.bookings().stream().map(b -> b.job().id()).toList());
+        assertEquals(
+                List.of("wk-000003", "wk-000001"),
+                plan.bookings().stream().map(b -> b.job().id()).toList());
     }
 
     @Test
     void aFullyBookedGangAndGangsOfOneDoNotHoldUpTheQueue() {
-        JobRecord booked = job(1, "blue", Shape.GANG, Priority.URGENT, 2, false, false, true).placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
-        Planner.Plan plan = plan(List.of(booked, job(2, "blue", Shape.GANG, Priority.URGENT, 2, false, false, true), job(3, "blue", Shape.GANG, Priority.URGENT, 1, false, false, true)),
+        JobRecord booked = job(1, "blue", Shape.GANG, Priority.URGENT, 2, false, false, true)
+                .placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
+        Planner.Plan plan = plan(
+                List.of(
+                        booked,
+                        job(2, "blue", Shape.GANG, Priority.URGENT, 2, false, false, true),
+                        job(3, "blue", Shape.GANG, Priority.URGENT, 1, false, false, true)),
                 List.of(host("a", "east", false, 5)));
-        assertEquals(List.of("wk-000002", "wk-000003"), plan.bookings().stream().map(b -> b.job().id()).toList());
+        assertEquals(
+                List.of("wk-000002", "wk-000003"),
+                plan.bookings().stream().map(b -> b.job().id()).toList());
     }
 
     @Test
     void lowerWorkGivesWayOnOneMachineOnly() {
-        JobRecord low = job(1, "blue", Shape.ARRAY, Priority.LOW, 4, false, false, true).placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "b", 3, "b")));
+        JobRecord low = job(1, "blue", Shape.ARRAY, Priority.LOW, 4, false, false, true)
+                .placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "b", 3, "b")));
         var hosts = List.of(host("a", "east", false, 2), host("b", "east", false, 2));
         JobRecord gang = job(2, "red", Shape.GANG, Priority.URGENT, 1, false, false, true);
         Planner.Plan plan = plan(List.of(low, gang), hosts);
@@ -127,11 +208,14 @@
 
     @Test
     void workThatCanMeetNoTimeAnyMoreLetsTheOthersGoFirst() {
-        // The first is within its team's guarantee besides. Now is second 1000: it came at 50 and is past both times, the second can still meet 900 s.
+        // The first is within its team's guarantee besides. Now is second 1000: it came at 50 and is past both times,
+        // the second can still meet 900 s.
         JobRecord lost = begun(job(50, "blue", Shape.ARRAY, Priority.LOW, 2, false, false, true));
         JobRecord open = begun(job(600, "blue", Shape.ARRAY, Priority.LOW, 3, false, false, true));
         Planner.Plan plan = plan(List.of(lost, open), List.of(host("a", "east", false, 1)));
-        assertEquals(List.of("wk-000600"), plan.bookings().stream().map(b -> b.job().id()).toList());
+        assertEquals(
+                List.of("wk-000600"),
+                plan.bookings().stream().map(b -> b.job().id()).toList());
     }
 
     private static JobRecord begun(JobRecord j) {
@@ -140,10 +224,30 @@
 
     @Test
     void aDeadlineCountsByAllMultiplesThatAreAimedAt() {
-        Submission due = new Submission("wk-000001", "d", "red", Shape.ARRAY, Priority.LOW, 1, new Resources(1, 1, 1), Optional.empty(), Optional.empty(), false, false, true, "i", 1, Duration.ofSeconds(10),
-                Duration.ZERO, Duration.ZERO, Optional.of(Duration.ofSeconds(100)));
+        Submission due = new Submission(
+                "wk-000001",
+                "d",
+                "red",
+                Shape.ARRAY,
+                Priority.LOW,
+                1,
+                new Resources(1, 1, 1),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                true,
+                "i",
+                1,
+                Duration.ofSeconds(10),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.of(Duration.ofSeconds(100)));
         assertEquals(List.of(Duration.ofSeconds(100), Duration.ofSeconds(150)), TARGETS.all(due));
-        assertEquals(List.of(Duration.ofSeconds(200), Duration.ofSeconds(900)), TARGETS.all(job(1, "red", Shape.ARRAY, Priority.LOW, 1, false, false, true).job()));
+        assertEquals(
+                List.of(Duration.ofSeconds(200), Duration.ofSeconds(900)),
+                TARGETS.all(job(1, "red", Shape.ARRAY, Priority.LOW, 1, false, false, true)
+                        .job()));
     }
 
     @Test
@@ -151,7 +255,9 @@
         JobRecord large = job(50, "blue", Shape.ARRAY, Priority.LOW, 9, false, false, true);
         JobRecord small = begun(job(990, "blue", Shape.ARRAY, Priority.LOW, 2, false, false, true));
         Planner.Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
-        assertEquals(List.of("wk-000050"), plan.bookings().stream().map(b -> b.job().id()).toList());
+        assertEquals(
+                List.of("wk-000050"),
+                plan.bookings().stream().map(b -> b.job().id()).toList());
     }
 
     @Test
@@ -159,16 +265,33 @@
         JobRecord large = job(980, "blue", Shape.ARRAY, Priority.LOW, 9, false, false, true);
         JobRecord small = job(990, "blue", Shape.ARRAY, Priority.LOW, 2, false, false, true);
         Planner.Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
-        assertEquals(List.of("wk-000990"), plan.bookings().stream().map(b -> b.job().id()).toList());
+        assertEquals(
+                List.of("wk-000990"),
+                plan.bookings().stream().map(b -> b.job().id()).toList());
     }
 
     /** An array with as many tasks under way as its record takes: those that have ended make place at once, not when their end is stored by itself. */
     @Test
     void endedTasksDoNotCountAgainstTheRecord() {
-        JobRecord full = job(1, "red", Shape.ARRAY, Priority.LOW, 9, false, false, true).placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
-        var ended = Set.of(new Planner.Ended(full.id(), 0, full.claims().get(0).base()), new Planner.Ended(full.id(), 2, full.claims().get(0).base()));
-        Planner.Plan plan = Planner.plan(new Planner.Snapshot(Instant.ofEpochSecond(1000), List.of(full), List.of(host("a", "east", false, 8)), TEAMS, Map.of(), Set.of(), j -> 3, ended, Set.of(), true,
-                List.of(), TARGETS, p -> Duration.ZERO));
+        JobRecord full = job(1, "red", Shape.ARRAY, Priority.LOW, 9, false, false, true)
+                .placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
+        var ended = Set.of(
+                new Planner.Ended(full.id(), 0, full.claims().get(0).base()),
+                new Planner.Ended(full.id(), 2, full.claims().get(0).base()));
+        Planner.Plan plan = Planner.plan(new Planner.Snapshot(
+                Instant.ofEpochSecond(1000),
+                List.of(full),
+                List.of(host("a", "east", false, 8)),
+                TEAMS,
+                Map.of(),
+                Set.of(),
+                j -> 3,
+                ended,
+                Set.of(),
+                true,
+                List.of(),
+                TARGETS,
+                p -> Duration.ZERO));
         assertEquals(Set.of(3, 4), plan.bookings().get(0).places().keySet());
     }
 
@@ -179,15 +302,32 @@
         JobRecord low = job(990, "blue", Shape.ARRAY, Priority.LOW, 5, false, false, true);
         JobRecord equal = job(991, "blue", Shape.ARRAY, Priority.URGENT, 1, false, false, true);
         var hosts = List.of(host("a", "east", false, 4));
-        Planner.Plan plan = Planner.plan(new Planner.Snapshot(Instant.ofEpochSecond(1000), List.of(low, equal), hosts, TEAMS, Map.of(), Set.of(), j -> 100, Set.of(), Set.of(), true, List.of(phantom), TARGETS,
+        Planner.Plan plan = Planner.plan(new Planner.Snapshot(
+                Instant.ofEpochSecond(1000),
+                List.of(low, equal),
+                hosts,
+                TEAMS,
+                Map.of(),
+                Set.of(),
+                j -> 100,
+                Set.of(),
+                Set.of(),
+                true,
+                List.of(phantom),
+                TARGETS,
                 p -> Duration.ZERO));
-        assertEquals(List.of(1, 1), plan.bookings().stream().map(b -> b.places().size()).toList());
+        assertEquals(
+                List.of(1, 1),
+                plan.bookings().stream().map(b -> b.places().size()).toList());
     }
 
     @Test
     void equalPriorityNeverGivesWay() {
-        JobRecord other = job(1, "blue", Shape.ARRAY, Priority.URGENT, 2, false, false, true).placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
-        Planner.Plan plan = plan(List.of(other, job(2, "red", Shape.GANG, Priority.URGENT, 1, false, false, true)), List.of(host("a", "east", false, 2)));
+        JobRecord other = job(1, "blue", Shape.ARRAY, Priority.URGENT, 2, false, false, true)
+                .placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
+        Planner.Plan plan = plan(
+                List.of(other, job(2, "red", Shape.GANG, Priority.URGENT, 1, false, false, true)),
+                List.of(host("a", "east", false, 2)));
         assertEquals(List.of(), plan.evictions());
         assertEquals(1, plan.shortfalls().size());
     }
@@ -195,13 +335,21 @@
     /** Were machines rented only when a gang's turn has come, each gang of a burst would wait for the boot of its own. */
     @Test
     void machinesAreAskedForAheadOfAGangsTurnButNothingIsPlaced() {
-        List<JobRecord> gangs = List.of(job(1, "red", Shape.GANG, Priority.URGENT, 2, false, false, false), job(2, "red", Shape.GANG, Priority.URGENT, 3, false, false, false),
+        List<JobRecord> gangs = List.of(
+                job(1, "red", Shape.GANG, Priority.URGENT, 2, false, false, false),
+                job(2, "red", Shape.GANG, Priority.URGENT, 3, false, false, false),
                 job(3, "red", Shape.GANG, Priority.URGENT, 4, false, false, false));
         Planner.Plan empty = plan(gangs, List.of());
         // The third would be beyond the team's limit of six together with those before it.
-        assertEquals(List.of("wk-000001 2", "wk-000002 3"), empty.shortfalls().stream().map(g -> g.job().id() + " " + g.tasks()).toList());
+        assertEquals(
+                List.of("wk-000001 2", "wk-000002 3"),
+                empty.shortfalls().stream()
+                        .map(g -> g.job().id() + " " + g.tasks())
+                        .toList());
         Planner.Plan roomy = plan(gangs, List.of(host("h1", "east", false, 4), host("h2", "east", false, 4)));
-        assertEquals(List.of("wk-000001"), roomy.bookings().stream().map(b -> b.job().id()).toList());
+        assertEquals(
+                List.of("wk-000001"),
+                roomy.bookings().stream().map(b -> b.job().id()).toList());
         assertEquals(List.of(), roomy.shortfalls());
         assertEquals(Set.of("h1", "h2"), roomy.wantedHosts());
     }
--- a/src/test/java/org/dunespindle/coordination/ReconcilerTest.java
+++ b/src/test/java/org/dunespindle/coordination/ReconcilerTest.java
@@ -28,8 +28,27 @@
     private static final PieceId FIRST = new PieceId("wk-000001", 0);
 
     private static JobRecord job(Shape shape, int tasks, Duration saves) {
-        return JobRecord.accepted(new Submission("wk-000001", "c", "t", shape, Priority.URGENT, tasks, new Resources(1, 1, 1), Optional.empty(), Optional.empty(), false, false, false, "i", 1,
-                Duration.ofSeconds(1), saves, Duration.ofSeconds(4), Optional.empty()), Instant.EPOCH);
+        return JobRecord.accepted(
+                new Submission(
+                        "wk-000001",
+                        "c",
+                        "t",
+                        shape,
+                        Priority.URGENT,
+                        tasks,
+                        new Resources(1, 1, 1),
+                        Optional.empty(),
+                        Optional.empty(),
+                        false,
+                        false,
+                        false,
+                        "i",
+                        1,
+                        Duration.ofSeconds(1),
+                        saves,
+                        Duration.ofSeconds(4),
+                        Optional.empty()),
+                Instant.EPOCH);
     }
 
     private static JobRecord held() {
@@ -37,8 +56,12 @@
     }
 
     private static Reconciler.Verdict judge(JobRecord j, TaskStatus... tasks) {
-        List<Placed> claims = j.claims().stream().filter(c -> c.host().equals("h")).map(c -> new Placed(j, c)).toList();
-        return Reconciler.judge(claims, new WorkerReport("h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(tasks)));
+        List<Placed> claims = j.claims().stream()
+                .filter(c -> c.host().equals("h"))
+                .map(c -> new Placed(j, c))
+                .toList();
+        return Reconciler.judge(
+                claims, new WorkerReport("h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(tasks)));
     }
 
     private static TaskStatus status(long attempt, TaskPhase phase) {
@@ -56,8 +79,11 @@
     @Test
     void aRealTaskWaitsForTheConfirmedReleaseOfItsPlaceholder() {
         JobRecord real = held().real();
-        assertEquals(List.of(new Order.Halt(FIRST, placeholder(real), Duration.ZERO)), judge(real, status(placeholder(real), TaskPhase.ASSEMBLING)).orders());
-        var confirmed = judge(real, exited(placeholder(real), ExitCause.STOPPED)).orders();
+        assertEquals(
+                List.of(new Order.Halt(FIRST, placeholder(real), Duration.ZERO)),
+                judge(real, status(placeholder(real), TaskPhase.ASSEMBLING)).orders());
+        var confirmed =
+                judge(real, exited(placeholder(real), ExitCause.STOPPED)).orders();
         assertTrue(confirmed.contains(new Order.Run(FIRST, real.attempt())));
         assertTrue(confirmed.contains(new Order.Forget(FIRST, placeholder(real))));
     }
@@ -79,22 +105,32 @@
         assertEquals(List.of(), verdict.orders());
         JobRecord done = JobChanges.apply(j, verdict.events(), Instant.EPOCH);
         assertEquals(JobRecord.End.DONE, done.end());
-        assertEquals(List.of(new Order.Forget(FIRST, placeholder(j))), judge(done, exited(placeholder(j), ExitCause.DONE)).orders());
+        assertEquals(
+                List.of(new Order.Forget(FIRST, placeholder(j))),
+                judge(done, exited(placeholder(j), ExitCause.DONE)).orders());
     }
 
     @Test
     void aCancelledTaskIsStoppedWithoutGraceEvenWhileSaving() {
-        JobRecord j = job(Shape.ARRAY, 1, Duration.ofSeconds(5)).placed(new TreeMap<>(Map.of(0, "h"))).cancelled();
-        assertEquals(List.of(new Order.Halt(FIRST, placeholder(j), Duration.ZERO)), judge(j, status(placeholder(j), TaskPhase.SAVING)).orders());
+        JobRecord j = job(Shape.ARRAY, 1, Duration.ofSeconds(5))
+                .placed(new TreeMap<>(Map.of(0, "h")))
+                .cancelled();
+        assertEquals(
+                List.of(new Order.Halt(FIRST, placeholder(j), Duration.ZERO)),
+                judge(j, status(placeholder(j), TaskPhase.SAVING)).orders());
         assertEquals(Reconciler.Fate.GONE, judge(j).events().get(0).fate());
     }
 
     @Test
     void aTaskThatGivesWayMaySave() {
-        JobRecord j = job(Shape.ARRAY, 1, Duration.ofSeconds(5)).placed(new TreeMap<>(Map.of(0, "h"))).stopTask(0);
-        Order.Halt halt = (Order.Halt) judge(j, status(placeholder(j), TaskPhase.RUNNING)).orders().get(0);
+        JobRecord j = job(Shape.ARRAY, 1, Duration.ofSeconds(5))
+                .placed(new TreeMap<>(Map.of(0, "h")))
+                .stopTask(0);
+        Order.Halt halt = (Order.Halt)
+                judge(j, status(placeholder(j), TaskPhase.RUNNING)).orders().get(0);
         assertTrue(halt.grace().compareTo(j.job().saveTime()) >= 0);
-        assertEquals(List.of(), judge(j, status(placeholder(j), TaskPhase.SAVING)).orders());
+        assertEquals(
+                List.of(), judge(j, status(placeholder(j), TaskPhase.SAVING)).orders());
     }
 
     @Test
@@ -121,7 +157,8 @@
     @Test
     void aGangIsDoneAsOne() {
         JobRecord real = held().real();
-        JobRecord after = JobChanges.apply(real, judge(real, exited(real.attempt(), ExitCause.DONE)).events(), Instant.EPOCH);
+        JobRecord after = JobChanges.apply(
+                real, judge(real, exited(real.attempt(), ExitCause.DONE)).events(), Instant.EPOCH);
         assertEquals(JobRecord.End.DONE, after.end());
     }
 
@@ -130,14 +167,21 @@
         JobRecord j = job(Shape.ARRAY, 1, Duration.ZERO);
         for (int i = 0; i < 6; i++) {
             j = j.placed(new TreeMap<>(Map.of(0, "h")));
-            j = JobChanges.apply(j, List.of(new Reconciler.Event(j.id(), 0, j.claim(0).orElseThrow().base(), Reconciler.Fate.ERROR, "error")), Instant.EPOCH);
+            j = JobChanges.apply(
+                    j,
+                    List.of(new Reconciler.Event(
+                            j.id(), 0, j.claim(0).orElseThrow().base(), Reconciler.Fate.ERROR, "error")),
+                    Instant.EPOCH);
         }
         assertTrue(j.notBefore().orElseThrow().isAfter(Instant.EPOCH.plusSeconds(4)));
     }
 
     @Test
     void tasksThatNobodyClaimsAreStopped() {
-        var verdict = Reconciler.judge(List.of(), new WorkerReport("h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(status(3, TaskPhase.RUNNING))));
+        var verdict = Reconciler.judge(
+                List.of(),
+                new WorkerReport(
+                        "h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(status(3, TaskPhase.RUNNING))));
         assertEquals(List.of(new Order.Halt(FIRST, 3, Duration.ZERO)), verdict.orders());
     }
 }
--- a/src/test/java/org/dunespindle/coordination/TeamLedgerTest.java
+++ b/src/test/java/org/dunespindle/coordination/TeamLedgerTest.java
@@ -39,7 +39,9 @@
         }
 
         double useAt(long revision) {
-            return log.subList(0, (int) revision).stream().mapToDouble(c -> c[0]).sum();
+            return log.subList(0, (int) revision).stream()
+                    .mapToDouble(c -> c[0])
+                    .sum();
         }
     }
 
@@ -116,7 +118,8 @@
         }
     }
 
-    private static boolean place(Node n, Store store, Settings.Team team, double need, ArrayDeque<Late> late, Random random) {
+    private static boolean place(
+            Node n, Store store, Settings.Team team, double need, ArrayDeque<Late> late, Random random) {
         if (n.spentUnder != n.stamp) {
             n.spentUnder = n.stamp;
             n.spent = 0;
@@ -126,12 +129,15 @@
         if (use + need > team.gpusMax()) {
             return false;
         }
-        var view = new TeamLedger.View(team, NAMES, n.entry, n.stamp > n.born, gpus(n.spent), gpus(n.unsure), n.seen >= n.stamp, gpus(use));
+        var view = new TeamLedger.View(
+                team, NAMES, n.entry, n.stamp > n.born, gpus(n.spent), gpus(n.unsure), n.seen >= n.stamp, gpus(use));
         TeamLedger.Way way = TeamLedger.way(view, gpus(need));
         if (way instanceof TeamLedger.Way.Wait) {
             return false;
         }
-        TeamLedger.Entry written = way instanceof TeamLedger.Way.Write w ? w.entry() : way instanceof TeamLedger.Way.Close c ? c.entry() : null;
+        TeamLedger.Entry written = way instanceof TeamLedger.Way.Write w
+                ? w.entry()
+                : way instanceof TeamLedger.Way.Close c ? c.entry() : null;
         double change = way instanceof TeamLedger.Way.Close ? 0 : need;
         if (random.nextInt(6) == 0) {
             // No answer: it may have been carried out, or may yet be.
@@ -160,7 +166,8 @@
     @Test
     void closeToTheLimitEveryPlacementWritesTheRecord() {
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, 100);
-        var view = new TeamLedger.View(team, NAMES, TeamLedger.Entry.NONE, false, Resources.NONE, Resources.NONE, true, gpus(90));
+        var view = new TeamLedger.View(
+                team, NAMES, TeamLedger.Entry.NONE, false, Resources.NONE, Resources.NONE, true, gpus(90));
         var write = assertInstanceOf(TeamLedger.Way.Write.class, TeamLedger.way(view, gpus(8)));
         assertTrue(write.entry().closed());
         assertInstanceOf(TeamLedger.Way.Wait.class, TeamLedger.way(view, gpus(11)));
@@ -170,11 +177,23 @@
     void farFromTheLimitASharedRecordIsNotWritten() {
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, 300);
         var entry = new TeamLedger.Entry(gpus(0), new Resources(1e9, 100, 0));
-        assertEquals(new TeamLedger.Way.Guard(), TeamLedger.way(new TeamLedger.View(team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(60)), gpus(40)));
+        assertEquals(
+                new TeamLedger.Way.Guard(),
+                TeamLedger.way(
+                        new TeamLedger.View(team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(60)),
+                        gpus(40)));
         // Used up: the bound allows for all that the two others may have placed.
-        var write = assertInstanceOf(TeamLedger.Way.Write.class, TeamLedger.way(new TeamLedger.View(team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(50)), gpus(41)));
+        var write = assertInstanceOf(
+                TeamLedger.Way.Write.class,
+                TeamLedger.way(
+                        new TeamLedger.View(team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(50)),
+                        gpus(41)));
         assertEquals(291, write.entry().bound().gpus());
         // What the bound cannot allow waits until the shares are closed.
-        assertInstanceOf(TeamLedger.Way.Close.class, TeamLedger.way(new TeamLedger.View(team, NAMES, entry, true, gpus(100), Resources.NONE, true, gpus(70)), gpus(60)));
+        assertInstanceOf(
+                TeamLedger.Way.Close.class,
+                TeamLedger.way(
+                        new TeamLedger.View(team, NAMES, entry, true, gpus(100), Resources.NONE, true, gpus(70)),
+                        gpus(60)));
     }
 }
--- a/src/test/java/org/dunespindle/protocol/FormatsTest.java
+++ b/src/test/java/org/dunespindle/protocol/FormatsTest.java
@@ -18,8 +18,8 @@
 import net.jqwik.api.Provide;
 import org.dunespindle.TestSettings;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
 /** Messages: what is written can be read, and nothing that is read can do more than be refused. */
 class FormatsTest {
@@ -30,10 +30,34 @@
         var names = Arbitraries.strings().withCharRange('a', 'z').ofMinLength(1).ofMaxLength(12);
         var sizes = Combinators.combine(amounts, amounts, amounts).as(Resources::new);
         var flags = Arbitraries.of(true, false);
-        return Combinators.combine(names, sizes, seconds, Arbitraries.integers().between(1, Submission.MOST_TASKS), Arbitraries.of(Shape.values()), Arbitraries.of(Priority.values()), flags,
-                Arbitraries.longs().between(0, 999_999)).as((name, size, time, tasks, shape, priority, flag, number) -> new Submission("wk-%06d".formatted(number), name, name, shape,
-                        priority, tasks, size, flag ? Optional.of(List.of(name, "x")) : Optional.empty(), flag ? Optional.empty() : Optional.of(name), flag, !flag, flag, name, size.ramGb(),
-                        time, time, time, flag ? Optional.of(time) : Optional.empty()));
+        return Combinators.combine(
+                        names,
+                        sizes,
+                        seconds,
+                        Arbitraries.integers().between(1, Submission.MOST_TASKS),
+                        Arbitraries.of(Shape.values()),
+                        Arbitraries.of(Priority.values()),
+                        flags,
+                        Arbitraries.longs().between(0, 999_999))
+                .as((name, size, time, tasks, shape, priority, flag, number) -> new Submission(
+                        "wk-%06d".formatted(number),
+                        name,
+                        name,
+                        shape,
+                        priority,
+                        tasks,
+                        size,
+                        flag ? Optional.of(List.of(name, "x")) : Optional.empty(),
+                        flag ? Optional.empty() : Optional.of(name),
+                        flag,
+                        !flag,
+                        flag,
+                        name,
+                        size.ramGb(),
+                        time,
+                        time,
+                        time,
+                        flag ? Optional.of(time) : Optional.empty()));
     }
 
     @Property(seed = "1", tries = 200)
@@ -66,8 +90,24 @@
     @Property(seed = "4", tries = 200)
     void everyFieldOfASubmissionIsChecked(@ForAll("submissions") Submission s, @ForAll int which) {
         ObjectNode node = s.toNode();
-        List<String> required = List.of("id", "jobclass", "owner", "shape", "rank", "pieces", "vcpus", "accelerators", "ramGb", "samePlace", "apart", "driftwood", "bundle", "imageGb",
-                "guessS", "snapshotS", "flushS");
+        List<String> required = List.of(
+                "id",
+                "jobclass",
+                "owner",
+                "shape",
+                "rank",
+                "pieces",
+                "vcpus",
+                "accelerators",
+                "ramGb",
+                "samePlace",
+                "apart",
+                "driftwood",
+                "bundle",
+                "imageGb",
+                "guessS",
+                "snapshotS",
+                "flushS");
         String field = required.get(Math.floorMod(which, required.size()));
         node.putObject(field);
         var complaint = assertThrows(MalformedException.class, () -> Submission.parse(node));
@@ -104,12 +144,28 @@
 
     @Test
     void reportsCarryPhasesAndCauses() throws MalformedException {
-        ObjectNode n = Pack.map().put("host", "i-1").put("address", "a:1").put("hull", "g").put("dune", "z").put("driftwood", true).put("tenure", 2).put("tick", 7).put("baton", 9)
-                .put("warningS", 12.5).put("more", "ignored");
-        n.putArray("pieces").addObject().put("piece", "wk-1/3").put("try", 4).put("phase", "exited").put("cause", "no_room");
+        ObjectNode n = Pack.map()
+                .put("host", "i-1")
+                .put("address", "a:1")
+                .put("hull", "g")
+                .put("dune", "z")
+                .put("driftwood", true)
+                .put("tenure", 2)
+                .put("tick", 7)
+                .put("baton", 9)
+                .put("warningS", 12.5)
+                .put("more", "ignored");
+        n.putArray("pieces")
+                .addObject()
+                .put("piece", "wk-1/3")
+                .put("try", 4)
+                .put("phase", "exited")
+                .put("cause", "no_room");
         WorkerReport r = WorkerReport.parse(Pack.read(Pack.write(n)));
         assertEquals(Optional.of(Duration.ofMillis(12_500)), r.notice());
-        assertEquals(Optional.of(ExitCause.NO_ROOM), r.find(new PieceId("wk-1", 3), 4).orElseThrow().cause());
+        assertEquals(
+                Optional.of(ExitCause.NO_ROOM),
+                r.find(new PieceId("wk-1", 3), 4).orElseThrow().cause());
     }
 
     @Test
@@ -118,14 +174,27 @@
         Settings s = Settings.parse(good);
         assertEquals(Double.POSITIVE_INFINITY, s.teams().get("red").cpusMax());
         ((ObjectNode) good.at("/deployment/workers")).put("lease_s", "soon");
-        assertTrue(assertThrows(MalformedException.class, () -> Settings.parse(good)).getMessage().contains("deployment.workers.lease_s"));
+        assertTrue(assertThrows(MalformedException.class, () -> Settings.parse(good))
+                .getMessage()
+                .contains("deployment.workers.lease_s"));
         ((ObjectNode) good).put("front", "nowhere");
-        assertTrue(assertThrows(MalformedException.class, () -> Settings.parse(good)).getMessage().length() > 5);
+        assertTrue(assertThrows(MalformedException.class, () -> Settings.parse(good))
+                        .getMessage()
+                        .length()
+                > 5);
     }
 
     @ParameterizedTest
-    @CsvSource({"deployment.resources, fd_limit, \"many\"", "deployment.resources, fd_limit, -3", "deployment.workers, lease_s, 0.5", "deployment.state, write_rps, 0", "deployment.state, txn_ops, \"x\"",
-        "deployment.cloud, list_lag_s, true", "'', front, \"nowhere\"", "outside, state, \"x:y\""})
+    @CsvSource({
+        "deployment.resources, fd_limit, \"many\"",
+        "deployment.resources, fd_limit, -3",
+        "deployment.workers, lease_s, 0.5",
+        "deployment.state, write_rps, 0",
+        "deployment.state, txn_ops, \"x\"",
+        "deployment.cloud, list_lag_s, true",
+        "'', front, \"nowhere\"",
+        "outside, state, \"x:y\""
+    })
     void impossibleSettingsNameTheField(String table, String field, String value) throws Exception {
         JsonNode file = TestSettings.node("a", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "");
         ((ObjectNode) file.path("deployment")).putObject("resources").put("fd_limit", 900);
@@ -135,7 +204,8 @@
             at = at.path(part);
         }
         ((ObjectNode) at).set(field, new ObjectMapper().readTree(value));
-        String complaint = assertThrows(MalformedException.class, () -> Settings.parse(file)).getMessage();
+        String complaint = assertThrows(MalformedException.class, () -> Settings.parse(file))
+                .getMessage();
         assertTrue(complaint.contains(field) && complaint.lines().count() == 1, complaint);
     }
 }
--- a/src/test/java/org/dunespindle/sim/AdminTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminTest.java
@@ -26,17 +26,34 @@
     @Test
     void everyControllerTakesUpAnOption() {
         World world = running();
-        assertEquals(200, world.admin(0, "PUT", "/v1/options", "{\"stamp\":0,\"values\":{\"idle_return_s\":90}}").join().status());
-        assertTrue(world.admin(2, "GET", "/v1/options", "").join().body().toString().contains("\"value\":90.0"));
-        assertEquals(409, world.admin(1, "PUT", "/v1/options", "{\"stamp\":0,\"values\":{\"idle_return_s\":5}}").join().status());
-        assertTrue(get(world, "/v1/options").body().toString().contains("\"value\":90.0"), "the later edit did not overwrite the earlier one");
+        assertEquals(
+                200,
+                world.admin(0, "PUT", "/v1/options", "{\"stamp\":0,\"values\":{\"idle_return_s\":90}}")
+                        .join()
+                        .status());
+        assertTrue(world.admin(2, "GET", "/v1/options", "")
+                .join()
+                .body()
+                .toString()
+                .contains("\"value\":90.0"));
+        assertEquals(
+                409,
+                world.admin(1, "PUT", "/v1/options", "{\"stamp\":0,\"values\":{\"idle_return_s\":5}}")
+                        .join()
+                        .status());
+        assertTrue(
+                get(world, "/v1/options").body().toString().contains("\"value\":90.0"),
+                "the later edit did not overwrite the earlier one");
     }
 
     @Test
     void wrongOptionsAreRefusedAndChangeNothing() {
         World world = running();
-        for (String values : new String[] {"{\"idle_return_s\":-1}", "{\"idle_return_s\":\"x\"}", "{\"quarantine_errors\":1.5}", "{\"nonsense\":1}"}) {
-            Admin.Answer a = world.admin(0, "PUT", "/v1/options", "{\"stamp\":0,\"values\":" + values + "}").join();
+        for (String values : new String[] {
+            "{\"idle_return_s\":-1}", "{\"idle_return_s\":\"x\"}", "{\"quarantine_errors\":1.5}", "{\"nonsense\":1}"
+        }) {
+            Admin.Answer a = world.admin(0, "PUT", "/v1/options", "{\"stamp\":0,\"values\":" + values + "}")
+                    .join();
             assertEquals(400, a.status());
             assertTrue(a.body().path("error").asText().length() > 20);
         }
@@ -60,11 +77,20 @@
     @Test
     void aDrainedMachineLeavesOnceItIsEmpty() {
         World world = running();
-        String host = get(world, "/v1/hosts").body().path("hosts").get(0).path("id").asText();
-        assertEquals(200, world.admin(1, "POST", "/v1/hosts/" + host + "/drain", "").join().status());
-        assertEquals(404, world.admin(1, "POST", "/v1/hosts/i-none/drain", "").join().status());
+        String host =
+                get(world, "/v1/hosts").body().path("hosts").get(0).path("id").asText();
+        assertEquals(
+                200,
+                world.admin(1, "POST", "/v1/hosts/" + host + "/drain", "")
+                        .join()
+                        .status());
+        assertEquals(
+                404, world.admin(1, "POST", "/v1/hosts/i-none/drain", "").join().status());
         world.sim.run(Duration.ofSeconds(60));
-        get(world, "/v1/hosts").body().path("hosts").forEach(h -> assertTrue(!h.path("id").asText().equals(host), "still there"));
+        get(world, "/v1/hosts")
+                .body()
+                .path("hosts")
+                .forEach(h -> assertTrue(!h.path("id").asText().equals(host), "still there"));
         assertEquals(java.util.List.of(), world.broken);
         assertEquals("done", world.lastTold("wk-000001"));
     }
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -29,8 +29,25 @@
         world.provide(machines);
         world.taskTime = Optional.of(Duration.ofMinutes(10));
         for (int i = 0; i < machines / TASKS; i++) {
-            Submission s = new Submission("wk-%06d".formatted(i), "class", i % 2 == 0 ? "red" : "blue", Shape.ARRAY, Priority.NORMAL, TASKS, new Resources(4, 1, 1), Optional.empty(), Optional.empty(),
-                    false, false, false, "image", 2, Duration.ofSeconds(60), Duration.ZERO, Duration.ZERO, Optional.empty());
+            Submission s = new Submission(
+                    "wk-%06d".formatted(i),
+                    "class",
+                    i % 2 == 0 ? "red" : "blue",
+                    Shape.ARRAY,
+                    Priority.NORMAL,
+                    TASKS,
+                    new Resources(4, 1, 1),
+                    Optional.empty(),
+                    Optional.empty(),
+                    false,
+                    false,
+                    false,
+                    "image",
+                    2,
+                    Duration.ofSeconds(60),
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    Optional.empty());
             world.sim.after(3000L + 20L * i, () -> world.submit(s));
         }
         world.sim.run(Duration.ofSeconds(60));
@@ -38,7 +55,9 @@
     }
 
     private static int busyMachines(World world) {
-        return (int) world.alive().stream().filter(w -> w.tasks().iterator().hasNext()).count();
+        return (int) world.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .count();
     }
 
     /** What it takes from the crash on until half a minute later. */
@@ -52,7 +71,10 @@
         }
         world.sim.run(Duration.ofSeconds(90));
         assertEquals(machines, busyMachines(world));
-        assertEquals(sessions, world.alive().stream().mapToLong(WorkerStandIn::session).sum(), "leases ran out");
+        assertEquals(
+                sessions,
+                world.alive().stream().mapToLong(WorkerStandIn::session).sum(),
+                "leases ran out");
         assertEquals(0, world.broken.size(), world.broken.toString());
         assertTrue(world.mostOpen <= MOST_CALLS, world.mostOpen + " calls at once");
         String hosts = world.admin(0, "GET", "/v1/hosts", "").join().body().toString();
@@ -67,7 +89,9 @@
         Map<String, Integer> small = crashOfAll(SMALL);
         Map<String, Integer> large = crashOfAll(SMALL * TIMES);
         for (String kind : small.keySet()) {
-            assertTrue(large.get(kind) <= small.get(kind) * TIMES * 1.3 + 20, kind + ": " + small + " with " + SMALL + " machines, " + large + " with " + SMALL * TIMES);
+            assertTrue(
+                    large.get(kind) <= small.get(kind) * TIMES * 1.3 + 20,
+                    kind + ": " + small + " with " + SMALL + " machines, " + large + " with " + SMALL * TIMES);
         }
         // What does not depend on machines must not grow with them at all.
         for (String kind : new String[] {"node", "cloud"}) {
@@ -79,11 +103,15 @@
     @Test
     void aCutOfAThirdKeepsCallsBounded() {
         World world = busy(SMALL * 2);
-        world.alive().stream().filter(w -> w.id().hashCode() % 3 == 0).forEach(w -> world.cut(w, Duration.ofSeconds(25)));
+        world.alive().stream()
+                .filter(w -> w.id().hashCode() % 3 == 0)
+                .forEach(w -> world.cut(w, Duration.ofSeconds(25)));
         int before = world.counts.get("worker");
         world.sim.run(Duration.ofSeconds(84));
         assertTrue(world.mostOpen <= MOST_CALLS, world.mostOpen + " calls at once");
-        assertTrue(world.counts.get("worker") - before < 20 * SMALL, "calls to machines: " + (world.counts.get("worker") - before));
+        assertTrue(
+                world.counts.get("worker") - before < 20 * SMALL,
+                "calls to machines: " + (world.counts.get("worker") - before));
         world.sim.run(Duration.ofSeconds(130));
         assertEquals(0, world.broken.size(), world.broken.toString());
     }
@@ -97,11 +125,17 @@
         for (int i = 0; i < 2000; i++) {
             answers.add(world.offerTo(0, WorldTest.job("wk-%06d".formatted(i), "red", Shape.ARRAY, 1, false, false)));
         }
-        var refused = answers.stream().filter(CompletableFuture::isDone).map(CompletableFuture::join).toList();
+        var refused = answers.stream()
+                .filter(CompletableFuture::isDone)
+                .map(CompletableFuture::join)
+                .toList();
         assertTrue(refused.size() > 1000 && refused.size() < 2000, refused.size() + " refused");
-        assertTrue(refused.stream().allMatch(a -> a.status() == 503 && a.retryAfter().isPresent()));
+        assertTrue(refused.stream()
+                .allMatch(a -> a.status() == 503 && a.retryAfter().isPresent()));
         world.sim.run(Duration.ofSeconds(20));
         assertTrue(answers.stream().allMatch(CompletableFuture::isDone));
-        assertEquals(2000 - refused.size(), answers.stream().filter(a -> a.join().status() == 201).count());
+        assertEquals(
+                2000 - refused.size(),
+                answers.stream().filter(a -> a.join().status() == 201).count());
     }
 }
--- a/src/test/java/org/dunespindle/sim/MeetingsTest.java
+++ b/src/test/java/org/dunespindle/sim/MeetingsTest.java
@@ -23,7 +23,15 @@
         for (int i = 0; i < count; i++) {
             String id = "wk-%06d".formatted(i);
             ids.add(id);
-            world.sim.after(1000L + 400L * i, () -> world.submit(WorldTest.job(id, Integer.parseInt(id.substring(3)) % 2 == 0 ? "red" : "blue", Shape.ARRAY, 2, false, false)));
+            world.sim.after(
+                    1000L + 400L * i,
+                    () -> world.submit(WorldTest.job(
+                            id,
+                            Integer.parseInt(id.substring(3)) % 2 == 0 ? "red" : "blue",
+                            Shape.ARRAY,
+                            2,
+                            false,
+                            false)));
         }
         world.sim.run(Duration.ofSeconds(40));
         return ids;
@@ -38,7 +46,8 @@
         world.usersAt = node;
         ids.forEach(world::cancel);
         Duration latest = world.sim.now().plusSeconds(3);
-        while (!ids.stream().allMatch(id -> world.cancelledAt(id).isPresent()) && world.sim.now().compareTo(latest) < 0) {
+        while (!ids.stream().allMatch(id -> world.cancelledAt(id).isPresent())
+                && world.sim.now().compareTo(latest) < 0) {
             world.sim.run(world.sim.now().plusMillis(2));
         }
         world.usersAt = -1;
@@ -63,10 +72,19 @@
         world.state.out = true;
         Duration begun = world.sim.now();
         world.sim.run(begun.plusSeconds(6));
-        assertEquals(List.of(), all.stream().filter(w -> gone.stream().anyMatch(w::holds)).map(WorkerStandIn::id).toList(), "told by the others, the leader stops them at once");
+        assertEquals(
+                List.of(),
+                all.stream()
+                        .filter(w -> gone.stream().anyMatch(w::holds))
+                        .map(WorkerStandIn::id)
+                        .toList(),
+                "told by the others, the leader stops them at once");
         world.sim.run(begun.plus(World.CANCEL).plusSeconds(15));
         assertEquals(List.of(), world.broken);
-        assertEquals(List.of(), all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(), "leases that ran out though every cancellation is known");
+        assertEquals(
+                List.of(),
+                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                "leases that ran out though every cancellation is known");
         world.refusedNode = -1;
         world.state.recover();
         ids.subList(4, 8).forEach(world::cancel);
@@ -133,7 +151,7 @@
             switch (random.nextInt(4)) {
                 case 0, 1 -> world.crash(confirms, Duration.ofMillis(50 + random.nextInt(3000)));
                 case 2 -> world.freeze(confirms, Duration.ofMillis(2000 + random.nextInt(20_000)));
-                default -> { }
+                default -> {}
             }
             world.sim.run(world.sim.now().plusMillis(3000 + random.nextInt(45_000)));
             world.refusedNode = -1;
@@ -185,7 +203,12 @@
         world.sim.run(world.sim.now().plusSeconds(60));
         assertEquals(List.of(), world.broken);
         assertEquals(List.of(), world.startsAfterCancel);
-        assertEquals(List.of(), world.alive().stream().filter(w -> ids.stream().anyMatch(w::holds)).map(WorkerStandIn::id).toList());
+        assertEquals(
+                List.of(),
+                world.alive().stream()
+                        .filter(w -> ids.stream().anyMatch(w::holds))
+                        .map(WorkerStandIn::id)
+                        .toList());
     }
 
     @ParameterizedTest
@@ -208,7 +231,13 @@
     void leadersChangeTenTimesInTwoMinutesAlsoInAnOutage(long seed) {
         var mix = day(seed);
         for (int k = 0; k < 10; k++) {
-            mix.at(Duration.ofMillis(6000 + 11_500L * k), () -> mix.world().crash(mix.leader(), Duration.ofMillis(60 + mix.world().sim.random.nextInt(1500))));
+            mix.at(
+                    Duration.ofMillis(6000 + 11_500L * k),
+                    () -> mix.world()
+                            .crash(
+                                    mix.leader(),
+                                    Duration.ofMillis(
+                                            60 + mix.world().sim.random.nextInt(1500))));
         }
         mix.at(near(mix, 40), () -> mix.world().state.out = true);
         mix.at(Duration.ofSeconds(62), mix.world().state::recover);
@@ -226,7 +255,8 @@
         var world = new World(seed, 7, 10);
         world.submit(WorldTest.job("wk-000001", "red", Shape.GANG, 6, false, false));
         world.submit(WorldTest.job("wk-000002", "blue", Shape.GANG, 5, false, false));
-        while (!mode(world, "wk-000001").equals("HOLD") || !mode(world, "wk-000002").equals("HOLD")) {
+        while (!mode(world, "wk-000001").equals("HOLD")
+                || !mode(world, "wk-000002").equals("HOLD")) {
             world.sim.run(world.sim.now().plusMillis(10));
             assertTrue(world.sim.now().compareTo(Duration.ofSeconds(60)) < 0, "no placeholder was placed");
         }
@@ -238,7 +268,9 @@
         }
         world.sim.run(world.sim.now().plusSeconds(30));
         for (String id : List.of("wk-000001", "wk-000002")) {
-            assertTrue(List.of("running", "done").contains(world.lastTold(id)), id + " waits for its timer, all placed: " + world.dump());
+            assertTrue(
+                    List.of("running", "done").contains(world.lastTold(id)),
+                    id + " waits for its timer, all placed: " + world.dump());
         }
         assertEquals(List.of(), world.broken);
     }
@@ -260,7 +292,10 @@
         var world = new World(seed);
         List<String> ids = WorldTest.submitMix(world, 12);
         world.sim.run(Duration.ofSeconds(8).plusMillis(400 * (seed - 360)));
-        WorkerStandIn mute = world.alive().stream().filter(w -> w.tasks().iterator().hasNext()).findFirst().orElseThrow();
+        WorkerStandIn mute = world.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .findFirst()
+                .orElseThrow();
         mute.mute(true);
         world.sim.run(Duration.ofSeconds(30));
         long held = mute.held();
@@ -284,7 +319,9 @@
             world.submit(WorldTest.job(id, i % 2 == 0 ? "red" : "blue", Shape.ARRAY, i % 2 == 0 ? 3 : 2, false, false));
         }
         for (int k = 0; k < 4; k++) {
-            world.sim.after(12_000L + 9000L * k + 500 * (seed - 371), () -> world.crash(Math.max(0, world.leader()), Duration.ofMillis(300)));
+            world.sim.after(
+                    12_000L + 9000L * k + 500 * (seed - 371),
+                    () -> world.crash(Math.max(0, world.leader()), Duration.ofMillis(300)));
         }
         world.sim.run(Duration.ofSeconds(55));
         Duration calm = world.sim.now();
@@ -331,7 +368,9 @@
         var mix = day(seed);
         World world = mix.world();
         for (int k = 0; k < 5; k++) {
-            mix.at(near(mix, 9 + 7 * k), () -> world.alive().forEach(w -> w.hang(Duration.ofMillis(1500 + world.sim.random.nextInt(7500)))));
+            mix.at(
+                    near(mix, 9 + 7 * k),
+                    () -> world.alive().forEach(w -> w.hang(Duration.ofMillis(1500 + world.sim.random.nextInt(7500)))));
         }
         mix.add(TroubleMix.Trouble.CANCEL_NOW, near(mix, 25));
         assertKept(mix, "CANCEL_NOW");
@@ -367,11 +406,13 @@
         var world = new World(seed);
         world.taskTime = Optional.of(Duration.ofSeconds(40));
         for (int i = 0; i < 4; i++) {
-            world.submit(WorldTest.job("wk-%06d".formatted(i), "blue", Shape.ARRAY, 4, false, false)); // 16 tasks, 6 allowed at once
+            world.submit(WorldTest.job(
+                    "wk-%06d".formatted(i), "blue", Shape.ARRAY, 4, false, false)); // 16 tasks, 6 allowed at once
         }
         world.sim.run(Duration.ofSeconds(20).plusMillis(300 * (seed - 420)));
         assertEquals(6, world.alive().stream().mapToLong(WorkerStandIn::held).sum(), "the team is at its limit");
-        List<WorkerStandIn> some = world.alive().stream().filter(w -> w.held() > 0).limit(1).toList();
+        List<WorkerStandIn> some =
+                world.alive().stream().filter(w -> w.held() > 0).limit(1).toList();
         String held = some.get(0).tasks().iterator().next().piece.job();
         some.forEach(w -> world.cut(w, Duration.ofSeconds(9 + seed % 4)));
         world.crash(world.leader(), Duration.ofMillis(400));
@@ -441,7 +482,9 @@
         mix.world().cancelledAtEnd = 1;
         mix.world().repeatedAtEnd = true;
         assertKept(mix, "cancelled at its end");
-        assertTrue(mix.world().met.get("cancelled at its end") >= mix.ids().size(), "every job is called off at its end: " + mix.world().met);
+        assertTrue(
+                mix.world().met.get("cancelled at its end") >= mix.ids().size(),
+                "every job is called off at its end: " + mix.world().met);
     }
 
     /** The state service answers slowly, then refuses the leader, then everybody for longer than {@code cancel_s}, while users cancel and ask. */
--- a/src/test/java/org/dunespindle/sim/MixTest.java
+++ b/src/test/java/org/dunespindle/sim/MixTest.java
@@ -18,7 +18,8 @@
 
     static LongStream seeds() {
         long from = Long.getLong("mix.from", 500);
-        return LongStream.concat(LongStream.of(FOUND), LongStream.range(from, from + Integer.getInteger("mix.count", 24)));
+        return LongStream.concat(
+                LongStream.of(FOUND), LongStream.range(from, from + Integer.getInteger("mix.count", 24)));
     }
 
     @ParameterizedTest
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -22,8 +22,25 @@
 /** What operators met on bad nights: faulty jobs, long silences, storms of questions, guests. */
 class OperationsTest {
     private static Submission array(String id, String team, Priority priority, int tasks) {
-        return new Submission(id, "class", team, Shape.ARRAY, priority, tasks, new Resources(1, 1, 1), Optional.empty(), Optional.empty(), false, false, true, "image-1", 2, Duration.ofSeconds(5),
-                Duration.ZERO, Duration.ZERO, Optional.empty());
+        return new Submission(
+                id,
+                "class",
+                team,
+                Shape.ARRAY,
+                priority,
+                tasks,
+                new Resources(1, 1, 1),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                true,
+                "image-1",
+                2,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty());
     }
 
     static LongStream faultySeeds() {
@@ -48,9 +65,15 @@
         String decisions = world.decisions();
         assertTrue(!decisions.contains("it fails its tasks"), decisions);
         assertTrue(decisions.contains("taken for faulty"), decisions);
-        int tries = faulty.stream().mapToInt(id -> world.errors.getOrDefault(id, 0)).sum();
+        int tries =
+                faulty.stream().mapToInt(id -> world.errors.getOrDefault(id, 0)).sum();
         assertTrue(tries >= 4 && tries < 90, tries + " tries in two and a half minutes");
-        assertTrue(world.admin(0, "GET", "/v1/jobs/wk-000101", "").join().body().path("failures").asInt() > 0);
+        assertTrue(world.admin(0, "GET", "/v1/jobs/wk-000101", "")
+                        .join()
+                        .body()
+                        .path("failures")
+                        .asInt()
+                > 0);
         assertTrue(world.poll(1, "wk-000101").join().body().path("failures").asInt() > 0, "its user is not told");
         faulty.forEach(world::cancel);
         world.sim.run(Duration.ofSeconds(200));
@@ -80,7 +103,8 @@
         world.submit(WorldTest.job("wk-000101", "red", Shape.SERVICE, 6, false, false));
         world.submit(WorldTest.job("wk-000102", "blue", Shape.SERVICE, 4, false, false));
         world.sim.run(Duration.ofSeconds(60));
-        List<WorkerStandIn> used = world.alive().stream().filter(w -> w.held() > 0).toList();
+        List<WorkerStandIn> used =
+                world.alive().stream().filter(w -> w.held() > 0).toList();
         int leader = world.leader();
         int silent = seed % 2 == 0 ? leader : (leader + 1) % 3;
         world.freeze(silent, Duration.ofSeconds(90));
@@ -91,11 +115,24 @@
             world.sim.after(8000 + 9000L * i, () -> world.submit(array(id, "red", Priority.LOW, 2)));
         }
         world.sim.run(Duration.ofSeconds(145));
-        ids.forEach(id -> assertEquals("done", world.poll((silent + 1) % 3, id).join().body().path("phase").asText(), id + " while it is silent"));
+        ids.forEach(id -> assertEquals(
+                "done",
+                world.poll((silent + 1) % 3, id).join().body().path("phase").asText(),
+                id + " while it is silent"));
         world.sim.run(Duration.ofSeconds(220));
         String decisions = world.decisions();
-        assertTrue(!decisions.contains("has been silent") && !decisions.contains("no controller hears") && !decisions.contains("takes no commands"), decisions);
-        assertEquals(List.of(), used.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(), "leases that ran out");
+        assertTrue(
+                !decisions.contains("has been silent")
+                        && !decisions.contains("no controller hears")
+                        && !decisions.contains("takes no commands"),
+                decisions);
+        assertEquals(
+                List.of(),
+                used.stream()
+                        .filter(w -> w.session() > 1)
+                        .map(WorkerStandIn::id)
+                        .toList(),
+                "leases that ran out");
         assertEquals(List.of(), world.broken);
     }
 
@@ -126,8 +163,25 @@
     @Test
     void aGuestsHugeArrayGivesWayAndIsServed() {
         var world = new World(641);
-        Submission huge = new Submission("wk-000100", "guest", "green", Shape.ARRAY, Priority.LOW, 120, new Resources(1, 1, 1), Optional.empty(), Optional.empty(), false, false, true, "image-9", 0.5,
-                Duration.ofSeconds(4), Duration.ZERO, Duration.ZERO, Optional.empty());
+        Submission huge = new Submission(
+                "wk-000100",
+                "guest",
+                "green",
+                Shape.ARRAY,
+                Priority.LOW,
+                120,
+                new Resources(1, 1, 1),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                true,
+                "image-9",
+                0.5,
+                Duration.ofSeconds(4),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty());
         world.submit(huge);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -29,13 +29,27 @@
 class RequestsTest {
     private static final List<String> TEXTS = List.of("id", "jobclass", "owner", "shape", "rank", "bundle");
     private static final List<String> COUNTS = List.of("pieces");
-    private static final List<String> AMOUNTS = List.of("vcpus", "accelerators", "ramGb", "imageGb", "guessS", "snapshotS", "flushS", "dueS");
+    private static final List<String> AMOUNTS =
+            List.of("vcpus", "accelerators", "ramGb", "imageGb", "guessS", "snapshotS", "flushS", "dueS");
     private static final List<String> FLAGS = List.of("samePlace", "apart", "driftwood");
-    private static final List<JsonNode> NO_TEXT = List.of(NullNode.instance, IntNode.valueOf(3), BooleanNode.TRUE, TextNode.valueOf(""));
-    private static final List<JsonNode> NO_COUNT = List.of(NullNode.instance, TextNode.valueOf("3"), DoubleNode.valueOf(2.5), IntNode.valueOf(0), IntNode.valueOf(-1), LongNode.valueOf(1L << 40));
-    private static final List<JsonNode> NO_AMOUNT = List.of(TextNode.valueOf("8"), BooleanNode.TRUE, DoubleNode.valueOf(-0.5), DoubleNode.valueOf(Double.NaN), DoubleNode.valueOf(Double.POSITIVE_INFINITY),
+    private static final List<JsonNode> NO_TEXT =
+            List.of(NullNode.instance, IntNode.valueOf(3), BooleanNode.TRUE, TextNode.valueOf(""));
+    private static final List<JsonNode> NO_COUNT = List.of(
+            NullNode.instance,
+            TextNode.valueOf("3"),
+            DoubleNode.valueOf(2.5),
+            IntNode.valueOf(0),
+            IntNode.valueOf(-1),
+            LongNode.valueOf(1L << 40));
+    private static final List<JsonNode> NO_AMOUNT = List.of(
+            TextNode.valueOf("8"),
+            BooleanNode.TRUE,
+            DoubleNode.valueOf(-0.5),
+            DoubleNode.valueOf(Double.NaN),
+            DoubleNode.valueOf(Double.POSITIVE_INFINITY),
             DoubleNode.valueOf(1e300));
-    private static final List<JsonNode> NO_FLAG = List.of(NullNode.instance, IntNode.valueOf(1), TextNode.valueOf("true"));
+    private static final List<JsonNode> NO_FLAG =
+            List.of(NullNode.instance, IntNode.valueOf(1), TextNode.valueOf("true"));
 
     private static World ready() {
         var world = new World(501);
@@ -61,29 +75,66 @@
         var random = new Random(seed);
         int number = 0;
         for (List<String> fields : List.of(TEXTS, COUNTS, AMOUNTS, FLAGS)) {
-            List<JsonNode> bad = fields == TEXTS ? NO_TEXT : fields == COUNTS ? NO_COUNT : fields == AMOUNTS ? NO_AMOUNT : NO_FLAG;
+            List<JsonNode> bad =
+                    fields == TEXTS ? NO_TEXT : fields == COUNTS ? NO_COUNT : fields == AMOUNTS ? NO_AMOUNT : NO_FLAG;
             for (String field : fields) {
                 ObjectNode body = good(++number).toNode();
                 body.set(field, bad.get(random.nextInt(bad.size())));
                 var answer = submit(world, body);
                 assertEquals(400, answer.status(), field + " is " + body.get(field));
-                assertTrue(answer.body().path("error").asText().contains(field), answer.body().toString());
+                assertTrue(
+                        answer.body().path("error").asText().contains(field),
+                        answer.body().toString());
                 if (!field.equals("dueS")) {
                     body.remove(field);
                     assertEquals(400, submit(world, body).status(), field + " is missing");
                 }
             }
         }
-        assertTrue(world.state.rows().keySet().stream().noneMatch(k -> k.startsWith("ds/job/")), "something was stored");
+        assertTrue(
+                world.state.rows().keySet().stream().noneMatch(k -> k.startsWith("ds/job/")), "something was stored");
     }
 
     @ParameterizedTest
-    @CsvSource({"stranger, ARRAY, 2, 1, '', '', false, false", "red, ARRAY, 2, 5, '', '', false, false", "red, GANG, 11, 1, '', '', false, false", "red, ARRAY, 1, 1, crate, '', false, false",
-        "red, ARRAY, 1, 1, '', north, false, false", "red, GANG, 2, 1, '', '', true, true", "red, GANG, 2, 1, '', east, false, true", "blue, GANG, 7, 1, '', '', false, false"})
-    void whatCanNeverRunIsRefused(String team, Shape shape, int tasks, double gpus, String type, String zone, boolean together, boolean apart) {
+    @CsvSource({
+        "stranger, ARRAY, 2, 1, '', '', false, false",
+        "red, ARRAY, 2, 5, '', '', false, false",
+        "red, GANG, 11, 1, '', '', false, false",
+        "red, ARRAY, 1, 1, crate, '', false, false",
+        "red, ARRAY, 1, 1, '', north, false, false",
+        "red, GANG, 2, 1, '', '', true, true",
+        "red, GANG, 2, 1, '', east, false, true",
+        "blue, GANG, 7, 1, '', '', false, false"
+    })
+    void whatCanNeverRunIsRefused(
+            String team,
+            Shape shape,
+            int tasks,
+            double gpus,
+            String type,
+            String zone,
+            boolean together,
+            boolean apart) {
         World world = ready();
-        var job = new Submission("wk-000001", "class", team, shape, Priority.NORMAL, tasks, new Resources(1, gpus, 1), type.isEmpty() ? Optional.empty() : Optional.of(List.of(type)),
-                zone.isEmpty() ? Optional.empty() : Optional.of(zone), together, apart, true, "image", 2, Duration.ofSeconds(5), Duration.ZERO, Duration.ZERO, Optional.empty());
+        var job = new Submission(
+                "wk-000001",
+                "class",
+                team,
+                shape,
+                Priority.NORMAL,
+                tasks,
+                new Resources(1, gpus, 1),
+                type.isEmpty() ? Optional.empty() : Optional.of(List.of(type)),
+                zone.isEmpty() ? Optional.empty() : Optional.of(zone),
+                together,
+                apart,
+                true,
+                "image",
+                2,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty());
         var answer = submit(world, job.toNode());
         assertEquals(422, answer.status(), answer.body().toString());
         assertTrue(!answer.body().path("error").asText().isEmpty());
@@ -111,7 +162,8 @@
         world.submit(good(1));
         world.sim.run(Duration.ofSeconds(60));
         assertEquals("done", world.lastTold("wk-000001"));
-        assertEquals("done", submit(world, good(1).toNode()).body().path("phase").asText());
+        assertEquals(
+                "done", submit(world, good(1).toNode()).body().path("phase").asText());
         var cancelled = world.cancelAt(2, "wk-000001");
         assertEquals(200, cancelled.status());
         assertEquals("done", cancelled.body().path("phase").asText());
--- a/src/test/java/org/dunespindle/sim/Sim.java
+++ b/src/test/java/org/dunespindle/sim/Sim.java
@@ -11,7 +11,7 @@
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
     private Duration now = Duration.ZERO;
     private long sequence;
-    private Runnable afterEach = () -> { };
+    private Runnable afterEach = () -> {};
     public final Random random;
 
     private record Event(Duration at, long sequence, Runnable work) implements Comparable<Event> {
--- a/src/test/java/org/dunespindle/sim/StateStandIn.java
+++ b/src/test/java/org/dunespindle/sim/StateStandIn.java
@@ -53,7 +53,11 @@
             if (!leases.containsKey(id)) {
                 return new Reply(404, Pack.map());
             }
-            leases.put(id, method.equals("DELETE") ? sim.now().minusMillis(1) : sim.now().plusMillis(ttl.get(id)));
+            leases.put(
+                    id,
+                    method.equals("DELETE")
+                            ? sim.now().minusMillis(1)
+                            : sim.now().plusMillis(ttl.get(id)));
             expire();
             return new Reply(200, Pack.map());
         }
@@ -70,7 +74,8 @@
         ObjectNode n = Pack.map().put("epoch", epoch);
         var list = n.putArray("rows");
         boolean more = false;
-        for (var e : rows.tailMap(since.isEmpty() ? under : since, since.isEmpty()).entrySet()) {
+        for (var e :
+                rows.tailMap(since.isEmpty() ? under : since, since.isEmpty()).entrySet()) {
             if (!e.getKey().startsWith(under)) {
                 break;
             }
@@ -78,7 +83,10 @@
                 more = true;
                 break;
             }
-            list.addObject().put("key", e.getKey()).put("stamp", e.getValue().stamp()).set("v", e.getValue().value());
+            list.addObject()
+                    .put("key", e.getKey())
+                    .put("stamp", e.getValue().stamp())
+                    .set("v", e.getValue().value());
         }
         return new Reply(200, n.put("more", more));
     }
@@ -130,7 +138,9 @@
         if (conflict.has("failed")) {
             return new Reply(409, conflict);
         }
-        if (body.path("apply").size() > TXN_OPS || body.path("guards").size() > 4 * TXN_OPS || Pack.countedSize(body) > 64 << 10) {
+        if (body.path("apply").size() > TXN_OPS
+                || body.path("guards").size() > 4 * TXN_OPS
+                || Pack.countedSize(body) > 64 << 10) {
             return new Reply(400, Pack.map().put("error", "too large"));
         }
         for (JsonNode a : body.path("apply")) {
--- a/src/test/java/org/dunespindle/sim/TroubleMix.java
+++ b/src/test/java/org/dunespindle/sim/TroubleMix.java
@@ -14,13 +14,37 @@
 final class TroubleMix {
     /** All troubles are over by then, and nothing that was held back is left soon after. */
     static final Duration OVER = Duration.ofSeconds(130);
+
     static final Duration END = Duration.ofSeconds(420);
     private static final int MACHINES_ASKED = 3;
 
     /** One trouble; it begins when it is made and ends by itself. */
     enum Trouble {
-        LEADER_WITHOUT_STATE_AND_PEERS, LEADER_REFUSED, STATE_OUT, ZONE_CUT, ONE_CRASHES, ALL_CRASH, LEADERS_CHANGE, STANDS_STILL, MUTE, DEAF, HANG, MACHINES_CUT, LATE_WRITES,
-        LATE_REPORTS, HELD_REPORTS, CANCEL_NOW, CANCEL_AT_END, ODD_REQUESTS, BLOCKED, PEERS_REFUSE, LOSS, LATE_RENTAL, DIES, TAKEN, LEADER_DEAF
+        LEADER_WITHOUT_STATE_AND_PEERS,
+        LEADER_REFUSED,
+        STATE_OUT,
+        ZONE_CUT,
+        ONE_CRASHES,
+        ALL_CRASH,
+        LEADERS_CHANGE,
+        STANDS_STILL,
+        MUTE,
+        DEAF,
+        HANG,
+        MACHINES_CUT,
+        LATE_WRITES,
+        LATE_REPORTS,
+        HELD_REPORTS,
+        CANCEL_NOW,
+        CANCEL_AT_END,
+        ODD_REQUESTS,
+        BLOCKED,
+        PEERS_REFUSE,
+        LOSS,
+        LATE_RENTAL,
+        DIES,
+        TAKEN,
+        LEADER_DEAF
     }
 
     private final World world;
@@ -59,8 +83,25 @@
             boolean apart = !gang && i % 5 == 4;
             Optional<String> zone = i % 7 == 2 && !apart ? Optional.of(i % 2 == 0 ? "east" : "west") : Optional.empty();
             Duration saves = i % 4 == 1 ? Duration.ofSeconds(5) : Duration.ZERO;
-            var job = new Submission(id, gang ? "gang" : "array", i % 2 == 0 ? "red" : "blue", gang ? Shape.GANG : Shape.ARRAY, gang ? Priority.URGENT : Priority.LOW, tasks, new Resources(1, 1, 1),
-                    Optional.empty(), zone, gang && i % 2 == 0, apart, i % 4 != 0, "image-" + tasks % 2, 2, Duration.ofSeconds(5), saves, saves.isZero() ? saves : Duration.ofSeconds(3), Optional.empty());
+            var job = new Submission(
+                    id,
+                    gang ? "gang" : "array",
+                    i % 2 == 0 ? "red" : "blue",
+                    gang ? Shape.GANG : Shape.ARRAY,
+                    gang ? Priority.URGENT : Priority.LOW,
+                    tasks,
+                    new Resources(1, 1, 1),
+                    Optional.empty(),
+                    zone,
+                    gang && i % 2 == 0,
+                    apart,
+                    i % 4 != 0,
+                    "image-" + tasks % 2,
+                    2,
+                    Duration.ofSeconds(5),
+                    saves,
+                    saves.isZero() ? saves : Duration.ofSeconds(3),
+                    Optional.empty());
             world.sim.after(500L + i * 3500L + random.nextInt(1500), () -> world.submit(job));
         }
     }
@@ -155,14 +196,16 @@
                 }
             }
             case STANDS_STILL -> world.freeze((leader() + random.nextInt(2)) % 3, millis(2000, 20_000));
-            case MUTE -> someMachines().forEach(w -> {
-                w.mute(true);
-                until(millis(5000, 45_000), () -> w.mute(false));
-            });
-            case DEAF -> someMachines().forEach(w -> {
-                w.oneWay(true);
-                until(millis(5000, 45_000), () -> w.oneWay(false));
-            });
+            case MUTE ->
+                someMachines().forEach(w -> {
+                    w.mute(true);
+                    until(millis(5000, 45_000), () -> w.mute(false));
+                });
+            case DEAF ->
+                someMachines().forEach(w -> {
+                    w.oneWay(true);
+                    until(millis(5000, 45_000), () -> w.oneWay(false));
+                });
             case HANG -> someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
             case MACHINES_CUT -> someMachines().forEach(w -> world.cut(w, millis(2000, 30_000)));
             case LATE_WRITES -> {
@@ -173,12 +216,16 @@
                 world.lateCopies = 2;
                 until(millis(20_000, 60_000), () -> world.lateCopies = 0);
             }
-            case HELD_REPORTS -> someMachines().forEach(w -> {
-                w.holdReports(millis(3000, 25_000));
-                until(millis(3000, 15_000), () -> w.holdReports(Duration.ZERO));
-            });
+            case HELD_REPORTS ->
+                someMachines().forEach(w -> {
+                    w.holdReports(millis(3000, 25_000));
+                    until(millis(3000, 15_000), () -> w.holdReports(Duration.ZERO));
+                });
             case CANCEL_NOW -> {
-                ids.stream().filter(id -> world.lastTold(id).equals("running")).limit(4).forEach(id -> world.sim.after(random.nextInt(200), () -> world.cancel(id)));
+                ids.stream()
+                        .filter(id -> world.lastTold(id).equals("running"))
+                        .limit(4)
+                        .forEach(id -> world.sim.after(random.nextInt(200), () -> world.cancel(id)));
                 if (random.nextBoolean()) {
                     someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
                 }
@@ -219,7 +266,10 @@
             }
             case LATE_RENTAL -> world.lateRentals = true;
             case DIES -> someMachines().stream().limit(1).forEach(world::die);
-            case TAKEN -> someMachines().stream().filter(w -> w.takenAt == null).forEach(w -> world.take(w, millis(6000, 14_000)));
+            case TAKEN ->
+                someMachines().stream()
+                        .filter(w -> w.takenAt == null)
+                        .forEach(w -> world.take(w, millis(6000, 14_000)));
             case LEADER_DEAF -> {
                 world.deafNode = leader();
                 until(millis(8000, 40_000), () -> world.deafNode = -1);
