--- a/src/test/java/org/dunespindle/sim/TroubleTest.java
+++ b/src/test/java/org/dunespindle/sim/TroubleTest.java
@@ -18,7 +18,11 @@
 /** What is checked at a day's end, each trouble by itself, with whole controllers in virtual time. */
 class TroubleTest {
     private static String hosts(World world) {
-        return world.admin(0, "GET", "/v1/hosts", "").join().body().path("hosts").toString();
+        return world.admin(0, "GET", "/v1/hosts", "")
+                .join()
+                .body()
+                .path("hosts")
+                .toString();
     }
 
     @ParameterizedTest
@@ -45,7 +49,15 @@
         world.sim.run(Duration.ofSeconds(33)); // its lease is over by now and its tasks are gone, but its reports go on
         world.submit(WorldTest.job("wk-000002", "blue", Shape.ARRAY, 6, false, false));
         world.sim.run(Duration.ofSeconds(36));
-        assertTrue(world.admin(0, "GET", "/v1/jobs/wk-000002", "").join().body().path("places").findValuesAsText("host").stream().noneMatch(deaf.id()::equals));
+        assertTrue(
+                world
+                        .admin(0, "GET", "/v1/jobs/wk-000002", "")
+                        .join()
+                        .body()
+                        .path("places")
+                        .findValuesAsText("host")
+                        .stream()
+                        .noneMatch(deaf.id()::equals));
         world.sim.run(Duration.ofSeconds(120));
         WorldTest.assertAllDone(world, List.of("wk-000002"));
     }
@@ -74,10 +86,15 @@
         world.latestCopy = Duration.ofSeconds(40);
         world.submit(WorldTest.job("wk-000001", "red", Shape.SERVICE, 1, false, false));
         world.sim.run(Duration.ofSeconds(40));
-        WorkerStandIn lost = world.alive().stream().filter(w -> w.tasks().iterator().hasNext()).findFirst().orElseThrow();
+        WorkerStandIn lost = world.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .findFirst()
+                .orElseThrow();
         world.die(lost);
         world.sim.run(Duration.ofSeconds(75));
-        assertTrue(world.alive().stream().anyMatch(w -> w.tasks().iterator().hasNext()), "the task runs elsewhere while copies of its machine's reports still come");
+        assertTrue(
+                world.alive().stream().anyMatch(w -> w.tasks().iterator().hasNext()),
+                "the task runs elsewhere while copies of its machine's reports still come");
         assertEquals(List.of(), world.broken);
     }
 
@@ -86,7 +103,8 @@
     void workersLeaveAControllerThatReachesNobodyElse(int node) {
         var world = new World(91 + node);
         for (int i = 0; i < 6; i++) {
-            world.submit(WorldTest.job("wk-%06d".formatted(i), i < 3 ? "red" : "blue", Shape.SERVICE, 1 + i % 2, false, false));
+            world.submit(WorldTest.job(
+                    "wk-%06d".formatted(i), i < 3 ? "red" : "blue", Shape.SERVICE, 1 + i % 2, false, false));
         }
         world.sim.run(Duration.ofSeconds(30));
         List<WorkerStandIn> all = world.alive();
@@ -95,7 +113,10 @@
         world.isolatedNode = -1;
         world.sim.run(Duration.ofSeconds(100));
         assertEquals(List.of(), world.broken);
-        assertEquals(List.of(), all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(), "leases that ran out");
+        assertEquals(
+                List.of(),
+                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                "leases that ran out");
     }
 
     /** The workers' lease is 10 s: when the first controller is back, too little is left of it to leave the others' machines to them first. */
@@ -115,7 +136,10 @@
             assertEquals(200, world.answer(0, w), w.id());
         }
         world.sim.run(Duration.ofSeconds(60));
-        assertEquals(List.of(), all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(), "leases that ran out");
+        assertEquals(
+                List.of(),
+                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                "leases that ran out");
         assertEquals(List.of(), world.broken);
     }
 
@@ -129,7 +153,10 @@
         world.sim.run(Duration.ofSeconds(48));
         world.state.recover();
         world.sim.run(Duration.ofSeconds(70));
-        assertEquals(List.of(), all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(), "leases that ran out");
+        assertEquals(
+                List.of(),
+                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                "leases that ran out");
         assertEquals(List.of(), world.broken);
     }
 
@@ -143,7 +170,9 @@
                 int leader = Math.max(0, world.leader());
                 world.crash(leader, Duration.ofMillis(50 + world.sim.random.nextInt(400)));
                 // The next one goes while the election and the take-over are under way.
-                world.sim.after(300 + world.sim.random.nextInt(4500), () -> world.crash((leader + 1) % 3, Duration.ofMillis(100)));
+                world.sim.after(
+                        300 + world.sim.random.nextInt(4500),
+                        () -> world.crash((leader + 1) % 3, Duration.ofMillis(100)));
             });
         }
         world.sim.run(Duration.ofSeconds(300));
@@ -155,15 +184,36 @@
     @ValueSource(longs = {105, 106, 107, 108, 109, 110})
     void allControllersCrashWhileAGangSaves(long seed) {
         var world = new World(seed);
-        Submission gang = new Submission("wk-000001", "class", "red", Shape.GANG, Priority.URGENT, 6, new Resources(1, 1, 1), Optional.empty(), Optional.empty(), false, false, true, "image", 2,
-                Duration.ofSeconds(25), Duration.ofSeconds(5), Duration.ofSeconds(4), Optional.empty());
+        Submission gang = new Submission(
+                "wk-000001",
+                "class",
+                "red",
+                Shape.GANG,
+                Priority.URGENT,
+                6,
+                new Resources(1, 1, 1),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                true,
+                "image",
+                2,
+                Duration.ofSeconds(25),
+                Duration.ofSeconds(5),
+                Duration.ofSeconds(4),
+                Optional.empty());
         world.submit(gang);
         world.submit(WorldTest.job("wk-000002", "blue", Shape.ARRAY, 5, false, true));
-        while (!world.lastTold("wk-000001").equals("running") && world.sim.now().compareTo(Duration.ofSeconds(60)) < 0) {
+        while (!world.lastTold("wk-000001").equals("running")
+                && world.sim.now().compareTo(Duration.ofSeconds(60)) < 0) {
             world.sim.run(world.sim.now().plusSeconds(1));
         }
         world.sim.run(world.sim.now().plusSeconds(3));
-        WorkerStandIn taken = world.alive().stream().filter(w -> w.holds("wk-000001")).findFirst().orElseThrow();
+        WorkerStandIn taken = world.alive().stream()
+                .filter(w -> w.holds("wk-000001"))
+                .findFirst()
+                .orElseThrow();
         world.take(taken, Duration.ofSeconds(12));
         for (int n = 0; n < 3; n++) {
             int node = n;
@@ -198,12 +248,47 @@
 
     @Test
     void aJobOnMoreMachinesThanATransactionGuardsIsRecorded() {
-        // Names far apart: every machine has a record of its own, and there are more of them than one transaction may guard.
+        // Names far apart: every machine has a record of its own, and there are more of them than one transaction may
+        // guard.
         var world = new World(121, 90, 10);
-        world.submit(new Submission("wk-000001", "class", "red", Shape.ARRAY, Priority.LOW, 80, new Resources(4, 0, 1), Optional.empty(), Optional.empty(), false, false, false, "image", 2,
-                Duration.ofSeconds(5), Duration.ZERO, Duration.ZERO, Optional.empty()));
-        world.submit(new Submission("wk-000002", "class", "blue", Shape.GANG, Priority.URGENT, 70, new Resources(4, 0, 1), Optional.empty(), Optional.empty(), false, false, false, "image", 2,
-                Duration.ofSeconds(5), Duration.ZERO, Duration.ZERO, Optional.empty()));
+        world.submit(new Submission(
+                "wk-000001",
+                "class",
+                "red",
+                Shape.ARRAY,
+                Priority.LOW,
+                80,
+                new Resources(4, 0, 1),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                false,
+                "image",
+                2,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty()));
+        world.submit(new Submission(
+                "wk-000002",
+                "class",
+                "blue",
+                Shape.GANG,
+                Priority.URGENT,
+                70,
+                new Resources(4, 0, 1),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                false,
+                "image",
+                2,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty()));
         world.sim.run(Duration.ofSeconds(300));
         WorldTest.assertAllDone(world, List.of("wk-000001", "wk-000002"));
     }
@@ -214,16 +299,52 @@
     void aLargeGangBeginsWithinFourMinutes(String priority) {
         var world = new World(131);
         for (int i = 0; i < 300; i++) {
-            Submission small = new Submission("wk-%06d".formatted(i + 10), "small", i % 3 == 0 ? "red" : "blue", Shape.ARRAY, Priority.NORMAL, 2, new Resources(1, 1, 1), Optional.empty(), Optional.empty(),
-                    false, false, false, "image-1", 2, Duration.ofSeconds(5), Duration.ZERO, Duration.ZERO, Optional.empty());
+            Submission small = new Submission(
+                    "wk-%06d".formatted(i + 10),
+                    "small",
+                    i % 3 == 0 ? "red" : "blue",
+                    Shape.ARRAY,
+                    Priority.NORMAL,
+                    2,
+                    new Resources(1, 1, 1),
+                    Optional.empty(),
+                    Optional.empty(),
+                    false,
+                    false,
+                    false,
+                    "image-1",
+                    2,
+                    Duration.ofSeconds(5),
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    Optional.empty());
             world.sim.after(1000L + i * 900L, () -> world.submit(small));
         }
-        Submission large = new Submission("wk-000001", "large", "red", Shape.GANG, Priority.valueOf(priority), 9, new Resources(1, 1, 1), Optional.empty(), Optional.empty(), true, false, false,
-                "image-2", 2, Duration.ofSeconds(5), Duration.ZERO, Duration.ZERO, Optional.empty());
+        Submission large = new Submission(
+                "wk-000001",
+                "large",
+                "red",
+                Shape.GANG,
+                Priority.valueOf(priority),
+                9,
+                new Resources(1, 1, 1),
+                Optional.empty(),
+                Optional.empty(),
+                true,
+                false,
+                false,
+                "image-2",
+                2,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty());
         world.sim.after(30_000, () -> world.submit(large));
         world.sim.run(Duration.ofSeconds(270));
         assertEquals(List.of(), world.broken);
-        assertTrue(List.of("running", "done").contains(world.lastTold("wk-000001")), world.admin(0, "GET", "/v1/jobs/wk-000001", "").join().body().toString());
+        assertTrue(
+                List.of("running", "done").contains(world.lastTold("wk-000001")),
+                world.admin(0, "GET", "/v1/jobs/wk-000001", "").join().body().toString());
     }
 
     /** Controllers that stand still while their clocks go on, the leader first, at any stage of placing, replacing, saving and cancelling. */
@@ -257,13 +378,18 @@
         world.submit(WorldTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
         world.submit(WorldTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
         world.sim.run(Duration.ofSeconds(70));
-        List<WorkerStandIn> used = world.alive().stream().filter(w -> w.tasks().iterator().hasNext()).toList();
+        List<WorkerStandIn> used = world.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .toList();
         assertTrue(!used.isEmpty());
         int leader = world.leader();
         world.crash((leader + 1) % 3, Duration.ofSeconds(200));
         world.crash((leader + 2) % 3, Duration.ofSeconds(200));
         world.sim.run(Duration.ofSeconds(100));
-        assertEquals(List.of(), used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(), "given back");
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
         assertEquals(List.of(), world.broken);
     }
 
@@ -280,12 +406,16 @@
         world.sim.run(Duration.ofSeconds(75));
         // Its workers can't reach it right after it wakes: what it has last heard of them is old by then.
         List<WorkerStandIn> all = world.alive();
-        List<WorkerStandIn> used = all.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
+        List<WorkerStandIn> used =
+                all.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
         assertTrue(!used.isEmpty());
         world.freeze(leader, Duration.ofSeconds(seconds));
         all.forEach(w -> world.cut(w, Duration.ofSeconds(seconds).plusMillis(2500)));
         world.sim.run(Duration.ofSeconds(75 + seconds + 8));
-        assertEquals(List.of(), used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(), "given back");
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
         assertEquals(List.of(), world.broken);
     }
 
@@ -297,7 +427,9 @@
         world.submit(WorldTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
         world.submit(WorldTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
         world.sim.run(Duration.ofSeconds(70));
-        List<WorkerStandIn> used = world.alive().stream().filter(w -> w.tasks().iterator().hasNext()).toList();
+        List<WorkerStandIn> used = world.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .toList();
         assertTrue(!used.isEmpty());
         int deaf = (world.leader() + offset) % 3;
         world.deafNode = deaf;
@@ -305,11 +437,26 @@
         if (offset == 0) {
             assertTrue(world.leader() >= 0 && world.leader() != deaf, "it still leads");
         }
-        assertEquals(List.of(), used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(), "given back");
-        assertEquals(List.of(), used.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(), "leases that ran out");
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
+        assertEquals(
+                List.of(),
+                used.stream()
+                        .filter(w -> w.session() > 1)
+                        .map(WorkerStandIn::id)
+                        .toList(),
+                "leases that ran out");
         world.deafNode = -1;
         world.sim.run(Duration.ofSeconds(125));
-        assertTrue(world.admin(deaf, "GET", "/v1/controllers", "").join().body().toString().contains("n" + deaf), "it does not take part again");
+        assertTrue(
+                world.admin(deaf, "GET", "/v1/controllers", "")
+                        .join()
+                        .body()
+                        .toString()
+                        .contains("n" + deaf),
+                "it does not take part again");
         List<String> ids = List.of("wk-000003", "wk-000004");
         ids.forEach(id -> world.submit(WorldTest.job(id, "red", Shape.ARRAY, 2, false, false)));
         world.sim.run(Duration.ofSeconds(200));
@@ -324,10 +471,15 @@
         world.submit(WorldTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
         world.submit(WorldTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
         world.sim.run(Duration.ofSeconds(70));
-        List<WorkerStandIn> used = world.alive().stream().filter(w -> w.tasks().iterator().hasNext()).toList();
+        List<WorkerStandIn> used = world.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .toList();
         world.peersRefuse = true;
         world.sim.run(Duration.ofSeconds(150));
-        assertEquals(List.of(), used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(), "given back");
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
         world.peersRefuse = false;
         world.submit(WorldTest.job("wk-000003", "red", Shape.GANG, 3, false, false));
         world.sim.run(Duration.ofSeconds(200));
@@ -336,19 +488,27 @@
 
     /** Held reports arrive all at once when a cut ends; that commands did not arrive before says nothing about after. */
     @ParameterizedTest
-    @CsvSource({"191, 27", "192, 27", "193, 27", "191, 33", "192, 33", "193, 33"}) // a new leader gives up what it never heard after 25 s
+    @CsvSource({"191, 27", "192, 27", "193, 27", "191, 33", "192, 33", "193, 33"
+    }) // a new leader gives up what it never heard after 25 s
     void machinesAreKeptWhenTheirCutEnds(long seed, int seconds) {
         var world = new World(seed, 7, 10);
         world.submit(WorldTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
         world.submit(WorldTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
         world.sim.run(Duration.ofSeconds(70));
-        List<WorkerStandIn> cut = world.alive().stream().filter(w -> w.zone.equals(world.worker(0).zone)).toList();
-        List<WorkerStandIn> used = cut.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
+        List<WorkerStandIn> cut = world.alive().stream()
+                .filter(w -> w.zone.equals(world.worker(0).zone))
+                .toList();
+        List<WorkerStandIn> used =
+                cut.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
         assertTrue(cut.size() >= 4 && !used.isEmpty());
         cut.forEach(w -> world.cut(w, Duration.ofSeconds(seconds)));
-        world.crash(world.leader(), Duration.ofSeconds(8)); // the next one takes machines over that it cannot command yet
+        world.crash(
+                world.leader(), Duration.ofSeconds(8)); // the next one takes machines over that it cannot command yet
         world.sim.run(Duration.ofSeconds(125));
-        assertEquals(List.of(), used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(), "given back");
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
         assertEquals(List.of(), world.broken);
     }
 
@@ -360,12 +520,31 @@
         world.provide(40);
         world.taskTime = Optional.of(Duration.ofMinutes(10));
         for (String id : List.of("wk-000101", "wk-000102")) {
-            world.submit(new Submission(id, "class", id.endsWith("1") ? "red" : "blue", Shape.ARRAY, Priority.NORMAL, 20, new Resources(4, 1, 1), Optional.empty(), Optional.empty(), false, false, false,
-                    "image", 2, Duration.ofSeconds(60), Duration.ZERO, Duration.ZERO, Optional.empty()));
+            world.submit(new Submission(
+                    id,
+                    "class",
+                    id.endsWith("1") ? "red" : "blue",
+                    Shape.ARRAY,
+                    Priority.NORMAL,
+                    20,
+                    new Resources(4, 1, 1),
+                    Optional.empty(),
+                    Optional.empty(),
+                    false,
+                    false,
+                    false,
+                    "image",
+                    2,
+                    Duration.ofSeconds(60),
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    Optional.empty()));
         }
         world.sim.run(Duration.ofSeconds(70));
         world.taskTime = Optional.empty();
-        List<WorkerStandIn> used = world.alive().stream().filter(w -> w.zone.equals(zone) && w.tasks().iterator().hasNext()).toList();
+        List<WorkerStandIn> used = world.alive().stream()
+                .filter(w -> w.zone.equals(zone) && w.tasks().iterator().hasNext())
+                .toList();
         assertTrue(!used.isEmpty());
         world.zoneCut = zone;
         world.sim.after(4000, () -> world.crash(crashed, Duration.ofMillis(700)));
@@ -373,7 +552,10 @@
         world.sim.run(Duration.ofSeconds(96));
         world.zoneCut = "";
         world.sim.run(Duration.ofSeconds(101));
-        assertEquals(List.of(), used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(), "given back");
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
         world.cancel("wk-000101");
         world.cancel("wk-000102");
         world.sim.run(Duration.ofSeconds(400));
--- a/src/test/java/org/dunespindle/sim/WorkerStandIn.java
+++ b/src/test/java/org/dunespindle/sim/WorkerStandIn.java
@@ -34,6 +34,7 @@
     boolean sick;
     /** Its reports arrive only so much later, long after it has given up waiting for their answers. */
     boolean heldReports;
+
     Duration heldFor = Duration.ZERO;
     private Duration hungSince = Duration.ZERO;
     private Duration hungUntil = Duration.ZERO;
@@ -96,7 +97,8 @@
 
     /** Where it stands, for whoever looks into a day. */
     String state() {
-        return id + "/session " + session + "/token " + token + "/at n" + node + "/lease " + sim.now().minus(leaseFrom).toMillis();
+        return id + "/session " + session + "/token " + token + "/at n" + node + "/lease "
+                + sim.now().minus(leaseFrom).toMillis();
     }
 
     /** Tasks that take room here. */
@@ -152,7 +154,8 @@
 
     /** Whether a task of a job is on it. */
     boolean holds(String job) {
-        return tasks.values().stream().anyMatch(t -> t.onMachine() && t.piece.job().equals(job));
+        return tasks.values().stream()
+                .anyMatch(t -> t.onMachine() && t.piece.job().equals(job));
     }
 
     /** How often its lease has run out, plus one. */
@@ -165,14 +168,24 @@
     }
 
     ObjectNode report() {
-        ObjectNode n = Pack.map().put("host", id).put("address", address()).put("hull", "box").put("dune", zone).put("driftwood", spot).put("tenure", session)
-                .put("tick", ++tick).put("baton", token);
+        ObjectNode n = Pack.map()
+                .put("host", id)
+                .put("address", address())
+                .put("hull", "box")
+                .put("dune", zone)
+                .put("driftwood", spot)
+                .put("tenure", session)
+                .put("tick", ++tick)
+                .put("baton", token);
         if (takenAt != null) {
             n.put("warningS", takenAt.minus(sim.now()).toMillis() / 1000.0);
         }
         var list = n.putArray("pieces");
         for (Task t : tasks.values()) {
-            ObjectNode p = list.addObject().put("piece", t.piece.toString()).put("try", t.attempt).put("phase", t.phase);
+            ObjectNode p = list.addObject()
+                    .put("piece", t.piece.toString())
+                    .put("try", t.attempt)
+                    .put("phase", t.phase);
             if (t.phase.equals("exited")) {
                 p.put("cause", t.cause);
                 if (t.saved) {
@@ -204,7 +217,9 @@
                 leaseFrom = sentAt;
                 execute(body.path("orders"));
                 sim.after(800 + sim.random.nextInt(400), this::beat);
-            } else if (status == 421 && world.nodeIndex(body.path("steward").asText()) >= 0 && world.nodeIndex(body.path("steward").asText()) != node) {
+            } else if (status == 421
+                    && world.nodeIndex(body.path("steward").asText()) >= 0
+                    && world.nodeIndex(body.path("steward").asText()) != node) {
                 node = world.nodeIndex(body.path("steward").asText());
                 sim.after(100, this::beat);
             } else {
@@ -243,10 +258,15 @@
                 }
                 case "halt" -> {
                     Duration linger = Duration.ofMillis(o.path("lingerS").asLong() * 1000);
-                    if (t != null && t.phase.equals("running") && world.saveTime(piece).compareTo(Duration.ZERO) > 0 && linger.compareTo(world.saveTime(piece)) >= 0) {
+                    if (t != null
+                            && t.phase.equals("running")
+                            && world.saveTime(piece).compareTo(Duration.ZERO) > 0
+                            && linger.compareTo(world.saveTime(piece)) >= 0) {
                         t.phase = "saving";
                         t.savedAt = sim.now().plus(world.saveTime(piece));
-                    } else if (t != null && !t.phase.equals("exited") && !(t.phase.equals("saving") && linger.compareTo(Duration.ZERO) > 0)) {
+                    } else if (t != null
+                            && !t.phase.equals("exited")
+                            && !(t.phase.equals("saving") && linger.compareTo(Duration.ZERO) > 0)) {
                         t.exit("stopped");
                     }
                 }
@@ -262,8 +282,11 @@
     private void start(PieceId piece, long attempt, String key) {
         Task t = new Task(piece, attempt);
         tasks.put(key, t);
-        boolean held = tasks.values().stream().anyMatch(o -> o != t && o.piece.equals(piece) && !o.phase.equals("exited"));
-        long used = tasks.values().stream().filter(o -> o != t && !o.phase.equals("exited")).count();
+        boolean held =
+                tasks.values().stream().anyMatch(o -> o != t && o.piece.equals(piece) && !o.phase.equals("exited"));
+        long used = tasks.values().stream()
+                .filter(o -> o != t && !o.phase.equals("exited"))
+                .count();
         if (held) {
             t.exit("busy");
         } else if (used >= World.SLOTS) {
@@ -281,7 +304,11 @@
             }
             if (t.phase.equals("pulling") && tasks.get(key) == t && !dead) {
                 t.phase = world.isGang(piece) ? "gathering" : "running";
-                t.endsAt = sim.now().plus(world.lengthOf.apply(piece).or(() -> world.taskTime).orElse(Duration.ofMillis(2000 + sim.random.nextInt(6000))));
+                t.endsAt = sim.now()
+                        .plus(world.lengthOf
+                                .apply(piece)
+                                .or(() -> world.taskTime)
+                                .orElse(Duration.ofMillis(2000 + sim.random.nextInt(6000))));
                 t.gatherUntil = sim.now().plus(World.GANG_WAIT);
                 world.started(this, t);
                 world.changed();
--- a/src/test/java/org/dunespindle/sim/World.java
+++ b/src/test/java/org/dunespindle/sim/World.java
@@ -64,6 +64,7 @@
     public boolean cloudSilent;
     /** The next rental is carried out late and not answered. */
     public boolean lateRentals;
+
     private final Set<String> blocked = new HashSet<>();
     /** A controller that reaches neither the state service nor the others, only its workers; or -1. */
     public int isolatedNode = -1;
@@ -81,6 +82,7 @@
     public int peerDelayMillis;
     /** How many more copies of a report come late, and how late at most. */
     public int lateCopies;
+
     public Duration latestCopy = Duration.ofSeconds(25);
     private final int mostMachines;
     private final int nameStep;
@@ -103,12 +105,14 @@
     public boolean calm;
     /** How often what a test is about has happened, by name: a meeting that did not take place proves nothing. */
     public final Map<String, Integer> met = new TreeMap<>();
+
     private final Set<String> wantedGone = new HashSet<>();
     private final Map<String, Duration> submittedAt = new HashMap<>();
     private final Map<String, Duration> begunAt = new HashMap<>();
     private final Map<String, Duration> waitsBesideRoom = new HashMap<>();
     /** Tasks that began although their user had been told before that the job is cancelled. */
     public final List<String> startsAfterCancel = new ArrayList<>();
+
     private boolean dirty;
 
     public World(long seed) {
@@ -139,14 +143,19 @@
         var seeds = new StringBuilder();
         for (int k = 0; k < 3; k++) {
             if (k != i) {
-                seeds.append("[[seeds]]\nnode_name = \"n%d\"\narea = \"east\"\naddress = \"node:%d\"\n".formatted(k, k));
+                seeds.append(
+                        "[[seeds]]\nnode_name = \"n%d\"\narea = \"east\"\naddress = \"node:%d\"\n".formatted(k, k));
             }
         }
         try {
-            JsonNode file = TestSettings.node("n" + i, "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", seeds.toString());
+            JsonNode file =
+                    TestSettings.node("n" + i, "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", seeds.toString());
             ((ObjectNode) file).put("area", areas[i]);
             if (mostMachines > 100) {
-                file.path("deployment").path("teams").forEach(t -> ((ObjectNode) t).put("gpus", 2.0 * mostMachines).put("gpus_max", 4.0 * mostMachines));
+                file.path("deployment")
+                        .path("teams")
+                        .forEach(t ->
+                                ((ObjectNode) t).put("gpus", 2.0 * mostMachines).put("gpus_max", 4.0 * mostMachines));
             }
             return Settings.parse(file);
         } catch (MalformedException e) {
@@ -172,6 +181,7 @@
 
     /** How much longer every message takes, and the state service's answers. */
     public int slowMillis;
+
     public int slowStateMillis;
     /** How long a certain task runs, if not as long as others. */
     public Function<PieceId, Optional<Duration>> lengthOf = p -> Optional.empty();
@@ -190,6 +200,7 @@
     public Optional<Duration> taskTime = Optional.empty();
     /** Calls by kind so far, and changes written. */
     public final Map<String, Integer> counts = new TreeMap<>();
+
     private final int[] open = new int[3];
     /** Most calls to machines that one controller had under way at once. */
     public int mostOpen;
@@ -294,12 +305,16 @@
             boolean twice = sim.random.nextDouble() < repeat && address.startsWith("worker");
             if (lateWrites > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWrites) {
                 met("late write");
-                sim.after(2000 + sim.random.nextInt(10_000), () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
+                sim.after(
+                        2000 + sim.random.nextInt(10_000),
+                        () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
                 return result;
             }
             for (int copy = 0; copy < (twice ? 2 : 1); copy++) {
                 int held = peerDelayMillis > 0 && address.startsWith("node") ? sim.random.nextInt(peerDelayMillis) : 0;
-                sim.after(delay() + held + copy * sim.random.nextInt(8000), () -> deliver(owner, from, address, method, target, body, result));
+                sim.after(
+                        delay() + held + copy * sim.random.nextInt(8000),
+                        () -> deliver(owner, from, address, method, target, body, result));
             }
             return result;
         };
@@ -309,16 +324,27 @@
         return !zoneCut.isEmpty() && one.equals(zoneCut) != other.equals(zoneCut);
     }
 
-    private void deliver(Sim.Process owner, int from, String address, String method, String target, byte[] body, CompletableFuture<HttpAnswer> result) {
+    private void deliver(
+            Sim.Process owner,
+            int from,
+            String address,
+            String method,
+            String target,
+            byte[] body,
+            CompletableFuture<HttpAnswer> result) {
         WorkerStandIn w = address.startsWith("worker") ? workers.get("i-" + address.substring(7)) : null;
         if (apart(areas[from], w != null ? w.zone : address.startsWith("node") ? areas[address.charAt(5) - '0'] : "")) {
             if (w != null && !w.dead) {
-                sim.after(500, () -> deliver(owner, from, address, method, target, body, result)); // held back, delivered late
+                sim.after(
+                        500,
+                        () -> deliver(owner, from, address, method, target, body, result)); // held back, delivered late
             }
             return;
         }
         if (w != null && (w.cut || w.hung()) && !w.dead) {
-            sim.after(500, () -> deliver(owner, from, address, method, target, body, result)); // held back, delivered late
+            sim.after(
+                    500,
+                    () -> deliver(owner, from, address, method, target, body, result)); // held back, delivered late
             return;
         }
         if (w != null && (blocked.contains(from + w.id) || w.oneWay || from == deafNode)) {
@@ -327,7 +353,8 @@
         if (address.startsWith("node") && (peersRefuse || peersBlocked.contains(from * 3 + address.charAt(5) - '0'))) {
             return;
         }
-        if (address.startsWith("state") && from == isolatedNode || address.startsWith("node") && (from == isolatedNode || address.endsWith(":" + isolatedNode))) {
+        if (address.startsWith("state") && from == isolatedNode
+                || address.startsWith("node") && (from == isolatedNode || address.endsWith(":" + isolatedNode))) {
             return;
         }
         if (cloudSilent && address.startsWith("cloud")) {
@@ -340,7 +367,15 @@
         }
         StateStandIn.Reply reply;
         try {
-            reply = from == refusedNode && address.startsWith("state") ? new StateStandIn.Reply(503, Pack.map()) : reply(address, method, target, address.startsWith("node") ? null : body.length == 0 ? Pack.map() : Pack.read(body), body, w);
+            reply = from == refusedNode && address.startsWith("state")
+                    ? new StateStandIn.Reply(503, Pack.map())
+                    : reply(
+                            address,
+                            method,
+                            target,
+                            address.startsWith("node") ? null : body.length == 0 ? Pack.map() : Pack.read(body),
+                            body,
+                            w);
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
         }
@@ -352,7 +387,8 @@
         sim.after(delay() + slow, () -> owner.arrive(() -> result.complete(new HttpAnswer(reply.status(), bytes))));
     }
 
-    private StateStandIn.Reply reply(String address, String method, String target, JsonNode body, byte[] raw, WorkerStandIn w) {
+    private StateStandIn.Reply reply(
+            String address, String method, String target, JsonNode body, byte[] raw, WorkerStandIn w) {
         if (address.startsWith("state")) {
             return state.answer(method, target, body);
         }
@@ -370,14 +406,25 @@
             }
             return new StateStandIn.Reply(200, c.heard(raw));
         }
-        return w == null || w.dead ? null : target.equals("/inspect") ? new StateStandIn.Reply(200, w.report()) : w.orders(body);
+        return w == null || w.dead
+                ? null
+                : target.equals("/inspect") ? new StateStandIn.Reply(200, w.report()) : w.orders(body);
     }
 
     private StateStandIn.Reply cloud(String target, JsonNode body) {
         ObjectNode n = Pack.map();
         if (target.startsWith("/catalog")) {
-            ObjectNode h = n.putArray("hulls").addObject().put("name", "box").put("vcpus", 4.0).put("accelerators", 4.0).put("ramGb", 4.0).put("cacheGb", 50.0)
-                    .put("fetchGbPerS", 1.0).put("hourly", 10.0).put("lowPrice", 4.0).put("readyS", 4.0);
+            ObjectNode h = n.putArray("hulls")
+                    .addObject()
+                    .put("name", "box")
+                    .put("vcpus", 4.0)
+                    .put("accelerators", 4.0)
+                    .put("ramGb", 4.0)
+                    .put("cacheGb", 50.0)
+                    .put("fetchGbPerS", 1.0)
+                    .put("hourly", 10.0)
+                    .put("lowPrice", 4.0)
+                    .put("readyS", 4.0);
             ZONES.forEach(h.putArray("dunes")::add);
         } else if (target.startsWith("/rentals/return")) {
             body.path("hosts").forEach(h -> {
@@ -396,8 +443,15 @@
             names.forEach(n.putArray("hosts")::add);
         } else {
             var list = n.putArray("hosts");
-            workers.values().forEach(w -> list.addObject().put("id", w.id).put("address", w.address()).put("hull", "box").put("dune", w.zone).put("driftwood", w.spot)
-                    .put("phase", "running").put("ageS", 20.0));
+            workers.values()
+                    .forEach(w -> list.addObject()
+                            .put("id", w.id)
+                            .put("address", w.address())
+                            .put("hull", "box")
+                            .put("dune", w.zone)
+                            .put("driftwood", w.spot)
+                            .put("phase", "running")
+                            .put("ageS", 20.0));
         }
         return new StateStandIn.Reply(200, n);
     }
@@ -408,18 +462,25 @@
             String id = "i-%04d".formatted(nextMachine);
             nextMachine += nameStep;
             names.add(id);
-            workers.put(id, new WorkerStandIn(this, id, body.path("dune").asText(), body.path("driftwood").asBoolean()));
+            workers.put(
+                    id,
+                    new WorkerStandIn(
+                            this,
+                            id,
+                            body.path("dune").asText(),
+                            body.path("driftwood").asBoolean()));
         }
         return names;
     }
 
     void toNode(int node, WorkerStandIn from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
         for (int copy = 0; copy < lateCopies; copy++) {
-            // A late copy arrives whatever has become of the machine meanwhile, and nobody hears what is answered to it.
+            // A late copy arrives whatever has become of the machine meanwhile, and nobody hears what is answered to
+            // it.
             sim.after(2000 + sim.random.nextInt((int) latestCopy.toMillis()), () -> {
                 if (nodes[node] != null) {
                     Controller late = nodes[node];
-                    processes[node].arrive(() -> receive(late, report, (status, body) -> { }));
+                    processes[node].arrive(() -> receive(late, report, (status, body) -> {}));
                 }
             });
         }
@@ -429,7 +490,7 @@
                 met("held report");
                 if (nodes[node] != null) {
                     Controller late = nodes[node];
-                    processes[node].arrive(() -> receive(late, report, (status, body) -> { }));
+                    processes[node].arrive(() -> receive(late, report, (status, body) -> {}));
                 }
             });
             return;
@@ -437,7 +498,12 @@
         Sim.Process target = processes[node];
         Controller c = nodes[node];
         sim.after(delay(), () -> {
-            if (from.cut || from.dead || from.mute || node == deafNode || apart(from.zone, areas[node]) || blocked.contains(node + from.id)) {
+            if (from.cut
+                    || from.dead
+                    || from.mute
+                    || node == deafNode
+                    || apart(from.zone, areas[node])
+                    || blocked.contains(node + from.id)) {
                 return;
             }
             if (c == null || target.isDead()) {
@@ -445,11 +511,18 @@
                 return;
             }
             Duration sentAt = sim.now();
-            target.arrive(() -> receive(c, report, (status, body) -> sim.after(delay(), () -> {
-                if (sim.now().minus(sentAt).compareTo(ANSWER_WITHIN) < 0 && !from.cut && !from.oneWay && !from.dead && sim.random.nextDouble() >= loss) {
-                    answer.accept(status, body);
-                }
-            })));
+            target.arrive(() -> receive(
+                    c,
+                    report,
+                    (status, body) -> sim.after(delay(), () -> {
+                        if (sim.now().minus(sentAt).compareTo(ANSWER_WITHIN) < 0
+                                && !from.cut
+                                && !from.oneWay
+                                && !from.dead
+                                && sim.random.nextDouble() >= loss) {
+                            answer.accept(status, body);
+                        }
+                    })));
         });
     }
 
@@ -473,7 +546,12 @@
         var text = new StringBuilder("leader " + leader() + ":");
         alive().forEach(w -> {
             text.append(' ').append(w.id()).append(w.zone.charAt(0)).append(w.spot ? "s" : "");
-            w.tasks().forEach(t -> text.append(' ').append(t.piece).append('#').append(t.attempt).append(t.phase.charAt(0)));
+            w.tasks()
+                    .forEach(t -> text.append(' ')
+                            .append(t.piece)
+                            .append('#')
+                            .append(t.attempt)
+                            .append(t.phase.charAt(0)));
         });
         return text.toString();
     }
@@ -503,34 +581,40 @@
         if (!told.containsKey(id)) {
             return;
         }
-        ask(n -> n.submit(Pack.write(jobs.get(id).toNode()), a -> {
-            if (a.status() == 200 || a.status() == 201) {
-                told(id, asked, a);
-            } else if (a.status() != 503) {
-                broken.add("forgotten: repeated submission of " + id + " answered " + a.status());
-            }
-        }), () -> { });
+        ask(
+                n -> n.submit(Pack.write(jobs.get(id).toNode()), a -> {
+                    if (a.status() == 200 || a.status() == 201) {
+                        told(id, asked, a);
+                    } else if (a.status() != 503) {
+                        broken.add("forgotten: repeated submission of " + id + " answered " + a.status());
+                    }
+                }),
+                () -> {});
     }
 
     /** A user asks how an accepted job stands. */
     private void askAbout(String id) {
         Duration asked = sim.now();
-        ask(n -> n.poll(id, a -> {
-            if (a.status() == 200) {
-                told(id, asked, a);
-            } else if (a.status() == 404) {
-                broken.add("forgotten: " + id);
-            }
-        }), () -> { });
+        ask(
+                n -> n.poll(id, a -> {
+                    if (a.status() == 200) {
+                        told(id, asked, a);
+                    } else if (a.status() == 404) {
+                        broken.add("forgotten: " + id);
+                    }
+                }),
+                () -> {});
     }
 
     /** A user asks about a job that nobody submitted. */
     public void askForStranger(String id) {
-        ask(n -> n.poll(id, a -> {
-            if (a.status() == 200) {
-                broken.add("invented: " + id);
-            }
-        }), () -> { });
+        ask(
+                n -> n.poll(id, a -> {
+                    if (a.status() == 200) {
+                        broken.add("invented: " + id);
+                    }
+                }),
+                () -> {});
     }
 
     private void offer(Submission job) {
@@ -542,15 +626,17 @@
             }
         });
         offered.put(job.id(), asked);
-        ask(n -> n.submit(Pack.write(job.toNode()), a -> {
-            if (a.status() == 200 || a.status() == 201) {
-                told(job.id(), asked, a);
-            } else if (a.status() != 503) {
-                broken.add("submission of " + job.id() + " answered " + a.status());
-            } else {
-                sim.after(1000, () -> offer(job));
-            }
-        }), () -> offer(job));
+        ask(
+                n -> n.submit(Pack.write(job.toNode()), a -> {
+                    if (a.status() == 200 || a.status() == 201) {
+                        told(job.id(), asked, a);
+                    } else if (a.status() != 503) {
+                        broken.add("submission of " + job.id() + " answered " + a.status());
+                    } else {
+                        sim.after(1000, () -> offer(job));
+                    }
+                }),
+                () -> offer(job));
     }
 
     private void ask(java.util.function.Consumer<FrontDesk> question, Runnable otherwise) {
@@ -586,7 +672,11 @@
     public String decisions() {
         var text = new StringBuilder();
         for (int n = 0; n < 3; n++) {
-            admin(n, "GET", "/v1/decisions", "").join().body().path("decisions").forEach(d -> text.append(d.path("what").asText()).append('\n'));
+            admin(n, "GET", "/v1/decisions", "")
+                    .join()
+                    .body()
+                    .path("decisions")
+                    .forEach(d -> text.append(d.path("what").asText()).append('\n'));
         }
         return text.toString();
     }
@@ -609,7 +699,9 @@
     /** Asks a controller's administration API; the answer comes within the next second of virtual time. */
     public CompletableFuture<Admin.Answer> admin(int node, String method, String path, String body) {
         var result = new CompletableFuture<Admin.Answer>();
-        nodes[node].admin().handle(method, path, body.getBytes(java.nio.charset.StandardCharsets.UTF_8), result::complete);
+        nodes[node]
+                .admin()
+                .handle(method, path, body.getBytes(java.nio.charset.StandardCharsets.UTF_8), result::complete);
         sim.run(sim.now().plusSeconds(1));
         return result;
     }
@@ -622,13 +714,15 @@
     public void cancel(String id) {
         Duration asked = sim.now();
         wantedGone.add(id);
-        ask(n -> n.cancel(id, a -> {
-            if (a.status() == 200) {
-                told(id, asked, a);
-            } else {
-                sim.after(1000, () -> cancel(id));
-            }
-        }), () -> cancel(id));
+        ask(
+                n -> n.cancel(id, a -> {
+                    if (a.status() == 200) {
+                        told(id, asked, a);
+                    } else {
+                        sim.after(1000, () -> cancel(id));
+                    }
+                }),
+                () -> cancel(id));
     }
 
     /** Takes an answer to a question asked at some time; answers that crossed a newer one say nothing about order. */
@@ -653,7 +747,8 @@
                 sim.after(CANCEL.plusMillis(1), this::quota);
             }
         }
-        if (phase.equals("done") && done.getOrDefault(id, Set.of()).size() < jobs.get(id).tasks()) {
+        if (phase.equals("done")
+                && done.getOrDefault(id, Set.of()).size() < jobs.get(id).tasks()) {
             broken.add("not_done: " + id);
         }
     }
@@ -677,11 +772,13 @@
 
     private List<WorkerStandIn.Task> live() {
         var list = new ArrayList<WorkerStandIn.Task>();
-        workers.values().stream().filter(w -> !w.dead).forEach(w -> w.tasks().forEach(t -> {
-            if (t.onMachine()) {
-                list.add(t);
-            }
-        }));
+        workers.values().stream()
+                .filter(w -> !w.dead)
+                .forEach(w -> w.tasks().forEach(t -> {
+                    if (t.onMachine()) {
+                        list.add(t);
+                    }
+                }));
         return list;
     }
 
@@ -710,7 +807,11 @@
                 zones.add(workers.get(t.host()).zone);
             }
         }
-        long inZone = live().stream().filter(t -> t.piece.job().equals(started.piece.job()) && workers.containsKey(t.host()) && workers.get(t.host()).zone.equals(worker.zone)).count();
+        long inZone = live().stream()
+                .filter(t -> t.piece.job().equals(started.piece.job())
+                        && workers.containsKey(t.host())
+                        && workers.get(t.host()).zone.equals(worker.zone))
+                .count();
         boolean tooMany = job.spread() && inZone > (job.tasks() + 1) / 2;
         boolean otherZone = job.zone().filter(z -> !z.equals(worker.zone)).isPresent();
         if ((job.sameZone() && zones.size() > 1) || (worker.spot && !job.spot()) || tooMany || otherZone) {
@@ -733,14 +834,20 @@
         for (Submission job : jobs.values()) {
             boolean over = over(job.id()) || wantedGone.contains(job.id()) || !told.containsKey(job.id());
             int ended = done.getOrDefault(job.id(), Set.of()).size();
-            long here = live.stream().filter(t -> t.piece.job().equals(job.id())).count();
+            long here =
+                    live.stream().filter(t -> t.piece.job().equals(job.id())).count();
             boolean missing = job.gang() ? here < job.tasks() : here + ended < job.tasks();
-            long used = live.stream().filter(t -> jobs.get(t.piece.job()).team().equals(job.team())).count();
+            long used = live.stream()
+                    .filter(t -> jobs.get(t.piece.job()).team().equals(job.team()))
+                    .count();
             long needs = job.gang() ? job.tasks() - here : 1;
             boolean underLimit = used + needs <= (job.team().equals("red") ? QUOTA_RED : QUOTA_BLUE);
             if (over || !missing || !underLimit || room(job) < needs) {
                 waitsBesideRoom.remove(job.id());
-            } else if (sim.now().minus(waitsBesideRoom.computeIfAbsent(job.id(), k -> sim.now())).compareTo(LONGEST_WAIT) > 0) {
+            } else if (sim.now()
+                            .minus(waitsBesideRoom.computeIfAbsent(job.id(), k -> sim.now()))
+                            .compareTo(LONGEST_WAIT)
+                    > 0) {
                 broken.add("waits beside room: " + job.id());
                 waitsBesideRoom.remove(job.id());
             }
@@ -751,12 +858,19 @@
     private int room(Submission job) {
         var perZone = new HashMap<String, Integer>();
         for (WorkerStandIn w : workers.values()) {
-            boolean fits = !w.dead && !w.mute && !w.oneWay && w.takenAt == null && (job.spot() || !w.spot) && job.zone().map(w.zone::equals).orElse(true);
+            boolean fits = !w.dead
+                    && !w.mute
+                    && !w.oneWay
+                    && w.takenAt == null
+                    && (job.spot() || !w.spot)
+                    && job.zone().map(w.zone::equals).orElse(true);
             if (fits) {
                 perZone.merge(w.zone, SLOTS - (int) w.held(), Integer::sum);
             }
         }
-        return job.sameZone() ? perZone.values().stream().mapToInt(n -> n).max().orElse(0) : perZone.values().stream().mapToInt(n -> n).sum();
+        return job.sameZone()
+                ? perZone.values().stream().mapToInt(n -> n).max().orElse(0)
+                : perZone.values().stream().mapToInt(n -> n).sum();
     }
 
     private boolean over(String id) {
@@ -777,22 +891,38 @@
                 }
             }
         }
-        var kept = jobs.values().stream().filter(j -> told.containsKey(j.id()) && !wantedGone.contains(j.id())).toList();
+        var kept = jobs.values().stream()
+                .filter(j -> told.containsKey(j.id()) && !wantedGone.contains(j.id()))
+                .toList();
         var groups = new TreeMap<String, List<Submission>>();
         for (Submission j : kept) {
-            groups.computeIfAbsent("class " + j.jobClass() + (j.gang() ? " of gangs" : ""), k -> new ArrayList<>()).add(j);
+            groups.computeIfAbsent("class " + j.jobClass() + (j.gang() ? " of gangs" : ""), k -> new ArrayList<>())
+                    .add(j);
             groups.computeIfAbsent("team " + j.team(), k -> new ArrayList<>()).add(j);
         }
         for (boolean gang : new boolean[] {true, false}) {
-            int largest = kept.stream().filter(j -> j.gang() == gang).mapToInt(Submission::tasks).max().orElse(0);
-            kept.stream().filter(j -> j.gang() == gang && j.tasks() == largest).forEach(j -> groups.computeIfAbsent("largest " + (gang ? "gangs" : "arrays"), k -> new ArrayList<>()).add(j));
+            int largest = kept.stream()
+                    .filter(j -> j.gang() == gang)
+                    .mapToInt(Submission::tasks)
+                    .max()
+                    .orElse(0);
+            kept.stream()
+                    .filter(j -> j.gang() == gang && j.tasks() == largest)
+                    .forEach(j -> groups.computeIfAbsent(
+                                    "largest " + (gang ? "gangs" : "arrays"), k -> new ArrayList<>())
+                            .add(j));
         }
         groups.forEach((name, members) -> {
             if (members.stream().filter(j -> lastTold(j.id()).equals("done")).count() * 2 < members.size()) {
                 failures.add("less than half served: " + name);
             }
             if (name.startsWith("largest")) {
-                members.stream().filter(j -> !begunAt.containsKey(j.id()) || begunAt.get(j.id()).minus(submittedAt.get(j.id())).compareTo(LARGEST_BEGIN) > 0)
+                members.stream()
+                        .filter(j -> !begunAt.containsKey(j.id())
+                                || begunAt.get(j.id())
+                                                .minus(submittedAt.get(j.id()))
+                                                .compareTo(LARGEST_BEGIN)
+                                        > 0)
                         .forEach(j -> failures.add(name + " began late: " + j.id()));
             }
         });
@@ -807,15 +937,21 @@
     }
 
     private List<WorkerStandIn.Task> members(WorkerStandIn.Task one) {
-        return live().stream().filter(t -> t.piece.job().equals(one.piece.job()) && t.attempt == one.attempt).toList();
+        return live().stream()
+                .filter(t -> t.piece.job().equals(one.piece.job()) && t.attempt == one.attempt)
+                .toList();
     }
 
     boolean gangComplete(WorkerStandIn.Task one) {
-        return members(one).stream().map(t -> t.piece.index()).distinct().count() == jobs.get(one.piece.job()).tasks();
+        return members(one).stream().map(t -> t.piece.index()).distinct().count()
+                == jobs.get(one.piece.job()).tasks();
     }
 
     boolean gangIntact(WorkerStandIn.Task one) {
-        return gangComplete(one) && members(one).stream().noneMatch(t -> workers.containsKey(t.host()) && workers.get(t.host()).hangNoticed());
+        return gangComplete(one)
+                && members(one).stream()
+                        .noneMatch(t -> workers.containsKey(t.host())
+                                && workers.get(t.host()).hangNoticed());
     }
 
     void startGang(WorkerStandIn.Task one) {
@@ -828,7 +964,9 @@
 
     void finished(WorkerStandIn.Task one) {
         List<WorkerStandIn.Task> all = isGang(one.piece) ? members(one) : List.of(one);
-        if (all.stream().anyMatch(t -> workers.containsKey(t.host()) && workers.get(t.host()).hung())) {
+        if (all.stream()
+                .anyMatch(t ->
+                        workers.containsKey(t.host()) && workers.get(t.host()).hung())) {
             return; // a gang makes no progress while one of its machines hangs
         }
         all.forEach(t -> {
@@ -843,7 +981,9 @@
                 sim.after(sim.random.nextInt(300), () -> askAbout(id));
             }
         }
-        if (done.get(id).size() == jobs.get(id).tasks() && cancelledAtEnd > 0 && sim.random.nextDouble() < cancelledAtEnd) {
+        if (done.get(id).size() == jobs.get(id).tasks()
+                && cancelledAtEnd > 0
+                && sim.random.nextDouble() < cancelledAtEnd) {
             met("cancelled at its end");
             sim.after(sim.random.nextInt(5), () -> cancel(id));
         }
--- a/src/test/java/org/dunespindle/sim/WorldTest.java
+++ b/src/test/java/org/dunespindle/sim/WorldTest.java
@@ -17,8 +17,25 @@
 /** Whole controllers against stand-ins in virtual time, through failures drawn from fixed seeds. */
 class WorldTest {
     static Submission job(String id, String team, Shape shape, int tasks, boolean sameZone, boolean spot) {
-        return new Submission(id, "class", team, shape, shape == Shape.GANG ? Priority.URGENT : Priority.LOW, tasks, new Resources(1, 1, 1), Optional.empty(), Optional.empty(),
-                sameZone, false, spot, "image-" + tasks % 2, 2, Duration.ofSeconds(5), Duration.ZERO, Duration.ZERO, Optional.empty());
+        return new Submission(
+                id,
+                "class",
+                team,
+                shape,
+                shape == Shape.GANG ? Priority.URGENT : Priority.LOW,
+                tasks,
+                new Resources(1, 1, 1),
+                Optional.empty(),
+                Optional.empty(),
+                sameZone,
+                false,
+                spot,
+                "image-" + tasks % 2,
+                2,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty());
     }
 
     static List<String> submitMix(World world, int count) {
@@ -26,7 +43,13 @@
         for (int i = 0; i < count; i++) {
             String id = "wk-%06d".formatted(i);
             ids.add(id);
-            Submission job = job(id, i % 2 == 0 ? "red" : "blue", i % 3 == 0 ? Shape.GANG : Shape.ARRAY, i % 3 == 0 ? 1 + i % 4 : 2 + i % 5, i % 2 == 0, i % 4 != 0);
+            Submission job = job(
+                    id,
+                    i % 2 == 0 ? "red" : "blue",
+                    i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
+                    i % 3 == 0 ? 1 + i % 4 : 2 + i % 5,
+                    i % 2 == 0,
+                    i % 4 != 0);
             world.sim.after(500L + i * 900L, () -> world.submit(job));
         }
         return ids;
@@ -61,7 +84,9 @@
                     world.cut(world.worker(pick), Duration.ofSeconds(2 + pick % 17));
                 }
             });
-            world.sim.after(8000L + world.sim.random.nextInt(50_000), () -> world.crash(pick % 3, Duration.ofMillis(200 + pick * 150L)));
+            world.sim.after(
+                    8000L + world.sim.random.nextInt(50_000),
+                    () -> world.crash(pick % 3, Duration.ofMillis(200 + pick * 150L)));
         }
         int dead = world.sim.random.nextInt(50);
         world.sim.after(30_000, () -> {
--- a/src/test/java/org/dunespindle/transport/HttpCallerTest.java
+++ b/src/test/java/org/dunespindle/transport/HttpCallerTest.java
@@ -28,11 +28,22 @@
 
     @BeforeAll
     static void start() throws Exception {
-        server = HttpListener.open(GROUP, new InetSocketAddress("127.0.0.1", 0), 1 << 16, (call, answer) -> {
-            ASKED.incrementAndGet();
-            int length = Integer.parseInt(call.path().substring(1));
-            answer.accept(new HttpReply(200, "text/plain", new byte[length], Optional.empty(), call.query().equals("last")));
-        }, status -> new HttpReply(status, "text/plain", new byte[0], Optional.empty()), new Sockets(100));
+        server = HttpListener.open(
+                GROUP,
+                new InetSocketAddress("127.0.0.1", 0),
+                1 << 16,
+                (call, answer) -> {
+                    ASKED.incrementAndGet();
+                    int length = Integer.parseInt(call.path().substring(1));
+                    answer.accept(new HttpReply(
+                            200,
+                            "text/plain",
+                            new byte[length],
+                            Optional.empty(),
+                            call.query().equals("last")));
+                },
+                status -> new HttpReply(status, "text/plain", new byte[0], Optional.empty()),
+                new Sockets(100));
         address = "127.0.0.1:" + ((InetSocketAddress) server.localAddress()).getPort();
     }
 
@@ -43,7 +54,10 @@
     }
 
     private static HttpAnswer get(HttpCaller http, int length) throws Exception {
-        return GROUP.next().submit(() -> http.send(address, "GET", "/" + length, new byte[0], "text/plain", PATIENCE)).get().get();
+        return GROUP.next()
+                .submit(() -> http.send(address, "GET", "/" + length, new byte[0], "text/plain", PATIENCE))
+                .get()
+                .get();
     }
 
     @Test
@@ -60,11 +74,13 @@
     void aConnectThatCompletesAfterItsTimeSendsNothing() throws Exception {
         var http = new HttpCaller(GROUP.next(), 4, new Sockets(100));
         int before = ASKED.get();
-        var call = GROUP.next().submit(() -> {
-            var result = http.send(address, "GET", "/7", new byte[0], "text/plain", Duration.ofMillis(1));
-            Thread.sleep(60); // the loop itself stands still
-            return result;
-        }).get();
+        var call = GROUP.next()
+                .submit(() -> {
+                    var result = http.send(address, "GET", "/7", new byte[0], "text/plain", Duration.ofMillis(1));
+                    Thread.sleep(60); // the loop itself stands still
+                    return result;
+                })
+                .get();
         var failure = assertThrows(ExecutionException.class, call::get);
         assertEquals(false, ((CallFailure) failure.getCause()).sent());
         assertEquals(3, get(http, 3).body().length);
@@ -96,7 +112,8 @@
     void theLastAnswerEndsTheConnection() throws Exception {
         try (var socket = new Socket("127.0.0.1", ((InetSocketAddress) server.localAddress()).getPort())) {
             socket.setSoTimeout((int) PATIENCE.toMillis());
-            socket.getOutputStream().write("GET /3?last HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write("GET /3?last HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             assertTrue(answer.toLowerCase().contains("connection: close"), answer);
         }
