--- a/src/main/java/org/dunespindle/AdminCommands.java
+++ b/src/main/java/org/dunespindle/AdminCommands.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
 import org.dunespindle.coordination.Admin;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.transport.HttpAnswer;
 import org.dunespindle.transport.HttpCaller;
 import org.dunespindle.transport.Sockets;
@@ -128,8 +128,8 @@
         if (now.status() != 200) {
             return print(now);
         }
-        ObjectNode change =
-                Pack.map().put("stamp", JSON.readTree(now.body()).path("stamp").longValue());
+        ObjectNode change = MessagePackCodec.map()
+                .put("stamp", JSON.readTree(now.body()).path("stamp").longValue());
         change.putObject("values").set(parts.get(0), value);
         return print(call(http, at, "PUT", "/v1/options", Admin.write(change)));
     }
--- a/src/main/java/org/dunespindle/Rehearsal.java
+++ b/src/main/java/org/dunespindle/ClassArchiveTraining.java
@@ -11,8 +11,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.SampleMessages;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.protocol.Shape;
 import org.dunespindle.transport.HttpCall;
 import org.dunespindle.transport.HttpCaller;
 import org.dunespindle.transport.HttpListener;
@@ -23,7 +25,7 @@
  * A short life on loopback, so that the build can archive the classes that a real start loads: starting a
  * JVM is dear on a seventh of a core. What it answers itself is canned; nothing is tested here.
  */
-final class Rehearsal {
+final class ClassArchiveTraining {
     private static final String HOST = "127.0.0.1";
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final Duration LENGTH = Duration.ofMillis(2500);
@@ -31,14 +33,14 @@
 
     private static final int SOCKETS = 256;
 
-    private Rehearsal() {}
+    private ClassArchiveTraining() {}
 
     static int run() {
         try {
-            new Rehearsal().play();
+            new ClassArchiveTraining().play();
             return 0;
         } catch (IOException | MalformedException | RuntimeException e) {
-            System.err.println("dunespindle: rehearsal: " + e.getMessage());
+            System.err.println("dunespindle: class archive training: " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
             return 1;
@@ -49,9 +51,19 @@
         var group = new NioEventLoopGroup(1);
         var sockets = new Sockets(SOCKETS);
         Channel outside = HttpListener.open(
-                group, new InetSocketAddress(HOST, 0), 1 << 16, this::answer, s -> reply(s, Pack.map()), sockets);
+                group,
+                new InetSocketAddress(HOST, 0),
+                1 << 16,
+                this::answer,
+                s -> reply(s, MessagePackCodec.map()),
+                sockets);
         Channel probe = HttpListener.open(
-                group, new InetSocketAddress(HOST, 0), 1 << 16, this::answer, s -> reply(s, Pack.map()), sockets);
+                group,
+                new InetSocketAddress(HOST, 0),
+                1 << 16,
+                this::answer,
+                s -> reply(s, MessagePackCodec.map()),
+                sockets);
         int front = port(probe);
         probe.close().sync();
         String there = HOST + ":" + port(outside);
@@ -88,25 +100,43 @@
                 rps = 6.0
                 list_lag_s = 3.0
                 """.formatted(HOST, front, HOST, there, there, there);
-        Path settings = Files.writeString(Files.createTempFile("rehearsal", ".toml"), file);
+        Path settings = Files.writeString(Files.createTempFile("class-archive-training", ".toml"), file);
         try (var daemon = new Daemon(Settings.load(settings))) {
             var http = new HttpCaller(group.next(), 4, sockets);
             String self = HOST + ":" + front;
             Thread.sleep(LENGTH.toMillis() / 2);
-            http.send(self, "GET", "/healthz", new byte[0], Pack.TYPE, TIMEOUT);
-            http.send(self, "POST", "/agent/beat", Pack.write(workerReport(there)), Pack.TYPE, TIMEOUT);
-            http.send(self, "POST", "/submissions", Pack.write(job("wk-1", "array")), Pack.TYPE, TIMEOUT);
-            http.send(self, "POST", "/submissions", Pack.write(job("wk-2", "group")), Pack.TYPE, TIMEOUT);
+            http.send(self, "GET", "/healthz", new byte[0], MessagePackCodec.TYPE, TIMEOUT);
+            http.send(
+                    self,
+                    "POST",
+                    "/agent/beat",
+                    MessagePackCodec.write(SampleMessages.workerReport(there, 1, 0)),
+                    MessagePackCodec.TYPE,
+                    TIMEOUT);
+            http.send(
+                    self,
+                    "POST",
+                    "/submissions",
+                    MessagePackCodec.write(SampleMessages.job("wk-1", Shape.ARRAY)),
+                    MessagePackCodec.TYPE,
+                    TIMEOUT);
+            http.send(
+                    self,
+                    "POST",
+                    "/submissions",
+                    MessagePackCodec.write(SampleMessages.job("wk-2", Shape.GANG)),
+                    MessagePackCodec.TYPE,
+                    TIMEOUT);
             Thread.sleep(LENGTH.toMillis() / 4);
             http.send(
                     self,
                     "POST",
                     "/agent/beat",
-                    Pack.write(workerReport(there).put("tick", 2).put("baton", 2)),
-                    Pack.TYPE,
+                    MessagePackCodec.write(SampleMessages.workerReport(there, 2, 2)),
+                    MessagePackCodec.TYPE,
                     TIMEOUT);
-            http.send(self, "GET", "/submissions/wk-1", new byte[0], Pack.TYPE, TIMEOUT);
-            http.send(self, "POST", "/submissions/wk-1/withdraw", new byte[0], Pack.TYPE, TIMEOUT);
+            http.send(self, "GET", "/submissions/wk-1", new byte[0], MessagePackCodec.TYPE, TIMEOUT);
+            http.send(self, "POST", "/submissions/wk-1/withdraw", new byte[0], MessagePackCodec.TYPE, TIMEOUT);
             Thread.sleep(LENGTH.toMillis() / 4);
         } finally {
             Files.delete(settings);
@@ -120,84 +150,11 @@
     }
 
     private static HttpReply reply(int status, ObjectNode body) {
-        return new HttpReply(status, Pack.TYPE, Pack.write(body), Optional.empty());
-    }
-
-    private static ObjectNode workerReport(String address) {
-        ObjectNode n = Pack.map()
-                .put("host", "i-1")
-                .put("address", address)
-                .put("hull", "m")
-                .put("dune", "z")
-                .put("driftwood", false)
-                .put("tenure", 1)
-                .put("tick", 1)
-                .put("baton", 0);
-        n.putArray("pieces")
-                .addObject()
-                .put("piece", "wk-9/0")
-                .put("try", 1)
-                .put("phase", "exited")
-                .put("cause", "done");
-        return n;
-    }
-
-    private static ObjectNode job(String id, String shape) {
-        return Pack.map()
-                .put("id", id)
-                .put("jobclass", "c")
-                .put("owner", "t")
-                .put("shape", shape)
-                .put("rank", "urgent")
-                .put("pieces", 2)
-                .put("vcpus", 1.0)
-                .put("accelerators", 1.0)
-                .put("ramGb", 1.0)
-                .put("samePlace", true)
-                .put("apart", false)
-                .put("driftwood", true)
-                .put("bundle", "i")
-                .put("imageGb", 1.0)
-                .put("guessS", 1.0)
-                .put("snapshotS", 0.0)
-                .put("flushS", 0.0);
+        return new HttpReply(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), Optional.empty());
     }
 
     private void answer(HttpCall call, Consumer<HttpReply> out) {
-        ObjectNode n = Pack.map().put("epoch", revision).put("more", false);
-        switch (call.path()) {
-            case "/txn" -> n.put("epoch", ++revision);
-            case "/holds" -> n.put("tether", 1);
-            case "/orders" ->
-                n = workerReport("")
-                        .put("address", "127.0.0.1:1")
-                        .put("baton", 2)
-                        .put("tick", 3);
-            case "/catalog" -> {
-                ObjectNode h = n.putArray("hulls").addObject();
-                h.put("name", "m")
-                        .put("vcpus", 4.0)
-                        .put("accelerators", 4.0)
-                        .put("ramGb", 4.0)
-                        .put("cacheGb", 4.0)
-                        .put("fetchGbPerS", 1.0)
-                        .put("hourly", 1.0)
-                        .put("lowPrice", 1.0)
-                        .put("readyS", 1.0);
-                h.putArray("dunes").add("z");
-            }
-            case "/rentals" -> {
-                ObjectNode h = n.putArray("hosts").addObject();
-                h.put("id", "i-1")
-                        .put("address", "127.0.0.1:1")
-                        .put("hull", "m")
-                        .put("dune", "z")
-                        .put("driftwood", false)
-                        .put("phase", "running")
-                        .put("ageS", 1.0);
-            }
-            default -> {}
-        }
-        out.accept(reply(200, n));
+        revision += call.path().equals("/txn") ? 1 : 0;
+        out.accept(reply(200, SampleMessages.answer(call.path(), revision)));
     }
 }
--- a/src/main/java/org/dunespindle/Daemon.java
+++ b/src/main/java/org/dunespindle/Daemon.java
@@ -11,14 +11,14 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.dunespindle.bookkeeping.Timeline;
 import org.dunespindle.coordination.Admin;
 import org.dunespindle.coordination.Controller;
-import org.dunespindle.coordination.FrontDesk;
+import org.dunespindle.coordination.UserApi;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.storage.Timeline;
 import org.dunespindle.transport.HttpCall;
 import org.dunespindle.transport.HttpCaller;
 import org.dunespindle.transport.HttpListener;
@@ -39,6 +39,7 @@
     private final Channel front;
     private final Channel peer;
 
+    /** Binds the listeners and starts the controller. */
     public Daemon(Settings settings) throws InterruptedException {
         sockets = new Sockets(settings.sockets());
         EventLoop loop = group.next();
@@ -49,14 +50,14 @@
                 settings.front(),
                 BODY_LIMIT,
                 this::front,
-                status -> packed(status, Pack.map().put("error", refusal(status)), Optional.empty()),
+                status -> packed(status, MessagePackCodec.map().put("error", refusal(status)), Optional.empty()),
                 sockets);
         peer = HttpListener.open(
                 group,
                 settings.peerListen(),
                 PEER_BODY_LIMIT,
                 this::peer,
-                status -> json(status, Pack.map().put("error", refusal(status))),
+                status -> json(status, MessagePackCodec.map().put("error", refusal(status))),
                 sockets);
         loop.execute(controller::start);
     }
@@ -93,6 +94,7 @@
         return (InetSocketAddress) peer.localAddress();
     }
 
+    /** Blocks until the process is told to end. */
     public void awaitEnd() throws InterruptedException {
         front.closeFuture().sync();
     }
@@ -113,7 +115,7 @@
     }
 
     private static HttpReply packed(int status, ObjectNode body, Optional<Duration> retryAfter) {
-        return new HttpReply(status, Pack.TYPE, Pack.write(body), retryAfter);
+        return new HttpReply(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), retryAfter);
     }
 
     private static HttpReply json(int status, ObjectNode body) {
@@ -121,7 +123,7 @@
     }
 
     private void front(HttpCall call, Consumer<HttpReply> reply) {
-        Consumer<FrontDesk.Answer> user = a -> reply.accept(packed(a.status(), a.body(), a.retryAfter()));
+        Consumer<UserApi.Answer> user = a -> reply.accept(packed(a.status(), a.body(), a.retryAfter()));
         String path = call.path();
         if (path.equals("/agent/beat")) {
             only("POST", call, reply, () -> beat(call, reply));
@@ -135,7 +137,7 @@
                         Optional.empty()));
             });
         } else if (path.equals("/submissions")) {
-            only("POST", call, reply, () -> controller.frontDesk().submit(call.body(), user));
+            only("POST", call, reply, () -> controller.userApi().submit(call.body(), user));
         } else if (path.startsWith("/submissions/")) {
             String rest = path.substring("/submissions/".length());
             if (rest.endsWith("/withdraw")) {
@@ -144,10 +146,10 @@
                         call,
                         reply,
                         () -> controller
-                                .frontDesk()
+                                .userApi()
                                 .cancel(rest.substring(0, rest.length() - "/withdraw".length()), user));
             } else if (rest.indexOf('/') < 0 && !rest.isEmpty()) {
-                only("GET", call, reply, () -> controller.frontDesk().poll(rest, user));
+                only("GET", call, reply, () -> controller.userApi().poll(rest, user));
             } else {
                 notFound(reply);
             }
@@ -157,26 +159,27 @@
     }
 
     private static void notFound(Consumer<HttpReply> reply) {
-        reply.accept(packed(404, Pack.map().put("error", "no such path"), Optional.empty()));
+        reply.accept(packed(404, MessagePackCodec.map().put("error", "no such path"), Optional.empty()));
     }
 
     private static void only(String method, HttpCall call, Consumer<HttpReply> reply, Runnable work) {
         if (call.method().equals(method)) {
             work.run();
         } else {
-            reply.accept(packed(405, Pack.map().put("error", call.path() + " takes " + method), Optional.empty()));
+            reply.accept(packed(
+                    405, MessagePackCodec.map().put("error", call.path() + " takes " + method), Optional.empty()));
         }
     }
 
     private void beat(HttpCall call, Consumer<HttpReply> reply) {
         try {
-            WorkerReport report = WorkerReport.parse(Pack.read(call.body()));
-            controller.reportDesk().report(report, (status, body) -> {
+            WorkerReport report = WorkerReport.parse(MessagePackCodec.read(call.body()));
+            controller.heartbeatHandler().report(report, (status, body) -> {
                 HttpReply whole = packed(status, body, Optional.empty());
                 reply.accept(sockets.scarce() ? whole.andClose() : whole);
             });
         } catch (MalformedException e) {
-            reply.accept(packed(400, Pack.map().put("error", e.getMessage()), Optional.empty()));
+            reply.accept(packed(400, MessagePackCodec.map().put("error", e.getMessage()), Optional.empty()));
         }
     }
 
--- a/src/main/java/org/dunespindle/Main.java
+++ b/src/main/java/org/dunespindle/Main.java
@@ -14,6 +14,7 @@
 
     private Main() {}
 
+    /** Runs a controller or an administration command. */
     public static void main(String[] args) {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
@@ -41,11 +42,12 @@
                 .type(Path.class)
                 .description("Run a controller with this settings file (TOML).")
                 .build());
-        CommandSpec rehearse = CommandSpec.create().name("rehearse");
-        rehearse.usageMessage()
+        CommandSpec classArchiveTraining = CommandSpec.create().name("train-class-archive");
+        classArchiveTraining
+                .usageMessage()
                 .description("Start up against nothing and end, for the build's class archive.")
                 .hidden(true);
-        spec.addSubcommand("rehearse", rehearse);
+        spec.addSubcommand("train-class-archive", classArchiveTraining);
         AdminCommands.addTo(spec);
         return spec;
     }
@@ -53,7 +55,9 @@
     private static int execute(ParseResult parsed) {
         if (parsed.hasSubcommand()) {
             ParseResult sub = parsed.subcommand();
-            return sub.commandSpec().name().equals("rehearse") ? Rehearsal.run() : AdminCommands.run(sub);
+            return sub.commandSpec().name().equals("train-class-archive")
+                    ? ClassArchiveTraining.run()
+                    : AdminCommands.run(sub);
         }
         Path file = parsed.matchedOptionValue("--config", null);
         if (file == null) {
--- a/src/main/java/org/dunespindle/coordination/Admin.java
+++ b/src/main/java/org/dunespindle/coordination/Admin.java
@@ -10,16 +10,16 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import org.dunespindle.bookkeeping.Claim;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.Allocation;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 
 /** The administration API, version 1: JSON on the peers' address. */
 public final class Admin {
@@ -29,7 +29,7 @@
     private final Replica replica;
     private final Membership membership;
     private final Committer committer;
-    private final MachineEdits edits;
+    private final MachineWriter machineWriter;
     private final Decisions decisions;
     private final Controller controller;
     private final Map<String, Histogram> latencies;
@@ -38,20 +38,17 @@
     public record Answer(int status, ObjectNode body) {}
 
     Admin(
-            Settings settings,
-            Replica replica,
-            Membership membership,
+            ControllerContext context,
             Committer committer,
-            MachineEdits edits,
-            Decisions decisions,
+            MachineWriter machineWriter,
             Controller controller,
             Map<String, Histogram> latencies) {
-        this.settings = settings;
-        this.replica = replica;
-        this.membership = membership;
+        this.settings = context.settings();
+        this.replica = context.replica();
+        this.membership = context.membership();
+        this.decisions = context.decisions();
         this.committer = committer;
-        this.edits = edits;
-        this.decisions = decisions;
+        this.machineWriter = machineWriter;
         this.controller = controller;
         this.latencies = latencies;
     }
@@ -75,11 +72,11 @@
     }
 
     private static Answer error(int status, String text) {
-        return new Answer(status, Pack.map().put("error", text));
+        return new Answer(status, MessagePackCodec.map().put("error", text));
     }
 
     private Answer read(String what) {
-        ObjectNode n = Pack.map();
+        ObjectNode n = MessagePackCodec.map();
         if (what.startsWith("jobs/")) {
             return replica.job(what.substring("jobs/".length()))
                     .map(j -> new Answer(200, show(j, true)))
@@ -131,7 +128,7 @@
     }
 
     private ObjectNode show(JobRecord j, boolean whole) {
-        ObjectNode n = FrontDesk.show(j).body();
+        ObjectNode n = UserApi.show(j).body();
         j.spec()
                 .ifPresent(s -> n.put("class", s.jobClass())
                         .put("team", s.team())
@@ -146,7 +143,7 @@
         if (whole && j.spec().isPresent()) {
             n.put("mode", j.mode().name().toLowerCase(java.util.Locale.ROOT)).put("failures", j.failures());
             var list = n.putArray("places");
-            for (Claim c : j.claims()) {
+            for (Allocation c : j.allocations()) {
                 list.addObject()
                         .put("task", c.task())
                         .put("host", c.host())
@@ -157,8 +154,8 @@
         return n;
     }
 
-    private ObjectNode show(HostRecord h) {
-        ObjectNode n = Pack.map()
+    private ObjectNode show(MachineRecord h) {
+        ObjectNode n = MessagePackCodec.map()
                 .put("id", h.id())
                 .put("type", h.type())
                 .put("zone", h.zone())
@@ -166,7 +163,7 @@
                 .put("owner", h.owner())
                 .put("token", h.token())
                 .put("rented", h.rented().toString())
-                .put("tasks", replica.claimsOn(h.id()).size())
+                .put("tasks", replica.allocationsOn(h.id()).size())
                 .put("leaving", h.leaving());
         membership.hashed(h.id()).filter(home -> !home.equals(h.owner())).ifPresent(home -> n.put("lentBy", home));
         return h.leaving() ? n.put("why", h.why()) : n;
@@ -209,7 +206,7 @@
         ObjectNode merged = replica.value(Keys.OPTIONS)
                 .filter(JsonNode::isObject)
                 .map(v -> ((ObjectNode) v).deepCopy())
-                .orElseGet(Pack::map);
+                .orElseGet(MessagePackCodec::map);
         for (Iterator<Map.Entry<String, JsonNode>> it = n.get("values").fields(); it.hasNext(); ) {
             var e = it.next();
             Optional<String> wrong = Options.complaint(
@@ -224,24 +221,26 @@
                 new Txn().guard(Keys.OPTIONS, n.get("stamp").longValue()).write(Keys.OPTIONS, merged),
                 Keys.OPTIONS,
                 answer,
-                () -> new Answer(200, Pack.map().put("stamp", replica.stamp(Keys.OPTIONS))));
+                () -> new Answer(200, MessagePackCodec.map().put("stamp", replica.stamp(Keys.OPTIONS))));
     }
 
     private void drain(String id, Consumer<Answer> answer) {
-        HostRecord h = replica.hosts().get(id);
+        MachineRecord h = replica.hosts().get(id);
         if (h == null) {
             answer.accept(error(404, "no such machine"));
             return;
         }
-        if (edits.busy(id)) {
+        if (machineWriter.busy(id)) {
             answer.accept(error(409, "another change is under way; read again and repeat"));
             return;
         }
-        edits.change(
+        machineWriter.change(
                 Committer.Lane.USERS,
-                h.leaving(HostRecord.DRAINED),
+                h.leaving(MachineRecord.DRAINED),
                 r -> answer.accept(after(
-                        r, () -> new Answer(200, Pack.map().put("id", id).put("leaving", true)))));
+                        r,
+                        () -> new Answer(
+                                200, MessagePackCodec.map().put("id", id).put("leaving", true)))));
     }
 
     private void commit(Txn txn, String key, Consumer<Answer> answer, java.util.function.Supplier<Answer> good) {
--- a/src/main/java/org/dunespindle/coordination/Cancellations.java
+++ b/src/main/java/org/dunespindle/coordination/Cancellations.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Replica.Placed;
-import org.dunespindle.bookkeeping.Timeline;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Replica.Placed;
+import org.dunespindle.storage.Timeline;
 
 /**
  * What this controller knows of cancellations, and how old that knowledge may be at most.
@@ -74,14 +74,14 @@
         return job.end() == JobRecord.End.CANCELLED || job.open() && told.contains(job.id());
     }
 
-    /** A machine's claims as they stand with what others told: those of cancelled jobs are to end. */
-    List<Placed> marked(List<Placed> claims) {
+    /** A machine's allocations as they stand with what others told: those of cancelled jobs are to end. */
+    List<Placed> marked(List<Placed> allocations) {
         if (told.isEmpty()) {
-            return claims;
+            return allocations;
         }
-        return claims.stream()
+        return allocations.stream()
                 .map(p -> p.job().open() && told.contains(p.job().id())
-                        ? new Placed(p.job().cancelled(), p.claim())
+                        ? new Placed(p.job().cancelled(), p.allocation())
                         : p)
                 .toList();
     }
--- a/src/main/java/org/dunespindle/coordination/CloudClient.java
+++ b/src/main/java/org/dunespindle/coordination/CloudClient.java
@@ -7,14 +7,15 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
-import org.dunespindle.bookkeeping.MeteredCaller;
-import org.dunespindle.bookkeeping.RateBudget;
-import org.dunespindle.bookkeeping.Timeline;
 import org.dunespindle.protocol.ListedMachine;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.RentalRequest;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.MeteredCaller;
+import org.dunespindle.storage.RateBudget;
+import org.dunespindle.storage.Timeline;
 import org.dunespindle.transport.CallFailure;
 import org.dunespindle.transport.Caller;
 import org.dunespindle.transport.HttpAnswer;
@@ -31,16 +32,19 @@
     /** A rental's outcome: machines, or a refusal for want of capacity. */
     public record Rented(List<String> hosts, boolean noCapacity) {}
 
+    /** Creates a client for the cloud that the settings name. */
     public CloudClient(Caller http, Settings settings, Timeline timeline) {
         double rate = LEADERS_PART * settings.cloud().rps();
         this.service =
                 new MeteredCaller(http, settings.cloudAddress(), timeline, new RateBudget(timeline, rate), TIMEOUT);
     }
 
+    /** How long calls took, in microseconds. */
     public Histogram latency() {
         return service.latency();
     }
 
+    /** The machine types on offer. */
     public CompletableFuture<List<MachineType>> catalog() {
         return call("GET", "/catalog", new byte[0]).thenCompose(a -> parsed(a, MachineType::parseCatalog));
     }
@@ -70,35 +74,32 @@
                 });
     }
 
-    /** Rents machines; repeating it with the same charter is safe until it was answered with 200. */
-    public CompletableFuture<Rented> rent(String charter, Planner.Market market, int count) {
-        ObjectNode body = Pack.map()
-                .put("charter", charter)
-                .put("hull", market.type())
-                .put("dune", market.zone())
-                .put("driftwood", market.spot())
-                .put("count", count);
-        return call("POST", "/rentals", Pack.write(body)).thenCompose(a -> {
-            if (a.status() == 200) {
-                return parsed(a, n -> {
-                    var hosts = new ArrayList<String>();
-                    n.path("hosts").forEach(h -> hosts.add(h.asText()));
-                    return new Rented(hosts, false);
+    /** Rents machines; repeating it with the same request id is safe until it was answered with 200. */
+    public CompletableFuture<Rented> rent(String requestId, Planner.Market market, int count) {
+        var request = new RentalRequest(requestId, market.type(), market.zone(), market.spot(), count);
+        return call("POST", "/rentals", MessagePackCodec.write(request.toNode()))
+                .thenCompose(a -> {
+                    if (a.status() == 200) {
+                        return parsed(a, n -> {
+                            var hosts = new ArrayList<String>();
+                            n.path("hosts").forEach(h -> hosts.add(h.asText()));
+                            return new Rented(hosts, false);
+                        });
+                    }
+                    boolean none = a.status() == 503
+                            && new String(a.body(), java.nio.charset.StandardCharsets.ISO_8859_1)
+                                    .contains("no capacity");
+                    return none
+                            ? CompletableFuture.completedFuture(new Rented(List.of(), true))
+                            : CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
                 });
-            }
-            boolean none = a.status() == 503
-                    && new String(a.body(), java.nio.charset.StandardCharsets.ISO_8859_1).contains("no capacity");
-            return none
-                    ? CompletableFuture.completedFuture(new Rented(List.of(), true))
-                    : CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
-        });
     }
 
     /** Returns machines; once this completes, they and everything on them are gone. */
     public CompletableFuture<Void> giveBack(List<String> hosts) {
-        ObjectNode body = Pack.map();
+        ObjectNode body = MessagePackCodec.map();
         hosts.forEach(body.withArray("/hosts")::add);
-        return call("POST", "/rentals/return", Pack.write(body))
+        return call("POST", "/rentals/return", MessagePackCodec.write(body))
                 .thenCompose(a -> a.status() == 200
                         ? CompletableFuture.completedFuture(null)
                         : CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true)));
@@ -114,7 +115,7 @@
             return CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
         }
         try {
-            return CompletableFuture.completedFuture(parser.parse(Pack.read(a.body())));
+            return CompletableFuture.completedFuture(parser.parse(MessagePackCodec.read(a.body())));
         } catch (MalformedException e) {
             return CompletableFuture.failedFuture(new CallFailure("unreadable answer", true));
         }
--- a/src/main/java/org/dunespindle/coordination/Committer.java
+++ b/src/main/java/org/dunespindle/coordination/Committer.java
@@ -10,11 +10,11 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.StateClient;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateClient;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -55,11 +55,12 @@
     public enum Lane {
         USERS,
         PLACING,
-        KEEPING
+        MAINTENANCE
     }
 
     private record Proposal(Lane lane, Set<String> locks, Txn txn, Consumer<TxnResult> then) {}
 
+    /** Creates a committer for transactions of at most so many changes. */
     public Committer(StateClient state, Replica replica, Timeline timeline, int txnOps, Runnable settled) {
         this.state = state;
         this.replica = replica;
@@ -71,6 +72,7 @@
         }
     }
 
+    /** Whether a change of this key is queued or under way. */
     public boolean isLocked(String key) {
         return locked.contains(key);
     }
@@ -130,7 +132,8 @@
             int cost = head.txn.changeCount();
             // What users wait for may be paid off afterwards; the rest waits until it is paid for, bookkeeping until
             // some is left over.
-            double wanted = head.lane == Lane.USERS ? -USERS_AHEAD : cost + (head.lane == Lane.KEEPING ? KEPT_BACK : 0);
+            double wanted =
+                    head.lane == Lane.USERS ? -USERS_AHEAD : cost + (head.lane == Lane.MAINTENANCE ? KEPT_BACK : 0);
             if (pause.isNegative() && state.writes().lacks(wanted)) {
                 pause = state.writes().until(wanted);
             }
@@ -237,7 +240,7 @@
             try {
                 p.then.accept(result);
             } catch (RuntimeException e) {
-                // One proposer's mistake must not keep the others from hearing their outcome.
+                // One proposer's mistake must not keep the others from connectivity their outcome.
                 LOG.error("what follows a stored change failed", e);
             }
         }
--- /dev/null
+++ b/src/main/java/org/dunespindle/coordination/ControllerContext.java
@@ -0,0 +1,23 @@
+package org.dunespindle.coordination;
+
+import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
+
+/**
+ * What nearly every part of a controller needs.
+ *
+ * @param replica the copy of what is stored
+ * @param membership this controller's place among the others
+ * @param sessions what is known of each worker
+ * @param decisions where decisions are told to operators
+ * @param stalls whether this process has listened all along
+ */
+record ControllerContext(
+        Settings settings,
+        Timeline timeline,
+        Replica replica,
+        Membership membership,
+        Sessions sessions,
+        Decisions decisions,
+        StallDetector stalls) {}
--- a/src/main/java/org/dunespindle/coordination/Decisions.java
+++ b/src/main/java/org/dunespindle/coordination/Decisions.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Instant;
 import java.util.ArrayDeque;
-import org.dunespindle.bookkeeping.Timeline;
+import org.dunespindle.storage.Timeline;
 import org.slf4j.Logger;
 import org.slf4j.helpers.MessageFormatter;
 
@@ -16,10 +16,12 @@
 
     private record Entry(Instant at, String text) {}
 
+    /** Creates an empty list. */
     public Decisions(Timeline timeline) {
         this.timeline = timeline;
     }
 
+    /** Logs a decision and keeps it for the administration API. */
     public void tell(Logger log, String pattern, Object... parts) {
         String text = MessageFormatter.arrayFormat(pattern, parts).getMessage();
         log.info(text);
@@ -29,6 +31,7 @@
         }
     }
 
+    /** Adds the kept decisions to a response. */
     public ObjectNode toNode(ObjectNode into) {
         ArrayNode list = into.putArray("decisions");
         latest.forEach(e -> list.addObject().put("at", e.at.toString()).put("what", e.text));
--- a/src/main/java/org/dunespindle/coordination/Faults.java
+++ b/src/main/java/org/dunespindle/coordination/FailureAttribution.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import org.dunespindle.bookkeeping.JobRecord;
+import org.dunespindle.storage.JobRecord;
 
 /**
  * Tells faulty machines from faulty jobs by where which tasks failed. A job submitted with a mistake fails on every machine: held
@@ -15,7 +15,7 @@
  * fails on different machines and has never ended well on any. A controller sees only its own machines fail, but every job's record tells
  * how often it has failed in all.
  */
-final class Faults {
+final class FailureAttribution {
     /** A job that failed on so many machines, and nowhere ended well, is taken for faulty. */
     private static final int MACHINES = 2;
     /** So many failures elsewhere, and none of its tasks done, show the same of a job that failed on one machine here. */
@@ -28,7 +28,7 @@
 
     private final Set<String> endedWell = new HashSet<>();
 
-    Faults(Function<String, Optional<JobRecord>> record) {
+    FailureAttribution(Function<String, Optional<JobRecord>> record) {
         this.record = record;
     }
 
--- a/src/main/java/org/dunespindle/coordination/FailureDetector.java
+++ b/src/main/java/org/dunespindle/coordination/FailureDetector.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Timeline;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
 
 /**
  * Whether a machine that nobody hears may be given up. FailureDetector has many causes that are not the machine's: its zone is cut off, its
@@ -25,7 +25,7 @@
     private final Settings settings;
     private final Replica replica;
     private final Membership membership;
-    private final HostDesk hostDesk;
+    private final WorkerClient workerClient;
     private final Peers peers;
     private final Sessions sessions;
     private final Timeline timeline;
@@ -46,23 +46,18 @@
     private record Command(long token, Duration since) {}
 
     FailureDetector(
-            Settings settings,
-            Replica replica,
-            Membership membership,
-            HostDesk hostDesk,
+            ControllerContext context,
+            WorkerClient workerClient,
             Peers peers,
-            Sessions sessions,
-            Timeline timeline,
-            StallDetector stalls,
             Function<String, Optional<String>> listedAddress) {
-        this.settings = settings;
-        this.replica = replica;
-        this.membership = membership;
-        this.hostDesk = hostDesk;
+        this.settings = context.settings();
+        this.replica = context.replica();
+        this.membership = context.membership();
+        this.sessions = context.sessions();
+        this.timeline = context.timeline();
+        this.stalls = context.stalls();
+        this.workerClient = workerClient;
         this.peers = peers;
-        this.sessions = sessions;
-        this.timeline = timeline;
-        this.stalls = stalls;
         this.listedAddress = listedAddress;
     }
 
@@ -70,7 +65,7 @@
      * When any controller last had a sign of life from a machine that could not be an old copy. Of its own machines a controller expects
      * reports: without them their leases run out. Another's may report to their owner alone, so an answer is enough.
      */
-    Optional<Duration> heard(HostRecord host) {
+    Optional<Duration> heard(MachineRecord host) {
         Optional<Duration> here =
                 sessions.known(host.id()).flatMap(s -> membership.owns(host) ? s.heardAt : s.aliveAt());
         Optional<Duration> there = peers.aliveAt(host);
@@ -97,11 +92,11 @@
      *
      * @param longUp whether a machine must have been up for long: one that this leader never heard is then as silent as others
      */
-    void look(Duration leadingSince, Predicate<HostRecord> longUp) {
+    void look(Duration leadingSince, Predicate<MachineRecord> longUp) {
         var all = new HashMap<String, Integer>();
         var silent = new HashMap<String, Integer>();
         Duration limit = settings.workers().report().multipliedBy(2).plusSeconds(2);
-        for (HostRecord h : replica.hosts().values()) {
+        for (MachineRecord h : replica.hosts().values()) {
             Optional<Duration> heard = heard(h);
             if (h.leaving() || heard.isEmpty() && !longUp.test(h)) {
                 continue;
@@ -121,12 +116,12 @@
         });
     }
 
-    private static String ownerKey(HostRecord h) {
+    private static String ownerKey(MachineRecord h) {
         return "by " + h.owner();
     }
 
     /** How long a machine has been silent. Whoever takes one over has not heard it yet, and what its earlier owner told last may be minutes old. */
-    Duration of(HostRecord h, Duration leadingSince) {
+    Duration of(MachineRecord h, Duration leadingSince) {
         Duration now = timeline.now();
         Duration commanded = commands.compute(
                         h.id(), (id, c) -> c != null && c.token == h.token() ? c : new Command(h.token(), now))
@@ -139,7 +134,7 @@
     }
 
     /** Whether a machine silent for so long is given up. */
-    boolean proven(HostRecord h, Duration silent, Duration most) {
+    boolean proven(MachineRecord h, Duration silent, Duration most) {
         Duration now = timeline.now();
         boolean ownerTalks = membership.owns(h) || peers.heartbeat(h.owner()).isPresent();
         Duration limit = most.plus(ownerTalks ? Duration.ZERO : OWNER_MUTE);
@@ -157,7 +152,7 @@
      * What runs there goes on as long as a controller in it may answer the workers, and their leases after that;
      * replacing it all earlier would only lose the work.
      */
-    boolean spares(HostRecord h, Duration silent) {
+    boolean spares(MachineRecord h, Duration silent) {
         var w = settings.workers();
         Duration patience = w.cancel().compareTo(w.lease()) > 0
                 ? w.cancel().plus(w.lease().dividedBy(2))
@@ -170,19 +165,19 @@
      * this controller, or may not reach the machine; then others will be found to command it. One that answers again and again but
      * whose reports reach nobody is of no use. While the answer is out, it may.
      */
-    boolean answersWhenAsked(HostRecord h) {
+    boolean answersWhenAsked(MachineRecord h) {
         Duration now = timeline.now();
         Duration vain = askedInVain.get(h.id());
         if (vain != null && now.minus(vain).compareTo(ASKED_LATELY) < 0
                 || spared.getOrDefault(h.id(), new Spared(0, now)).times >= MOST_SPARED) {
             return false;
         }
-        String known = peers.address(h).orElse(hostDesk.address(h));
+        String known = peers.address(h).orElse(workerClient.address(h));
         String address = known.isEmpty() ? listedAddress.apply(h.id()).orElse("") : known;
         if (address.isEmpty()) {
             return false;
         }
-        hostDesk.ask(h, address, yes -> {
+        workerClient.ask(h, address, yes -> {
             if (yes) {
                 askedInVain.remove(h.id());
                 spared.merge(h.id(), new Spared(1, timeline.now()), (a, b) -> new Spared(a.times + 1, b.at));
--- /dev/null
+++ b/src/main/java/org/dunespindle/coordination/GangQueues.java
@@ -0,0 +1,74 @@
+package org.dunespindle.coordination;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import org.dunespindle.storage.JobRecord;
+
+/**
+ * Which gang of each team is in placement: one at a time, in the order they came. One whose placeholders are all booked has left
+ * placement, since its whole ask counts as use by then. A gang of one never holds partial room, so it does not queue.
+ */
+final class GangQueues {
+    /** A gang that has waited so long for its team's limit is not overtaken by the team's later work any more. */
+    private static final Duration OVERTAKEN_AT_MOST = Duration.ofSeconds(20);
+
+    private final PlanState state;
+    private final Map<String, JobRecord> heads = new HashMap<>();
+
+    GangQueues(PlanState state) {
+        this.state = state;
+        for (JobRecord job : state.snapshot().jobs()) {
+            if (queues(job)) {
+                heads.merge(job.job().team(), job, (a, b) -> earlier(a, b) ? a : b);
+            }
+        }
+        heads.values().forEach(this::keepLimitFree);
+    }
+
+    /** The gang of a team that is in placement. */
+    Optional<JobRecord> head(String team) {
+        return Optional.ofNullable(heads.get(team));
+    }
+
+    /** Whether a gang may be placed now. */
+    boolean mayPlace(JobRecord gang) {
+        JobRecord head = heads.get(gang.job().team());
+        if (head == null || head.id().equals(gang.id())) {
+            return true;
+        }
+        boolean single = gang.job().tasks() == 1;
+        return single && (state.teamAllows(head.job(), head.unplacedCount()) || earlier(gang, head));
+    }
+
+    /** One that pauses after its tasks failed does not queue: it would keep its team's other gangs waiting for as long. */
+    private boolean queues(JobRecord job) {
+        boolean pauses = job.mode() == JobRecord.Mode.IDLE
+                && job.notBefore()
+                        .filter(t -> t.isAfter(state.snapshot().now()))
+                        .isPresent();
+        return job.open() && job.job().gang() && job.job().tasks() > 1 && job.unplacedCount() > 0 && !pauses;
+    }
+
+    private void keepLimitFree(JobRecord head) {
+        Duration waited = Duration.between(head.arrived(), state.snapshot().now());
+        boolean waitedLong = waited.compareTo(OVERTAKEN_AT_MOST) > 0;
+        boolean unplaced = head.mode() == JobRecord.Mode.IDLE;
+        if (waitedLong && unplaced && !state.teamAllows(head.job(), head.job().tasks())) {
+            state.reserve(head.job().team(), head.job().wholeAsk());
+        }
+    }
+
+    /** A gang whose placeholders are being placed stays the head; otherwise arrival order decides. */
+    private static boolean earlier(JobRecord one, JobRecord other) {
+        boolean placingOne = one.mode() == JobRecord.Mode.HOLD;
+        boolean placingOther = other.mode() == JobRecord.Mode.HOLD;
+        if (placingOne != placingOther) {
+            return placingOne;
+        }
+        return one.order() != other.order()
+                ? one.order() < other.order()
+                : one.id().compareTo(other.id()) < 0;
+    }
+}
--- a/src/main/java/org/dunespindle/coordination/Gangs.java
+++ b/src/main/java/org/dunespindle/coordination/Gangs.java
@@ -7,18 +7,18 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
-import org.dunespindle.bookkeeping.Claim;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Replica.Placed;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.protocol.PieceId;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.TaskPhase;
 import org.dunespindle.protocol.TaskStatus;
+import org.dunespindle.storage.Allocation;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Replica.Placed;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -30,7 +30,7 @@
     private final Settings settings;
     private final Replica replica;
     private final Committer committer;
-    private final HostDesk hostDesk;
+    private final WorkerClient workerClient;
     private final Sessions sessions;
     private final Timeline timeline;
     private final Decisions decisions;
@@ -40,22 +40,14 @@
     private final Map<String, Duration> replacingSince = new HashMap<>();
     private final Map<String, Duration> firstHold = new HashMap<>();
 
-    Gangs(
-            Settings settings,
-            Replica replica,
-            Committer committer,
-            HostDesk hostDesk,
-            Sessions sessions,
-            Timeline timeline,
-            Decisions decisions,
-            Supplier<Options> options) {
-        this.settings = settings;
-        this.replica = replica;
+    Gangs(ControllerContext context, Committer committer, WorkerClient workerClient, Supplier<Options> options) {
+        this.settings = context.settings();
+        this.replica = context.replica();
+        this.sessions = context.sessions();
+        this.timeline = context.timeline();
+        this.decisions = context.decisions();
         this.committer = committer;
-        this.hostDesk = hostDesk;
-        this.sessions = sessions;
-        this.timeline = timeline;
-        this.decisions = decisions;
+        this.workerClient = workerClient;
         this.options = options;
     }
 
@@ -95,7 +87,7 @@
         if (committer.isLocked(Keys.job(j.id()))) {
             return;
         }
-        boolean all = j.claims().size() == j.job().tasks();
+        boolean all = j.allocations().size() == j.job().tasks();
         Duration limit = all
                 ? options.get()
                         .firstHoldTimer()
@@ -117,7 +109,7 @@
                     "gang {}: its placement ended after {} s with {} of {} placeholders; queued again",
                     j.id(),
                     since.toSeconds(),
-                    j.claims().size(),
+                    j.allocations().size(),
                     j.job().tasks());
             change(j, j.stopGang().requeued(timeline.wallTime().toEpochMilli()));
         }
@@ -136,13 +128,13 @@
 
     /** Whether every member is reported in a phase, by machines commanded here. */
     private boolean allIn(JobRecord j, TaskPhase phase) {
-        for (Claim c : j.claims()) {
-            HostRecord h = replica.hosts().get(c.host());
-            if (h == null || !hostDesk.ready(h) || sessions.of(h.id()).calling) {
+        for (Allocation c : j.allocations()) {
+            MachineRecord h = replica.hosts().get(c.host());
+            if (h == null || !workerClient.ready(h) || sessions.of(h.id()).calling) {
                 return false;
             }
             Optional<TaskStatus> t =
-                    sessions.of(h.id()).report.get().find(new PieceId(j.id(), c.task()), j.wantedAttempt(c));
+                    sessions.of(h.id()).report.get().find(new TaskId(j.id(), c.task()), j.wantedAttempt(c));
             if (t.filter(x -> x.phase() == phase).isEmpty()) {
                 return false;
             }
@@ -152,16 +144,16 @@
 
     /** On every controller: from a machine about to be taken away, work that can save is stopped in time, gangs as a whole. */
     void drainNoticed() {
-        for (String host : hostDesk.noticed()) {
-            HostRecord h = replica.hosts().get(host);
-            if (h == null || !hostDesk.commands(h)) {
+        for (String host : workerClient.noticed()) {
+            MachineRecord h = replica.hosts().get(host);
+            if (h == null || !workerClient.inCommand(h)) {
                 continue;
             }
-            for (Placed p : replica.claimsOn(h.id())) {
+            for (Placed p : replica.allocationsOn(h.id())) {
                 JobRecord j = p.job();
                 if (committer.isLocked(Keys.job(j.id()))
                         || !j.open()
-                        || p.claim().stopping()
+                        || p.allocation().stopping()
                         || j.mode() == JobRecord.Mode.STOP
                         || !(j.job().saves() || j.mode() == JobRecord.Mode.HOLD)) {
                     continue;
@@ -172,7 +164,7 @@
                         h.id(),
                         j.job().gang()
                                 ? "gang " + j.id()
-                                : "task " + j.id() + "/" + p.claim().task());
+                                : "task " + j.id() + "/" + p.allocation().task());
                 String key = Keys.job(j.id());
                 var txn = new Txn()
                         .guard(Keys.host(h.id()), replica.stamp(Keys.host(h.id())))
@@ -187,7 +179,7 @@
 
     private static JobRecord stopAllOn(JobRecord j, String host) {
         JobRecord changed = j;
-        for (Claim c : j.claims()) {
+        for (Allocation c : j.allocations()) {
             if (c.host().equals(host)) {
                 changed = changed.stopTask(c.task());
             }
--- a/src/main/java/org/dunespindle/coordination/Headroom.java
+++ b/src/main/java/org/dunespindle/coordination/Headroom.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.dunespindle.bookkeeping.JobRecord;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.JobRecord;
 
 /**
  * Spare room for the next jobs of each class that is expected to start sooner than a machine boots. Planned like a
@@ -33,6 +33,7 @@
     /** Room that a class is likely to need next, as a job that nothing stores: its tasks, and how many of them within seconds. */
     public record Phantom(JobRecord job, int soon) {}
 
+    /** Takes the classes that have an objective for waiting. */
     public Headroom(List<Settings.Objective> objectives) {
         objectives.stream().filter(o -> o.kind().equals("wait")).forEach(o -> classes.add(o.jobClass()));
     }
--- a/src/main/java/org/dunespindle/coordination/ReportDesk.java
+++ b/src/main/java/org/dunespindle/coordination/HeartbeatHandler.java
@@ -9,24 +9,24 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.TxnResult;
-import org.dunespindle.protocol.Order;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.protocol.WorkerCommand;
 import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.TxnResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * Answers workers' reports: whose they are, whether a lease may be renewed here and now, and who should hear them instead. What
- * follows from a report for its machine is worked out by {@link HostDesk}.
+ * follows from a report for its machine is worked out by {@link WorkerClient}.
  */
-public final class ReportDesk {
-    private static final Logger LOG = LoggerFactory.getLogger(ReportDesk.class);
+public final class HeartbeatHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
     private static final Duration KEEP = Duration.ofSeconds(40);
     private static final Duration STRAY_GAP = Duration.ofMillis(700);
     private static final Duration STRAY_MEMORY = Duration.ofSeconds(12);
@@ -40,8 +40,8 @@
     private final Settings settings;
     private final Replica replica;
     private final Membership membership;
-    private final MachineEdits edits;
-    private final HostDesk hostDesk;
+    private final MachineWriter machineWriter;
+    private final WorkerClient workerClient;
     private final Timeline timeline;
     private final Sessions sessions;
     private final Decisions decisions;
@@ -54,27 +54,22 @@
 
     private long reports;
 
-    ReportDesk(
-            Settings settings,
-            Replica replica,
-            Membership membership,
-            MachineEdits edits,
-            HostDesk hostDesk,
-            Timeline timeline,
-            Sessions sessions,
-            Decisions decisions,
+    HeartbeatHandler(
+            ControllerContext context,
+            MachineWriter machineWriter,
+            WorkerClient workerClient,
             Cancellations cancellations,
             BooleanSupplier cutOff,
             Predicate<String> fellQuiet,
             Runnable changed) {
-        this.settings = settings;
-        this.replica = replica;
-        this.membership = membership;
-        this.edits = edits;
-        this.hostDesk = hostDesk;
-        this.timeline = timeline;
-        this.sessions = sessions;
-        this.decisions = decisions;
+        this.settings = context.settings();
+        this.replica = context.replica();
+        this.membership = context.membership();
+        this.timeline = context.timeline();
+        this.sessions = context.sessions();
+        this.decisions = context.decisions();
+        this.machineWriter = machineWriter;
+        this.workerClient = workerClient;
         this.cancellations = cancellations;
         this.cutOff = cutOff;
         this.fellQuiet = fellQuiet;
@@ -95,23 +90,23 @@
         Sessions.Session session = sessions.of(r.host());
         Optional<WorkerReport> before = session.report;
         Duration now = timeline.now();
-        boolean wasSilent = hostDesk.silent(session);
+        boolean wasSilent = workerClient.silent(session);
         boolean newer = session.reported(r, now);
         if (r.notice().isPresent()) {
-            hostDesk.notice(r.host());
+            workerClient.notice(r.host());
         }
         if (newer) {
-            hostDesk.attendIfNews(r, before);
+            workerClient.attendIfNews(r, before);
         }
         if (newer && wasSilent && session.unprovenSince.isPresent()) {
             // After a cut, or when it has just found its way here: that no command arrived before does not show that
             // none does now.
             session.unprovenSince = Optional.of(now);
             session.callAgainAt = now;
-            hostDesk.attend(r.host());
+            workerClient.attend(r.host());
             changed.run();
         }
-        HostRecord record = replica.hosts().get(r.host());
+        MachineRecord record = replica.hosts().get(r.host());
         if (replica.loaded() && keepsAlive(r, record, answer)) {
             return;
         }
@@ -120,8 +115,8 @@
             return;
         }
         if (newer && session.unprovenSince.isPresent() && session.callAgainAt.compareTo(timeline.now()) > 0) {
-            session.callAgainAt = timeline.now().plus(HostDesk.REFUSED_PAUSE);
-            hostDesk.attend(r.host());
+            session.callAgainAt = timeline.now().plus(WorkerClient.REFUSED_PAUSE);
+            workerClient.attend(r.host());
         }
         if (cutOff.getAsBoolean()) {
             answerCutOff(r, record, session, answer);
@@ -139,12 +134,12 @@
 
     /**
      * A worker whose controller is gone is answered under the stored token until somebody takes its machine over: after a crash of
-     * all, taking over takes longer than is left of its lease. Without orders, an equal token does nothing but renew.
+     * all, taking over takes longer than is left of its lease. Without commands, an equal token does nothing but renew.
      */
-    private boolean keepsAlive(WorkerReport r, HostRecord record, BiConsumer<Integer, ObjectNode> answer) {
+    private boolean keepsAlive(WorkerReport r, MachineRecord record, BiConsumer<Integer, ObjectNode> answer) {
         boolean orphan = record != null
                 && !membership.isAlive(record.owner(), record.incarnation())
-                && replica.age().compareTo(HostDesk.START_VIEW) < 0
+                && replica.age().compareTo(WorkerClient.START_VIEW) < 0
                 && accepts(r, record);
         if (orphan) {
             renew(r, record, answer);
@@ -158,28 +153,28 @@
     }
 
     /** A worker that has seen a higher token than is stored drops what is answered under the stored one, and waits until its lease is over. */
-    private static boolean accepts(WorkerReport r, HostRecord record) {
+    private static boolean accepts(WorkerReport r, MachineRecord record) {
         return r.token() <= record.token();
     }
 
     /** Renews a worker's lease and ends what is cancelled, nothing else. */
-    private void renew(WorkerReport r, HostRecord record, BiConsumer<Integer, ObjectNode> answer) {
+    private void renew(WorkerReport r, MachineRecord record, BiConsumer<Integer, ObjectNode> answer) {
         answer.accept(
                 200,
-                Order.reply(
+                WorkerCommand.reply(
                         record.token(),
-                        hostDesk.cancelledOn(r).stream()
-                                .limit(HostDesk.ORDERS_AT_ONCE)
+                        workerClient.cancelledOn(r).stream()
+                                .limit(WorkerClient.COMMANDS_AT_ONCE)
                                 .toList()));
     }
 
     private static ObjectNode error(String text) {
-        return Pack.map().put("error", text);
+        return MessagePackCodec.map().put("error", text);
     }
 
     private void answerOwned(
             WorkerReport r,
-            HostRecord record,
+            MachineRecord record,
             Sessions.Session session,
             boolean newer,
             BiConsumer<Integer, ObjectNode> answer) {
@@ -198,17 +193,18 @@
             renew(r, record, answer);
             return;
         }
-        List<Order> orders =
-                hostDesk
+        List<WorkerCommand> commands =
+                workerClient
                         .keepExits(
                                 record,
                                 session,
-                                Reconciler.judge(hostDesk.claims(r.host()), r).orders())
+                                Reconciler.judge(workerClient.allocations(r.host()), r)
+                                        .commands())
                         .stream()
-                        .filter(o -> !(o instanceof Order.Run))
-                        .limit(HostDesk.ORDERS_AT_ONCE)
+                        .filter(o -> !(o instanceof WorkerCommand.Run))
+                        .limit(WorkerClient.COMMANDS_AT_ONCE)
                         .toList();
-        answer.accept(200, Order.reply(record.token(), orders));
+        answer.accept(200, WorkerCommand.reply(record.token(), commands));
     }
 
     /**
@@ -217,7 +213,7 @@
      * away everywhere: it is better kept alive than left to die, as long as no cancellation can have been missed.
      */
     private void answerCutOff(
-            WorkerReport r, HostRecord record, Sessions.Session session, BiConsumer<Integer, ObjectNode> answer) {
+            WorkerReport r, MachineRecord record, Sessions.Session session, BiConsumer<Integer, ObjectNode> answer) {
         Duration now = timeline.now();
         boolean ours = record != null && membership.owns(record) && accepts(r, record);
         Optional<Duration> away = session.turnedAwayAt.map(now::minus).filter(d -> d.compareTo(TURNED_AWAY_MEMORY) < 0);
@@ -248,20 +244,20 @@
     /** A machine that no record names. Its report may be a late copy and the machine long gone, so it is asked itself first. */
     private void unknown(
             WorkerReport r, Sessions.Session session, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
-        Optional<String> steward = membership.hashed(r.host());
-        if (!membership.joined() || steward.isEmpty()) {
+        Optional<String> owner = membership.hashed(r.host());
+        if (!membership.joined() || owner.isEmpty()) {
             answer.accept(503, error("not a member yet"));
-        } else if (!steward.get().equals(settings.nodeName())) {
-            answer.accept(421, Pack.map().put("steward", steward.get()));
-        } else if (!newer || session.verifying || edits.busy(r.host())) {
+        } else if (!owner.get().equals(settings.nodeName())) {
+            answer.accept(421, WorkerCommand.redirect(owner.get()));
+        } else if (!newer || session.verifying || machineWriter.busy(r.host())) {
             answer.accept(503, error("machine is being taken up"));
         } else {
-            hostDesk.verify(r, session, alive -> {
+            workerClient.verify(r, session, alive -> {
                 if (!alive || replica.hosts().containsKey(r.host())) {
                     answer.accept(503, error("machine could not be taken up"));
                     return;
                 }
-                var record = new HostRecord(
+                var record = new MachineRecord(
                         r.host(),
                         r.address(),
                         r.type(),
@@ -275,16 +271,16 @@
                         false,
                         "");
                 decisions.tell(LOG, "machine {} reported without having been rented by us; taken up", r.host());
-                edits.change(Committer.Lane.PLACING, record, answerAfter(r, answer));
+                machineWriter.change(Committer.Lane.PLACING, record, answerAfter(r, answer));
             });
         }
     }
 
     private Consumer<TxnResult> answerAfter(WorkerReport r, BiConsumer<Integer, ObjectNode> answer) {
         return result -> {
-            HostRecord now = replica.hosts().get(r.host());
+            MachineRecord now = replica.hosts().get(r.host());
             if (result instanceof TxnResult.Applied && now != null && membership.owns(now)) {
-                answer.accept(200, Order.reply(now.token(), List.of()));
+                answer.accept(200, WorkerCommand.reply(now.token(), List.of()));
             } else {
                 answer.accept(503, error("machine could not be taken up"));
             }
@@ -298,19 +294,14 @@
      */
     private void stray(
             WorkerReport r,
-            HostRecord record,
+            MachineRecord record,
             Sessions.Session session,
             boolean newer,
             BiConsumer<Integer, ObjectNode> answer) {
         Duration now = timeline.now();
-        Runnable sendOn = () -> answer.accept(
-                421,
-                Pack.map()
-                        .put(
-                                "steward",
-                                membership.isAlive(record.owner(), record.incarnation())
-                                        ? record.owner()
-                                        : membership.hashed(r.host()).orElse(record.owner())));
+        boolean ownerLives = membership.isAlive(record.owner(), record.incarnation());
+        String next = ownerLives ? record.owner() : membership.hashed(r.host()).orElse(record.owner());
+        Runnable sendOn = () -> answer.accept(421, WorkerCommand.redirect(next));
         if (!newer) {
             sendOn.run();
             return;
@@ -325,7 +316,7 @@
             session.strays++;
             session.strayAt = now;
         }
-        if (replica.age().compareTo(HostDesk.START_VIEW) >= 0 && session.strays >= 2 && accepts(r, record)) {
+        if (replica.age().compareTo(WorkerClient.START_VIEW) >= 0 && session.strays >= 2 && accepts(r, record)) {
             // In an outage that all share nobody can take it over from a controller that has ended; until then it is
             // kept alive.
             renew(r, record, answer);
@@ -333,18 +324,21 @@
         }
         // A controller that has just ended takes all its workers here: its pages are soon taken as a whole, not machine
         // by machine.
-        if (!membership.joined() || session.verifying || edits.busy(r.host()) || fellQuiet.test(record.owner())) {
+        if (!membership.joined()
+                || session.verifying
+                || machineWriter.busy(r.host())
+                || fellQuiet.test(record.owner())) {
             sendOn.run();
         } else if (session.strays >= 2) {
-            hostDesk.verify(r, session, alive -> {
-                HostRecord present = replica.hosts().get(r.host());
+            workerClient.verify(r, session, alive -> {
+                MachineRecord present = replica.hosts().get(r.host());
                 // A worker that reaches only this controller, and that nobody reaches, is taken over once it has
                 // insisted.
                 boolean insists = session.strays >= STRAYS_UNSEEN && r.token() == record.token();
                 if (present != null && !membership.owns(present) && (alive || insists)) {
                     decisions.tell(
                             LOG, "machine {} cannot reach its controller {}; taken over", r.host(), present.owner());
-                    hostDesk.take(present, timeline.wallTime().plus(KEEP), answerAfter(r, answer));
+                    workerClient.take(present, timeline.wallTime().plus(KEEP), answerAfter(r, answer));
                 } else {
                     sendOn.run();
                 }
--- a/src/main/java/org/dunespindle/coordination/JobChanges.java
+++ b/src/main/java/org/dunespindle/coordination/JobChanges.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.dunespindle.bookkeeping.JobRecord;
+import org.dunespindle.storage.JobRecord;
 
-/** Applies what became of claims to a job's record. Pure. */
+/** Applies what became of allocations to a job's record. Pure. */
 public final class JobChanges {
     private static final Duration FIRST_PAUSE = Duration.ofSeconds(1);
     private static final Duration LONGEST_PAUSE = Duration.ofSeconds(30);
@@ -16,19 +16,20 @@
 
     private JobChanges() {}
 
+    /** The record after some outcomes. */
     public static JobRecord apply(JobRecord job, List<Reconciler.Event> events, Instant now) {
         JobRecord j = job;
         var ended = new TreeMap<Integer, Boolean>();
         boolean plain = job.open() && !job.job().gang();
         var bases = new HashMap<Integer, Long>();
-        job.claims().forEach(c -> bases.put(c.task(), c.base()));
+        job.allocations().forEach(c -> bases.put(c.task(), c.base()));
         for (Reconciler.Event e : events) {
             if (bases.getOrDefault(e.task(), -1L) != e.base() || ended.containsKey(e.task())) {
                 continue;
             }
             if (plain && (e.fate() == Reconciler.Fate.DONE || e.fate() == Reconciler.Fate.GONE)) {
                 ended.put(e.task(), e.fate() == Reconciler.Fate.DONE);
-            } else if (j.claim(e.task()).filter(c -> c.base() == e.base()).isPresent()) {
+            } else if (j.allocation(e.task()).filter(c -> c.base() == e.base()).isPresent()) {
                 j = one(j, e, now);
             }
         }
--- /dev/null
+++ b/src/main/java/org/dunespindle/coordination/LoadLog.java
@@ -0,0 +1,107 @@
+package org.dunespindle.coordination;
+
+import java.time.Duration;
+import java.util.TreeMap;
+import org.HdrHistogram.Histogram;
+import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.TaskStatus;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.StateClient;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Tells a controller's load every few seconds, for whoever reads the log at debug. */
+final class LoadLog {
+    private static final Logger LOG = LoggerFactory.getLogger(LoadLog.class);
+    private static final Duration TELL_EVERY = Duration.ofSeconds(10);
+    private static final double MOST = 90;
+    private final ControllerContext context;
+    private final HeartbeatHandler heartbeatHandler;
+    private final WorkerClient workerClient;
+    private final Committer committer;
+    private final StateClient state;
+    private final Histogram rounds;
+    private final Histogram plans;
+    private Duration toldAt = Duration.ZERO;
+
+    LoadLog(
+            ControllerContext context,
+            HeartbeatHandler heartbeatHandler,
+            WorkerClient workerClient,
+            Committer committer,
+            StateClient state,
+            Histogram rounds,
+            Histogram plans) {
+        this.context = context;
+        this.heartbeatHandler = heartbeatHandler;
+        this.workerClient = workerClient;
+        this.committer = committer;
+        this.state = state;
+        this.rounds = rounds;
+        this.plans = plans;
+    }
+
+    /** Writes the log lines when they are due. */
+    void tell() {
+        Duration now = context.timeline().now();
+        if (!LOG.isDebugEnabled() || now.minus(toldAt).compareTo(TELL_EVERY) < 0) {
+            return;
+        }
+        toldAt = now;
+        LOG.debug("accelerators by class and phase: {}", acceleratorsByPhase());
+        LOG.debug(
+                "load: {} reports, {} calls, {} writes ({} wait, {} in vain), may write {}/s, {}",
+                heartbeatHandler.reports(),
+                workerClient.calls(),
+                committer.written(),
+                committer.waiting(),
+                committer.wasted(),
+                Math.round(state.writes().perSecond()),
+                committer.kinds());
+        LOG.debug(
+                "pace: rounds {} (p90 {} ms), plans {} (p50 {} ms, p90 {} ms), state calls {} (p90 {} ms), own {} of {} machines",
+                rounds.getTotalCount(),
+                millis(rounds, MOST),
+                plans.getTotalCount(),
+                millis(plans, 50),
+                millis(plans, MOST),
+                state.latency().getTotalCount(),
+                millis(state.latency(), MOST),
+                ownMachines(),
+                context.replica().hosts().size());
+    }
+
+    private static long millis(Histogram histogram, double percentile) {
+        return histogram.getValueAtPercentile(percentile) / 1000;
+    }
+
+    private long ownMachines() {
+        return context.replica().hosts().values().stream()
+                .filter(context.membership()::owns)
+                .count();
+    }
+
+    private TreeMap<String, Double> acceleratorsByPhase() {
+        var byPhase = new TreeMap<String, Double>();
+        for (MachineRecord machine : context.replica().hosts().values()) {
+            if (context.membership().owns(machine)) {
+                context.sessions()
+                        .known(machine.id())
+                        .flatMap(session -> session.report)
+                        .ifPresent(report -> report.tasks().forEach(task -> add(byPhase, task)));
+            }
+        }
+        return byPhase;
+    }
+
+    private void add(TreeMap<String, Double> byPhase, TaskStatus task) {
+        context.replica()
+                .job(task.task().job())
+                .flatMap(JobRecord::spec)
+                .ifPresent((Submission spec) -> byPhase.merge(
+                        spec.jobClass() + " " + task.phase().wire(),
+                        spec.perTask().gpus(),
+                        Double::sum));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/coordination/MachineNews.java
@@ -0,0 +1,84 @@
+package org.dunespindle.coordination;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import org.dunespindle.storage.MachineRecord;
+
+/** What this controller can tell the leader of the machines that it commands. */
+final class MachineNews {
+    /** Silence is told anew in steps of so many seconds. */
+    private static final int SILENCE_STEP = 3;
+
+    private final ControllerContext context;
+    private final WorkerClient workerClient;
+    private final Fleet fleet;
+    private final MachineReturner returner;
+    /** A machine that takes tasks has been heard this lately. */
+    private final Duration heardLately;
+
+    private long lastNumber;
+
+    MachineNews(ControllerContext context, WorkerClient workerClient, Fleet fleet, MachineReturner returner) {
+        this.context = context;
+        this.workerClient = workerClient;
+        this.fleet = fleet;
+        this.returner = returner;
+        this.heardLately = context.settings().workers().report().multipliedBy(3).plusSeconds(1);
+    }
+
+    /** The machines commanded here that have reported, numbered anew where something changed since it was last told. */
+    List<Peers.News> all() {
+        var list = new ArrayList<Peers.News>();
+        for (MachineRecord machine : context.replica().hosts().values()) {
+            if (context.membership().owns(machine)) {
+                context.sessions()
+                        .known(machine.id())
+                        .filter(session -> session.heardAt.isPresent())
+                        .ifPresent(session -> list.add(news(machine, session)));
+            }
+        }
+        list.sort(Comparator.comparingLong(Peers.News::number));
+        return list;
+    }
+
+    private Peers.News news(MachineRecord machine, Sessions.Session session) {
+        boolean up = takesTasks(machine);
+        boolean bad = fleet.bad(machine.id());
+        Duration silent = up ? Duration.ZERO : silence(session);
+        String state = up ? "u" : "d" + silent.toSeconds() / SILENCE_STEP;
+        String told = machine.token() + state + bad + session.images().hashCode();
+        if (!told.equals(session.told)) {
+            session.told = told;
+            session.toldAs = ++lastNumber;
+        }
+        String address = session.report.map(report -> report.address()).orElse(machine.address());
+        return new Peers.News(
+                machine.id(), session.toldAs, machine.token(), up, bad, silent, address, session.images());
+    }
+
+    private Duration silence(Sessions.Session session) {
+        Duration heard = session.heardAt.orElseThrow();
+        Optional<Duration> unproven = session.unprovenSince.filter(since -> since.compareTo(heard) < 0);
+        return context.stalls().silence(unproven.orElse(heard));
+    }
+
+    /** Whether new tasks may go to a machine commanded here. */
+    boolean takesTasks(MachineRecord machine) {
+        if (!workerClient.ready(machine) || fleet.bad(machine.id()) || returner.leaves(machine)) {
+            return false;
+        }
+        Sessions.Session session = context.sessions().of(machine.id());
+        boolean noticed = session.report.flatMap(report -> report.notice()).isPresent();
+        return !noticed && !workerClient.mute(session) && alive(session);
+    }
+
+    private boolean alive(Sessions.Session session) {
+        Duration now = context.timeline().now();
+        return session.aliveAt()
+                .filter(t -> now.minus(t).compareTo(heardLately) < 0)
+                .isPresent();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/coordination/MachineRenter.java
@@ -0,0 +1,199 @@
+package org.dunespindle.coordination;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Predicate;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Rents machines, one request at a time, and records them. */
+final class MachineRenter {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineRenter.class);
+    private static final Duration NO_CAPACITY_PAUSE = Duration.ofSeconds(6);
+    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(25);
+    private static final Duration RETRY = Duration.ofMillis(700);
+    /** With an older copy of what is stored, too much might be rented. */
+    private static final Duration FRESH_VIEW = Duration.ofSeconds(3);
+
+    private static final int TRIES = 4;
+    /** The cloud takes no larger request. */
+    private static final int MOST_AT_ONCE = 50;
+
+    private final ControllerContext context;
+    private final Replica replica;
+    private final MachineWriter machineWriter;
+    private final CloudClient cloud;
+    private final MachineCatalog catalog;
+    private final Targets targets;
+    private final Predicate<String> gone;
+    private final Map<Planner.Market, Refusal> refusals = new HashMap<>();
+    /** Machines rented here whose records are not stored yet; nothing more is rented until they count as room. */
+    private final Map<String, Runnable> unrecorded = new LinkedHashMap<>();
+
+    private boolean renting;
+    private long requests;
+
+    private record Refusal(Duration until, Duration pause) {}
+
+    /**
+     * Creates a renter.
+     *
+     * @param gone whether the cloud has confirmed a machine's return
+     */
+    MachineRenter(
+            ControllerContext context,
+            MachineWriter machineWriter,
+            CloudClient cloud,
+            MachineCatalog catalog,
+            Targets targets,
+            Predicate<String> gone) {
+        this.context = context;
+        this.replica = context.replica();
+        this.machineWriter = machineWriter;
+        this.cloud = cloud;
+        this.catalog = catalog;
+        this.targets = targets;
+        this.gone = gone;
+    }
+
+    /** Markets that had no capacity a moment ago. */
+    Set<Planner.Market> refused() {
+        var set = new HashSet<Planner.Market>();
+        refusals.forEach((market, refusal) -> {
+            if (refusal.until.compareTo(context.timeline().now()) > 0) {
+                set.add(market);
+            }
+        });
+        return set;
+    }
+
+    /** Forgets what is not recorded yet: the list tells the next leader of it. */
+    void standDown() {
+        unrecorded.clear();
+    }
+
+    /** Rents what a plan lacks most urgently. */
+    void rent(Planner.Plan plan) {
+        recordRented();
+        boolean fresh = replica.age().compareTo(FRESH_VIEW) <= 0;
+        if (!unrecorded.isEmpty() || renting || catalog.types().isEmpty() || !fresh) {
+            return;
+        }
+        List<RentalNeeds.Rental> rentals = new RentalNeeds(context, catalog, targets, refused()).of(plan.shortfalls());
+        if (!rentals.isEmpty()) {
+            renting = true;
+            request(nextRequestId(), rentals.get(0), TRIES);
+        }
+    }
+
+    /** Names are built on the incarnation, so that none is ever used twice. */
+    private String nextRequestId() {
+        requests++;
+        return "r-" + context.settings().nodeName() + "-" + context.membership().incarnation() + "-" + requests;
+    }
+
+    private void request(String id, RentalNeeds.Rental rental, int tries) {
+        int count = Math.min(MOST_AT_ONCE, rental.count());
+        cloud.rent(id, rental.market(), count).whenComplete((rented, failure) -> {
+            if (failure == null) {
+                renting = false;
+                answered(rental, count, rented);
+                return;
+            }
+            // Its answer may be lost, so the same request is sent again; what it rents all the same shows in the list.
+            context.timeline().after(RETRY, () -> {
+                if (tries > 1 && context.membership().leads()) {
+                    request(id, rental, tries - 1);
+                } else {
+                    renting = false;
+                }
+            });
+        });
+    }
+
+    private void answered(RentalNeeds.Rental rental, int count, CloudClient.Rented rented) {
+        Planner.Market market = rental.market();
+        if (rented.noCapacity() || rented.hosts().size() < count) {
+            refuse(market);
+        } else {
+            refusals.remove(market);
+        }
+        if (rented.hosts().isEmpty()) {
+            return;
+        }
+        context.decisions()
+                .tell(
+                        LOG,
+                        "rented {} of {} in {} ({})",
+                        rented.hosts().size(),
+                        market.type(),
+                        market.zone(),
+                        kind(market));
+        Instant at = context.timeline().wallTime();
+        rented.hosts().forEach(id -> unrecorded.put(id, () -> record(id, "", market, at, rental.forGang())));
+        recordRented();
+    }
+
+    private static String kind(Planner.Market market) {
+        return market.spot() ? "spot" : "ordinary";
+    }
+
+    private void refuse(Planner.Market market) {
+        Refusal before = refusals.get(market);
+        Duration pause = before == null ? NO_CAPACITY_PAUSE : before.pause.multipliedBy(2);
+        if (pause.compareTo(LONGEST_PAUSE) > 0) {
+            pause = LONGEST_PAUSE;
+        }
+        refusals.put(market, new Refusal(context.timeline().now().plus(pause), pause));
+        context.decisions()
+                .tell(
+                        LOG,
+                        "no more {} in {} ({}); asked again in {} s",
+                        market.type(),
+                        market.zone(),
+                        kind(market),
+                        pause.toSeconds());
+    }
+
+    private void recordRented() {
+        unrecorded.keySet().removeIf(id -> replica.hosts().containsKey(id) || gone.test(id));
+        List.copyOf(unrecorded.entrySet()).forEach(entry -> {
+            if (!machineWriter.busy(entry.getKey())) {
+                entry.getValue().run();
+            }
+        });
+    }
+
+    /** Records a machine. One that is rented for a gang is the leader's from the start: borrowing it would cost a write more. */
+    void record(String id, String address, Planner.Market market, Instant rented, boolean forGang) {
+        Membership membership = context.membership();
+        String here = context.settings().nodeName();
+        String owner = forGang ? here : membership.hashed(id).orElse(here);
+        long incarnation = membership.incarnationOf(owner).orElse(membership.incarnation());
+        Optional<Long> seen =
+                context.sessions().known(id).flatMap(s -> s.report).map(report -> report.token());
+        var machine = new MachineRecord(
+                id,
+                address,
+                market.type(),
+                market.zone(),
+                market.spot(),
+                owner,
+                incarnation,
+                seen.orElse(0L) + 1,
+                rented,
+                Instant.EPOCH,
+                false,
+                "");
+        machineWriter.change(Committer.Lane.PLACING, machine, r -> {});
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/coordination/MachineRoom.java
@@ -0,0 +1,115 @@
+package org.dunespindle.coordination;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.dunespindle.protocol.Resources;
+import org.dunespindle.storage.Allocation;
+import org.dunespindle.storage.JobRecord;
+
+/** A machine's room while a plan is made. */
+final class MachineRoom {
+    private final Planner.Host host;
+    private Resources free;
+    /** Room of tasks that are being stopped. */
+    private Resources ending = Resources.NONE;
+    /** Promised to a gang before its room is free: nothing can be booked there yet. */
+    private boolean promised;
+    /** Tasks that may have to give way, the latest booked first: they have least to lose. */
+    private final List<Victim> victims = new ArrayList<>(2);
+
+    /** How well it suits the job that is being planned. */
+    private double score;
+
+    /** A task that may have to give way. */
+    record Victim(JobRecord job, Allocation allocation) {
+        Resources size() {
+            return job.job().perTask();
+        }
+    }
+
+    MachineRoom(Planner.Host host) {
+        this.host = host;
+        this.free = host.size();
+    }
+
+    Planner.Host host() {
+        return host;
+    }
+
+    Resources free() {
+        return free;
+    }
+
+    double score() {
+        return score;
+    }
+
+    void score(double value) {
+        score = value;
+    }
+
+    /** What is free, and what will be once tasks that are being stopped have ended. */
+    Resources freeSoon() {
+        return free.plus(ending);
+    }
+
+    /** Whether tasks can be booked here now. */
+    boolean bookable() {
+        return host.up() && !promised;
+    }
+
+    boolean fits(Resources one) {
+        return one.fitsIn(free);
+    }
+
+    boolean hasImage(String image) {
+        return host.images().contains(image);
+    }
+
+    List<Victim> victims() {
+        return victims;
+    }
+
+    /** Whether stopping tasks could make more room than there is. */
+    boolean canBeFreed() {
+        return !victims.isEmpty() || ending != Resources.NONE;
+    }
+
+    /** What is or will be free once lower work has given way to a job. */
+    Resources freeFor(JobRecord job) {
+        Resources room = freeSoon();
+        for (Victim victim : victims) {
+            if (PreemptionPlanner.mayEvict(job, victim)) {
+                room = room.plus(victim.size());
+            }
+        }
+        return room;
+    }
+
+    /** Takes room. */
+    void take(Resources one) {
+        free = free.minus(one);
+    }
+
+    /** Takes room of a task that is there; where it may give way, it is remembered as a victim. */
+    void occupy(JobRecord job, Allocation allocation) {
+        Resources one = job.job().perTask();
+        take(one);
+        if (allocation.stopping() || !job.open() || job.mode() == JobRecord.Mode.STOP) {
+            ending = ending.plus(one);
+        } else if (!job.job().gang()) {
+            victims.add(0, new Victim(job, allocation));
+        }
+    }
+
+    /** Promises what is being freed, and what these tasks hold, to a gang. */
+    void promise(List<Victim> leaving) {
+        promised = true;
+        free = freeSoon();
+        ending = Resources.NONE;
+        for (Victim victim : leaving) {
+            victims.remove(victim);
+            free = free.plus(victim.size());
+        }
+    }
+}
--- a/src/main/java/org/dunespindle/coordination/MachineEdits.java
+++ b/src/main/java/org/dunespindle/coordination/MachineWriter.java
@@ -9,19 +9,19 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 
 /**
  * Changes to machines' records, gathered for a moment: machines that share a page then change in one
  * write. Each change rests on the record as read when it was asked for; if the page has changed since,
  * all of it is dropped and decided anew.
  */
-public final class MachineEdits {
+public final class MachineWriter {
     private static final int MOST_WAITING = 6;
     private static final Duration GATHER = Duration.ofMillis(2);
     private final Replica replica;
@@ -32,16 +32,17 @@
 
     private static final class Edit {
         final long stamp;
-        final Map<String, Optional<HostRecord>> changes = new HashMap<>();
+        final Map<String, Optional<MachineRecord>> changes = new HashMap<>();
         final List<Consumer<TxnResult>> then = new ArrayList<>();
-        Committer.Lane lane = Committer.Lane.KEEPING;
+        Committer.Lane lane = Committer.Lane.MAINTENANCE;
 
         Edit(long stamp) {
             this.stamp = stamp;
         }
     }
 
-    public MachineEdits(Replica replica, Committer committer, Timeline timeline) {
+    /** Creates a writer of machine records. */
+    public MachineWriter(Replica replica, Committer committer, Timeline timeline) {
         this.replica = replica;
         this.committer = committer;
         this.timeline = timeline;
@@ -60,16 +61,16 @@
     }
 
     /** Writes a machine's new record. */
-    public void change(Committer.Lane lane, HostRecord to, Consumer<TxnResult> then) {
+    public void change(Committer.Lane lane, MachineRecord to, Consumer<TxnResult> then) {
         edit(lane, to.id(), Optional.of(to), then);
     }
 
     /** Drops the record of a machine that is proven gone. */
     public void remove(String host, Consumer<TxnResult> then) {
-        edit(Committer.Lane.KEEPING, host, Optional.empty(), then);
+        edit(Committer.Lane.MAINTENANCE, host, Optional.empty(), then);
     }
 
-    private void edit(Committer.Lane lane, String host, Optional<HostRecord> to, Consumer<TxnResult> then) {
+    private void edit(Committer.Lane lane, String host, Optional<MachineRecord> to, Consumer<TxnResult> then) {
         String key = Keys.host(host);
         if (committer.isLocked(key)) {
             then.accept(new TxnResult.Refused(0, "another change is under way"));
@@ -96,9 +97,9 @@
 
     private void flush() {
         timerSet = false;
-        var edits = new LinkedHashMap<>(open);
+        var machineWriter = new LinkedHashMap<>(open);
         open.clear();
-        edits.forEach((key, edit) -> {
+        machineWriter.forEach((key, edit) -> {
             Consumer<TxnResult> all = r -> edit.then.forEach(t -> t.accept(r));
             if (replica.stamp(key) != edit.stamp || committer.isLocked(key)) {
                 all.accept(new TxnResult.Conflict(Set.of(key)));
--- a/src/main/java/org/dunespindle/coordination/Membership.java
+++ b/src/main/java/org/dunespindle/coordination/Membership.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.StateClient;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateClient;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -39,6 +39,7 @@
     private boolean aside;
     private boolean electing;
 
+    /** Creates a membership that has not joined yet. */
     public Membership(String node, StateClient state, Replica replica, Timeline timeline) {
         this.node = node;
         this.state = state;
@@ -46,6 +47,7 @@
         this.timeline = timeline;
     }
 
+    /** This process's incarnation; 0 until it is stored. */
     public long incarnation() {
         return incarnation;
     }
@@ -55,24 +57,29 @@
         return incarnation > 0 && !aside && lease.isPresent() && isAlive(node, incarnation);
     }
 
+    /** Whether an incarnation of a controller holds its lease. */
     public boolean isAlive(String name, long inc) {
         JsonNode m = replica.members().get(name);
         return m != null && m.path("inc").longValue() == inc;
     }
 
+    /** The live incarnation of a controller, if it is a member. */
     public Optional<Long> incarnationOf(String name) {
         return Optional.ofNullable(replica.members().get(name))
                 .map(m -> m.path("inc").longValue());
     }
 
-    public boolean owns(HostRecord host) {
+    /** Whether this incarnation owns a machine. */
+    public boolean owns(MachineRecord host) {
         return host.owner().equals(node) && host.incarnation() == incarnation;
     }
 
+    /** The leading controller's name. */
     public Optional<String> leader() {
         return replica.value(Keys.LEADER).map(v -> v.path("node").asText());
     }
 
+    /** Whether this controller leads. */
     public boolean leads() {
         return joined()
                 && replica.value(Keys.LEADER)
@@ -157,7 +164,7 @@
             long next = replica.value(key).map(v -> v.path("n").longValue()).orElse(0L) + 1;
             var txn = new Txn()
                     .guard(key, replica.stamp(key))
-                    .write(key, Pack.map().put("n", next));
+                    .write(key, MessagePackCodec.map().put("n", next));
             state.commit(txn).thenAccept(r -> {
                 if (r instanceof TxnResult.Applied a) {
                     replica.adopt(txn, a.revision());
@@ -185,7 +192,7 @@
             }
             long id = opened.getAsLong();
             var txn = new Txn()
-                    .writeTethered(Keys.member(node), Pack.map().put("inc", incarnation), id)
+                    .writeWithLease(Keys.member(node), MessagePackCodec.map().put("inc", incarnation), id)
                     .guard(Keys.member(node), replica.stamp(Keys.member(node)));
             state.commit(txn).thenAccept(r -> {
                 if (r instanceof TxnResult.Applied a) {
@@ -232,7 +239,10 @@
         electing = true;
         var txn = new Txn()
                 .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
-                .writeTethered(Keys.LEADER, Pack.map().put("node", node).put("inc", incarnation), lease.orElseThrow());
+                .writeWithLease(
+                        Keys.LEADER,
+                        MessagePackCodec.map().put("node", node).put("inc", incarnation),
+                        lease.orElseThrow());
         state.commit(txn).thenAccept(r -> {
             if (r instanceof TxnResult.Applied a) {
                 replica.adopt(txn, a.revision());
--- a/src/main/java/org/dunespindle/coordination/Options.java
+++ b/src/main/java/org/dunespindle/coordination/Options.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 
 /**
  * The operators' own settings. They live in the state service; what is not set there has its default.
@@ -26,6 +26,7 @@
         this.kinds = kinds(lease);
     }
 
+    /** The options while none is set. */
     public static Options defaults(Duration lease) {
         return new Options(Map.of(), lease);
     }
@@ -128,41 +129,49 @@
         return Duration.ofMillis(Math.round(value(name) * 1000));
     }
 
+    /** How long a gang's placement may take from its first placeholder on. */
     public Duration firstHoldTimer() {
         return seconds("first_hold_timer_s");
     }
 
+    /** How long an ordinary or spot machine may idle in a small fleet. */
     public Duration idleBeforeReturn(boolean spot) {
         return seconds(spot ? "idle_spot_return_s" : "idle_return_s");
     }
 
+    /** Silence after which a machine is given back. */
     public Duration silentBeforeReturn() {
         return seconds("silent_return_s");
     }
 
+    /** Failures of different jobs that put a machine in quarantine. */
     public int quarantineAfter() {
         return (int) value("quarantine_errors");
     }
 
+    /** Multiple of the boot time after which a silent machine is given back. */
     public int bootPatience() {
         return (int) value("boot_patience");
     }
 
+    /** Typical next jobs of each class that room is kept for. */
     public int spareJobs() {
         return (int) value("spare_jobs");
     }
 
+    /** How many machines the leader may borrow at a time. */
     public int borrowedMachines() {
         return (int) value("borrowed_machines");
     }
 
-    public Duration lentAtLeast() {
+    /** How long the leader keeps a borrowed machine after the last gang on it. */
+    public Duration borrowedAtLeast() {
         return seconds("lent_s");
     }
 
     /** All options with value, range, default and meaning. */
     public ArrayNode describe() {
-        ArrayNode list = Pack.map().putArray("options");
+        ArrayNode list = MessagePackCodec.map().putArray("options");
         kinds.forEach((name, k) -> {
             ObjectNode o = list.addObject();
             o.put("name", name)
--- a/src/main/java/org/dunespindle/coordination/Outcomes.java
+++ b/src/main/java/org/dunespindle/coordination/Outcomes.java
@@ -8,19 +8,19 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.dunespindle.bookkeeping.Claim;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.Allocation;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores what became of claims, guarded by the ownership under which it was seen. Tasks of a job that ended well are
+ * Stores what became of allocations, guarded by the ownership under which it was seen. Tasks of a job that ended well are
  * gathered for a moment, since each write of a record costs the same however many of them it tells; what
  * ends a job, or sends tasks back to the queue, is stored at once.
  */
@@ -39,11 +39,11 @@
     private static final int OTHER_GUARDS = 6;
     private final Replica replica;
     private final Committer committer;
-    private final HostDesk hostDesk;
+    private final WorkerClient workerClient;
     private final Sessions sessions;
     private final Timeline timeline;
     private final Decisions decisions;
-    private final Faults faults;
+    private final FailureAttribution failureAttribution;
     private final Membership membership;
     private final Settings settings;
     private final int mostHosts;
@@ -54,31 +54,26 @@
     private record Seen(Reconciler.Event event, Duration since) {}
 
     Outcomes(
-            Settings settings,
-            Replica replica,
-            Membership membership,
+            ControllerContext context,
             Committer committer,
-            HostDesk hostDesk,
-            Sessions sessions,
-            Timeline timeline,
-            Decisions decisions,
-            Faults faults) {
-        this.faults = faults;
-        this.settings = settings;
-        this.membership = membership;
-        this.replica = replica;
+            WorkerClient workerClient,
+            FailureAttribution failureAttribution) {
+        this.settings = context.settings();
+        this.membership = context.membership();
+        this.replica = context.replica();
+        this.sessions = context.sessions();
+        this.timeline = context.timeline();
+        this.decisions = context.decisions();
+        this.failureAttribution = failureAttribution;
         this.committer = committer;
-        this.hostDesk = hostDesk;
-        this.sessions = sessions;
-        this.timeline = timeline;
-        this.decisions = decisions;
+        this.workerClient = workerClient;
         this.mostHosts = Math.max(1, Txn.mostGuards(settings.state().txnOps()) / 2 - OTHER_GUARDS);
     }
 
     /** Claims whose end is reported but not stored: their room is free already. */
     Set<Planner.Ended> ended() {
         var set = new HashSet<Planner.Ended>();
-        for (String host : hostDesk.withEvents()) {
+        for (String host : workerClient.withEvents()) {
             // A placeholder that waited in vain is booked again where it was, so its room is not free.
             sessions.of(host).events.stream()
                     .filter(e -> e.fate() != Reconciler.Fate.WAITED_IN_VAIN)
@@ -87,11 +82,11 @@
         return set;
     }
 
-    /** Proposes what is due, along with claims on machines that are proven gone. */
+    /** Proposes what is due, along with allocations on machines that are proven gone. */
     void store(List<Reconciler.Event> gone) {
         lookAtTeams();
         byJob = new LinkedHashMap<>();
-        for (String host : hostDesk.withEvents()) {
+        for (String host : workerClient.withEvents()) {
             Sessions.Session s = sessions.of(host);
             s.events.forEach(
                     e -> byJob.computeIfAbsent(e.job(), k -> new ArrayList<>()).add(new Seen(e, s.eventsSince)));
@@ -127,10 +122,10 @@
         }
         boolean last = false;
         if (j.unplacedCount() == 0) {
-            if (j.claims().size() <= seen.size()) {
+            if (j.allocations().size() <= seen.size()) {
                 return true;
             }
-            long here = j.claims().stream()
+            long here = j.allocations().stream()
                     .filter(c -> Optional.ofNullable(replica.hosts().get(c.host()))
                             .filter(membership::owns)
                             .isPresent())
@@ -154,7 +149,7 @@
             return; // it would lock the record for long; the job's next placement takes it along
         }
         committer.propose(
-                hurry ? Committer.Lane.PLACING : Committer.Lane.KEEPING,
+                hurry ? Committer.Lane.PLACING : Committer.Lane.MAINTENANCE,
                 txn.guard(key, replica.stamp(key)).write(key, after.toNode()),
                 r -> {
                     if (r instanceof TxnResult.Applied) {
@@ -170,11 +165,11 @@
     JobRecord fold(JobRecord j, Txn txn, List<Reconciler.Event> taken) {
         var pages = new HashSet<String>();
         for (Seen s : byJob.getOrDefault(j.id(), List.of())) {
-            Optional<Claim> claim = j.claim(s.event.task()).filter(c -> c.base() == s.event.base());
-            if (claim.isEmpty()) {
+            Optional<Allocation> allocation = j.allocation(s.event.task()).filter(c -> c.base() == s.event.base());
+            if (allocation.isEmpty()) {
                 continue; // booked again since
             }
-            String page = Keys.host(claim.get().host());
+            String page = Keys.host(allocation.get().host());
             if (pages.contains(page) || pages.size() < mostHosts) {
                 pages.add(page);
                 txn.guard(page, replica.stamp(page));
@@ -185,7 +180,7 @@
     }
 
     void tell(JobRecord job, Reconciler.Event e) {
-        String host = job.claim(e.task()).map(Claim::host).orElse("?");
+        String host = job.allocation(e.task()).map(Allocation::host).orElse("?");
         if (e.fate() == Reconciler.Fate.ERROR) {
             decisions.tell(
                     LOG,
@@ -193,17 +188,17 @@
                     job.id(),
                     e.task(),
                     host);
-            boolean known = faults.faultyJob(job.id());
-            faults.failed(job.id(), host);
-            if (!known && faults.faultyJob(job.id())) {
+            boolean known = failureAttribution.faultyJob(job.id());
+            failureAttribution.failed(job.id(), host);
+            if (!known && failureAttribution.faultyJob(job.id())) {
                 decisions.tell(
                         LOG,
                         "job {} fails on every machine: on {} so far; it is taken for faulty and tried ever more seldom until its user cancels it",
                         job.id(),
-                        faults.machinesOf(job.id()));
+                        failureAttribution.machinesOf(job.id()));
             }
         } else if (e.fate() == Reconciler.Fate.DONE) {
-            faults.succeeded(job.id(), host);
+            failureAttribution.succeeded(job.id(), host);
         } else if (job.open()) {
             decisions.tell(LOG, "task {}/{} left machine {}: {}", job.id(), e.task(), host, e.why());
         }
--- a/src/main/java/org/dunespindle/coordination/Ownership.java
+++ b/src/main/java/org/dunespindle/coordination/Ownership.java
@@ -13,13 +13,13 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Supplier;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Replica.Placed;
-import org.dunespindle.bookkeeping.Timeline;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Replica.Placed;
+import org.dunespindle.storage.Timeline;
 
 /**
  * Who commands which machine: machines are hashed among the live controllers, and the leader borrows those that
@@ -34,8 +34,8 @@
     private final Settings settings;
     private final Replica replica;
     private final Membership membership;
-    private final HostDesk hostDesk;
-    private final MachineEdits edits;
+    private final WorkerClient workerClient;
+    private final MachineWriter machineWriter;
     private final Peers peers;
     private final Sessions sessions;
     private final Timeline timeline;
@@ -49,23 +49,19 @@
     private Duration returnAgainAt = Duration.ZERO;
 
     Ownership(
-            Settings settings,
-            Replica replica,
-            Membership membership,
-            HostDesk hostDesk,
-            MachineEdits edits,
+            ControllerContext context,
+            WorkerClient workerClient,
+            MachineWriter machineWriter,
             Peers peers,
-            Sessions sessions,
-            Timeline timeline,
             Supplier<Options> options) {
-        this.settings = settings;
-        this.replica = replica;
-        this.membership = membership;
-        this.hostDesk = hostDesk;
-        this.edits = edits;
+        this.settings = context.settings();
+        this.replica = context.replica();
+        this.membership = context.membership();
+        this.sessions = context.sessions();
+        this.timeline = context.timeline();
+        this.workerClient = workerClient;
+        this.machineWriter = machineWriter;
         this.peers = peers;
-        this.sessions = sessions;
-        this.timeline = timeline;
         this.options = options;
         all.add(settings.nodeName());
         settings.seeds().forEach(seed -> all.add(seed.name()));
@@ -82,7 +78,7 @@
         var hosts = new TreeSet<String>();
         for (JobRecord j : replica.livingJobs()) {
             if (j.open() && j.job().gang() && j.mode() == JobRecord.Mode.HOLD) {
-                j.claims().forEach(c -> hosts.add(c.host()));
+                j.allocations().forEach(c -> hosts.add(c.host()));
             }
         }
         return hosts;
@@ -102,7 +98,7 @@
         }
         takeOver();
         handedOn.clear();
-        for (HostRecord h : replica.hosts().values()) {
+        for (MachineRecord h : replica.hosts().values()) {
             if (!membership.owns(h)) {
                 continue;
             }
@@ -123,35 +119,35 @@
             joinedAt = Optional.of(timeline.now());
         }
         boolean early = timeline.now().minus(joinedAt.get()).compareTo(othersFirst) < 0;
-        var orphans = new ArrayList<HostRecord>();
-        for (HostRecord h : replica.hosts().values()) {
+        var orphans = new ArrayList<MachineRecord>();
+        for (MachineRecord h : replica.hosts().values()) {
             if (!membership.isAlive(h.owner(), h.incarnation())) {
                 orphans.add(h);
             }
         }
         orphans.sort(Comparator.comparing(
-                h -> replica.claimsOn(h.id()).isEmpty())); // what runs is in a hurry, what idles is not
+                h -> replica.allocationsOn(h.id()).isEmpty())); // what runs is in a hurry, what idles is not
         var gangPages = new HashSet<String>();
         orphans.stream().filter(this::hasGang).forEach(h -> gangPages.add(Keys.host(h.id())));
-        for (HostRecord h : orphans) {
+        for (MachineRecord h : orphans) {
             Optional<String> home =
                     gangPages.contains(Keys.host(h.id())) ? membership.leader() : membership.hashed(h.id());
             boolean comesBack = early && !membership.hashedAmong(all, h.id()).equals(Optional.of(settings.nodeName()));
-            if (!edits.busy(h.id())
+            if (!machineWriter.busy(h.id())
                     && !comesBack
                     && home.filter(settings.nodeName()::equals).isPresent()) {
                 // A rented machine's record may not tell its address; its owner did.
                 peers.address(h)
                         .ifPresentOrElse(
-                                a -> hostDesk.take(h, a, Instant.EPOCH, r -> {}),
-                                () -> hostDesk.take(h, Instant.EPOCH, r -> {}));
+                                a -> workerClient.take(h, a, Instant.EPOCH, r -> {}),
+                                () -> workerClient.take(h, Instant.EPOCH, r -> {}));
             }
         }
     }
 
-    private boolean hasGang(HostRecord h) {
-        List<Placed> claims = replica.claimsOn(h.id());
-        for (Placed p : claims) {
+    private boolean hasGang(MachineRecord h) {
+        List<Placed> allocations = replica.allocationsOn(h.id());
+        for (Placed p : allocations) {
             if (p.job().spec().isPresent() && p.job().job().gang()) {
                 return true;
             }
@@ -159,12 +155,15 @@
         return false;
     }
 
-    private void handOver(HostRecord h, Duration now) {
+    private void handOver(MachineRecord h, Duration now) {
         Optional<String> home = membership.hashed(h.id());
-        if (home.isEmpty() || home.get().equals(settings.nodeName()) || edits.busy(h.id()) || edits.crowded()) {
+        if (home.isEmpty()
+                || home.get().equals(settings.nodeName())
+                || machineWriter.busy(h.id())
+                || machineWriter.crowded()) {
             return;
         }
-        Duration kept = membership.leads() ? options.get().lentAtLeast() : Duration.ZERO;
+        Duration kept = membership.leads() ? options.get().borrowedAtLeast() : Duration.ZERO;
         Optional<Sessions.Session> s = sessions.known(h.id());
         boolean calm = h.keepUntil().isBefore(timeline.wallTime())
                 && now.minus(gangAt.getOrDefault(h.id(), Duration.ZERO)).compareTo(kept) > 0
@@ -176,7 +175,7 @@
         boolean turn = handedOn.contains(Keys.host(h.id())) || handedOn.size() < MOST_PAGES_HANDED_ON;
         if (calm && turn && inc.isPresent() && peers.heartbeat(home.get()).isPresent()) {
             handedOn.add(Keys.host(h.id()));
-            edits.change(Committer.Lane.KEEPING, h.ownedBy(home.get(), inc.get(), Instant.EPOCH), r -> {});
+            machineWriter.change(Committer.Lane.MAINTENANCE, h.ownedBy(home.get(), inc.get(), Instant.EPOCH), r -> {});
         }
     }
 
@@ -186,11 +185,11 @@
         var wanted = new LinkedHashSet<>(plan.gangHosts());
         wanted.addAll(placeholdersElsewhere());
         for (String host : wanted) {
-            HostRecord h = replica.hosts().get(host);
+            MachineRecord h = replica.hosts().get(host);
             if (h == null
                     || membership.owns(h)
                     || h.leaving()
-                    || edits.busy(host)
+                    || machineWriter.busy(host)
                     || !h.keepUntil().isBefore(timeline.wallTime())) {
                 continue;
             }
@@ -208,7 +207,7 @@
             }
             gangAt.put(host, timeline.now());
             String address = peers.address(h).orElse(h.address());
-            hostDesk.take(h, address, Instant.EPOCH, r -> {});
+            workerClient.take(h, address, Instant.EPOCH, r -> {});
         }
     }
 }
--- a/src/main/java/org/dunespindle/coordination/Peers.java
+++ b/src/main/java/org/dunespindle/coordination/Peers.java
@@ -12,14 +12,13 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.function.BiConsumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
 import org.dunespindle.transport.Caller;
 
 /**
@@ -42,21 +41,20 @@
     private final Timeline timeline;
     private final LongSupplier incarnation;
     private final Supplier<Optional<String>> leader;
-    /** Told of machine and image: what a machine has fetched outlives the change of its owner. */
-    private final BiConsumer<String, String> imageSeen;
-
     private final Replica replica;
-    /** Told of a controller, when it was asked, and which cancelled jobs it knows that the copy here may lack. */
-    private final CancelledListener cancelledHeard;
-
+    private final Listener listener;
     private final Map<String, Heartbeat> heartbeats = new HashMap<>();
     private final Map<String, Heard> heard = new HashMap<>();
     /** Up to which number each controller has taken our news. */
     private final Map<String, Long> taken = new HashMap<>();
 
-    /** Takes what another controller knows of cancellations. */
-    interface CancelledListener {
-        void heard(String node, Duration asked, List<String> cancelled);
+    /** Takes what other controllers tell that concerns other parts. */
+    interface Listener {
+        /** A machine has fetched an image. */
+        void imageSeen(String host, String image);
+
+        /** A controller knows these cancelled jobs, which the copy here may have lacked when it was asked. */
+        void cancelled(String node, Duration asked, List<String> jobs);
     }
 
     /** The last heartbeat of a controller. */
@@ -85,23 +83,22 @@
         final Map<String, Machine> machines = new HashMap<>();
     }
 
+    /** Creates the link to the other controllers. */
     public Peers(
             Settings settings,
             Caller http,
             Timeline timeline,
             LongSupplier incarnation,
             Supplier<Optional<String>> leader,
-            BiConsumer<String, String> imageSeen,
             Replica replica,
-            CancelledListener cancelledHeard) {
+            Listener listener) {
         this.replica = replica;
-        this.cancelledHeard = cancelledHeard;
+        this.listener = listener;
         this.settings = settings;
         this.http = http;
         this.timeline = timeline;
         this.incarnation = incarnation;
         this.leader = leader;
-        this.imageSeen = imageSeen;
     }
 
     /** A controller's last heartbeat while it is fresh. */
@@ -128,14 +125,14 @@
     }
 
     /** What a machine's owner told of it under its present token, while the owner's heartbeat is fresh. */
-    public Optional<Machine> machine(HostRecord host) {
+    public Optional<Machine> machine(MachineRecord host) {
         return heartbeat(host.owner()).isEmpty()
                 ? Optional.empty()
                 : told(host.owner(), host.id()).filter(m -> m.token == host.token());
     }
 
     /** The same however old it is: for an owner that lives but cannot talk to this controller. */
-    public Optional<Machine> lastTold(HostRecord host) {
+    public Optional<Machine> lastTold(MachineRecord host) {
         return told(host.owner(), host.id()).filter(m -> m.token == host.token());
     }
 
@@ -144,7 +141,7 @@
     }
 
     /** Where a machine is reached, as anybody told. */
-    public Optional<String> address(HostRecord host) {
+    public Optional<String> address(MachineRecord host) {
         return told(host.owner(), host.id()).map(Machine::address).filter(a -> !a.isEmpty());
     }
 
@@ -152,7 +149,7 @@
      * When a machine was last alive as far as any other controller told. One that is up is told once and counts as alive as long
      * as its owner keeps talking; but only while it is the owner: what an earlier owner told last says nothing about later.
      */
-    public Optional<Duration> aliveAt(HostRecord host) {
+    public Optional<Duration> aliveAt(MachineRecord host) {
         Optional<Duration> last = Optional.empty();
         for (Map.Entry<String, Heard> e : heard.entrySet()) {
             Machine m = e.getValue().machines.get(host.id());
@@ -200,7 +197,7 @@
     }
 
     private ObjectNode head(Duration viewAge, Need need) {
-        return Pack.map()
+        return MessagePackCodec.map()
                 .put("node", settings.nodeName())
                 .put("inc", incarnation.getAsLong())
                 .put("viewAgeMs", viewAge.toMillis())
@@ -276,7 +273,7 @@
                         row.path(5).asText(),
                         row.path(1).asLong()));
         for (int i = 6; i < row.size(); i++) {
-            imageSeen.accept(host, row.get(i).asText());
+            listener.imageSeen(host, row.get(i).asText());
         }
     }
 
@@ -288,7 +285,7 @@
                 if (n.path("cancelled").isArray()) {
                     var ids = new ArrayList<String>();
                     n.get("cancelled").forEach(id -> ids.add(id.asText()));
-                    cancelledHeard.heard(node, asked, ids);
+                    listener.cancelled(node, asked, ids);
                 }
                 taken.put(
                         node,
--- a/src/main/java/org/dunespindle/coordination/Placements.java
+++ b/src/main/java/org/dunespindle/coordination/Placements.java
@@ -9,23 +9,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Carries out this controller's part of a plan: books tasks on its machines, and stops those that give way. */
 final class Placements {
     private static final Logger LOG = LoggerFactory.getLogger(Placements.class);
-    /** Stopping tasks splits groups of claims, so a record is not filled to the brim by placing. */
+    /** Stopping tasks splits groups of allocations, so a record is not filled to the brim by placing. */
     private static final double FILLED_BY_PLACING = 0.7;
     /** A run of tasks on a machine is short in the record, and at its longest when every other one has left and is to start again. */
     private static final int BROKEN_UP_PER_TASK = 6;
@@ -38,13 +38,13 @@
     private final Replica replica;
     private final Membership membership;
     private final Committer committer;
-    private final MachineEdits edits;
+    private final MachineWriter machineWriter;
     private final Outcomes outcomes;
     private final Timeline timeline;
     private final Decisions decisions;
-    private final Predicate<HostRecord> takesTasks;
+    private final Predicate<MachineRecord> takesTasks;
     private final Preemptions preemptions;
-    private final HostDesk hostDesk;
+    private final WorkerClient workerClient;
     /** Records proposed but not stored yet: their room is taken, or another job would be booked on it too. */
     private final Map<String, JobRecord> proposed = new HashMap<>();
 
@@ -62,27 +62,23 @@
     }
 
     Placements(
-            Settings settings,
-            Replica replica,
-            Membership membership,
+            ControllerContext context,
             Committer committer,
-            MachineEdits edits,
+            MachineWriter machineWriter,
             Outcomes outcomes,
             Preemptions preemptions,
-            HostDesk hostDesk,
-            Timeline timeline,
-            Decisions decisions,
-            Predicate<HostRecord> takesTasks) {
-        this.settings = settings;
-        this.replica = replica;
-        this.membership = membership;
+            WorkerClient workerClient,
+            Predicate<MachineRecord> takesTasks) {
+        this.settings = context.settings();
+        this.replica = context.replica();
+        this.membership = context.membership();
+        this.timeline = context.timeline();
+        this.decisions = context.decisions();
         this.committer = committer;
-        this.edits = edits;
+        this.machineWriter = machineWriter;
         this.outcomes = outcomes;
         this.preemptions = preemptions;
-        this.hostDesk = hostDesk;
-        this.timeline = timeline;
-        this.decisions = decisions;
+        this.workerClient = workerClient;
         this.takesTasks = takesTasks;
     }
 
@@ -122,11 +118,11 @@
         var pages = new HashSet<String>();
         var places = new LinkedHashMap<Integer, String>();
         b.places().forEach((task, host) -> {
-            HostRecord h = replica.hosts().get(host);
+            MachineRecord h = replica.hosts().get(host);
             if (may
                     && h != null
                     && membership.owns(h)
-                    && !edits.busy(host)
+                    && !machineWriter.busy(host)
                     && takesTasks.test(h)
                     && (pages.contains(Keys.host(host)) || pages.size() < room)) {
                 pages.add(Keys.host(host));
@@ -236,9 +232,9 @@
 
     /** Whether a record stays within a value's limit whatever becomes of its tasks: one that grows beyond it could never be written again. */
     static boolean fits(JobRecord placed, int valueBytes) {
-        int size = Pack.countedSize(placed.toNode());
+        int size = MessagePackCodec.countedSize(placed.toNode());
         return size <= valueBytes * FILLED_BY_PLACING
-                && size + BROKEN_UP_PER_TASK * placed.claims().size() <= valueBytes * FILLED_WHEN_BROKEN_UP;
+                && size + BROKEN_UP_PER_TASK * placed.allocations().size() <= valueBytes * FILLED_WHEN_BROKEN_UP;
     }
 
     private void propose(Txn txn, String id, JobRecord record, java.util.function.Consumer<TxnResult> then) {
@@ -253,16 +249,16 @@
     void evict(Planner.Plan plan) {
         preemptions.prune(replica);
         for (Planner.Eviction e : plan.evictions()) {
-            HostRecord h = replica.hosts().get(e.claim().host());
-            if (h != null && membership.owns(h) && !e.claim().stopping()) {
-                preemptions.add(Preemptions.of(e.victim(), e.claim()), h.id());
-                hostDesk.attend(h.id());
+            MachineRecord h = replica.hosts().get(e.allocation().host());
+            if (h != null && membership.owns(h) && !e.allocation().stopping()) {
+                preemptions.add(Preemptions.of(e.victim(), e.allocation()), h.id());
+                workerClient.attend(h.id());
                 decisions.tell(
                         LOG,
                         "task {}/{} on {} gives way to {}",
                         e.victim().id(),
-                        e.claim().task(),
-                        e.claim().host(),
+                        e.allocation().task(),
+                        e.allocation().host(),
                         e.forJob());
             }
         }
--- /dev/null
+++ b/src/main/java/org/dunespindle/coordination/PlanSnapshots.java
@@ -0,0 +1,165 @@
+package org.dunespindle.coordination;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Function;
+import java.util.function.Supplier;
+import java.util.function.ToIntFunction;
+import org.dunespindle.protocol.MachineType;
+import org.dunespindle.storage.Allocation;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.MachineRecord;
+
+/** Gathers what a plan depends on: all machines and gangs for the leader, its own machines for any other controller. */
+final class PlanSnapshots {
+    /** What a record holds beside its allocations, in bytes. */
+    private static final int RECORD_BYTES_RESERVED = 1600;
+    /** What a task takes of its job's record at least, however many share a machine: a run of tasks breaks up while they end one by one. */
+    private static final int RECORD_BYTES_PER_TASK = 6;
+
+    private static final int LEAST_TASKS = 8;
+    private final ControllerContext context;
+    private final MachineCatalog catalog;
+    private final Fleet fleet;
+    private final MachineRenter renter;
+    private final MachineReturner returner;
+    private final MachineNews machineNews;
+    private final Peers peers;
+    private final Placements placements;
+    private final Outcomes outcomes;
+    private final PlacementPacing pacing;
+    private final FailureAttribution failureAttribution;
+    private final Targets targets;
+    private final Headroom headroom;
+    private final Supplier<Options> options;
+    private final Map<String, Planner.Place> places = new HashMap<>();
+    private final Map<Planner.Started, Duration> startedAt = new HashMap<>();
+
+    /** The parts of a controller that know what a plan depends on. */
+    record Sources(
+            MachineCatalog catalog,
+            Fleet fleet,
+            MachineRenter renter,
+            MachineReturner returner,
+            MachineNews machineNews,
+            Peers peers,
+            Placements placements,
+            Outcomes outcomes,
+            PlacementPacing pacing,
+            FailureAttribution failureAttribution) {}
+
+    PlanSnapshots(ControllerContext context, Sources sources, Targets targets, Supplier<Options> options) {
+        this.context = context;
+        this.catalog = sources.catalog;
+        this.fleet = sources.fleet;
+        this.renter = sources.renter;
+        this.returner = sources.returner;
+        this.machineNews = sources.machineNews;
+        this.peers = sources.peers;
+        this.placements = sources.placements;
+        this.outcomes = sources.outcomes;
+        this.pacing = sources.pacing;
+        this.failureAttribution = sources.failureAttribution;
+        this.targets = targets;
+        this.headroom = new Headroom(context.settings().objectives());
+        this.options = options;
+    }
+
+    /** The state as it is known now. */
+    Planner.Snapshot now() {
+        boolean leads = context.membership().leads();
+        var jobs = new ArrayList<JobRecord>();
+        context.replica().livingJobs().forEach(job -> jobs.add(placements.ahead(job)));
+        headroom.observe(jobs);
+        return new Planner.Snapshot(
+                context.timeline().wallTime(),
+                jobs,
+                hosts(leads),
+                context.settings().teams(),
+                places,
+                renter.refused(),
+                mostTasks(),
+                outcomes.ended(),
+                pacing.leftAlone(jobs),
+                leads,
+                leads
+                        ? headroom.phantoms(
+                                options.get().spareJobs(), context.timeline().wallTime())
+                        : List.of(),
+                targets,
+                leads ? progress(jobs) : started -> Duration.ZERO);
+    }
+
+    /** How many tasks of an array may be under way; a job that fails everywhere takes the room of one, until one ends well. */
+    private ToIntFunction<JobRecord> mostTasks() {
+        int room = context.settings().state().valueBytes() - RECORD_BYTES_RESERVED;
+        int most = Math.max(LEAST_TASKS, room / RECORD_BYTES_PER_TASK);
+        return job -> failureAttribution.faultyJob(job.id()) ? 1 : most;
+    }
+
+    private List<Planner.Host> hosts(boolean leads) {
+        var hosts = new ArrayList<Planner.Host>();
+        var trusted = new HashMap<String, Boolean>();
+        Map<String, MachineRecord> machines = context.replica().hosts();
+        places.keySet().retainAll(machines.keySet());
+        for (MachineRecord machine : machines.values()) {
+            places.computeIfAbsent(
+                    machine.id(), id -> new Planner.Place(machine.type(), machine.zone(), machine.spot()));
+            boolean mine = context.membership().owns(machine);
+            if ((mine || leads) && !returner.leaves(machine)) {
+                catalog.type(machine.type()).ifPresent(type -> add(hosts, machine, type, mine, trusted));
+            }
+        }
+        return hosts;
+    }
+
+    private void add(
+            List<Planner.Host> hosts,
+            MachineRecord machine,
+            MachineType type,
+            boolean mine,
+            Map<String, Boolean> trusted) {
+        boolean up = mine ? machineNews.takesTasks(machine) : upElsewhere(machine, trusted);
+        if (!up && !(fleet.booting(machine) && fleet.bootsInTime(machine))) {
+            return;
+        }
+        Set<String> images = context.sessions()
+                .known(machine.id())
+                .map(Sessions.Session::images)
+                .orElse(Set.of());
+        hosts.add(new Planner.Host(
+                machine.id(), machine.type(), machine.zone(), machine.spot(), type.size(), up, mine, images));
+    }
+
+    /**
+     * Whether another's machine takes tasks as its owner told: also while the owner, though it lives, cannot talk to this controller. Gangs
+     * would go without its machines until then; nothing is placed on one before it has been borrowed and has reported here.
+     */
+    private boolean upElsewhere(MachineRecord machine, Map<String, Boolean> trusted) {
+        boolean trust = trusted.computeIfAbsent(
+                        machine.owner(), owner -> peers.heartbeat(owner).isPresent())
+                || context.membership().isAlive(machine.owner(), machine.incarnation());
+        Optional<Peers.Machine> told = trust ? peers.lastTold(machine) : Optional.empty();
+        return told.filter(m -> m.up() && !m.bad()).isPresent();
+    }
+
+    /** How long tasks booked together have been under way: since they were first seen here, which is a little late or, after a start, much. */
+    private Function<Planner.Started, Duration> progress(List<JobRecord> jobs) {
+        Duration now = context.timeline().now();
+        var present = new HashSet<Planner.Started>();
+        for (JobRecord job : jobs) {
+            for (Allocation allocation : job.allocations()) {
+                present.add(new Planner.Started(job.id(), allocation.base()));
+            }
+        }
+        startedAt.keySet().retainAll(present);
+        present.forEach(started -> startedAt.putIfAbsent(started, now));
+        return started -> now.minus(startedAt.getOrDefault(started, now));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/coordination/PlanState.java
@@ -0,0 +1,220 @@
+package org.dunespindle.coordination;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.dunespindle.protocol.Resources;
+import org.dunespindle.protocol.Settings;
+import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.Allocation;
+import org.dunespindle.storage.JobRecord;
+
+/** A plan under construction: what is left of machines and of teams' limits, and what was decided so far. */
+final class PlanState {
+    /** Weights of what makes one machine better than another for a task. */
+    private static final double UP = 8;
+
+    private static final double IMAGE = 3;
+    private static final double CHEAP = 2;
+
+    private final Planner.Snapshot snapshot;
+    private final List<MachineRoom> machines = new ArrayList<>();
+    private final Map<String, Resources> use;
+    private final List<Planner.Booking> bookings = new ArrayList<>();
+    private final List<Planner.Eviction> evictions = new ArrayList<>();
+    private final List<Planner.Shortfall> shortfalls = new ArrayList<>();
+    private final Map<String, String> reasons = new LinkedHashMap<>();
+    private final Set<String> wanted = new HashSet<>();
+    private final Set<String> gangHosts = new HashSet<>();
+    /** What unplaced tasks would add to their team's use; bounds renting, but keeps no other job from being placed. */
+    private final Map<String, Resources> pending = new HashMap<>();
+    /** Tasks by job whose end is stored along with the job's next placement; they take no more of its record. */
+    private final Map<String, Integer> endedOf = new HashMap<>();
+    /** What a team's waiting gang needs of the limit, kept free of later work. */
+    private final Map<String, Resources> reserved = new HashMap<>();
+
+    PlanState(Planner.Snapshot snapshot) {
+        this.snapshot = snapshot;
+        this.use = Planner.use(snapshot.jobs());
+        var byId = new HashMap<String, MachineRoom>(snapshot.hosts().size() * 2);
+        for (Planner.Host host : snapshot.hosts()) {
+            var machine = new MachineRoom(host);
+            machines.add(machine);
+            byId.put(host.id(), machine);
+        }
+        snapshot.jobs().forEach(job -> occupy(job, byId));
+    }
+
+    private void occupy(JobRecord job, Map<String, MachineRoom> byId) {
+        for (Allocation allocation : job.allocations()) {
+            MachineRoom machine = byId.get(allocation.host());
+            if (ended(job, allocation)) {
+                endedOf.merge(job.id(), 1, Integer::sum);
+            } else if (machine != null) {
+                machine.occupy(job, allocation);
+            }
+        }
+    }
+
+    private boolean ended(JobRecord job, Allocation allocation) {
+        return !snapshot.ended().isEmpty()
+                && snapshot.ended().contains(new Planner.Ended(job.id(), allocation.task(), allocation.base()));
+    }
+
+    Planner.Snapshot snapshot() {
+        return snapshot;
+    }
+
+    Planner.Plan plan() {
+        return new Planner.Plan(bookings, evictions, shortfalls, reasons, wanted, gangHosts);
+    }
+
+    /** How many of a job's ended tasks make place in its record. */
+    int endedOf(JobRecord job) {
+        return endedOf.getOrDefault(job.id(), 0);
+    }
+
+    boolean teamAllows(Submission job, int tasks) {
+        return withinLimit(job, Resources.NONE, tasks);
+    }
+
+    boolean withinLimit(Submission job, Resources besides, int tasks) {
+        Settings.Team team = snapshot.teams().get(job.team());
+        Resources before = use.getOrDefault(job.team(), Resources.NONE).plus(besides);
+        return team != null && team.withinLimit(before.plus(job.perTask().times(tasks)));
+    }
+
+    /** How many more tasks the team's limit leaves room for. */
+    int allowed(Submission job, Resources besides, int most) {
+        int low = 0;
+        int high = most;
+        while (low < high) {
+            int middle = (low + high + 1) >>> 1;
+            if (withinLimit(job, besides, middle)) {
+                low = middle;
+            } else {
+                high = middle - 1;
+            }
+        }
+        return low;
+    }
+
+    /** What a team's waiting gang needs of the limit. */
+    Resources reserved(String team) {
+        return reserved.getOrDefault(team, Resources.NONE);
+    }
+
+    void reserve(String team, Resources ask) {
+        reserved.put(team, ask);
+    }
+
+    /** What the team's unplaced tasks would add to its use. */
+    Resources pending(String team) {
+        return pending.getOrDefault(team, Resources.NONE);
+    }
+
+    void addPending(String team, Resources ask) {
+        pending.merge(team, ask, Resources::plus);
+    }
+
+    /** Takes room for a task, and its part of the team's limit. */
+    void take(Submission job, MachineRoom machine) {
+        machine.take(job.perTask());
+        use.merge(job.team(), job.perTask(), Resources::plus);
+        wanted.add(machine.host().id());
+        if (job.gang()) {
+            gangHosts.add(machine.host().id());
+        }
+    }
+
+    /** Keeps room for a task that is not placed now. */
+    void keep(Submission job, MachineRoom machine) {
+        machine.take(job.perTask());
+        wanted.add(machine.host().id());
+    }
+
+    void book(JobRecord job, Map<Integer, String> places) {
+        if (!places.isEmpty()) {
+            bookings.add(new Planner.Booking(job, places));
+        }
+    }
+
+    void evict(MachineRoom.Victim victim, JobRecord forJob) {
+        evictions.add(new Planner.Eviction(victim.job(), victim.allocation(), forJob.id()));
+    }
+
+    void lacks(JobRecord job, int tasks, Optional<String> zone) {
+        shortfalls.add(new Planner.Shortfall(job, tasks, zone));
+    }
+
+    /** Notes why a job waits; what was noted first stands. */
+    void waits(JobRecord job, String reason) {
+        reasons.putIfAbsent(job.id(), reason);
+    }
+
+    /** Notes why a job waits in place of what was noted before. */
+    void waitsForNow(JobRecord job, String reason) {
+        reasons.put(job.id(), reason);
+    }
+
+    /** Machines that the job may use, wherever its zone rules lead it. */
+    List<MachineRoom> candidates(Submission job) {
+        var list = new ArrayList<MachineRoom>();
+        String zone = job.zone().orElse(null);
+        List<String> types = job.types().orElse(null);
+        for (MachineRoom machine : machines) {
+            Planner.Host host = machine.host();
+            boolean kind = job.spot() || !host.spot();
+            boolean place = zone == null || zone.equals(host.zone());
+            if (kind && place && (types == null || types.contains(host.type()))) {
+                list.add(machine);
+            }
+        }
+        return list;
+    }
+
+    /** Of some machines those with room, the best first. */
+    List<MachineRoom> roomy(Submission job, Collection<MachineRoom> candidates, ZoneRules zones, boolean upOnly) {
+        var list = new ArrayList<MachineRoom>();
+        for (MachineRoom machine : candidates) {
+            boolean ready = !upOnly || machine.host().up();
+            if (ready && machine.fits(job.perTask()) && zones.allows(machine.host())) {
+                machine.score(score(job, machine));
+                list.add(machine);
+            }
+        }
+        list.sort((a, b) -> Double.compare(b.score(), a.score()));
+        return list;
+    }
+
+    /** Up before booting, a fetched image before a cheap kind, cheap kinds before dear ones, full before empty. */
+    private static double score(Submission job, MachineRoom machine) {
+        Planner.Host host = machine.host();
+        Resources size = host.size();
+        double fill = size.gpus() > 0
+                ? 1 - machine.free().gpus() / size.gpus()
+                : 1 - machine.free().cpus() / Math.max(1e-9, size.cpus());
+        double ready = host.up() ? UP : 0;
+        double cheap = host.spot() && job.spot() ? CHEAP : 0;
+        double fetched = machine.hasImage(job.image()) ? IMAGE : 0;
+        return ready + cheap + fetched + fill;
+    }
+
+    /** How many of a job's tasks are in each zone. */
+    Map<String, Integer> zonesTaken(JobRecord job) {
+        var taken = new HashMap<String, Integer>();
+        for (Allocation allocation : job.allocations()) {
+            Planner.Place place = snapshot.whereabouts().get(allocation.host());
+            if (place != null) {
+                taken.merge(place.zone(), 1, Integer::sum);
+            }
+        }
+        return taken;
+    }
+}
--- a/src/main/java/org/dunespindle/coordination/Preemptions.java
+++ b/src/main/java/org/dunespindle/coordination/Preemptions.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.dunespindle.bookkeeping.Claim;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Replica.Placed;
+import org.dunespindle.storage.Allocation;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Replica.Placed;
 
 /**
  * Tasks that are to give way, decided here and stored nowhere: stopping a task needs no record, only its end does. A
@@ -18,27 +18,27 @@
     private final Map<String, Set<Planner.Ended>> byHost = new HashMap<>();
     private final Map<String, Set<Planner.Ended>> byJob = new HashMap<>();
 
-    void add(Planner.Ended claim, String host) {
-        byHost.computeIfAbsent(host, h -> new HashSet<>()).add(claim);
-        byJob.computeIfAbsent(claim.job(), j -> new HashSet<>()).add(claim);
+    void add(Planner.Ended allocation, String host) {
+        byHost.computeIfAbsent(host, h -> new HashSet<>()).add(allocation);
+        byJob.computeIfAbsent(allocation.job(), j -> new HashSet<>()).add(allocation);
     }
 
-    /** A machine's claims, with those marked that are to give way. */
-    List<Placed> marked(String host, List<Placed> claims) {
+    /** A machine's allocations, with those marked that are to give way. */
+    List<Placed> marked(String host, List<Placed> allocations) {
         Set<Planner.Ended> stops = byHost.get(host);
         return stops == null
-                ? claims
-                : claims.stream()
+                ? allocations
+                : allocations.stream()
                         .map(p -> stops.contains(new Planner.Ended(
                                         p.job().id(),
-                                        p.claim().task(),
-                                        p.claim().base()))
-                                ? new Placed(p.job(), p.claim().stopped())
+                                        p.allocation().task(),
+                                        p.allocation().base()))
+                                ? new Placed(p.job(), p.allocation().stopped())
                                 : p)
                         .toList();
     }
 
-    /** A job with those of its claims marked that are to give way. */
+    /** A job with those of its allocations marked that are to give way. */
     JobRecord marked(JobRecord job) {
         JobRecord marked = job;
         for (Planner.Ended stop : byJob.getOrDefault(job.id(), Set.of())) {
@@ -50,7 +50,7 @@
     }
 
     private static boolean stands(JobRecord job, Planner.Ended stop) {
-        return job.claim(stop.task()).filter(c -> c.base() == stop.base()).isPresent();
+        return job.allocation(stop.task()).filter(c -> c.base() == stop.base()).isPresent();
     }
 
     /** Forgets what has left its machine. */
@@ -65,7 +65,7 @@
         });
     }
 
-    static Planner.Ended of(JobRecord job, Claim claim) {
-        return new Planner.Ended(job.id(), claim.task(), claim.base());
+    static Planner.Ended of(JobRecord job, Allocation allocation) {
+        return new Planner.Ended(job.id(), allocation.task(), allocation.base());
     }
 }
--- a/src/main/java/org/dunespindle/coordination/Reconciler.java
+++ b/src/main/java/org/dunespindle/coordination/Reconciler.java
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Replica.Placed;
 import org.dunespindle.protocol.ExitCause;
-import org.dunespindle.protocol.Order;
-import org.dunespindle.protocol.PieceId;
+import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.TaskPhase;
 import org.dunespindle.protocol.TaskStatus;
+import org.dunespindle.protocol.WorkerCommand;
 import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Replica.Placed;
 
 /**
  * Works out the difference between what should be on a machine and what its worker reports: commands to
- * send, and what became of claims. Pure; the caller vouches that the report is proof, that is, it comes
+ * send, and what became of allocations. Pure; the caller vouches that the report is proof, that is, it comes
  * under the present token and session and no {@code run} can still be under way.
  */
 public final class Reconciler {
@@ -26,7 +26,7 @@
 
     private Reconciler() {}
 
-    /** What became of a claim. */
+    /** What became of an allocation. */
     public enum Fate {
         DONE,
         GONE,
@@ -36,73 +36,74 @@
     }
 
     /**
-     * A claim's fate, to be recorded before the worker may forget the task. It names the claim by its base too: by the time it
+     * An allocation's fate, to be recorded before the worker may forget the task. It names the allocation by its base too: by the time it
      * is recorded the task may have been booked again, and must not be taken for ended then.
      */
     public record Event(String job, int task, long base, Fate fate, String why) {}
 
     /** The outcome for one machine. */
-    public record Verdict(List<Order> orders, List<Event> events) {}
+    public record Verdict(List<WorkerCommand> commands, List<Event> events) {}
 
-    public static Verdict judge(List<Placed> claims, WorkerReport report) {
-        var orders = new ArrayList<Order>();
+    /** Compares a machine's allocations with what its worker reports. */
+    public static Verdict judge(List<Placed> allocations, WorkerReport report) {
+        var commands = new ArrayList<WorkerCommand>();
         var events = new ArrayList<Event>();
-        var byTask = new HashMap<PieceId, List<TaskStatus>>();
+        var byTask = new HashMap<TaskId, List<TaskStatus>>();
         report.tasks()
                 .forEach(t -> byTask.computeIfAbsent(t.task(), k -> new ArrayList<>(2))
                         .add(t));
-        Set<PieceId> claimed = new HashSet<>();
-        for (Placed p : claims) {
-            PieceId id = new PieceId(p.job().id(), p.claim().task());
-            claimed.add(id);
-            judgeClaim(p, id, byTask.getOrDefault(id, List.of()), orders, events);
+        Set<TaskId> allocated = new HashSet<>();
+        for (Placed p : allocations) {
+            TaskId id = new TaskId(p.job().id(), p.allocation().task());
+            allocated.add(id);
+            judgeClaim(p, id, byTask.getOrDefault(id, List.of()), commands, events);
         }
-        for (Map.Entry<PieceId, List<TaskStatus>> e : byTask.entrySet()) {
-            if (!claimed.contains(e.getKey())) {
+        for (Map.Entry<TaskId, List<TaskStatus>> e : byTask.entrySet()) {
+            if (!allocated.contains(e.getKey())) {
                 e.getValue()
-                        .forEach(t -> orders.add(
+                        .forEach(t -> commands.add(
                                 t.exited()
-                                        ? new Order.Forget(t.task(), t.attempt())
-                                        : new Order.Halt(t.task(), t.attempt(), Duration.ZERO)));
+                                        ? new WorkerCommand.Forget(t.task(), t.attempt())
+                                        : new WorkerCommand.Halt(t.task(), t.attempt(), Duration.ZERO)));
             }
         }
-        return new Verdict(orders, events);
+        return new Verdict(commands, events);
     }
 
     private static void judgeClaim(
-            Placed p, PieceId id, List<TaskStatus> present, List<Order> orders, List<Event> events) {
+            Placed p, TaskId id, List<TaskStatus> present, List<WorkerCommand> commands, List<Event> events) {
         JobRecord job = p.job();
-        long wanted = job.wantedAttempt(p.claim());
-        boolean stop = !job.open() || p.claim().stopping() || job.mode() == JobRecord.Mode.STOP;
+        long wanted = job.wantedAttempt(p.allocation());
+        boolean stop = !job.open() || p.allocation().stopping() || job.mode() == JobRecord.Mode.STOP;
         boolean othersLive = false;
         TaskStatus own = null;
         for (TaskStatus t : present) {
             if (t.attempt() == wanted) {
                 own = t;
             } else if (t.exited()) {
-                orders.add(new Order.Forget(id, t.attempt()));
+                commands.add(new WorkerCommand.Forget(id, t.attempt()));
             } else {
                 othersLive = true;
                 // Another attempt: a placeholder to be replaced, or a leftover. Its release is confirmed by the next
                 // report.
-                orders.add(new Order.Halt(id, t.attempt(), Duration.ZERO));
+                commands.add(new WorkerCommand.Halt(id, t.attempt(), Duration.ZERO));
             }
         }
         if (own != null && own.exited()) {
             if (!othersLive) {
-                events.add(new Event(job.id(), id.index(), p.claim().base(), fate(own, job, p), why(own)));
+                events.add(new Event(job.id(), id.index(), p.allocation().base(), fate(own, job, p), why(own)));
             }
         } else if (own != null) {
             if (stop && own.phase() != TaskPhase.SAVING) {
-                orders.add(new Order.Halt(id, wanted, grace(job)));
+                commands.add(new WorkerCommand.Halt(id, wanted, grace(job)));
             } else if (stop && !job.open()) {
-                orders.add(new Order.Halt(id, wanted, Duration.ZERO));
+                commands.add(new WorkerCommand.Halt(id, wanted, Duration.ZERO));
             }
         } else if (!othersLive) {
             if (stop) {
-                events.add(new Event(job.id(), id.index(), p.claim().base(), Fate.GONE, "released"));
+                events.add(new Event(job.id(), id.index(), p.allocation().base(), Fate.GONE, "released"));
             } else {
-                orders.add(new Order.Run(id, wanted));
+                commands.add(new WorkerCommand.Run(id, wanted));
             }
         }
     }
@@ -118,7 +119,9 @@
             case ERROR -> Fate.ERROR;
             case NO_ROOM, BUSY, UNKNOWN -> Fate.REFUSED;
             case INCOMPLETE ->
-                job.mode() == JobRecord.Mode.HOLD && job.open() && !p.claim().stopping()
+                job.mode() == JobRecord.Mode.HOLD
+                                && job.open()
+                                && !p.allocation().stopping()
                         ? Fate.WAITED_IN_VAIN
                         : Fate.GONE;
             default -> Fate.GONE;
--- a/src/main/java/org/dunespindle/coordination/Sessions.java
+++ b/src/main/java/org/dunespindle/coordination/Sessions.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.dunespindle.protocol.Order;
+import org.dunespindle.protocol.WorkerCommand;
 import org.dunespindle.protocol.WorkerReport;
 
 /** What this process knows of each worker. It is gone with the process; nothing in it is needed for safety. */
@@ -47,13 +47,13 @@
         boolean verifying;
         /** When this worker was last sent away because this controller was cut off. */
         Optional<Duration> turnedAwayAt = Optional.empty();
-        /** What became of claims here, not stored yet; since when. */
+        /** What became of allocations here, not stored yet; since when. */
         List<Reconciler.Event> events = List.of();
 
         Duration eventsSince = Duration.ZERO;
         final LinkedHashMap<String, Boolean> images = new LinkedHashMap<>();
         /** Starts sent under {@link #startsToken} in {@link #startsSession}: late copies of them are void only under a higher one. */
-        final Set<Order.Run> starts = new HashSet<>();
+        final Set<WorkerCommand.Run> starts = new HashSet<>();
 
         long startsToken;
         long startsSession;
@@ -130,33 +130,36 @@
         }
 
         /** Notes starts about to be sent. */
-        void starting(long token, long session, List<Order> orders) {
+        void starting(long token, long session, List<WorkerCommand> commands) {
             if (token != startsToken || session != startsSession) {
                 starts.clear();
                 startsToken = token;
                 startsSession = session;
             }
-            orders.forEach(o -> {
-                if (o instanceof Order.Run run) {
+            commands.forEach(o -> {
+                if (o instanceof WorkerCommand.Run run) {
                     starts.add(run);
                 }
             });
         }
 
         /** Whether a late copy of this attempt's start could still be carried out: then the worker must not forget it. */
-        boolean mayStartAgain(Order.Forget f, long token) {
-            return token == startsToken && starts.contains(new Order.Run(f.task(), f.attempt()));
+        boolean mayStartAgain(WorkerCommand.Forget f, long token) {
+            return token == startsToken && starts.contains(new WorkerCommand.Run(f.task(), f.attempt()));
         }
     }
 
+    /** What is known of a worker, created if it is new. */
     public Session of(String host) {
         return byHost.computeIfAbsent(host, h -> new Session());
     }
 
+    /** What is known of a worker, if anything. */
     public Optional<Session> known(String host) {
         return Optional.ofNullable(byHost.get(host));
     }
 
+    /** All workers by machine. */
     public Map<String, Session> all() {
         return byHost;
     }
--- a/src/main/java/org/dunespindle/coordination/StallDetector.java
+++ b/src/main/java/org/dunespindle/coordination/StallDetector.java
@@ -1,7 +1,7 @@
 package org.dunespindle.coordination;
 
 import java.time.Duration;
-import org.dunespindle.bookkeeping.Timeline;
+import org.dunespindle.storage.Timeline;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/dunespindle/coordination/Targets.java
+++ b/src/main/java/org/dunespindle/coordination/Targets.java
@@ -14,6 +14,7 @@
     private final Map<String, TreeSet<Duration>> finished = new HashMap<>();
     private final Map<String, TreeSet<Double>> deadlines = new HashMap<>();
 
+    /** Takes the completion objectives from the settings. */
     public Targets(List<Settings.Objective> objectives) {
         for (Settings.Objective o : objectives) {
             if (o.kind().equals("finished")) {
--- a/src/main/java/org/dunespindle/coordination/TeamLedger.java
+++ b/src/main/java/org/dunespindle/coordination/TeamLedger.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Optional;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
 
@@ -40,7 +40,7 @@
         }
 
         ObjectNode toNode() {
-            return Pack.map()
+            return MessagePackCodec.map()
                     .put("cpus", bound.cpus())
                     .put("gpus", bound.gpus())
                     .put("shareCpus", share.cpus())
@@ -75,7 +75,7 @@
      * @param spent what it has added under this record
      * @param unsure what of that may or may not have been stored
      * @param upToDate whether the view reaches up to the record
-     * @param use all claims as seen, with what this controller has proposed
+     * @param use all allocations as seen, with what this controller has proposed
      */
     record View(
             Settings.Team team,
--- a/src/main/java/org/dunespindle/coordination/FrontDesk.java
+++ b/src/main/java/org/dunespindle/coordination/UserApi.java
@@ -9,21 +9,21 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.StateClient;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateClient;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 
 /** The users' side: submissions, polls and cancellations. Every answer rests on what is stored. */
-public final class FrontDesk {
+public final class UserApi {
     private static final Duration SOON = Duration.ofSeconds(1);
     private static final Duration LATER = Duration.ofSeconds(3);
     private static final Duration LOCK_WAIT = Duration.ofMillis(40);
@@ -47,15 +47,16 @@
         }
 
         static Answer error(int status, String text) {
-            return of(status, Pack.map().put("error", text));
+            return of(status, MessagePackCodec.map().put("error", text));
         }
 
         static Answer later(String text, Duration when) {
-            return new Answer(503, Pack.map().put("error", text), Optional.of(when));
+            return new Answer(503, MessagePackCodec.map().put("error", text), Optional.of(when));
         }
     }
 
-    public FrontDesk(
+    /** Creates the API; the catalog is empty until the cloud has answered. */
+    public UserApi(
             Settings settings,
             Replica replica,
             StateClient state,
@@ -73,10 +74,11 @@
         this.mostWaiting = Math.max(LEAST_WAITING, (int) (settings.state().writeRps() * WAITING_SECONDS));
     }
 
+    /** Answers a submission. */
     public void submit(byte[] body, Consumer<Answer> answer) {
         Submission job;
         try {
-            job = Submission.parse(Pack.read(body));
+            job = Submission.parse(MessagePackCodec.read(body));
         } catch (MalformedException e) {
             answer.accept(Answer.error(400, e.getMessage()));
             return;
@@ -110,7 +112,7 @@
         }
         String key = Keys.job(job.id());
         JobRecord record = JobRecord.accepted(job, timeline.wallTime());
-        if (Pack.countedSize(record.toNode()) > settings.state().valueBytes() / 2) {
+        if (MessagePackCodec.countedSize(record.toNode()) > settings.state().valueBytes() / 2) {
             answer.accept(Answer.error(400, "the job's description is too long"));
             return;
         }
@@ -128,7 +130,8 @@
                     Math.min(60_000_000L, timeline.now().minus(begun).toNanos() / 1000));
             Optional<JobRecord> now = replica.job(job.id());
             if (r instanceof TxnResult.Applied) {
-                answer.accept(Answer.of(201, Pack.map().put("id", job.id()).put("phase", "queued")));
+                answer.accept(Answer.of(
+                        201, MessagePackCodec.map().put("id", job.id()).put("phase", "queued")));
             } else if (now.isPresent() && !(r instanceof TxnResult.Refused)) {
                 current(job.id(), answer);
             } else {
@@ -174,6 +177,7 @@
         return zones;
     }
 
+    /** Answers a question about a job. */
     public void poll(String id, Consumer<Answer> answer) {
         if (!replica.loaded()) {
             answer.accept(Answer.later("this controller is still reading the stored state", SOON));
@@ -195,7 +199,7 @@
             answer.accept(out());
         } else {
             replica.refresh(
-                    () -> answer.accept(replica.job(id).map(FrontDesk::show).orElseGet(() -> absent(id))),
+                    () -> answer.accept(replica.job(id).map(UserApi::show).orElseGet(() -> absent(id))),
                     () -> answer.accept(out()));
         }
     }
@@ -207,6 +211,7 @@
                 : Answer.error(404, "no such job");
     }
 
+    /** Cancels a job and answers once that is stored. */
     public void cancel(String id, Consumer<Answer> answer) {
         cancel(id, timeline.now().plus(PATIENCE), answer);
     }
@@ -237,7 +242,10 @@
                                 r -> {
                                     if (r instanceof TxnResult.Applied) {
                                         answer.accept(Answer.of(
-                                                200, Pack.map().put("id", id).put("phase", "cancelled")));
+                                                200,
+                                                MessagePackCodec.map()
+                                                        .put("id", id)
+                                                        .put("phase", "cancelled")));
                                     } else {
                                         again(id, until, answer);
                                     }
@@ -266,7 +274,7 @@
             case CANCELLED -> "cancelled";
             case OPEN -> running(j) > 0 ? "running" : "queued";
         };
-        ObjectNode body = Pack.map()
+        ObjectNode body = MessagePackCodec.map()
                 .put("id", j.id())
                 .put("phase", phase)
                 .put("done", j.doneCount())
@@ -276,6 +284,6 @@
 
     private static int running(JobRecord j) {
         boolean placing = j.spec().isPresent() && j.job().gang() && j.mode() != JobRecord.Mode.REAL;
-        return j.open() && !placing ? j.claims().size() : 0;
+        return j.open() && !placing ? j.allocations().size() : 0;
     }
 }
--- a/src/main/java/org/dunespindle/coordination/HostDesk.java
+++ b/src/main/java/org/dunespindle/coordination/WorkerClient.java
@@ -9,19 +9,19 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.TxnResult;
 import org.dunespindle.protocol.ExitCause;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Order;
-import org.dunespindle.protocol.Pack;
-import org.dunespindle.protocol.PieceId;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.TaskPhase;
+import org.dunespindle.protocol.WorkerCommand;
 import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.TxnResult;
 import org.dunespindle.transport.CallFailure;
 import org.dunespindle.transport.Caller;
 import org.slf4j.Logger;
@@ -31,9 +31,9 @@
  * Dealings with machines: direct commands, what became of their tasks, and who commands which. A machine is attended to
  * when something about it changed, never just because time passed: there are many, and most are as they were.
  */
-public final class HostDesk {
-    private static final Logger LOG = LoggerFactory.getLogger(HostDesk.class);
-    private static final Duration ORDER_TIMEOUT = Duration.ofMillis(2500);
+public final class WorkerClient {
+    private static final Logger LOG = LoggerFactory.getLogger(WorkerClient.class);
+    private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(2500);
     private static final Duration INSPECT_TIMEOUT = Duration.ofMillis(1500);
     private static final Duration CALL_PAUSE = Duration.ofMillis(1000);
     private static final Duration SILENT_PAUSE = Duration.ofSeconds(6);
@@ -42,7 +42,7 @@
     private static final Duration LATE_REPORT = Duration.ofSeconds(2);
     private static final Duration NEXT_CONTROLLER = Duration.ofSeconds(6);
     private static final Duration ONE_WAY_AFTER = Duration.ofSeconds(5);
-    static final int ORDERS_AT_ONCE = 200;
+    static final int COMMANDS_AT_ONCE = 200;
     private static final int MOST_KEPT_EXITS = 6;
     /** Calls to machines may take this part of the sockets, those to silent ones half of it: in a cut they hang by the hundred. */
     private static final int CALLS_PART = 8;
@@ -51,7 +51,7 @@
     private final Settings settings;
     private final Replica replica;
     private final Membership membership;
-    private final MachineEdits edits;
+    private final MachineWriter machineWriter;
     private final Caller http;
     private final Timeline timeline;
     private final Sessions sessions;
@@ -71,30 +71,25 @@
     /** Machines that a call is due to once another has ended; what to say is decided then. */
     private final LinkedHashSet<String> inLine = new LinkedHashSet<>();
 
-    public HostDesk(
-            Settings settings,
-            Replica replica,
-            Membership membership,
-            MachineEdits edits,
+    /** Creates a client for the workers' direct commands. */
+    WorkerClient(
+            ControllerContext context,
+            MachineWriter machineWriter,
             Caller http,
-            Timeline timeline,
-            Sessions sessions,
-            Decisions decisions,
             Preemptions preemptions,
             Cancellations cancellations,
-            StallDetector stalls,
             Runnable changed) {
-        this.settings = settings;
-        this.replica = replica;
-        this.membership = membership;
-        this.edits = edits;
+        this.settings = context.settings();
+        this.replica = context.replica();
+        this.membership = context.membership();
+        this.timeline = context.timeline();
+        this.sessions = context.sessions();
+        this.decisions = context.decisions();
+        this.stalls = context.stalls();
+        this.machineWriter = machineWriter;
         this.http = http;
-        this.timeline = timeline;
-        this.sessions = sessions;
-        this.decisions = decisions;
         this.preemptions = preemptions;
         this.cancellations = cancellations;
-        this.stalls = stalls;
         this.changed = changed;
         this.mostCalls = Math.max(LEAST_CALLS, settings.sockets() / CALLS_PART);
     }
@@ -104,6 +99,7 @@
         return version;
     }
 
+    /** Calls made so far. */
     public long calls() {
         return calls;
     }
@@ -145,14 +141,14 @@
     }
 
     /** Tasks that it reports of jobs known to be cancelled: to stop them is right under any token and whatever else is under way. */
-    List<Order> cancelledOn(WorkerReport r) {
-        var halts = new ArrayList<Order>();
+    List<WorkerCommand> cancelledOn(WorkerReport r) {
+        var halts = new ArrayList<WorkerCommand>();
         r.tasks().forEach(t -> {
             if (!t.exited()
                     && replica.job(t.task().job())
                             .filter(cancellations::cancelled)
                             .isPresent()) {
-                halts.add(new Order.Halt(t.task(), t.attempt(), Duration.ZERO));
+                halts.add(new WorkerCommand.Halt(t.task(), t.attempt(), Duration.ZERO));
             }
         });
         return halts;
@@ -160,7 +156,7 @@
 
     /** Looks at the machines of jobs that others say are cancelled. */
     void cancelledElsewhere(List<String> jobs) {
-        jobs.forEach(id -> replica.job(id).ifPresent(j -> j.claims().forEach(c -> due.add(c.host()))));
+        jobs.forEach(id -> replica.job(id).ifPresent(j -> j.allocations().forEach(c -> due.add(c.host()))));
         if (!jobs.isEmpty()) {
             changed.run();
         }
@@ -178,7 +174,7 @@
         }
         session.verifying = true;
         underWay++;
-        http.send(address, "GET", "/inspect", new byte[0], Pack.TYPE, INSPECT_TIMEOUT)
+        http.send(address, "GET", "/inspect", new byte[0], MessagePackCodec.TYPE, INSPECT_TIMEOUT)
                 .whenComplete((a, e) -> {
                     session.verifying = false;
                     underWay--;
@@ -188,7 +184,7 @@
     }
 
     /** Asks a machine itself whether it is there; false if it cannot be asked now. */
-    boolean ask(HostRecord record, String address, Consumer<Boolean> then) {
+    boolean ask(MachineRecord record, String address, Consumer<Boolean> then) {
         Sessions.Session s = sessions.of(record.id());
         if (address.isEmpty() || s.verifying || underWay >= mostCalls) {
             return false;
@@ -198,39 +194,39 @@
     }
 
     /** Becomes a machine's owner by raising its token. */
-    public void take(HostRecord record, Instant keep, Consumer<TxnResult> then) {
+    public void take(MachineRecord record, Instant keep, Consumer<TxnResult> then) {
         take(record, address(record), keep, then);
     }
 
     /** The same for a machine whose address somebody else told: it can be commanded before it finds its way here. */
-    public void take(HostRecord record, String address, Instant keep, Consumer<TxnResult> then) {
-        HostRecord mine = record.ownedBy(settings.nodeName(), membership.incarnation(), keep)
+    public void take(MachineRecord record, String address, Instant keep, Consumer<TxnResult> then) {
+        MachineRecord mine = record.ownedBy(settings.nodeName(), membership.incarnation(), keep)
                 .at(address);
         long seen = sessions.known(record.id())
                 .flatMap(s -> s.report)
                 .map(WorkerReport::token)
                 .orElse(0L);
-        edits.change(Committer.Lane.PLACING, mine.above(seen), then);
+        machineWriter.change(Committer.Lane.PLACING, mine.above(seen), then);
     }
 
     /** Where a machine is reached, as far as known here. */
-    String address(HostRecord record) {
+    String address(MachineRecord record) {
         return sessions.known(record.id())
                 .flatMap(s -> s.report)
                 .map(WorkerReport::address)
                 .orElse(record.address());
     }
 
-    /** Whether conclusions about this machine may be drawn and orders given here and now. */
-    public boolean commands(HostRecord record) {
+    /** Whether conclusions about this machine may be drawn and commands given here and now. */
+    public boolean inCommand(MachineRecord record) {
         return membership.owns(record) && replica.syncedTo() >= replica.stamp(Keys.host(record.id()));
     }
 
     /** A worker under our token whose last report stands and whom commands reach: its machine can take tasks. */
-    public boolean ready(HostRecord record) {
+    public boolean ready(MachineRecord record) {
         Optional<Sessions.Session> s = sessions.known(record.id());
         return s.isPresent()
-                && commands(record)
+                && inCommand(record)
                 && !record.leaving()
                 && s.get().report.isPresent()
                 && s.get().report.get().token() == record.token()
@@ -243,7 +239,7 @@
         return sessions.known(host).flatMap(s -> s.unprovenSince).map(stalls::silence);
     }
 
-    /** One pass over the machines about which something changed: sends orders, notes what became of claims. */
+    /** One pass over the machines about which something changed: sends commands, notes what became of allocations. */
     public void pass() {
         due.addAll(replica.takeTouched());
         if (due.isEmpty()) {
@@ -255,13 +251,13 @@
     }
 
     private void attendNow(String host) {
-        HostRecord record = replica.hosts().get(host);
+        MachineRecord record = replica.hosts().get(host);
         Optional<Sessions.Session> known = sessions.known(host);
         if (record == null || !membership.owns(record)) {
             known.ifPresent(s -> events(host, s, List.of()));
             return;
         }
-        if (!commands(record)) {
+        if (!inCommand(record)) {
             due.add(host); // until everything up to the record that made this controller the owner is read
             return;
         }
@@ -273,8 +269,8 @@
             return;
         }
         if (s.report.isPresent() && s.report.get().token() > record.token()) {
-            if (!edits.busy(host)) {
-                edits.change(
+            if (!machineWriter.busy(host)) {
+                machineWriter.change(
                         Committer.Lane.PLACING,
                         record.fenced().above(s.report.get().token()),
                         r -> due.add(host));
@@ -287,9 +283,9 @@
         }
     }
 
-    /** A machine's claims, with those marked that are to end though their record does not say so. */
-    List<Replica.Placed> claims(String host) {
-        return preemptions.marked(host, cancellations.marked(replica.claimsOn(host)));
+    /** A machine's allocations, with those marked that are to end though their record does not say so. */
+    List<Replica.Placed> allocations(String host) {
+        return preemptions.marked(host, cancellations.marked(replica.allocationsOn(host)));
     }
 
     /** Whether nothing of any kind has come from a machine for longer than reports take. */
@@ -315,15 +311,15 @@
                 .isEmpty();
     }
 
-    private void conclude(HostRecord record, Sessions.Session s) {
+    private void conclude(MachineRecord record, Sessions.Session s) {
         WorkerReport report = s.report.get();
-        Reconciler.Verdict v = Reconciler.judge(claims(record.id()), report);
+        Reconciler.Verdict v = Reconciler.judge(allocations(record.id()), report);
         report.tasks().forEach(t -> {
             if (t.phase() == TaskPhase.RUNNING || t.phase() == TaskPhase.ASSEMBLING) {
                 replica.job(t.task().job()).flatMap(j -> j.spec()).ifPresent(spec -> s.fetched(spec.image()));
             }
         });
-        List<Order> orders = keepExits(record, s, v.orders());
+        List<WorkerCommand> commands = keepExits(record, s, v.commands());
         var events = v.events();
         // An old view may miss a cancellation: it stops tasks, but starts none.
         boolean startsWait = replica.age().compareTo(START_VIEW) >= 0;
@@ -334,32 +330,34 @@
                     || oneWayFor(record.id())
                             .filter(d -> d.compareTo(ONE_WAY_AFTER) > 0)
                             .isPresent()) {
-                events = withoutStarts(v, replica.claimsOn(record.id()));
+                events = withoutStarts(v, replica.allocationsOn(record.id()));
             }
         }
         events(record.id(), s, events);
-        if (startsWait && orders.stream().anyMatch(o -> o instanceof Order.Run)) {
+        if (startsWait && commands.stream().anyMatch(o -> o instanceof WorkerCommand.Run)) {
             due.add(record.id());
-            orders = orders.stream().filter(o -> !(o instanceof Order.Run)).toList();
+            commands = commands.stream()
+                    .filter(o -> !(o instanceof WorkerCommand.Run))
+                    .toList();
         }
         if (s.unprovenSince.isPresent()) {
             call(record, s, List.of()); // nothing is started before a command is known to arrive
-        } else if (orders.stream().anyMatch(o -> !(o instanceof Order.Forget))) {
-            call(record, s, orders);
+        } else if (commands.stream().anyMatch(o -> !(o instanceof WorkerCommand.Forget))) {
+            call(record, s, commands);
         }
     }
 
     /** On a machine that takes no commands, or whose reports reach nobody, a task that its report shows absent, with no start under way, is free to start elsewhere. */
-    private static List<Reconciler.Event> withoutStarts(Reconciler.Verdict v, List<Replica.Placed> claims) {
+    private static List<Reconciler.Event> withoutStarts(Reconciler.Verdict v, List<Replica.Placed> allocations) {
         var events = new ArrayList<>(v.events());
-        var unstarted = new HashSet<PieceId>();
-        v.orders().stream().filter(o -> o instanceof Order.Run).forEach(o -> unstarted.add(o.task()));
-        for (Replica.Placed p : claims) {
-            if (unstarted.contains(new PieceId(p.job().id(), p.claim().task()))) {
+        var unstarted = new HashSet<TaskId>();
+        v.commands().stream().filter(o -> o instanceof WorkerCommand.Run).forEach(o -> unstarted.add(o.task()));
+        for (Replica.Placed p : allocations) {
+            if (unstarted.contains(new TaskId(p.job().id(), p.allocation().task()))) {
                 events.add(new Reconciler.Event(
                         p.job().id(),
-                        p.claim().task(),
-                        p.claim().base(),
+                        p.allocation().task(),
+                        p.allocation().base(),
                         Reconciler.Fate.GONE,
                         "the machine and its controllers do not reach each other"));
             }
@@ -389,29 +387,29 @@
      * A worker that has forgotten an attempt would start it again on a late copy of the command. So one that ended without
      * being done is kept in its reports until a higher token has voided all copies; when several are, the token is raised.
      */
-    List<Order> keepExits(HostRecord record, Sessions.Session s, List<Order> orders) {
-        if (s.starts.isEmpty() || s.startsToken != record.token() || orders.isEmpty()) {
-            return orders;
+    List<WorkerCommand> keepExits(MachineRecord record, Sessions.Session s, List<WorkerCommand> commands) {
+        if (s.starts.isEmpty() || s.startsToken != record.token() || commands.isEmpty()) {
+            return commands;
         }
-        var done = new HashSet<Order.Run>();
+        var done = new HashSet<WorkerCommand.Run>();
         s.report.ifPresent(r -> r.tasks().forEach(t -> {
             if (t.exited() && t.cause().orElse(ExitCause.STOPPED) == ExitCause.DONE) {
-                done.add(new Order.Run(t.task(), t.attempt()));
+                done.add(new WorkerCommand.Run(t.task(), t.attempt()));
             }
         }));
-        var kept = new ArrayList<Order>();
+        var kept = new ArrayList<WorkerCommand>();
         int held = 0;
-        for (Order o : orders) {
-            if (o instanceof Order.Forget f
+        for (WorkerCommand o : commands) {
+            if (o instanceof WorkerCommand.Forget f
                     && s.mayStartAgain(f, record.token())
-                    && !done.contains(new Order.Run(f.task(), f.attempt()))) {
+                    && !done.contains(new WorkerCommand.Run(f.task(), f.attempt()))) {
                 held++;
             } else {
                 kept.add(o);
             }
         }
-        if (held > MOST_KEPT_EXITS && !edits.busy(record.id())) {
-            edits.change(Committer.Lane.KEEPING, record.fenced(), r -> {});
+        if (held > MOST_KEPT_EXITS && !machineWriter.busy(record.id())) {
+            machineWriter.change(Committer.Lane.MAINTENANCE, record.fenced(), r -> {});
         }
         return kept;
     }
@@ -420,14 +418,14 @@
      * A start that went unanswered may still land: a higher token, once the worker has seen it, rules that out. A machine
      * that stays silent needs none: it is returned.
      */
-    private boolean fenced(HostRecord record, Sessions.Session s) {
+    private boolean fenced(MachineRecord record, Sessions.Session s) {
         if (record.token() > s.unansweredUnder.get()) {
             s.unansweredUnder = Optional.empty();
             return true;
         }
         if (s.aliveAt().filter(t -> t.compareTo(s.unansweredAt) > 0).isPresent()) {
-            if (!edits.busy(record.id())) {
-                edits.change(Committer.Lane.PLACING, record.fenced(), r -> due.add(record.id()));
+            if (!machineWriter.busy(record.id())) {
+                machineWriter.change(Committer.Lane.PLACING, record.fenced(), r -> due.add(record.id()));
             }
         } else {
             call(record, s, List.of());
@@ -435,7 +433,7 @@
         return false;
     }
 
-    private void call(HostRecord record, Sessions.Session s, List<Order> orders) {
+    private void call(MachineRecord record, Sessions.Session s, List<WorkerCommand> commands) {
         String address = address(record);
         if (address.isEmpty() || timeline.now().compareTo(s.callAgainAt) < 0) {
             return; // a timer brings it back
@@ -451,9 +449,9 @@
             return;
         }
         // Whatever the call is for: what is cancelled ends now.
-        List<Order> all = orders.isEmpty() && s.report.isPresent() ? cancelledOn(s.report.get()) : orders;
-        List<Order> some = all.size() > ORDERS_AT_ONCE ? all.subList(0, ORDERS_AT_ONCE) : all;
-        boolean starts = some.stream().anyMatch(o -> o instanceof Order.Run);
+        List<WorkerCommand> all = commands.isEmpty() && s.report.isPresent() ? cancelledOn(s.report.get()) : commands;
+        List<WorkerCommand> some = all.size() > COMMANDS_AT_ONCE ? all.subList(0, COMMANDS_AT_ONCE) : all;
+        boolean starts = some.stream().anyMatch(o -> o instanceof WorkerCommand.Run);
         long session = s.report.map(WorkerReport::session).orElse(1L);
         long token = record.token();
         s.starting(token, session, some);
@@ -461,7 +459,13 @@
         calls++;
         underWay++;
         underWayToSilent += silent ? 1 : 0;
-        http.send(address, "POST", "/orders", Pack.write(Order.command(token, session, some)), Pack.TYPE, ORDER_TIMEOUT)
+        http.send(
+                        address,
+                        "POST",
+                        "/orders",
+                        MessagePackCodec.write(WorkerCommand.command(token, session, some)),
+                        MessagePackCodec.TYPE,
+                        COMMAND_TIMEOUT)
                 .whenComplete((a, e) -> {
                     s.calling = false;
                     underWay--;
@@ -494,7 +498,7 @@
         }
     }
 
-    private void unanswered(HostRecord record, Sessions.Session s, long token) {
+    private void unanswered(MachineRecord record, Sessions.Session s, long token) {
         s.unansweredUnder = Optional.of(token);
         s.unansweredAt = timeline.now();
         decisions.tell(
@@ -516,7 +520,7 @@
 
     private boolean answered(String host, Sessions.Session s, byte[] body) {
         try {
-            WorkerReport r = WorkerReport.parse(Pack.read(body));
+            WorkerReport r = WorkerReport.parse(MessagePackCodec.read(body));
             if (r.host().equals(host)) {
                 if (r.notice().isPresent()) {
                     noticed.add(host);
--- a/src/main/java/org/dunespindle/coordination/Hearing.java
+++ b/src/main/java/org/dunespindle/coordination/WorkerConnectivity.java
@@ -5,10 +5,10 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Optional;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Timeline;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,8 +17,8 @@
  * steps aside, before its workers' leases end: the others take its machines, and the lead, as after a crash. Left
  * in place it would hold machines that it cannot command, and take them for dead.
  */
-final class Hearing {
-    private static final Logger LOG = LoggerFactory.getLogger(Hearing.class);
+final class WorkerConnectivity {
+    private static final Logger LOG = LoggerFactory.getLogger(WorkerConnectivity.class);
     private static final Duration LATENESS = Duration.ofMillis(800);
     private static final Duration VIEW = Duration.ofSeconds(3);
     private static final Duration ASK_EVERY = Duration.ofSeconds(2);
@@ -28,7 +28,7 @@
     private final Settings settings;
     private final Replica replica;
     private final Membership membership;
-    private final HostDesk hostDesk;
+    private final WorkerClient workerClient;
     private final Peers peers;
     private final Sessions sessions;
     private final Timeline timeline;
@@ -40,25 +40,16 @@
     private Optional<Duration> awaySince = Optional.empty();
     private Duration askAgainAt = Duration.ZERO;
 
-    Hearing(
-            Settings settings,
-            Replica replica,
-            Membership membership,
-            HostDesk hostDesk,
-            Peers peers,
-            Sessions sessions,
-            Timeline timeline,
-            StallDetector stalls,
-            Decisions decisions) {
-        this.settings = settings;
-        this.replica = replica;
-        this.membership = membership;
-        this.hostDesk = hostDesk;
+    WorkerConnectivity(ControllerContext context, WorkerClient workerClient, Peers peers) {
+        this.settings = context.settings();
+        this.replica = context.replica();
+        this.membership = context.membership();
+        this.sessions = context.sessions();
+        this.timeline = context.timeline();
+        this.stalls = context.stalls();
+        this.decisions = context.decisions();
+        this.workerClient = workerClient;
         this.peers = peers;
-        this.sessions = sessions;
-        this.timeline = timeline;
-        this.stalls = stalls;
-        this.decisions = decisions;
         this.overdue = settings.workers().report().multipliedBy(5).dividedBy(4).plus(LATENESS);
     }
 
@@ -74,7 +65,7 @@
                 && replica.age().compareTo(VIEW) < 0
                 && stalls.awake().compareTo(overdue) > 0
                 && othersServe()) {
-            List<HostRecord> silent = silentOnes();
+            List<MachineRecord> silent = silentOnes();
             if (!silent.isEmpty()) {
                 askAgainAt = now.plus(ASK_EVERY);
                 ask(spread(silent), spread(known()), () -> stepAside(silent.size()));
@@ -91,10 +82,10 @@
     }
 
     /** The silent ones of the machines that have reported under this controller's command; none unless nearly all are. */
-    private List<HostRecord> silentOnes() {
-        var silent = new ArrayList<HostRecord>();
+    private List<MachineRecord> silentOnes() {
+        var silent = new ArrayList<MachineRecord>();
         int all = 0;
-        for (HostRecord h : replica.hosts().values()) {
+        for (MachineRecord h : replica.hosts().values()) {
             Optional<Sessions.Session> s =
                     membership.owns(h) && !h.leaving() ? sessions.known(h.id()) : Optional.empty();
             if (s.isPresent()
@@ -110,8 +101,8 @@
     }
 
     /** Machines of any controller that have been heard here. */
-    private List<HostRecord> known() {
-        var known = new ArrayList<HostRecord>();
+    private List<MachineRecord> known() {
+        var known = new ArrayList<MachineRecord>();
         replica.hosts().values().stream()
                 .filter(h ->
                         sessions.known(h.id()).filter(s -> s.report.isPresent()).isPresent())
@@ -119,9 +110,9 @@
         return known;
     }
 
-    private static List<HostRecord> spread(List<HostRecord> hosts) {
+    private static List<MachineRecord> spread(List<MachineRecord> hosts) {
         int count = Math.min(ASKED, hosts.size());
-        var some = new ArrayList<HostRecord>();
+        var some = new ArrayList<MachineRecord>();
         for (int i = 0; i < count; i++) {
             some.add(hosts.get(i * hosts.size() / count));
         }
@@ -129,13 +120,13 @@
     }
 
     /** Asks own machines and any; only if none at all answers is it this controller that is cut off, rather than some machines gone. */
-    private void ask(List<HostRecord> silent, List<HostRecord> any, Runnable noneAnswered) {
+    private void ask(List<MachineRecord> silent, List<MachineRecord> any, Runnable noneAnswered) {
         var hosts = new LinkedHashSet<>(silent);
         hosts.addAll(any);
         var open = new int[] {hosts.size()};
         var answered = new boolean[1];
-        for (HostRecord h : hosts) {
-            hostDesk.ask(h, hostDesk.address(h), yes -> {
+        for (MachineRecord h : hosts) {
+            workerClient.ask(h, workerClient.address(h), yes -> {
                 answered[0] |= yes;
                 if (--open[0] == 0 && !answered[0]) {
                     noneAnswered.run();
@@ -160,8 +151,8 @@
             back("nobody else serves");
             return;
         }
-        for (HostRecord h : spread(known())) {
-            hostDesk.ask(h, hostDesk.address(h), yes -> {
+        for (MachineRecord h : spread(known())) {
+            workerClient.ask(h, workerClient.address(h), yes -> {
                 if (yes) {
                     back("workers answer again");
                 }
--- a/src/main/java/org/dunespindle/coordination/WriteShare.java
+++ b/src/main/java/org/dunespindle/coordination/WriteShare.java
@@ -1,9 +1,9 @@
 package org.dunespindle.coordination;
 
 import java.time.Duration;
-import org.dunespindle.bookkeeping.StateClient;
-import org.dunespindle.bookkeeping.Timeline;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.StateClient;
+import org.dunespindle.storage.Timeline;
 
 /**
  * Divides the state service's write rate among the controllers by need, as they tell one another: the leader writes
--- a/src/main/java/org/dunespindle/protocol/ExitCause.java
+++ b/src/main/java/org/dunespindle/protocol/ExitCause.java
@@ -23,6 +23,7 @@
         return STOPPED;
     }
 
+    /** The name on the wire. */
     public String wire() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/dunespindle/protocol/ListedMachine.java
+++ b/src/main/java/org/dunespindle/protocol/ListedMachine.java
@@ -6,10 +6,12 @@
 /** A row of the cloud's machine list, which lags. */
 public record ListedMachine(
         String id, String address, String type, String zone, boolean spot, String phase, Duration age) {
+    /** Whether the machine has stopped on its own. */
     public boolean failed() {
         return phase.equals("failed");
     }
 
+    /** Reads one row of the cloud's list. */
     public static ListedMachine parse(JsonNode n) throws MalformedException {
         var f = new Submission.Fields(n);
         return new ListedMachine(
--- a/src/main/java/org/dunespindle/protocol/MachineType.java
+++ b/src/main/java/org/dunespindle/protocol/MachineType.java
@@ -15,6 +15,7 @@
         double spotPrice,
         Duration boot,
         List<String> zones) {
+    /** The nominal price per hour of an ordinary or a spot machine. */
     public double price(boolean spot) {
         return spot ? spotPrice : price;
     }
--- a/src/main/java/org/dunespindle/protocol/MalformedException.java
+++ b/src/main/java/org/dunespindle/protocol/MalformedException.java
@@ -4,6 +4,7 @@
 public final class MalformedException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** Creates an exception whose message names what is wrong, for the sender. */
     public MalformedException(String message) {
         super(message, null, false, false);
     }
--- a/src/main/java/org/dunespindle/protocol/Pack.java
+++ b/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
@@ -18,14 +18,15 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /** Bodies outside the service: MessagePack to and from trees. */
-public final class Pack {
+public final class MessagePackCodec {
     public static final String TYPE = "application/msgpack";
     private static final int DEEPEST = 32;
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Pack() {}
+    private MessagePackCodec() {}
 
+    /** An empty map. */
     public static ObjectNode map() {
         return JsonNodeFactory.instance.objectNode();
     }
@@ -90,6 +91,7 @@
         }
     }
 
+    /** Encodes a tree as MessagePack. */
     public static byte[] write(JsonNode node) {
         try {
             return MAPPER.writeValueAsBytes(node);
--- a/src/main/java/org/dunespindle/protocol/Priority.java
+++ b/src/main/java/org/dunespindle/protocol/Priority.java
@@ -3,13 +3,14 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Job priorities, lowest first so that {@code compareTo} orders them. */
+/** Job priorities, lowest first so that {@code compareTo} commands them. */
 public enum Priority {
     LOW,
     NORMAL,
     URGENT,
     CRITICAL;
 
+    /** Reads the name on the wire. */
     public static Optional<Priority> parse(String text) {
         for (Priority p : values()) {
             if (p.wire().equals(text)) {
@@ -19,6 +20,7 @@
         return Optional.empty();
     }
 
+    /** The name on the wire. */
     public String wire() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -36,6 +36,7 @@
 
     /** A team; a guarantee or limit of 0 in the file means none, which is infinity here for a limit. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
+        /** Whether a use keeps within the team's limit. */
         public boolean withinLimit(Resources use) {
             return use.cpus() <= cpusMax + 1e-6 && use.gpus() <= gpusMax + 1e-6;
         }
@@ -72,6 +73,7 @@
         return parse(root);
     }
 
+    /** Reads and checks settings; the message of a failure names the field. */
     public static Settings parse(JsonNode root) throws MalformedException {
         var seeds = new ArrayList<Seed>();
         for (JsonNode s : root.path("seeds")) {
--- a/src/main/java/org/dunespindle/protocol/Shape.java
+++ b/src/main/java/org/dunespindle/protocol/Shape.java
@@ -17,10 +17,12 @@
         this.wire = wire;
     }
 
+    /** The name on the wire. */
     public String wire() {
         return wire;
     }
 
+    /** Reads the name on the wire. */
     public static Optional<Shape> parse(String text) {
         for (Shape s : values()) {
             if (s.wire.equals(text)) {
