--- a/src/main/java/org/dunespindle/protocol/Submission.java
+++ b/src/main/java/org/dunespindle/protocol/Submission.java
@@ -30,10 +30,12 @@
         Optional<Duration> due) {
     public static final int MOST_TASKS = 100_000;
 
+    /** What all tasks take together. */
     public Resources wholeAsk() {
         return perTask.times(tasks);
     }
 
+    /** Whether all tasks run at the same time or none does. */
     public boolean gang() {
         return shape == Shape.GANG;
     }
@@ -57,7 +59,7 @@
                 .orElseThrow(() -> new MalformedException("shape must be array, group or daemon"));
         Priority priority = Priority.parse(f.text("rank", 16))
                 .orElseThrow(() -> new MalformedException("rank must be critical, urgent, normal or low"));
-        long pieces = f.whole("pieces", 1, MOST_TASKS);
+        long tasks = f.whole("pieces", 1, MOST_TASKS);
         var per = new Resources(f.amount("vcpus"), f.amount("accelerators"), f.amount("ramGb"));
         return new Submission(
                 id,
@@ -65,7 +67,7 @@
                 f.text("owner", 128),
                 shape,
                 priority,
-                (int) pieces,
+                (int) tasks,
                 per,
                 f.optionalTexts("hulls", 64),
                 f.optionalText("dune", 128),
--- a/src/main/java/org/dunespindle/protocol/TaskPhase.java
+++ b/src/main/java/org/dunespindle/protocol/TaskPhase.java
@@ -16,10 +16,12 @@
         this.wire = wire;
     }
 
+    /** The name on the wire. */
     public String wire() {
         return wire;
     }
 
+    /** Reads the name on the wire. */
     public static Optional<TaskPhase> parse(String text) {
         for (TaskPhase p : values()) {
             if (p.wire.equals(text)) {
--- a/src/main/java/org/dunespindle/protocol/TaskStatus.java
+++ b/src/main/java/org/dunespindle/protocol/TaskStatus.java
@@ -3,7 +3,8 @@
 import java.util.Optional;
 
 /** One task in a worker's report. */
-public record TaskStatus(PieceId task, long attempt, TaskPhase phase, Optional<ExitCause> cause, boolean saved) {
+public record TaskStatus(TaskId task, long attempt, TaskPhase phase, Optional<ExitCause> cause, boolean saved) {
+    /** Whether the task has ended on this machine. */
     public boolean exited() {
         return phase == TaskPhase.EXITED;
     }
--- a/src/main/java/org/dunespindle/protocol/WorkerReport.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerReport.java
@@ -32,7 +32,8 @@
                 && tasks.equals(other.tasks);
     }
 
-    public Optional<TaskStatus> find(PieceId task, long attempt) {
+    /** The status of one attempt of a task, if the worker knows it. */
+    public Optional<TaskStatus> find(TaskId task, long attempt) {
         for (TaskStatus t : tasks) {
             if (t.attempt() == attempt && t.task().equals(task)) {
                 return Optional.of(t);
@@ -41,18 +42,19 @@
         return Optional.empty();
     }
 
+    /** Reads a report. */
     public static WorkerReport parse(JsonNode n) throws MalformedException {
         if (!n.isObject()) {
             throw new MalformedException("the body is not a map");
         }
         var f = new Submission.Fields(n);
-        JsonNode pieces = n.get("pieces");
+        JsonNode listed = n.get("pieces");
         var tasks = new ArrayList<TaskStatus>();
-        if (pieces != null && !pieces.isNull()) {
-            if (!pieces.isArray()) {
+        if (listed != null && !listed.isNull()) {
+            if (!listed.isArray()) {
                 throw new MalformedException("pieces must be a list");
             }
-            for (JsonNode p : pieces) {
+            for (JsonNode p : listed) {
                 tasks.add(status(p));
             }
         }
@@ -74,7 +76,7 @@
             throw new MalformedException("pieces must hold maps");
         }
         var f = new Submission.Fields(p);
-        PieceId id = PieceId.parse(f.text("piece", 200))
+        TaskId id = TaskId.parse(f.text("piece", 200))
                 .orElseThrow(() -> new MalformedException("piece must be a task's name"));
         TaskPhase phase =
                 TaskPhase.parse(f.text("phase", 32)).orElseThrow(() -> new MalformedException("phase is unknown"));
--- a/src/main/java/org/dunespindle/bookkeeping/Claim.java
+++ b/src/main/java/org/dunespindle/storage/Allocation.java
@@ -1,12 +1,13 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 /**
  * A task's place: while it stands in a job's record, the task may be on that machine. {@code base} is
  * the attempt of an array's task; a gang member's placeholder runs under {@code base + task}, so that
  * no two placeholders of a gang share an attempt and the gang cannot assemble from them.
  */
-public record Claim(int task, String host, long base, boolean stopping) {
-    public Claim stopped() {
-        return new Claim(task, host, base, true);
+public record Allocation(int task, String host, long base, boolean stopping) {
+    /** The same allocation, marked as being stopped. */
+    public Allocation stopped() {
+        return new Allocation(task, host, base, true);
     }
 }
--- a/src/main/java/org/dunespindle/bookkeeping/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Shape;
 import org.dunespindle.protocol.Submission;
 
@@ -22,10 +22,10 @@
  * A job as the state service keeps it.
  *
  * <p>Array tasks start in index order, so {@code next} (the first index never started), the ones to
- * start again and the claims say everything: the rest below {@code next} is done. The record's size
+ * start again and the allocations say everything: the rest below {@code next} is done. The record's size
  * follows what is under way, never the number of tasks.
  *
- * @param spec empty for a finished job without claims: only its final state is kept
+ * @param spec empty for a finished job without allocations: only its final state is kept
  * @param generation source of attempts; only grows
  * @param attempt a gang's common attempt, while {@link Mode#REAL}
  * @param order place in the team's queue of gangs: arrival in milliseconds, later after a requeue
@@ -38,7 +38,7 @@
         long generation,
         int next,
         List<Integer> again,
-        List<Claim> claims,
+        List<Allocation> allocations,
         Mode mode,
         long attempt,
         long order,
@@ -60,6 +60,7 @@
         STOP
     }
 
+    /** The record of a job that has just been accepted. */
     public static JobRecord accepted(Submission spec, Instant now) {
         return new JobRecord(
                 spec.id(),
@@ -77,10 +78,12 @@
                 Optional.empty());
     }
 
+    /** Whether the job is neither done nor cancelled. */
     public boolean open() {
         return end == End.OPEN;
     }
 
+    /** What the user submitted; only present while the job is open or holds allocations. */
     public Submission job() {
         return spec.orElseThrow();
     }
@@ -90,10 +93,10 @@
         if (spec.isEmpty()) {
             return next;
         }
-        return job().gang() || end != End.OPEN ? 0 : next - again.size() - claims.size();
+        return job().gang() || end != End.OPEN ? 0 : next - again.size() - allocations.size();
     }
 
-    /** Indexes without a claim and not done, in the order they should start. */
+    /** Indexes without an allocation and not done, in the order they should start. */
     public IntArrayList unplaced(int most) {
         var list = new IntArrayList();
         if (!open()) {
@@ -104,7 +107,7 @@
                 return list;
             }
             var placed = new java.util.BitSet();
-            claims.forEach(c -> placed.set(c.task()));
+            allocations.forEach(c -> placed.set(c.task()));
             for (int i = placed.nextClearBit(0);
                     i < job().tasks() && list.size() < most;
                     i = placed.nextClearBit(i + 1)) {
@@ -123,25 +126,27 @@
         return list;
     }
 
+    /** How many tasks still need a machine. */
     public int unplacedCount() {
         if (!open()) {
             return 0;
         }
         if (job().gang()) {
-            return mode == Mode.REAL || mode == Mode.STOP ? 0 : job().tasks() - claims.size();
+            return mode == Mode.REAL || mode == Mode.STOP ? 0 : job().tasks() - allocations.size();
         }
         return again.size() + job().tasks() - next;
     }
 
-    /** The attempt under which a claim's task should be on its machine. */
-    public long wantedAttempt(Claim c) {
+    /** The attempt under which an allocation's task should be on its machine. */
+    public long wantedAttempt(Allocation c) {
         return !job().gang()
                 ? c.base()
                 : mode == Mode.REAL || (mode == Mode.STOP && attempt > 0) ? attempt : c.base() + c.task();
     }
 
-    public Optional<Claim> claim(int task) {
-        for (Claim c : claims) {
+    /** The allocation of one task, if it has one. */
+    public Optional<Allocation> allocation(int task) {
+        for (Allocation c : allocations) {
             if (c.task() == task) {
                 return Optional.of(c);
             }
@@ -151,11 +156,11 @@
 
     /** Books tasks on machines, each under a fresh attempt. */
     public JobRecord placed(Map<Integer, String> places) {
-        var all = new ArrayList<>(claims);
+        var all = new ArrayList<>(allocations);
         var waiting = new ArrayList<>(again);
         int first = next;
         for (var e : places.entrySet()) {
-            all.add(new Claim(e.getKey(), e.getValue(), generation, false));
+            all.add(new Allocation(e.getKey(), e.getValue(), generation, false));
             if (!job().gang()) {
                 waiting.remove(e.getKey());
                 first = Math.max(first, e.getKey() + 1);
@@ -197,7 +202,7 @@
                 generation + 1,
                 next,
                 again,
-                claims,
+                allocations,
                 Mode.REAL,
                 generation,
                 order,
@@ -207,8 +212,9 @@
 
     /** Books a placeholder again on its machine, after it gave up waiting. */
     public JobRecord rebooked(int task) {
-        var all = new ArrayList<Claim>();
-        claims.forEach(c -> all.add(c.task() == task ? new Claim(task, c.host(), generation, c.stopping()) : c));
+        var all = new ArrayList<Allocation>();
+        allocations.forEach(
+                c -> all.add(c.task() == task ? new Allocation(task, c.host(), generation, c.stopping()) : c));
         return with(end, generation + job().tasks(), next, again, all, mode, attempt);
     }
 
@@ -219,26 +225,27 @@
                 generation,
                 next,
                 again,
-                claims,
+                allocations,
                 Mode.STOP,
                 mode == Mode.REAL ? attempt : mode == Mode.STOP ? attempt : 0);
     }
 
+    /** Marks one task's allocation as being stopped. */
     public JobRecord stopTask(int task) {
-        var all = new ArrayList<Claim>();
-        claims.forEach(c -> all.add(c.task() == task ? c.stopped() : c));
+        var all = new ArrayList<Allocation>();
+        allocations.forEach(c -> all.add(c.task() == task ? c.stopped() : c));
         return with(end, generation, next, again, all, mode, attempt);
     }
 
-    /** Gives up a claim whose task is proven gone; an array's task runs again unless it is done. */
+    /** Gives up an allocation whose task is proven gone; an array's task runs again unless it is done. */
     public JobRecord released(int task, boolean done) {
         return released(Map.of(task, done));
     }
 
-    /** The same for several at once, which for a large array is one pass over its claims instead of one for each. */
+    /** The same for several at once, which for a large array is one pass over its allocations instead of one for each. */
     public JobRecord released(Map<Integer, Boolean> ended) {
-        var all = new ArrayList<Claim>(claims.size());
-        claims.forEach(c -> {
+        var all = new ArrayList<Allocation>(allocations.size());
+        allocations.forEach(c -> {
             if (!ended.containsKey(c.task())) {
                 all.add(c);
             }
@@ -264,29 +271,55 @@
         return with(End.DONE, generation, next, again, List.of(), Mode.IDLE, 0).compact();
     }
 
-    /** Cancelled for good; claims stay until each task is proven gone. */
+    /** Cancelled for good; allocations stay until each task is proven gone. */
     public JobRecord cancelled() {
-        return with(End.CANCELLED, generation, next, List.of(), claims, mode, attempt)
+        return with(End.CANCELLED, generation, next, List.of(), allocations, mode, attempt)
                 .compact();
     }
 
+    /** Counts failures and delays the next attempt. */
     public JobRecord failed(int more, Optional<Instant> until) {
         return new JobRecord(
-                id, spec, arrived, end, generation, next, again, claims, mode, attempt, order, failures + more, until);
+                id,
+                spec,
+                arrived,
+                end,
+                generation,
+                next,
+                again,
+                allocations,
+                mode,
+                attempt,
+                order,
+                failures + more,
+                until);
     }
 
+    /** Moves a gang to another place in its team's queue. */
     public JobRecord requeued(long newOrder) {
         return new JobRecord(
-                id, spec, arrived, end, generation, next, again, claims, mode, attempt, newOrder, failures, notBefore);
+                id,
+                spec,
+                arrived,
+                end,
+                generation,
+                next,
+                again,
+                allocations,
+                mode,
+                attempt,
+                newOrder,
+                failures,
+                notBefore);
     }
 
-    private JobRecord with(End e, long g, int n, List<Integer> a, List<Claim> c, Mode m, long t) {
+    private JobRecord with(End e, long g, int n, List<Integer> a, List<Allocation> c, Mode m, long t) {
         return new JobRecord(
                 id, spec, arrived, e, g, n, List.copyOf(a), List.copyOf(c), m, t, order, failures, notBefore);
     }
 
     private JobRecord compact() {
-        if (end == End.OPEN || !claims.isEmpty()) {
+        if (end == End.OPEN || !allocations.isEmpty()) {
             return this;
         }
         int finished = spec.isEmpty() ? next : end == End.DONE ? job().tasks() : 0;
@@ -306,8 +339,9 @@
                 Optional.empty());
     }
 
+    /** The stored form. */
     public ObjectNode toNode() {
-        ObjectNode n = Pack.map();
+        ObjectNode n = MessagePackCodec.map();
         n.put("at", arrived.toEpochMilli()).put("end", end.name());
         if (spec.isEmpty()) {
             return n.put("next", next);
@@ -321,15 +355,15 @@
                 .put("fails", failures);
         notBefore.ifPresent(t -> n.put("wait", t.toEpochMilli()));
         n.put("again", TaskSet.format(new IntArrayList(new IntRBTreeSet(again))));
-        n.set("claims", claimsNode());
+        n.set("claims", allocationsNode());
         return n;
     }
 
     /** Claims by booking, then by page of machines: a gang as large as its team's limit still has to fit one value. */
-    private ArrayNode claimsNode() {
+    private ArrayNode allocationsNode() {
         record Booked(long base, boolean stopping) {}
         var groups = new LinkedHashMap<Booked, Map<String, IntRBTreeSet>>();
-        for (Claim c : claims) {
+        for (Allocation c : allocations) {
             groups.computeIfAbsent(new Booked(c.base(), c.stopping()), g -> new TreeMap<>())
                     .computeIfAbsent(c.host(), h -> new IntRBTreeSet())
                     .add(c.task());
@@ -346,11 +380,11 @@
         return list;
     }
 
-    private static void readClaims(JsonNode group, List<Claim> into) {
+    private static void readAllocations(JsonNode group, List<Allocation> into) {
         for (var page : (Iterable<Map.Entry<String, JsonNode>>) group.path(2)::fields) {
             for (var row : (Iterable<Map.Entry<String, JsonNode>>) page.getValue()::fields) {
                 for (int task : TaskSet.parse(row.getValue().textValue())) {
-                    into.add(new Claim(
+                    into.add(new Allocation(
                             task,
                             page.getKey() + row.getKey(),
                             group.get(0).longValue(),
@@ -360,6 +394,7 @@
         }
     }
 
+    /** Reads the stored form. */
     public static JobRecord parse(String id, JsonNode n) throws MalformedException {
         Instant at = Instant.ofEpochMilli(n.path("at").longValue());
         End end = End.valueOf(n.path("end").asText("OPEN"));
@@ -379,8 +414,8 @@
                     0,
                     Optional.empty());
         }
-        var claims = new ArrayList<Claim>();
-        n.path("claims").forEach(g -> readClaims(g, claims));
+        var allocations = new ArrayList<Allocation>();
+        n.path("claims").forEach(g -> readAllocations(g, allocations));
         Optional<Instant> wait =
                 n.has("wait") ? Optional.of(Instant.ofEpochMilli(n.get("wait").longValue())) : Optional.empty();
         return new JobRecord(
@@ -391,7 +426,7 @@
                 n.path("gen").longValue(),
                 n.path("next").intValue(),
                 List.copyOf(TaskSet.parse(n.path("again").asText(""))),
-                List.copyOf(claims),
+                List.copyOf(allocations),
                 Mode.valueOf(n.path("mode").asText("IDLE")),
                 n.path("try").longValue(),
                 n.path("order").longValue(),
--- a/src/main/java/org/dunespindle/bookkeeping/Keys.java
+++ b/src/main/java/org/dunespindle/storage/Keys.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 /** Where things are kept in the state service. */
 public final class Keys {
@@ -15,6 +15,7 @@
 
     private Keys() {}
 
+    /** The key of a job's record. */
     public static String job(String id) {
         return JOB + id;
     }
@@ -29,10 +30,12 @@
         return host.length() > 1 ? host.substring(0, host.length() - 1) : host;
     }
 
+    /** The key of a team's record. */
     public static String team(String name) {
         return TEAM + name;
     }
 
+    /** The key of a controller's membership. */
     public static String member(String node) {
         return MEMBER + node;
     }
--- a/src/main/java/org/dunespindle/bookkeeping/HostRecord.java
+++ b/src/main/java/org/dunespindle/storage/MachineRecord.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -12,7 +12,7 @@
  * @param keepUntil no rebalancing before then: the owner took the machine because its worker could not reach the other
  * @param leaving being returned; nothing may be placed on it any more
  */
-public record HostRecord(
+public record MachineRecord(
         String id,
         String address,
         String type,
@@ -36,33 +36,36 @@
         return why.equals(IDLE) || why.equals(DRAINED);
     }
 
-    public HostRecord ownedBy(String node, long inc, Instant keep) {
-        return new HostRecord(id, address, type, zone, spot, node, inc, token + 1, rented, keep, leaving, why);
+    /** The record under a new owner and a raised fencing token. */
+    public MachineRecord ownedBy(String node, long inc, Instant keep) {
+        return new MachineRecord(id, address, type, zone, spot, node, inc, token + 1, rented, keep, leaving, why);
     }
 
     /** The same owner under a higher token: commands still under way with the old one become void. */
-    public HostRecord fenced() {
-        return new HostRecord(
+    public MachineRecord fenced() {
+        return new MachineRecord(
                 id, address, type, zone, spot, owner, incarnation, token + 1, rented, keepUntil, leaving, why);
     }
 
     /** The same under a token that the worker has not seen yet, should it know a higher one than was stored. */
-    public HostRecord above(long seen) {
+    public MachineRecord above(long seen) {
         return token > seen
                 ? this
-                : new HostRecord(
+                : new MachineRecord(
                         id, address, type, zone, spot, owner, incarnation, seen + 1, rented, keepUntil, leaving, why);
     }
 
-    public HostRecord leaving(String reason) {
-        return new HostRecord(
+    /** The record of a machine that is being returned, with the reason. */
+    public MachineRecord leaving(String reason) {
+        return new MachineRecord(
                 id, address, type, zone, spot, owner, incarnation, token, rented, keepUntil, true, reason);
     }
 
-    public HostRecord at(String newAddress) {
+    /** The record with another address, unless that is empty. */
+    public MachineRecord at(String newAddress) {
         return newAddress.isEmpty() || newAddress.equals(address)
                 ? this
-                : new HostRecord(
+                : new MachineRecord(
                         id, newAddress, type, zone, spot, owner, incarnation, token, rented, keepUntil, leaving, why);
     }
 
@@ -83,8 +86,8 @@
                 .add(why);
     }
 
-    static HostRecord parse(String id, JsonNode n) {
-        return new HostRecord(
+    static MachineRecord parse(String id, JsonNode n) {
+        return new MachineRecord(
                 id,
                 n.path(0).asText(),
                 n.path(1).asText(),
--- a/src/main/java/org/dunespindle/bookkeeping/MeteredCaller.java
+++ b/src/main/java/org/dunespindle/storage/MeteredCaller.java
@@ -1,9 +1,9 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.transport.Caller;
 import org.dunespindle.transport.HttpAnswer;
 
@@ -17,6 +17,7 @@
     private final Duration timeout;
     private final Histogram latency = new Histogram(LONGEST_MICROS, 2);
 
+    /** Creates a caller for one address, with a budget and a time limit for each call. */
     public MeteredCaller(Caller http, String address, Timeline timeline, RateBudget budget, Duration timeout) {
         this.http = http;
         this.address = address;
@@ -25,6 +26,7 @@
         this.timeout = timeout;
     }
 
+    /** How long calls took, in microseconds. */
     public Histogram latency() {
         return latency;
     }
@@ -34,15 +36,16 @@
         var result = new CompletableFuture<HttpAnswer>();
         budget.submit(first, 1, () -> {
             Duration begun = timeline.now();
-            http.send(address, method, target, body, Pack.TYPE, timeout).whenComplete((a, e) -> {
-                latency.recordValue(
-                        Math.min(LONGEST_MICROS, timeline.now().minus(begun).toNanos() / 1000));
-                if (e != null) {
-                    result.completeExceptionally(e);
-                } else {
-                    result.complete(a);
-                }
-            });
+            http.send(address, method, target, body, MessagePackCodec.TYPE, timeout)
+                    .whenComplete((a, e) -> {
+                        latency.recordValue(Math.min(
+                                LONGEST_MICROS, timeline.now().minus(begun).toNanos() / 1000));
+                        if (e != null) {
+                            result.completeExceptionally(e);
+                        } else {
+                            result.complete(a);
+                        }
+                    });
         });
         return result;
     }
--- a/src/main/java/org/dunespindle/bookkeeping/RateBudget.java
+++ b/src/main/java/org/dunespindle/storage/RateBudget.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -18,6 +18,7 @@
 
     private record Waiting(double cost, Runnable work) {}
 
+    /** Creates a budget of so many units a second, with a burst of one second. */
     public RateBudget(Timeline timeline, double perSecond) {
         this.timeline = timeline;
         this.perSecond = perSecond;
@@ -30,6 +31,7 @@
         return Math.max(perSecond, 1);
     }
 
+    /** The present rate in units a second. */
     public double perSecond() {
         return perSecond;
     }
@@ -41,7 +43,7 @@
         tokens = Math.min(tokens, burst());
     }
 
-    /** What may be spent now; negative while a dear piece of work is being paid off. */
+    /** What may be spent now; negative while a large charge is being paid off. */
     public double available() {
         refill();
         return urgent.isEmpty() && normal.isEmpty() ? tokens : Math.min(tokens, 0);
--- a/src/main/java/org/dunespindle/bookkeeping/Replica.java
+++ b/src/main/java/org/dunespindle/storage/Replica.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,7 +14,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.StateMessages;
 import org.dunespindle.transport.AnswerTooLong;
 import org.dunespindle.transport.CallFailure;
 import org.dunespindle.transport.HttpAnswer;
@@ -38,15 +39,15 @@
     private final Runnable changed;
     private final Map<String, JobRecord> jobs = new HashMap<>();
     private final Map<String, JobRecord> openJobs = new LinkedHashMap<>();
-    private final Map<String, HostRecord> hosts = new TreeMap<>();
+    private final Map<String, MachineRecord> hosts = new TreeMap<>();
     private final Map<String, JsonNode> members = new TreeMap<>();
     private final Map<String, JsonNode> plain = new HashMap<>();
     /** Stamps of keys; negative for a key that was removed then. */
     private final Map<String, Long> stamps = new HashMap<>();
 
     private final Map<String, List<Placed>> byHost = new HashMap<>();
-    private final Map<String, Map<String, HostRecord>> pages = new HashMap<>();
-    /** Machines whose record or claims changed since they were last asked for. */
+    private final Map<String, Map<String, MachineRecord>> pages = new HashMap<>();
+    /** Machines whose record or allocations changed since they were last asked for. */
     private Set<String> touched = new LinkedHashSet<>();
 
     private long version;
@@ -69,13 +70,14 @@
     private boolean timerSet;
     private List<Waiter> waiting = new ArrayList<>();
 
-    /** A claim with its job. */
-    public record Placed(JobRecord job, Claim claim) {}
+    /** An allocation with its job. */
+    public record Placed(JobRecord job, Allocation allocation) {}
 
     private record Own(Txn txn, long revision) {}
 
     private record Waiter(Runnable served, Runnable failed) {}
 
+    /** Creates an empty replica; nothing is read before {@link #start}. */
     public Replica(StateClient state, Timeline timeline, Duration interval, Runnable changed) {
         this.state = state;
         this.timeline = timeline;
@@ -83,10 +85,12 @@
         this.changed = changed;
     }
 
+    /** Begins to read, and keeps reading at the given interval. */
     public void start() {
         read();
     }
 
+    /** Whether everything has been read at least once. */
     public boolean loaded() {
         return syncedTo >= 0;
     }
@@ -101,27 +105,32 @@
         return loaded() ? timeline.now().minus(freshAt) : Duration.ofDays(1);
     }
 
+    /** A job's record. */
     public Optional<JobRecord> job(String id) {
         return Optional.ofNullable(jobs.get(id));
     }
 
+    /** All jobs by id, finished ones included. */
     public Map<String, JobRecord> jobs() {
         return jobs;
     }
 
-    /** Jobs that are open or still have claims. */
+    /** Jobs that are open or still have allocations. */
     public Iterable<JobRecord> livingJobs() {
         return openJobs.values();
     }
 
-    public Map<String, HostRecord> hosts() {
+    /** All machines by id. */
+    public Map<String, MachineRecord> hosts() {
         return hosts;
     }
 
+    /** The live controllers' membership records by name. */
     public Map<String, JsonNode> members() {
         return members;
     }
 
+    /** The value of any other key. */
     public Optional<JsonNode> value(String key) {
         return Optional.ofNullable(plain.get(key));
     }
@@ -141,7 +150,7 @@
         return memberVersion;
     }
 
-    /** Machines whose record or claims changed since the last call. */
+    /** Machines whose record or allocations changed since the last call. */
     public Set<String> takeTouched() {
         Set<String> taken = touched;
         touched = new LinkedHashSet<>();
@@ -153,24 +162,25 @@
      *
      * @param changes machines' new records, empty for a machine that is gone
      */
-    public Txn rewrite(String pageKey, Map<String, Optional<HostRecord>> changes) {
+    public Txn rewrite(String pageKey, Map<String, Optional<MachineRecord>> changes) {
         var rows = new TreeMap<>(pages.getOrDefault(pageKey, Map.of()));
         changes.forEach((id, record) -> record.ifPresentOrElse(r -> rows.put(id, r), () -> rows.remove(id)));
         var txn = new Txn().guard(pageKey, stamp(pageKey));
         if (rows.isEmpty()) {
             return txn.remove(pageKey);
         }
-        ObjectNode node = Pack.map();
+        ObjectNode node = MessagePackCodec.map();
         rows.forEach((id, r) -> node.set(id, r.toRow()));
         return txn.write(pageKey, node);
     }
 
-    /** Machines that claims are on, whether or not they have a record. */
-    public Set<String> hostsWithClaims() {
+    /** Machines that allocations are on, whether or not they have a record. */
+    public Set<String> hostsWithAllocations() {
         return byHost.keySet();
     }
 
-    public List<Placed> claimsOn(String host) {
+    /** The allocations on one machine. */
+    public List<Placed> allocationsOn(String host) {
         return byHost.getOrDefault(host, List.of());
     }
 
@@ -227,22 +237,14 @@
                 return;
             }
             try {
-                JsonNode body = Pack.read(answer.body());
-                boolean any = false;
-                for (JsonNode entry : body.path("log")) {
-                    any = true;
-                    boolean write = entry.has("write");
-                    put(
-                            entry.path(write ? "write" : "remove").asText(),
-                            write ? Optional.of(entry.path("v")) : Optional.empty(),
-                            entry.path("stamp").longValue());
-                }
-                syncedTo = Math.max(syncedTo, body.path("epoch").longValue());
+                StateMessages.Entries log = StateMessages.log(answer.body());
+                log.entries().forEach(this::put);
+                syncedTo = Math.max(syncedTo, log.revision());
                 freshAt = begun;
                 logFailures = 0;
                 loading = Optional.empty(); // begun for nothing, and by now too old to go on with
                 appliedWhileLoading.clear();
-                if (any) {
+                if (!log.entries().isEmpty()) {
                     changed.run();
                 }
                 finish(served, true);
@@ -274,15 +276,13 @@
         logLost = true;
     }
 
-    private record Row(JsonNode value, long stamp) {}
-
     /** Everything under way to be read, page by page. */
     private static final class Loading {
-        final Map<String, Row> rows = new LinkedHashMap<>();
+        final List<StateMessages.Entry> entries = new ArrayList<>();
         final Duration begun;
         String since = "";
         /** Of the first page: pages are read at different revisions, and the log is followed from the first one's. */
-        long epoch = -1;
+        long revision = -1;
 
         Loading(Duration begun) {
             this.begun = begun;
@@ -298,26 +298,22 @@
                 finish(served, false);
                 return;
             }
-            String last = l.since;
-            for (JsonNode row : body.path("rows")) {
-                last = row.path("key").asText();
-                l.rows.put(last, new Row(row.path("v"), row.path("stamp").longValue()));
-            }
-            l.epoch = l.epoch < 0 ? body.path("epoch").longValue() : l.epoch;
-            if (body.path("more").asBoolean(false) && !last.equals(l.since)) {
-                l.since = last;
+            l.entries.addAll(body.entries());
+            l.revision = l.revision < 0 ? body.revision() : l.revision;
+            if (body.more() && !body.entries().isEmpty()) {
+                l.since = body.entries().get(body.entries().size() - 1).key();
                 load(l, served);
                 return;
             }
             loading = Optional.empty();
             logLost = false;
             logFailures = 0;
-            replaceAll(l.rows);
+            replaceAll(l.entries);
             // Users were told of these: a copy that shows an older state, even for a moment, would deny it.
             appliedWhileLoading.forEach(
                     own -> own.txn.changes().forEach((key, change) -> put(key, change.value(), own.revision)));
             appliedWhileLoading.clear();
-            syncedTo = l.epoch;
+            syncedTo = l.revision;
             freshAt = l.begun;
             changed.run();
             // What changed while the pages were read is in the log: whoever waits is served from there.
@@ -326,7 +322,7 @@
         });
     }
 
-    private void replaceAll(Map<String, Row> rows) {
+    private void replaceAll(List<StateMessages.Entry> entries) {
         jobs.clear();
         openJobs.clear();
         touched.addAll(hosts.keySet());
@@ -339,7 +335,7 @@
         memberVersion++;
         plain.clear();
         stamps.clear();
-        rows.forEach((key, row) -> put(key, Optional.of(row.value), row.stamp));
+        entries.forEach(this::put);
     }
 
     private void finish(List<Waiter> served, boolean good) {
@@ -354,6 +350,10 @@
         }
     }
 
+    private void put(StateMessages.Entry entry) {
+        put(entry.key(), entry.value(), entry.revision());
+    }
+
     private void put(String key, Optional<JsonNode> value, long stamp) {
         Long known = stamps.get(key);
         if (known != null && Math.abs(known) >= stamp) {
@@ -386,10 +386,10 @@
     }
 
     private void putPage(String key, Optional<JsonNode> value) {
-        Map<String, HostRecord> before = pages.getOrDefault(key, Map.of());
-        var after = new TreeMap<String, HostRecord>();
+        Map<String, MachineRecord> before = pages.getOrDefault(key, Map.of());
+        var after = new TreeMap<String, MachineRecord>();
         value.ifPresent(v ->
-                v.fields().forEachRemaining(f -> after.put(f.getKey(), HostRecord.parse(f.getKey(), f.getValue()))));
+                v.fields().forEachRemaining(f -> after.put(f.getKey(), MachineRecord.parse(f.getKey(), f.getValue()))));
         before.keySet().forEach(id -> {
             if (!after.containsKey(id)) {
                 hosts.remove(id);
@@ -426,41 +426,41 @@
         index(id, before, job);
     }
 
-    /** Keeps the claims by machine; a machine is touched only if what should be on it changed. */
+    /** Keeps the allocations by machine; a machine is touched only if what should be on it changed. */
     private void index(String id, Optional<JobRecord> before, Optional<JobRecord> after) {
-        Map<String, List<Claim>> old = byHost(before);
-        Map<String, List<Claim>> now = byHost(after);
+        Map<String, List<Allocation>> old = byHost(before);
+        Map<String, List<Allocation>> now = byHost(after);
         boolean turned = before.isPresent() != after.isPresent()
                 || before.isPresent()
                         && after.isPresent()
                         && (before.get().open() != after.get().open()
                                 || before.get().mode() != after.get().mode()
                                 || before.get().attempt() != after.get().attempt());
-        old.forEach((host, claims) -> {
+        old.forEach((host, allocations) -> {
             byHost.computeIfPresent(host, (h, list) -> {
                 list.removeIf(p -> p.job().id().equals(id));
                 return list.isEmpty() ? null : list;
             });
-            if (turned || !claims.equals(now.get(host))) {
+            if (turned || !allocations.equals(now.get(host))) {
                 touched.add(host);
             }
         });
-        now.forEach((host, claims) -> {
+        now.forEach((host, allocations) -> {
             List<Placed> list = byHost.computeIfAbsent(host, h -> new ArrayList<>(2));
-            claims.forEach(c -> list.add(new Placed(after.get(), c)));
-            if (!claims.equals(old.get(host))) {
+            allocations.forEach(c -> list.add(new Placed(after.get(), c)));
+            if (!allocations.equals(old.get(host))) {
                 touched.add(host);
             }
         });
     }
 
-    private static Map<String, List<Claim>> byHost(Optional<JobRecord> job) {
-        if (job.isEmpty() || job.get().claims().isEmpty()) {
+    private static Map<String, List<Allocation>> byHost(Optional<JobRecord> job) {
+        if (job.isEmpty() || job.get().allocations().isEmpty()) {
             return Map.of();
         }
-        var map = new HashMap<String, List<Claim>>();
+        var map = new HashMap<String, List<Allocation>>();
         job.get()
-                .claims()
+                .allocations()
                 .forEach(c ->
                         map.computeIfAbsent(c.host(), h -> new ArrayList<>(2)).add(c));
         return map;
--- a/src/main/java/org/dunespindle/bookkeeping/StateClient.java
+++ b/src/main/java/org/dunespindle/storage/StateClient.java
@@ -1,15 +1,15 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
-import java.util.HashSet;
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.protocol.StateMessages;
 import org.dunespindle.transport.CallFailure;
 import org.dunespindle.transport.Caller;
 import org.dunespindle.transport.HttpAnswer;
@@ -27,6 +27,7 @@
     private final RateBudget writes;
     private int failuresInARow;
 
+    /** Creates a client for the state service that the settings name. */
     public StateClient(Caller http, Settings settings, Timeline timeline) {
         int sharers = settings.seeds().size() + 1;
         double requestShare = SAFE_PART * settings.state().rps() / sharers;
@@ -46,17 +47,19 @@
         return failuresInARow >= 2;
     }
 
+    /** How long calls took, in microseconds. */
     public Histogram latency() {
         return service.latency();
     }
 
     /** A page of keys; fails unless it was answered with 200. */
-    public CompletableFuture<JsonNode> list(String under, String since, int limit) {
+    public CompletableFuture<StateMessages.Entries> list(String under, String since, int limit) {
         return ok(call(
-                false,
-                "GET",
-                "/keys?under=" + under + (since.isEmpty() ? "" : "&since=" + since) + "&limit=" + limit,
-                new byte[0]));
+                        false,
+                        "GET",
+                        "/keys?under=" + under + (since.isEmpty() ? "" : "&since=" + since) + "&limit=" + limit,
+                        new byte[0]))
+                .thenApply(StateMessages::page);
     }
 
     /** All changes after a revision, without waiting for any; status 410 when it is too old. */
@@ -66,15 +69,13 @@
 
     /** A new lease, as the service's number for it. */
     public CompletableFuture<OptionalLong> openLease(Duration ttl) {
-        return ok(call(true, "POST", "/holds", Pack.write(Pack.map().put("ttlMs", ttl.toMillis()))))
-                .thenApply(n -> n.path("tether").isIntegralNumber()
-                        ? OptionalLong.of(n.get("tether").longValue())
-                        : OptionalLong.empty());
+        return ok(call(true, "POST", "/holds", MessagePackCodec.write(StateMessages.lease(ttl))))
+                .thenApply(StateMessages::leaseId);
     }
 
     /** Renews; false when the lease has ended. */
     public CompletableFuture<Boolean> renewLease(long lease) {
-        return call(true, "POST", "/holds/" + lease + "/renew", Pack.write(Pack.map()))
+        return call(true, "POST", "/holds/" + lease + "/renew", MessagePackCodec.write(MessagePackCodec.map()))
                 .thenCompose(a -> switch (a.status()) {
                     case 200 -> CompletableFuture.completedFuture(true);
                     case 404 -> CompletableFuture.completedFuture(false);
@@ -91,7 +92,8 @@
     public CompletableFuture<TxnResult> commit(Txn txn) {
         var result = new CompletableFuture<TxnResult>();
         writes.charge(txn.changeCount());
-        call(false, "POST", "/txn", Pack.write(txn.toNode())).whenComplete((a, e) -> result.complete(judge(a, e)));
+        call(false, "POST", "/txn", MessagePackCodec.write(txn.toNode()))
+                .whenComplete((a, e) -> result.complete(judge(a, e)));
         return result;
     }
 
@@ -102,8 +104,7 @@
         return switch (answer.status()) {
             case 200 -> {
                 try {
-                    yield new TxnResult.Applied(
-                            Pack.read(answer.body()).path("epoch").longValue());
+                    yield new TxnResult.Applied(StateMessages.revision(answer.body()));
                 } catch (MalformedException e) {
                     yield new TxnResult.Unknown();
                 }
@@ -117,13 +118,12 @@
     }
 
     private static Set<String> failedKeys(HttpAnswer answer) {
-        var keys = new HashSet<String>();
         try {
-            Pack.read(answer.body()).path("failed").forEach(k -> keys.add(k.asText()));
+            return StateMessages.failedKeys(answer.body());
         } catch (MalformedException e) {
             LOG.debug("a conflict without a readable reason");
+            return Set.of();
         }
-        return keys;
     }
 
     private static boolean sent(Throwable failure) {
@@ -137,7 +137,7 @@
                 return CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
             }
             try {
-                return CompletableFuture.completedFuture(Pack.read(a.body()));
+                return CompletableFuture.completedFuture(MessagePackCodec.read(a.body()));
             } catch (MalformedException e) {
                 return CompletableFuture.failedFuture(new CallFailure("unreadable answer", true));
             }
--- a/src/main/java/org/dunespindle/bookkeeping/TaskSet.java
+++ b/src/main/java/org/dunespindle/storage/TaskSet.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
@@ -24,6 +24,7 @@
         return text.toString();
     }
 
+    /** Reads the form that {@link #format} writes. */
     public static IntArrayList parse(String text) {
         var list = new IntArrayList();
         if (text.isEmpty()) {
--- a/src/main/java/org/dunespindle/bookkeeping/Timeline.java
+++ b/src/main/java/org/dunespindle/storage/Timeline.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -11,6 +11,7 @@
     /** Steady time since some fixed moment of this process. */
     Duration now();
 
+    /** The time of day, within the bound that the settings give. */
     Instant wallTime();
 
     /** Runs work on the service's one thread after a delay. */
--- a/src/main/java/org/dunespindle/bookkeeping/Txn.java
+++ b/src/main/java/org/dunespindle/storage/Txn.java
@@ -1,13 +1,14 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.StateMessages;
+import org.dunespindle.protocol.StateMessages.Change;
 
 /** An atomic change under construction: guards on stamps, writes and removals. */
 public final class Txn {
@@ -21,9 +22,6 @@
 
     private int bytes;
 
-    /** A write, or a removal when the value is empty. */
-    public record Change(Optional<JsonNode> value, OptionalLong tether) {}
-
     /** Requires a key's stamp; 0 means that the key does not exist. */
     public Txn guard(String key, long stamp) {
         if (guards.put(key, stamp) == null) {
@@ -32,32 +30,40 @@
         return this;
     }
 
+    /** Adds a write of a key. */
     public Txn write(String key, JsonNode value) {
         return put(key, new Change(Optional.of(value), OptionalLong.empty()));
     }
 
     private Txn put(String key, Change change) {
         changes.put(key, change);
-        bytes += key.length() + PER_ENTRY + change.value.map(Pack::countedSize).orElse(0);
+        bytes += key.length()
+                + PER_ENTRY
+                + change.value().map(MessagePackCodec::countedSize).orElse(0);
         return this;
     }
 
-    public Txn writeTethered(String key, JsonNode value, long tether) {
-        return put(key, new Change(Optional.of(value), OptionalLong.of(tether)));
+    /** Adds a write of a key that is removed when its lease ends. */
+    public Txn writeWithLease(String key, JsonNode value, long lease) {
+        return put(key, new Change(Optional.of(value), OptionalLong.of(lease)));
     }
 
+    /** Adds the removal of a key. */
     public Txn remove(String key) {
         return put(key, new Change(Optional.empty(), OptionalLong.empty()));
     }
 
+    /** How many keys it writes or removes. */
     public int changeCount() {
         return changes.size();
     }
 
+    /** The stamps that it requires, by key. */
     public Map<String, Long> guards() {
         return guards;
     }
 
+    /** What it writes or removes, by key. */
     public Map<String, Change> changes() {
         return changes;
     }
@@ -98,20 +104,8 @@
         return true;
     }
 
+    /** The request body for the state service. */
     public ObjectNode toNode() {
-        ObjectNode n = Pack.map();
-        ArrayNode g = n.putArray("guards");
-        guards.forEach((key, stamp) -> g.addObject().put("key", key).put("stamp", stamp));
-        ArrayNode a = n.putArray("apply");
-        changes.forEach((key, change) -> {
-            ObjectNode c = a.addObject();
-            if (change.value.isPresent()) {
-                c.put("write", key).set("v", change.value.get());
-                change.tether.ifPresent(t -> c.put("tether", t));
-            } else {
-                c.put("remove", key);
-            }
-        });
-        return n;
+        return StateMessages.transaction(guards, changes);
     }
 }
--- a/src/main/java/org/dunespindle/bookkeeping/TxnResult.java
+++ b/src/main/java/org/dunespindle/storage/TxnResult.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import java.util.Set;
 
--- a/src/main/java/org/dunespindle/transport/AnswerTooLong.java
+++ b/src/main/java/org/dunespindle/transport/AnswerTooLong.java
@@ -4,6 +4,7 @@
 public final class AnswerTooLong extends CallFailure {
     private static final long serialVersionUID = 1L;
 
+    /** Creates the failure. */
     public AnswerTooLong() {
         super("the answer is too long", true);
     }
--- a/src/main/java/org/dunespindle/transport/CallFailure.java
+++ b/src/main/java/org/dunespindle/transport/CallFailure.java
@@ -10,11 +10,13 @@
     private static final long serialVersionUID = 1L;
     private final boolean sent;
 
+    /** Creates a failure that tells whether the request may have arrived. */
     public CallFailure(String message, boolean sent) {
         super(message, null, false, false);
         this.sent = sent;
     }
 
+    /** Whether the request may have arrived. */
     public boolean sent() {
         return sent;
     }
--- a/src/main/java/org/dunespindle/transport/HttpListener.java
+++ b/src/main/java/org/dunespindle/transport/HttpListener.java
@@ -42,6 +42,7 @@
     /** Answers a request now or later, exactly once, on the event loop. */
     @FunctionalInterface
     public interface Handler {
+        /** Handles one request; the reply may be given later, on the same thread. */
         void handle(HttpCall call, Consumer<HttpReply> answer);
     }
 
--- a/src/main/java/org/dunespindle/transport/Sockets.java
+++ b/src/main/java/org/dunespindle/transport/Sockets.java
@@ -14,6 +14,7 @@
     private final int most;
     private int open;
 
+    /** Counts against this limit. */
     public Sockets(int limit) {
         int usable = Math.max(32, limit - OTHER);
         this.most = usable - usable / KEPT_FREE_PART;
--- a/src/test/java/org/dunespindle/DaemonTest.java
+++ b/src/test/java/org/dunespindle/DaemonTest.java
@@ -10,7 +10,7 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
@@ -48,7 +48,7 @@
 
     private static void refused(int status, HttpResponse<byte[]> answer) throws Exception {
         assertEquals(status, answer.statusCode());
-        String error = Pack.read(answer.body()).path("error").asText();
+        String error = MessagePackCodec.read(answer.body()).path("error").asText();
         assertTrue(!error.isEmpty() && error.length() < 200 && !error.contains("Exception"), error);
     }
 
@@ -57,8 +57,18 @@
         byte[] none = new byte[0];
         refused(400, front("POST", "/submissions", none));
         refused(400, front("POST", "/submissions", new byte[] {(byte) 0xc1, 3, 4}));
-        refused(400, front("POST", "/submissions", Pack.write(Pack.map().put("id", 7))));
-        refused(400, front("POST", "/agent/beat", Pack.write(Pack.map().put("host", "h"))));
+        refused(
+                400,
+                front(
+                        "POST",
+                        "/submissions",
+                        MessagePackCodec.write(MessagePackCodec.map().put("id", 7))));
+        refused(
+                400,
+                front(
+                        "POST",
+                        "/agent/beat",
+                        MessagePackCodec.write(MessagePackCodec.map().put("host", "h"))));
         refused(404, front("GET", "/nothing", none));
         refused(404, front("GET", "/submissions/a/b/c", none));
         refused(405, front("GET", "/submissions", none));
--- a/src/test/java/org/dunespindle/coordination/CommitterTest.java
+++ b/src/test/java/org/dunespindle/coordination/CommitterTest.java
@@ -12,14 +12,14 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.dunespindle.TestSettings;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.StateClient;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.sim.Sim;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateClient;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 import org.dunespindle.transport.Caller;
 import org.dunespindle.transport.HttpAnswer;
 import org.junit.jupiter.api.Test;
@@ -32,13 +32,13 @@
 
     private HttpAnswer answer(String target, byte[] body) throws MalformedException {
         if (!target.equals("/txn")) {
-            ObjectNode n = Pack.map().put("epoch", epoch).put("more", false);
+            ObjectNode n = MessagePackCodec.map().put("epoch", epoch).put("more", false);
             n.putArray("rows");
             n.putArray("log");
-            return new HttpAnswer(200, Pack.write(n));
+            return new HttpAnswer(200, MessagePackCodec.write(n));
         }
-        JsonNode txn = Pack.read(body);
-        ObjectNode n = Pack.map().put("epoch", ++epoch);
+        JsonNode txn = MessagePackCodec.read(body);
+        ObjectNode n = MessagePackCodec.map().put("epoch", ++epoch);
         var stale = n.putArray("failed");
         txn.path("guards").forEach(g -> {
             if (g.path("key").asText().contains("stale")) {
@@ -48,7 +48,7 @@
         if (!stale.isEmpty()) {
             failed.add(txn.path("apply").size());
         }
-        return new HttpAnswer(stale.isEmpty() ? 200 : 409, Pack.write(n));
+        return new HttpAnswer(stale.isEmpty() ? 200 : 409, MessagePackCodec.write(n));
     }
 
     @Test
@@ -78,7 +78,7 @@
             String key = "ds/x/" + (i % 10 == 5 ? "stale" : "good") + i;
             committer.propose(
                     Committer.Lane.PLACING,
-                    new Txn().guard(key, 0).write(key, Pack.map().put("n", i)),
+                    new Txn().guard(key, 0).write(key, MessagePackCodec.map().put("n", i)),
                     r -> results.put(key, r));
         }
         sim.run(Duration.ofSeconds(10));
--- a/src/test/java/org/dunespindle/coordination/FaultsTest.java
+++ b/src/test/java/org/dunespindle/coordination/FailureAttributionTest.java
@@ -9,22 +9,23 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.dunespindle.bookkeeping.JobRecord;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
 /** Whether what failed is held against the machine or the job. */
-class FaultsTest {
+class FailureAttributionTest {
     private final Map<String, JobRecord> records = new HashMap<>();
-    private final Faults faults = new Faults(id -> Optional.ofNullable(records.get(id)));
+    private final FailureAttribution failureAttribution =
+            new FailureAttribution(id -> Optional.ofNullable(records.get(id)));
 
     /** A job's task fails, and its record tells of it. */
     private void failed(String job, String machine) {
         records.put(job, record(job).failed(1, Optional.empty()));
-        faults.failed(job, machine);
+        failureAttribution.failed(job, machine);
     }
 
     private JobRecord record(String job) {
@@ -60,8 +61,8 @@
                 failed(job, machine);
             }
         }
-        assertTrue(faults.faultyJob("wk-1"));
-        assertEquals(0, faults.jobsFailedOn("a"));
+        assertTrue(failureAttribution.faultyJob("wk-1"));
+        assertEquals(0, failureAttribution.jobsFailedOn("a"));
     }
 
     @Test
@@ -70,20 +71,20 @@
         failed("wk-1", "a");
         failed("wk-2", "a");
         failed("wk-3", "a");
-        assertFalse(faults.faultyJob("wk-1"));
-        assertEquals(3, faults.jobsFailedOn("a"));
-        faults.succeeded("wk-4", "a");
-        assertEquals(0, faults.jobsFailedOn("a"));
+        assertFalse(failureAttribution.faultyJob("wk-1"));
+        assertEquals(3, failureAttribution.jobsFailedOn("a"));
+        failureAttribution.succeeded("wk-4", "a");
+        assertEquals(0, failureAttribution.jobsFailedOn("a"));
     }
 
     @Test
     void oneThatEndedWellSomewhereIsNotFaultyHoweverManyMachinesAre() {
-        faults.succeeded("wk-1", "z");
+        failureAttribution.succeeded("wk-1", "z");
         for (String machine : new String[] {"a", "b", "c", "d"}) {
             failed("wk-1", machine);
         }
-        assertFalse(faults.faultyJob("wk-1"));
-        assertEquals(1, faults.jobsFailedOn("a"));
+        assertFalse(failureAttribution.faultyJob("wk-1"));
+        assertEquals(1, failureAttribution.jobsFailedOn("a"));
     }
 
     /** Two faulty jobs that met on one machine first: the other controllers' machines saw them fail too, and the records tell. */
@@ -91,9 +92,9 @@
     void whatFailsElsewhereTooSaysNothingAboutOneMachine() {
         failed("wk-1", "a");
         failed("wk-2", "a");
-        assertEquals(2, faults.jobsFailedOn("a"));
+        assertEquals(2, failureAttribution.jobsFailedOn("a"));
         records.put("wk-1", records.get("wk-1").failed(4, Optional.empty()));
-        assertEquals(1, faults.jobsFailedOn("a"));
+        assertEquals(1, failureAttribution.jobsFailedOn("a"));
     }
 
     @Test
@@ -101,9 +102,9 @@
         failed("wk-1", "a");
         failed("wk-2", "a");
         records.put("wk-1", records.get("wk-1").cancelled());
-        faults.prune("a"::equals);
-        assertEquals(1, faults.jobsFailedOn("a"));
-        faults.prune("b"::equals);
-        assertEquals(0, faults.jobsFailedOn("a"));
+        failureAttribution.prune("a"::equals);
+        assertEquals(1, failureAttribution.jobsFailedOn("a"));
+        failureAttribution.prune("b"::equals);
+        assertEquals(0, failureAttribution.jobsFailedOn("a"));
     }
 }
--- a/src/test/java/org/dunespindle/coordination/PeersTest.java
+++ b/src/test/java/org/dunespindle/coordination/PeersTest.java
@@ -10,12 +10,12 @@
 import java.util.Optional;
 import java.util.Set;
 import org.dunespindle.TestSettings;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Replica;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.sim.Sim;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
 import org.junit.jupiter.api.Test;
 
 /** What controllers tell one another of machines, and what of it still holds later. */
@@ -27,9 +27,14 @@
             sim.new Process(),
             () -> 1L,
             () -> Optional.of("n0"),
-            (host, image) -> {},
             new Replica(null, sim.new Process(), Duration.ofSeconds(1), () -> {}),
-            (node, asked, ids) -> {});
+            new Peers.Listener() {
+                @Override
+                public void imageSeen(String host, String image) {}
+
+                @Override
+                public void cancelled(String node, Duration asked, java.util.List<String> jobs) {}
+            });
 
     private static Settings settings() {
         try {
@@ -39,12 +44,12 @@
         }
     }
 
-    private static HostRecord host(String owner, long token) {
-        return new HostRecord("i-1", "", "m", "z", false, owner, 1, token, Instant.EPOCH, Instant.EPOCH, false, "");
+    private static MachineRecord host(String owner, long token) {
+        return new MachineRecord("i-1", "", "m", "z", false, owner, 1, token, Instant.EPOCH, Instant.EPOCH, false, "");
     }
 
     private ObjectNode heartbeat(String node, long inc, long from, long upTo, boolean withNews) {
-        ObjectNode n = Pack.map()
+        ObjectNode n = MessagePackCodec.map()
                 .put("node", node)
                 .put("inc", inc)
                 .put("viewAgeMs", 0)
--- a/src/test/java/org/dunespindle/coordination/PlacementsTest.java
+++ b/src/test/java/org/dunespindle/coordination/PlacementsTest.java
@@ -13,13 +13,13 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.dunespindle.bookkeeping.Claim;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.Allocation;
+import org.dunespindle.storage.JobRecord;
 
 /** How much of a large array is placed at once. */
 class PlacementsTest {
@@ -66,10 +66,10 @@
             if (!places.isEmpty() && Placements.fits(j.placed(places), VALUE)) {
                 j = j.placed(places);
             }
-            most = Math.max(most, j.claims().size());
+            most = Math.max(most, j.allocations().size());
             int pattern = random.nextInt(3);
             var ended = new TreeMap<Integer, Boolean>();
-            for (Claim c : j.claims()) {
+            for (Allocation c : j.allocations()) {
                 if (pattern == 0
                         ? random.nextInt(3) == 0
                         : pattern == 1 ? c.task() % 2 == 0 : random.nextInt(10) == 0) {
@@ -77,8 +77,8 @@
                 }
             }
             j = j.released(ended);
-            int size = Pack.countedSize(j.toNode());
-            assertTrue(size <= VALUE, size + " bytes with " + j.claims().size() + " claims");
+            int size = MessagePackCodec.countedSize(j.toNode());
+            assertTrue(size <= VALUE, size + " bytes with " + j.allocations().size() + " claims");
         }
         assertTrue(perMachine < 48 || most > 300, "no more than " + most + " under way");
     }
@@ -93,7 +93,7 @@
         }
         JobRecord j = array(random.nextBoolean() ? places.size() : 100).placed(places);
         var events = new ArrayList<Reconciler.Event>();
-        for (Claim c : j.claims()) {
+        for (Allocation c : j.allocations()) {
             if (random.nextInt(3) > 0) {
                 events.add(new Reconciler.Event(
                         j.id(),
--- a/src/test/java/org/dunespindle/coordination/PlannerTest.java
+++ b/src/test/java/org/dunespindle/coordination/PlannerTest.java
@@ -16,12 +16,12 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.dunespindle.bookkeeping.JobRecord;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Shape;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
 /** Decisions as a pure function of a snapshot. */
@@ -121,7 +121,8 @@
             plan.bookings().forEach(b -> byId.put(b.job().id(), b.job().placed(b.places())));
             plan.evictions()
                     .forEach(e -> byId.computeIfPresent(
-                            e.victim().id(), (id, j) -> j.released(e.claim().task(), false)));
+                            e.victim().id(),
+                            (id, j) -> j.released(e.allocation().task(), false)));
             jobs.clear();
             jobs.addAll(byId.values());
             check(jobs, hosts);
@@ -133,7 +134,7 @@
         var room = new HashMap<String, Integer>();
         for (JobRecord j : jobs) {
             var zones = new HashMap<String, Integer>();
-            j.claims().forEach(c -> {
+            j.allocations().forEach(c -> {
                 Planner.Host h = hosts.stream()
                         .filter(x -> x.id().equals(c.host()))
                         .findFirst()
@@ -202,7 +203,7 @@
         Planner.Plan plan = plan(List.of(low, gang), hosts);
         assertEquals(1, plan.evictions().size());
         // While the stopped task has not left, nothing else is emptied for the same gang.
-        JobRecord stopping = low.stopTask(plan.evictions().get(0).claim().task());
+        JobRecord stopping = low.stopTask(plan.evictions().get(0).allocation().task());
         assertEquals(List.of(), plan(List.of(stopping, gang), hosts).evictions());
     }
 
@@ -276,8 +277,8 @@
         JobRecord full = job(1, "red", Shape.ARRAY, Priority.LOW, 9, false, false, true)
                 .placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
         var ended = Set.of(
-                new Planner.Ended(full.id(), 0, full.claims().get(0).base()),
-                new Planner.Ended(full.id(), 2, full.claims().get(0).base()));
+                new Planner.Ended(full.id(), 0, full.allocations().get(0).base()),
+                new Planner.Ended(full.id(), 2, full.allocations().get(0).base()));
         Planner.Plan plan = Planner.plan(new Planner.Snapshot(
                 Instant.ofEpochSecond(1000),
                 List.of(full),
--- a/src/test/java/org/dunespindle/coordination/ReconcilerTest.java
+++ b/src/test/java/org/dunespindle/coordination/ReconcilerTest.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Replica.Placed;
 import org.dunespindle.protocol.ExitCause;
-import org.dunespindle.protocol.Order;
-import org.dunespindle.protocol.PieceId;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.TaskPhase;
 import org.dunespindle.protocol.TaskStatus;
+import org.dunespindle.protocol.WorkerCommand;
 import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Replica.Placed;
 import org.junit.jupiter.api.Test;
 
 /** What is ordered and concluded from a report that is proof. */
 class ReconcilerTest {
-    private static final PieceId FIRST = new PieceId("wk-000001", 0);
+    private static final TaskId FIRST = new TaskId("wk-000001", 0);
 
     private static JobRecord job(Shape shape, int tasks, Duration saves) {
         return JobRecord.accepted(
@@ -56,12 +56,12 @@
     }
 
     private static Reconciler.Verdict judge(JobRecord j, TaskStatus... tasks) {
-        List<Placed> claims = j.claims().stream()
+        List<Placed> allocations = j.allocations().stream()
                 .filter(c -> c.host().equals("h"))
                 .map(c -> new Placed(j, c))
                 .toList();
         return Reconciler.judge(
-                claims, new WorkerReport("h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(tasks)));
+                allocations, new WorkerReport("h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(tasks)));
     }
 
     private static TaskStatus status(long attempt, TaskPhase phase) {
@@ -73,19 +73,19 @@
     }
 
     private static long placeholder(JobRecord j) {
-        return j.claim(0).orElseThrow().base();
+        return j.allocation(0).orElseThrow().base();
     }
 
     @Test
     void aRealTaskWaitsForTheConfirmedReleaseOfItsPlaceholder() {
         JobRecord real = held().real();
         assertEquals(
-                List.of(new Order.Halt(FIRST, placeholder(real), Duration.ZERO)),
-                judge(real, status(placeholder(real), TaskPhase.ASSEMBLING)).orders());
+                List.of(new WorkerCommand.Halt(FIRST, placeholder(real), Duration.ZERO)),
+                judge(real, status(placeholder(real), TaskPhase.ASSEMBLING)).commands());
         var confirmed =
-                judge(real, exited(placeholder(real), ExitCause.STOPPED)).orders();
-        assertTrue(confirmed.contains(new Order.Run(FIRST, real.attempt())));
-        assertTrue(confirmed.contains(new Order.Forget(FIRST, placeholder(real))));
+                judge(real, exited(placeholder(real), ExitCause.STOPPED)).commands();
+        assertTrue(confirmed.contains(new WorkerCommand.Run(FIRST, real.attempt())));
+        assertTrue(confirmed.contains(new WorkerCommand.Forget(FIRST, placeholder(real))));
     }
 
     @Test
@@ -94,7 +94,7 @@
         var events = judge(j, exited(placeholder(j), ExitCause.INCOMPLETE)).events();
         assertEquals(Reconciler.Fate.WAITED_IN_VAIN, events.get(0).fate());
         JobRecord after = JobChanges.apply(j, events, Instant.EPOCH);
-        assertEquals(2, after.claims().size());
+        assertEquals(2, after.allocations().size());
         assertTrue(placeholder(after) > placeholder(j));
     }
 
@@ -102,12 +102,12 @@
     void anOutcomeIsStoredBeforeItIsForgotten() {
         JobRecord j = job(Shape.ARRAY, 1, Duration.ZERO).placed(new TreeMap<>(Map.of(0, "h")));
         var verdict = judge(j, exited(placeholder(j), ExitCause.DONE));
-        assertEquals(List.of(), verdict.orders());
+        assertEquals(List.of(), verdict.commands());
         JobRecord done = JobChanges.apply(j, verdict.events(), Instant.EPOCH);
         assertEquals(JobRecord.End.DONE, done.end());
         assertEquals(
-                List.of(new Order.Forget(FIRST, placeholder(j))),
-                judge(done, exited(placeholder(j), ExitCause.DONE)).orders());
+                List.of(new WorkerCommand.Forget(FIRST, placeholder(j))),
+                judge(done, exited(placeholder(j), ExitCause.DONE)).commands());
     }
 
     @Test
@@ -116,8 +116,8 @@
                 .placed(new TreeMap<>(Map.of(0, "h")))
                 .cancelled();
         assertEquals(
-                List.of(new Order.Halt(FIRST, placeholder(j), Duration.ZERO)),
-                judge(j, status(placeholder(j), TaskPhase.SAVING)).orders());
+                List.of(new WorkerCommand.Halt(FIRST, placeholder(j), Duration.ZERO)),
+                judge(j, status(placeholder(j), TaskPhase.SAVING)).commands());
         assertEquals(Reconciler.Fate.GONE, judge(j).events().get(0).fate());
     }
 
@@ -126,11 +126,11 @@
         JobRecord j = job(Shape.ARRAY, 1, Duration.ofSeconds(5))
                 .placed(new TreeMap<>(Map.of(0, "h")))
                 .stopTask(0);
-        Order.Halt halt = (Order.Halt)
-                judge(j, status(placeholder(j), TaskPhase.RUNNING)).orders().get(0);
+        WorkerCommand.Halt halt = (WorkerCommand.Halt)
+                judge(j, status(placeholder(j), TaskPhase.RUNNING)).commands().get(0);
         assertTrue(halt.grace().compareTo(j.job().saveTime()) >= 0);
         assertEquals(
-                List.of(), judge(j, status(placeholder(j), TaskPhase.SAVING)).orders());
+                List.of(), judge(j, status(placeholder(j), TaskPhase.SAVING)).commands());
     }
 
     @Test
@@ -170,7 +170,7 @@
             j = JobChanges.apply(
                     j,
                     List.of(new Reconciler.Event(
-                            j.id(), 0, j.claim(0).orElseThrow().base(), Reconciler.Fate.ERROR, "error")),
+                            j.id(), 0, j.allocation(0).orElseThrow().base(), Reconciler.Fate.ERROR, "error")),
                     Instant.EPOCH);
         }
         assertTrue(j.notBefore().orElseThrow().isAfter(Instant.EPOCH.plusSeconds(4)));
@@ -182,6 +182,6 @@
                 List.of(),
                 new WorkerReport(
                         "h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(status(3, TaskPhase.RUNNING))));
-        assertEquals(List.of(new Order.Halt(FIRST, 3, Duration.ZERO)), verdict.orders());
+        assertEquals(List.of(new WorkerCommand.Halt(FIRST, 3, Duration.ZERO)), verdict.commands());
     }
 }
--- a/src/test/java/org/dunespindle/coordination/TeamLedgerTest.java
+++ b/src/test/java/org/dunespindle/coordination/TeamLedgerTest.java
@@ -18,7 +18,7 @@
 class TeamLedgerTest {
     private static final int NAMES = 3;
 
-    /** A store with one team's record and its claims, as a log that views lag behind. */
+    /** A store with one team's record and its allocations, as a log that views lag behind. */
     private static final class Store {
         final List<double[]> log = new ArrayList<>(); // revision: change of use, 1 if the record changed
         TeamLedger.Entry entry = TeamLedger.Entry.NONE;
--- a/src/test/java/org/dunespindle/protocol/FormatsTest.java
+++ b/src/test/java/org/dunespindle/protocol/FormatsTest.java
@@ -62,7 +62,7 @@
 
     @Property(seed = "1", tries = 200)
     void submissionsSurviveTheWire(@ForAll("submissions") Submission s) throws MalformedException {
-        assertEquals(s, Submission.parse(Pack.read(Pack.write(s.toNode()))));
+        assertEquals(s, Submission.parse(MessagePackCodec.read(MessagePackCodec.write(s.toNode()))));
     }
 
     @Property(seed = "2", tries = 500)
@@ -72,14 +72,14 @@
 
     @Property(seed = "3", tries = 300)
     void damagedSubmissionsAreReadOrRefused(@ForAll("submissions") Submission s, @ForAll int where, @ForAll byte what) {
-        byte[] bytes = Pack.write(s.toNode());
+        byte[] bytes = MessagePackCodec.write(s.toNode());
         bytes[Math.floorMod(where, bytes.length)] = what;
         refusedOrRead(bytes);
     }
 
     private static void refusedOrRead(byte[] bytes) {
         try {
-            JsonNode node = Pack.read(bytes);
+            JsonNode node = MessagePackCodec.read(bytes);
             Submission.parse(node);
             WorkerReport.parse(node);
         } catch (MalformedException e) {
@@ -119,8 +119,8 @@
     @Test
     void trailingBytesMakeABodyMalformed() {
         byte[] two = {(byte) 0x80, (byte) 0x80};
-        assertThrows(MalformedException.class, () -> Pack.read(two));
-        assertThrows(MalformedException.class, () -> Pack.read(new byte[0]));
+        assertThrows(MalformedException.class, () -> MessagePackCodec.read(two));
+        assertThrows(MalformedException.class, () -> MessagePackCodec.read(new byte[0]));
     }
 
     @Test
@@ -133,8 +133,8 @@
 
     @Property(seed = "5", tries = 200)
     void taskNamesSurvive(@ForAll("numbers") int index) {
-        var id = new PieceId("wk-000001", index);
-        assertEquals(Optional.of(id), PieceId.parse(id.toString()));
+        var id = new TaskId("wk-000001", index);
+        assertEquals(Optional.of(id), TaskId.parse(id.toString()));
     }
 
     @Provide
@@ -144,7 +144,7 @@
 
     @Test
     void reportsCarryPhasesAndCauses() throws MalformedException {
-        ObjectNode n = Pack.map()
+        ObjectNode n = MessagePackCodec.map()
                 .put("host", "i-1")
                 .put("address", "a:1")
                 .put("hull", "g")
@@ -161,11 +161,11 @@
                 .put("try", 4)
                 .put("phase", "exited")
                 .put("cause", "no_room");
-        WorkerReport r = WorkerReport.parse(Pack.read(Pack.write(n)));
+        WorkerReport r = WorkerReport.parse(MessagePackCodec.read(MessagePackCodec.write(n)));
         assertEquals(Optional.of(Duration.ofMillis(12_500)), r.notice());
         assertEquals(
                 Optional.of(ExitCause.NO_ROOM),
-                r.find(new PieceId("wk-1", 3), 4).orElseThrow().cause());
+                r.find(new TaskId("wk-1", 3), 4).orElseThrow().cause());
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/org/dunespindle/sim/ClusterTest.java
@@ -0,0 +1,198 @@
+package org.dunespindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import org.dunespindle.protocol.Priority;
+import org.dunespindle.protocol.Resources;
+import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.Submission;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Whole controllers against stand-ins in virtual time, through failures drawn from fixed seeds. */
+class ClusterTest {
+    static Submission job(String id, String team, Shape shape, int tasks, boolean sameZone, boolean spot) {
+        return new Submission(
+                id,
+                "class",
+                team,
+                shape,
+                shape == Shape.GANG ? Priority.URGENT : Priority.LOW,
+                tasks,
+                new Resources(1, 1, 1),
+                Optional.empty(),
+                Optional.empty(),
+                sameZone,
+                false,
+                spot,
+                "image-" + tasks % 2,
+                2,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty());
+    }
+
+    static List<String> submitMix(SimulatedCluster cluster, int count) {
+        var ids = new ArrayList<String>();
+        for (int i = 0; i < count; i++) {
+            String id = "wk-%06d".formatted(i);
+            ids.add(id);
+            Submission job = job(
+                    id,
+                    i % 2 == 0 ? "red" : "blue",
+                    i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
+                    i % 3 == 0 ? 1 + i % 4 : 2 + i % 5,
+                    i % 2 == 0,
+                    i % 4 != 0);
+            cluster.sim.after(500L + i * 900L, () -> cluster.submit(job));
+        }
+        return ids;
+    }
+
+    static void assertAllDone(SimulatedCluster cluster, List<String> ids) {
+        assertEquals(List.of(), cluster.broken);
+        for (String id : ids) {
+            assertEquals("done", cluster.lastTold(id), id);
+        }
+    }
+
+    @Test
+    void quietDayIsServed() {
+        var cluster = new SimulatedCluster(1);
+        List<String> ids = submitMix(cluster, 14);
+        cluster.sim.run(Duration.ofSeconds(240));
+        assertAllDone(cluster, ids);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {2, 3, 4, 5, 6, 7, 8, 9})
+    void rulesHoldThroughLossAndRepeatsAndFailures(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        cluster.loss = 0.02;
+        cluster.repeat = 0.1;
+        List<String> ids = submitMix(cluster, 14);
+        for (int i = 0; i < 5; i++) {
+            int pick = cluster.sim.random.nextInt(50);
+            cluster.sim.after(8000L + cluster.sim.random.nextInt(50_000), () -> {
+                if (cluster.worker(pick) != null) {
+                    cluster.cut(cluster.worker(pick), Duration.ofSeconds(2 + pick % 17));
+                }
+            });
+            cluster.sim.after(
+                    8000L + cluster.sim.random.nextInt(50_000),
+                    () -> cluster.crash(pick % 3, Duration.ofMillis(200 + pick * 150L)));
+        }
+        int dead = cluster.sim.random.nextInt(50);
+        cluster.sim.after(30_000, () -> {
+            if (cluster.worker(dead) != null) {
+                cluster.die(cluster.worker(dead));
+            }
+        });
+        cluster.sim.after(20_000L + cluster.sim.random.nextInt(20_000), () -> cluster.state.out = true);
+        cluster.sim.after(48_000, cluster.state::recover);
+        cluster.sim.run(Duration.ofSeconds(500));
+        assertAllDone(cluster, ids);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {11, 12, 13})
+    void allControllersCrashAtAnyStageOfAGang(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = submitMix(cluster, 10);
+        for (int k = 0; k < 4; k++) {
+            long at = 7000L + cluster.sim.random.nextInt(25_000);
+            for (int n = 0; n < 3; n++) {
+                int node = n;
+                cluster.sim.after(at, () -> cluster.crash(node, Duration.ofMillis(300 + node * 900L)));
+            }
+        }
+        cluster.sim.run(Duration.ofSeconds(400));
+        assertAllDone(cluster, ids);
+    }
+
+    @Test
+    void controllersThatStartAnewDoNotReturnMachinesTheyHaveNotHeardYet() {
+        var cluster = new SimulatedCluster(14);
+        // One service keeps a machine in use, far beyond three times its boot time.
+        cluster.submit(job("wk-000001", "red", Shape.SERVICE, 2, false, false));
+        cluster.sim.run(Duration.ofSeconds(100));
+        int before = cluster.returned;
+        for (int n = 0; n < 3; n++) {
+            cluster.crash(n, Duration.ofMillis(2000));
+        }
+        cluster.sim.run(Duration.ofSeconds(115));
+        assertEquals(before, cluster.returned);
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {41, 42, 43})
+    void oneControllerAloneRefusedByTheStateServiceHarmsNobody(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = submitMix(cluster, 12);
+        int node = (int) (seed % 3);
+        cluster.sim.after(9000, () -> cluster.refusedNode = node);
+        cluster.sim.after(40_000, () -> cluster.refusedNode = -1);
+        cluster.sim.run(Duration.ofSeconds(300));
+        assertAllDone(cluster, ids);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {51, 52, 53})
+    void machinesThatReachOnlyOneControllerAreTakenOverByIt(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = submitMix(cluster, 12);
+        cluster.sim.after(10_000, () -> {
+            for (int m = 0; m < 4; m++) {
+                for (int n = 0; n < 3; n++) {
+                    if (n != m % 3 && cluster.worker(m) != null) {
+                        cluster.block(n, cluster.worker(m));
+                    }
+                }
+            }
+        });
+        cluster.sim.run(Duration.ofSeconds(400));
+        assertAllDone(cluster, ids);
+    }
+
+    @Test
+    void machinesRentedLateAreUsedOrReturned() {
+        var cluster = new SimulatedCluster(61);
+        cluster.lateRentals = true;
+        List<String> ids = submitMix(cluster, 6);
+        cluster.sim.run(Duration.ofSeconds(400));
+        assertAllDone(cluster, ids);
+        assertEquals(null, cluster.worker(0), "idle machines are given back, the late ones too");
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {21, 22, 23})
+    void cancelledJobsVanishInTime(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        cluster.loss = 0.02;
+        List<String> ids = submitMix(cluster, 12);
+        for (int i = 0; i < ids.size(); i += 2) {
+            String id = ids.get(i);
+            cluster.sim.after(4000L + i * 1500L, () -> cluster.cancel(id));
+        }
+        int pick = cluster.sim.random.nextInt(9);
+        cluster.sim.after(9000, () -> {
+            if (cluster.worker(pick) != null) {
+                cluster.cut(cluster.worker(pick), Duration.ofSeconds(25));
+            }
+        });
+        cluster.sim.after(12_000, () -> cluster.crash(pick % 3, Duration.ofSeconds(6)));
+        cluster.sim.run(Duration.ofSeconds(400));
+        assertEquals(List.of(), cluster.broken);
+        for (String id : ids) {
+            String last = cluster.lastTold(id);
+            assertEquals(true, last.equals("done") || last.equals("cancelled"), id + " is " + last);
+        }
+    }
+}
--- a/src/test/java/org/dunespindle/sim/MeetingsTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -15,17 +15,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Two troubles that meet, each meeting brought about on purpose; that it took place is checked too. */
-class MeetingsTest {
+class CombinedFailuresTest {
     /** Long tasks, placed and running. */
-    private static List<String> longJobs(World world, int count) {
-        world.taskTime = Optional.of(Duration.ofMinutes(5));
+    private static List<String> longJobs(SimulatedCluster cluster, int count) {
+        cluster.taskTime = Optional.of(Duration.ofMinutes(5));
         var ids = new ArrayList<String>();
         for (int i = 0; i < count; i++) {
             String id = "wk-%06d".formatted(i);
             ids.add(id);
-            world.sim.after(
+            cluster.sim.after(
                     1000L + 400L * i,
-                    () -> world.submit(WorldTest.job(
+                    () -> cluster.submit(ClusterTest.job(
                             id,
                             Integer.parseInt(id.substring(3)) % 2 == 0 ? "red" : "blue",
                             Shape.ARRAY,
@@ -33,7 +33,7 @@
                             false,
                             false)));
         }
-        world.sim.run(Duration.ofSeconds(40));
+        cluster.sim.run(Duration.ofSeconds(40));
         return ids;
     }
 
@@ -42,16 +42,16 @@
     }
 
     /** Cancels jobs through one controller; all are confirmed there when this ends, and at most a few milliseconds ago. */
-    private static void cancelAt(World world, int node, List<String> ids) {
-        world.usersAt = node;
-        ids.forEach(world::cancel);
-        Duration latest = world.sim.now().plusSeconds(3);
-        while (!ids.stream().allMatch(id -> world.cancelledAt(id).isPresent())
-                && world.sim.now().compareTo(latest) < 0) {
-            world.sim.run(world.sim.now().plusMillis(2));
+    private static void cancelAt(SimulatedCluster cluster, int node, List<String> ids) {
+        cluster.usersAt = node;
+        ids.forEach(cluster::cancel);
+        Duration latest = cluster.sim.now().plusSeconds(3);
+        while (!ids.stream().allMatch(id -> cluster.cancelledAt(id).isPresent())
+                && cluster.sim.now().compareTo(latest) < 0) {
+            cluster.sim.run(cluster.sim.now().plusMillis(2));
         }
-        world.usersAt = -1;
-        ids.forEach(id -> assertTrue(world.cancelledAt(id).isPresent(), id + " is not confirmed as cancelled"));
+        cluster.usersAt = -1;
+        ids.forEach(id -> assertTrue(cluster.cancelledAt(id).isPresent(), id + " is not confirmed as cancelled"));
     }
 
     /**
@@ -61,17 +61,17 @@
     @ParameterizedTest
     @ValueSource(longs = {301, 302, 303, 304, 305})
     void whatTheLeaderCouldNotReadEndsInTimeAndTheRestGoesOn(long seed) {
-        var world = new World(seed);
-        List<String> ids = longJobs(world, 8);
-        int leader = world.leader();
-        List<WorkerStandIn> all = world.alive();
-        world.refusedNode = leader;
-        world.sim.run(world.sim.now().plusMillis(300 + 150 * (seed - 301)));
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = longJobs(cluster, 8);
+        int leader = cluster.leader();
+        List<WorkerStandIn> all = cluster.alive();
+        cluster.refusedNode = leader;
+        cluster.sim.run(cluster.sim.now().plusMillis(300 + 150 * (seed - 301)));
         List<String> gone = ids.subList(0, 4);
-        cancelAt(world, other(leader, 1), gone);
-        world.state.out = true;
-        Duration begun = world.sim.now();
-        world.sim.run(begun.plusSeconds(6));
+        cancelAt(cluster, other(leader, 1), gone);
+        cluster.state.out = true;
+        Duration begun = cluster.sim.now();
+        cluster.sim.run(begun.plusSeconds(6));
         assertEquals(
                 List.of(),
                 all.stream()
@@ -79,44 +79,44 @@
                         .map(WorkerStandIn::id)
                         .toList(),
                 "told by the others, the leader stops them at once");
-        world.sim.run(begun.plus(World.CANCEL).plusSeconds(15));
-        assertEquals(List.of(), world.broken);
+        cluster.sim.run(begun.plus(SimulatedCluster.CANCEL).plusSeconds(15));
+        assertEquals(List.of(), cluster.broken);
         assertEquals(
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
                 "leases that ran out though every cancellation is known");
-        world.refusedNode = -1;
-        world.state.recover();
-        ids.subList(4, 8).forEach(world::cancel);
-        world.sim.run(world.sim.now().plusSeconds(60));
-        assertEquals(List.of(), world.broken);
-        assertEquals(List.of(), world.startsAfterCancel);
+        cluster.refusedNode = -1;
+        cluster.state.recover();
+        ids.subList(4, 8).forEach(cluster::cancel);
+        cluster.sim.run(cluster.sim.now().plusSeconds(60));
+        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.startsAfterCancel);
     }
 
     /** The same with controllers that cannot talk, or one that has ended: then only the leases of its workers can end what was cancelled. */
     @ParameterizedTest
     @ValueSource(longs = {311, 312, 313, 314, 315, 316})
     void whatNobodyCanTellTheLeaderEndsWithTheLeases(long seed) {
-        var world = new World(seed);
-        List<String> ids = longJobs(world, 8);
-        int leader = world.leader();
-        world.refusedNode = leader;
-        world.peersRefuse = seed % 2 == 0;
-        world.sim.run(world.sim.now().plusMillis(100 + 100 * (seed - 311)));
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = longJobs(cluster, 8);
+        int leader = cluster.leader();
+        cluster.refusedNode = leader;
+        cluster.peersRefuse = seed % 2 == 0;
+        cluster.sim.run(cluster.sim.now().plusMillis(100 + 100 * (seed - 311)));
         int confirms = other(leader, 1 + (int) seed / 2 % 2);
-        cancelAt(world, confirms, ids.subList(0, 4));
-        world.state.out = true;
-        if (!world.peersRefuse) {
-            world.crash(confirms, Duration.ofSeconds(2)); // what comes back cannot read, so it cannot tell
+        cancelAt(cluster, confirms, ids.subList(0, 4));
+        cluster.state.out = true;
+        if (!cluster.peersRefuse) {
+            cluster.crash(confirms, Duration.ofSeconds(2)); // what comes back cannot read, so it cannot tell
         }
-        world.sim.run(world.sim.now().plus(World.CANCEL).plusSeconds(25));
-        assertEquals(List.of(), world.broken);
-        world.peersRefuse = false;
-        world.refusedNode = -1;
-        world.state.recover();
-        ids.subList(4, 8).forEach(world::cancel);
-        world.sim.run(world.sim.now().plusSeconds(90));
-        assertEquals(List.of(), world.broken);
+        cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL).plusSeconds(25));
+        assertEquals(List.of(), cluster.broken);
+        cluster.peersRefuse = false;
+        cluster.refusedNode = -1;
+        cluster.state.recover();
+        ids.subList(4, 8).forEach(cluster::cancel);
+        cluster.sim.run(cluster.sim.now().plusSeconds(90));
+        assertEquals(List.of(), cluster.broken);
     }
 
     /**
@@ -127,40 +127,40 @@
     @ParameterizedTest
     @MethodSource("gaps")
     void whoeverHearsWhomWhatIsCancelledEndsInTime(long seed) {
-        var world = new World(seed);
+        var cluster = new SimulatedCluster(seed);
         var random = new Random(seed);
-        List<String> ids = longJobs(world, 8);
+        List<String> ids = longJobs(cluster, 8);
         for (int round = 0; round < 2; round++) {
-            int refused = random.nextInt(4) == 0 ? random.nextInt(3) : world.leader();
-            world.refusedNode = refused;
+            int refused = random.nextInt(4) == 0 ? random.nextInt(3) : cluster.leader();
+            cluster.refusedNode = refused;
             for (int pair = 0; pair < 9; pair++) {
                 if (random.nextInt(5) == 0) {
-                    world.peersBlocked.add(pair);
+                    cluster.peersBlocked.add(pair);
                 }
             }
-            world.peerDelayMillis = random.nextInt(3) == 0 ? 1400 : 0;
-            world.sim.run(world.sim.now().plusMillis(random.nextInt(5000)));
+            cluster.peerDelayMillis = random.nextInt(3) == 0 ? 1400 : 0;
+            cluster.sim.run(cluster.sim.now().plusMillis(random.nextInt(5000)));
             int confirms = other(Math.max(0, refused), 1 + random.nextInt(2));
             List<String> some = ids.subList(4 * round, 4 * round + 1 + random.nextInt(3));
-            world.usersAt = confirms;
-            some.forEach(world::cancel);
-            world.sim.run(world.sim.now().plusMillis(30 + random.nextInt(250)));
-            world.usersAt = -1;
-            world.state.out = true;
-            world.sim.run(world.sim.now().plusMillis(random.nextInt(1500)));
+            cluster.usersAt = confirms;
+            some.forEach(cluster::cancel);
+            cluster.sim.run(cluster.sim.now().plusMillis(30 + random.nextInt(250)));
+            cluster.usersAt = -1;
+            cluster.state.out = true;
+            cluster.sim.run(cluster.sim.now().plusMillis(random.nextInt(1500)));
             switch (random.nextInt(4)) {
-                case 0, 1 -> world.crash(confirms, Duration.ofMillis(50 + random.nextInt(3000)));
-                case 2 -> world.freeze(confirms, Duration.ofMillis(2000 + random.nextInt(20_000)));
+                case 0, 1 -> cluster.crash(confirms, Duration.ofMillis(50 + random.nextInt(3000)));
+                case 2 -> cluster.freeze(confirms, Duration.ofMillis(2000 + random.nextInt(20_000)));
                 default -> {}
             }
-            world.sim.run(world.sim.now().plusMillis(3000 + random.nextInt(45_000)));
-            world.refusedNode = -1;
-            world.peersBlocked.clear();
-            world.state.recover();
-            world.sim.run(world.sim.now().plusMillis(2000 + random.nextInt(12_000)));
+            cluster.sim.run(cluster.sim.now().plusMillis(3000 + random.nextInt(45_000)));
+            cluster.refusedNode = -1;
+            cluster.peersBlocked.clear();
+            cluster.state.recover();
+            cluster.sim.run(cluster.sim.now().plusMillis(2000 + random.nextInt(12_000)));
         }
-        world.sim.run(world.sim.now().plus(World.CANCEL).plusSeconds(5));
-        assertEquals(List.of(), world.broken);
+        cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL).plusSeconds(5));
+        assertEquals(List.of(), cluster.broken);
     }
 
     static LongStream gaps() {
@@ -168,21 +168,21 @@
         return LongStream.range(from, from + Integer.getInteger("gap.count", 40));
     }
 
-    private static TroubleMix day(long seed) {
-        var mix = new TroubleMix(seed);
+    private static FailureMix day(long seed) {
+        var mix = new FailureMix(seed);
         mix.submitJobs(14);
         return mix;
     }
 
     /** Moments drawn so that the troubles meet in any order. */
-    private static Duration near(TroubleMix mix, int second) {
-        return Duration.ofMillis(second * 1000L + mix.world().sim.random.nextInt(4000));
+    private static Duration near(FailureMix mix, int second) {
+        return Duration.ofMillis(second * 1000L + mix.cluster().sim.random.nextInt(4000));
     }
 
-    private static void assertKept(TroubleMix mix, String... meetings) {
+    private static void assertKept(FailureMix mix, String... meetings) {
         assertEquals(List.of(), mix.play(), () -> mix.story().toString());
         for (String meeting : meetings) {
-            assertTrue(mix.world().met.containsKey(meeting), meeting + " did not take place: " + mix.world().met);
+            assertTrue(mix.cluster().met.containsKey(meeting), meeting + " did not take place: " + mix.cluster().met);
         }
     }
 
@@ -190,22 +190,22 @@
     @ParameterizedTest
     @ValueSource(longs = {321, 322, 323, 324})
     void jobsAreCancelledThroughTheNewLeaderWhileTheOldOneIsCutOff(long seed) {
-        var world = new World(seed);
-        List<String> ids = longJobs(world, 8);
-        int old = world.leader();
-        world.isolatedNode = old;
-        while (world.leader() == old || world.leader() < 0) {
-            world.sim.run(world.sim.now().plusMillis(100 * (seed - 320)));
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = longJobs(cluster, 8);
+        int old = cluster.leader();
+        cluster.isolatedNode = old;
+        while (cluster.leader() == old || cluster.leader() < 0) {
+            cluster.sim.run(cluster.sim.now().plusMillis(100 * (seed - 320)));
         }
-        cancelAt(world, world.leader(), ids);
-        world.sim.run(world.sim.now().plusSeconds(25 + 5 * (seed - 321)));
-        world.isolatedNode = -1;
-        world.sim.run(world.sim.now().plusSeconds(60));
-        assertEquals(List.of(), world.broken);
-        assertEquals(List.of(), world.startsAfterCancel);
+        cancelAt(cluster, cluster.leader(), ids);
+        cluster.sim.run(cluster.sim.now().plusSeconds(25 + 5 * (seed - 321)));
+        cluster.isolatedNode = -1;
+        cluster.sim.run(cluster.sim.now().plusSeconds(60));
+        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.startsAfterCancel);
         assertEquals(
                 List.of(),
-                world.alive().stream()
+                cluster.alive().stream()
                         .filter(w -> ids.stream().anyMatch(w::holds))
                         .map(WorkerStandIn::id)
                         .toList());
@@ -216,11 +216,13 @@
     void reportsHeldBackArriveAtTheNewLeader(long seed) {
         var mix = day(seed);
         mix.at(near(mix, 18), () -> {
-            mix.world().alive().forEach(w -> {
+            mix.cluster().alive().forEach(w -> {
                 w.holdReports(Duration.ofMillis(7000 + 1000 * (seed - 330)));
-                mix.world().sim.after(3000, () -> w.holdReports(Duration.ZERO));
+                mix.cluster().sim.after(3000, () -> w.holdReports(Duration.ZERO));
             });
-            mix.world().sim.after(500 * (seed - 331), () -> mix.world().crash(mix.leader(), Duration.ofMillis(200)));
+            mix.cluster()
+                    .sim
+                    .after(500 * (seed - 331), () -> mix.cluster().crash(mix.leader(), Duration.ofMillis(200)));
         });
         assertKept(mix, "held report");
     }
@@ -233,15 +235,15 @@
         for (int k = 0; k < 10; k++) {
             mix.at(
                     Duration.ofMillis(6000 + 11_500L * k),
-                    () -> mix.world()
+                    () -> mix.cluster()
                             .crash(
                                     mix.leader(),
                                     Duration.ofMillis(
-                                            60 + mix.world().sim.random.nextInt(1500))));
+                                            60 + mix.cluster().sim.random.nextInt(1500))));
         }
-        mix.at(near(mix, 40), () -> mix.world().state.out = true);
-        mix.at(Duration.ofSeconds(62), mix.world().state::recover);
-        mix.at(near(mix, 20), () -> mix.world().cancel(mix.ids().get(3)));
+        mix.at(near(mix, 40), () -> mix.cluster().state.out = true);
+        mix.at(Duration.ofSeconds(62), mix.cluster().state::recover);
+        mix.at(near(mix, 20), () -> mix.cluster().cancel(mix.ids().get(3)));
         assertKept(mix);
     }
 
@@ -252,31 +254,31 @@
     @ParameterizedTest
     @MethodSource("formerLeaders")
     void placeholdersOfAFormerLeaderAreTakenUp(long seed) {
-        var world = new World(seed, 7, 10);
-        world.submit(WorldTest.job("wk-000001", "red", Shape.GANG, 6, false, false));
-        world.submit(WorldTest.job("wk-000002", "blue", Shape.GANG, 5, false, false));
-        while (!mode(world, "wk-000001").equals("HOLD")
-                || !mode(world, "wk-000002").equals("HOLD")) {
-            world.sim.run(world.sim.now().plusMillis(10));
-            assertTrue(world.sim.now().compareTo(Duration.ofSeconds(60)) < 0, "no placeholder was placed");
+        var cluster = new SimulatedCluster(seed, 7, 10);
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.GANG, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.GANG, 5, false, false));
+        while (!mode(cluster, "wk-000001").equals("HOLD")
+                || !mode(cluster, "wk-000002").equals("HOLD")) {
+            cluster.sim.run(cluster.sim.now().plusMillis(10));
+            assertTrue(cluster.sim.now().compareTo(Duration.ofSeconds(60)) < 0, "no placeholder was placed");
         }
-        int old = world.leader();
-        world.crash(old, Duration.ofMillis(200 + 37 * (seed % 20)));
-        world.sim.run(world.sim.now().plusSeconds(9));
-        if (world.leader() != old) {
-            world.met("another leads");
+        int old = cluster.leader();
+        cluster.crash(old, Duration.ofMillis(200 + 37 * (seed % 20)));
+        cluster.sim.run(cluster.sim.now().plusSeconds(9));
+        if (cluster.leader() != old) {
+            cluster.met("another leads");
         }
-        world.sim.run(world.sim.now().plusSeconds(30));
+        cluster.sim.run(cluster.sim.now().plusSeconds(30));
         for (String id : List.of("wk-000001", "wk-000002")) {
             assertTrue(
-                    List.of("running", "done").contains(world.lastTold(id)),
-                    id + " waits for its timer, all placed: " + world.dump());
+                    List.of("running", "done").contains(cluster.lastTold(id)),
+                    id + " waits for its timer, all placed: " + cluster.dump());
         }
-        assertEquals(List.of(), world.broken);
+        assertEquals(List.of(), cluster.broken);
     }
 
-    private static String mode(World world, String id) {
-        StateStandIn.Row row = world.state.rows().get("ds/job/" + id);
+    private static String mode(SimulatedCluster cluster, String id) {
+        StateStandIn.Row row = cluster.state.rows().get("ds/job/" + id);
         return row == null ? "" : row.value().path("mode").asText();
     }
 
@@ -289,51 +291,52 @@
     @ParameterizedTest
     @ValueSource(longs = {361, 362, 363})
     void aMuteMachineGetsNothingNewAndIsReturned(long seed) {
-        var world = new World(seed);
-        List<String> ids = WorldTest.submitMix(world, 12);
-        world.sim.run(Duration.ofSeconds(8).plusMillis(400 * (seed - 360)));
-        WorkerStandIn mute = world.alive().stream()
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        cluster.sim.run(Duration.ofSeconds(8).plusMillis(400 * (seed - 360)));
+        WorkerStandIn mute = cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
                 .findFirst()
                 .orElseThrow();
         mute.mute(true);
-        world.sim.run(Duration.ofSeconds(30));
+        cluster.sim.run(Duration.ofSeconds(30));
         long held = mute.held();
         assertEquals(0, held, "tasks are started on it though its leases run out");
-        world.sim.run(Duration.ofSeconds(75));
+        cluster.sim.run(Duration.ofSeconds(75));
         assertTrue(mute.dead(), "it is kept");
-        world.sim.run(Duration.ofSeconds(300));
-        WorldTest.assertAllDone(world, ids);
+        cluster.sim.run(Duration.ofSeconds(300));
+        ClusterTest.assertAllDone(cluster, ids);
     }
 
     /** Each ends long after the others, the leader changes in between; done is told within 3 s of the last end, and never before. */
     @ParameterizedTest
     @ValueSource(longs = {371, 372, 373, 374})
     void tasksOfAJobEndFarApartAcrossAChangeOfLeader(long seed) {
-        var world = new World(seed);
-        world.lengthOf = p -> Optional.of(Duration.ofSeconds(4 + 17L * p.index()));
+        var cluster = new SimulatedCluster(seed);
+        cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(4 + 17L * p.index()));
         var ids = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
             String id = "wk-%06d".formatted(i);
             ids.add(id);
-            world.submit(WorldTest.job(id, i % 2 == 0 ? "red" : "blue", Shape.ARRAY, i % 2 == 0 ? 3 : 2, false, false));
+            cluster.submit(
+                    ClusterTest.job(id, i % 2 == 0 ? "red" : "blue", Shape.ARRAY, i % 2 == 0 ? 3 : 2, false, false));
         }
         for (int k = 0; k < 4; k++) {
-            world.sim.after(
+            cluster.sim.after(
                     12_000L + 9000L * k + 500 * (seed - 371),
-                    () -> world.crash(Math.max(0, world.leader()), Duration.ofMillis(300)));
+                    () -> cluster.crash(Math.max(0, cluster.leader()), Duration.ofMillis(300)));
         }
-        world.sim.run(Duration.ofSeconds(55));
-        Duration calm = world.sim.now();
-        world.sim.run(Duration.ofSeconds(200));
-        WorldTest.assertAllDone(world, ids);
+        cluster.sim.run(Duration.ofSeconds(55));
+        Duration calm = cluster.sim.now();
+        cluster.sim.run(Duration.ofSeconds(200));
+        ClusterTest.assertAllDone(cluster, ids);
         for (String id : ids) {
-            Duration last = world.completedAt(id).orElseThrow();
+            Duration last = cluster.completedAt(id).orElseThrow();
             if (last.compareTo(calm) > 0) {
                 // The stand-in's user asks every five seconds, more or less.
-                assertEquals(200, world.poll(0, id).join().status());
+                assertEquals(200, cluster.poll(0, id).join().status());
             }
-            assertTrue(world.toldOverAt(id).orElseThrow().compareTo(last) >= 0, id);
+            assertTrue(cluster.toldOverAt(id).orElseThrow().compareTo(last) >= 0, id);
         }
     }
 
@@ -342,21 +345,21 @@
     @ValueSource(longs = {381, 382, 383, 384, 385})
     void aLeaderEndsWhileMachinesWithLongTasksCannotBeReached(long seed) {
         var mix = day(seed);
-        World world = mix.world();
-        world.lengthOf = p -> Optional.of(Duration.ofSeconds(20 + p.index() % 3 * 8L));
+        SimulatedCluster cluster = mix.cluster();
+        cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(20 + p.index() % 3 * 8L));
         mix.at(near(mix, 24), () -> {
-            List<WorkerStandIn> all = world.alive();
+            List<WorkerStandIn> all = cluster.alive();
             for (int i = 0; i < all.size(); i++) {
                 WorkerStandIn w = all.get(i);
                 if (i % 3 == 0) {
-                    world.cut(w, Duration.ofSeconds(6 + seed % 5 * 4));
+                    cluster.cut(w, Duration.ofSeconds(6 + seed % 5 * 4));
                 } else if (i % 3 == 1) {
                     w.oneWay(true);
-                    world.sim.after(8000 + 4000 * (seed % 5), () -> w.oneWay(false));
+                    cluster.sim.after(8000 + 4000 * (seed % 5), () -> w.oneWay(false));
                 }
             }
-            world.met("unreachable machines");
-            world.crash(mix.leader(), Duration.ofMillis(500 + 2000 * (seed % 3)));
+            cluster.met("unreachable machines");
+            cluster.crash(mix.leader(), Duration.ofMillis(500 + 2000 * (seed % 3)));
         });
         assertKept(mix, "unreachable machines");
     }
@@ -366,13 +369,14 @@
     @ValueSource(longs = {391, 392, 393, 394, 395})
     void commandsAreHeldUpAndTheMachineGoesOn(long seed) {
         var mix = day(seed);
-        World world = mix.world();
+        SimulatedCluster cluster = mix.cluster();
         for (int k = 0; k < 5; k++) {
             mix.at(
                     near(mix, 9 + 7 * k),
-                    () -> world.alive().forEach(w -> w.hang(Duration.ofMillis(1500 + world.sim.random.nextInt(7500)))));
+                    () -> cluster.alive()
+                            .forEach(w -> w.hang(Duration.ofMillis(1500 + cluster.sim.random.nextInt(7500)))));
         }
-        mix.add(TroubleMix.Trouble.CANCEL_NOW, near(mix, 25));
+        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 25));
         assertKept(mix, "CANCEL_NOW");
     }
 
@@ -382,7 +386,7 @@
         var mix = day(seed);
         mix.at(near(mix, 22), () -> {
             for (int n = 0; n < 3; n++) {
-                mix.world().crash(n, World.LEASE.plusMillis(1500 + 1100L * n));
+                mix.cluster().crash(n, SimulatedCluster.LEASE.plusMillis(1500 + 1100L * n));
             }
         });
         assertKept(mix);
@@ -392,10 +396,10 @@
     @ParameterizedTest
     @ValueSource(longs = {411, 412})
     void moreWorkThanRoomOverSlowLinks(long seed) {
-        var mix = new TroubleMix(seed);
-        mix.world().slowMillis = 250;
+        var mix = new FailureMix(seed);
+        mix.cluster().slowMillis = 250;
         mix.submitJobs(30);
-        mix.at(Duration.ofSeconds(100), () -> mix.world().slowMillis = 0);
+        mix.at(Duration.ofSeconds(100), () -> mix.cluster().slowMillis = 0);
         assertKept(mix);
     }
 
@@ -403,26 +407,26 @@
     @ParameterizedTest
     @ValueSource(longs = {421, 422, 423, 424, 425})
     void aTeamAtItsLimitWhenTheLeaderChanges(long seed) {
-        var world = new World(seed);
-        world.taskTime = Optional.of(Duration.ofSeconds(40));
+        var cluster = new SimulatedCluster(seed);
+        cluster.taskTime = Optional.of(Duration.ofSeconds(40));
         for (int i = 0; i < 4; i++) {
-            world.submit(WorldTest.job(
+            cluster.submit(ClusterTest.job(
                     "wk-%06d".formatted(i), "blue", Shape.ARRAY, 4, false, false)); // 16 tasks, 6 allowed at once
         }
-        world.sim.run(Duration.ofSeconds(20).plusMillis(300 * (seed - 420)));
-        assertEquals(6, world.alive().stream().mapToLong(WorkerStandIn::held).sum(), "the team is at its limit");
+        cluster.sim.run(Duration.ofSeconds(20).plusMillis(300 * (seed - 420)));
+        assertEquals(6, cluster.alive().stream().mapToLong(WorkerStandIn::held).sum(), "the team is at its limit");
         List<WorkerStandIn> some =
-                world.alive().stream().filter(w -> w.held() > 0).limit(1).toList();
-        String held = some.get(0).tasks().iterator().next().piece.job();
-        some.forEach(w -> world.cut(w, Duration.ofSeconds(9 + seed % 4)));
-        world.crash(world.leader(), Duration.ofMillis(400));
-        world.sim.run(world.sim.now().plusMillis(200 * (seed - 421)));
-        world.cancel(held);
-        world.sim.run(Duration.ofSeconds(260));
-        assertEquals(List.of(), world.broken);
+                cluster.alive().stream().filter(w -> w.held() > 0).limit(1).toList();
+        String held = some.get(0).tasks().iterator().next().task.job();
+        some.forEach(w -> cluster.cut(w, Duration.ofSeconds(9 + seed % 4)));
+        cluster.crash(cluster.leader(), Duration.ofMillis(400));
+        cluster.sim.run(cluster.sim.now().plusMillis(200 * (seed - 421)));
+        cluster.cancel(held);
+        cluster.sim.run(Duration.ofSeconds(260));
+        assertEquals(List.of(), cluster.broken);
         for (int i = 0; i < 4; i++) {
             String id = "wk-%06d".formatted(i);
-            assertEquals(id.equals(held) ? "cancelled" : "done", world.lastTold(id), id);
+            assertEquals(id.equals(held) ? "cancelled" : "done", cluster.lastTold(id), id);
         }
     }
 
@@ -431,13 +435,13 @@
     @ValueSource(longs = {431, 432, 433, 434})
     void controllersHandOverAndBackThenAllEndAndOneReturns(long seed) {
         var mix = day(seed);
-        World world = mix.world();
+        SimulatedCluster cluster = mix.cluster();
         int node = (int) seed % 3;
-        mix.at(near(mix, 9), () -> world.crash(node, Duration.ofMillis(2500)));
+        mix.at(near(mix, 9), () -> cluster.crash(node, Duration.ofMillis(2500)));
         mix.at(near(mix, 20), () -> {
-            world.crash(node, Duration.ofMillis(150 + 200 * (seed - 431)));
-            world.crash((node + 1) % 3, Duration.ofSeconds(25));
-            world.crash((node + 2) % 3, Duration.ofSeconds(18));
+            cluster.crash(node, Duration.ofMillis(150 + 200 * (seed - 431)));
+            cluster.crash((node + 1) % 3, Duration.ofSeconds(25));
+            cluster.crash((node + 2) % 3, Duration.ofSeconds(18));
         });
         assertKept(mix);
     }
@@ -447,12 +451,12 @@
     @ValueSource(longs = {441, 442, 443, 444, 445})
     void transactionsAreCarriedOutLateAfterNewerOnes(long seed) {
         var mix = day(seed);
-        World world = mix.world();
-        world.lateWrites = 0.25;
-        mix.at(near(mix, 25), () -> world.crash(mix.leader(), Duration.ofMillis(300)));
-        mix.add(TroubleMix.Trouble.CANCEL_NOW, near(mix, 30));
-        mix.add(TroubleMix.Trouble.ODD_REQUESTS, near(mix, 20));
-        mix.at(Duration.ofSeconds(90), () -> world.lateWrites = 0);
+        SimulatedCluster cluster = mix.cluster();
+        cluster.lateWrites = 0.25;
+        mix.at(near(mix, 25), () -> cluster.crash(mix.leader(), Duration.ofMillis(300)));
+        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 30));
+        mix.add(FailureMix.Trouble.ODD_REQUESTS, near(mix, 20));
+        mix.at(Duration.ofSeconds(90), () -> cluster.lateWrites = 0);
         assertKept(mix, "late write");
     }
 
@@ -461,16 +465,18 @@
     @ValueSource(longs = {451, 452, 453, 454})
     void oldReportsOfEarlierSessionsArriveLate(long seed) {
         var mix = day(seed);
-        World world = mix.world();
-        world.lateCopies = 3;
-        world.latestCopy = Duration.ofSeconds(38);
-        mix.at(near(mix, 12), () -> world.alive().stream().limit(3).forEach(w -> world.cut(w, Duration.ofSeconds(14))));
+        SimulatedCluster cluster = mix.cluster();
+        cluster.lateCopies = 3;
+        cluster.latestCopy = Duration.ofSeconds(38);
+        mix.at(
+                near(mix, 12),
+                () -> cluster.alive().stream().limit(3).forEach(w -> cluster.cut(w, Duration.ofSeconds(14))));
         mix.at(near(mix, 33), () -> {
-            assertTrue(world.alive().stream().anyMatch(w -> w.session() > 1), "no lease ran out");
-            world.met("later session");
-            world.crash(mix.leader(), Duration.ofMillis(300));
+            assertTrue(cluster.alive().stream().anyMatch(w -> w.session() > 1), "no lease ran out");
+            cluster.met("later session");
+            cluster.crash(mix.leader(), Duration.ofMillis(300));
         });
-        mix.at(Duration.ofSeconds(70), () -> world.lateCopies = 0);
+        mix.at(Duration.ofSeconds(70), () -> cluster.lateCopies = 0);
         assertKept(mix, "later session");
     }
 
@@ -479,12 +485,12 @@
     @ValueSource(longs = {461, 462, 463, 464})
     void requestsMeetTheEndOfAJob(long seed) {
         var mix = day(seed);
-        mix.world().cancelledAtEnd = 1;
-        mix.world().repeatedAtEnd = true;
+        mix.cluster().cancelledAtEnd = 1;
+        mix.cluster().repeatedAtEnd = true;
         assertKept(mix, "cancelled at its end");
         assertTrue(
-                mix.world().met.get("cancelled at its end") >= mix.ids().size(),
-                "every job is called off at its end: " + mix.world().met);
+                mix.cluster().met.get("cancelled at its end") >= mix.ids().size(),
+                "every job is called off at its end: " + mix.cluster().met);
     }
 
     /** The state service answers slowly, then refuses the leader, then everybody for longer than {@code cancel_s}, while users cancel and ask. */
@@ -492,16 +498,16 @@
     @ValueSource(longs = {471, 472, 473, 474})
     void aSlowStateServiceRefusesTheLeaderAndThenEverybody(long seed) {
         var mix = day(seed);
-        World world = mix.world();
-        world.slowStateMillis = 900;
-        mix.at(near(mix, 22), () -> world.refusedNode = mix.leader());
-        mix.add(TroubleMix.Trouble.CANCEL_NOW, near(mix, 23));
-        mix.add(TroubleMix.Trouble.CANCEL_NOW, near(mix, 28));
-        mix.at(near(mix, 28), () -> world.state.out = true);
+        SimulatedCluster cluster = mix.cluster();
+        cluster.slowStateMillis = 900;
+        mix.at(near(mix, 22), () -> cluster.refusedNode = mix.leader());
+        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 23));
+        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 28));
+        mix.at(near(mix, 28), () -> cluster.state.out = true);
         mix.at(Duration.ofSeconds(66), () -> {
-            world.refusedNode = -1;
-            world.slowStateMillis = 0;
-            world.state.recover();
+            cluster.refusedNode = -1;
+            cluster.slowStateMillis = 0;
+            cluster.state.recover();
         });
         assertKept(mix, "CANCEL_NOW");
     }
@@ -511,17 +517,17 @@
     @ValueSource(longs = {481, 482, 483, 484})
     void jobsBoundToAZoneLoseMachines(long seed) {
         var mix = day(seed);
-        World world = mix.world();
+        SimulatedCluster cluster = mix.cluster();
         for (int k = 0; k < 4; k++) {
             mix.at(near(mix, 14 + 8 * k), () -> {
-                WorkerStandIn w = world.worker(world.sim.random.nextInt(20));
+                WorkerStandIn w = cluster.worker(cluster.sim.random.nextInt(20));
                 if (w != null) {
-                    world.met("machine lost");
-                    world.die(w);
+                    cluster.met("machine lost");
+                    cluster.die(w);
                 }
             });
         }
-        mix.at(near(mix, 26), () -> world.crash(mix.leader(), Duration.ofMillis(200)));
+        mix.at(near(mix, 26), () -> cluster.crash(mix.leader(), Duration.ofMillis(200)));
         assertKept(mix, "machine lost");
     }
 }
--- a/src/test/java/org/dunespindle/sim/TroubleMix.java
+++ b/src/test/java/org/dunespindle/sim/FailureMix.java
@@ -11,7 +11,7 @@
 import org.dunespindle.protocol.Submission;
 
 /** A day of a few troubles that meet, drawn from a seed: the same seed is the same day. */
-final class TroubleMix {
+final class FailureMix {
     /** All troubles are over by then, and nothing that was held back is left soon after. */
     static final Duration OVER = Duration.ofSeconds(130);
 
@@ -47,21 +47,22 @@
         LEADER_DEAF
     }
 
-    private final World world;
+    private final SimulatedCluster cluster;
     private final Random random;
     private final List<String> ids = new ArrayList<>();
     private final List<String> story = new ArrayList<>();
 
-    TroubleMix(long seed) {
-        world = new World(seed, 7, seed % 4 == 1 ? 10 : 1); // some days a record for each machine, else most share one
+    FailureMix(long seed) {
+        cluster = new SimulatedCluster(
+                seed, 7, seed % 4 == 1 ? 10 : 1); // some days a record for each machine, else most share one
         random = new Random(seed * 31 + 7);
         if (seed % 3 == 2) {
-            world.lengthOf = p -> Optional.of(Duration.ofSeconds(5 + p.index() * 11L % 30));
+            cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(5 + p.index() * 11L % 30));
         }
     }
 
-    World world() {
-        return world;
+    SimulatedCluster cluster() {
+        return cluster;
     }
 
     /** What was made to happen, for whoever looks into a seed. */
@@ -102,22 +103,22 @@
                     saves,
                     saves.isZero() ? saves : Duration.ofSeconds(3),
                     Optional.empty());
-            world.sim.after(500L + i * 3500L + random.nextInt(1500), () -> world.submit(job));
+            cluster.sim.after(500L + i * 3500L + random.nextInt(1500), () -> cluster.submit(job));
         }
     }
 
     /** Makes one trouble happen some time into the day. */
     void add(Trouble trouble, Duration at) {
-        world.sim.after(at, () -> {
-            story.add(world.sim.now().toMillis() + " ms: " + trouble);
-            world.met(trouble.name());
+        cluster.sim.after(at, () -> {
+            story.add(cluster.sim.now().toMillis() + " ms: " + trouble);
+            cluster.met(trouble.name());
             begin(trouble);
         });
     }
 
     /** Something of a test's own, some time into the day. */
     void at(Duration at, Runnable what) {
-        world.sim.after(at, what);
+        cluster.sim.after(at, what);
     }
 
     /** So many troubles of any kind, close enough to meet. */
@@ -131,20 +132,20 @@
 
     /** Runs the day; what is checked at its end is in the result beside the rules broken. */
     List<String> play() {
-        world.sim.after(OVER, () -> world.calm = true);
-        world.sim.run(END);
-        var wrong = new ArrayList<>(world.broken);
-        wrong.addAll(world.dayFailures());
+        cluster.sim.after(OVER, () -> cluster.calm = true);
+        cluster.sim.run(END);
+        var wrong = new ArrayList<>(cluster.broken);
+        wrong.addAll(cluster.dayFailures());
         for (String id : ids) {
-            if (!List.of("done", "cancelled").contains(world.lastTold(id))) {
-                wrong.add(id + " is " + world.lastTold(id));
+            if (!List.of("done", "cancelled").contains(cluster.lastTold(id))) {
+                wrong.add(id + " is " + cluster.lastTold(id));
             }
         }
         return wrong;
     }
 
     int leader() {
-        return Math.max(0, world.leader());
+        return Math.max(0, cluster.leader());
     }
 
     private Duration millis(int least, int most) {
@@ -152,13 +153,13 @@
     }
 
     private void until(Duration length, Runnable end) {
-        world.sim.after(length, end);
+        cluster.sim.after(length, end);
     }
 
     private List<WorkerStandIn> someMachines() {
         var some = new ArrayList<WorkerStandIn>();
         for (int i = 0; i < 1 + random.nextInt(MACHINES_ASKED); i++) {
-            WorkerStandIn w = world.worker(random.nextInt(50));
+            WorkerStandIn w = cluster.worker(random.nextInt(50));
             if (w != null) {
                 some.add(w);
             }
@@ -169,33 +170,33 @@
     private void begin(Trouble trouble) {
         switch (trouble) {
             case LEADER_WITHOUT_STATE_AND_PEERS -> {
-                world.isolatedNode = leader();
-                until(millis(6000, 45_000), () -> world.isolatedNode = -1);
+                cluster.isolatedNode = leader();
+                until(millis(6000, 45_000), () -> cluster.isolatedNode = -1);
             }
             case LEADER_REFUSED -> {
-                world.refusedNode = leader();
-                until(millis(2000, 40_000), () -> world.refusedNode = -1);
+                cluster.refusedNode = leader();
+                until(millis(2000, 40_000), () -> cluster.refusedNode = -1);
             }
             case STATE_OUT -> {
-                world.state.out = true;
-                until(millis(4000, 45_000), world.state::recover);
+                cluster.state.out = true;
+                until(millis(4000, 45_000), cluster.state::recover);
             }
             case ZONE_CUT -> {
-                world.zoneCut = random.nextBoolean() ? "east" : "west";
-                until(millis(6000, 30_000), () -> world.zoneCut = "");
+                cluster.zoneCut = random.nextBoolean() ? "east" : "west";
+                until(millis(6000, 30_000), () -> cluster.zoneCut = "");
             }
-            case ONE_CRASHES -> world.crash(random.nextInt(3), millis(50, 9000));
+            case ONE_CRASHES -> cluster.crash(random.nextInt(3), millis(50, 9000));
             case ALL_CRASH -> {
                 for (int n = 0; n < 3; n++) {
-                    world.crash(n, millis(50, 12_000));
+                    cluster.crash(n, millis(50, 12_000));
                 }
             }
             case LEADERS_CHANGE -> {
                 for (int k = 0; k < 6; k++) {
-                    world.sim.after(millis(0, 45_000), () -> world.crash(leader(), millis(50, 900)));
+                    cluster.sim.after(millis(0, 45_000), () -> cluster.crash(leader(), millis(50, 900)));
                 }
             }
-            case STANDS_STILL -> world.freeze((leader() + random.nextInt(2)) % 3, millis(2000, 20_000));
+            case STANDS_STILL -> cluster.freeze((leader() + random.nextInt(2)) % 3, millis(2000, 20_000));
             case MUTE ->
                 someMachines().forEach(w -> {
                     w.mute(true);
@@ -207,14 +208,14 @@
                     until(millis(5000, 45_000), () -> w.oneWay(false));
                 });
             case HANG -> someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
-            case MACHINES_CUT -> someMachines().forEach(w -> world.cut(w, millis(2000, 30_000)));
+            case MACHINES_CUT -> someMachines().forEach(w -> cluster.cut(w, millis(2000, 30_000)));
             case LATE_WRITES -> {
-                world.lateWrites = 0.1 + random.nextDouble() * 0.3;
-                until(millis(10_000, 50_000), () -> world.lateWrites = 0);
+                cluster.lateWrites = 0.1 + random.nextDouble() * 0.3;
+                until(millis(10_000, 50_000), () -> cluster.lateWrites = 0);
             }
             case LATE_REPORTS -> {
-                world.lateCopies = 2;
-                until(millis(20_000, 60_000), () -> world.lateCopies = 0);
+                cluster.lateCopies = 2;
+                until(millis(20_000, 60_000), () -> cluster.lateCopies = 0);
             }
             case HELD_REPORTS ->
                 someMachines().forEach(w -> {
@@ -223,25 +224,25 @@
                 });
             case CANCEL_NOW -> {
                 ids.stream()
-                        .filter(id -> world.lastTold(id).equals("running"))
+                        .filter(id -> cluster.lastTold(id).equals("running"))
                         .limit(4)
-                        .forEach(id -> world.sim.after(random.nextInt(200), () -> world.cancel(id)));
+                        .forEach(id -> cluster.sim.after(random.nextInt(200), () -> cluster.cancel(id)));
                 if (random.nextBoolean()) {
                     someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
                 }
             }
             case CANCEL_AT_END -> {
-                world.cancelledAtEnd = 0.5;
-                until(millis(20_000, 50_000), () -> world.cancelledAtEnd = 0);
+                cluster.cancelledAtEnd = 0.5;
+                until(millis(20_000, 50_000), () -> cluster.cancelledAtEnd = 0);
             }
             case ODD_REQUESTS -> {
                 for (int k = 0; k < 20; k++) {
                     String id = ids.get(random.nextInt(ids.size()));
-                    world.sim.after(millis(0, 40_000), () -> world.repeat(id));
-                    world.sim.after(millis(0, 40_000), () -> world.askForStranger("wk-9" + random.nextInt(9999)));
-                    world.sim.after(millis(0, 40_000), () -> {
-                        if (world.lastTold(id).equals("done")) {
-                            world.cancel(id);
+                    cluster.sim.after(millis(0, 40_000), () -> cluster.repeat(id));
+                    cluster.sim.after(millis(0, 40_000), () -> cluster.askForStranger("wk-9" + random.nextInt(9999)));
+                    cluster.sim.after(millis(0, 40_000), () -> {
+                        if (cluster.lastTold(id).equals("done")) {
+                            cluster.cancel(id);
                         }
                     });
                 }
@@ -249,30 +250,30 @@
             case BLOCKED -> {
                 List<WorkerStandIn> some = someMachines();
                 int node = random.nextInt(3);
-                some.forEach(w -> world.block(node, w));
-                until(millis(10_000, 60_000), () -> some.forEach(w -> world.unblock(node, w)));
+                some.forEach(w -> cluster.block(node, w));
+                until(millis(10_000, 60_000), () -> some.forEach(w -> cluster.unblock(node, w)));
             }
             case PEERS_REFUSE -> {
-                world.peersRefuse = true;
-                until(millis(5000, 40_000), () -> world.peersRefuse = false);
+                cluster.peersRefuse = true;
+                until(millis(5000, 40_000), () -> cluster.peersRefuse = false);
             }
             case LOSS -> {
-                world.loss = 0.03;
-                world.repeat = 0.1;
+                cluster.loss = 0.03;
+                cluster.repeat = 0.1;
                 until(millis(10_000, 50_000), () -> {
-                    world.loss = 0;
-                    world.repeat = 0;
+                    cluster.loss = 0;
+                    cluster.repeat = 0;
                 });
             }
-            case LATE_RENTAL -> world.lateRentals = true;
-            case DIES -> someMachines().stream().limit(1).forEach(world::die);
+            case LATE_RENTAL -> cluster.lateRentals = true;
+            case DIES -> someMachines().stream().limit(1).forEach(cluster::die);
             case TAKEN ->
                 someMachines().stream()
                         .filter(w -> w.takenAt == null)
-                        .forEach(w -> world.take(w, millis(6000, 14_000)));
+                        .forEach(w -> cluster.take(w, millis(6000, 14_000)));
             case LEADER_DEAF -> {
-                world.deafNode = leader();
-                until(millis(8000, 40_000), () -> world.deafNode = -1);
+                cluster.deafNode = leader();
+                until(millis(8000, 40_000), () -> cluster.deafNode = -1);
             }
         }
     }
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import org.dunespindle.coordination.FrontDesk;
+import org.dunespindle.coordination.UserApi;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
@@ -24,10 +24,10 @@
     /** A thousand sockets, of which calls to machines may take an eighth. */
     private static final int MOST_CALLS = 1024 / 8;
 
-    private static World busy(int machines) {
-        var world = new World(201, machines, 1);
-        world.provide(machines);
-        world.taskTime = Optional.of(Duration.ofMinutes(10));
+    private static SimulatedCluster busy(int machines) {
+        var cluster = new SimulatedCluster(201, machines, 1);
+        cluster.provide(machines);
+        cluster.taskTime = Optional.of(Duration.ofMinutes(10));
         for (int i = 0; i < machines / TASKS; i++) {
             Submission s = new Submission(
                     "wk-%06d".formatted(i),
@@ -48,39 +48,40 @@
                     Duration.ZERO,
                     Duration.ZERO,
                     Optional.empty());
-            world.sim.after(3000L + 20L * i, () -> world.submit(s));
+            cluster.sim.after(3000L + 20L * i, () -> cluster.submit(s));
         }
-        world.sim.run(Duration.ofSeconds(60));
-        return world;
+        cluster.sim.run(Duration.ofSeconds(60));
+        return cluster;
     }
 
-    private static int busyMachines(World world) {
-        return (int) world.alive().stream()
+    private static int busyMachines(SimulatedCluster cluster) {
+        return (int) cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
                 .count();
     }
 
     /** What it takes from the crash on until half a minute later. */
     private static Map<String, Integer> crashOfAll(int machines) {
-        World world = busy(machines);
-        assertEquals(machines, busyMachines(world));
-        var before = new TreeMap<>(world.counts);
-        long sessions = world.alive().stream().mapToLong(WorkerStandIn::session).sum();
+        SimulatedCluster cluster = busy(machines);
+        assertEquals(machines, busyMachines(cluster));
+        var before = new TreeMap<>(cluster.counts);
+        long sessions =
+                cluster.alive().stream().mapToLong(WorkerStandIn::session).sum();
         for (int n = 0; n < 3; n++) {
-            world.crash(n, Duration.ofMillis(1500 + 700L * n));
+            cluster.crash(n, Duration.ofMillis(1500 + 700L * n));
         }
-        world.sim.run(Duration.ofSeconds(90));
-        assertEquals(machines, busyMachines(world));
+        cluster.sim.run(Duration.ofSeconds(90));
+        assertEquals(machines, busyMachines(cluster));
         assertEquals(
                 sessions,
-                world.alive().stream().mapToLong(WorkerStandIn::session).sum(),
+                cluster.alive().stream().mapToLong(WorkerStandIn::session).sum(),
                 "leases ran out");
-        assertEquals(0, world.broken.size(), world.broken.toString());
-        assertTrue(world.mostOpen <= MOST_CALLS, world.mostOpen + " calls at once");
-        String hosts = world.admin(0, "GET", "/v1/hosts", "").join().body().toString();
+        assertEquals(0, cluster.broken.size(), cluster.broken.toString());
+        assertTrue(cluster.mostOpen <= MOST_CALLS, cluster.mostOpen + " calls at once");
+        String hosts = cluster.admin(0, "GET", "/v1/hosts", "").join().body().toString();
         assertTrue(hosts.contains("i-0001"), hosts.substring(0, Math.min(200, hosts.length())));
         var took = new TreeMap<String, Integer>();
-        world.counts.forEach((kind, n) -> took.put(kind, n - before.getOrDefault(kind, 0)));
+        cluster.counts.forEach((kind, n) -> took.put(kind, n - before.getOrDefault(kind, 0)));
         return took;
     }
 
@@ -102,28 +103,29 @@
     /** A third of all machines falls silent for longer than a lease, then comes back. */
     @Test
     void aCutOfAThirdKeepsCallsBounded() {
-        World world = busy(SMALL * 2);
-        world.alive().stream()
+        SimulatedCluster cluster = busy(SMALL * 2);
+        cluster.alive().stream()
                 .filter(w -> w.id().hashCode() % 3 == 0)
-                .forEach(w -> world.cut(w, Duration.ofSeconds(25)));
-        int before = world.counts.get("worker");
-        world.sim.run(Duration.ofSeconds(84));
-        assertTrue(world.mostOpen <= MOST_CALLS, world.mostOpen + " calls at once");
+                .forEach(w -> cluster.cut(w, Duration.ofSeconds(25)));
+        int before = cluster.counts.get("worker");
+        cluster.sim.run(Duration.ofSeconds(84));
+        assertTrue(cluster.mostOpen <= MOST_CALLS, cluster.mostOpen + " calls at once");
         assertTrue(
-                world.counts.get("worker") - before < 20 * SMALL,
-                "calls to machines: " + (world.counts.get("worker") - before));
-        world.sim.run(Duration.ofSeconds(130));
-        assertEquals(0, world.broken.size(), world.broken.toString());
+                cluster.counts.get("worker") - before < 20 * SMALL,
+                "calls to machines: " + (cluster.counts.get("worker") - before));
+        cluster.sim.run(Duration.ofSeconds(130));
+        assertEquals(0, cluster.broken.size(), cluster.broken.toString());
     }
 
     /** More submissions at once than can be stored while their users wait: the rest is told at once when to come back. */
     @Test
     void whatCannotBeStoredInTimeIsAnsweredAtOnce() {
-        var world = new World(202);
-        world.sim.run(Duration.ofSeconds(5));
-        var answers = new ArrayList<CompletableFuture<FrontDesk.Answer>>();
+        var cluster = new SimulatedCluster(202);
+        cluster.sim.run(Duration.ofSeconds(5));
+        var answers = new ArrayList<CompletableFuture<UserApi.Answer>>();
         for (int i = 0; i < 2000; i++) {
-            answers.add(world.offerTo(0, WorldTest.job("wk-%06d".formatted(i), "red", Shape.ARRAY, 1, false, false)));
+            answers.add(
+                    cluster.offerTo(0, ClusterTest.job("wk-%06d".formatted(i), "red", Shape.ARRAY, 1, false, false)));
         }
         var refused = answers.stream()
                 .filter(CompletableFuture::isDone)
@@ -132,7 +134,7 @@
         assertTrue(refused.size() > 1000 && refused.size() < 2000, refused.size() + " refused");
         assertTrue(refused.stream()
                 .allMatch(a -> a.status() == 503 && a.retryAfter().isPresent()));
-        world.sim.run(Duration.ofSeconds(20));
+        cluster.sim.run(Duration.ofSeconds(20));
         assertTrue(answers.stream().allMatch(CompletableFuture::isDone));
         assertEquals(
                 2000 - refused.size(),
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.LongStream;
-import org.dunespindle.coordination.FrontDesk;
+import org.dunespindle.coordination.UserApi;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
@@ -52,75 +52,76 @@
     @ParameterizedTest
     @MethodSource("faultySeeds")
     void jobsSubmittedWithAMistakeHarmNobodyElse(long seed) {
-        var world = new World(seed);
+        var cluster = new SimulatedCluster(seed);
         var faulty = List.of("wk-000101", "wk-000102", "wk-000103");
-        world.faultyJobs.addAll(faulty);
-        world.sim.after(2000, () -> {
-            faulty.subList(0, 2).forEach(id -> world.submit(array(id, "red", Priority.NORMAL, 8)));
-            world.submit(WorldTest.job(faulty.get(2), "blue", Shape.GANG, 3, false, true));
+        cluster.faultyJobs.addAll(faulty);
+        cluster.sim.after(2000, () -> {
+            faulty.subList(0, 2).forEach(id -> cluster.submit(array(id, "red", Priority.NORMAL, 8)));
+            cluster.submit(ClusterTest.job(faulty.get(2), "blue", Shape.GANG, 3, false, true));
         });
-        List<String> ids = WorldTest.submitMix(world, 12);
-        world.sim.run(Duration.ofSeconds(150));
-        WorldTest.assertAllDone(world, ids);
-        String decisions = world.decisions();
+        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        cluster.sim.run(Duration.ofSeconds(150));
+        ClusterTest.assertAllDone(cluster, ids);
+        String decisions = cluster.decisions();
         assertTrue(!decisions.contains("it fails its tasks"), decisions);
         assertTrue(decisions.contains("taken for faulty"), decisions);
-        int tries =
-                faulty.stream().mapToInt(id -> world.errors.getOrDefault(id, 0)).sum();
+        int tries = faulty.stream()
+                .mapToInt(id -> cluster.errors.getOrDefault(id, 0))
+                .sum();
         assertTrue(tries >= 4 && tries < 90, tries + " tries in two and a half minutes");
-        assertTrue(world.admin(0, "GET", "/v1/jobs/wk-000101", "")
+        assertTrue(cluster.admin(0, "GET", "/v1/jobs/wk-000101", "")
                         .join()
                         .body()
                         .path("failures")
                         .asInt()
                 > 0);
-        assertTrue(world.poll(1, "wk-000101").join().body().path("failures").asInt() > 0, "its user is not told");
-        faulty.forEach(world::cancel);
-        world.sim.run(Duration.ofSeconds(200));
-        assertEquals(List.of(), world.broken);
-        faulty.forEach(id -> assertEquals("cancelled", world.lastTold(id)));
+        assertTrue(cluster.poll(1, "wk-000101").join().body().path("failures").asInt() > 0, "its user is not told");
+        faulty.forEach(cluster::cancel);
+        cluster.sim.run(Duration.ofSeconds(200));
+        assertEquals(List.of(), cluster.broken);
+        faulty.forEach(id -> assertEquals("cancelled", cluster.lastTold(id)));
     }
 
     /** If the mistake was the machine's, the jobs run elsewhere and the machine goes. */
     @ParameterizedTest
     @ValueSource(longs = {611, 612, 613})
     void aMachineThatFailsEveryJobIsReturned(long seed) {
-        var world = new World(seed);
-        List<String> ids = WorldTest.submitMix(world, 16);
-        world.sim.run(Duration.ofSeconds(5));
-        WorkerStandIn sick = world.worker(0);
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = ClusterTest.submitMix(cluster, 16);
+        cluster.sim.run(Duration.ofSeconds(5));
+        WorkerStandIn sick = cluster.worker(0);
         sick.sick(true);
-        world.sim.run(Duration.ofSeconds(300));
+        cluster.sim.run(Duration.ofSeconds(300));
         assertTrue(sick.dead(), "it is kept");
-        WorldTest.assertAllDone(world, ids);
+        ClusterTest.assertAllDone(cluster, ids);
     }
 
     /** The busiest controller is silent for a minute and a half, then goes on as if nothing had been; users are served meanwhile and no machine is given back for it. */
     @ParameterizedTest
     @ValueSource(longs = {621, 622, 623, 624})
     void aControllerSilentForLongComesBackAsIfNothingHadBeen(long seed) {
-        var world = new World(seed, 7, 10);
-        world.submit(WorldTest.job("wk-000101", "red", Shape.SERVICE, 6, false, false));
-        world.submit(WorldTest.job("wk-000102", "blue", Shape.SERVICE, 4, false, false));
-        world.sim.run(Duration.ofSeconds(60));
+        var cluster = new SimulatedCluster(seed, 7, 10);
+        cluster.submit(ClusterTest.job("wk-000101", "red", Shape.SERVICE, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000102", "blue", Shape.SERVICE, 4, false, false));
+        cluster.sim.run(Duration.ofSeconds(60));
         List<WorkerStandIn> used =
-                world.alive().stream().filter(w -> w.held() > 0).toList();
-        int leader = world.leader();
+                cluster.alive().stream().filter(w -> w.held() > 0).toList();
+        int leader = cluster.leader();
         int silent = seed % 2 == 0 ? leader : (leader + 1) % 3;
-        world.freeze(silent, Duration.ofSeconds(90));
+        cluster.freeze(silent, Duration.ofSeconds(90));
         var ids = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
             String id = "wk-%06d".formatted(i);
             ids.add(id);
-            world.sim.after(8000 + 9000L * i, () -> world.submit(array(id, "red", Priority.LOW, 2)));
+            cluster.sim.after(8000 + 9000L * i, () -> cluster.submit(array(id, "red", Priority.LOW, 2)));
         }
-        world.sim.run(Duration.ofSeconds(145));
+        cluster.sim.run(Duration.ofSeconds(145));
         ids.forEach(id -> assertEquals(
                 "done",
-                world.poll((silent + 1) % 3, id).join().body().path("phase").asText(),
+                cluster.poll((silent + 1) % 3, id).join().body().path("phase").asText(),
                 id + " while it is silent"));
-        world.sim.run(Duration.ofSeconds(220));
-        String decisions = world.decisions();
+        cluster.sim.run(Duration.ofSeconds(220));
+        String decisions = cluster.decisions();
         assertTrue(
                 !decisions.contains("has been silent")
                         && !decisions.contains("no controller hears")
@@ -133,36 +134,36 @@
                         .map(WorkerStandIn::id)
                         .toList(),
                 "leases that ran out");
-        assertEquals(List.of(), world.broken);
+        assertEquals(List.of(), cluster.broken);
     }
 
     /** However many ask at once, one reading of the store serves all that wait; nothing else waits for them. */
     @Test
     void aStormOfQuestionsCostsFewReadings() {
-        var world = new World(631);
-        world.submit(array("wk-000001", "red", Priority.LOW, 4));
-        world.sim.run(Duration.ofSeconds(7));
-        int before = world.counts.get("state");
-        var answers = new ArrayList<CompletableFuture<FrontDesk.Answer>>();
+        var cluster = new SimulatedCluster(631);
+        cluster.submit(array("wk-000001", "red", Priority.LOW, 4));
+        cluster.sim.run(Duration.ofSeconds(7));
+        int before = cluster.counts.get("state");
+        var answers = new ArrayList<CompletableFuture<UserApi.Answer>>();
         for (int k = 0; k < 200; k++) {
-            world.sim.after(10L * k, () -> {
+            cluster.sim.after(10L * k, () -> {
                 for (int n = 0; n < 20; n++) {
-                    answers.add(world.question(n % 3, "wk-000001"));
+                    answers.add(cluster.question(n % 3, "wk-000001"));
                 }
             });
         }
-        world.sim.run(Duration.ofSeconds(11));
+        cluster.sim.run(Duration.ofSeconds(11));
         assertEquals(4000, answers.size());
         assertTrue(answers.stream().allMatch(a -> a.isDone() && a.join().status() == 200));
-        int readings = world.counts.get("state") - before;
+        int readings = cluster.counts.get("state") - before;
         assertTrue(readings < 500, readings + " calls to the state service for 4,000 questions");
-        assertEquals(List.of(), world.broken);
+        assertEquals(List.of(), cluster.broken);
     }
 
     /** A guest without a guarantee fills the fleet with one huge array; guaranteed work is served in time beside it, and the guest too. */
     @Test
     void aGuestsHugeArrayGivesWayAndIsServed() {
-        var world = new World(641);
+        var cluster = new SimulatedCluster(641);
         Submission huge = new Submission(
                 "wk-000100",
                 "guest",
@@ -182,17 +183,17 @@
                 Duration.ZERO,
                 Duration.ZERO,
                 Optional.empty());
-        world.submit(huge);
+        cluster.submit(huge);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             String id = "wk-%06d".formatted(i);
             ids.add(id);
-            world.sim.after(25_000 + 4000L * i, () -> world.submit(array(id, "red", Priority.LOW, 2)));
+            cluster.sim.after(25_000 + 4000L * i, () -> cluster.submit(array(id, "red", Priority.LOW, 2)));
         }
-        world.sim.run(Duration.ofSeconds(90));
-        ids.forEach(id -> assertEquals("done", world.lastTold(id), id + " is guaranteed and came second"));
-        world.sim.run(Duration.ofSeconds(300));
-        assertEquals("done", world.lastTold("wk-000100"));
-        assertEquals(List.of(), world.broken);
+        cluster.sim.run(Duration.ofSeconds(90));
+        ids.forEach(id -> assertEquals("done", cluster.lastTold(id), id + " is guaranteed and came second"));
+        cluster.sim.run(Duration.ofSeconds(300));
+        assertEquals("done", cluster.lastTold("wk-000100"));
+        assertEquals(List.of(), cluster.broken);
     }
 }
--- a/src/test/java/org/dunespindle/sim/MixTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
@@ -9,9 +9,9 @@
 
 /**
  * Troubles of all kinds that meet at moments drawn from seeds. More seeds than the usual few are played with
- * {@code mvn test -Dtest=MixTest -Dmix.from=1000 -Dmix.count=500}.
+ * {@code mvn test -Dtest=RandomFailuresTest -Dmix.from=1000 -Dmix.count=500}.
  */
-class MixTest {
+class RandomFailuresTest {
     private static final int JOBS = 14;
     /** Days on which something was found once: tasks lost or ended that only an answer to a question, or a report in an outage, had shown. */
     private static final long[] FOUND = {25645, 22145, 24021, 23629, 20279, 41553};
@@ -25,7 +25,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void whateverMeets(long seed) {
-        var mix = new TroubleMix(seed);
+        var mix = new FailureMix(seed);
         mix.submitJobs(JOBS);
         mix.addAny(2 + (int) (seed % 5));
         assertEquals(List.of(), mix.play(), () -> seed + ": " + mix.story());
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Random;
-import org.dunespindle.coordination.FrontDesk;
+import org.dunespindle.coordination.UserApi;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
@@ -51,27 +51,27 @@
     private static final List<JsonNode> NO_FLAG =
             List.of(NullNode.instance, IntNode.valueOf(1), TextNode.valueOf("true"));
 
-    private static World ready() {
-        var world = new World(501);
-        world.sim.run(Duration.ofSeconds(5));
-        return world;
+    private static SimulatedCluster ready() {
+        var cluster = new SimulatedCluster(501);
+        cluster.sim.run(Duration.ofSeconds(5));
+        return cluster;
     }
 
-    private static FrontDesk.Answer submit(World world, ObjectNode body) {
-        var result = world.offer(1, body);
-        world.sim.run(world.sim.now().plusSeconds(2));
+    private static UserApi.Answer submit(SimulatedCluster cluster, ObjectNode body) {
+        var result = cluster.offer(1, body);
+        cluster.sim.run(cluster.sim.now().plusSeconds(2));
         return result.join();
     }
 
     private static Submission good(int number) {
-        return WorldTest.job("wk-%06d".formatted(number), "red", Shape.ARRAY, 2, false, true);
+        return ClusterTest.job("wk-%06d".formatted(number), "red", Shape.ARRAY, 2, false, true);
     }
 
     /** Every required field missing, null, of another type, negative, not finite or huge. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void whatIsMissingOrOutOfRangeIsNamed(long seed) {
-        World world = ready();
+        SimulatedCluster cluster = ready();
         var random = new Random(seed);
         int number = 0;
         for (List<String> fields : List.of(TEXTS, COUNTS, AMOUNTS, FLAGS)) {
@@ -80,19 +80,19 @@
             for (String field : fields) {
                 ObjectNode body = good(++number).toNode();
                 body.set(field, bad.get(random.nextInt(bad.size())));
-                var answer = submit(world, body);
+                var answer = submit(cluster, body);
                 assertEquals(400, answer.status(), field + " is " + body.get(field));
                 assertTrue(
                         answer.body().path("error").asText().contains(field),
                         answer.body().toString());
                 if (!field.equals("dueS")) {
                     body.remove(field);
-                    assertEquals(400, submit(world, body).status(), field + " is missing");
+                    assertEquals(400, submit(cluster, body).status(), field + " is missing");
                 }
             }
         }
         assertTrue(
-                world.state.rows().keySet().stream().noneMatch(k -> k.startsWith("ds/job/")), "something was stored");
+                cluster.state.rows().keySet().stream().noneMatch(k -> k.startsWith("ds/job/")), "something was stored");
     }
 
     @ParameterizedTest
@@ -115,7 +115,7 @@
             String zone,
             boolean together,
             boolean apart) {
-        World world = ready();
+        SimulatedCluster cluster = ready();
         var job = new Submission(
                 "wk-000001",
                 "class",
@@ -135,19 +135,19 @@
                 Duration.ZERO,
                 Duration.ZERO,
                 Optional.empty());
-        var answer = submit(world, job.toNode());
+        var answer = submit(cluster, job.toNode());
         assertEquals(422, answer.status(), answer.body().toString());
         assertTrue(!answer.body().path("error").asText().isEmpty());
-        assertEquals(404, world.poll(2, "wk-000001").join().status());
+        assertEquals(404, cluster.poll(2, "wk-000001").join().status());
     }
 
     @Test
     void nothingIsRefusedForGoodWhileTheCatalogIsUnknown() {
-        var world = new World(502);
-        world.cloudSilent = true;
-        world.sim.run(Duration.ofSeconds(6));
-        for (Submission s : List.of(good(1), WorldTest.job("wk-000002", "red", Shape.GANG, 50, false, true))) {
-            var answer = submit(world, s.toNode());
+        var cluster = new SimulatedCluster(502);
+        cluster.cloudSilent = true;
+        cluster.sim.run(Duration.ofSeconds(6));
+        for (Submission s : List.of(good(1), ClusterTest.job("wk-000002", "red", Shape.GANG, 50, false, true))) {
+            var answer = submit(cluster, s.toNode());
             assertEquals(503, answer.status());
             assertTrue(answer.retryAfter().isPresent());
         }
@@ -156,18 +156,18 @@
     /** A done job's repeated submission and cancellation, and that of an unfinished one, are answered as the job stands. */
     @Test
     void whatIsKnownIsAnsweredAsItStands() {
-        World world = ready();
-        assertEquals(201, submit(world, good(1).toNode()).status());
-        assertEquals(200, submit(world, good(1).toNode()).status());
-        world.submit(good(1));
-        world.sim.run(Duration.ofSeconds(60));
-        assertEquals("done", world.lastTold("wk-000001"));
+        SimulatedCluster cluster = ready();
+        assertEquals(201, submit(cluster, good(1).toNode()).status());
+        assertEquals(200, submit(cluster, good(1).toNode()).status());
+        cluster.submit(good(1));
+        cluster.sim.run(Duration.ofSeconds(60));
+        assertEquals("done", cluster.lastTold("wk-000001"));
         assertEquals(
-                "done", submit(world, good(1).toNode()).body().path("phase").asText());
-        var cancelled = world.cancelAt(2, "wk-000001");
+                "done", submit(cluster, good(1).toNode()).body().path("phase").asText());
+        var cancelled = cluster.cancelAt(2, "wk-000001");
         assertEquals(200, cancelled.status());
         assertEquals("done", cancelled.body().path("phase").asText());
-        assertEquals(404, world.cancelAt(0, "wk-000099").status());
-        assertEquals(List.of(), world.broken);
+        assertEquals(404, cluster.cancelAt(0, "wk-000099").status());
+        assertEquals(List.of(), cluster.broken);
     }
 }
--- a/src/test/java/org/dunespindle/sim/Sim.java
+++ b/src/test/java/org/dunespindle/sim/Sim.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.util.PriorityQueue;
 import java.util.Random;
-import org.dunespindle.bookkeeping.Timeline;
+import org.dunespindle.storage.Timeline;
 
 /** Virtual time: events in order, nothing waits for real. */
 public final class Sim {
--- a/src/test/java/org/dunespindle/sim/World.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -18,12 +18,12 @@
 import org.dunespindle.TestSettings;
 import org.dunespindle.coordination.Admin;
 import org.dunespindle.coordination.Controller;
-import org.dunespindle.coordination.FrontDesk;
+import org.dunespindle.coordination.UserApi;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
-import org.dunespindle.protocol.PieceId;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.WorkerReport;
 import org.dunespindle.transport.CallFailure;
 import org.dunespindle.transport.Caller;
@@ -33,7 +33,7 @@
  * Three real controllers in virtual time with stand-ins for state service, cloud and workers, over a
  * network that delays, loses and repeats. Keeps watch over the protocol's rules.
  */
-public final class World {
+public final class SimulatedCluster {
     static final int SLOTS = 4;
     static final Duration LEASE = Duration.ofSeconds(10);
     static final Duration GANG_WAIT = Duration.ofSeconds(30);
@@ -57,7 +57,7 @@
     private final Map<String, Duration> overAt = new HashMap<>();
     private final Map<String, Duration> offered = new HashMap<>();
     private final Map<String, String> told = new HashMap<>();
-    private final Map<String, List<String>> charters = new HashMap<>();
+    private final Map<String, List<String>> rentalRequests = new HashMap<>();
     /** The one controller that the state service refuses, or -1. */
     public int refusedNode = -1;
     /** The cloud answers nothing. */
@@ -115,12 +115,12 @@
 
     private boolean dirty;
 
-    public World(long seed) {
+    public SimulatedCluster(long seed) {
         this(seed, 7, 1);
     }
 
-    /** A larger world; machines' names may be further apart, so that fewer of them share a record. */
-    public World(long seed, int mostMachines, int nameStep) {
+    /** A larger cluster; machines' names may be further apart, so that fewer of them share a record. */
+    public SimulatedCluster(long seed, int mostMachines, int nameStep) {
         this.mostMachines = mostMachines;
         this.nameStep = nameStep;
         sim = new Sim(seed);
@@ -184,7 +184,7 @@
 
     public int slowStateMillis;
     /** How long a certain task runs, if not as long as others. */
-    public Function<PieceId, Optional<Duration>> lengthOf = p -> Optional.empty();
+    public Function<TaskId, Optional<Duration>> lengthOf = p -> Optional.empty();
     /** When the last task of a job completed. */
     public Optional<Duration> completedAt(String id) {
         return Optional.ofNullable(completed.get(id));
@@ -210,7 +210,7 @@
         counts.merge(kind, 1, Integer::sum);
         if (target.equals("/txn")) {
             try {
-                counts.merge("writes", Pack.read(body).path("apply").size(), Integer::sum);
+                counts.merge("writes", MessagePackCodec.read(body).path("apply").size(), Integer::sum);
             } catch (MalformedException e) {
                 throw new IllegalStateException(e);
             }
@@ -265,8 +265,8 @@
     /** Tasks that saved when they were stopped. */
     public int saves;
 
-    Duration saveTime(PieceId piece) {
-        return jobs.get(piece.job()).saveTime();
+    Duration saveTime(TaskId task) {
+        return jobs.get(task.job()).saveTime();
     }
 
     /** The cloud takes a machine away after a notice. */
@@ -368,12 +368,14 @@
         StateStandIn.Reply reply;
         try {
             reply = from == refusedNode && address.startsWith("state")
-                    ? new StateStandIn.Reply(503, Pack.map())
+                    ? new StateStandIn.Reply(503, MessagePackCodec.map())
                     : reply(
                             address,
                             method,
                             target,
-                            address.startsWith("node") ? null : body.length == 0 ? Pack.map() : Pack.read(body),
+                            address.startsWith("node")
+                                    ? null
+                                    : body.length == 0 ? MessagePackCodec.map() : MessagePackCodec.read(body),
                             body,
                             w);
         } catch (MalformedException e) {
@@ -382,7 +384,7 @@
         if (reply == null || sim.random.nextDouble() < loss) {
             return; // executed, or not there; either way no answer comes
         }
-        byte[] bytes = address.startsWith("node") ? Admin.write(reply.body()) : Pack.write(reply.body());
+        byte[] bytes = address.startsWith("node") ? Admin.write(reply.body()) : MessagePackCodec.write(reply.body());
         int slow = slowStateMillis > 0 && address.startsWith("state") ? sim.random.nextInt(slowStateMillis) : 0;
         sim.after(delay() + slow, () -> owner.arrive(() -> result.complete(new HttpAnswer(reply.status(), bytes))));
     }
@@ -408,11 +410,11 @@
         }
         return w == null || w.dead
                 ? null
-                : target.equals("/inspect") ? new StateStandIn.Reply(200, w.report()) : w.orders(body);
+                : target.equals("/inspect") ? new StateStandIn.Reply(200, w.report()) : w.commands(body);
     }
 
     private StateStandIn.Reply cloud(String target, JsonNode body) {
-        ObjectNode n = Pack.map();
+        ObjectNode n = MessagePackCodec.map();
         if (target.startsWith("/catalog")) {
             ObjectNode h = n.putArray("hulls")
                     .addObject()
@@ -435,9 +437,9 @@
                 }
             });
         } else if (target.equals("/rentals")) {
-            var names = charters.computeIfAbsent(body.path("charter").asText(), c -> rent(body));
+            var names = rentalRequests.computeIfAbsent(body.path("charter").asText(), c -> rent(body));
             if (names.isEmpty()) {
-                charters.remove(body.path("charter").asText());
+                rentalRequests.remove(body.path("charter").asText());
                 return new StateStandIn.Reply(503, n.put("error", "no capacity"));
             }
             names.forEach(n.putArray("hosts")::add);
@@ -507,7 +509,7 @@
                 return;
             }
             if (c == null || target.isDead()) {
-                answer.accept(0, Pack.map()); // its machine refuses the connection
+                answer.accept(0, MessagePackCodec.map()); // its machine refuses the connection
                 return;
             }
             Duration sentAt = sim.now();
@@ -528,7 +530,8 @@
 
     private static void receive(Controller c, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
         try {
-            c.reportDesk().report(WorkerReport.parse(Pack.read(Pack.write(report))), answer::accept);
+            c.heartbeatHandler()
+                    .report(WorkerReport.parse(MessagePackCodec.read(MessagePackCodec.write(report))), answer::accept);
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
         }
@@ -548,7 +551,7 @@
             text.append(' ').append(w.id()).append(w.zone.charAt(0)).append(w.spot ? "s" : "");
             w.tasks()
                     .forEach(t -> text.append(' ')
-                            .append(t.piece)
+                            .append(t.task)
                             .append('#')
                             .append(t.attempt)
                             .append(t.phase.charAt(0)));
@@ -582,7 +585,7 @@
             return;
         }
         ask(
-                n -> n.submit(Pack.write(jobs.get(id).toNode()), a -> {
+                n -> n.submit(MessagePackCodec.write(jobs.get(id).toNode()), a -> {
                     if (a.status() == 200 || a.status() == 201) {
                         told(id, asked, a);
                     } else if (a.status() != 503) {
@@ -627,7 +630,7 @@
         });
         offered.put(job.id(), asked);
         ask(
-                n -> n.submit(Pack.write(job.toNode()), a -> {
+                n -> n.submit(MessagePackCodec.write(job.toNode()), a -> {
                     if (a.status() == 200 || a.status() == 201) {
                         told(job.id(), asked, a);
                     } else if (a.status() != 503) {
@@ -639,32 +642,32 @@
                 () -> offer(job));
     }
 
-    private void ask(java.util.function.Consumer<FrontDesk> question, Runnable otherwise) {
+    private void ask(java.util.function.Consumer<UserApi> question, Runnable otherwise) {
         int i = usersAt >= 0 ? usersAt : sim.random.nextInt(3);
         if (nodes[i] == null || processes[i].frozen() || apart("", areas[i]) || !nodes[i].healthy()) {
             sim.after(500, otherwise);
         } else {
-            question.accept(nodes[i].frontDesk());
+            question.accept(nodes[i].userApi());
         }
     }
 
     /** Offers a job to one controller, whose answer comes in virtual time. */
-    public CompletableFuture<FrontDesk.Answer> offerTo(int node, Submission job) {
+    public CompletableFuture<UserApi.Answer> offerTo(int node, Submission job) {
         jobs.put(job.id(), job);
         return offer(node, job.toNode());
     }
 
     /** The same with whatever body a user may send. */
-    public CompletableFuture<FrontDesk.Answer> offer(int node, ObjectNode body) {
-        var result = new CompletableFuture<FrontDesk.Answer>();
-        nodes[node].frontDesk().submit(Pack.write(body), result::complete);
+    public CompletableFuture<UserApi.Answer> offer(int node, ObjectNode body) {
+        var result = new CompletableFuture<UserApi.Answer>();
+        nodes[node].userApi().submit(MessagePackCodec.write(body), result::complete);
         return result;
     }
 
     /** A question at one controller, whose answer comes in virtual time. */
-    public CompletableFuture<FrontDesk.Answer> question(int node, String id) {
-        var result = new CompletableFuture<FrontDesk.Answer>();
-        nodes[node].frontDesk().poll(id, result::complete);
+    public CompletableFuture<UserApi.Answer> question(int node, String id) {
+        var result = new CompletableFuture<UserApi.Answer>();
+        nodes[node].userApi().poll(id, result::complete);
         return result;
     }
 
@@ -682,16 +685,16 @@
     }
 
     /** A cancellation at one controller, answered within the next seconds of virtual time. */
-    public FrontDesk.Answer cancelAt(int node, String id) {
-        var result = new CompletableFuture<FrontDesk.Answer>();
-        nodes[node].frontDesk().cancel(id, result::complete);
+    public UserApi.Answer cancelAt(int node, String id) {
+        var result = new CompletableFuture<UserApi.Answer>();
+        nodes[node].userApi().cancel(id, result::complete);
         sim.run(sim.now().plusSeconds(2));
         return result.join();
     }
 
     /** A poll at one controller, as a status. */
-    public CompletableFuture<FrontDesk.Answer> poll(int node, String id) {
-        CompletableFuture<FrontDesk.Answer> result = question(node, id);
+    public CompletableFuture<UserApi.Answer> poll(int node, String id) {
+        CompletableFuture<UserApi.Answer> result = question(node, id);
         sim.run(sim.now().plusSeconds(2));
         return result;
     }
@@ -726,7 +729,7 @@
     }
 
     /** Takes an answer to a question asked at some time; answers that crossed a newer one say nothing about order. */
-    private void told(String id, Duration asked, FrontDesk.Answer a) {
+    private void told(String id, Duration asked, UserApi.Answer a) {
         String phase = a.body().path("phase").asText();
         String before = told.getOrDefault(id, "");
         boolean over = before.equals("done") || before.equals("cancelled");
@@ -785,10 +788,10 @@
     private void quota() {
         var use = new HashMap<String, Integer>();
         for (WorkerStandIn.Task t : live()) {
-            use.merge(jobs.get(t.piece.job()).team(), 1, Integer::sum);
-            Duration c = cancelled.get(t.piece.job());
+            use.merge(jobs.get(t.task.job()).team(), 1, Integer::sum);
+            Duration c = cancelled.get(t.task.job());
             if (c != null && sim.now().minus(c).compareTo(CANCEL) > 0) {
-                broken.add("ran_cancelled: " + t.piece);
+                broken.add("ran_cancelled: " + t.task);
             }
         }
         if (mostMachines == 7 && (use.getOrDefault("red", 0) > QUOTA_RED || use.getOrDefault("blue", 0) > QUOTA_BLUE)) {
@@ -797,29 +800,29 @@
     }
 
     void started(WorkerStandIn worker, WorkerStandIn.Task started) {
-        Submission job = jobs.get(started.piece.job());
+        Submission job = jobs.get(started.task.job());
         var zones = new HashSet<String>();
         for (WorkerStandIn.Task t : live()) {
-            if (t != started && t.piece.equals(started.piece)) {
-                broken.add("ran_twice: " + t.piece + " on " + t.host() + " and " + started.host());
+            if (t != started && t.task.equals(started.task)) {
+                broken.add("ran_twice: " + t.task + " on " + t.host() + " and " + started.host());
             }
-            if (t.piece.job().equals(started.piece.job()) && workers.containsKey(t.host())) {
+            if (t.task.job().equals(started.task.job()) && workers.containsKey(t.host())) {
                 zones.add(workers.get(t.host()).zone);
             }
         }
         long inZone = live().stream()
-                .filter(t -> t.piece.job().equals(started.piece.job())
+                .filter(t -> t.task.job().equals(started.task.job())
                         && workers.containsKey(t.host())
                         && workers.get(t.host()).zone.equals(worker.zone))
                 .count();
         boolean tooMany = job.spread() && inZone > (job.tasks() + 1) / 2;
         boolean otherZone = job.zone().filter(z -> !z.equals(worker.zone)).isPresent();
         if ((job.sameZone() && zones.size() > 1) || (worker.spot && !job.spot()) || tooMany || otherZone) {
-            broken.add("wrong_place: " + started.piece);
+            broken.add("wrong_place: " + started.task);
         }
-        begunAt.putIfAbsent(started.piece.job(), sim.now());
-        if (cancelled.containsKey(started.piece.job())) {
-            startsAfterCancel.add(started.piece.toString());
+        begunAt.putIfAbsent(started.task.job(), sim.now());
+        if (cancelled.containsKey(started.task.job())) {
+            startsAfterCancel.add(started.task.toString());
         }
     }
 
@@ -834,11 +837,10 @@
         for (Submission job : jobs.values()) {
             boolean over = over(job.id()) || wantedGone.contains(job.id()) || !told.containsKey(job.id());
             int ended = done.getOrDefault(job.id(), Set.of()).size();
-            long here =
-                    live.stream().filter(t -> t.piece.job().equals(job.id())).count();
+            long here = live.stream().filter(t -> t.task.job().equals(job.id())).count();
             boolean missing = job.gang() ? here < job.tasks() : here + ended < job.tasks();
             long used = live.stream()
-                    .filter(t -> jobs.get(t.piece.job()).team().equals(job.team()))
+                    .filter(t -> jobs.get(t.task.job()).team().equals(job.team()))
                     .count();
             long needs = job.gang() ? job.tasks() - here : 1;
             boolean underLimit = used + needs <= (job.team().equals("red") ? QUOTA_RED : QUOTA_BLUE);
@@ -932,19 +934,19 @@
         return failures;
     }
 
-    boolean isGang(PieceId piece) {
-        return jobs.get(piece.job()).gang();
+    boolean isGang(TaskId task) {
+        return jobs.get(task.job()).gang();
     }
 
     private List<WorkerStandIn.Task> members(WorkerStandIn.Task one) {
         return live().stream()
-                .filter(t -> t.piece.job().equals(one.piece.job()) && t.attempt == one.attempt)
+                .filter(t -> t.task.job().equals(one.task.job()) && t.attempt == one.attempt)
                 .toList();
     }
 
     boolean gangComplete(WorkerStandIn.Task one) {
-        return members(one).stream().map(t -> t.piece.index()).distinct().count()
-                == jobs.get(one.piece.job()).tasks();
+        return members(one).stream().map(t -> t.task.index()).distinct().count()
+                == jobs.get(one.task.job()).tasks();
     }
 
     boolean gangIntact(WorkerStandIn.Task one) {
@@ -955,7 +957,7 @@
     }
 
     void startGang(WorkerStandIn.Task one) {
-        Duration end = sim.now().plusSeconds(saveTime(one.piece).isZero() ? 5 : 25);
+        Duration end = sim.now().plusSeconds(saveTime(one.task).isZero() ? 5 : 25);
         members(one).forEach(t -> {
             t.phase = "running";
             t.endsAt = end;
@@ -963,17 +965,17 @@
     }
 
     void finished(WorkerStandIn.Task one) {
-        List<WorkerStandIn.Task> all = isGang(one.piece) ? members(one) : List.of(one);
+        List<WorkerStandIn.Task> all = isGang(one.task) ? members(one) : List.of(one);
         if (all.stream()
                 .anyMatch(t ->
                         workers.containsKey(t.host()) && workers.get(t.host()).hung())) {
             return; // a gang makes no progress while one of its machines hangs
         }
         all.forEach(t -> {
-            done.computeIfAbsent(t.piece.job(), j -> new HashSet<>()).add(t.piece.index());
+            done.computeIfAbsent(t.task.job(), j -> new HashSet<>()).add(t.task.index());
             t.exit("done");
         });
-        String id = one.piece.job();
+        String id = one.task.job();
         if (done.get(id).size() == jobs.get(id).tasks()) {
             completed.putIfAbsent(id, sim.now());
             if (repeatedAtEnd) {
--- a/src/test/java/org/dunespindle/sim/StateStandIn.java
+++ b/src/test/java/org/dunespindle/sim/StateStandIn.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 
 /** The state service as the protocol describes it, without its rate limits. */
 public final class StateStandIn {
@@ -21,7 +21,7 @@
     private long nextLease = 1;
     public boolean out;
 
-    public record Row(JsonNode value, long stamp, long tether) {}
+    public record Row(JsonNode value, long stamp, long lease) {}
 
     /** An answer of a stand-in. */
     public record Reply(int status, JsonNode body) {}
@@ -36,7 +36,7 @@
 
     public Reply answer(String method, String target, JsonNode body) {
         if (out) {
-            return new Reply(503, Pack.map());
+            return new Reply(503, MessagePackCodec.map());
         }
         expire();
         String path = target.contains("?") ? target.substring(0, target.indexOf('?')) : target;
@@ -46,12 +46,12 @@
         if (path.equals("/holds")) {
             leases.put(nextLease, sim.now().plusMillis(body.path("ttlMs").asLong()));
             ttl.put(nextLease, body.path("ttlMs").asLong());
-            return new Reply(200, Pack.map().put("tether", nextLease++));
+            return new Reply(200, MessagePackCodec.map().put("tether", nextLease++));
         }
         if (path.startsWith("/holds/")) {
             long id = Long.parseLong(path.split("/")[2]);
             if (!leases.containsKey(id)) {
-                return new Reply(404, Pack.map());
+                return new Reply(404, MessagePackCodec.map());
             }
             leases.put(
                     id,
@@ -59,11 +59,11 @@
                             ? sim.now().minusMillis(1)
                             : sim.now().plusMillis(ttl.get(id)));
             expire();
-            return new Reply(200, Pack.map());
+            return new Reply(200, MessagePackCodec.map());
         }
         if (path.equals("/watch")) {
             long since = Long.parseLong(parameter(target, "since"));
-            ObjectNode n = Pack.map().put("epoch", epoch);
+            ObjectNode n = MessagePackCodec.map().put("epoch", epoch);
             var list = n.putArray("log");
             log.stream().filter(e -> e.path("stamp").asLong() > since).forEach(list::add);
             return new Reply(200, n);
@@ -71,7 +71,7 @@
         String under = parameter(target, "under");
         String since = parameter(target, "since");
         int limit = Integer.parseInt(parameter(target, "limit"));
-        ObjectNode n = Pack.map().put("epoch", epoch);
+        ObjectNode n = MessagePackCodec.map().put("epoch", epoch);
         var list = n.putArray("rows");
         boolean more = false;
         for (var e :
@@ -107,7 +107,7 @@
             if (e.getValue().compareTo(sim.now()) < 0) {
                 leases.remove(e.getKey());
                 for (var r : List.copyOf(rows.entrySet())) {
-                    if (r.getValue().tether() == e.getKey()) {
+                    if (r.getValue().lease() == e.getKey()) {
                         epoch++;
                         remove(r.getKey());
                     }
@@ -124,11 +124,11 @@
 
     private void remove(String key) {
         rows.remove(key);
-        log.add(Pack.map().put("remove", key).put("stamp", epoch));
+        log.add(MessagePackCodec.map().put("remove", key).put("stamp", epoch));
     }
 
     private Reply txn(JsonNode body) {
-        ObjectNode conflict = Pack.map().put("epoch", epoch);
+        ObjectNode conflict = MessagePackCodec.map().put("epoch", epoch);
         for (JsonNode g : body.path("guards")) {
             Row r = rows.get(g.path("key").asText());
             if ((r == null ? 0 : r.stamp()) != g.path("stamp").asLong()) {
@@ -140,17 +140,17 @@
         }
         if (body.path("apply").size() > TXN_OPS
                 || body.path("guards").size() > 4 * TXN_OPS
-                || Pack.countedSize(body) > 64 << 10) {
-            return new Reply(400, Pack.map().put("error", "too large"));
+                || MessagePackCodec.countedSize(body) > 64 << 10) {
+            return new Reply(400, MessagePackCodec.map().put("error", "too large"));
         }
         for (JsonNode a : body.path("apply")) {
-            if (Pack.countedSize(a.path("v")) > 8 << 10) {
-                return new Reply(400, Pack.map().put("error", "value too large"));
+            if (MessagePackCodec.countedSize(a.path("v")) > 8 << 10) {
+                return new Reply(400, MessagePackCodec.map().put("error", "value too large"));
             }
         }
         for (JsonNode a : body.path("apply")) {
             if (a.has("tether") && !leases.containsKey(a.path("tether").asLong())) {
-                return new Reply(400, Pack.map().put("error", "no such lease"));
+                return new Reply(400, MessagePackCodec.map().put("error", "no such lease"));
             }
         }
         epoch++;
@@ -162,11 +162,11 @@
             } else {
                 String key = a.path("write").asText();
                 rows.put(key, new Row(a.path("v"), epoch, a.path("tether").asLong(0)));
-                ObjectNode e = Pack.map().put("write", key).put("stamp", epoch);
+                ObjectNode e = MessagePackCodec.map().put("write", key).put("stamp", epoch);
                 e.set("v", a.path("v"));
                 log.add(e);
             }
         }
-        return new Reply(200, Pack.map().put("epoch", epoch));
+        return new Reply(200, MessagePackCodec.map().put("epoch", epoch));
     }
 }
--- a/src/test/java/org/dunespindle/sim/WorkerStandIn.java
+++ b/src/test/java/org/dunespindle/sim/WorkerStandIn.java
@@ -5,8 +5,8 @@
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.dunespindle.protocol.Pack;
-import org.dunespindle.protocol.PieceId;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.TaskId;
 
 /** A worker: tokens, sessions, leases, and tasks that fetch, gather, run and end. */
 public final class WorkerStandIn {
@@ -14,7 +14,7 @@
     final String id;
     final String zone;
     final boolean spot;
-    private final World world;
+    private final SimulatedCluster cluster;
     private final Sim sim;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private long session = 1;
@@ -40,7 +40,7 @@
     private Duration hungUntil = Duration.ZERO;
 
     final class Task {
-        final PieceId piece;
+        final TaskId task;
         final long attempt;
         String phase = "pulling";
         String cause = "";
@@ -49,8 +49,8 @@
         Duration savedAt = Duration.ofDays(1);
         boolean saved;
 
-        Task(PieceId piece, long attempt) {
-            this.piece = piece;
+        Task(TaskId task, long attempt) {
+            this.task = task;
             this.attempt = attempt;
         }
 
@@ -65,13 +65,13 @@
         void exit(String why) {
             phase = "exited";
             cause = why;
-            world.changed();
+            cluster.changed();
         }
     }
 
-    WorkerStandIn(World world, String id, String zone, boolean spot) {
-        this.world = world;
-        this.sim = world.sim;
+    WorkerStandIn(SimulatedCluster cluster, String id, String zone, boolean spot) {
+        this.cluster = cluster;
+        this.sim = cluster.sim;
         this.id = id;
         this.zone = zone;
         this.spot = spot;
@@ -132,15 +132,15 @@
 
     /** Whether the peers of its gangs have noticed by now that it hangs. */
     boolean hangNoticed() {
-        return hung() && sim.now().minus(hungSince).compareTo(World.GANG_PEER) > 0;
+        return hung() && sim.now().minus(hungSince).compareTo(SimulatedCluster.GANG_PEER) > 0;
     }
 
     private void endLeaseIfDue() {
-        if (sim.now().minus(leaseFrom).compareTo(World.LEASE) > 0) {
+        if (sim.now().minus(leaseFrom).compareTo(SimulatedCluster.LEASE) > 0) {
             tasks.clear();
             session++;
             leaseFrom = sim.now();
-            world.changed();
+            cluster.changed();
         }
     }
 
@@ -155,7 +155,7 @@
     /** Whether a task of a job is on it. */
     boolean holds(String job) {
         return tasks.values().stream()
-                .anyMatch(t -> t.onMachine() && t.piece.job().equals(job));
+                .anyMatch(t -> t.onMachine() && t.task.job().equals(job));
     }
 
     /** How often its lease has run out, plus one. */
@@ -168,7 +168,7 @@
     }
 
     ObjectNode report() {
-        ObjectNode n = Pack.map()
+        ObjectNode n = MessagePackCodec.map()
                 .put("host", id)
                 .put("address", address())
                 .put("hull", "box")
@@ -183,7 +183,7 @@
         var list = n.putArray("pieces");
         for (Task t : tasks.values()) {
             ObjectNode p = list.addObject()
-                    .put("piece", t.piece.toString())
+                    .put("piece", t.task.toString())
                     .put("try", t.attempt)
                     .put("phase", t.phase);
             if (t.phase.equals("exited")) {
@@ -207,7 +207,7 @@
         long sentIn = session;
         Duration sentAt = sim.now();
         var done = new boolean[1];
-        world.toNode(node, this, report(), (status, body) -> {
+        cluster.toNode(node, this, report(), (status, body) -> {
             if (done[0] || hung()) {
                 return;
             }
@@ -218,9 +218,9 @@
                 execute(body.path("orders"));
                 sim.after(800 + sim.random.nextInt(400), this::beat);
             } else if (status == 421
-                    && world.nodeIndex(body.path("steward").asText()) >= 0
-                    && world.nodeIndex(body.path("steward").asText()) != node) {
-                node = world.nodeIndex(body.path("steward").asText());
+                    && cluster.nodeIndex(body.path("steward").asText()) >= 0
+                    && cluster.nodeIndex(body.path("steward").asText()) != node) {
+                node = cluster.nodeIndex(body.path("steward").asText());
                 sim.after(100, this::beat);
             } else {
                 node = status == 200 ? node : (node + 1) % 3;
@@ -236,7 +236,7 @@
         });
     }
 
-    StateStandIn.Reply orders(JsonNode body) {
+    StateStandIn.Reply commands(JsonNode body) {
         if (body.path("baton").asLong() < token || body.path("tenure").asLong() != session) {
             return new StateStandIn.Reply(409, report());
         }
@@ -245,25 +245,25 @@
         return new StateStandIn.Reply(200, report());
     }
 
-    private void execute(JsonNode orders) {
-        for (JsonNode o : orders) {
-            PieceId piece = PieceId.parse(o.path("piece").asText()).orElseThrow();
-            String key = piece + "#" + o.path("try").asLong();
+    private void execute(JsonNode commands) {
+        for (JsonNode o : commands) {
+            TaskId task = TaskId.parse(o.path("piece").asText()).orElseThrow();
+            String key = task + "#" + o.path("try").asLong();
             Task t = tasks.get(key);
             switch (o.path("verb").asText()) {
                 case "run" -> {
                     if (t == null) {
-                        start(piece, o.path("try").asLong(), key);
+                        start(task, o.path("try").asLong(), key);
                     }
                 }
                 case "halt" -> {
                     Duration linger = Duration.ofMillis(o.path("lingerS").asLong() * 1000);
                     if (t != null
                             && t.phase.equals("running")
-                            && world.saveTime(piece).compareTo(Duration.ZERO) > 0
-                            && linger.compareTo(world.saveTime(piece)) >= 0) {
+                            && cluster.saveTime(task).compareTo(Duration.ZERO) > 0
+                            && linger.compareTo(cluster.saveTime(task)) >= 0) {
                         t.phase = "saving";
-                        t.savedAt = sim.now().plus(world.saveTime(piece));
+                        t.savedAt = sim.now().plus(cluster.saveTime(task));
                     } else if (t != null
                             && !t.phase.equals("exited")
                             && !(t.phase.equals("saving") && linger.compareTo(Duration.ZERO) > 0)) {
@@ -279,39 +279,39 @@
         }
     }
 
-    private void start(PieceId piece, long attempt, String key) {
-        Task t = new Task(piece, attempt);
+    private void start(TaskId task, long attempt, String key) {
+        Task t = new Task(task, attempt);
         tasks.put(key, t);
         boolean held =
-                tasks.values().stream().anyMatch(o -> o != t && o.piece.equals(piece) && !o.phase.equals("exited"));
+                tasks.values().stream().anyMatch(o -> o != t && o.task.equals(task) && !o.phase.equals("exited"));
         long used = tasks.values().stream()
                 .filter(o -> o != t && !o.phase.equals("exited"))
                 .count();
         if (held) {
             t.exit("busy");
-        } else if (used >= World.SLOTS) {
+        } else if (used >= SimulatedCluster.SLOTS) {
             t.exit("no_room");
         } else {
-            fetch(FETCH, t, key, piece);
+            fetch(FETCH, t, key, task);
         }
     }
 
-    private void fetch(Duration time, Task t, String key, PieceId piece) {
+    private void fetch(Duration time, Task t, String key, TaskId task) {
         sim.after(time, () -> {
             if (hung()) {
-                fetch(Duration.ofMillis(200), t, key, piece);
+                fetch(Duration.ofMillis(200), t, key, task);
                 return;
             }
             if (t.phase.equals("pulling") && tasks.get(key) == t && !dead) {
-                t.phase = world.isGang(piece) ? "gathering" : "running";
+                t.phase = cluster.isGang(task) ? "gathering" : "running";
                 t.endsAt = sim.now()
-                        .plus(world.lengthOf
-                                .apply(piece)
-                                .or(() -> world.taskTime)
+                        .plus(cluster.lengthOf
+                                .apply(task)
+                                .or(() -> cluster.taskTime)
                                 .orElse(Duration.ofMillis(2000 + sim.random.nextInt(6000))));
-                t.gatherUntil = sim.now().plus(World.GANG_WAIT);
-                world.started(this, t);
-                world.changed();
+                t.gatherUntil = sim.now().plus(SimulatedCluster.GANG_WAIT);
+                cluster.started(this, t);
+                cluster.changed();
             }
         });
     }
@@ -327,25 +327,25 @@
         endLeaseIfDue();
         for (Task t : tasks.values()) {
             if (t.phase.equals("gathering")) {
-                if (world.gangComplete(t)) {
-                    world.startGang(t);
+                if (cluster.gangComplete(t)) {
+                    cluster.startGang(t);
                 } else if (sim.now().compareTo(t.gatherUntil) > 0) {
                     t.exit("incomplete");
                 }
             } else if (t.phase.equals("saving")) {
                 if (sim.now().compareTo(t.savedAt) >= 0) {
                     t.saved = true;
-                    world.saves++;
+                    cluster.saves++;
                     t.exit("stopped");
                 }
             } else if (t.phase.equals("running")) {
-                if (sick || world.faultyJobs.contains(t.piece.job())) {
-                    world.errors.merge(t.piece.job(), 1, Integer::sum);
+                if (sick || cluster.faultyJobs.contains(t.task.job())) {
+                    cluster.errors.merge(t.task.job(), 1, Integer::sum);
                     t.exit("error");
-                } else if (world.isGang(t.piece) && !world.gangIntact(t)) {
+                } else if (cluster.isGang(t.task) && !cluster.gangIntact(t)) {
                     t.exit("peers");
                 } else if (sim.now().compareTo(t.endsAt) >= 0) {
-                    world.finished(t);
+                    cluster.finished(t);
                 }
             }
         }
--- a/src/test/java/org/dunespindle/bookkeeping/JobRecordTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordTest.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,14 +17,14 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
-/** Job records under generated orders of placement, release and failure. */
+/** Job records under generated commands of placement, release and failure. */
 class JobRecordTest {
     private static JobRecord job(Shape shape, int tasks) {
         return JobRecord.accepted(
@@ -68,7 +68,7 @@
                 if (!places.isEmpty()) {
                     j = j.placed(places);
                 }
-                for (Claim c : j.claims()) {
+                for (Allocation c : j.allocations()) {
                     if (places.containsKey(c.task())) {
                         assertTrue(
                                 attempts.computeIfAbsent(c.task(), t -> new HashSet<>())
@@ -76,15 +76,16 @@
                                 "an attempt was used twice");
                     }
                 }
-            } else if (!j.claims().isEmpty()) {
-                Claim c = j.claims().get(random.nextInt(j.claims().size()));
+            } else if (!j.allocations().isEmpty()) {
+                Allocation c =
+                        j.allocations().get(random.nextInt(j.allocations().size()));
                 boolean good = random.nextInt(3) > 0;
                 if (good) {
                     assertTrue(done.add(c.task()), "done twice");
                 }
                 j = j.released(c.task(), good);
             }
-            j = JobRecord.parse(j.id(), Pack.read(Pack.write(j.toNode())));
+            j = JobRecord.parse(j.id(), MessagePackCodec.read(MessagePackCodec.write(j.toNode())));
             assertEquals(done.size(), j.doneCount());
         }
         assertEquals(JobRecord.End.DONE, j.end());
@@ -103,17 +104,19 @@
     void placeholdersOfAGangNeverShareAnAttempt() {
         JobRecord j = job(Shape.GANG, 3).placed(new java.util.TreeMap<>(java.util.Map.of(0, "a", 1, "b", 2, "c")));
         var attempts = new HashSet<Long>();
-        j.claims().forEach(c -> attempts.add(c.base() + c.task()));
+        j.allocations().forEach(c -> attempts.add(c.base() + c.task()));
         assertEquals(3, attempts.size());
         JobRecord again = j.rebooked(1);
         assertEquals(
-                List.of("a", "b", "c"), again.claims().stream().map(Claim::host).toList());
-        long before = j.wantedAttempt(j.claim(1).orElseThrow());
-        long after = again.wantedAttempt(again.claim(1).orElseThrow());
+                List.of("a", "b", "c"),
+                again.allocations().stream().map(Allocation::host).toList());
+        long before = j.wantedAttempt(j.allocation(1).orElseThrow());
+        long after = again.wantedAttempt(again.allocation(1).orElseThrow());
         assertTrue(after > before && !attempts.contains(after));
         JobRecord real = again.real();
         assertEquals(
-                1, real.claims().stream().map(real::wantedAttempt).distinct().count());
+                1,
+                real.allocations().stream().map(real::wantedAttempt).distinct().count());
         assertTrue(real.attempt() > after, "the common attempt is new");
     }
 
@@ -131,7 +134,7 @@
         JobRecord j = job(Shape.ARRAY, 2)
                 .placed(new java.util.TreeMap<>(java.util.Map.of(0, "h", 1, "h")))
                 .cancelled();
-        assertEquals(2, j.claims().size());
+        assertEquals(2, j.allocations().size());
         assertEquals(0, j.unplacedCount());
         j = j.released(0, false).released(1, true);
         assertEquals(JobRecord.End.CANCELLED, j.end());
@@ -145,7 +148,7 @@
         for (int i = 0; i < 250; i++) {
             places.put(i, "i-%06d".formatted(i % 30));
         }
-        assertTrue(Pack.countedSize(j.placed(places).toNode()) < 8 << 10);
+        assertTrue(MessagePackCodec.countedSize(j.placed(places).toNode()) < 8 << 10);
     }
 
     /** A gang as large as a team's limit: 800 accelerators on 400 machines, booked as room came and half of it being stopped. */
@@ -165,14 +168,16 @@
         for (int t = 0; t < tasks; t += 2) {
             j = random.nextBoolean() && t < 100 ? j.stopTask(t) : j;
         }
-        assertTrue(Pack.countedSize(j.toNode()) < 8 << 10, "bytes: " + Pack.countedSize(j.toNode()));
+        assertTrue(
+                MessagePackCodec.countedSize(j.toNode()) < 8 << 10,
+                "bytes: " + MessagePackCodec.countedSize(j.toNode()));
         assertEquals(
-                Set.copyOf(j.claims()),
-                Set.copyOf(JobRecord.parse(j.id(), Pack.read(Pack.write(j.toNode())))
-                        .claims()));
+                Set.copyOf(j.allocations()),
+                Set.copyOf(JobRecord.parse(j.id(), MessagePackCodec.read(MessagePackCodec.write(j.toNode())))
+                        .allocations()));
     }
 
-    /** However a huge array's claims come about, within the number that a plan allows at once, the record can be written. */
+    /** However a huge array's allocations come about, within the number that a plan allows at once, the record can be written. */
     @Property(seed = "14", tries = 12)
     void recordsStayWritableInAnyOrderOfEvents(@ForAll long seed) {
         var random = new Random(seed);
@@ -180,23 +185,26 @@
         int written = 0;
         for (int step = 0; step < 300; step++) {
             JobRecord after = j;
-            if (random.nextInt(3) > 0 && j.claims().size() < 290) {
+            if (random.nextInt(3) > 0 && j.allocations().size() < 290) {
                 var places = new LinkedHashMap<Integer, String>();
                 for (int t : j.unplaced(1 + random.nextInt(6))) {
                     places.put(t, "i-%06d".formatted(random.nextInt(1300)));
                 }
                 after = j.placed(places);
-                if (Pack.countedSize(after.toNode()) > (8 << 10) * 0.7) {
+                if (MessagePackCodec.countedSize(after.toNode()) > (8 << 10) * 0.7) {
                     after = j; // as placing does
                 } else {
                     written++;
                 }
-            } else if (!j.claims().isEmpty()) {
-                Claim c = j.claims().get(random.nextInt(j.claims().size()));
+            } else if (!j.allocations().isEmpty()) {
+                Allocation c =
+                        j.allocations().get(random.nextInt(j.allocations().size()));
                 after = random.nextInt(3) == 0 ? j.stopTask(c.task()) : j.released(c.task(), random.nextBoolean());
             }
             j = after;
-            assertTrue(Pack.countedSize(j.toNode()) <= 8 << 10, "bytes: " + Pack.countedSize(j.toNode()));
+            assertTrue(
+                    MessagePackCodec.countedSize(j.toNode()) <= 8 << 10,
+                    "bytes: " + MessagePackCodec.countedSize(j.toNode()));
         }
         assertTrue(written > 50);
     }
