--- a/src/test/java/org/dunespindle/bookkeeping/ReplicaTest.java
+++ b/src/test/java/org/dunespindle/storage/ReplicaTest.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.dunespindle.TestSettings;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.sim.Sim;
 import org.dunespindle.transport.AnswerTooLong;
@@ -64,38 +64,38 @@
 
     private void answer(String target, CompletableFuture<HttpAnswer> result) {
         if (out) {
-            result.complete(new HttpAnswer(503, Pack.write(Pack.map())));
+            result.complete(new HttpAnswer(503, MessagePackCodec.write(MessagePackCodec.map())));
         } else if (target.startsWith("/watch")) {
             long since = Long.parseLong(target.replaceAll(".*since=(\\d+).*", "$1"));
             if (since >= logFrom) {
-                ObjectNode n = Pack.map().put("epoch", epoch);
+                ObjectNode n = MessagePackCodec.map().put("epoch", epoch);
                 n.putArray("log");
-                result.complete(new HttpAnswer(200, Pack.write(n)));
+                result.complete(new HttpAnswer(200, MessagePackCodec.write(n)));
                 return;
             }
             switch (trouble) {
                 case TOO_LONG -> result.completeExceptionally(new AnswerTooLong());
                 case NEVER_ARRIVES -> {}
                 case UNREADABLE -> result.complete(new HttpAnswer(200, new byte[] {(byte) 0xc1}));
-                case TOO_OLD -> result.complete(new HttpAnswer(410, Pack.write(Pack.map())));
-                default -> result.complete(new HttpAnswer(503, Pack.write(Pack.map())));
+                case TOO_OLD -> result.complete(new HttpAnswer(410, MessagePackCodec.write(MessagePackCodec.map())));
+                default -> result.complete(new HttpAnswer(503, MessagePackCodec.write(MessagePackCodec.map())));
             }
         } else if (failPages > 0) {
             failPages--;
-            result.complete(new HttpAnswer(503, Pack.write(Pack.map())));
+            result.complete(new HttpAnswer(503, MessagePackCodec.write(MessagePackCodec.map())));
         } else {
             String since = target.contains("since=") ? target.replaceAll(".*since=([^&]+).*", "$1") : "";
-            ObjectNode n = Pack.map().put("epoch", epoch);
+            ObjectNode n = MessagePackCodec.map().put("epoch", epoch);
             var rows = n.putArray("rows");
             int from = since.isEmpty() ? 0 : Integer.parseInt(since.substring(since.lastIndexOf('/') + 1)) + 1;
             for (int i = from; i < Math.min(ROWS, from + PER_PAGE); i++) {
                 rows.addObject()
                         .put("key", "ds/x/%03d".formatted(i))
                         .put("stamp", epoch)
-                        .set("v", Pack.map().put("at", epoch));
+                        .set("v", MessagePackCodec.map().put("at", epoch));
             }
             epoch++; // others go on writing while pages are read
-            result.complete(new HttpAnswer(200, Pack.write(n.put("more", from + PER_PAGE < ROWS))));
+            result.complete(new HttpAnswer(200, MessagePackCodec.write(n.put("more", from + PER_PAGE < ROWS))));
         }
     }
 
