--- a/src/main/java/org/dunespindle/ClassArchiveTraining.java
+++ b/src/main/java/org/dunespindle/ClassArchiveTraining.java
@@ -29,9 +29,44 @@
     private static final String HOST = "127.0.0.1";
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final Duration LENGTH = Duration.ofMillis(2500);
-    private long revision = 1;
 
     private static final int SOCKETS = 256;
+    private static final int BODY_LIMIT = 1 << 16;
+    private static final String SETTINGS = """
+        node_name = "a"
+        front = "%s:0"
+        peer_listen = "%s:0"
+        [[seeds]]
+        node_name = "b"
+        address = "%s"
+        [outside]
+        cloud = "%s"
+        state = "%s"
+        [deployment]
+        zones = ["z"]
+        [[deployment.teams]]
+        name = "t"
+        cpus = 0.0
+        cpus_max = 0.0
+        gpus = 1.0
+        gpus_max = 9.0
+        [deployment.workers]
+        report_s = 1.0
+        lease_s = 10.0
+        gang_wait_s = 30.0
+        gang_peer_s = 5.0
+        cancel_s = 30.0
+        [deployment.state]
+        rps = 90.0
+        write_rps = 60.0
+        value_kb = 8.0
+        txn_ops = 16
+        [deployment.cloud]
+        rps = 6.0
+        list_lag_s = 3.0
+        """;
+
+    private long revision = 1;
 
     private ClassArchiveTraining() {}
 
@@ -50,94 +85,15 @@
     private void play() throws IOException, MalformedException, InterruptedException {
         var group = new NioEventLoopGroup(1);
         var sockets = new Sockets(SOCKETS);
-        Channel outside = HttpListener.open(
-                group,
-                new InetSocketAddress(HOST, 0),
-                1 << 16,
-                this::answer,
-                s -> reply(s, MessagePackCodec.map()),
-                sockets);
-        Channel probe = HttpListener.open(
-                group,
-                new InetSocketAddress(HOST, 0),
-                1 << 16,
-                this::answer,
-                s -> reply(s, MessagePackCodec.map()),
-                sockets);
-        int front = port(probe);
-        probe.close().sync();
+        Channel outside = listen(group, sockets);
         String there = HOST + ":" + port(outside);
-        String file = """
-                node_name = "a"
-                front = "%s:%d"
-                peer_listen = "%s:0"
-                [[seeds]]
-                node_name = "b"
-                address = "%s"
-                [outside]
-                cloud = "%s"
-                state = "%s"
-                [deployment]
-                zones = ["z"]
-                [[deployment.teams]]
-                name = "t"
-                cpus = 0.0
-                cpus_max = 0.0
-                gpus = 1.0
-                gpus_max = 9.0
-                [deployment.workers]
-                report_s = 1.0
-                lease_s = 10.0
-                gang_wait_s = 30.0
-                gang_peer_s = 5.0
-                cancel_s = 30.0
-                [deployment.state]
-                rps = 90.0
-                write_rps = 60.0
-                value_kb = 8.0
-                txn_ops = 16
-                [deployment.cloud]
-                rps = 6.0
-                list_lag_s = 3.0
-                """.formatted(HOST, front, HOST, there, there, there);
-        Path settings = Files.writeString(Files.createTempFile("class-archive-training", ".toml"), file);
-        try (var daemon = new Daemon(Settings.load(settings))) {
-            var http = new HttpCaller(group.next(), 4, sockets);
-            String self = HOST + ":" + front;
-            Thread.sleep(LENGTH.toMillis() / 2);
-            http.send(self, "GET", "/healthz", new byte[0], MessagePackCodec.TYPE, TIMEOUT);
-            http.send(
-                    self,
-                    "POST",
-                    "/agent/beat",
-                    MessagePackCodec.write(SampleMessages.workerReport(there, 1, 0)),
-                    MessagePackCodec.TYPE,
-                    TIMEOUT);
-            http.send(
-                    self,
-                    "POST",
-                    "/submissions",
-                    MessagePackCodec.write(SampleMessages.job("wk-1", Shape.ARRAY)),
-                    MessagePackCodec.TYPE,
-                    TIMEOUT);
-            http.send(
-                    self,
-                    "POST",
-                    "/submissions",
-                    MessagePackCodec.write(SampleMessages.job("wk-2", Shape.GANG)),
-                    MessagePackCodec.TYPE,
-                    TIMEOUT);
-            Thread.sleep(LENGTH.toMillis() / 4);
-            http.send(
-                    self,
-                    "POST",
-                    "/agent/beat",
-                    MessagePackCodec.write(SampleMessages.workerReport(there, 2, 2)),
-                    MessagePackCodec.TYPE,
-                    TIMEOUT);
-            http.send(self, "GET", "/submissions/wk-1", new byte[0], MessagePackCodec.TYPE, TIMEOUT);
-            http.send(self, "POST", "/submissions/wk-1/withdraw", new byte[0], MessagePackCodec.TYPE, TIMEOUT);
-            Thread.sleep(LENGTH.toMillis() / 4);
+        String text = SETTINGS.formatted(HOST, HOST, there, there, there);
+        Path settings = Files.writeString(Files.createTempFile("class-archive-training", ".toml"), text);
+        try (Daemon daemon = new Daemon(Settings.load(settings))) {
+            ask(
+                    new HttpCaller(group.next(), 4, sockets),
+                    HOST + ":" + daemon.frontAddress().getPort(),
+                    there);
         } finally {
             Files.delete(settings);
             outside.close();
@@ -145,6 +101,31 @@
         }
     }
 
+    private Channel listen(NioEventLoopGroup group, Sockets sockets) throws InterruptedException {
+        var address = new InetSocketAddress(HOST, 0);
+        return HttpListener.open(
+                group, address, BODY_LIMIT, this::answer, status -> reply(status, MessagePackCodec.map()), sockets);
+    }
+
+    /** One request of each kind, with time between them for the controller to join and to act. */
+    private static void ask(HttpCaller http, String controller, String worker) throws InterruptedException {
+        Thread.sleep(LENGTH.toMillis() / 2);
+        send(http, controller, "GET", "/healthz", MessagePackCodec.map());
+        send(http, controller, "POST", "/agent/beat", SampleMessages.workerReport(worker, 1, 0));
+        send(http, controller, "POST", "/submissions", SampleMessages.job("wk-1", Shape.ARRAY));
+        send(http, controller, "POST", "/submissions", SampleMessages.job("wk-2", Shape.GANG));
+        Thread.sleep(LENGTH.toMillis() / 4);
+        send(http, controller, "POST", "/agent/beat", SampleMessages.workerReport(worker, 2, 2));
+        send(http, controller, "GET", "/submissions/wk-1", MessagePackCodec.map());
+        send(http, controller, "POST", "/submissions/wk-1/withdraw", MessagePackCodec.map());
+        Thread.sleep(LENGTH.toMillis() / 4);
+    }
+
+    private static void send(HttpCaller http, String address, String method, String path, ObjectNode body) {
+        byte[] bytes = method.equals("GET") ? new byte[0] : MessagePackCodec.write(body);
+        http.send(address, method, path, bytes, MessagePackCodec.TYPE, TIMEOUT);
+    }
+
     private static int port(Channel c) {
         return ((InetSocketAddress) c.localAddress()).getPort();
     }
--- a/src/main/java/org/dunespindle/coordination/Admin.java
+++ b/src/main/java/org/dunespindle/coordination/Admin.java
@@ -5,7 +5,6 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
-import java.util.Iterator;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
@@ -53,6 +52,7 @@
         this.latencies = latencies;
     }
 
+    /** Answers a request of the administration API. */
     public void handle(String method, String path, byte[] body, Consumer<Answer> answer) {
         if (!path.startsWith(PREFIX)) {
             answer.accept(error(404, "no such path"));
@@ -207,8 +207,7 @@
                 .filter(JsonNode::isObject)
                 .map(v -> ((ObjectNode) v).deepCopy())
                 .orElseGet(MessagePackCodec::map);
-        for (Iterator<Map.Entry<String, JsonNode>> it = n.get("values").fields(); it.hasNext(); ) {
-            var e = it.next();
+        for (Map.Entry<String, JsonNode> e : n.get("values").properties()) {
             Optional<String> wrong = Options.complaint(
                     e.getKey(), e.getValue(), settings.workers().lease());
             if (wrong.isPresent()) {
--- a/src/main/java/org/dunespindle/coordination/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/coordination/ArrayPlanner.java
@@ -66,10 +66,7 @@
         if (left == 0 || full(array.job)) {
             return;
         }
-        List<MachineRoom> candidates = state.candidates(array.job);
-        if (withImage) {
-            candidates.removeIf(machine -> !machine.hasImage(array.job.image()));
-        }
+        List<MachineRoom> candidates = withImage ? state.candidatesWithImage(array.job) : state.candidates(array.job);
         for (MachineRoom machine : state.roomy(array.job, candidates, array.zones, withImage)) {
             while (left > 0 && machine.fits(array.job.perTask()) && array.zones.allows(machine.host())) {
                 take(array, machine);
--- /dev/null
+++ b/src/main/java/org/dunespindle/coordination/CloudInventory.java
@@ -0,0 +1,108 @@
+package org.dunespindle.coordination;
+
+import java.time.Duration;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.dunespindle.protocol.ListedMachine;
+
+/** The cloud's list of machines as the leader last read it, and machines that it names but no record does. */
+final class CloudInventory {
+    private static final Duration LIST_EVERY = Duration.ofSeconds(4);
+    /** Beyond twice its lag, a list surely does not name machines returned by an earlier leader any more. */
+    private static final Duration SURE_OF_LIST = Duration.ofSeconds(2);
+
+    private final ControllerContext context;
+    private final MachineWriter machineWriter;
+    private final CloudClient cloud;
+    private final MachineRenter renter;
+    private final MachineReturner returner;
+    private Map<String, ListedMachine> listed = Map.of();
+    private Duration leadingSince = Duration.ZERO;
+    private Duration listAgainAt = Duration.ZERO;
+    private boolean firstOfAll;
+    private boolean listing;
+
+    CloudInventory(
+            ControllerContext context,
+            MachineWriter machineWriter,
+            CloudClient cloud,
+            MachineRenter renter,
+            MachineReturner returner) {
+        this.context = context;
+        this.machineWriter = machineWriter;
+        this.cloud = cloud;
+        this.renter = renter;
+        this.returner = returner;
+    }
+
+    /** A machine's row in the list. */
+    Optional<ListedMachine> row(String host) {
+        return Optional.ofNullable(listed.get(host));
+    }
+
+    /** Where the list says that a machine is; records of rented machines do not tell until they report. */
+    Optional<String> address(String host) {
+        return row(host).map(ListedMachine::address).filter(address -> !address.isEmpty());
+    }
+
+    /** This controller has begun to lead. */
+    void beginToLead() {
+        leadingSince = context.timeline().now();
+        listAgainAt = leadingSince;
+        // While no machine is known at all this is the first leader ever, and what the list names is there.
+        firstOfAll = context.replica().hosts().isEmpty();
+    }
+
+    /** Reads the list when it is due. */
+    void tick() {
+        Duration now = context.timeline().now();
+        if (listing || now.compareTo(listAgainAt) < 0) {
+            return;
+        }
+        listing = true;
+        listAgainAt = now.plus(LIST_EVERY);
+        cloud.list().whenComplete((machines, failure) -> {
+            listing = false;
+            if (failure == null && context.membership().leads()) {
+                take(machines);
+            }
+        });
+    }
+
+    private void take(List<ListedMachine> machines) {
+        var map = new LinkedHashMap<String, ListedMachine>();
+        machines.forEach(machine -> map.put(machine.id(), machine));
+        listed = map;
+        adopt();
+    }
+
+    /**
+     * Machines in the list that no record names: rented by a request whose answer was lost, or there from the start. The
+     * list lags and may still name what an earlier leader returned, so a new leader waits until it cannot any more.
+     */
+    private void adopt() {
+        Duration sure = context.settings().cloud().listLag().multipliedBy(2).plus(SURE_OF_LIST);
+        Duration leading = context.timeline().now().minus(leadingSince);
+        if (firstOfAll || leading.compareTo(sure) >= 0) {
+            listed.values().stream().filter(this::unknown).forEach(this::adopt);
+        }
+    }
+
+    private boolean unknown(ListedMachine machine) {
+        String id = machine.id();
+        boolean recorded = context.replica().hosts().containsKey(id) || machineWriter.busy(id);
+        return !machine.failed() && !recorded && !returner.isGone(id);
+    }
+
+    private void adopt(ListedMachine machine) {
+        var market = new Planner.Market(machine.type(), machine.zone(), machine.spot());
+        renter.record(
+                machine.id(),
+                machine.address(),
+                market,
+                context.timeline().wallTime().minus(machine.age()),
+                false);
+    }
+}
--- a/src/main/java/org/dunespindle/coordination/Controller.java
+++ b/src/main/java/org/dunespindle/coordination/Controller.java
@@ -111,18 +111,17 @@
         this.catalog = new MachineCatalog(cloud, timeline, this::wake);
         this.returner = new MachineReturner(context, machineWriter, cloud);
         var renter = new MachineRenter(context, machineWriter, cloud, catalog, targets, returner::isGone);
+        var inventory = new CloudInventory(context, machineWriter, cloud, renter, returner);
+        var quarantine = new Quarantine(failureAttribution, peers, timeline, this::options);
         this.fleet = new Fleet(
                 context,
                 machineWriter,
                 workerClient,
-                cloud,
                 peers,
-                failureAttribution,
+                quarantine,
                 this::options,
-                catalog,
-                renter,
-                returner);
-        this.machineNews = new MachineNews(context, workerClient, fleet, returner);
+                new Fleet.Cloud(inventory, catalog, renter, returner));
+        this.machineNews = new MachineNews(context, workerClient, quarantine, returner);
         this.ownership = new Ownership(context, workerClient, machineWriter, peers, this::options);
         this.outcomes = new Outcomes(context, committer, workerClient, failureAttribution);
         this.placements = new Placements(
--- a/src/main/java/org/dunespindle/coordination/Fleet.java
+++ b/src/main/java/org/dunespindle/coordination/Fleet.java
@@ -2,7 +2,6 @@
 
 import java.time.Duration;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -21,81 +20,61 @@
 /** The leader's dealings with the cloud: what to rent, what to give back, and what the list says. */
 final class Fleet {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-    private static final Duration LIST_EVERY = Duration.ofSeconds(4);
     private static final Duration TELL_EVERY = Duration.ofSeconds(10);
     private static final Duration EARLY = Duration.ofSeconds(15);
     /** Most machines are up by then; on the others nothing is planned any more. */
     private static final int LATE_BOOT_TENTHS = 16;
 
-    private static final Duration SURE_OF_LIST = Duration.ofSeconds(2);
     private static final Duration RUNS_UNHEARD = Duration.ofSeconds(20);
     private static final Duration JUDGE_EVERY = Duration.ofMillis(900);
     private static final int SMALL_FLEET = 30;
     private static final Duration LEAST_IDLE = Duration.ofSeconds(8);
-    private static final Duration QUARANTINE = Duration.ofSeconds(15);
     private static final String FAILS = "it fails its tasks";
     private final Settings settings;
     private final Replica replica;
     private final Membership membership;
     private final MachineWriter machineWriter;
     private final WorkerClient workerClient;
-    private final CloudClient cloud;
     private final Timeline timeline;
-    private final Sessions sessions;
-    private final Peers peers;
-    private final Decisions decisions;
     private final StallDetector stalls;
     private final FailureDetector failures;
-    private final FailureAttribution failureAttribution;
     private final Supplier<Options> options;
+    private final Quarantine quarantine;
+    private final CloudInventory inventory;
     private final MachineCatalog catalog;
     private final MachineRenter renter;
     private final MachineReturner returner;
     private final Map<String, Duration> idleSince = new HashMap<>();
     private final Map<String, Duration> firstSeen = new HashMap<>();
-    private final Map<String, Duration> quarantinedSince = new HashMap<>();
-    private Map<String, ListedMachine> listed = Map.of();
     private Optional<Duration> leadingSince = Optional.empty();
-    private Duration listAgainAt = Duration.ZERO;
     private Duration tellAgainAt = Duration.ZERO;
     private Duration judgeAgainAt = Duration.ZERO;
-    private boolean firstOfAll;
-    private boolean listing;
+
+    /** What the leader does with the cloud. */
+    record Cloud(CloudInventory inventory, MachineCatalog catalog, MachineRenter renter, MachineReturner returner) {}
 
     Fleet(
             ControllerContext context,
             MachineWriter machineWriter,
             WorkerClient workerClient,
-            CloudClient cloud,
             Peers peers,
-            FailureAttribution failureAttribution,
+            Quarantine quarantine,
             Supplier<Options> options,
-            MachineCatalog catalog,
-            MachineRenter renter,
-            MachineReturner returner) {
-        this.settings = context.settings();
+            Cloud cloud) {
         this.replica = context.replica();
         this.membership = context.membership();
         this.timeline = context.timeline();
-        this.sessions = context.sessions();
-        this.decisions = context.decisions();
         this.stalls = context.stalls();
+        this.settings = context.settings();
         this.machineWriter = machineWriter;
         this.workerClient = workerClient;
-        this.cloud = cloud;
-        this.peers = peers;
-        this.failureAttribution = failureAttribution;
-        this.failures = new FailureDetector(
-                context,
-                workerClient,
-                peers,
-                id -> Optional.ofNullable(listed.get(id))
-                        .map(ListedMachine::address)
-                        .filter(a -> !a.isEmpty()));
+        this.quarantine = quarantine;
         this.options = options;
-        this.catalog = catalog;
-        this.renter = renter;
-        this.returner = returner;
+        this.inventory = cloud.inventory;
+        this.catalog = cloud.catalog;
+        this.renter = cloud.renter;
+        this.returner = cloud.returner;
+        this.failures = new FailureDetector(context, workerClient, peers, inventory::address);
     }
 
     /** Whether a machine that has not reported yet is still worth waiting for. */
@@ -132,12 +111,10 @@
         }
         if (leadingSince.isEmpty()) {
             leadingSince = Optional.of(now);
-            listAgainAt = now;
-            // While no machine is known at all this is the first leader ever, and what the list names is there.
-            firstOfAll = replica.hosts().isEmpty();
+            inventory.beginToLead();
         }
         returner.prune();
-        list(now);
+        inventory.tick();
         if (now.compareTo(judgeAgainAt) >= 0) {
             judgeAgainAt = now.plus(JUDGE_EVERY);
             tellSize(now);
@@ -154,7 +131,7 @@
             leadingSince = Optional.empty();
             renter.standDown();
             firstSeen.clear();
-            quarantinedSince.clear();
+            quarantine.clear();
             idleSince.clear();
             failures.reset();
             returner.standDown();
@@ -193,49 +170,6 @@
                 Math.round(all));
     }
 
-    private void list(Duration now) {
-        if (listing || now.compareTo(listAgainAt) < 0) {
-            return;
-        }
-        listing = true;
-        listAgainAt = now.plus(LIST_EVERY);
-        cloud.list().whenComplete((machines, failure) -> {
-            listing = false;
-            if (failure != null || !membership.leads()) {
-                return;
-            }
-            var map = new LinkedHashMap<String, ListedMachine>();
-            machines.forEach(m -> map.put(m.id(), m));
-            listed = map;
-            adopt();
-        });
-    }
-
-    /**
-     * Machines in the list that no record names: rented by a request whose answer was lost, or there from the start. The
-     * list lags and may still name what an earlier leader returned, so a new leader waits until it cannot any more.
-     */
-    private void adopt() {
-        Duration sure = settings.cloud().listLag().multipliedBy(2).plus(SURE_OF_LIST);
-        if (!firstOfAll
-                && timeline.now().minus(leadingSince.orElse(timeline.now())).compareTo(sure) < 0) {
-            return;
-        }
-        for (ListedMachine m : listed.values()) {
-            if (!m.failed()
-                    && !replica.hosts().containsKey(m.id())
-                    && !returner.isGone(m.id())
-                    && !machineWriter.busy(m.id())) {
-                renter.record(
-                        m.id(),
-                        m.address(),
-                        new Planner.Market(m.type(), m.zone(), m.spot()),
-                        timeline.wallTime().minus(m.age()),
-                        false);
-            }
-        }
-    }
-
     private void removeGone() {
         for (MachineRecord h : List.copyOf(replica.hosts().values())) {
             if (returner.isGone(h.id())
@@ -245,7 +179,7 @@
                 machineWriter.remove(h.id(), r -> {
                     if (r instanceof TxnResult.Applied) {
                         firstSeen.remove(h.id());
-                        quarantinedSince.remove(h.id());
+                        quarantine.forget(h.id());
                         failures.forget(h.id());
                         returner.forget(h.id());
                         idleSince.remove(h.id());
@@ -283,15 +217,11 @@
     }
 
     private Optional<String> whyLeave(MachineRecord h, Duration now) {
-        ListedMachine row = listed.get(h.id());
-        if (row != null && row.failed()) {
+        Optional<ListedMachine> row = inventory.row(h.id());
+        if (row.filter(ListedMachine::failed).isPresent()) {
             return Optional.of("it failed");
         }
-        // In quarantine first: jobs that failed there may turn out to fail elsewhere too.
-        boolean fails = peers.machine(h).filter(Peers.Machine::bad).isPresent() || bad(h.id());
-        Duration quarantined =
-                quarantinedSince.compute(h.id(), (id, since) -> !fails ? null : since == null ? now : since);
-        if (quarantined != null && now.minus(quarantined).compareTo(QUARANTINE) > 0) {
+        if (quarantine.over(h)) {
             return Optional.of(FAILS);
         }
         Duration silentLimit = options.get().silentBeforeReturn();
@@ -299,8 +229,8 @@
         if (heard(h).isEmpty()) {
             Duration seen = now.minus(firstSeen.computeIfAbsent(h.id(), k -> now));
             boolean sure = leading.compareTo(silentLimit.plus(EARLY)) > 0 && !failures.spares(h, leading);
-            boolean runs =
-                    row != null && row.phase().equals("running") && seen.compareTo(silentLimit.plus(RUNS_UNHEARD)) > 0;
+            boolean runs = row.filter(r -> r.phase().equals("running")).isPresent()
+                    && seen.compareTo(silentLimit.plus(RUNS_UNHEARD)) > 0;
             boolean late =
                     age(h).compareTo(bootTime(h).multipliedBy(options.get().bootPatience())) > 0;
             return !sure || !runs && !late || failures.answersWhenAsked(h)
@@ -333,9 +263,4 @@
         Duration limit = Duration.ofMillis((long) (set.toMillis() * part));
         return limit.compareTo(LEAST_IDLE) > 0 ? limit : set.compareTo(LEAST_IDLE) > 0 ? LEAST_IDLE : set;
     }
-
-    /** A machine in quarantine: tasks of different jobs keep failing there, and nothing new is placed on it. */
-    public boolean bad(String host) {
-        return failureAttribution.jobsFailedOn(host) >= options.get().quarantineAfter();
-    }
 }
--- a/src/main/java/org/dunespindle/coordination/GangPlanner.java
+++ b/src/main/java/org/dunespindle/coordination/GangPlanner.java
@@ -70,9 +70,8 @@
         Submission job = gang.job();
         var fetched = new ArrayList<MachineRoom>();
         int room = 0;
-        for (MachineRoom machine : candidates) {
-            Planner.Host host = machine.host();
-            if (host.up() && zones.allows(host) && machine.hasImage(job.image())) {
+        for (MachineRoom machine : state.candidatesWithImage(job)) {
+            if (machine.host().up() && zones.allows(machine.host())) {
                 fetched.add(machine);
                 room += room < missing ? Planner.fitCount(job.perTask(), machine.freeFor(gang), missing) : 0;
             }
--- a/src/main/java/org/dunespindle/coordination/MachineNews.java
+++ b/src/main/java/org/dunespindle/coordination/MachineNews.java
@@ -14,17 +14,17 @@
 
     private final ControllerContext context;
     private final WorkerClient workerClient;
-    private final Fleet fleet;
+    private final Quarantine quarantine;
     private final MachineReturner returner;
     /** A machine that takes tasks has been heard this lately. */
     private final Duration heardLately;
 
     private long lastNumber;
 
-    MachineNews(ControllerContext context, WorkerClient workerClient, Fleet fleet, MachineReturner returner) {
+    MachineNews(ControllerContext context, WorkerClient workerClient, Quarantine quarantine, MachineReturner returner) {
         this.context = context;
         this.workerClient = workerClient;
-        this.fleet = fleet;
+        this.quarantine = quarantine;
         this.returner = returner;
         this.heardLately = context.settings().workers().report().multipliedBy(3).plusSeconds(1);
     }
@@ -46,7 +46,7 @@
 
     private Peers.News news(MachineRecord machine, Sessions.Session session) {
         boolean up = takesTasks(machine);
-        boolean bad = fleet.bad(machine.id());
+        boolean bad = quarantine.holds(machine.id());
         Duration silent = up ? Duration.ZERO : silence(session);
         String state = up ? "u" : "d" + silent.toSeconds() / SILENCE_STEP;
         String told = machine.token() + state + bad + session.images().hashCode();
@@ -67,7 +67,7 @@
 
     /** Whether new tasks may go to a machine commanded here. */
     boolean takesTasks(MachineRecord machine) {
-        if (!workerClient.ready(machine) || fleet.bad(machine.id()) || returner.leaves(machine)) {
+        if (!workerClient.ready(machine) || quarantine.holds(machine.id()) || returner.leaves(machine)) {
             return false;
         }
         Sessions.Session session = context.sessions().of(machine.id());
--- a/src/main/java/org/dunespindle/coordination/Options.java
+++ b/src/main/java/org/dunespindle/coordination/Options.java
@@ -44,7 +44,8 @@
                         86_400,
                         false,
                         25,
-                        "how long an ordinary machine may idle before it is given back, in a fleet of up to 30; less in a larger one, by the square root of its size, down to 8 s"));
+                        "how long an ordinary machine may idle before it is given back, in a fleet of up to 30; less in a larger one,"
+                                + " by the square root of its size, down to 8 s"));
         k.put("idle_spot_return_s", new Kind(0, 86_400, false, 60, "the same for spot machines"));
         k.put(
                 "silent_return_s",
--- a/src/main/java/org/dunespindle/coordination/Placements.java
+++ b/src/main/java/org/dunespindle/coordination/Placements.java
@@ -1,6 +1,5 @@
 package org.dunespindle.coordination;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -141,79 +140,91 @@
             return; // some of its tasks must end first
         }
         String team = job.job().team();
-        String teamKey = Keys.team(team);
         Resources need = job.job().perTask().times(places.size());
         Resources used = use.getOrDefault(team, Resources.NONE);
-        if (!settings.teams().get(team).withinLimit(used.plus(need))) {
+        Spending spent = spending(team);
+        if (!settings.teams().get(team).withinLimit(used.plus(need)) || !allowedByTeam(txn, team, spent, used, need)) {
             return;
         }
-        Spending s = spending.compute(
-                team,
-                (t, old) -> old != null && old.stamp == replica.stamp(teamKey)
-                        ? old
-                        : new Spending(replica.stamp(teamKey)));
+        JobRecord placed = addPlacement(txn, job, folded, places);
+        if (!txn.fits(settings.state().txnOps())) {
+            return;
+        }
+        use.merge(team, need, Resources::plus);
+        spent.spent = spent.spent.plus(need);
+        tell(job, places.size());
+        propose(txn, job.id(), placed, result -> {
+            if (result instanceof TxnResult.Applied) {
+                told.forEach(event -> outcomes.tell(job, event));
+            } else if (result instanceof TxnResult.Unknown) {
+                spent.unsure = spent.unsure.plus(need);
+            } else {
+                spent.spent = spent.spent.minus(need);
+            }
+        });
+    }
+
+    private Spending spending(String team) {
+        long stamp = replica.stamp(Keys.team(team));
+        return spending.compute(team, (t, old) -> old != null && old.stamp == stamp ? old : new Spending(stamp));
+    }
+
+    /** Adds to a transaction what the team's record asks for; false if nothing may be placed now. */
+    private boolean allowedByTeam(Txn txn, String team, Spending spent, Resources used, Resources need) {
+        String key = Keys.team(team);
         // A process that started after the record was written can't know what an earlier one of its name placed under
         // it.
-        boolean entitled = s.stamp > replica.stamp(Keys.INCARNATION + settings.nodeName());
+        boolean entitled = spent.stamp > replica.stamp(Keys.INCARNATION + settings.nodeName());
         var view = new TeamLedger.View(
                 settings.teams().get(team),
                 settings.seeds().size() + 1,
-                TeamLedger.Entry.parse(replica.value(teamKey)),
+                TeamLedger.Entry.parse(replica.value(key)),
                 entitled,
-                s.spent,
-                s.unsure,
-                replica.syncedTo() >= s.stamp,
+                spent.spent,
+                spent.unsure,
+                replica.syncedTo() >= spent.stamp,
                 used);
         TeamLedger.Way way = TeamLedger.way(view, need);
         if (way instanceof TeamLedger.Way.Close close) {
-            committer.propose(
-                    Committer.Lane.PLACING,
-                    new Txn()
-                            .guard(teamKey, s.stamp)
-                            .write(teamKey, close.entry().toNode()),
-                    r -> {});
-            return;
+            var closing =
+                    new Txn().guard(key, spent.stamp).write(key, close.entry().toNode());
+            committer.propose(Committer.Lane.PLACING, closing, r -> {});
+            return false;
         }
         if (way instanceof TeamLedger.Way.Wait) {
-            return;
+            return false;
         }
-        txn.guard(teamKey, s.stamp);
+        txn.guard(key, spent.stamp);
         if (way instanceof TeamLedger.Way.Write write) {
-            txn.write(teamKey, write.entry().toNode());
+            txn.write(key, write.entry().toNode());
         }
+        return true;
+    }
+
+    private JobRecord addPlacement(Txn txn, JobRecord job, JobRecord folded, Map<Integer, String> places) {
         JobRecord placed = folded.placed(places);
         if (job.job().gang() && job.job().tasks() == 1) {
             placed = placed.real(); // its placeholder would be the whole gang and start, so it runs directly
         }
-        ObjectNode node = placed.toNode();
         String key = Keys.job(job.id());
-        txn.guard(key, replica.stamp(key)).write(key, node);
-        places.values().forEach(h -> txn.guard(Keys.host(h), replica.stamp(Keys.host(h))));
+        txn.guard(key, replica.stamp(key)).write(key, placed.toNode());
+        places.values().forEach(host -> txn.guard(Keys.host(host), replica.stamp(Keys.host(host))));
         if (job.job().gang()) {
             txn.guard(Keys.LEADER, replica.stamp(Keys.LEADER));
         }
-        if (!txn.fits(settings.state().txnOps())) {
-            return;
+        return placed;
+    }
+
+    private void tell(JobRecord job, int tasks) {
+        if (LOG.isDebugEnabled()) {
+            long age = Duration.between(job.arrived(), timeline.wallTime()).toMillis();
+            LOG.debug(
+                    "{} ({}): {} placed {} ms after it came",
+                    job.id(),
+                    job.job().jobClass(),
+                    tasks,
+                    age);
         }
-        use.merge(team, need, Resources::plus);
-        s.spent = s.spent.plus(need);
-        LOG.debug(
-                "{} ({}): {} placed {} ms after it came",
-                job.id(),
-                job.job().jobClass(),
-                places.size(),
-                LOG.isDebugEnabled()
-                        ? Duration.between(job.arrived(), timeline.wallTime()).toMillis()
-                        : 0);
-        propose(txn, job.id(), placed, r -> {
-            if (r instanceof TxnResult.Applied) {
-                told.forEach(e -> outcomes.tell(job, e));
-            } else if (r instanceof TxnResult.Unknown) {
-                s.unsure = s.unsure.plus(need);
-            } else {
-                s.spent = s.spent.minus(need);
-            }
-        });
     }
 
     /** Of some places as many as the job's record takes, now and while its tasks end one by one. */
--- a/src/main/java/org/dunespindle/coordination/PlanState.java
+++ b/src/main/java/org/dunespindle/coordination/PlanState.java
@@ -39,6 +39,20 @@
     /** What a team's waiting gang needs of the limit, kept free of later work. */
     private final Map<String, Resources> reserved = new HashMap<>();
 
+    private final Map<Eligibility, List<MachineRoom>> candidates = new HashMap<>();
+    private final Map<ImageEligibility, List<MachineRoom>> candidatesWithImage = new HashMap<>();
+
+    /** Which machines a job may use. */
+    private record Eligibility(boolean spot, Optional<String> zone, Optional<List<String>> types) {
+        boolean includes(Planner.Host host) {
+            boolean kind = spot || !host.spot();
+            boolean place = zone.isEmpty() || zone.get().equals(host.zone());
+            return kind && place && (types.isEmpty() || types.get().contains(host.type()));
+        }
+    }
+
+    private record ImageEligibility(Eligibility machines, String image) {}
+
     PlanState(Planner.Snapshot snapshot) {
         this.snapshot = snapshot;
         this.use = Planner.use(snapshot.jobs());
@@ -163,20 +177,25 @@
         reasons.put(job.id(), reason);
     }
 
-    /** Machines that the job may use, wherever its zone rules lead it. */
+    /** Machines that the job may use, wherever its zone rules lead it. Worked out once for all jobs that ask alike: most do. */
     List<MachineRoom> candidates(Submission job) {
-        var list = new ArrayList<MachineRoom>();
-        String zone = job.zone().orElse(null);
-        List<String> types = job.types().orElse(null);
-        for (MachineRoom machine : machines) {
-            Planner.Host host = machine.host();
-            boolean kind = job.spot() || !host.spot();
-            boolean place = zone == null || zone.equals(host.zone());
-            if (kind && place && (types == null || types.contains(host.type()))) {
-                list.add(machine);
-            }
-        }
-        return list;
+        return candidates.computeIfAbsent(new Eligibility(job.spot(), job.zone(), job.types()), this::eligible);
+    }
+
+    private List<MachineRoom> eligible(Eligibility asked) {
+        return machines.stream()
+                .filter(machine -> asked.includes(machine.host()))
+                .toList();
+    }
+
+    /** Those of the machines that the job may use which have its image. */
+    List<MachineRoom> candidatesWithImage(Submission job) {
+        var key = new ImageEligibility(new Eligibility(job.spot(), job.zone(), job.types()), job.image());
+        return candidatesWithImage.computeIfAbsent(key, k -> withImage(candidates(job), job.image()));
+    }
+
+    private static List<MachineRoom> withImage(List<MachineRoom> machines, String image) {
+        return machines.stream().filter(machine -> machine.hasImage(image)).toList();
     }
 
     /** Of some machines those with room, the best first. */
--- /dev/null
+++ b/src/main/java/org/dunespindle/coordination/Quarantine.java
@@ -0,0 +1,52 @@
+package org.dunespindle.coordination;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Supplier;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Timeline;
+
+/** Machines on which tasks of different jobs keep failing: nothing new is placed there, and those that stay so are given back. */
+final class Quarantine {
+    /** In quarantine first: jobs that failed there may turn out to fail elsewhere too. */
+    private static final Duration LENGTH = Duration.ofSeconds(15);
+
+    private final FailureAttribution failureAttribution;
+    private final Peers peers;
+    private final Timeline timeline;
+    private final Supplier<Options> options;
+    private final Map<String, Duration> since = new HashMap<>();
+
+    Quarantine(FailureAttribution failureAttribution, Peers peers, Timeline timeline, Supplier<Options> options) {
+        this.failureAttribution = failureAttribution;
+        this.peers = peers;
+        this.timeline = timeline;
+        this.options = options;
+    }
+
+    /** Whether tasks of different jobs failed on a machine, as far as is known here. */
+    boolean holds(String host) {
+        return failureAttribution.jobsFailedOn(host) >= options.get().quarantineAfter();
+    }
+
+    /** Whether a machine has been in quarantine, here or as its owner tells, for long enough to be given back. */
+    boolean over(MachineRecord machine) {
+        boolean fails = peers.machine(machine).filter(Peers.Machine::bad).isPresent() || holds(machine.id());
+        if (!fails) {
+            since.remove(machine.id());
+            return false;
+        }
+        Duration begun = since.computeIfAbsent(machine.id(), id -> timeline.now());
+        return timeline.now().minus(begun).compareTo(LENGTH) > 0;
+    }
+
+    void forget(String host) {
+        since.remove(host);
+    }
+
+    /** What was seen as an earlier leader says nothing. */
+    void clear() {
+        since.clear();
+    }
+}
--- a/src/main/java/org/dunespindle/coordination/UserApi.java
+++ b/src/main/java/org/dunespindle/coordination/UserApi.java
@@ -99,45 +99,49 @@
         }
         Optional<String> never = whyNever(job, types.get());
         if (never.isPresent()) {
-            replica.refresh(
-                    () -> replica.job(job.id())
-                            .ifPresentOrElse(
-                                    j -> answer.accept(show(j)), () -> answer.accept(Answer.error(422, never.get()))),
-                    () -> answer.accept(out()));
-            return;
-        }
-        if (state.failing()) {
+            refuse(job.id(), never.get(), answer);
+        } else if (state.failing()) {
             answer.accept(out());
-            return;
+        } else {
+            store(job, answer);
         }
+    }
+
+    /** Refuses a job for good, unless another controller has accepted it meanwhile. */
+    private void refuse(String id, String why, Consumer<Answer> answer) {
+        replica.refresh(
+                () -> answer.accept(replica.job(id).map(UserApi::show).orElseGet(() -> Answer.error(422, why))),
+                () -> answer.accept(out()));
+    }
+
+    private void store(Submission job, Consumer<Answer> answer) {
         String key = Keys.job(job.id());
         JobRecord record = JobRecord.accepted(job, timeline.wallTime());
         if (MessagePackCodec.countedSize(record.toNode()) > settings.state().valueBytes() / 2) {
             answer.accept(Answer.error(400, "the job's description is too long"));
-            return;
-        }
-        if (committer.isLocked(key)) {
+        } else if (committer.isLocked(key)) {
             answer.accept(Answer.later("the same submission is being stored", SOON));
-            return;
-        }
-        if (committer.waiting(Committer.Lane.USERS) >= mostWaiting) {
+        } else if (committer.waiting(Committer.Lane.USERS) >= mostWaiting) {
             answer.accept(Answer.later("more submissions wait than can be stored in time", LATER));
-            return;
+        } else {
+            Duration begun = timeline.now();
+            var txn = new Txn().guard(key, 0).write(key, record.toNode());
+            committer.propose(Committer.Lane.USERS, txn, result -> {
+                long micros = timeline.now().minus(begun).toNanos() / 1000;
+                accepts.recordValue(Math.min(accepts.getHighestTrackableValue(), micros));
+                stored(job.id(), result, answer);
+            });
+        }
+    }
+
+    private void stored(String id, TxnResult result, Consumer<Answer> answer) {
+        if (result instanceof TxnResult.Applied) {
+            answer.accept(Answer.of(201, MessagePackCodec.map().put("id", id).put("phase", "queued")));
+        } else if (replica.job(id).isPresent() && !(result instanceof TxnResult.Refused)) {
+            current(id, answer);
+        } else {
+            answer.accept(out());
         }
-        Duration begun = timeline.now();
-        committer.propose(Committer.Lane.USERS, new Txn().guard(key, 0).write(key, record.toNode()), r -> {
-            accepts.recordValue(
-                    Math.min(60_000_000L, timeline.now().minus(begun).toNanos() / 1000));
-            Optional<JobRecord> now = replica.job(job.id());
-            if (r instanceof TxnResult.Applied) {
-                answer.accept(Answer.of(
-                        201, MessagePackCodec.map().put("id", job.id()).put("phase", "queued")));
-            } else if (now.isPresent() && !(r instanceof TxnResult.Refused)) {
-                current(job.id(), answer);
-            } else {
-                answer.accept(out());
-            }
-        });
     }
 
     /** Why a job can never run, if so. */
--- a/src/main/java/org/dunespindle/coordination/WorkerClient.java
+++ b/src/main/java/org/dunespindle/coordination/WorkerClient.java
@@ -347,7 +347,10 @@
         }
     }
 
-    /** On a machine that takes no commands, or whose reports reach nobody, a task that its report shows absent, with no start under way, is free to start elsewhere. */
+    /**
+     * On a machine that takes no commands, or whose reports reach nobody, a task that its report shows absent, with no start under way,
+     * is free to start elsewhere.
+     */
     private static List<Reconciler.Event> withoutStarts(Reconciler.Verdict v, List<Replica.Placed> allocations) {
         var events = new ArrayList<>(v.events());
         var unstarted = new HashSet<TaskId>();
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -75,87 +75,124 @@
 
     /** Reads and checks settings; the message of a failure names the field. */
     public static Settings parse(JsonNode root) throws MalformedException {
+        List<Seed> seeds = seeds(root.path("seeds"));
+        JsonNode deployment = table(root, "deployment");
+        Map<String, Team> teams = teams(deployment.path("teams"));
+        List<Objective> objectives = objectives(deployment.path("objectives"));
+        Workers workers = workers(table(deployment, "workers"));
+        State state = state(table(deployment, "state"));
+        Cloud cloud = cloud(table(deployment, "cloud"));
+        JsonNode outside = table(root, "outside");
+        String cloudAddress = text(outside, "outside.", "cloud");
+        String stateAddress = text(outside, "outside.", "state");
+        socket("outside.cloud", cloudAddress);
+        socket("outside.state", stateAddress);
+        return new Settings(
+                text(root, "", "node_name"),
+                root.path("area").asText(""),
+                socket("front", text(root, "", "front")),
+                socket("peer_listen", text(root, "", "peer_listen")),
+                seeds,
+                cloudAddress,
+                stateAddress,
+                zones(deployment.path("zones")),
+                teams,
+                objectives,
+                workers,
+                state,
+                cloud,
+                sockets(deployment.path("resources")));
+    }
+
+    private static List<Seed> seeds(JsonNode list) throws MalformedException {
         var seeds = new ArrayList<Seed>();
-        for (JsonNode s : root.path("seeds")) {
-            String address = text(s, "seeds.", "address");
+        for (JsonNode row : list) {
+            String address = text(row, "seeds.", "address");
             if (!address.matches(".+:\\d{1,5}")) {
                 throw new MalformedException("seeds.address must be address:port, not " + address);
             }
-            seeds.add(new Seed(text(s, "seeds.", "node_name"), s.path("area").asText(""), address));
+            seeds.add(
+                    new Seed(text(row, "seeds.", "node_name"), row.path("area").asText(""), address));
         }
-        JsonNode d = table(root, "deployment");
+        return List.copyOf(seeds);
+    }
+
+    private static Map<String, Team> teams(JsonNode list) throws MalformedException {
         var teams = new LinkedHashMap<String, Team>();
-        for (JsonNode t : d.path("teams")) {
-            String at = "deployment.teams.";
-            String name = text(t, at, "name");
-            var team = new Team(
-                    name,
-                    amount(t, at, "cpus"),
-                    limit(amount(t, at, "cpus_max")),
-                    amount(t, at, "gpus"),
-                    limit(amount(t, at, "gpus_max")));
-            if (team.cpus > team.cpusMax || team.gpus > team.gpusMax) {
-                throw new MalformedException(
-                        at + (team.gpus > team.gpusMax ? "gpus" : "cpus") + " of " + name + " is above its limit");
-            }
-            if (teams.put(name, team) != null) {
-                throw new MalformedException(at + "name " + name + " occurs twice");
+        for (JsonNode row : list) {
+            Team team = team(row, "deployment.teams.");
+            if (teams.put(team.name, team) != null) {
+                throw new MalformedException("deployment.teams.name " + team.name + " occurs twice");
             }
         }
         if (teams.isEmpty()) {
             throw new MalformedException("deployment.teams is missing");
         }
+        return Map.copyOf(teams);
+    }
+
+    private static Team team(JsonNode row, String at) throws MalformedException {
+        String name = text(row, at, "name");
+        double cpusMax = limit(amount(row, at, "cpus_max"));
+        double gpusMax = limit(amount(row, at, "gpus_max"));
+        var team = new Team(name, amount(row, at, "cpus"), cpusMax, amount(row, at, "gpus"), gpusMax);
+        if (team.cpus > team.cpusMax || team.gpus > team.gpusMax) {
+            String field = team.gpus > team.gpusMax ? "gpus" : "cpus";
+            throw new MalformedException(at + field + " of " + name + " is above its limit");
+        }
+        return team;
+    }
+
+    private static List<Objective> objectives(JsonNode list) throws MalformedException {
         var objectives = new ArrayList<Objective>();
-        for (JsonNode o : d.path("objectives")) {
+        String at = "deployment.objectives.";
+        for (JsonNode row : list) {
             objectives.add(new Objective(
-                    o.path("kind").asText(""),
-                    o.path("class").asText(""),
-                    seconds(optional(o, "deployment.objectives.", "within_s", 0)),
-                    optional(o, "deployment.objectives.", "share", 0),
-                    optional(o, "deployment.objectives.", "times", 1)));
+                    row.path("kind").asText(""),
+                    row.path("class").asText(""),
+                    seconds(optional(row, at, "within_s", 0)),
+                    optional(row, at, "share", 0),
+                    optional(row, at, "times", 1)));
         }
+        return List.copyOf(objectives);
+    }
+
+    private static List<String> zones(JsonNode list) {
         var zones = new ArrayList<String>();
-        d.path("zones").forEach(z -> zones.add(z.asText()));
-        JsonNode w = table(d, "workers");
+        list.forEach(zone -> zones.add(zone.asText()));
+        return List.copyOf(zones);
+    }
+
+    private static Workers workers(JsonNode table) throws MalformedException {
         String at = "deployment.workers.";
         var workers = new Workers(
-                duration(w, at, "report_s"),
-                duration(w, at, "lease_s"),
-                duration(w, at, "gang_wait_s"),
-                duration(w, at, "gang_peer_s"),
-                duration(w, at, "cancel_s"));
+                duration(table, at, "report_s"),
+                duration(table, at, "lease_s"),
+                duration(table, at, "gang_wait_s"),
+                duration(table, at, "gang_peer_s"),
+                duration(table, at, "cancel_s"));
         if (workers.report.compareTo(workers.lease) >= 0) {
             throw new MalformedException(at + "lease_s must be longer than report_s");
         }
-        JsonNode s = table(d, "state");
-        var state = new State(
-                positive(s, "deployment.state.", "rps"),
-                positive(s, "deployment.state.", "write_rps"),
-                (int) (positive(s, "deployment.state.", "value_kb") * 1024),
-                (int) positive(s, "deployment.state.", "txn_ops"));
-        JsonNode c = table(d, "cloud");
-        var cloud = new Cloud(
-                positive(c, "deployment.cloud.", "rps"), seconds(amount(c, "deployment.cloud.", "list_lag_s")));
-        JsonNode outside = table(root, "outside");
-        String cloudAddress = text(outside, "outside.", "cloud");
-        String stateAddress = text(outside, "outside.", "state");
-        socket("outside.cloud", cloudAddress);
-        socket("outside.state", stateAddress);
-        return new Settings(
-                text(root, "", "node_name"),
-                root.path("area").asText(""),
-                socket("front", text(root, "", "front")),
-                socket("peer_listen", text(root, "", "peer_listen")),
-                List.copyOf(seeds),
-                cloudAddress,
-                stateAddress,
-                List.copyOf(zones),
-                Map.copyOf(teams),
-                List.copyOf(objectives),
-                workers,
-                state,
-                cloud,
-                (int) Math.max(1, optional(d.path("resources"), "deployment.resources.", "fd_limit", DEFAULT_SOCKETS)));
+        return workers;
+    }
+
+    private static State state(JsonNode table) throws MalformedException {
+        String at = "deployment.state.";
+        return new State(
+                positive(table, at, "rps"),
+                positive(table, at, "write_rps"),
+                (int) (positive(table, at, "value_kb") * 1024),
+                (int) positive(table, at, "txn_ops"));
+    }
+
+    private static Cloud cloud(JsonNode table) throws MalformedException {
+        String at = "deployment.cloud.";
+        return new Cloud(positive(table, at, "rps"), seconds(amount(table, at, "list_lag_s")));
+    }
+
+    private static int sockets(JsonNode table) throws MalformedException {
+        return (int) Math.max(1, optional(table, "deployment.resources.", "fd_limit", DEFAULT_SOCKETS));
     }
 
     private static double limit(double value) {
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -361,6 +361,7 @@
 
     /** Claims by booking, then by page of machines: a gang as large as its team's limit still has to fit one value. */
     private ArrayNode allocationsNode() {
+        /** Allocations that were booked together. */
         record Booked(long base, boolean stopping) {}
         var groups = new LinkedHashMap<Booked, Map<String, IntRBTreeSet>>();
         for (Allocation c : allocations) {
@@ -381,8 +382,8 @@
     }
 
     private static void readAllocations(JsonNode group, List<Allocation> into) {
-        for (var page : (Iterable<Map.Entry<String, JsonNode>>) group.path(2)::fields) {
-            for (var row : (Iterable<Map.Entry<String, JsonNode>>) page.getValue()::fields) {
+        for (Map.Entry<String, JsonNode> page : group.path(2).properties()) {
+            for (Map.Entry<String, JsonNode> row : page.getValue().properties()) {
                 for (int task : TaskSet.parse(row.getValue().textValue())) {
                     into.add(new Allocation(
                             task,
--- a/src/main/java/org/dunespindle/storage/Replica.java
+++ b/src/main/java/org/dunespindle/storage/Replica.java
@@ -389,7 +389,7 @@
         Map<String, MachineRecord> before = pages.getOrDefault(key, Map.of());
         var after = new TreeMap<String, MachineRecord>();
         value.ifPresent(v ->
-                v.fields().forEachRemaining(f -> after.put(f.getKey(), MachineRecord.parse(f.getKey(), f.getValue()))));
+                v.properties().forEach(f -> after.put(f.getKey(), MachineRecord.parse(f.getKey(), f.getValue()))));
         before.keySet().forEach(id -> {
             if (!after.containsKey(id)) {
                 hosts.remove(id);
--- a/src/main/java/org/dunespindle/transport/HttpReply.java
+++ b/src/main/java/org/dunespindle/transport/HttpReply.java
@@ -9,6 +9,7 @@
  * @param last whether the connection ends after it
  */
 public record HttpReply(int status, String contentType, byte[] body, Optional<Duration> retryAfter, boolean last) {
+    /** Creates a reply that leaves the connection open. */
     public HttpReply(int status, String contentType, byte[] body, Optional<Duration> retryAfter) {
         this(status, contentType, body, retryAfter, false);
     }
