--- a/src/main/java/org/dunespindle/coordination/FailureDetector.java
+++ b/src/main/java/org/dunespindle/coordination/FailureDetector.java
@@ -66,11 +66,12 @@
      * reports: without them their leases run out. Another's may report to their owner alone, so an answer is enough.
      */
     Optional<Duration> heard(MachineRecord host) {
-        Optional<Duration> here =
-                sessions.known(host.id()).flatMap(s -> membership.owns(host) ? s.heardAt : s.aliveAt());
-        Optional<Duration> there = peers.aliveAt(host);
-        return here.filter(h -> there.isEmpty() || h.compareTo(there.get()) >= 0)
-                .or(() -> there);
+        Optional<Sessions.Session> session = sessions.known(host.id());
+        Optional<Duration> here = Optional.empty();
+        if (session.isPresent()) {
+            here = membership.owns(host) ? session.get().heardAt : session.get().aliveAt();
+        }
+        return Moments.later(here, peers.aliveAt(host));
     }
 
     /** Forgets everything: what was seen as an earlier leader says nothing. */
@@ -123,10 +124,12 @@
     /** How long a machine has been silent. Whoever takes one over has not heard it yet, and what its earlier owner told last may be minutes old. */
     Duration of(MachineRecord h, Duration leadingSince) {
         Duration now = timeline.now();
-        Duration commanded = commands.compute(
-                        h.id(), (id, c) -> c != null && c.token == h.token() ? c : new Command(h.token(), now))
-                .since;
-        return stalls.silence(later(heard(h).orElse(leadingSince), later(commanded, leadingSince)));
+        Command command = commands.get(h.id());
+        if (command == null || command.token != h.token()) {
+            command = new Command(h.token(), now);
+            commands.put(h.id(), command);
+        }
+        return stalls.silence(later(heard(h).orElse(leadingSince), later(command.since, leadingSince)));
     }
 
     private static Duration later(Duration a, Duration b) {
@@ -138,12 +141,11 @@
         Duration now = timeline.now();
         boolean ownerTalks = membership.owns(h) || peers.heartbeat(h.owner()).isPresent();
         Duration limit = most.plus(ownerTalks ? Duration.ZERO : OWNER_MUTE);
-        spared.computeIfPresent(
-                h.id(),
-                (id, s) -> silent.compareTo(limit.dividedBy(2)) < 0
-                                && now.minus(s.at).compareTo(limit) > 0
-                        ? null
-                        : s);
+        Spared answered = spared.get(h.id());
+        boolean heardAgain = silent.compareTo(limit.dividedBy(2)) < 0;
+        if (answered != null && heardAgain && now.minus(answered.at).compareTo(limit) > 0) {
+            spared.remove(h.id());
+        }
         return silent.compareTo(limit) > 0 && !spares(h, silent) && !answersWhenAsked(h);
     }
 
--- a/src/main/java/org/dunespindle/coordination/Fleet.java
+++ b/src/main/java/org/dunespindle/coordination/Fleet.java
@@ -204,15 +204,22 @@
             } else {
                 idleSince.putIfAbsent(h.id(), now);
             }
-            whyLeave(h, now)
-                    .filter(why -> !why.equals(MachineRecord.IDLE) || !machineWriter.crowded())
-                    .ifPresent(why -> {
-                        if (why.equals(MachineRecord.IDLE) || why.equals(FAILS)) {
-                            returner.leave(h, why);
-                        } else {
-                            returner.drop(h, why);
-                        }
-                    });
+            Optional<String> why = whyLeave(h, now);
+            if (why.isPresent()) {
+                giveUp(h, why.get());
+            }
+        }
+    }
+
+    private void giveUp(MachineRecord h, String why) {
+        if (why.equals(MachineRecord.IDLE)) {
+            if (!machineWriter.crowded()) {
+                returner.leave(h, why);
+            }
+        } else if (why.equals(FAILS)) {
+            returner.leave(h, why);
+        } else {
+            returner.drop(h, why);
         }
     }
 
--- a/src/main/java/org/dunespindle/coordination/MachineNews.java
+++ b/src/main/java/org/dunespindle/coordination/MachineNews.java
@@ -76,9 +76,7 @@
     }
 
     private boolean alive(Sessions.Session session) {
-        Duration now = context.timeline().now();
-        return session.aliveAt()
-                .filter(t -> now.minus(t).compareTo(heardLately) < 0)
-                .isPresent();
+        Optional<Duration> at = session.aliveAt();
+        return at.isPresent() && context.timeline().now().minus(at.get()).compareTo(heardLately) < 0;
     }
 }
--- a/src/main/java/org/dunespindle/coordination/MachineRoom.java
+++ b/src/main/java/org/dunespindle/coordination/MachineRoom.java
@@ -1,7 +1,9 @@
 package org.dunespindle.coordination;
 
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.List;
+import java.util.Set;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
@@ -17,6 +19,8 @@
     /** Tasks that may have to give way, the latest booked first: they have least to lose. */
     private final List<Victim> victims = new ArrayList<>(2);
 
+    /** Images that tasks here still wait for, as far as is known: fetches of several at the same time share the machine's rate. */
+    private final Set<String> fetching = new HashSet<>(2);
     /** How well it suits the job that is being planned. */
     private double score;
 
@@ -66,6 +70,16 @@
         return host.images().contains(image);
     }
 
+    /** Whether tasks here already wait for this image. */
+    boolean fetches(String image) {
+        return fetching.contains(image);
+    }
+
+    /** How many other images tasks here wait for. */
+    int otherFetches(String image) {
+        return fetching.size() - (fetching.contains(image) ? 1 : 0);
+    }
+
     List<Victim> victims() {
         return victims;
     }
@@ -95,6 +109,7 @@
     void occupy(JobRecord job, Allocation allocation) {
         Resources one = job.job().perTask();
         take(one);
+        noteFetch(job.job().image());
         if (allocation.stopping() || !job.open() || job.mode() == JobRecord.Mode.STOP) {
             ending = ending.plus(one);
         } else if (!job.job().gang()) {
@@ -102,6 +117,13 @@
         }
     }
 
+    /** Notes that a task here waits for an image, unless the machine has it. */
+    void noteFetch(String image) {
+        if (!hasImage(image)) {
+            fetching.add(image);
+        }
+    }
+
     /** Promises what is being freed, and what these tasks hold, to a gang. */
     void promise(List<Victim> leaving) {
         promised = true;
--- a/src/main/java/org/dunespindle/coordination/Peers.java
+++ b/src/main/java/org/dunespindle/coordination/Peers.java
@@ -126,18 +126,18 @@
 
     /** What a machine's owner told of it under its present token, while the owner's heartbeat is fresh. */
     public Optional<Machine> machine(MachineRecord host) {
-        return heartbeat(host.owner()).isEmpty()
-                ? Optional.empty()
-                : told(host.owner(), host.id()).filter(m -> m.token == host.token());
+        return heartbeat(host.owner()).isEmpty() ? Optional.empty() : lastTold(host);
     }
 
     /** The same however old it is: for an owner that lives but cannot talk to this controller. */
     public Optional<Machine> lastTold(MachineRecord host) {
-        return told(host.owner(), host.id()).filter(m -> m.token == host.token());
+        Optional<Machine> told = told(host.owner(), host.id());
+        return told.isPresent() && told.get().token == host.token() ? told : Optional.empty();
     }
 
     private Optional<Machine> told(String node, String host) {
-        return Optional.ofNullable(heard.get(node)).map(h -> h.machines.get(host));
+        Heard from = heard.get(node);
+        return from == null ? Optional.empty() : Optional.ofNullable(from.machines.get(host));
     }
 
     /** Where a machine is reached, as anybody told. */
@@ -159,7 +159,7 @@
                         && m.token == host.token()
                         && heartbeats.containsKey(e.getKey());
                 Duration at = present ? heartbeats.get(e.getKey()).at : m.toldAt.minus(m.silentFor);
-                last = last.filter(l -> l.compareTo(at) >= 0).or(() -> Optional.of(at));
+                last = Moments.later(last, Optional.of(at));
             }
         }
         return last;
--- a/src/main/java/org/dunespindle/coordination/PlanSnapshots.java
+++ b/src/main/java/org/dunespindle/coordination/PlanSnapshots.java
@@ -108,12 +108,18 @@
         var trusted = new HashMap<String, Boolean>();
         Map<String, MachineRecord> machines = context.replica().hosts();
         places.keySet().retainAll(machines.keySet());
+        // A plain loop: this runs for every machine with every plan, and capturing lambdas are dear with the first-tier
+        // compiler.
         for (MachineRecord machine : machines.values()) {
-            places.computeIfAbsent(
-                    machine.id(), id -> new Planner.Place(machine.type(), machine.zone(), machine.spot()));
+            if (!places.containsKey(machine.id())) {
+                places.put(machine.id(), new Planner.Place(machine.type(), machine.zone(), machine.spot()));
+            }
             boolean mine = context.membership().owns(machine);
             if ((mine || leads) && !returner.leaves(machine)) {
-                catalog.type(machine.type()).ifPresent(type -> add(hosts, machine, type, mine, trusted));
+                Optional<MachineType> type = catalog.type(machine.type());
+                if (type.isPresent()) {
+                    add(hosts, machine, type.get(), mine, trusted);
+                }
             }
         }
         return hosts;
@@ -142,11 +148,16 @@
      * would go without its machines until then; nothing is placed on one before it has been borrowed and has reported here.
      */
     private boolean upElsewhere(MachineRecord machine, Map<String, Boolean> trusted) {
-        boolean trust = trusted.computeIfAbsent(
-                        machine.owner(), owner -> peers.heartbeat(owner).isPresent())
-                || context.membership().isAlive(machine.owner(), machine.incarnation());
-        Optional<Peers.Machine> told = trust ? peers.lastTold(machine) : Optional.empty();
-        return told.filter(m -> m.up() && !m.bad()).isPresent();
+        Boolean talks = trusted.get(machine.owner());
+        if (talks == null) {
+            talks = peers.heartbeat(machine.owner()).isPresent();
+            trusted.put(machine.owner(), talks);
+        }
+        if (!talks && !context.membership().isAlive(machine.owner(), machine.incarnation())) {
+            return false;
+        }
+        Optional<Peers.Machine> told = peers.lastTold(machine);
+        return told.isPresent() && told.get().up() && !told.get().bad();
     }
 
     /** How long tasks booked together have been under way: since they were first seen here, which is a little late or, after a start, much. */
--- a/src/main/java/org/dunespindle/coordination/PlanState.java
+++ b/src/main/java/org/dunespindle/coordination/PlanState.java
@@ -22,6 +22,11 @@
 
     private static final double IMAGE = 3;
     private static final double CHEAP = 2;
+    /** What a fetch of the image that is under way already is worth, and what fetches of other images cost, which share the rate. */
+    private static final double IMAGE_ON_ITS_WAY = 1;
+
+    private static final double OTHER_FETCH = 1.5;
+    private static final int MOST_OTHER_FETCHES = 2;
 
     private final Planner.Snapshot snapshot;
     private final List<MachineRoom> machines = new ArrayList<>();
@@ -140,6 +145,7 @@
     /** Takes room for a task, and its part of the team's limit. */
     void take(Submission job, MachineRoom machine) {
         machine.take(job.perTask());
+        machine.noteFetch(job.image());
         use.merge(job.team(), job.perTask(), Resources::plus);
         wanted.add(machine.host().id());
         if (job.gang()) {
@@ -183,9 +189,13 @@
     }
 
     private List<MachineRoom> eligible(Eligibility asked) {
-        return machines.stream()
-                .filter(machine -> asked.includes(machine.host()))
-                .toList();
+        var list = new ArrayList<MachineRoom>();
+        for (MachineRoom machine : machines) {
+            if (asked.includes(machine.host())) {
+                list.add(machine);
+            }
+        }
+        return list;
     }
 
     /** Those of the machines that the job may use which have its image. */
@@ -195,7 +205,13 @@
     }
 
     private static List<MachineRoom> withImage(List<MachineRoom> machines, String image) {
-        return machines.stream().filter(machine -> machine.hasImage(image)).toList();
+        var list = new ArrayList<MachineRoom>();
+        for (MachineRoom machine : machines) {
+            if (machine.hasImage(image)) {
+                list.add(machine);
+            }
+        }
+        return list;
     }
 
     /** Of some machines those with room, the best first. */
@@ -212,7 +228,7 @@
         return list;
     }
 
-    /** Up before booting, a fetched image before a cheap kind, cheap kinds before dear ones, full before empty. */
+    /** Up before booting, a fetched image before a cheap kind, cheap kinds before dear ones, few fetches before many, full before empty. */
     private static double score(Submission job, MachineRoom machine) {
         Planner.Host host = machine.host();
         Resources size = host.size();
@@ -221,8 +237,15 @@
                 : 1 - machine.free().cpus() / Math.max(1e-9, size.cpus());
         double ready = host.up() ? UP : 0;
         double cheap = host.spot() && job.spot() ? CHEAP : 0;
-        double fetched = machine.hasImage(job.image()) ? IMAGE : 0;
-        return ready + cheap + fetched + fill;
+        return ready + cheap + imageScore(job.image(), machine) + fill;
+    }
+
+    private static double imageScore(String image, MachineRoom machine) {
+        if (machine.hasImage(image)) {
+            return IMAGE;
+        }
+        double shared = OTHER_FETCH * Math.min(MOST_OTHER_FETCHES, machine.otherFetches(image));
+        return (machine.fetches(image) ? IMAGE_ON_ITS_WAY : 0) - shared;
     }
 
     /** How many of a job's tasks are in each zone. */
--- a/src/main/java/org/dunespindle/coordination/Sessions.java
+++ b/src/main/java/org/dunespindle/coordination/Sessions.java
@@ -101,8 +101,7 @@
 
         /** The last sign of life of any kind. */
         Optional<Duration> aliveAt() {
-            return heardAt.filter(h -> answeredAt.isEmpty() || h.compareTo(answeredAt.get()) >= 0)
-                    .or(() -> answeredAt);
+            return Moments.later(heardAt, answeredAt);
         }
 
         void unanswered(Duration now) {
--- a/src/main/java/org/dunespindle/coordination/WorkerClient.java
+++ b/src/main/java/org/dunespindle/coordination/WorkerClient.java
@@ -302,13 +302,8 @@
     }
 
     private boolean olderThan(Optional<Duration> sign, Duration beyondTwoReports) {
-        return sign.filter(t -> stalls.silence(t)
-                                .compareTo(settings.workers()
-                                        .report()
-                                        .multipliedBy(2)
-                                        .plus(beyondTwoReports))
-                        < 0)
-                .isEmpty();
+        Duration limit = settings.workers().report().multipliedBy(2).plus(beyondTwoReports);
+        return sign.isEmpty() || stalls.silence(sign.get()).compareTo(limit) >= 0;
     }
 
     private void conclude(MachineRecord record, Sessions.Session s) {
