--- a/src/main/java/org/dunespindle/coordination/Controller.java
+++ b/src/main/java/org/dunespindle/coordination/Controller.java
@@ -270,7 +270,7 @@
             return;
         }
         roundSet = true;
-        Duration gap = lastCost.multipliedBy(ROUND_SHARE);
+        Duration gap = Duration.ofNanos(lastCost.toNanos() * ROUND_SHARE);
         Duration next = lastRound
                 .plus(gap.compareTo(ROUND_AT_MOST_EVERY) > 0 ? gap : ROUND_AT_MOST_EVERY)
                 .minus(timeline.now());
@@ -347,7 +347,7 @@
 
     private boolean planDue() {
         Duration since = timeline.now().minus(lastPlan);
-        Duration gap = planCost.multipliedBy(PLAN_SHARE);
+        Duration gap = Duration.ofNanos(planCost.toNanos() * PLAN_SHARE);
         boolean may = since.compareTo(gap.compareTo(PLAN_AT_MOST_EVERY) > 0 ? gap : PLAN_AT_MOST_EVERY) >= 0;
         return may
                 && (replica.version() + workerClient.version() != plannedFor
--- a/src/main/java/org/dunespindle/coordination/FailureDetector.java
+++ b/src/main/java/org/dunespindle/coordination/FailureDetector.java
@@ -71,7 +71,7 @@
         if (session.isPresent()) {
             here = membership.owns(host) ? session.get().heardAt : session.get().aliveAt();
         }
-        return Moments.later(here, peers.aliveAt(host));
+        return Durations.later(here, peers.aliveAt(host));
     }
 
     /** Forgets everything: what was seen as an earlier leader says nothing. */
@@ -96,7 +96,7 @@
     void look(Duration leadingSince, Predicate<MachineRecord> longUp) {
         var all = new HashMap<String, Integer>();
         var silent = new HashMap<String, Integer>();
-        Duration limit = settings.workers().report().multipliedBy(2).plusSeconds(2);
+        Duration limit = Durations.times(settings.workers().report(), 2).plusSeconds(2);
         for (MachineRecord h : replica.hosts().values()) {
             Optional<Duration> heard = heard(h);
             if (h.leaving() || heard.isEmpty() && !longUp.test(h)) {
@@ -142,7 +142,7 @@
         boolean ownerTalks = membership.owns(h) || peers.heartbeat(h.owner()).isPresent();
         Duration limit = most.plus(ownerTalks ? Duration.ZERO : OWNER_MUTE);
         Spared answered = spared.get(h.id());
-        boolean heardAgain = silent.compareTo(limit.dividedBy(2)) < 0;
+        boolean heardAgain = silent.compareTo(Durations.part(limit, 1, 2)) < 0;
         if (answered != null && heardAgain && now.minus(answered.at).compareTo(limit) > 0) {
             spared.remove(h.id());
         }
--- a/src/main/java/org/dunespindle/coordination/Fleet.java
+++ b/src/main/java/org/dunespindle/coordination/Fleet.java
@@ -81,7 +81,7 @@
     public boolean bootsInTime(MachineRecord h) {
         // A controller that has just started has heard nobody yet: that says nothing about the machines.
         return timeline.now().compareTo(EARLY) < 0
-                || age(h).compareTo(bootTime(h).multipliedBy(LATE_BOOT_TENTHS).dividedBy(10)) < 0;
+                || age(h).compareTo(Durations.part(bootTime(h), LATE_BOOT_TENTHS, 10)) < 0;
     }
 
     private Duration age(MachineRecord h) {
@@ -191,8 +191,7 @@
 
     private void judge(Duration now, Planner.Plan plan) {
         failures.look(
-                leadingSince.orElse(now),
-                h -> age(h).compareTo(bootTime(h).multipliedBy(LATE_BOOT_TENTHS).dividedBy(10)) > 0);
+                leadingSince.orElse(now), h -> age(h).compareTo(Durations.part(bootTime(h), LATE_BOOT_TENTHS, 10)) > 0);
         for (MachineRecord h : List.copyOf(replica.hosts().values())) {
             if (returner.leaves(h) || machineWriter.busy(h.id())) {
                 continue;
@@ -239,7 +238,7 @@
             boolean runs = row.filter(r -> r.phase().equals("running")).isPresent()
                     && seen.compareTo(silentLimit.plus(RUNS_UNHEARD)) > 0;
             boolean late =
-                    age(h).compareTo(bootTime(h).multipliedBy(options.get().bootPatience())) > 0;
+                    age(h).compareTo(Durations.times(bootTime(h), options.get().bootPatience())) > 0;
             return !sure || !runs && !late || failures.answersWhenAsked(h)
                     ? Optional.empty()
                     : Optional.of(runs ? "it runs but no controller hears it" : "it did not come up in time");
@@ -248,7 +247,7 @@
         if (failures.proven(h, silent, silentLimit)) {
             return Optional.of("it has been silent for " + silent.toSeconds() + " s");
         }
-        boolean reports = silent.compareTo(settings.workers().report().multipliedBy(2)) < 0;
+        boolean reports = silent.compareTo(Durations.times(settings.workers().report(), 2)) < 0;
         if (membership.owns(h)
                 && reports
                 && leading.compareTo(silentLimit) > 0
--- a/src/main/java/org/dunespindle/coordination/HeartbeatHandler.java
+++ b/src/main/java/org/dunespindle/coordination/HeartbeatHandler.java
@@ -230,7 +230,7 @@
 
     /** In a cut between zones only the own zone's workers are heard, and nobody else can answer them. */
     private boolean hearsOtherZones() {
-        Duration recent = settings.workers().report().multipliedBy(2).plusSeconds(1);
+        Duration recent = Durations.times(settings.workers().report(), 2).plusSeconds(1);
         for (Sessions.Session s : sessions.all().values()) {
             if (s.heardAt.isPresent()
                     && timeline.now().minus(s.heardAt.get()).compareTo(recent) < 0
--- a/src/main/java/org/dunespindle/coordination/JobOrder.java
+++ b/src/main/java/org/dunespindle/coordination/JobOrder.java
@@ -79,7 +79,7 @@
         }
         List<Duration> ends = snapshot.targets().all(job);
         Duration bestCase = Duration.ofMillis((long) (job.estimate().toMillis() * BEST_CASE));
-        long work = job.estimate().multipliedBy(record.unplacedCount()).toMillis();
+        long work = Durations.times(job.estimate(), record.unplacedCount()).toMillis();
         int tier = 1;
         for (Duration end : ends) {
             if (!snapshot.now().plus(bestCase).isAfter(record.arrived().plus(end))) {
--- a/src/main/java/org/dunespindle/coordination/Peers.java
+++ b/src/main/java/org/dunespindle/coordination/Peers.java
@@ -159,7 +159,7 @@
                         && m.token == host.token()
                         && heartbeats.containsKey(e.getKey());
                 Duration at = present ? heartbeats.get(e.getKey()).at : m.toldAt.minus(m.silentFor);
-                last = Moments.later(last, Optional.of(at));
+                last = Durations.later(last, Optional.of(at));
             }
         }
         return last;
--- a/src/main/java/org/dunespindle/coordination/PlacementPacing.java
+++ b/src/main/java/org/dunespindle/coordination/PlacementPacing.java
@@ -57,7 +57,7 @@
     }
 
     private Duration gatherTime() {
-        Duration gather = GATHER_PER_WAITING.multipliedBy(committer.waiting());
+        Duration gather = Durations.times(GATHER_PER_WAITING, committer.waiting());
         return gather.compareTo(GATHER_AT_MOST) > 0 ? GATHER_AT_MOST : gather;
     }
 
--- a/src/main/java/org/dunespindle/coordination/PlanState.java
+++ b/src/main/java/org/dunespindle/coordination/PlanState.java
@@ -44,6 +44,9 @@
     /** What a team's waiting gang needs of the limit, kept free of later work. */
     private final Map<String, Resources> reserved = new HashMap<>();
 
+    /** Most jobs have no ended task, and looking one up costs more than asking for its job. */
+    private final Set<String> jobsWithEnded = new HashSet<>();
+
     private final Map<Eligibility, List<MachineRoom>> candidates = new HashMap<>();
     private final Map<ImageEligibility, List<MachineRoom>> candidatesWithImage = new HashMap<>();
 
@@ -61,6 +64,7 @@
     PlanState(Planner.Snapshot snapshot) {
         this.snapshot = snapshot;
         this.use = Planner.use(snapshot.jobs());
+        snapshot.ended().forEach(ended -> jobsWithEnded.add(ended.job()));
         var byId = new HashMap<String, MachineRoom>(snapshot.hosts().size() * 2);
         for (Planner.Host host : snapshot.hosts()) {
             var machine = new MachineRoom(host);
@@ -82,7 +86,7 @@
     }
 
     private boolean ended(JobRecord job, Allocation allocation) {
-        return !snapshot.ended().isEmpty()
+        return jobsWithEnded.contains(job.id())
                 && snapshot.ended().contains(new Planner.Ended(job.id(), allocation.task(), allocation.base()));
     }
 
--- a/src/main/java/org/dunespindle/coordination/RentalNeeds.java
+++ b/src/main/java/org/dunespindle/coordination/RentalNeeds.java
@@ -58,7 +58,7 @@
             Submission job = shortfall.job().job();
             List<Planner.Market> markets = markets(job);
             if (!job.gang()) {
-                queued = queued.plus(job.estimate().multipliedBy(shortfall.tasks()));
+                queued = queued.plus(Durations.times(job.estimate(), shortfall.tasks()));
                 keepCheapestIfInTime(shortfall, markets, queued);
             }
             markets.stream()
@@ -100,7 +100,7 @@
         for (JobRecord job : context.replica().livingJobs()) {
             if (job.open() && !job.job().gang()) {
                 int running = job.allocations().size();
-                sum = sum.plus(job.job().estimate().multipliedBy(running).dividedBy(2));
+                sum = sum.plus(Durations.part(job.job().estimate(), running, 2));
             }
         }
         return sum;
@@ -116,10 +116,10 @@
         }
         Duration waited =
                 Duration.between(shortfall.job().arrived(), context.timeline().wallTime());
-        Duration end = waited.plus(queued.dividedBy(running))
-                .plus(job.estimate().multipliedBy(4).dividedBy(3))
+        Duration end = waited.plus(Durations.part(queued, 1, running))
+                .plus(Durations.part(job.estimate(), 4, 3))
                 .plus(FETCH_ALLOWANCE);
-        if (end.compareTo(target.get().multipliedBy(4).dividedBy(5)) < 0) {
+        if (end.compareTo(Durations.part(target.get(), 4, 5)) < 0) {
             double limit = cheapest(job) * ABOUT_THE_CHEAPEST;
             markets.removeIf(market -> price(market) > limit);
         }
--- a/src/main/java/org/dunespindle/coordination/Sessions.java
+++ b/src/main/java/org/dunespindle/coordination/Sessions.java
@@ -101,7 +101,7 @@
 
         /** The last sign of life of any kind. */
         Optional<Duration> aliveAt() {
-            return Moments.later(heardAt, answeredAt);
+            return Durations.later(heardAt, answeredAt);
         }
 
         void unanswered(Duration now) {
--- a/src/main/java/org/dunespindle/coordination/WorkerClient.java
+++ b/src/main/java/org/dunespindle/coordination/WorkerClient.java
@@ -302,7 +302,7 @@
     }
 
     private boolean olderThan(Optional<Duration> sign, Duration beyondTwoReports) {
-        Duration limit = settings.workers().report().multipliedBy(2).plus(beyondTwoReports);
+        Duration limit = Durations.times(settings.workers().report(), 2).plus(beyondTwoReports);
         return sign.isEmpty() || stalls.silence(sign.get()).compareTo(limit) >= 0;
     }
 
@@ -439,8 +439,9 @@
         // A silent machine is asked seldom: in a cut there are hundreds, and each attempt holds a socket. Its next
         // report ends the pause.
         boolean silent = s.aliveAt()
-                .filter(t ->
-                        stalls.silence(t).compareTo(settings.workers().report().multipliedBy(2)) < 0)
+                .filter(t -> stalls.silence(t)
+                                .compareTo(Durations.times(settings.workers().report(), 2))
+                        < 0)
                 .isEmpty();
         if (underWay >= mostCalls || silent && underWayToSilent >= mostCalls / 2) {
             inLine.add(record.id());
