--- a/src/main/java/org/dunespindle/coordination/MachineRoom.java
+++ b/src/main/java/org/dunespindle/coordination/MachineRoom.java
@@ -19,8 +19,8 @@
     /** Tasks that may have to give way, the latest booked first: they have least to lose. */
     private final List<Victim> victims = new ArrayList<>(2);
 
-    /** Images that tasks here still wait for, as far as is known: fetches of several at the same time share the machine's rate. */
-    private final Set<String> fetching = new HashSet<>(2);
+    /** Images of the tasks here; those that the machine has are told apart only when somebody asks. */
+    private final List<String> taskImages = new ArrayList<>(2);
     /** How well it suits the job that is being planned. */
     private double score;
 
@@ -70,14 +70,17 @@
         return host.images().contains(image);
     }
 
-    /** Whether tasks here already wait for this image. */
-    boolean fetches(String image) {
-        return fetching.contains(image);
-    }
-
-    /** How many other images tasks here wait for. */
-    int otherFetches(String image) {
-        return fetching.size() - (fetching.contains(image) ? 1 : 0);
+    /**
+     * Images that tasks here still wait for, as far as is known: fetches of several at the same time share the machine's rate.
+     */
+    Set<String> fetches() {
+        var fetches = new HashSet<String>();
+        for (String image : taskImages) {
+            if (!hasImage(image)) {
+                fetches.add(image);
+            }
+        }
+        return fetches;
     }
 
     List<Victim> victims() {
@@ -109,7 +112,7 @@
     void occupy(JobRecord job, Allocation allocation) {
         Resources one = job.job().perTask();
         take(one);
-        noteFetch(job.job().image());
+        needsImage(job.job().image());
         if (allocation.stopping() || !job.open() || job.mode() == JobRecord.Mode.STOP) {
             ending = ending.plus(one);
         } else if (!job.job().gang()) {
@@ -117,10 +120,10 @@
         }
     }
 
-    /** Notes that a task here waits for an image, unless the machine has it. */
-    void noteFetch(String image) {
-        if (!hasImage(image)) {
-            fetching.add(image);
+    /** Notes that a task here needs an image. */
+    void needsImage(String image) {
+        if (taskImages.isEmpty() || !taskImages.get(taskImages.size() - 1).equals(image)) {
+            taskImages.add(image);
         }
     }
 
--- a/src/main/java/org/dunespindle/coordination/PlanState.java
+++ b/src/main/java/org/dunespindle/coordination/PlanState.java
@@ -49,6 +49,8 @@
 
     private final Map<Eligibility, List<MachineRoom>> candidates = new HashMap<>();
     private final Map<ImageEligibility, List<MachineRoom>> candidatesWithImage = new HashMap<>();
+    /** Machines by the images that they have, worked out when first asked for. */
+    private final Map<String, List<MachineRoom>> byImage = new HashMap<>();
 
     /** Which machines a job may use. */
     private record Eligibility(boolean spot, Optional<String> zone, Optional<List<String>> types) {
@@ -149,7 +151,7 @@
     /** Takes room for a task, and its part of the team's limit. */
     void take(Submission job, MachineRoom machine) {
         machine.take(job.perTask());
-        machine.noteFetch(job.image());
+        machine.needsImage(job.image());
         use.merge(job.team(), job.perTask(), Resources::plus);
         wanted.add(machine.host().id());
         if (job.gang()) {
@@ -189,10 +191,16 @@
 
     /** Machines that the job may use, wherever its zone rules lead it. Worked out once for all jobs that ask alike: most do. */
     List<MachineRoom> candidates(Submission job) {
-        return candidates.computeIfAbsent(new Eligibility(job.spot(), job.zone(), job.types()), this::eligible);
+        var asked = new Eligibility(job.spot(), job.zone(), job.types());
+        List<MachineRoom> known = candidates.get(asked);
+        if (known == null) {
+            known = eligible(machines, asked);
+            candidates.put(asked, known);
+        }
+        return known;
     }
 
-    private List<MachineRoom> eligible(Eligibility asked) {
+    private static List<MachineRoom> eligible(List<MachineRoom> machines, Eligibility asked) {
         var list = new ArrayList<MachineRoom>();
         for (MachineRoom machine : machines) {
             if (asked.includes(machine.host())) {
@@ -205,17 +213,23 @@
     /** Those of the machines that the job may use which have its image. */
     List<MachineRoom> candidatesWithImage(Submission job) {
         var key = new ImageEligibility(new Eligibility(job.spot(), job.zone(), job.types()), job.image());
-        return candidatesWithImage.computeIfAbsent(key, k -> withImage(candidates(job), job.image()));
+        List<MachineRoom> known = candidatesWithImage.get(key);
+        if (known == null) {
+            known = eligible(byImage().getOrDefault(job.image(), List.of()), key.machines);
+            candidatesWithImage.put(key, known);
+        }
+        return known;
     }
 
-    private static List<MachineRoom> withImage(List<MachineRoom> machines, String image) {
-        var list = new ArrayList<MachineRoom>();
-        for (MachineRoom machine : machines) {
-            if (machine.hasImage(image)) {
-                list.add(machine);
+    private Map<String, List<MachineRoom>> byImage() {
+        if (byImage.isEmpty()) {
+            for (MachineRoom machine : machines) {
+                for (String image : machine.host().images()) {
+                    byImage.computeIfAbsent(image, key -> new ArrayList<>()).add(machine);
+                }
             }
         }
-        return list;
+        return byImage;
     }
 
     /** Of some machines those with room, the best first. */
@@ -248,8 +262,10 @@
         if (machine.hasImage(image)) {
             return IMAGE;
         }
-        double shared = OTHER_FETCH * Math.min(MOST_OTHER_FETCHES, machine.otherFetches(image));
-        return (machine.fetches(image) ? IMAGE_ON_ITS_WAY : 0) - shared;
+        Set<String> fetches = machine.fetches();
+        boolean onItsWay = fetches.contains(image);
+        int others = fetches.size() - (onItsWay ? 1 : 0);
+        return (onItsWay ? IMAGE_ON_ITS_WAY : 0) - OTHER_FETCH * Math.min(MOST_OTHER_FETCHES, others);
     }
 
     /** How many of a job's tasks are in each zone. */
--- a/src/test/java/org/dunespindle/TestSettings.java
+++ b/src/test/java/org/dunespindle/TestSettings.java
@@ -8,6 +8,7 @@
 public final class TestSettings {
     private TestSettings() {}
 
+    /** The settings of one controller. */
     public static JsonNode node(
             String name, String front, String peerListen, String cloud, String state, String seeds) {
         String file = """
--- a/src/test/java/org/dunespindle/coordination/PlannerTest.java
+++ b/src/test/java/org/dunespindle/coordination/PlannerTest.java
@@ -38,15 +38,12 @@
             new Settings.Objective("deadline", "d", Duration.ZERO, 0.9, 1.5),
             new Settings.Objective("deadline", "d", Duration.ZERO, 0.9, 1)));
 
-    private static JobRecord job(
-            int id,
-            String team,
-            Shape shape,
-            Priority priority,
-            int tasks,
-            boolean sameZone,
-            boolean spread,
-            boolean spot) {
+    /** Where a job may go. */
+    private record Where(boolean sameZone, boolean spread, boolean spot) {}
+
+    private static final Where ANYWHERE = new Where(false, false, true);
+
+    private static JobRecord job(int id, String team, Shape shape, Priority priority, int tasks, Where where) {
         return JobRecord.accepted(
                 new Submission(
                         "wk-%06d".formatted(id),
@@ -58,9 +55,9 @@
                         new Resources(1, 1, 1),
                         Optional.empty(),
                         Optional.empty(),
-                        sameZone,
-                        spread,
-                        spot,
+                        where.sameZone,
+                        where.spread,
+                        where.spot,
                         "i",
                         1,
                         Duration.ofSeconds(10),
@@ -105,9 +102,7 @@
                     random.nextBoolean() ? Shape.GANG : Shape.ARRAY,
                     Priority.values()[random.nextInt(4)],
                     1 + random.nextInt(5),
-                    sameZone,
-                    !sameZone && random.nextBoolean(),
-                    random.nextBoolean()));
+                    new Where(sameZone, !sameZone && random.nextBoolean(), random.nextBoolean())));
         }
         var hosts = new ArrayList<Planner.Host>();
         for (int i = 0; i < 5; i++) {
@@ -155,10 +150,10 @@
 
     @Test
     void noPlaceholderBeforeTheLimitCoversTheWholeGang() {
-        JobRecord running = job(1, "red", Shape.ARRAY, Priority.URGENT, 3, false, false, true);
+        JobRecord running = job(1, "red", Shape.ARRAY, Priority.URGENT, 3, ANYWHERE);
         running = running.placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
         Planner.Plan plan = plan(
-                List.of(running, job(2, "red", Shape.GANG, Priority.URGENT, 4, false, false, true)),
+                List.of(running, job(2, "red", Shape.GANG, Priority.URGENT, 4, ANYWHERE)),
                 List.of(host("a", "east", false, 8)));
         assertEquals(List.of(), plan.bookings());
         assertTrue(plan.reasons().get("wk-000002").contains("limit"));
@@ -168,10 +163,10 @@
     void oneGangPerTeamIsInPlacementAndOthersGoOn() {
         Planner.Plan plan = plan(
                 List.of(
-                        job(1, "blue", Shape.GANG, Priority.NORMAL, 4, false, false, true),
-                        job(2, "blue", Shape.GANG, Priority.URGENT, 2, false, false, true),
-                        job(3, "red", Shape.GANG, Priority.URGENT, 2, false, false, true),
-                        job(4, "blue", Shape.ARRAY, Priority.LOW, 1, false, false, true)),
+                        job(1, "blue", Shape.GANG, Priority.NORMAL, 4, ANYWHERE),
+                        job(2, "blue", Shape.GANG, Priority.URGENT, 2, ANYWHERE),
+                        job(3, "red", Shape.GANG, Priority.URGENT, 2, ANYWHERE),
+                        job(4, "blue", Shape.ARRAY, Priority.LOW, 1, ANYWHERE)),
                 List.of(host("a", "east", false, 4)));
         assertTrue(plan.reasons().get("wk-000002").contains("behind gang wk-000001"));
         assertEquals(
@@ -181,13 +176,13 @@
 
     @Test
     void aFullyBookedGangAndGangsOfOneDoNotHoldUpTheQueue() {
-        JobRecord booked = job(1, "blue", Shape.GANG, Priority.URGENT, 2, false, false, true)
-                .placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
+        JobRecord booked =
+                job(1, "blue", Shape.GANG, Priority.URGENT, 2, ANYWHERE).placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
         Planner.Plan plan = plan(
                 List.of(
                         booked,
-                        job(2, "blue", Shape.GANG, Priority.URGENT, 2, false, false, true),
-                        job(3, "blue", Shape.GANG, Priority.URGENT, 1, false, false, true)),
+                        job(2, "blue", Shape.GANG, Priority.URGENT, 2, ANYWHERE),
+                        job(3, "blue", Shape.GANG, Priority.URGENT, 1, ANYWHERE)),
                 List.of(host("a", "east", false, 5)));
         assertEquals(
                 List.of("wk-000002", "wk-000003"),
@@ -196,10 +191,10 @@
 
     @Test
     void lowerWorkGivesWayOnOneMachineOnly() {
-        JobRecord low = job(1, "blue", Shape.ARRAY, Priority.LOW, 4, false, false, true)
+        JobRecord low = job(1, "blue", Shape.ARRAY, Priority.LOW, 4, ANYWHERE)
                 .placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "b", 3, "b")));
         var hosts = List.of(host("a", "east", false, 2), host("b", "east", false, 2));
-        JobRecord gang = job(2, "red", Shape.GANG, Priority.URGENT, 1, false, false, true);
+        JobRecord gang = job(2, "red", Shape.GANG, Priority.URGENT, 1, ANYWHERE);
         Planner.Plan plan = plan(List.of(low, gang), hosts);
         assertEquals(1, plan.evictions().size());
         // While the stopped task has not left, nothing else is emptied for the same gang.
@@ -211,8 +206,8 @@
     void workThatCanMeetNoTimeAnyMoreLetsTheOthersGoFirst() {
         // The first is within its team's guarantee besides. Now is second 1000: it came at 50 and is past both times,
         // the second can still meet 900 s.
-        JobRecord lost = begun(job(50, "blue", Shape.ARRAY, Priority.LOW, 2, false, false, true));
-        JobRecord open = begun(job(600, "blue", Shape.ARRAY, Priority.LOW, 3, false, false, true));
+        JobRecord lost = begun(job(50, "blue", Shape.ARRAY, Priority.LOW, 2, ANYWHERE));
+        JobRecord open = begun(job(600, "blue", Shape.ARRAY, Priority.LOW, 3, ANYWHERE));
         Planner.Plan plan = plan(List.of(lost, open), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000600"),
@@ -247,14 +242,14 @@
         assertEquals(List.of(Duration.ofSeconds(100), Duration.ofSeconds(150)), TARGETS.all(due));
         assertEquals(
                 List.of(Duration.ofSeconds(200), Duration.ofSeconds(900)),
-                TARGETS.all(job(1, "red", Shape.ARRAY, Priority.LOW, 1, false, false, true)
-                        .job()));
+                TARGETS.all(
+                        job(1, "red", Shape.ARRAY, Priority.LOW, 1, ANYWHERE).job()));
     }
 
     @Test
     void anArrayThatHasWaitedLongBeginsBeforeSmallerOnes() {
-        JobRecord large = job(50, "blue", Shape.ARRAY, Priority.LOW, 9, false, false, true);
-        JobRecord small = begun(job(990, "blue", Shape.ARRAY, Priority.LOW, 2, false, false, true));
+        JobRecord large = job(50, "blue", Shape.ARRAY, Priority.LOW, 9, ANYWHERE);
+        JobRecord small = begun(job(990, "blue", Shape.ARRAY, Priority.LOW, 2, ANYWHERE));
         Planner.Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000050"),
@@ -263,18 +258,21 @@
 
     @Test
     void whenNotAllCanMeetTheirTimeTheLeastWorkGoesFirst() {
-        JobRecord large = job(980, "blue", Shape.ARRAY, Priority.LOW, 9, false, false, true);
-        JobRecord small = job(990, "blue", Shape.ARRAY, Priority.LOW, 2, false, false, true);
+        JobRecord large = job(980, "blue", Shape.ARRAY, Priority.LOW, 9, ANYWHERE);
+        JobRecord small = job(990, "blue", Shape.ARRAY, Priority.LOW, 2, ANYWHERE);
         Planner.Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000990"),
                 plan.bookings().stream().map(b -> b.job().id()).toList());
     }
 
-    /** An array with as many tasks under way as its record takes: those that have ended make place at once, not when their end is stored by itself. */
+    /**
+     * An array with as many tasks under way as its record takes: those that have ended make place at once, not when their end is stored
+     * by itself.
+     */
     @Test
     void endedTasksDoNotCountAgainstTheRecord() {
-        JobRecord full = job(1, "red", Shape.ARRAY, Priority.LOW, 9, false, false, true)
+        JobRecord full = job(1, "red", Shape.ARRAY, Priority.LOW, 9, ANYWHERE)
                 .placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
         var ended = Set.of(
                 new Planner.Ended(full.id(), 0, full.allocations().get(0).base()),
@@ -299,9 +297,10 @@
     /** Room that urgent jobs will need within seconds is not filled with work that would have to give way again. */
     @Test
     void roomForWhatComesWithinSecondsIsKeptFromLowerWork() {
-        var phantom = new Headroom.Phantom(job(1, "red", Shape.GANG, Priority.URGENT, 2, false, false, false), 2);
-        JobRecord low = job(990, "blue", Shape.ARRAY, Priority.LOW, 5, false, false, true);
-        JobRecord equal = job(991, "blue", Shape.ARRAY, Priority.URGENT, 1, false, false, true);
+        var phantom =
+                new Headroom.Phantom(job(1, "red", Shape.GANG, Priority.URGENT, 2, new Where(false, false, false)), 2);
+        JobRecord low = job(990, "blue", Shape.ARRAY, Priority.LOW, 5, ANYWHERE);
+        JobRecord equal = job(991, "blue", Shape.ARRAY, Priority.URGENT, 1, ANYWHERE);
         var hosts = List.of(host("a", "east", false, 4));
         Planner.Plan plan = Planner.plan(new Planner.Snapshot(
                 Instant.ofEpochSecond(1000),
@@ -324,10 +323,10 @@
 
     @Test
     void equalPriorityNeverGivesWay() {
-        JobRecord other = job(1, "blue", Shape.ARRAY, Priority.URGENT, 2, false, false, true)
-                .placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
+        JobRecord other =
+                job(1, "blue", Shape.ARRAY, Priority.URGENT, 2, ANYWHERE).placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
         Planner.Plan plan = plan(
-                List.of(other, job(2, "red", Shape.GANG, Priority.URGENT, 1, false, false, true)),
+                List.of(other, job(2, "red", Shape.GANG, Priority.URGENT, 1, ANYWHERE)),
                 List.of(host("a", "east", false, 2)));
         assertEquals(List.of(), plan.evictions());
         assertEquals(1, plan.shortfalls().size());
@@ -337,9 +336,9 @@
     @Test
     void machinesAreAskedForAheadOfAGangsTurnButNothingIsPlaced() {
         List<JobRecord> gangs = List.of(
-                job(1, "red", Shape.GANG, Priority.URGENT, 2, false, false, false),
-                job(2, "red", Shape.GANG, Priority.URGENT, 3, false, false, false),
-                job(3, "red", Shape.GANG, Priority.URGENT, 4, false, false, false));
+                job(1, "red", Shape.GANG, Priority.URGENT, 2, new Where(false, false, false)),
+                job(2, "red", Shape.GANG, Priority.URGENT, 3, new Where(false, false, false)),
+                job(3, "red", Shape.GANG, Priority.URGENT, 4, new Where(false, false, false)));
         Planner.Plan empty = plan(gangs, List.of());
         // The third would be beyond the team's limit of six together with those before it.
         assertEquals(
--- /dev/null
+++ b/src/test/java/org/dunespindle/coordination/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of decisions and of parts of a controller. */
+package org.dunespindle.coordination;
--- /dev/null
+++ b/src/test/java/org/dunespindle/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the program as a whole. */
+package org.dunespindle;
--- /dev/null
+++ b/src/test/java/org/dunespindle/protocol/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of message formats. */
+package org.dunespindle.protocol;
--- /dev/null
+++ b/src/test/java/org/dunespindle/sim/ClusterRules.java
@@ -0,0 +1,209 @@
+package org.dunespindle.sim;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import org.dunespindle.protocol.Submission;
+
+/** Watches over the protocol's rules as the workers of a simulated cluster see them, and over what fails a day. */
+final class ClusterRules {
+    private static final Duration LONGEST_WAIT = Duration.ofSeconds(90);
+    private static final Duration LARGEST_BEGIN = Duration.ofMinutes(4);
+    private final SimulatedCluster cluster;
+    private final Map<String, Duration> waitsBesideRoom = new HashMap<>();
+
+    ClusterRules(SimulatedCluster cluster) {
+        this.cluster = cluster;
+    }
+
+    // The rules, seen from the cluster.workers
+
+    /** All tasks that are on a machine. */
+    List<WorkerStandIn.Task> live() {
+        var list = new ArrayList<WorkerStandIn.Task>();
+        cluster.workers.values().stream()
+                .filter(w -> !w.dead)
+                .forEach(w -> w.tasks().forEach(t -> {
+                    if (t.onMachine()) {
+                        list.add(t);
+                    }
+                }));
+        return list;
+    }
+
+    /** Checks teams' limits and cancelled tasks now. */
+    void quota() {
+        var use = new HashMap<String, Integer>();
+        for (WorkerStandIn.Task t : live()) {
+            use.merge(cluster.jobs.get(t.task.job()).team(), 1, Integer::sum);
+            Duration c = cluster.cancelled.get(t.task.job());
+            if (c != null && cluster.sim.now().minus(c).compareTo(SimulatedCluster.CANCEL) > 0) {
+                cluster.broken.add("ran_cancelled: " + t.task);
+            }
+        }
+        if (cluster.mostMachines == 7
+                && (use.getOrDefault("red", 0) > SimulatedCluster.QUOTA_RED
+                        || use.getOrDefault("blue", 0) > SimulatedCluster.QUOTA_BLUE)) {
+            cluster.broken.add("quota: " + use);
+        }
+    }
+
+    /** A task starts: checks that it is nowhere else and in a place that its job allows. */
+    void started(WorkerStandIn worker, WorkerStandIn.Task started) {
+        Submission job = cluster.jobs.get(started.task.job());
+        var zones = new HashSet<String>();
+        for (WorkerStandIn.Task t : live()) {
+            if (t != started && t.task.equals(started.task)) {
+                cluster.broken.add("ran_twice: " + t.task + " on " + t.host() + " and " + started.host());
+            }
+            if (t.task.job().equals(started.task.job()) && cluster.workers.containsKey(t.host())) {
+                zones.add(cluster.workers.get(t.host()).zone);
+            }
+        }
+        long inZone = live().stream()
+                .filter(t -> t.task.job().equals(started.task.job())
+                        && cluster.workers.containsKey(t.host())
+                        && cluster.workers.get(t.host()).zone.equals(worker.zone))
+                .count();
+        boolean tooMany = job.spread() && inZone > (job.tasks() + 1) / 2;
+        boolean otherZone = job.zone().filter(z -> !z.equals(worker.zone)).isPresent();
+        if ((job.sameZone() && zones.size() > 1) || (worker.spot && !job.spot()) || tooMany || otherZone) {
+            cluster.broken.add("wrong_place: " + started.task);
+        }
+        cluster.begunAt.putIfAbsent(started.task.job(), cluster.sim.now());
+        if (cluster.cancelled.containsKey(started.task.job())) {
+            cluster.startsAfterCancel.add(started.task.toString());
+        }
+    }
+
+    /** Once the troubles are over, no job waits long while a machine that fits has room and its team is under its limit. */
+    void waits() {
+        if (!cluster.calm || cluster.mostMachines != 7) {
+            return;
+        }
+        List<WorkerStandIn.Task> live = live();
+        for (Submission job : cluster.jobs.values()) {
+            boolean isOver = cluster.over(job.id())
+                    || cluster.wantedGone.contains(job.id())
+                    || !cluster.told.containsKey(job.id());
+            int ended = cluster.done.getOrDefault(job.id(), Set.of()).size();
+            long here = live.stream().filter(t -> t.task.job().equals(job.id())).count();
+            boolean missing = job.gang() ? here < job.tasks() : here + ended < job.tasks();
+            long used = live.stream()
+                    .filter(t -> cluster.jobs.get(t.task.job()).team().equals(job.team()))
+                    .count();
+            long needs = job.gang() ? job.tasks() - here : 1;
+            boolean underLimit = used + needs
+                    <= (job.team().equals("red") ? SimulatedCluster.QUOTA_RED : SimulatedCluster.QUOTA_BLUE);
+            if (isOver || !missing || !underLimit || room(job) < needs) {
+                waitsBesideRoom.remove(job.id());
+            } else if (cluster.sim
+                            .now()
+                            .minus(waitsBesideRoom.computeIfAbsent(job.id(), k -> cluster.sim.now()))
+                            .compareTo(LONGEST_WAIT)
+                    > 0) {
+                cluster.broken.add("waits beside room: " + job.id());
+                waitsBesideRoom.remove(job.id());
+            }
+        }
+    }
+
+    /** Tasks of a job that would find room now, in one zone if they must be together. */
+    private int room(Submission job) {
+        var perZone = new HashMap<String, Integer>();
+        for (WorkerStandIn w : cluster.workers.values()) {
+            boolean fits = !w.dead
+                    && !w.mute
+                    && !w.oneWay
+                    && w.takenAt == null
+                    && (job.spot() || !w.spot)
+                    && job.zone().map(w.zone::equals).orElse(true);
+            if (fits) {
+                perZone.merge(w.zone, SimulatedCluster.SLOTS - (int) w.held(), Integer::sum);
+            }
+        }
+        return job.sameZone()
+                ? perZone.values().stream().mapToInt(n -> n).max().orElse(0)
+                : perZone.values().stream().mapToInt(n -> n).sum();
+    }
+
+    /**
+     * What fails a day: an accepted job about which no controller answers any more, a class, a team or a class's largest cluster.jobs of which
+     * less than half are served, and largest cluster.jobs that began late.
+     */
+    List<String> dayFailures() {
+        var failures = new ArrayList<String>();
+        for (String id : cluster.told.keySet()) {
+            for (int node = 0; node < 3; node++) {
+                var answer = cluster.poll(node, id);
+                if (!answer.isDone() || answer.join().status() != 200) {
+                    failures.add("forgotten: " + id + " at n" + node);
+                }
+            }
+        }
+        var kept = cluster.jobs.values().stream()
+                .filter(j -> cluster.told.containsKey(j.id()) && !cluster.wantedGone.contains(j.id()))
+                .toList();
+        var groups = new TreeMap<String, List<Submission>>();
+        for (Submission j : kept) {
+            groups.computeIfAbsent("class " + j.jobClass() + (j.gang() ? " of gangs" : ""), k -> new ArrayList<>())
+                    .add(j);
+            groups.computeIfAbsent("team " + j.team(), k -> new ArrayList<>()).add(j);
+        }
+        for (boolean gang : new boolean[] {true, false}) {
+            int largest = kept.stream()
+                    .filter(j -> j.gang() == gang)
+                    .mapToInt(Submission::tasks)
+                    .max()
+                    .orElse(0);
+            kept.stream()
+                    .filter(j -> j.gang() == gang && j.tasks() == largest)
+                    .forEach(j -> groups.computeIfAbsent(
+                                    "largest " + (gang ? "gangs" : "arrays"), k -> new ArrayList<>())
+                            .add(j));
+        }
+        groups.forEach((name, members) -> {
+            if (members.stream()
+                                    .filter(j -> cluster.lastTold(j.id()).equals("done"))
+                                    .count()
+                            * 2
+                    < members.size()) {
+                failures.add("less than half served: " + name);
+            }
+            if (name.startsWith("largest")) {
+                members.stream()
+                        .filter(j -> !cluster.begunAt.containsKey(j.id())
+                                || cluster.begunAt
+                                                .get(j.id())
+                                                .minus(cluster.submittedAt.get(j.id()))
+                                                .compareTo(LARGEST_BEGIN)
+                                        > 0)
+                        .forEach(j -> failures.add(name + " began late: " + j.id()));
+            }
+        });
+        if (cluster.begunAt.isEmpty()) {
+            failures.add("nothing_ran");
+        }
+        return failures;
+    }
+
+    /** What is on the machines that live, for whoever looks into a day. */
+    String dump() {
+        var text = new StringBuilder("leader " + cluster.leader() + ":");
+        cluster.alive().forEach(w -> {
+            text.append(' ').append(w.id()).append(w.zone.charAt(0)).append(w.spot ? "s" : "");
+            w.tasks()
+                    .forEach(t -> text.append(' ')
+                            .append(t.task)
+                            .append('#')
+                            .append(t.attempt)
+                            .append(t.phase.charAt(0)));
+        });
+        return text.toString();
+    }
+}
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -272,7 +272,7 @@
         for (String id : List.of("wk-000001", "wk-000002")) {
             assertTrue(
                     List.of("running", "done").contains(cluster.lastTold(id)),
-                    id + " waits for its timer, all placed: " + cluster.dump());
+                    id + " waits for its timer, all placed: " + cluster.rules.dump());
         }
         assertEquals(List.of(), cluster.broken);
     }
@@ -403,7 +403,10 @@
         assertKept(mix);
     }
 
-    /** A team at its limit, the leader changes, some of its machines cannot be asked, and one of its jobs is cancelled meanwhile: its use counts until the proof. */
+    /**
+     * A team at its limit, the leader changes, some of its machines cannot be asked, and one of its jobs is cancelled meanwhile: its use
+     * counts until the proof.
+     */
     @ParameterizedTest
     @ValueSource(longs = {421, 422, 423, 424, 425})
     void aTeamAtItsLimitWhenTheLeaderChanges(long seed) {
@@ -460,7 +463,10 @@
         assertKept(mix, "late write");
     }
 
-    /** Old reports, of earlier sessions too since leases run out meanwhile, arrive long after newer ones, also at controllers that have just started. */
+    /**
+     * Old reports, of earlier sessions too since leases run out meanwhile, arrive long after newer ones, also at controllers that have
+     * just started.
+     */
     @ParameterizedTest
     @ValueSource(longs = {451, 452, 453, 454})
     void oldReportsOfEarlierSessionsArriveLate(long seed) {
@@ -480,7 +486,10 @@
         assertKept(mix, "later session");
     }
 
-    /** Cancellation, question and repeated submission at the very moment of a job's end, with no other trouble: done and cancelled are never both told. */
+    /**
+     * Cancellation, question and repeated submission at the very moment of a job's end, with no other trouble: done and cancelled are
+     * never both told.
+     */
     @ParameterizedTest
     @ValueSource(longs = {461, 462, 463, 464})
     void requestsMeetTheEndOfAJob(long seed) {
--- a/src/test/java/org/dunespindle/sim/FailureMix.java
+++ b/src/test/java/org/dunespindle/sim/FailureMix.java
@@ -135,7 +135,7 @@
         cluster.sim.after(OVER, () -> cluster.calm = true);
         cluster.sim.run(END);
         var wrong = new ArrayList<>(cluster.broken);
-        wrong.addAll(cluster.dayFailures());
+        wrong.addAll(cluster.rules.dayFailures());
         for (String id : ids) {
             if (!List.of("done", "cancelled").contains(cluster.lastTold(id))) {
                 wrong.add(id + " is " + cluster.lastTold(id));
@@ -167,7 +167,15 @@
         return some;
     }
 
+    /** Begins a trouble; each belongs to one of the groups, and the others let it pass. */
     private void begin(Trouble trouble) {
+        controllerTrouble(trouble);
+        machineTrouble(trouble);
+        messageTrouble(trouble);
+        userTrouble(trouble);
+    }
+
+    private void controllerTrouble(Trouble trouble) {
         switch (trouble) {
             case LEADER_WITHOUT_STATE_AND_PEERS -> {
                 cluster.isolatedNode = leader();
@@ -197,6 +205,20 @@
                 }
             }
             case STANDS_STILL -> cluster.freeze((leader() + random.nextInt(2)) % 3, millis(2000, 20_000));
+            case PEERS_REFUSE -> {
+                cluster.peersRefuse = true;
+                until(millis(5000, 40_000), () -> cluster.peersRefuse = false);
+            }
+            case LEADER_DEAF -> {
+                cluster.deafNode = leader();
+                until(millis(8000, 40_000), () -> cluster.deafNode = -1);
+            }
+            default -> {}
+        }
+    }
+
+    private void machineTrouble(Trouble trouble) {
+        switch (trouble) {
             case MUTE ->
                 someMachines().forEach(w -> {
                     w.mute(true);
@@ -209,6 +231,28 @@
                 });
             case HANG -> someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
             case MACHINES_CUT -> someMachines().forEach(w -> cluster.cut(w, millis(2000, 30_000)));
+            case HELD_REPORTS ->
+                someMachines().forEach(w -> {
+                    w.holdReports(millis(3000, 25_000));
+                    until(millis(3000, 15_000), () -> w.holdReports(Duration.ZERO));
+                });
+            case BLOCKED -> {
+                List<WorkerStandIn> some = someMachines();
+                int node = random.nextInt(3);
+                some.forEach(w -> cluster.block(node, w));
+                until(millis(10_000, 60_000), () -> some.forEach(w -> cluster.unblock(node, w)));
+            }
+            case DIES -> someMachines().stream().limit(1).forEach(cluster::die);
+            case TAKEN ->
+                someMachines().stream()
+                        .filter(w -> w.takenAt == null)
+                        .forEach(w -> cluster.take(w, millis(6000, 14_000)));
+            default -> {}
+        }
+    }
+
+    private void messageTrouble(Trouble trouble) {
+        switch (trouble) {
             case LATE_WRITES -> {
                 cluster.lateWrites = 0.1 + random.nextDouble() * 0.3;
                 until(millis(10_000, 50_000), () -> cluster.lateWrites = 0);
@@ -217,11 +261,21 @@
                 cluster.lateCopies = 2;
                 until(millis(20_000, 60_000), () -> cluster.lateCopies = 0);
             }
-            case HELD_REPORTS ->
-                someMachines().forEach(w -> {
-                    w.holdReports(millis(3000, 25_000));
-                    until(millis(3000, 15_000), () -> w.holdReports(Duration.ZERO));
+            case LOSS -> {
+                cluster.loss = 0.03;
+                cluster.repeat = 0.1;
+                until(millis(10_000, 50_000), () -> {
+                    cluster.loss = 0;
+                    cluster.repeat = 0;
                 });
+            }
+            case LATE_RENTAL -> cluster.lateRentals = true;
+            default -> {}
+        }
+    }
+
+    private void userTrouble(Trouble trouble) {
+        switch (trouble) {
             case CANCEL_NOW -> {
                 ids.stream()
                         .filter(id -> cluster.lastTold(id).equals("running"))
@@ -247,34 +301,7 @@
                     });
                 }
             }
-            case BLOCKED -> {
-                List<WorkerStandIn> some = someMachines();
-                int node = random.nextInt(3);
-                some.forEach(w -> cluster.block(node, w));
-                until(millis(10_000, 60_000), () -> some.forEach(w -> cluster.unblock(node, w)));
-            }
-            case PEERS_REFUSE -> {
-                cluster.peersRefuse = true;
-                until(millis(5000, 40_000), () -> cluster.peersRefuse = false);
-            }
-            case LOSS -> {
-                cluster.loss = 0.03;
-                cluster.repeat = 0.1;
-                until(millis(10_000, 50_000), () -> {
-                    cluster.loss = 0;
-                    cluster.repeat = 0;
-                });
-            }
-            case LATE_RENTAL -> cluster.lateRentals = true;
-            case DIES -> someMachines().stream().limit(1).forEach(cluster::die);
-            case TAKEN ->
-                someMachines().stream()
-                        .filter(w -> w.takenAt == null)
-                        .forEach(w -> cluster.take(w, millis(6000, 14_000)));
-            case LEADER_DEAF -> {
-                cluster.deafNode = leader();
-                until(millis(8000, 40_000), () -> cluster.deafNode = -1);
-            }
+            default -> {}
         }
     }
 }
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -516,7 +516,10 @@
         assertEquals(List.of(), cluster.broken);
     }
 
-    /** Three controllers in two zones: the one alone in its zone is cut off, or the two together, with the leader on either side; some crash meanwhile. */
+    /**
+     * Three controllers in two zones: the one alone in its zone is cut off, or the two together, with the leader on either side; some
+     * crash meanwhile.
+     */
     @ParameterizedTest
     @CsvSource({"211, west, 2", "212, west, 0", "213, east, 0", "214, east, 2", "215, west, 1", "216, east, 1"})
     void aZoneIsCutOffFromEverything(long seed, String zone, int crashed) {
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -96,7 +96,10 @@
         ClusterTest.assertAllDone(cluster, ids);
     }
 
-    /** The busiest controller is silent for a minute and a half, then goes on as if nothing had been; users are served meanwhile and no machine is given back for it. */
+    /**
+     * The busiest controller is silent for a minute and a half, then goes on as if nothing had been; users are served meanwhile and no
+     * machine is given back for it.
+     */
     @ParameterizedTest
     @ValueSource(longs = {621, 622, 623, 624})
     void aControllerSilentForLongComesBackAsIfNothingHadBeen(long seed) {
--- a/src/test/java/org/dunespindle/sim/Sim.java
+++ b/src/test/java/org/dunespindle/sim/Sim.java
@@ -22,10 +22,12 @@
         }
     }
 
+    /** Creates a simulation whose random choices follow from the seed. */
     public Sim(long seed) {
         this.random = new Random(seed);
     }
 
+    /** Virtual time since the start. */
     public Duration now() {
         return now;
     }
@@ -35,14 +37,17 @@
         afterEach = check;
     }
 
+    /** Schedules work. */
     public void after(Duration delay, Runnable work) {
         queue.add(new Event(now.plus(delay.isNegative() ? Duration.ZERO : delay), sequence++, work));
     }
 
+    /** Schedules work after so many milliseconds. */
     public void after(long millis, Runnable work) {
         after(Duration.ofMillis(millis), work);
     }
 
+    /** Runs everything that is due until then. */
     public void run(Duration until) {
         while (!queue.isEmpty() && queue.peek().at().compareTo(until) <= 0) {
             Event e = queue.poll();
@@ -58,10 +63,12 @@
         private boolean dead;
         private Duration frozenUntil = Duration.ZERO;
 
+        /** Ends the process: none of its timers fires any more. */
         public void kill() {
             dead = true;
         }
 
+        /** Whether it has ended. */
         public boolean isDead() {
             return dead;
         }
@@ -71,6 +78,7 @@
             frozenUntil = now.plus(length);
         }
 
+        /** Whether it stands still. */
         public boolean frozen() {
             return now.compareTo(frozenUntil) < 0;
         }
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -38,26 +38,26 @@
     static final Duration LEASE = Duration.ofSeconds(10);
     static final Duration GANG_WAIT = Duration.ofSeconds(30);
     static final Duration GANG_PEER = Duration.ofSeconds(5);
-    private static final int QUOTA_RED = 10;
-    private static final int QUOTA_BLUE = 6;
-    private static final Duration LONGEST_WAIT = Duration.ofSeconds(90);
-    private static final Duration LARGEST_BEGIN = Duration.ofMinutes(4);
+    static final int QUOTA_RED = 10;
+    static final int QUOTA_BLUE = 6;
     private static final Duration ANSWER_WITHIN = Duration.ofSeconds(4);
     static final Duration CANCEL = Duration.ofSeconds(30);
-    private static final List<String> ZONES = List.of("east", "west");
+    static final List<String> ZONES = List.of("east", "west");
     public final Sim sim;
     public final StateStandIn state;
-    public final List<String> broken = new ArrayList<>();
+    final ClusterRules rules = new ClusterRules(this);
+    final TaskRuns runs = new TaskRuns(this);
+    private final CloudStandIn cloud = new CloudStandIn(this);
+    final List<String> broken = new ArrayList<>();
     private final Controller[] nodes = new Controller[3];
     private final Sim.Process[] processes = new Sim.Process[3];
-    private final Map<String, WorkerStandIn> workers = new TreeMap<>();
-    private final Map<String, Submission> jobs = new LinkedHashMap<>();
-    private final Map<String, Set<Integer>> done = new HashMap<>();
-    private final Map<String, Duration> cancelled = new HashMap<>();
+    final Map<String, WorkerStandIn> workers = new TreeMap<>();
+    final Map<String, Submission> jobs = new LinkedHashMap<>();
+    final Map<String, Set<Integer>> done = new HashMap<>();
+    final Map<String, Duration> cancelled = new HashMap<>();
     private final Map<String, Duration> overAt = new HashMap<>();
     private final Map<String, Duration> offered = new HashMap<>();
-    private final Map<String, String> told = new HashMap<>();
-    private final Map<String, List<String>> rentalRequests = new HashMap<>();
+    final Map<String, String> told = new HashMap<>();
     /** The one controller that the state service refuses, or -1. */
     public int refusedNode = -1;
     /** The cloud answers nothing. */
@@ -77,18 +77,18 @@
     /** Controllers don't reach one another. */
     public boolean peersRefuse;
     /** Controllers that do not reach one another, as from * 3 + to. */
-    public final Set<Integer> peersBlocked = new HashSet<>();
+    final Set<Integer> peersBlocked = new HashSet<>();
     /** The longest that a message between controllers is held on its way. */
     public int peerDelayMillis;
     /** How many more copies of a report come late, and how late at most. */
     public int lateCopies;
 
-    public Duration latestCopy = Duration.ofSeconds(25);
-    private final int mostMachines;
-    private final int nameStep;
+    Duration latestCopy = Duration.ofSeconds(25);
+    final int mostMachines;
+    final int nameStep;
     public double loss;
     public double repeat;
-    private int nextMachine = 1;
+    int nextMachine = 1;
     /** The part of the transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
     public double lateWrites;
     /** The part of the jobs' ends at whose very moment their users call them off. */
@@ -96,31 +96,30 @@
     /** Users ask about a job, and repeat its submission, at its very end. */
     public boolean repeatedAtEnd;
     /** Jobs submitted with a mistake: each of their tasks fails as soon as it runs. */
-    public final Set<String> faultyJobs = new HashSet<>();
+    final Set<String> faultyJobs = new HashSet<>();
     /** Tasks that failed, by job. */
-    public final Map<String, Integer> errors = new HashMap<>();
+    final Map<String, Integer> errors = new HashMap<>();
     /** The only controller that users reach, or -1 for any that is healthy. */
     public int usersAt = -1;
     /** Whether somebody still makes trouble; what must hold once troubles are over is watched from then on. */
     public boolean calm;
     /** How often what a test is about has happened, by name: a meeting that did not take place proves nothing. */
-    public final Map<String, Integer> met = new TreeMap<>();
+    final Map<String, Integer> met = new TreeMap<>();
 
-    private final Set<String> wantedGone = new HashSet<>();
-    private final Map<String, Duration> submittedAt = new HashMap<>();
-    private final Map<String, Duration> begunAt = new HashMap<>();
-    private final Map<String, Duration> waitsBesideRoom = new HashMap<>();
+    final Set<String> wantedGone = new HashSet<>();
+    final Map<String, Duration> submittedAt = new HashMap<>();
+    final Map<String, Duration> begunAt = new HashMap<>();
     /** Tasks that began although their user had been told before that the job is cancelled. */
-    public final List<String> startsAfterCancel = new ArrayList<>();
+    final List<String> startsAfterCancel = new ArrayList<>();
 
     private boolean dirty;
 
-    public SimulatedCluster(long seed) {
+    SimulatedCluster(long seed) {
         this(seed, 7, 1);
     }
 
     /** A larger cluster; machines' names may be further apart, so that fewer of them share a record. */
-    public SimulatedCluster(long seed, int mostMachines, int nameStep) {
+    SimulatedCluster(long seed, int mostMachines, int nameStep) {
         this.mostMachines = mostMachines;
         this.nameStep = nameStep;
         sim = new Sim(seed);
@@ -133,7 +132,7 @@
             sim.afterEach(() -> {
                 if (dirty) {
                     dirty = false;
-                    quota();
+                    rules.quota();
                 }
             });
         }
@@ -171,7 +170,7 @@
     }
 
     /** Machines that are up from the start, in both zones. */
-    public void provide(int count) {
+    void provide(int count) {
         for (int i = 0; i < count; i++) {
             String id = "i-%04d".formatted(nextMachine);
             nextMachine += nameStep;
@@ -184,22 +183,22 @@
 
     public int slowStateMillis;
     /** How long a certain task runs, if not as long as others. */
-    public Function<TaskId, Optional<Duration>> lengthOf = p -> Optional.empty();
+    Function<TaskId, Optional<Duration>> lengthOf = p -> Optional.empty();
     /** When the last task of a job completed. */
-    public Optional<Duration> completedAt(String id) {
+    Optional<Duration> completedAt(String id) {
         return Optional.ofNullable(completed.get(id));
     }
 
     /** When its user was told first that a job is over. */
-    public Optional<Duration> toldOverAt(String id) {
+    Optional<Duration> toldOverAt(String id) {
         return over(id) ? Optional.ofNullable(overAt.get(id)) : Optional.empty();
     }
 
-    private final Map<String, Duration> completed = new HashMap<>();
+    final Map<String, Duration> completed = new HashMap<>();
     /** How long tasks run, if not a few seconds. */
-    public Optional<Duration> taskTime = Optional.empty();
+    Optional<Duration> taskTime = Optional.empty();
     /** Calls by kind so far, and changes written. */
-    public final Map<String, Integer> counts = new TreeMap<>();
+    final Map<String, Integer> counts = new TreeMap<>();
 
     private final int[] open = new int[3];
     /** Most calls to machines that one controller had under way at once. */
@@ -222,7 +221,7 @@
     }
 
     /** Kills a controller; a new process of the same name comes after the pause. */
-    public void crash(int i, Duration pause) {
+    void crash(int i, Duration pause) {
         if (processes[i].isDead()) {
             return; // it is down already; a second process of its name would come back beside the first
         }
@@ -233,7 +232,7 @@
     }
 
     /** A controller stands still for a while, its clocks going on. */
-    public void freeze(int i, Duration length) {
+    void freeze(int i, Duration length) {
         processes[i].freeze(length);
     }
 
@@ -253,12 +252,12 @@
     /** Machines returned to the cloud so far that were alive. */
     public int returned;
 
-    public WorkerStandIn worker(int index) {
+    WorkerStandIn worker(int index) {
         List<WorkerStandIn> all = workers.values().stream().filter(w -> !w.dead).toList();
         return all.isEmpty() ? null : all.get(index % all.size());
     }
 
-    public void die(WorkerStandIn w) {
+    void die(WorkerStandIn w) {
         w.dead = true;
     }
 
@@ -270,7 +269,7 @@
     }
 
     /** The cloud takes a machine away after a notice. */
-    public void take(WorkerStandIn w, Duration notice) {
+    void take(WorkerStandIn w, Duration notice) {
         w.takenAt = sim.now().plus(notice);
         sim.after(notice, () -> {
             w.dead = true;
@@ -279,17 +278,17 @@
     }
 
     /** A machine without network for a while; it is told nothing and heard by nobody, and what was sent arrives late. */
-    public void cut(WorkerStandIn w, Duration length) {
+    void cut(WorkerStandIn w, Duration length) {
         w.cut = true;
         sim.after(length, () -> w.cut = false);
     }
 
     /** From now on a controller and a machine cannot reach each other. */
-    public void block(int node, WorkerStandIn w) {
+    void block(int node, WorkerStandIn w) {
         blocked.add(node + w.id);
     }
 
-    public void unblock(int node, WorkerStandIn w) {
+    void unblock(int node, WorkerStandIn w) {
         blocked.remove(node + w.id);
     }
 
@@ -395,7 +394,7 @@
             return state.answer(method, target, body);
         }
         if (address.startsWith("cloud")) {
-            return cloud(target, body);
+            return cloud.answer(target, body);
         }
         if (address.startsWith("node")) {
             Controller c = nodes[address.charAt(5) - '0'];
@@ -413,68 +412,6 @@
                 : target.equals("/inspect") ? new StateStandIn.Reply(200, w.report()) : w.commands(body);
     }
 
-    private StateStandIn.Reply cloud(String target, JsonNode body) {
-        ObjectNode n = MessagePackCodec.map();
-        if (target.startsWith("/catalog")) {
-            ObjectNode h = n.putArray("hulls")
-                    .addObject()
-                    .put("name", "box")
-                    .put("vcpus", 4.0)
-                    .put("accelerators", 4.0)
-                    .put("ramGb", 4.0)
-                    .put("cacheGb", 50.0)
-                    .put("fetchGbPerS", 1.0)
-                    .put("hourly", 10.0)
-                    .put("lowPrice", 4.0)
-                    .put("readyS", 4.0);
-            ZONES.forEach(h.putArray("dunes")::add);
-        } else if (target.startsWith("/rentals/return")) {
-            body.path("hosts").forEach(h -> {
-                WorkerStandIn w = workers.remove(h.asText());
-                if (w != null) {
-                    returned += w.dead ? 0 : 1;
-                    w.dead = true;
-                }
-            });
-        } else if (target.equals("/rentals")) {
-            var names = rentalRequests.computeIfAbsent(body.path("charter").asText(), c -> rent(body));
-            if (names.isEmpty()) {
-                rentalRequests.remove(body.path("charter").asText());
-                return new StateStandIn.Reply(503, n.put("error", "no capacity"));
-            }
-            names.forEach(n.putArray("hosts")::add);
-        } else {
-            var list = n.putArray("hosts");
-            workers.values()
-                    .forEach(w -> list.addObject()
-                            .put("id", w.id)
-                            .put("address", w.address())
-                            .put("hull", "box")
-                            .put("dune", w.zone)
-                            .put("driftwood", w.spot)
-                            .put("phase", "running")
-                            .put("ageS", 20.0));
-        }
-        return new StateStandIn.Reply(200, n);
-    }
-
-    private List<String> rent(JsonNode body) {
-        var names = new ArrayList<String>();
-        for (int i = 0; i < body.path("count").asInt() && workers.size() + names.size() < mostMachines; i++) {
-            String id = "i-%04d".formatted(nextMachine);
-            nextMachine += nameStep;
-            names.add(id);
-            workers.put(
-                    id,
-                    new WorkerStandIn(
-                            this,
-                            id,
-                            body.path("dune").asText(),
-                            body.path("driftwood").asBoolean()));
-        }
-        return names;
-    }
-
     void toNode(int node, WorkerStandIn from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
         for (int copy = 0; copy < lateCopies; copy++) {
             // A late copy arrives whatever has become of the machine meanwhile, and nobody hears what is answered to
@@ -538,48 +475,33 @@
     }
 
     /** What a controller answers a worker's report at once, or 0. */
-    public int answer(int node, WorkerStandIn w) {
+    int answer(int node, WorkerStandIn w) {
         var status = new int[1];
         receive(nodes[node], w.report(), (code, body) -> status[0] = code);
         return status[0];
     }
 
-    /** What is on the machines that live, for whoever looks into a day. */
-    String dump() {
-        var text = new StringBuilder("leader " + leader() + ":");
-        alive().forEach(w -> {
-            text.append(' ').append(w.id()).append(w.zone.charAt(0)).append(w.spot ? "s" : "");
-            w.tasks()
-                    .forEach(t -> text.append(' ')
-                            .append(t.task)
-                            .append('#')
-                            .append(t.attempt)
-                            .append(t.phase.charAt(0)));
-        });
-        return text.toString();
-    }
-
     /** All machines that live. */
-    public List<WorkerStandIn> alive() {
+    List<WorkerStandIn> alive() {
         return workers.values().stream().filter(w -> !w.dead).toList();
     }
 
     /** The controller that leads as stored, or -1. */
-    public int leader() {
+    int leader() {
         StateStandIn.Row r = state.rows().get("ds/leader");
         return r == null ? -1 : nodeIndex(r.value().path("node").asText());
     }
 
     // The users
 
-    public void submit(Submission job) {
+    void submit(Submission job) {
         jobs.put(job.id(), job);
         submittedAt.putIfAbsent(job.id(), sim.now());
         offer(job);
     }
 
     /** A user repeats a submission; whatever became of the job meanwhile, it is known. */
-    public void repeat(String id) {
+    void repeat(String id) {
         Duration asked = sim.now();
         if (!told.containsKey(id)) {
             return;
@@ -596,7 +518,7 @@
     }
 
     /** A user asks how an accepted job stands. */
-    private void askAbout(String id) {
+    void askAbout(String id) {
         Duration asked = sim.now();
         ask(
                 n -> n.poll(id, a -> {
@@ -610,7 +532,7 @@
     }
 
     /** A user asks about a job that nobody submitted. */
-    public void askForStranger(String id) {
+    void askForStranger(String id) {
         ask(
                 n -> n.poll(id, a -> {
                     if (a.status() == 200) {
@@ -652,27 +574,27 @@
     }
 
     /** Offers a job to one controller, whose answer comes in virtual time. */
-    public CompletableFuture<UserApi.Answer> offerTo(int node, Submission job) {
+    CompletableFuture<UserApi.Answer> offerTo(int node, Submission job) {
         jobs.put(job.id(), job);
         return offer(node, job.toNode());
     }
 
     /** The same with whatever body a user may send. */
-    public CompletableFuture<UserApi.Answer> offer(int node, ObjectNode body) {
+    CompletableFuture<UserApi.Answer> offer(int node, ObjectNode body) {
         var result = new CompletableFuture<UserApi.Answer>();
         nodes[node].userApi().submit(MessagePackCodec.write(body), result::complete);
         return result;
     }
 
     /** A question at one controller, whose answer comes in virtual time. */
-    public CompletableFuture<UserApi.Answer> question(int node, String id) {
+    CompletableFuture<UserApi.Answer> question(int node, String id) {
         var result = new CompletableFuture<UserApi.Answer>();
         nodes[node].userApi().poll(id, result::complete);
         return result;
     }
 
     /** What all controllers decided lately, in words. */
-    public String decisions() {
+    String decisions() {
         var text = new StringBuilder();
         for (int n = 0; n < 3; n++) {
             admin(n, "GET", "/v1/decisions", "")
@@ -685,7 +607,7 @@
     }
 
     /** A cancellation at one controller, answered within the next seconds of virtual time. */
-    public UserApi.Answer cancelAt(int node, String id) {
+    UserApi.Answer cancelAt(int node, String id) {
         var result = new CompletableFuture<UserApi.Answer>();
         nodes[node].userApi().cancel(id, result::complete);
         sim.run(sim.now().plusSeconds(2));
@@ -693,14 +615,14 @@
     }
 
     /** A poll at one controller, as a status. */
-    public CompletableFuture<UserApi.Answer> poll(int node, String id) {
+    CompletableFuture<UserApi.Answer> poll(int node, String id) {
         CompletableFuture<UserApi.Answer> result = question(node, id);
         sim.run(sim.now().plusSeconds(2));
         return result;
     }
 
     /** Asks a controller's administration API; the answer comes within the next second of virtual time. */
-    public CompletableFuture<Admin.Answer> admin(int node, String method, String path, String body) {
+    CompletableFuture<Admin.Answer> admin(int node, String method, String path, String body) {
         var result = new CompletableFuture<Admin.Answer>();
         nodes[node]
                 .admin()
@@ -710,11 +632,11 @@
     }
 
     /** What a job's user was told last, if that was that it is cancelled, and when first. */
-    public Optional<Duration> cancelledAt(String id) {
+    Optional<Duration> cancelledAt(String id) {
         return Optional.ofNullable(cancelled.get(id));
     }
 
-    public void cancel(String id) {
+    void cancel(String id) {
         Duration asked = sim.now();
         wantedGone.add(id);
         ask(
@@ -747,7 +669,7 @@
                 broken.add("went_back: " + id + " cancelled by nobody");
             }
             if (cancelled.putIfAbsent(id, sim.now()) == null) {
-                sim.after(CANCEL.plusMillis(1), this::quota);
+                sim.after(CANCEL.plusMillis(1), rules::quota);
             }
         }
         if (phase.equals("done")
@@ -756,7 +678,7 @@
         }
     }
 
-    public String lastTold(String id) {
+    String lastTold(String id) {
         return told.getOrDefault(id, "");
     }
 
@@ -766,228 +688,12 @@
                 askAbout(id);
             }
         }
-        quota();
-        waits();
+        rules.quota();
+        rules.waits();
         sim.after(250, this::watch);
     }
 
-    // The rules, seen from the workers
-
-    private List<WorkerStandIn.Task> live() {
-        var list = new ArrayList<WorkerStandIn.Task>();
-        workers.values().stream()
-                .filter(w -> !w.dead)
-                .forEach(w -> w.tasks().forEach(t -> {
-                    if (t.onMachine()) {
-                        list.add(t);
-                    }
-                }));
-        return list;
-    }
-
-    private void quota() {
-        var use = new HashMap<String, Integer>();
-        for (WorkerStandIn.Task t : live()) {
-            use.merge(jobs.get(t.task.job()).team(), 1, Integer::sum);
-            Duration c = cancelled.get(t.task.job());
-            if (c != null && sim.now().minus(c).compareTo(CANCEL) > 0) {
-                broken.add("ran_cancelled: " + t.task);
-            }
-        }
-        if (mostMachines == 7 && (use.getOrDefault("red", 0) > QUOTA_RED || use.getOrDefault("blue", 0) > QUOTA_BLUE)) {
-            broken.add("quota: " + use);
-        }
-    }
-
-    void started(WorkerStandIn worker, WorkerStandIn.Task started) {
-        Submission job = jobs.get(started.task.job());
-        var zones = new HashSet<String>();
-        for (WorkerStandIn.Task t : live()) {
-            if (t != started && t.task.equals(started.task)) {
-                broken.add("ran_twice: " + t.task + " on " + t.host() + " and " + started.host());
-            }
-            if (t.task.job().equals(started.task.job()) && workers.containsKey(t.host())) {
-                zones.add(workers.get(t.host()).zone);
-            }
-        }
-        long inZone = live().stream()
-                .filter(t -> t.task.job().equals(started.task.job())
-                        && workers.containsKey(t.host())
-                        && workers.get(t.host()).zone.equals(worker.zone))
-                .count();
-        boolean tooMany = job.spread() && inZone > (job.tasks() + 1) / 2;
-        boolean otherZone = job.zone().filter(z -> !z.equals(worker.zone)).isPresent();
-        if ((job.sameZone() && zones.size() > 1) || (worker.spot && !job.spot()) || tooMany || otherZone) {
-            broken.add("wrong_place: " + started.task);
-        }
-        begunAt.putIfAbsent(started.task.job(), sim.now());
-        if (cancelled.containsKey(started.task.job())) {
-            startsAfterCancel.add(started.task.toString());
-        }
-    }
-
-    // What is checked at a day's end
-
-    /** Once the troubles are over, no job waits long while a machine that fits has room and its team is under its limit. */
-    private void waits() {
-        if (!calm || mostMachines != 7) {
-            return;
-        }
-        List<WorkerStandIn.Task> live = live();
-        for (Submission job : jobs.values()) {
-            boolean over = over(job.id()) || wantedGone.contains(job.id()) || !told.containsKey(job.id());
-            int ended = done.getOrDefault(job.id(), Set.of()).size();
-            long here = live.stream().filter(t -> t.task.job().equals(job.id())).count();
-            boolean missing = job.gang() ? here < job.tasks() : here + ended < job.tasks();
-            long used = live.stream()
-                    .filter(t -> jobs.get(t.task.job()).team().equals(job.team()))
-                    .count();
-            long needs = job.gang() ? job.tasks() - here : 1;
-            boolean underLimit = used + needs <= (job.team().equals("red") ? QUOTA_RED : QUOTA_BLUE);
-            if (over || !missing || !underLimit || room(job) < needs) {
-                waitsBesideRoom.remove(job.id());
-            } else if (sim.now()
-                            .minus(waitsBesideRoom.computeIfAbsent(job.id(), k -> sim.now()))
-                            .compareTo(LONGEST_WAIT)
-                    > 0) {
-                broken.add("waits beside room: " + job.id());
-                waitsBesideRoom.remove(job.id());
-            }
-        }
-    }
-
-    /** Tasks of a job that would find room now, in one zone if they must be together. */
-    private int room(Submission job) {
-        var perZone = new HashMap<String, Integer>();
-        for (WorkerStandIn w : workers.values()) {
-            boolean fits = !w.dead
-                    && !w.mute
-                    && !w.oneWay
-                    && w.takenAt == null
-                    && (job.spot() || !w.spot)
-                    && job.zone().map(w.zone::equals).orElse(true);
-            if (fits) {
-                perZone.merge(w.zone, SLOTS - (int) w.held(), Integer::sum);
-            }
-        }
-        return job.sameZone()
-                ? perZone.values().stream().mapToInt(n -> n).max().orElse(0)
-                : perZone.values().stream().mapToInt(n -> n).sum();
-    }
-
-    private boolean over(String id) {
+    boolean over(String id) {
         return List.of("done", "cancelled").contains(told.getOrDefault(id, ""));
     }
-
-    /**
-     * What fails a day: an accepted job about which no controller answers any more, a class, a team or a class's largest jobs of which
-     * less than half are served, and largest jobs that began late.
-     */
-    public List<String> dayFailures() {
-        var failures = new ArrayList<String>();
-        for (String id : told.keySet()) {
-            for (int node = 0; node < 3; node++) {
-                var answer = poll(node, id);
-                if (!answer.isDone() || answer.join().status() != 200) {
-                    failures.add("forgotten: " + id + " at n" + node);
-                }
-            }
-        }
-        var kept = jobs.values().stream()
-                .filter(j -> told.containsKey(j.id()) && !wantedGone.contains(j.id()))
-                .toList();
-        var groups = new TreeMap<String, List<Submission>>();
-        for (Submission j : kept) {
-            groups.computeIfAbsent("class " + j.jobClass() + (j.gang() ? " of gangs" : ""), k -> new ArrayList<>())
-                    .add(j);
-            groups.computeIfAbsent("team " + j.team(), k -> new ArrayList<>()).add(j);
-        }
-        for (boolean gang : new boolean[] {true, false}) {
-            int largest = kept.stream()
-                    .filter(j -> j.gang() == gang)
-                    .mapToInt(Submission::tasks)
-                    .max()
-                    .orElse(0);
-            kept.stream()
-                    .filter(j -> j.gang() == gang && j.tasks() == largest)
-                    .forEach(j -> groups.computeIfAbsent(
-                                    "largest " + (gang ? "gangs" : "arrays"), k -> new ArrayList<>())
-                            .add(j));
-        }
-        groups.forEach((name, members) -> {
-            if (members.stream().filter(j -> lastTold(j.id()).equals("done")).count() * 2 < members.size()) {
-                failures.add("less than half served: " + name);
-            }
-            if (name.startsWith("largest")) {
-                members.stream()
-                        .filter(j -> !begunAt.containsKey(j.id())
-                                || begunAt.get(j.id())
-                                                .minus(submittedAt.get(j.id()))
-                                                .compareTo(LARGEST_BEGIN)
-                                        > 0)
-                        .forEach(j -> failures.add(name + " began late: " + j.id()));
-            }
-        });
-        if (begunAt.isEmpty()) {
-            failures.add("nothing_ran");
-        }
-        return failures;
-    }
-
-    boolean isGang(TaskId task) {
-        return jobs.get(task.job()).gang();
-    }
-
-    private List<WorkerStandIn.Task> members(WorkerStandIn.Task one) {
-        return live().stream()
-                .filter(t -> t.task.job().equals(one.task.job()) && t.attempt == one.attempt)
-                .toList();
-    }
-
-    boolean gangComplete(WorkerStandIn.Task one) {
-        return members(one).stream().map(t -> t.task.index()).distinct().count()
-                == jobs.get(one.task.job()).tasks();
-    }
-
-    boolean gangIntact(WorkerStandIn.Task one) {
-        return gangComplete(one)
-                && members(one).stream()
-                        .noneMatch(t -> workers.containsKey(t.host())
-                                && workers.get(t.host()).hangNoticed());
-    }
-
-    void startGang(WorkerStandIn.Task one) {
-        Duration end = sim.now().plusSeconds(saveTime(one.task).isZero() ? 5 : 25);
-        members(one).forEach(t -> {
-            t.phase = "running";
-            t.endsAt = end;
-        });
-    }
-
-    void finished(WorkerStandIn.Task one) {
-        List<WorkerStandIn.Task> all = isGang(one.task) ? members(one) : List.of(one);
-        if (all.stream()
-                .anyMatch(t ->
-                        workers.containsKey(t.host()) && workers.get(t.host()).hung())) {
-            return; // a gang makes no progress while one of its machines hangs
-        }
-        all.forEach(t -> {
-            done.computeIfAbsent(t.task.job(), j -> new HashSet<>()).add(t.task.index());
-            t.exit("done");
-        });
-        String id = one.task.job();
-        if (done.get(id).size() == jobs.get(id).tasks()) {
-            completed.putIfAbsent(id, sim.now());
-            if (repeatedAtEnd) {
-                sim.after(sim.random.nextInt(300), () -> repeat(id));
-                sim.after(sim.random.nextInt(300), () -> askAbout(id));
-            }
-        }
-        if (done.get(id).size() == jobs.get(id).tasks()
-                && cancelledAtEnd > 0
-                && sim.random.nextDouble() < cancelledAtEnd) {
-            met("cancelled at its end");
-            sim.after(sim.random.nextInt(5), () -> cancel(id));
-        }
-    }
 }
--- a/src/test/java/org/dunespindle/sim/StateStandIn.java
+++ b/src/test/java/org/dunespindle/sim/StateStandIn.java
@@ -21,20 +21,21 @@
     private long nextLease = 1;
     public boolean out;
 
-    public record Row(JsonNode value, long stamp, long lease) {}
+    /** A key's value, revision and lease. */
+    record Row(JsonNode value, long stamp, long lease) {}
 
     /** An answer of a stand-in. */
-    public record Reply(int status, JsonNode body) {}
+    record Reply(int status, JsonNode body) {}
 
-    public StateStandIn(Sim sim) {
+    StateStandIn(Sim sim) {
         this.sim = sim;
     }
 
-    public Map<String, Row> rows() {
+    Map<String, Row> rows() {
         return rows;
     }
 
-    public Reply answer(String method, String target, JsonNode body) {
+    Reply answer(String method, String target, JsonNode body) {
         if (out) {
             return new Reply(503, MessagePackCodec.map());
         }
@@ -117,7 +118,7 @@
     }
 
     /** After an outage every lease has its full time again. */
-    public void recover() {
+    void recover() {
         out = false;
         leases.replaceAll((id, t) -> sim.now().plusMillis(ttl.get(id)));
     }
--- /dev/null
+++ b/src/test/java/org/dunespindle/sim/TaskRuns.java
@@ -0,0 +1,73 @@
+package org.dunespindle.sim;
+
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.List;
+import org.dunespindle.protocol.TaskId;
+
+/** How the tasks of a simulated cluster run: gangs start and end together, and what ended is remembered. */
+final class TaskRuns {
+    private final SimulatedCluster cluster;
+
+    TaskRuns(SimulatedCluster cluster) {
+        this.cluster = cluster;
+    }
+
+    /** Whether a task belongs to a gang. */
+    boolean isGang(TaskId task) {
+        return cluster.jobs.get(task.job()).gang();
+    }
+
+    private List<WorkerStandIn.Task> members(WorkerStandIn.Task one) {
+        return cluster.rules.live().stream()
+                .filter(t -> t.task.job().equals(one.task.job()) && t.attempt == one.attempt)
+                .toList();
+    }
+
+    boolean gangComplete(WorkerStandIn.Task one) {
+        return members(one).stream().map(t -> t.task.index()).distinct().count()
+                == cluster.jobs.get(one.task.job()).tasks();
+    }
+
+    boolean gangIntact(WorkerStandIn.Task one) {
+        return gangComplete(one)
+                && members(one).stream()
+                        .noneMatch(t -> cluster.workers.containsKey(t.host())
+                                && cluster.workers.get(t.host()).hangNoticed());
+    }
+
+    void startGang(WorkerStandIn.Task one) {
+        Duration end = cluster.sim.now().plusSeconds(cluster.saveTime(one.task).isZero() ? 5 : 25);
+        members(one).forEach(t -> {
+            t.phase = "running";
+            t.endsAt = end;
+        });
+    }
+
+    void finished(WorkerStandIn.Task one) {
+        List<WorkerStandIn.Task> all = isGang(one.task) ? members(one) : List.of(one);
+        if (all.stream()
+                .anyMatch(t -> cluster.workers.containsKey(t.host())
+                        && cluster.workers.get(t.host()).hung())) {
+            return; // a gang makes no progress while one of its machines hangs
+        }
+        all.forEach(t -> {
+            cluster.done.computeIfAbsent(t.task.job(), j -> new HashSet<>()).add(t.task.index());
+            t.exit("done");
+        });
+        String id = one.task.job();
+        if (cluster.done.get(id).size() == cluster.jobs.get(id).tasks()) {
+            cluster.completed.putIfAbsent(id, cluster.sim.now());
+            if (cluster.repeatedAtEnd) {
+                cluster.sim.after(cluster.sim.random.nextInt(300), () -> cluster.repeat(id));
+                cluster.sim.after(cluster.sim.random.nextInt(300), () -> cluster.askAbout(id));
+            }
+        }
+        if (cluster.done.get(id).size() == cluster.jobs.get(id).tasks()
+                && cluster.cancelledAtEnd > 0
+                && cluster.sim.random.nextDouble() < cluster.cancelledAtEnd) {
+            cluster.met("cancelled at its end");
+            cluster.sim.after(cluster.sim.random.nextInt(5), () -> cluster.cancel(id));
+        }
+    }
+}
--- a/src/test/java/org/dunespindle/sim/WorkerStandIn.java
+++ b/src/test/java/org/dunespindle/sim/WorkerStandIn.java
@@ -39,6 +39,7 @@
     private Duration hungSince = Duration.ZERO;
     private Duration hungUntil = Duration.ZERO;
 
+    /** A task on the machine. */
     final class Task {
         final TaskId task;
         final long attempt;
@@ -85,12 +86,12 @@
         return tasks.values();
     }
 
-    public void oneWay(boolean yes) {
+    void oneWay(boolean yes) {
         oneWay = yes;
     }
 
     /** Its reports are held back for so long from now on; zero ends that. */
-    public void holdReports(Duration length) {
+    void holdReports(Duration length) {
         heldReports = !length.isZero();
         heldFor = length;
     }
@@ -106,16 +107,16 @@
         return tasks.values().stream().filter(t -> !t.phase.equals("exited")).count();
     }
 
-    public void sick(boolean yes) {
+    void sick(boolean yes) {
         sick = yes;
     }
 
-    public void mute(boolean yes) {
+    void mute(boolean yes) {
         mute = yes;
     }
 
     /** Stands still: its tasks make no progress, and what is sent to it waits. Its lease goes on. */
-    public void hang(Duration length) {
+    void hang(Duration length) {
         hungSince = sim.now();
         hungUntil = sim.now().plus(length);
         sim.after(length.plusMillis(1), this::endLeaseIfDue); // before anything that was sent meanwhile is read
@@ -144,11 +145,11 @@
         }
     }
 
-    public boolean dead() {
+    boolean dead() {
         return dead;
     }
 
-    public String id() {
+    String id() {
         return id;
     }
 
@@ -159,7 +160,7 @@
     }
 
     /** How often its lease has run out, plus one. */
-    public long session() {
+    long session() {
         return session;
     }
 
@@ -303,14 +304,14 @@
                 return;
             }
             if (t.phase.equals("pulling") && tasks.get(key) == t && !dead) {
-                t.phase = cluster.isGang(task) ? "gathering" : "running";
+                t.phase = cluster.runs.isGang(task) ? "gathering" : "running";
                 t.endsAt = sim.now()
                         .plus(cluster.lengthOf
                                 .apply(task)
                                 .or(() -> cluster.taskTime)
                                 .orElse(Duration.ofMillis(2000 + sim.random.nextInt(6000))));
                 t.gatherUntil = sim.now().plus(SimulatedCluster.GANG_WAIT);
-                cluster.started(this, t);
+                cluster.rules.started(this, t);
                 cluster.changed();
             }
         });
@@ -327,8 +328,8 @@
         endLeaseIfDue();
         for (Task t : tasks.values()) {
             if (t.phase.equals("gathering")) {
-                if (cluster.gangComplete(t)) {
-                    cluster.startGang(t);
+                if (cluster.runs.gangComplete(t)) {
+                    cluster.runs.startGang(t);
                 } else if (sim.now().compareTo(t.gatherUntil) > 0) {
                     t.exit("incomplete");
                 }
@@ -342,10 +343,10 @@
                 if (sick || cluster.faultyJobs.contains(t.task.job())) {
                     cluster.errors.merge(t.task.job(), 1, Integer::sum);
                     t.exit("error");
-                } else if (cluster.isGang(t.task) && !cluster.gangIntact(t)) {
+                } else if (cluster.runs.isGang(t.task) && !cluster.runs.gangIntact(t)) {
                     t.exit("peers");
                 } else if (sim.now().compareTo(t.endsAt) >= 0) {
-                    cluster.finished(t);
+                    cluster.runs.finished(t);
                 }
             }
         }
--- /dev/null
+++ b/src/test/java/org/dunespindle/storage/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of records and of the replica. */
+package org.dunespindle.storage;
--- /dev/null
+++ b/src/test/java/org/dunespindle/transport/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the HTTP caller and listener. */
+package org.dunespindle.transport;
