--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -97,24 +97,17 @@
 
     @ParameterizedTest
     @CsvSource({
-        "stranger, ARRAY, 2, 1, '', '', false, false",
-        "red, ARRAY, 2, 5, '', '', false, false",
-        "red, GANG, 11, 1, '', '', false, false",
-        "red, ARRAY, 1, 1, crate, '', false, false",
-        "red, ARRAY, 1, 1, '', north, false, false",
-        "red, GANG, 2, 1, '', '', true, true",
-        "red, GANG, 2, 1, '', east, false, true",
-        "blue, GANG, 7, 1, '', '', false, false"
+        "stranger, ARRAY, 2, 1, '', '', ''",
+        "red, ARRAY, 2, 5, '', '', ''",
+        "red, GANG, 11, 1, '', '', ''",
+        "red, ARRAY, 1, 1, crate, '', ''",
+        "red, ARRAY, 1, 1, '', north, ''",
+        "red, GANG, 2, 1, '', '', 'together apart'",
+        "red, GANG, 2, 1, '', east, apart",
+        "blue, GANG, 7, 1, '', '', ''"
     })
     void whatCanNeverRunIsRefused(
-            String team,
-            Shape shape,
-            int tasks,
-            double gpus,
-            String type,
-            String zone,
-            boolean together,
-            boolean apart) {
+            String team, Shape shape, int tasks, double gpus, String type, String zone, String zoneRules) {
         SimulatedCluster cluster = ready();
         var job = new Submission(
                 "wk-000001",
@@ -126,8 +119,8 @@
                 new Resources(1, gpus, 1),
                 type.isEmpty() ? Optional.empty() : Optional.of(List.of(type)),
                 zone.isEmpty() ? Optional.empty() : Optional.of(zone),
-                together,
-                apart,
+                zoneRules.contains("together"),
+                zoneRules.contains("apart"),
                 true,
                 "image",
                 2,
