--- a/src/main/java/org/dunespindle/coordination/Committer.java
+++ b/src/main/java/org/dunespindle/coordination/Committer.java
@@ -10,11 +10,11 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.StateClient;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateClient;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -31,6 +31,7 @@
     private static final int KEPT_BACK = 2;
     /** Changes to a transaction: what fails costs the write rate all of them, and requests are plenty beside writes. */
     private static final int FEW = 4;
+
     private static final int CAUTIOUS = 2;
     private static final int WIDEN = 10;
     private static final Duration CAUTIOUS_FOR = Duration.ofSeconds(2);
@@ -51,10 +52,15 @@
     private final Map<String, Integer> kinds = new TreeMap<>();
 
     /** Who goes first when writes are scarce. */
-    public enum Lane { USERS, PLACING, KEEPING }
+    public enum Lane {
+        USERS,
+        PLACING,
+        MAINTENANCE
+    }
 
     private record Proposal(Lane lane, Set<String> locks, Txn txn, Consumer<TxnResult> then) {}
 
+    /** Creates a committer for transactions of at most so many changes. */
     public Committer(StateClient state, Replica replica, Timeline timeline, int txnOps, Runnable settled) {
         this.state = state;
         this.replica = replica;
@@ -66,6 +72,7 @@
         }
     }
 
+    /** Whether a change of this key is queued or under way. */
     public boolean isLocked(String key) {
         return locked.contains(key);
     }
@@ -123,8 +130,10 @@
         while (inFlight < MOST_IN_FLIGHT && (head = head()) != null) {
             Duration pause = notBefore.minus(timeline.now());
             int cost = head.txn.changeCount();
-            // What users wait for may be paid off afterwards; the rest waits until it is paid for, bookkeeping until some is left over.
-            double wanted = head.lane == Lane.USERS ? -USERS_AHEAD : cost + (head.lane == Lane.KEEPING ? KEPT_BACK : 0);
+            // What users wait for may be paid off afterwards; the rest waits until it is paid for, bookkeeping until
+            // some is left over.
+            double wanted =
+                    head.lane == Lane.USERS ? -USERS_AHEAD : cost + (head.lane == Lane.MAINTENANCE ? KEPT_BACK : 0);
             if (pause.isNegative() && state.writes().lacks(wanted)) {
                 pause = state.writes().until(wanted);
             }
@@ -135,7 +144,10 @@
             if (!head.txn.fits(txnOps)) {
                 // Proposers split what is too large; one that did not must at least not hold up the others.
                 lanes.get(head.lane).pollFirst();
-                LOG.error("a change of {} keys under {} guards is more than a transaction takes", cost, head.txn.guards().size());
+                LOG.error(
+                        "a change of {} keys under {} guards is more than a transaction takes",
+                        cost,
+                        head.txn.guards().size());
                 finish(List.of(head), new TxnResult.Refused(0, "more than a transaction takes"));
                 continue;
             }
@@ -152,7 +164,10 @@
         var batch = new ArrayList<Proposal>();
         var txn = new Txn();
         for (ArrayDeque<Proposal> lane : lanes.values()) {
-            while (!lane.isEmpty() && (batch.isEmpty() || txn.changeCount() + lane.peekFirst().txn.changeCount() <= mostWrites) && txn.absorb(lane.peekFirst().txn, txnOps)) {
+            while (!lane.isEmpty()
+                    && (batch.isEmpty()
+                            || txn.changeCount() + lane.peekFirst().txn.changeCount() <= mostWrites)
+                    && txn.absorb(lane.peekFirst().txn, txnOps)) {
                 batch.add(lane.pollFirst());
             }
         }
@@ -195,7 +210,8 @@
             var stale = new ArrayList<Proposal>();
             for (int i = batch.size() - 1; i >= 0; i--) {
                 Proposal p = batch.get(i);
-                if (conflict.failed().isEmpty() || p.txn.guards().keySet().stream().anyMatch(conflict.failed()::contains)) {
+                if (conflict.failed().isEmpty()
+                        || p.txn.guards().keySet().stream().anyMatch(conflict.failed()::contains)) {
                     stale.add(p);
                 } else {
                     lanes.get(p.lane).addFirst(p);
@@ -224,7 +240,7 @@
             try {
                 p.then.accept(result);
             } catch (RuntimeException e) {
-                // One proposer's mistake must not keep the others from hearing their outcome.
+                // One proposer's mistake must not keep the others from connectivity their outcome.
                 LOG.error("what follows a stored change failed", e);
             }
         }
--- a/src/main/java/org/dunespindle/coordination/Faults.java
+++ b/src/main/java/org/dunespindle/coordination/FailureAttribution.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import org.dunespindle.bookkeeping.JobRecord;
+import org.dunespindle.storage.JobRecord;
 
 /**
  * Tells faulty machines from faulty jobs by where which tasks failed. A job submitted with a mistake fails on every machine: held
@@ -15,18 +15,20 @@
  * fails on different machines and has never ended well on any. A controller sees only its own machines fail, but every job's record tells
  * how often it has failed in all.
  */
-final class Faults {
+final class FailureAttribution {
     /** A job that failed on so many machines, and nowhere ended well, is taken for faulty. */
     private static final int MACHINES = 2;
     /** So many failures elsewhere, and none of its tasks done, show the same of a job that failed on one machine here. */
     private static final int ELSEWHERE = 2;
+
     private final Function<String, Optional<JobRecord>> record;
     private final Map<String, Set<String>> machinesOfJob = new HashMap<>();
     /** How often each job failed on a machine since one of its tasks last ended well. */
     private final Map<String, Map<String, Integer>> failuresByMachine = new HashMap<>();
+
     private final Set<String> endedWell = new HashSet<>();
 
-    Faults(Function<String, Optional<JobRecord>> record) {
+    FailureAttribution(Function<String, Optional<JobRecord>> record) {
         this.record = record;
     }
 
@@ -41,20 +43,25 @@
     }
 
     boolean faultyJob(String job) {
-        return !endedWell.contains(job) && machinesOfJob.getOrDefault(job, Set.of()).size() >= MACHINES;
+        return !endedWell.contains(job)
+                && machinesOfJob.getOrDefault(job, Set.of()).size() >= MACHINES;
     }
 
     /** How many jobs failed on a machine that are not at fault themselves, as far as is known by now. */
     int jobsFailedOn(String machine) {
         int count = 0;
-        for (Map.Entry<String, Integer> e : failuresByMachine.getOrDefault(machine, Map.of()).entrySet()) {
+        for (Map.Entry<String, Integer> e :
+                failuresByMachine.getOrDefault(machine, Map.of()).entrySet()) {
             count += faultyJob(e.getKey()) || failsElsewhere(e.getKey(), e.getValue()) ? 0 : 1;
         }
         return count;
     }
 
     private boolean failsElsewhere(String job, int here) {
-        return !endedWell.contains(job) && record.apply(job).filter(j -> j.failures() - here >= ELSEWHERE && j.doneCount() == 0).isPresent();
+        return !endedWell.contains(job)
+                && record.apply(job)
+                        .filter(j -> j.failures() - here >= ELSEWHERE && j.doneCount() == 0)
+                        .isPresent();
     }
 
     /** Machines on which a job has failed. */
--- a/src/main/java/org/dunespindle/coordination/Membership.java
+++ b/src/main/java/org/dunespindle/coordination/Membership.java
@@ -5,16 +5,16 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.OptionalLong;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.StateClient;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
-import org.dunespindle.protocol.Pack;
+import java.util.Set;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateClient;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -39,6 +39,7 @@
     private boolean aside;
     private boolean electing;
 
+    /** Creates a membership that has not joined yet. */
     public Membership(String node, StateClient state, Replica replica, Timeline timeline) {
         this.node = node;
         this.state = state;
@@ -46,6 +47,7 @@
         this.timeline = timeline;
     }
 
+    /** This process's incarnation; 0 until it is stored. */
     public long incarnation() {
         return incarnation;
     }
@@ -55,25 +57,35 @@
         return incarnation > 0 && !aside && lease.isPresent() && isAlive(node, incarnation);
     }
 
+    /** Whether an incarnation of a controller holds its lease. */
     public boolean isAlive(String name, long inc) {
         JsonNode m = replica.members().get(name);
         return m != null && m.path("inc").longValue() == inc;
     }
 
+    /** The live incarnation of a controller, if it is a member. */
     public Optional<Long> incarnationOf(String name) {
-        return Optional.ofNullable(replica.members().get(name)).map(m -> m.path("inc").longValue());
+        return Optional.ofNullable(replica.members().get(name))
+                .map(m -> m.path("inc").longValue());
     }
 
-    public boolean owns(HostRecord host) {
+    /** Whether this incarnation owns a machine. */
+    public boolean owns(MachineRecord host) {
         return host.owner().equals(node) && host.incarnation() == incarnation;
     }
 
+    /** The leading controller's name. */
     public Optional<String> leader() {
         return replica.value(Keys.LEADER).map(v -> v.path("node").asText());
     }
 
+    /** Whether this controller leads. */
     public boolean leads() {
-        return joined() && replica.value(Keys.LEADER).filter(v -> v.path("node").asText().equals(node) && v.path("inc").longValue() == incarnation).isPresent();
+        return joined()
+                && replica.value(Keys.LEADER)
+                        .filter(v -> v.path("node").asText().equals(node)
+                                && v.path("inc").longValue() == incarnation)
+                        .isPresent();
     }
 
     /**
@@ -150,7 +162,9 @@
         if (incarnation == 0) {
             String key = Keys.INCARNATION + node;
             long next = replica.value(key).map(v -> v.path("n").longValue()).orElse(0L) + 1;
-            var txn = new Txn().guard(key, replica.stamp(key)).write(key, Pack.map().put("n", next));
+            var txn = new Txn()
+                    .guard(key, replica.stamp(key))
+                    .write(key, MessagePackCodec.map().put("n", next));
             state.commit(txn).thenAccept(r -> {
                 if (r instanceof TxnResult.Applied a) {
                     replica.adopt(txn, a.revision());
@@ -177,7 +191,9 @@
                 return;
             }
             long id = opened.getAsLong();
-            var txn = new Txn().writeTethered(Keys.member(node), Pack.map().put("inc", incarnation), id).guard(Keys.member(node), replica.stamp(Keys.member(node)));
+            var txn = new Txn()
+                    .writeWithLease(Keys.member(node), MessagePackCodec.map().put("inc", incarnation), id)
+                    .guard(Keys.member(node), replica.stamp(Keys.member(node)));
             state.commit(txn).thenAccept(r -> {
                 if (r instanceof TxnResult.Applied a) {
                     replica.adopt(txn, a.revision());
@@ -214,13 +230,19 @@
 
     private void elect() {
         Optional<JsonNode> now = replica.value(Keys.LEADER);
-        boolean held = now.filter(v -> isAlive(v.path("node").asText(), v.path("inc").longValue())).isPresent();
+        boolean held = now.filter(
+                        v -> isAlive(v.path("node").asText(), v.path("inc").longValue()))
+                .isPresent();
         if (held || electing) {
             return;
         }
         electing = true;
-        var txn = new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER))
-                .writeTethered(Keys.LEADER, Pack.map().put("node", node).put("inc", incarnation), lease.orElseThrow());
+        var txn = new Txn()
+                .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
+                .writeWithLease(
+                        Keys.LEADER,
+                        MessagePackCodec.map().put("node", node).put("inc", incarnation),
+                        lease.orElseThrow());
         state.commit(txn).thenAccept(r -> {
             if (r instanceof TxnResult.Applied a) {
                 replica.adopt(txn, a.revision());
--- a/src/main/java/org/dunespindle/coordination/Options.java
+++ b/src/main/java/org/dunespindle/coordination/Options.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 
 /**
  * The operators' own settings. They live in the state service; what is not set there has its default.
@@ -26,6 +26,7 @@
         this.kinds = kinds(lease);
     }
 
+    /** The options while none is set. */
     public static Options defaults(Duration lease) {
         return new Options(Map.of(), lease);
     }
@@ -33,15 +34,58 @@
     private static Map<String, Kind> kinds(Duration lease) {
         Duration silent = lease.compareTo(LONGEST_SILENCE) > 0 ? LONGEST_SILENCE : lease;
         var k = new LinkedHashMap<String, Kind>();
-        k.put("first_hold_timer_s", new Kind(5, 3600, false, 60, "how long a gang's placement may take from its first placeholder on"));
-        k.put("idle_return_s", new Kind(0, 86_400, false, 25, "how long an ordinary machine may idle before it is given back, in a fleet of up to 30; less in a larger one, by the square root of its size, down to 8 s"));
+        k.put(
+                "first_hold_timer_s",
+                new Kind(5, 3600, false, 60, "how long a gang's placement may take from its first placeholder on"));
+        k.put(
+                "idle_return_s",
+                new Kind(
+                        0,
+                        86_400,
+                        false,
+                        25,
+                        "how long an ordinary machine may idle before it is given back, in a fleet of up to 30; less in a larger one,"
+                                + " by the square root of its size, down to 8 s"));
         k.put("idle_spot_return_s", new Kind(0, 86_400, false, 60, "the same for spot machines"));
-        k.put("silent_return_s", new Kind(3, 3600, false, silent.toSeconds(), "silence after which a machine is given back and its tasks start elsewhere"));
-        k.put("quarantine_errors", new Kind(1, 100, true, 2, "failures in a row, of different jobs, after which a machine is given back"));
-        k.put("boot_patience", new Kind(1, 20, true, 3, "multiple of the boot time after which a machine that never reported is given back"));
-        k.put("spare_jobs", new Kind(0, 10, true, 1, "typical next jobs of each class with a wait aim that spare room is kept for"));
-        k.put("borrowed_machines", new Kind(0, 100_000, true, 100_000, "machines of other controllers that the leader may borrow at a time for gangs"));
-        k.put("lent_s", new Kind(0, 86_400, false, 60, "how long the leader keeps a borrowed machine after the last gang on it"));
+        k.put(
+                "silent_return_s",
+                new Kind(
+                        3,
+                        3600,
+                        false,
+                        silent.toSeconds(),
+                        "silence after which a machine is given back and its tasks start elsewhere"));
+        k.put(
+                "quarantine_errors",
+                new Kind(1, 100, true, 2, "failures in a row, of different jobs, after which a machine is given back"));
+        k.put(
+                "boot_patience",
+                new Kind(
+                        1,
+                        20,
+                        true,
+                        3,
+                        "multiple of the boot time after which a machine that never reported is given back"));
+        k.put(
+                "spare_jobs",
+                new Kind(
+                        0, 10, true, 1, "typical next jobs of each class with a wait aim that spare room is kept for"));
+        k.put(
+                "borrowed_machines",
+                new Kind(
+                        0,
+                        100_000,
+                        true,
+                        100_000,
+                        "machines of other controllers that the leader may borrow at a time for gangs"));
+        k.put(
+                "lent_s",
+                new Kind(
+                        0,
+                        86_400,
+                        false,
+                        60,
+                        "how long the leader keeps a borrowed machine after the last gang on it"));
         return k;
     }
 
@@ -60,10 +104,17 @@
     public static Optional<String> complaint(String name, JsonNode value, Duration lease) {
         Kind k = kinds(lease).get(name);
         if (k == null) {
-            return Optional.of("unknown option " + name + "; there are " + String.join(", ", kinds(lease).keySet()));
+            return Optional.of("unknown option " + name + "; there are "
+                    + String.join(", ", kinds(lease).keySet()));
         }
-        boolean fine = value.isNumber() && value.doubleValue() >= k.least && value.doubleValue() <= k.most && (!k.whole || value.doubleValue() == Math.rint(value.doubleValue()));
-        return fine ? Optional.empty() : Optional.of(name + " must be a " + (k.whole ? "whole number" : "number") + " from " + plain(k.least) + " to " + plain(k.most));
+        boolean fine = value.isNumber()
+                && value.doubleValue() >= k.least
+                && value.doubleValue() <= k.most
+                && (!k.whole || value.doubleValue() == Math.rint(value.doubleValue()));
+        return fine
+                ? Optional.empty()
+                : Optional.of(name + " must be a " + (k.whole ? "whole number" : "number") + " from " + plain(k.least)
+                        + " to " + plain(k.most));
     }
 
     private static String plain(double d) {
@@ -79,44 +130,58 @@
         return Duration.ofMillis(Math.round(value(name) * 1000));
     }
 
+    /** How long a gang's placement may take from its first placeholder on. */
     public Duration firstHoldTimer() {
         return seconds("first_hold_timer_s");
     }
 
+    /** How long an ordinary or spot machine may idle in a small fleet. */
     public Duration idleBeforeReturn(boolean spot) {
         return seconds(spot ? "idle_spot_return_s" : "idle_return_s");
     }
 
+    /** Silence after which a machine is given back. */
     public Duration silentBeforeReturn() {
         return seconds("silent_return_s");
     }
 
+    /** Failures of different jobs that put a machine in quarantine. */
     public int quarantineAfter() {
         return (int) value("quarantine_errors");
     }
 
+    /** Multiple of the boot time after which a silent machine is given back. */
     public int bootPatience() {
         return (int) value("boot_patience");
     }
 
+    /** Typical next jobs of each class that room is kept for. */
     public int spareJobs() {
         return (int) value("spare_jobs");
     }
 
+    /** How many machines the leader may borrow at a time. */
     public int borrowedMachines() {
         return (int) value("borrowed_machines");
     }
 
-    public Duration lentAtLeast() {
+    /** How long the leader keeps a borrowed machine after the last gang on it. */
+    public Duration borrowedAtLeast() {
         return seconds("lent_s");
     }
 
     /** All options with value, range, default and meaning. */
     public ArrayNode describe() {
-        ArrayNode list = Pack.map().putArray("options");
+        ArrayNode list = MessagePackCodec.map().putArray("options");
         kinds.forEach((name, k) -> {
             ObjectNode o = list.addObject();
-            o.put("name", name).put("value", value(name)).put("default", k.standard).put("least", k.least).put("most", k.most).put("type", k.whole ? "whole number" : "number").put("meaning", k.meaning);
+            o.put("name", name)
+                    .put("value", value(name))
+                    .put("default", k.standard)
+                    .put("least", k.least)
+                    .put("most", k.most)
+                    .put("type", k.whole ? "whole number" : "number")
+                    .put("meaning", k.meaning);
         });
         return list;
     }
--- a/src/main/java/org/dunespindle/coordination/Peers.java
+++ b/src/main/java/org/dunespindle/coordination/Peers.java
@@ -12,14 +12,13 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.function.BiConsumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
 import org.dunespindle.transport.Caller;
 
 /**
@@ -35,25 +34,27 @@
     private static final int MOST_AT_ONCE = 400;
     /** A list of cancelled jobs longer than this is not sent: the asker then goes by the age of its copy. */
     private static final int MOST_CANCELLED = 2000;
+
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Settings settings;
     private final Caller http;
     private final Timeline timeline;
     private final LongSupplier incarnation;
     private final Supplier<Optional<String>> leader;
-    /** Told of machine and image: what a machine has fetched outlives the change of its owner. */
-    private final BiConsumer<String, String> imageSeen;
     private final Replica replica;
-    /** Told of a controller, when it was asked, and which cancelled jobs it knows that the copy here may lack. */
-    private final CancelledListener cancelledHeard;
+    private final Listener listener;
     private final Map<String, Heartbeat> heartbeats = new HashMap<>();
     private final Map<String, Heard> heard = new HashMap<>();
     /** Up to which number each controller has taken our news. */
     private final Map<String, Long> taken = new HashMap<>();
 
-    /** Takes what another controller knows of cancellations. */
-    interface CancelledListener {
-        void heard(String node, Duration asked, List<String> cancelled);
+    /** Takes what other controllers tell that concerns other parts. */
+    interface Listener {
+        /** A machine has fetched an image. */
+        void imageSeen(String host, String image);
+
+        /** A controller knows these cancelled jobs, which the copy here may have lacked when it was asked. */
+        void cancelled(String node, Duration asked, List<String> jobs);
     }
 
     /** The last heartbeat of a controller. */
@@ -63,7 +64,15 @@
     public record Machine(boolean up, boolean bad, Duration silentFor, Duration toldAt, String address, long token) {}
 
     /** A machine's state as its owner tells it, with a number that grows with every change. */
-    public record News(String host, long number, long token, boolean up, boolean bad, Duration silentFor, String address, Set<String> images) {}
+    public record News(
+            String host,
+            long number,
+            long token,
+            boolean up,
+            boolean bad,
+            Duration silentFor,
+            String address,
+            Set<String> images) {}
 
     /** What this controller needs of the write rate. */
     public record Need(double writes, int waiting) {}
@@ -74,21 +83,28 @@
         final Map<String, Machine> machines = new HashMap<>();
     }
 
-    public Peers(Settings settings, Caller http, Timeline timeline, LongSupplier incarnation, Supplier<Optional<String>> leader, BiConsumer<String, String> imageSeen, Replica replica,
-            CancelledListener cancelledHeard) {
+    /** Creates the link to the other controllers. */
+    public Peers(
+            Settings settings,
+            Caller http,
+            Timeline timeline,
+            LongSupplier incarnation,
+            Supplier<Optional<String>> leader,
+            Replica replica,
+            Listener listener) {
         this.replica = replica;
-        this.cancelledHeard = cancelledHeard;
+        this.listener = listener;
         this.settings = settings;
         this.http = http;
         this.timeline = timeline;
         this.incarnation = incarnation;
         this.leader = leader;
-        this.imageSeen = imageSeen;
     }
 
     /** A controller's last heartbeat while it is fresh. */
     public Optional<Heartbeat> heartbeat(String node) {
-        return Optional.ofNullable(heartbeats.get(node)).filter(w -> timeline.now().minus(w.at).compareTo(FRESH) < 0);
+        return Optional.ofNullable(heartbeats.get(node))
+                .filter(w -> timeline.now().minus(w.at).compareTo(FRESH) < 0);
     }
 
     /**
@@ -109,21 +125,23 @@
     }
 
     /** What a machine's owner told of it under its present token, while the owner's heartbeat is fresh. */
-    public Optional<Machine> machine(HostRecord host) {
-        return heartbeat(host.owner()).isEmpty() ? Optional.empty() : told(host.owner(), host.id()).filter(m -> m.token == host.token());
+    public Optional<Machine> machine(MachineRecord host) {
+        return heartbeat(host.owner()).isEmpty() ? Optional.empty() : lastTold(host);
     }
 
     /** The same however old it is: for an owner that lives but cannot talk to this controller. */
-    public Optional<Machine> lastTold(HostRecord host) {
-        return told(host.owner(), host.id()).filter(m -> m.token == host.token());
+    public Optional<Machine> lastTold(MachineRecord host) {
+        Optional<Machine> told = told(host.owner(), host.id());
+        return told.isPresent() && told.get().token == host.token() ? told : Optional.empty();
     }
 
     private Optional<Machine> told(String node, String host) {
-        return Optional.ofNullable(heard.get(node)).map(h -> h.machines.get(host));
+        Heard from = heard.get(node);
+        return from == null ? Optional.empty() : Optional.ofNullable(from.machines.get(host));
     }
 
     /** Where a machine is reached, as anybody told. */
-    public Optional<String> address(HostRecord host) {
+    public Optional<String> address(MachineRecord host) {
         return told(host.owner(), host.id()).map(Machine::address).filter(a -> !a.isEmpty());
     }
 
@@ -131,14 +149,17 @@
      * When a machine was last alive as far as any other controller told. One that is up is told once and counts as alive as long
      * as its owner keeps talking; but only while it is the owner: what an earlier owner told last says nothing about later.
      */
-    public Optional<Duration> aliveAt(HostRecord host) {
+    public Optional<Duration> aliveAt(MachineRecord host) {
         Optional<Duration> last = Optional.empty();
         for (Map.Entry<String, Heard> e : heard.entrySet()) {
             Machine m = e.getValue().machines.get(host.id());
             if (m != null) {
-                boolean present = m.up && e.getKey().equals(host.owner()) && m.token == host.token() && heartbeats.containsKey(e.getKey());
+                boolean present = m.up
+                        && e.getKey().equals(host.owner())
+                        && m.token == host.token()
+                        && heartbeats.containsKey(e.getKey());
                 Duration at = present ? heartbeats.get(e.getKey()).at : m.toldAt.minus(m.silentFor);
-                last = last.filter(l -> l.compareTo(at) >= 0).or(() -> Optional.of(at));
+                last = Durations.later(last, Optional.of(at));
             }
         }
         return last;
@@ -166,16 +187,22 @@
             if (leader.get().filter(seed.name()::equals).isPresent()) {
                 add(n, news, taken.getOrDefault(seed.name(), 0L));
             }
-            http.send(seed.address(), "POST", "/peer/heartbeat", Admin.write(n), "application/json", TIMEOUT).whenComplete((a, e) -> {
-                if (a != null && a.status() == 200) {
-                    answered(seed.name(), asked, a.body());
-                }
-            });
+            http.send(seed.address(), "POST", "/peer/heartbeat", Admin.write(n), "application/json", TIMEOUT)
+                    .whenComplete((a, e) -> {
+                        if (a != null && a.status() == 200) {
+                            answered(seed.name(), asked, a.body());
+                        }
+                    });
         }
     }
 
     private ObjectNode head(Duration viewAge, Need need) {
-        return Pack.map().put("node", settings.nodeName()).put("inc", incarnation.getAsLong()).put("viewAgeMs", viewAge.toMillis()).put("writes", need.writes).put("waiting", need.waiting);
+        return MessagePackCodec.map()
+                .put("node", settings.nodeName())
+                .put("inc", incarnation.getAsLong())
+                .put("viewAgeMs", viewAge.toMillis())
+                .put("writes", need.writes)
+                .put("waiting", need.waiting);
     }
 
     private static void add(ObjectNode n, List<News> news, long from) {
@@ -184,7 +211,13 @@
         for (News m : news) {
             if (m.number > from && list.size() < MOST_AT_ONCE) {
                 upTo = m.number;
-                ArrayNode row = list.addArray().add(m.host).add(m.token).add(m.up).add(m.bad).add(m.silentFor.toMillis()).add(m.address);
+                ArrayNode row = list.addArray()
+                        .add(m.host)
+                        .add(m.token)
+                        .add(m.up)
+                        .add(m.bad)
+                        .add(m.silentFor.toMillis())
+                        .add(m.address);
                 m.images.forEach(row::add);
             }
         }
@@ -230,9 +263,17 @@
 
     private void take(Heard h, JsonNode row) {
         String host = row.path(0).asText();
-        h.machines.put(host, new Machine(row.path(2).asBoolean(), row.path(3).asBoolean(), Duration.ofMillis(row.path(4).asLong()), timeline.now(), row.path(5).asText(), row.path(1).asLong()));
+        h.machines.put(
+                host,
+                new Machine(
+                        row.path(2).asBoolean(),
+                        row.path(3).asBoolean(),
+                        Duration.ofMillis(row.path(4).asLong()),
+                        timeline.now(),
+                        row.path(5).asText(),
+                        row.path(1).asLong()));
         for (int i = 6; i < row.size(); i++) {
-            imageSeen.accept(host, row.get(i).asText());
+            listener.imageSeen(host, row.get(i).asText());
         }
     }
 
@@ -244,9 +285,13 @@
                 if (n.path("cancelled").isArray()) {
                     var ids = new ArrayList<String>();
                     n.get("cancelled").forEach(id -> ids.add(id.asText()));
-                    cancelledHeard.heard(node, asked, ids);
+                    listener.cancelled(node, asked, ids);
                 }
-                taken.put(node, n.path("tookOf").asLong() == incarnation.getAsLong() ? n.path("took").asLong() : 0L);
+                taken.put(
+                        node,
+                        n.path("tookOf").asLong() == incarnation.getAsLong()
+                                ? n.path("took").asLong()
+                                : 0L);
             }
         } catch (IOException e) {
             // counts as no heartbeat
@@ -254,6 +299,13 @@
     }
 
     private void note(String node, JsonNode n) {
-        heartbeats.put(node, new Heartbeat(timeline.now(), n.path("inc").asLong(), Duration.ofMillis(n.path("viewAgeMs").asLong()), n.path("writes").asDouble(), n.path("waiting").asInt()));
+        heartbeats.put(
+                node,
+                new Heartbeat(
+                        timeline.now(),
+                        n.path("inc").asLong(),
+                        Duration.ofMillis(n.path("viewAgeMs").asLong()),
+                        n.path("writes").asDouble(),
+                        n.path("waiting").asInt()));
     }
 }
--- a/src/main/java/org/dunespindle/coordination/Placements.java
+++ b/src/main/java/org/dunespindle/coordination/Placements.java
@@ -1,6 +1,5 @@
 package org.dunespindle.coordination;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,26 +8,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Carries out this controller's part of a plan: books tasks on its machines, and stops those that give way. */
 final class Placements {
     private static final Logger LOG = LoggerFactory.getLogger(Placements.class);
-    /** Stopping tasks splits groups of claims, so a record is not filled to the brim by placing. */
+    /** Stopping tasks splits groups of allocations, so a record is not filled to the brim by placing. */
     private static final double FILLED_BY_PLACING = 0.7;
     /** A run of tasks on a machine is short in the record, and at its longest when every other one has left and is to start again. */
     private static final int BROKEN_UP_PER_TASK = 6;
+
     private static final double FILLED_WHEN_BROKEN_UP = 0.9;
     private static final int OTHER_GUARDS = 3;
     private static final int MOST_WAITING = 8;
@@ -37,15 +37,16 @@
     private final Replica replica;
     private final Membership membership;
     private final Committer committer;
-    private final MachineEdits edits;
+    private final MachineWriter machineWriter;
     private final Outcomes outcomes;
     private final Timeline timeline;
     private final Decisions decisions;
-    private final Predicate<HostRecord> takesTasks;
+    private final Predicate<MachineRecord> takesTasks;
     private final Preemptions preemptions;
-    private final HostDesk hostDesk;
+    private final WorkerClient workerClient;
     /** Records proposed but not stored yet: their room is taken, or another job would be booked on it too. */
     private final Map<String, JobRecord> proposed = new HashMap<>();
+
     private final Map<String, Spending> spending = new HashMap<>();
 
     /** What was placed under a team's record as it stands. */
@@ -59,18 +60,24 @@
         }
     }
 
-    Placements(Settings settings, Replica replica, Membership membership, Committer committer, MachineEdits edits, Outcomes outcomes, Preemptions preemptions, HostDesk hostDesk, Timeline timeline,
-            Decisions decisions, Predicate<HostRecord> takesTasks) {
-        this.settings = settings;
-        this.replica = replica;
-        this.membership = membership;
+    Placements(
+            ControllerContext context,
+            Committer committer,
+            MachineWriter machineWriter,
+            Outcomes outcomes,
+            Preemptions preemptions,
+            WorkerClient workerClient,
+            Predicate<MachineRecord> takesTasks) {
+        this.settings = context.settings();
+        this.replica = context.replica();
+        this.membership = context.membership();
+        this.timeline = context.timeline();
+        this.decisions = context.decisions();
         this.committer = committer;
-        this.edits = edits;
+        this.machineWriter = machineWriter;
         this.outcomes = outcomes;
         this.preemptions = preemptions;
-        this.hostDesk = hostDesk;
-        this.timeline = timeline;
-        this.decisions = decisions;
+        this.workerClient = workerClient;
         this.takesTasks = takesTasks;
     }
 
@@ -87,7 +94,8 @@
             if (committer.waiting() >= (b.job().job().gang() ? MOST_WAITING_GANGS : MOST_WAITING)) {
                 return;
             }
-            if (committer.isLocked(Keys.job(b.job().id())) || committer.isLocked(Keys.team(b.job().job().team()))) {
+            if (committer.isLocked(Keys.job(b.job().id()))
+                    || committer.isLocked(Keys.team(b.job().job().team()))) {
                 continue;
             }
             Map<Integer, String> places = ownPart(b);
@@ -109,8 +117,13 @@
         var pages = new HashSet<String>();
         var places = new LinkedHashMap<Integer, String>();
         b.places().forEach((task, host) -> {
-            HostRecord h = replica.hosts().get(host);
-            if (may && h != null && membership.owns(h) && !edits.busy(host) && takesTasks.test(h) && (pages.contains(Keys.host(host)) || pages.size() < room)) {
+            MachineRecord h = replica.hosts().get(host);
+            if (may
+                    && h != null
+                    && membership.owns(h)
+                    && !machineWriter.busy(host)
+                    && takesTasks.test(h)
+                    && (pages.contains(Keys.host(host)) || pages.size() < room)) {
                 pages.add(Keys.host(host));
                 places.put(task, host);
             }
@@ -127,55 +140,91 @@
             return; // some of its tasks must end first
         }
         String team = job.job().team();
-        String teamKey = Keys.team(team);
         Resources need = job.job().perTask().times(places.size());
         Resources used = use.getOrDefault(team, Resources.NONE);
-        if (!settings.teams().get(team).withinLimit(used.plus(need))) {
+        Spending spent = spending(team);
+        if (!settings.teams().get(team).withinLimit(used.plus(need)) || !allowedByTeam(txn, team, spent, used, need)) {
             return;
         }
-        Spending s = spending.compute(team, (t, old) -> old != null && old.stamp == replica.stamp(teamKey) ? old : new Spending(replica.stamp(teamKey)));
-        // A process that started after the record was written can't know what an earlier one of its name placed under it.
-        boolean entitled = s.stamp > replica.stamp(Keys.INCARNATION + settings.nodeName());
-        var view = new TeamLedger.View(settings.teams().get(team), settings.seeds().size() + 1, TeamLedger.Entry.parse(replica.value(teamKey)), entitled, s.spent, s.unsure,
-                replica.syncedTo() >= s.stamp, used);
+        JobRecord placed = addPlacement(txn, job, folded, places);
+        if (!txn.fits(settings.state().txnOps())) {
+            return;
+        }
+        use.merge(team, need, Resources::plus);
+        spent.spent = spent.spent.plus(need);
+        tell(job, places.size());
+        propose(txn, job.id(), placed, result -> {
+            if (result instanceof TxnResult.Applied) {
+                told.forEach(event -> outcomes.tell(job, event));
+            } else if (result instanceof TxnResult.Unknown) {
+                spent.unsure = spent.unsure.plus(need);
+            } else {
+                spent.spent = spent.spent.minus(need);
+            }
+        });
+    }
+
+    private Spending spending(String team) {
+        long stamp = replica.stamp(Keys.team(team));
+        return spending.compute(team, (t, old) -> old != null && old.stamp == stamp ? old : new Spending(stamp));
+    }
+
+    /** Adds to a transaction what the team's record asks for; false if nothing may be placed now. */
+    private boolean allowedByTeam(Txn txn, String team, Spending spent, Resources used, Resources need) {
+        String key = Keys.team(team);
+        // A process that started after the record was written can't know what an earlier one of its name placed under
+        // it.
+        boolean entitled = spent.stamp > replica.stamp(Keys.INCARNATION + settings.nodeName());
+        var view = new TeamLedger.View(
+                settings.teams().get(team),
+                settings.seeds().size() + 1,
+                TeamLedger.Entry.parse(replica.value(key)),
+                entitled,
+                spent.spent,
+                spent.unsure,
+                replica.syncedTo() >= spent.stamp,
+                used);
         TeamLedger.Way way = TeamLedger.way(view, need);
         if (way instanceof TeamLedger.Way.Close close) {
-            committer.propose(Committer.Lane.PLACING, new Txn().guard(teamKey, s.stamp).write(teamKey, close.entry().toNode()), r -> { });
-            return;
+            var closing =
+                    new Txn().guard(key, spent.stamp).write(key, close.entry().toNode());
+            committer.propose(Committer.Lane.PLACING, closing, r -> {});
+            return false;
         }
         if (way instanceof TeamLedger.Way.Wait) {
-            return;
+            return false;
         }
-        txn.guard(teamKey, s.stamp);
+        txn.guard(key, spent.stamp);
         if (way instanceof TeamLedger.Way.Write write) {
-            txn.write(teamKey, write.entry().toNode());
+            txn.write(key, write.entry().toNode());
         }
+        return true;
+    }
+
+    private JobRecord addPlacement(Txn txn, JobRecord job, JobRecord folded, Map<Integer, String> places) {
         JobRecord placed = folded.placed(places);
         if (job.job().gang() && job.job().tasks() == 1) {
             placed = placed.real(); // its placeholder would be the whole gang and start, so it runs directly
         }
-        ObjectNode node = placed.toNode();
         String key = Keys.job(job.id());
-        txn.guard(key, replica.stamp(key)).write(key, node);
-        places.values().forEach(h -> txn.guard(Keys.host(h), replica.stamp(Keys.host(h))));
+        txn.guard(key, replica.stamp(key)).write(key, placed.toNode());
+        places.values().forEach(host -> txn.guard(Keys.host(host), replica.stamp(Keys.host(host))));
         if (job.job().gang()) {
             txn.guard(Keys.LEADER, replica.stamp(Keys.LEADER));
         }
-        if (!txn.fits(settings.state().txnOps())) {
-            return;
+        return placed;
+    }
+
+    private void tell(JobRecord job, int tasks) {
+        if (LOG.isDebugEnabled()) {
+            long age = Duration.between(job.arrived(), timeline.wallTime()).toMillis();
+            LOG.debug(
+                    "{} ({}): {} placed {} ms after it came",
+                    job.id(),
+                    job.job().jobClass(),
+                    tasks,
+                    age);
         }
-        use.merge(team, need, Resources::plus);
-        s.spent = s.spent.plus(need);
-        LOG.debug("{} ({}): {} placed {} ms after it came", job.id(), job.job().jobClass(), places.size(), LOG.isDebugEnabled() ? Duration.between(job.arrived(), timeline.wallTime()).toMillis() : 0);
-        propose(txn, job.id(), placed, r -> {
-            if (r instanceof TxnResult.Applied) {
-                told.forEach(e -> outcomes.tell(job, e));
-            } else if (r instanceof TxnResult.Unknown) {
-                s.unsure = s.unsure.plus(need);
-            } else {
-                s.spent = s.spent.minus(need);
-            }
-        });
     }
 
     /** Of some places as many as the job's record takes, now and while its tasks end one by one. */
@@ -194,8 +243,9 @@
 
     /** Whether a record stays within a value's limit whatever becomes of its tasks: one that grows beyond it could never be written again. */
     static boolean fits(JobRecord placed, int valueBytes) {
-        int size = Pack.countedSize(placed.toNode());
-        return size <= valueBytes * FILLED_BY_PLACING && size + BROKEN_UP_PER_TASK * placed.claims().size() <= valueBytes * FILLED_WHEN_BROKEN_UP;
+        int size = MessagePackCodec.countedSize(placed.toNode());
+        return size <= valueBytes * FILLED_BY_PLACING
+                && size + BROKEN_UP_PER_TASK * placed.allocations().size() <= valueBytes * FILLED_WHEN_BROKEN_UP;
     }
 
     private void propose(Txn txn, String id, JobRecord record, java.util.function.Consumer<TxnResult> then) {
@@ -210,11 +260,17 @@
     void evict(Planner.Plan plan) {
         preemptions.prune(replica);
         for (Planner.Eviction e : plan.evictions()) {
-            HostRecord h = replica.hosts().get(e.claim().host());
-            if (h != null && membership.owns(h) && !e.claim().stopping()) {
-                preemptions.add(Preemptions.of(e.victim(), e.claim()), h.id());
-                hostDesk.attend(h.id());
-                decisions.tell(LOG, "task {}/{} on {} gives way to {}", e.victim().id(), e.claim().task(), e.claim().host(), e.forJob());
+            MachineRecord h = replica.hosts().get(e.allocation().host());
+            if (h != null && membership.owns(h) && !e.allocation().stopping()) {
+                preemptions.add(Preemptions.of(e.victim(), e.allocation()), h.id());
+                workerClient.attend(h.id());
+                decisions.tell(
+                        LOG,
+                        "task {}/{} on {} gives way to {}",
+                        e.victim().id(),
+                        e.allocation().task(),
+                        e.allocation().host(),
+                        e.forJob());
             }
         }
     }
--- a/src/main/java/org/dunespindle/coordination/Sessions.java
+++ b/src/main/java/org/dunespindle/coordination/Sessions.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.dunespindle.protocol.Order;
+import org.dunespindle.protocol.WorkerCommand;
 import org.dunespindle.protocol.WorkerReport;
 
 /** What this process knows of each worker. It is gone with the process; nothing in it is needed for safety. */
@@ -27,6 +27,7 @@
         Optional<Duration> heardAt = Optional.empty();
         /** When it last answered when asked or commanded. */
         Optional<Duration> answeredAt = Optional.empty();
+
         private long answeredUnder = -1;
         /** When anything new came from it, be it an old copy. */
         Duration seenAt = Duration.ZERO;
@@ -34,9 +35,11 @@
         boolean calling;
         /** A {@code run} went unanswered under this token and may still land; empty once fenced off. */
         Optional<Long> unansweredUnder = Optional.empty();
+
         Duration unansweredAt = Duration.ZERO;
         /** Since when no command is known to arrive: reports alone prove a machine alive, not that it can be commanded. */
         Optional<Duration> unprovenSince = Optional.empty();
+
         Duration callAgainAt = Duration.ZERO;
         Duration strayAt = Duration.ZERO;
         long strayStamp = -1;
@@ -44,16 +47,19 @@
         boolean verifying;
         /** When this worker was last sent away because this controller was cut off. */
         Optional<Duration> turnedAwayAt = Optional.empty();
-        /** What became of claims here, not stored yet; since when. */
+        /** What became of allocations here, not stored yet; since when. */
         List<Reconciler.Event> events = List.of();
+
         Duration eventsSince = Duration.ZERO;
         final LinkedHashMap<String, Boolean> images = new LinkedHashMap<>();
         /** Starts sent under {@link #startsToken} in {@link #startsSession}: late copies of them are void only under a higher one. */
-        final Set<Order.Run> starts = new HashSet<>();
+        final Set<WorkerCommand.Run> starts = new HashSet<>();
+
         long startsToken;
         long startsSession;
         /** For the heartbeat to the leader: what was told last, and its number. */
         String told = "";
+
         long toldAs;
 
         /** Takes a report that came by itself; late copies change nothing, and the first of all may be one: it proves no life. */
@@ -95,7 +101,7 @@
 
         /** The last sign of life of any kind. */
         Optional<Duration> aliveAt() {
-            return heardAt.filter(h -> answeredAt.isEmpty() || h.compareTo(answeredAt.get()) >= 0).or(() -> answeredAt);
+            return Durations.later(heardAt, answeredAt);
         }
 
         void unanswered(Duration now) {
@@ -116,37 +122,43 @@
 
         /** Whether the last report can prove something: under this token, with no unanswered start. */
         boolean proves(long token) {
-            return !calling && unansweredUnder.isEmpty() && report.isPresent() && report.get().token() == token;
+            return !calling
+                    && unansweredUnder.isEmpty()
+                    && report.isPresent()
+                    && report.get().token() == token;
         }
 
         /** Notes starts about to be sent. */
-        void starting(long token, long session, List<Order> orders) {
+        void starting(long token, long session, List<WorkerCommand> commands) {
             if (token != startsToken || session != startsSession) {
                 starts.clear();
                 startsToken = token;
                 startsSession = session;
             }
-            orders.forEach(o -> {
-                if (o instanceof Order.Run run) {
+            commands.forEach(o -> {
+                if (o instanceof WorkerCommand.Run run) {
                     starts.add(run);
                 }
             });
         }
 
         /** Whether a late copy of this attempt's start could still be carried out: then the worker must not forget it. */
-        boolean mayStartAgain(Order.Forget f, long token) {
-            return token == startsToken && starts.contains(new Order.Run(f.task(), f.attempt()));
+        boolean mayStartAgain(WorkerCommand.Forget f, long token) {
+            return token == startsToken && starts.contains(new WorkerCommand.Run(f.task(), f.attempt()));
         }
     }
 
+    /** What is known of a worker, created if it is new. */
     public Session of(String host) {
         return byHost.computeIfAbsent(host, h -> new Session());
     }
 
+    /** What is known of a worker, if anything. */
     public Optional<Session> known(String host) {
         return Optional.ofNullable(byHost.get(host));
     }
 
+    /** All workers by machine. */
     public Map<String, Session> all() {
         return byHost;
     }
@@ -156,6 +168,9 @@
      * they are old.
      */
     public void forget(Set<String> present, Duration now) {
-        byHost.entrySet().removeIf(e -> !present.contains(e.getKey()) && !e.getValue().verifying && now.minus(e.getValue().seenAt).compareTo(REMEMBER) > 0);
+        byHost.entrySet()
+                .removeIf(e -> !present.contains(e.getKey())
+                        && !e.getValue().verifying
+                        && now.minus(e.getValue().seenAt).compareTo(REMEMBER) > 0);
     }
 }
--- a/src/main/java/org/dunespindle/coordination/Targets.java
+++ b/src/main/java/org/dunespindle/coordination/Targets.java
@@ -14,6 +14,7 @@
     private final Map<String, TreeSet<Duration>> finished = new HashMap<>();
     private final Map<String, TreeSet<Double>> deadlines = new HashMap<>();
 
+    /** Takes the completion objectives from the settings. */
     public Targets(List<Settings.Objective> objectives) {
         for (Settings.Objective o : objectives) {
             if (o.kind().equals("finished")) {
@@ -30,7 +31,11 @@
             return List.copyOf(finished.getOrDefault(job.jobClass(), new TreeSet<>()));
         }
         TreeSet<Double> times = deadlines.get(job.jobClass());
-        return times == null ? List.of(job.due().get()) : times.stream().map(t -> Duration.ofMillis(Math.round(job.due().get().toMillis() * t))).toList();
+        return times == null
+                ? List.of(job.due().get())
+                : times.stream()
+                        .map(t -> Duration.ofMillis(Math.round(job.due().get().toMillis() * t)))
+                        .toList();
     }
 
     /** The first time that a job is measured by. */
--- a/src/main/java/org/dunespindle/coordination/FrontDesk.java
+++ b/src/main/java/org/dunespindle/coordination/UserApi.java
@@ -9,21 +9,21 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.bookkeeping.Keys;
-import org.dunespindle.bookkeeping.Replica;
-import org.dunespindle.bookkeeping.StateClient;
-import org.dunespindle.bookkeeping.Timeline;
-import org.dunespindle.bookkeeping.Txn;
-import org.dunespindle.bookkeeping.TxnResult;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateClient;
+import org.dunespindle.storage.Timeline;
+import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.TxnResult;
 
 /** The users' side: submissions, polls and cancellations. Every answer rests on what is stored. */
-public final class FrontDesk {
+public final class UserApi {
     private static final Duration SOON = Duration.ofSeconds(1);
     private static final Duration LATER = Duration.ofSeconds(3);
     private static final Duration LOCK_WAIT = Duration.ofMillis(40);
@@ -47,15 +47,23 @@
         }
 
         static Answer error(int status, String text) {
-            return of(status, Pack.map().put("error", text));
+            return of(status, MessagePackCodec.map().put("error", text));
         }
 
         static Answer later(String text, Duration when) {
-            return new Answer(503, Pack.map().put("error", text), Optional.of(when));
+            return new Answer(503, MessagePackCodec.map().put("error", text), Optional.of(when));
         }
     }
 
-    public FrontDesk(Settings settings, Replica replica, StateClient state, Committer committer, Timeline timeline, Supplier<Optional<List<MachineType>>> catalog, Histogram accepts) {
+    /** Creates the API; the catalog is empty until the cloud has answered. */
+    public UserApi(
+            Settings settings,
+            Replica replica,
+            StateClient state,
+            Committer committer,
+            Timeline timeline,
+            Supplier<Optional<List<MachineType>>> catalog,
+            Histogram accepts) {
         this.settings = settings;
         this.replica = replica;
         this.state = state;
@@ -66,10 +74,11 @@
         this.mostWaiting = Math.max(LEAST_WAITING, (int) (settings.state().writeRps() * WAITING_SECONDS));
     }
 
+    /** Answers a submission. */
     public void submit(byte[] body, Consumer<Answer> answer) {
         Submission job;
         try {
-            job = Submission.parse(Pack.read(body));
+            job = Submission.parse(MessagePackCodec.read(body));
         } catch (MalformedException e) {
             answer.accept(Answer.error(400, e.getMessage()));
             return;
@@ -90,40 +99,49 @@
         }
         Optional<String> never = whyNever(job, types.get());
         if (never.isPresent()) {
-            replica.refresh(() -> replica.job(job.id()).ifPresentOrElse(j -> answer.accept(show(j)), () -> answer.accept(Answer.error(422, never.get()))),
-                    () -> answer.accept(out()));
-            return;
-        }
-        if (state.failing()) {
+            refuse(job.id(), never.get(), answer);
+        } else if (state.failing()) {
             answer.accept(out());
-            return;
+        } else {
+            store(job, answer);
         }
+    }
+
+    /** Refuses a job for good, unless another controller has accepted it meanwhile. */
+    private void refuse(String id, String why, Consumer<Answer> answer) {
+        replica.refresh(
+                () -> answer.accept(replica.job(id).map(UserApi::show).orElseGet(() -> Answer.error(422, why))),
+                () -> answer.accept(out()));
+    }
+
+    private void store(Submission job, Consumer<Answer> answer) {
         String key = Keys.job(job.id());
         JobRecord record = JobRecord.accepted(job, timeline.wallTime());
-        if (Pack.countedSize(record.toNode()) > settings.state().valueBytes() / 2) {
+        if (MessagePackCodec.countedSize(record.toNode()) > settings.state().valueBytes() / 2) {
             answer.accept(Answer.error(400, "the job's description is too long"));
-            return;
-        }
-        if (committer.isLocked(key)) {
+        } else if (committer.isLocked(key)) {
             answer.accept(Answer.later("the same submission is being stored", SOON));
-            return;
-        }
-        if (committer.waiting(Committer.Lane.USERS) >= mostWaiting) {
+        } else if (committer.waiting(Committer.Lane.USERS) >= mostWaiting) {
             answer.accept(Answer.later("more submissions wait than can be stored in time", LATER));
-            return;
+        } else {
+            Duration begun = timeline.now();
+            var txn = new Txn().guard(key, 0).write(key, record.toNode());
+            committer.propose(Committer.Lane.USERS, txn, result -> {
+                long micros = timeline.now().minus(begun).toNanos() / 1000;
+                accepts.recordValue(Math.min(accepts.getHighestTrackableValue(), micros));
+                stored(job.id(), result, answer);
+            });
+        }
+    }
+
+    private void stored(String id, TxnResult result, Consumer<Answer> answer) {
+        if (result instanceof TxnResult.Applied) {
+            answer.accept(Answer.of(201, MessagePackCodec.map().put("id", id).put("phase", "queued")));
+        } else if (replica.job(id).isPresent() && !(result instanceof TxnResult.Refused)) {
+            current(id, answer);
+        } else {
+            answer.accept(out());
         }
-        Duration begun = timeline.now();
-        committer.propose(Committer.Lane.USERS, new Txn().guard(key, 0).write(key, record.toNode()), r -> {
-            accepts.recordValue(Math.min(60_000_000L, timeline.now().minus(begun).toNanos() / 1000));
-            Optional<JobRecord> now = replica.job(job.id());
-            if (r instanceof TxnResult.Applied) {
-                answer.accept(Answer.of(201, Pack.map().put("id", job.id()).put("phase", "queued")));
-            } else if (now.isPresent() && !(r instanceof TxnResult.Refused)) {
-                current(job.id(), answer);
-            } else {
-                answer.accept(out());
-            }
-        });
     }
 
     /** Why a job can never run, if so. */
@@ -143,7 +161,8 @@
             return Optional.of("samePlace and apart exclude each other");
         }
         if (job.gang() && job.spread() && job.tasks() > 1 && zones.size() < 2) {
-            return Optional.of("apart needs a second zone, and only " + zones.iterator().next() + " is allowed or has machines that fit");
+            return Optional.of("apart needs a second zone, and only "
+                    + zones.iterator().next() + " is allowed or has machines that fit");
         }
         return Optional.empty();
     }
@@ -152,13 +171,17 @@
     private static Set<String> zonesFor(Submission job, List<MachineType> types) {
         var zones = new TreeSet<String>();
         for (MachineType t : types) {
-            if (job.types().map(a -> a.contains(t.name())).orElse(true) && job.perTask().fitsIn(t.size())) {
-                t.zones().stream().filter(z -> job.zone().map(z::equals).orElse(true)).forEach(zones::add);
+            if (job.types().map(a -> a.contains(t.name())).orElse(true)
+                    && job.perTask().fitsIn(t.size())) {
+                t.zones().stream()
+                        .filter(z -> job.zone().map(z::equals).orElse(true))
+                        .forEach(zones::add);
             }
         }
         return zones;
     }
 
+    /** Answers a question about a job. */
     public void poll(String id, Consumer<Answer> answer) {
         if (!replica.loaded()) {
             answer.accept(Answer.later("this controller is still reading the stored state", SOON));
@@ -179,15 +202,20 @@
         } else if (state.failing()) {
             answer.accept(out());
         } else {
-            replica.refresh(() -> answer.accept(replica.job(id).map(FrontDesk::show).orElseGet(() -> absent(id))), () -> answer.accept(out()));
+            replica.refresh(
+                    () -> answer.accept(replica.job(id).map(UserApi::show).orElseGet(() -> absent(id))),
+                    () -> answer.accept(out()));
         }
     }
 
     /** A record that cannot be understood is not an absent one: its job was accepted. */
     private Answer absent(String id) {
-        return replica.unreadable(Keys.job(id)) ? Answer.later("the job's record cannot be read", LATER) : Answer.error(404, "no such job");
+        return replica.unreadable(Keys.job(id))
+                ? Answer.later("the job's record cannot be read", LATER)
+                : Answer.error(404, "no such job");
     }
 
+    /** Cancels a job and answers once that is stored. */
     public void cancel(String id, Consumer<Answer> answer) {
         cancel(id, timeline.now().plus(PATIENCE), answer);
     }
@@ -197,27 +225,38 @@
             answer.accept(out());
             return;
         }
-        replica.refresh(() -> {
-            Optional<JobRecord> known = replica.job(id);
-            String key = Keys.job(id);
-            if (known.isEmpty()) {
-                answer.accept(absent(id));
-            } else if (!known.get().open()) {
-                answer.accept(show(known.get()));
-            } else if (committer.isLocked(key)) {
-                again(id, until, answer);
-            } else if (committer.waiting(Committer.Lane.USERS) >= 2 * mostWaiting) {
-                answer.accept(Answer.later("more requests wait than can be stored in time", LATER));
-            } else {
-                committer.propose(Committer.Lane.USERS, new Txn().guard(key, replica.stamp(key)).write(key, known.get().cancelled().toNode()), r -> {
-                    if (r instanceof TxnResult.Applied) {
-                        answer.accept(Answer.of(200, Pack.map().put("id", id).put("phase", "cancelled")));
-                    } else {
+        replica.refresh(
+                () -> {
+                    Optional<JobRecord> known = replica.job(id);
+                    String key = Keys.job(id);
+                    if (known.isEmpty()) {
+                        answer.accept(absent(id));
+                    } else if (!known.get().open()) {
+                        answer.accept(show(known.get()));
+                    } else if (committer.isLocked(key)) {
                         again(id, until, answer);
+                    } else if (committer.waiting(Committer.Lane.USERS) >= 2 * mostWaiting) {
+                        answer.accept(Answer.later("more requests wait than can be stored in time", LATER));
+                    } else {
+                        committer.propose(
+                                Committer.Lane.USERS,
+                                new Txn()
+                                        .guard(key, replica.stamp(key))
+                                        .write(key, known.get().cancelled().toNode()),
+                                r -> {
+                                    if (r instanceof TxnResult.Applied) {
+                                        answer.accept(Answer.of(
+                                                200,
+                                                MessagePackCodec.map()
+                                                        .put("id", id)
+                                                        .put("phase", "cancelled")));
+                                    } else {
+                                        again(id, until, answer);
+                                    }
+                                });
                     }
-                });
-            }
-        }, () -> answer.accept(out()));
+                },
+                () -> answer.accept(out()));
     }
 
     private void again(String id, Duration until, Consumer<Answer> answer) {
@@ -229,7 +268,8 @@
     }
 
     private static Answer out() {
-        return Answer.later("the state service does not answer; the request was not carried out as far as is known", LATER);
+        return Answer.later(
+                "the state service does not answer; the request was not carried out as far as is known", LATER);
     }
 
     static Answer show(JobRecord j) {
@@ -238,12 +278,16 @@
             case CANCELLED -> "cancelled";
             case OPEN -> running(j) > 0 ? "running" : "queued";
         };
-        ObjectNode body = Pack.map().put("id", j.id()).put("phase", phase).put("done", j.doneCount()).put("running", running(j));
+        ObjectNode body = MessagePackCodec.map()
+                .put("id", j.id())
+                .put("phase", phase)
+                .put("done", j.doneCount())
+                .put("running", running(j));
         return Answer.of(200, j.failures() > 0 ? body.put("failures", j.failures()) : body);
     }
 
     private static int running(JobRecord j) {
         boolean placing = j.spec().isPresent() && j.job().gang() && j.mode() != JobRecord.Mode.REAL;
-        return j.open() && !placing ? j.claims().size() : 0;
+        return j.open() && !placing ? j.allocations().size() : 0;
     }
 }
--- a/src/main/java/org/dunespindle/protocol/Pack.java
+++ b/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
@@ -18,15 +18,15 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /** Bodies outside the service: MessagePack to and from trees. */
-public final class Pack {
+public final class MessagePackCodec {
     public static final String TYPE = "application/msgpack";
     private static final int DEEPEST = 32;
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Pack() {}
-
+    private MessagePackCodec() {}
 
+    /** An empty map. */
     public static ObjectNode map() {
         return JsonNodeFactory.instance.objectNode();
     }
@@ -61,7 +61,9 @@
                 return BooleanNode.valueOf(in.unpackBoolean());
             }
             case INTEGER -> {
-                return format == MessageFormat.UINT64 ? BigIntegerNode.valueOf(in.unpackBigInteger()) : LongNode.valueOf(in.unpackLong());
+                return format == MessageFormat.UINT64
+                        ? BigIntegerNode.valueOf(in.unpackBigInteger())
+                        : LongNode.valueOf(in.unpackLong());
             }
             case FLOAT -> {
                 return DoubleNode.valueOf(in.unpackDouble());
@@ -89,6 +91,7 @@
         }
     }
 
+    /** Encodes a tree as MessagePack. */
     public static byte[] write(JsonNode node) {
         try {
             return MAPPER.writeValueAsBytes(node);
--- a/src/main/java/org/dunespindle/protocol/TaskPhase.java
+++ b/src/main/java/org/dunespindle/protocol/TaskPhase.java
@@ -4,7 +4,11 @@
 
 /** What a worker says of a task. */
 public enum TaskPhase {
-    FETCHING("pulling"), ASSEMBLING("gathering"), RUNNING("running"), SAVING("saving"), EXITED("exited");
+    FETCHING("pulling"),
+    ASSEMBLING("gathering"),
+    RUNNING("running"),
+    SAVING("saving"),
+    EXITED("exited");
 
     private final String wire;
 
@@ -12,10 +16,12 @@
         this.wire = wire;
     }
 
+    /** The name on the wire. */
     public String wire() {
         return wire;
     }
 
+    /** Reads the name on the wire. */
     public static Optional<TaskPhase> parse(String text) {
         for (TaskPhase p : values()) {
             if (p.wire.equals(text)) {
--- /dev/null
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -0,0 +1,437 @@
+package org.dunespindle.storage;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import it.unimi.dsi.fastutil.ints.IntArrayList;
+import it.unimi.dsi.fastutil.ints.IntRBTreeSet;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.Submission;
+
+/**
+ * A job as the state service keeps it.
+ *
+ * <p>Array tasks start in index order, so {@code next} (the first index never started), the ones to
+ * start again and the allocations say everything: the rest below {@code next} is done. The record's size
+ * follows what is under way, never the number of tasks.
+ *
+ * @param spec empty for a finished job without allocations: only its final state is kept
+ * @param generation source of attempts; only grows
+ * @param attempt a gang's common attempt, while {@link Mode#REAL}
+ * @param order place in the team's queue of gangs: arrival in milliseconds, later after a requeue
+ */
+public record JobRecord(
+        String id,
+        Optional<Submission> spec,
+        Instant arrived,
+        End end,
+        long generation,
+        int next,
+        List<Integer> again,
+        List<Allocation> allocations,
+        Mode mode,
+        long attempt,
+        long order,
+        int failures,
+        Optional<Instant> notBefore) {
+
+    /** How a job ended, if it did. */
+    public enum End {
+        OPEN,
+        DONE,
+        CANCELLED
+    }
+
+    /** Where a gang stands: queued, placeholders being placed, real tasks, or being stopped as a whole. */
+    public enum Mode {
+        IDLE,
+        HOLD,
+        REAL,
+        STOP
+    }
+
+    /** The record of a job that has just been accepted. */
+    public static JobRecord accepted(Submission spec, Instant now) {
+        return new JobRecord(
+                spec.id(),
+                Optional.of(spec),
+                now,
+                End.OPEN,
+                1,
+                0,
+                List.of(),
+                List.of(),
+                Mode.IDLE,
+                0,
+                now.toEpochMilli(),
+                0,
+                Optional.empty());
+    }
+
+    /** Whether the job is neither done nor cancelled. */
+    public boolean open() {
+        return end == End.OPEN;
+    }
+
+    /** What the user submitted; only present while the job is open or holds allocations. */
+    public Submission job() {
+        return spec.orElseThrow();
+    }
+
+    /** Tasks done, for display. */
+    public int doneCount() {
+        if (spec.isEmpty()) {
+            return next;
+        }
+        return job().gang() || end != End.OPEN ? 0 : next - again.size() - allocations.size();
+    }
+
+    /** Indexes without an allocation and not done, in the order they should start. */
+    public IntArrayList unplaced(int most) {
+        var list = new IntArrayList();
+        if (!open()) {
+            return list;
+        }
+        if (job().gang()) {
+            if (mode == Mode.REAL || mode == Mode.STOP) {
+                return list;
+            }
+            var placed = new java.util.BitSet();
+            allocations.forEach(c -> placed.set(c.task()));
+            for (int i = placed.nextClearBit(0);
+                    i < job().tasks() && list.size() < most;
+                    i = placed.nextClearBit(i + 1)) {
+                list.add(i);
+            }
+            return list;
+        }
+        for (int i : again) {
+            if (list.size() < most) {
+                list.add(i);
+            }
+        }
+        for (int i = next; i < job().tasks() && list.size() < most; i++) {
+            list.add(i);
+        }
+        return list;
+    }
+
+    /** How many tasks still need a machine. */
+    public int unplacedCount() {
+        if (!open()) {
+            return 0;
+        }
+        if (job().gang()) {
+            return mode == Mode.REAL || mode == Mode.STOP ? 0 : job().tasks() - allocations.size();
+        }
+        return again.size() + job().tasks() - next;
+    }
+
+    /** The attempt under which an allocation's task should be on its machine. */
+    public long wantedAttempt(Allocation c) {
+        return !job().gang()
+                ? c.base()
+                : mode == Mode.REAL || (mode == Mode.STOP && attempt > 0) ? attempt : c.base() + c.task();
+    }
+
+    /** The allocation of one task, if it has one. */
+    public Optional<Allocation> allocation(int task) {
+        for (Allocation c : allocations) {
+            if (c.task() == task) {
+                return Optional.of(c);
+            }
+        }
+        return Optional.empty();
+    }
+
+    /** Books tasks on machines, each under a fresh attempt. */
+    public JobRecord placed(Map<Integer, String> places) {
+        var all = new ArrayList<>(allocations);
+        var waiting = new ArrayList<>(again);
+        int first = next;
+        for (var e : places.entrySet()) {
+            all.add(new Allocation(e.getKey(), e.getValue(), generation, false));
+            if (!job().gang()) {
+                waiting.remove(e.getKey());
+                first = Math.max(first, e.getKey() + 1);
+            }
+        }
+        if (!job().gang()) {
+            // Indexes skipped below the new frontier still have to run; without this they would count as done.
+            for (int i = next; i < first; i++) {
+                if (!places.containsKey(i)) {
+                    waiting.add(i);
+                }
+            }
+        }
+        long used = job().gang() ? job().tasks() : 1;
+        Mode m = job().gang() && mode == Mode.IDLE ? Mode.HOLD : mode;
+        return new JobRecord(
+                id,
+                spec,
+                arrived,
+                end,
+                generation + used,
+                first,
+                List.copyOf(waiting),
+                List.copyOf(all),
+                m,
+                attempt,
+                order,
+                failures,
+                Optional.empty());
+    }
+
+    /** Starts the real tasks of a gang whose placeholders all idle: one common new attempt. */
+    public JobRecord real() {
+        return new JobRecord(
+                id,
+                spec,
+                arrived,
+                end,
+                generation + 1,
+                next,
+                again,
+                allocations,
+                Mode.REAL,
+                generation,
+                order,
+                failures,
+                notBefore);
+    }
+
+    /** Books a placeholder again on its machine, after it gave up waiting. */
+    public JobRecord rebooked(int task) {
+        var all = new ArrayList<Allocation>();
+        allocations.forEach(
+                c -> all.add(c.task() == task ? new Allocation(task, c.host(), generation, c.stopping()) : c));
+        return with(end, generation + job().tasks(), next, again, all, mode, attempt);
+    }
+
+    /** Stops a whole gang: it comes back once every member is released. */
+    public JobRecord stopGang() {
+        return with(
+                end,
+                generation,
+                next,
+                again,
+                allocations,
+                Mode.STOP,
+                mode == Mode.REAL ? attempt : mode == Mode.STOP ? attempt : 0);
+    }
+
+    /** Marks one task's allocation as being stopped. */
+    public JobRecord stopTask(int task) {
+        var all = new ArrayList<Allocation>();
+        allocations.forEach(c -> all.add(c.task() == task ? c.stopped() : c));
+        return with(end, generation, next, again, all, mode, attempt);
+    }
+
+    /** Gives up an allocation whose task is proven gone; an array's task runs again unless it is done. */
+    public JobRecord released(int task, boolean done) {
+        return released(Map.of(task, done));
+    }
+
+    /** The same for several at once, which for a large array is one pass over its allocations instead of one for each. */
+    public JobRecord released(Map<Integer, Boolean> ended) {
+        var all = new ArrayList<Allocation>(allocations.size());
+        allocations.forEach(c -> {
+            if (!ended.containsKey(c.task())) {
+                all.add(c);
+            }
+        });
+        if (spec.isEmpty() || job().gang()) {
+            Mode m = all.isEmpty() ? Mode.IDLE : mode;
+            return with(end, generation, next, again, all, m, m == Mode.IDLE ? 0 : attempt)
+                    .compact();
+        }
+        var waiting = new ArrayList<>(again);
+        ended.forEach((task, done) -> {
+            if (!done || job().shape() == Shape.SERVICE) {
+                waiting.add(task); // a service's task that ends is started again: only its user ends a service
+            }
+        });
+        boolean over = end == End.OPEN && next == job().tasks() && waiting.isEmpty() && all.isEmpty();
+        return with(over ? End.DONE : end, generation, next, waiting, all, mode, attempt)
+                .compact();
+    }
+
+    /** A gang is done as one: its members complete together. */
+    public JobRecord gangDone() {
+        return with(End.DONE, generation, next, again, List.of(), Mode.IDLE, 0).compact();
+    }
+
+    /** Cancelled for good; allocations stay until each task is proven gone. */
+    public JobRecord cancelled() {
+        return with(End.CANCELLED, generation, next, List.of(), allocations, mode, attempt)
+                .compact();
+    }
+
+    /** Counts failures and delays the next attempt. */
+    public JobRecord failed(int more, Optional<Instant> until) {
+        return new JobRecord(
+                id,
+                spec,
+                arrived,
+                end,
+                generation,
+                next,
+                again,
+                allocations,
+                mode,
+                attempt,
+                order,
+                failures + more,
+                until);
+    }
+
+    /** Moves a gang to another place in its team's queue. */
+    public JobRecord requeued(long newOrder) {
+        return new JobRecord(
+                id,
+                spec,
+                arrived,
+                end,
+                generation,
+                next,
+                again,
+                allocations,
+                mode,
+                attempt,
+                newOrder,
+                failures,
+                notBefore);
+    }
+
+    private JobRecord with(End e, long g, int n, List<Integer> a, List<Allocation> c, Mode m, long t) {
+        return new JobRecord(
+                id, spec, arrived, e, g, n, List.copyOf(a), List.copyOf(c), m, t, order, failures, notBefore);
+    }
+
+    private JobRecord compact() {
+        if (end == End.OPEN || !allocations.isEmpty()) {
+            return this;
+        }
+        int finished = spec.isEmpty() ? next : end == End.DONE ? job().tasks() : 0;
+        return new JobRecord(
+                id,
+                Optional.empty(),
+                arrived,
+                end,
+                0,
+                finished,
+                List.of(),
+                List.of(),
+                Mode.IDLE,
+                0,
+                0,
+                0,
+                Optional.empty());
+    }
+
+    /** The stored form. */
+    public ObjectNode toNode() {
+        ObjectNode n = MessagePackCodec.map();
+        n.put("at", arrived.toEpochMilli()).put("end", end.name());
+        if (spec.isEmpty()) {
+            return n.put("next", next);
+        }
+        n.set("job", job().toNode());
+        n.put("gen", generation)
+                .put("next", next)
+                .put("mode", mode.name())
+                .put("try", attempt)
+                .put("order", order)
+                .put("fails", failures);
+        notBefore.ifPresent(t -> n.put("wait", t.toEpochMilli()));
+        n.put("again", TaskSet.format(new IntArrayList(new IntRBTreeSet(again))));
+        n.set("claims", allocationsNode());
+        return n;
+    }
+
+    /** Claims by booking, then by page of machines: a gang as large as its team's limit still has to fit one value. */
+    private ArrayNode allocationsNode() {
+        /** Allocations that were booked together. */
+        record Booked(long base, boolean stopping) {}
+        var groups = new LinkedHashMap<Booked, Map<String, IntRBTreeSet>>();
+        for (Allocation c : allocations) {
+            groups.computeIfAbsent(new Booked(c.base(), c.stopping()), g -> new TreeMap<>())
+                    .computeIfAbsent(c.host(), h -> new IntRBTreeSet())
+                    .add(c.task());
+        }
+        ArrayNode list = JsonNodeFactory.instance.arrayNode();
+        groups.forEach((g, hosts) -> {
+            ObjectNode pages = list.addArray().add(g.base).add(g.stopping).addObject();
+            hosts.forEach((host, tasks) -> {
+                String page = Keys.page(host);
+                ObjectNode rows = pages.get(page) instanceof ObjectNode o ? o : pages.putObject(page);
+                rows.put(host.substring(page.length()), TaskSet.format(new IntArrayList(tasks)));
+            });
+        });
+        return list;
+    }
+
+    private static void readAllocations(JsonNode group, List<Allocation> into) {
+        for (Map.Entry<String, JsonNode> page : group.path(2).properties()) {
+            for (Map.Entry<String, JsonNode> row : page.getValue().properties()) {
+                for (int task : TaskSet.parse(row.getValue().textValue())) {
+                    into.add(new Allocation(
+                            task,
+                            page.getKey() + row.getKey(),
+                            group.get(0).longValue(),
+                            group.get(1).booleanValue()));
+                }
+            }
+        }
+    }
+
+    /** Reads the stored form. */
+    public static JobRecord parse(String id, JsonNode n) throws MalformedException {
+        Instant at = Instant.ofEpochMilli(n.path("at").longValue());
+        End end = End.valueOf(n.path("end").asText("OPEN"));
+        if (!n.has("job")) {
+            return new JobRecord(
+                    id,
+                    Optional.empty(),
+                    at,
+                    end,
+                    0,
+                    n.path("next").intValue(),
+                    List.of(),
+                    List.of(),
+                    Mode.IDLE,
+                    0,
+                    0,
+                    0,
+                    Optional.empty());
+        }
+        var allocations = new ArrayList<Allocation>();
+        n.path("claims").forEach(g -> readAllocations(g, allocations));
+        Optional<Instant> wait =
+                n.has("wait") ? Optional.of(Instant.ofEpochMilli(n.get("wait").longValue())) : Optional.empty();
+        return new JobRecord(
+                id,
+                Optional.of(Submission.parse(n.get("job"))),
+                at,
+                end,
+                n.path("gen").longValue(),
+                n.path("next").intValue(),
+                List.copyOf(TaskSet.parse(n.path("again").asText(""))),
+                List.copyOf(allocations),
+                Mode.valueOf(n.path("mode").asText("IDLE")),
+                n.path("try").longValue(),
+                n.path("order").longValue(),
+                n.path("fails").intValue(),
+                wait);
+    }
+}
--- a/src/main/java/org/dunespindle/bookkeeping/StateClient.java
+++ b/src/main/java/org/dunespindle/storage/StateClient.java
@@ -1,18 +1,18 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
-import java.util.HashSet;
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.protocol.StateMessages;
 import org.dunespindle.transport.CallFailure;
-import org.dunespindle.transport.HttpAnswer;
 import org.dunespindle.transport.Caller;
+import org.dunespindle.transport.HttpAnswer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -22,15 +22,18 @@
     private static final Duration TIMEOUT = Duration.ofMillis(1800);
     /** Controllers' clocks differ a little, so their shares leave some of the rate unused. */
     private static final double SAFE_PART = 0.9;
+
     private final MeteredCaller service;
     private final RateBudget writes;
     private int failuresInARow;
 
+    /** Creates a client for the state service that the settings name. */
     public StateClient(Caller http, Settings settings, Timeline timeline) {
         int sharers = settings.seeds().size() + 1;
         double requestShare = SAFE_PART * settings.state().rps() / sharers;
         double writeShare = SAFE_PART * settings.state().writeRps() / sharers;
-        this.service = new MeteredCaller(http, settings.stateAddress(), timeline, new RateBudget(timeline, requestShare), TIMEOUT);
+        this.service = new MeteredCaller(
+                http, settings.stateAddress(), timeline, new RateBudget(timeline, requestShare), TIMEOUT);
         this.writes = new RateBudget(timeline, writeShare);
     }
 
@@ -44,13 +47,19 @@
         return failuresInARow >= 2;
     }
 
+    /** How long calls took, in microseconds. */
     public Histogram latency() {
         return service.latency();
     }
 
     /** A page of keys; fails unless it was answered with 200. */
-    public CompletableFuture<JsonNode> list(String under, String since, int limit) {
-        return ok(call(false, "GET", "/keys?under=" + under + (since.isEmpty() ? "" : "&since=" + since) + "&limit=" + limit, new byte[0]));
+    public CompletableFuture<StateMessages.Entries> list(String under, String since, int limit) {
+        return ok(call(
+                        false,
+                        "GET",
+                        "/keys?under=" + under + (since.isEmpty() ? "" : "&since=" + since) + "&limit=" + limit,
+                        new byte[0]))
+                .thenApply(StateMessages::page);
     }
 
     /** All changes after a revision, without waiting for any; status 410 when it is too old. */
@@ -60,17 +69,18 @@
 
     /** A new lease, as the service's number for it. */
     public CompletableFuture<OptionalLong> openLease(Duration ttl) {
-        return ok(call(true, "POST", "/holds", Pack.write(Pack.map().put("ttlMs", ttl.toMillis()))))
-                .thenApply(n -> n.path("tether").isIntegralNumber() ? OptionalLong.of(n.get("tether").longValue()) : OptionalLong.empty());
+        return ok(call(true, "POST", "/holds", MessagePackCodec.write(StateMessages.lease(ttl))))
+                .thenApply(StateMessages::leaseId);
     }
 
     /** Renews; false when the lease has ended. */
     public CompletableFuture<Boolean> renewLease(long lease) {
-        return call(true, "POST", "/holds/" + lease + "/renew", Pack.write(Pack.map())).thenCompose(a -> switch (a.status()) {
-            case 200 -> CompletableFuture.completedFuture(true);
-            case 404 -> CompletableFuture.completedFuture(false);
-            default -> CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
-        });
+        return call(true, "POST", "/holds/" + lease + "/renew", MessagePackCodec.write(MessagePackCodec.map()))
+                .thenCompose(a -> switch (a.status()) {
+                    case 200 -> CompletableFuture.completedFuture(true);
+                    case 404 -> CompletableFuture.completedFuture(false);
+                    default -> CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
+                });
     }
 
     /** Ends a lease and removes what is attached to it. */
@@ -82,7 +92,8 @@
     public CompletableFuture<TxnResult> commit(Txn txn) {
         var result = new CompletableFuture<TxnResult>();
         writes.charge(txn.changeCount());
-        call(false, "POST", "/txn", Pack.write(txn.toNode())).whenComplete((a, e) -> result.complete(judge(a, e)));
+        call(false, "POST", "/txn", MessagePackCodec.write(txn.toNode()))
+                .whenComplete((a, e) -> result.complete(judge(a, e)));
         return result;
     }
 
@@ -93,25 +104,26 @@
         return switch (answer.status()) {
             case 200 -> {
                 try {
-                    yield new TxnResult.Applied(Pack.read(answer.body()).path("epoch").longValue());
+                    yield new TxnResult.Applied(StateMessages.revision(answer.body()));
                 } catch (MalformedException e) {
                     yield new TxnResult.Unknown();
                 }
             }
             case 409 -> new TxnResult.Conflict(failedKeys(answer));
-            case 400, 413, 429, 503 -> new TxnResult.Refused(answer.status(), new String(answer.body(), java.nio.charset.StandardCharsets.ISO_8859_1));
+            case 400, 413, 429, 503 ->
+                new TxnResult.Refused(
+                        answer.status(), new String(answer.body(), java.nio.charset.StandardCharsets.ISO_8859_1));
             default -> new TxnResult.Unknown();
         };
     }
 
     private static Set<String> failedKeys(HttpAnswer answer) {
-        var keys = new HashSet<String>();
         try {
-            Pack.read(answer.body()).path("failed").forEach(k -> keys.add(k.asText()));
+            return StateMessages.failedKeys(answer.body());
         } catch (MalformedException e) {
             LOG.debug("a conflict without a readable reason");
+            return Set.of();
         }
-        return keys;
     }
 
     private static boolean sent(Throwable failure) {
@@ -125,7 +137,7 @@
                 return CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
             }
             try {
-                return CompletableFuture.completedFuture(Pack.read(a.body()));
+                return CompletableFuture.completedFuture(MessagePackCodec.read(a.body()));
             } catch (MalformedException e) {
                 return CompletableFuture.failedFuture(new CallFailure("unreadable answer", true));
             }
--- a/src/main/java/org/dunespindle/bookkeeping/TaskSet.java
+++ b/src/main/java/org/dunespindle/storage/TaskSet.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
@@ -10,7 +10,7 @@
     /** Writes indexes given in rising order. */
     public static String format(IntList sorted) {
         var text = new StringBuilder();
-        for (int i = 0; i < sorted.size();) {
+        for (int i = 0; i < sorted.size(); ) {
             int first = sorted.getInt(i);
             int last = first;
             while (++i < sorted.size() && sorted.getInt(i) == last + 1) {
@@ -24,6 +24,7 @@
         return text.toString();
     }
 
+    /** Reads the form that {@link #format} writes. */
     public static IntArrayList parse(String text) {
         var list = new IntArrayList();
         if (text.isEmpty()) {
--- a/src/main/java/org/dunespindle/transport/Sockets.java
+++ b/src/main/java/org/dunespindle/transport/Sockets.java
@@ -10,9 +10,11 @@
     private static final int OTHER = 24;
     /** The part for users, health checks and the few calls that must always go through. */
     private static final int KEPT_FREE_PART = 6;
+
     private final int most;
     private int open;
 
+    /** Counts against this limit. */
     public Sockets(int limit) {
         int usable = Math.max(32, limit - OTHER);
         this.most = usable - usable / KEPT_FREE_PART;
--- a/src/test/java/org/dunespindle/DaemonTest.java
+++ b/src/test/java/org/dunespindle/DaemonTest.java
@@ -10,7 +10,7 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.nio.charset.StandardCharsets;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
@@ -23,7 +23,8 @@
 
     @BeforeAll
     static void start() throws Exception {
-        daemon = new Daemon(Settings.parse(TestSettings.node("a", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:1", "")));
+        daemon = new Daemon(
+                Settings.parse(TestSettings.node("a", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:1", "")));
     }
 
     @AfterAll
@@ -31,18 +32,23 @@
         daemon.close();
     }
 
-    private static HttpResponse<byte[]> send(int port, String method, String path, byte[] body) throws IOException, InterruptedException {
-        var request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path)).version(HttpClient.Version.HTTP_1_1).method(method, HttpRequest.BodyPublishers.ofByteArray(body)).build();
+    private static HttpResponse<byte[]> send(int port, String method, String path, byte[] body)
+            throws IOException, InterruptedException {
+        var request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
+                .version(HttpClient.Version.HTTP_1_1)
+                .method(method, HttpRequest.BodyPublishers.ofByteArray(body))
+                .build();
         return HTTP.send(request, HttpResponse.BodyHandlers.ofByteArray());
     }
 
-    private static HttpResponse<byte[]> front(String method, String path, byte[] body) throws IOException, InterruptedException {
+    private static HttpResponse<byte[]> front(String method, String path, byte[] body)
+            throws IOException, InterruptedException {
         return send(daemon.frontAddress().getPort(), method, path, body);
     }
 
     private static void refused(int status, HttpResponse<byte[]> answer) throws Exception {
         assertEquals(status, answer.statusCode());
-        String error = Pack.read(answer.body()).path("error").asText();
+        String error = MessagePackCodec.read(answer.body()).path("error").asText();
         assertTrue(!error.isEmpty() && error.length() < 200 && !error.contains("Exception"), error);
     }
 
@@ -51,8 +57,18 @@
         byte[] none = new byte[0];
         refused(400, front("POST", "/submissions", none));
         refused(400, front("POST", "/submissions", new byte[] {(byte) 0xc1, 3, 4}));
-        refused(400, front("POST", "/submissions", Pack.write(Pack.map().put("id", 7))));
-        refused(400, front("POST", "/agent/beat", Pack.write(Pack.map().put("host", "h"))));
+        refused(
+                400,
+                front(
+                        "POST",
+                        "/submissions",
+                        MessagePackCodec.write(MessagePackCodec.map().put("id", 7))));
+        refused(
+                400,
+                front(
+                        "POST",
+                        "/agent/beat",
+                        MessagePackCodec.write(MessagePackCodec.map().put("host", "h"))));
         refused(404, front("GET", "/nothing", none));
         refused(404, front("GET", "/submissions/a/b/c", none));
         refused(405, front("GET", "/submissions", none));
@@ -66,14 +82,18 @@
         refused(503, poll);
         assertTrue(Integer.parseInt(poll.headers().firstValue("Retry-After").orElse("0")) >= 1);
         assertEquals(503, front("GET", "/healthz", new byte[0]).statusCode());
-        assertEquals(503, send(daemon.peerAddress().getPort(), "GET", "/v1/jobs", new byte[0]).statusCode());
+        assertEquals(
+                503,
+                send(daemon.peerAddress().getPort(), "GET", "/v1/jobs", new byte[0])
+                        .statusCode());
     }
 
     @Test
     void pipelinedAndGarbledRequestsAreAnsweredInOrder() throws Exception {
         try (var socket = new Socket("127.0.0.1", daemon.frontAddress().getPort())) {
             socket.setSoTimeout(10_000);
-            String two = "GET /first HTTP/1.1\r\nHost: x\r\n\r\nGET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+            String two =
+                    "GET /first HTTP/1.1\r\nHost: x\r\n\r\nGET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
             socket.getOutputStream().write(two.getBytes(StandardCharsets.US_ASCII));
             String answers = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(answers.indexOf("404") >= 0 && answers.indexOf("404") < answers.lastIndexOf("503"), answers);
--- a/src/test/java/org/dunespindle/TestSettings.java
+++ b/src/test/java/org/dunespindle/TestSettings.java
@@ -8,7 +8,9 @@
 public final class TestSettings {
     private TestSettings() {}
 
-    public static JsonNode node(String name, String front, String peerListen, String cloud, String state, String seeds) {
+    /** The settings of one controller. */
+    public static JsonNode node(
+            String name, String front, String peerListen, String cloud, String state, String seeds) {
         String file = """
                 node_name = "%s"
                 area = "east"
--- a/src/test/java/org/dunespindle/coordination/PeersTest.java
+++ b/src/test/java/org/dunespindle/coordination/PeersTest.java
@@ -10,19 +10,31 @@
 import java.util.Optional;
 import java.util.Set;
 import org.dunespindle.TestSettings;
-import org.dunespindle.bookkeeping.HostRecord;
-import org.dunespindle.bookkeeping.Replica;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.sim.Sim;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.Replica;
 import org.junit.jupiter.api.Test;
 
 /** What controllers tell one another of machines, and what of it still holds later. */
 class PeersTest {
     private final Sim sim = new Sim(1);
-    private final Peers peers = new Peers(settings(), (address, method, target, body, type, timeout) -> new java.util.concurrent.CompletableFuture<>(), sim.new Process(), () -> 1L,
-            () -> Optional.of("n0"), (host, image) -> { }, new Replica(null, sim.new Process(), Duration.ofSeconds(1), () -> { }), (node, asked, ids) -> { });
+    private final Peers peers = new Peers(
+            settings(),
+            (address, method, target, body, type, timeout) -> new java.util.concurrent.CompletableFuture<>(),
+            sim.new Process(),
+            () -> 1L,
+            () -> Optional.of("n0"),
+            new Replica(null, sim.new Process(), Duration.ofSeconds(1), () -> {}),
+            new Peers.Listener() {
+                @Override
+                public void imageSeen(String host, String image) {}
+
+                @Override
+                public void cancelled(String node, Duration asked, java.util.List<String> jobs) {}
+            });
 
     private static Settings settings() {
         try {
@@ -32,14 +44,29 @@
         }
     }
 
-    private static HostRecord host(String owner, long token) {
-        return new HostRecord("i-1", "", "m", "z", false, owner, 1, token, Instant.EPOCH, Instant.EPOCH, false, "");
+    private static MachineRecord host(String owner, long token) {
+        return new MachineRecord("i-1", "", "m", "z", false, owner, 1, token, Instant.EPOCH, Instant.EPOCH, false, "");
     }
 
     private ObjectNode heartbeat(String node, long inc, long from, long upTo, boolean withNews) {
-        ObjectNode n = Pack.map().put("node", node).put("inc", inc).put("viewAgeMs", 0).put("writes", 0.0).put("waiting", 0);
+        ObjectNode n = MessagePackCodec.map()
+                .put("node", node)
+                .put("inc", inc)
+                .put("viewAgeMs", 0)
+                .put("writes", 0.0)
+                .put("waiting", 0);
         if (withNews) {
-            n.put("from", from).put("upTo", upTo).putArray("news").addArray().add("i-1").add(3).add(true).add(false).add(0).add("a:1").add("image");
+            n.put("from", from)
+                    .put("upTo", upTo)
+                    .putArray("news")
+                    .addArray()
+                    .add("i-1")
+                    .add(3)
+                    .add(true)
+                    .add(false)
+                    .add(0)
+                    .add("a:1")
+                    .add("image");
         }
         return peers.hear(Admin.write(n), Duration.ZERO, new Peers.Need(0, 0));
     }
@@ -62,7 +89,8 @@
         sim.run(Duration.ofSeconds(20));
         heartbeat("n1", 1, 1, 1, false);
         assertEquals(Optional.of(Duration.ZERO), peers.aliveAt(host("n0", 4)));
-        assertEquals(Optional.of(Duration.ZERO), peers.aliveAt(host("n1", 5)), "back under a new token, not proven yet");
+        assertEquals(
+                Optional.of(Duration.ZERO), peers.aliveAt(host("n1", 5)), "back under a new token, not proven yet");
         assertEquals(Optional.empty(), peers.machine(host("n1", 5)));
     }
 
--- a/src/test/java/org/dunespindle/coordination/PlacementsTest.java
+++ b/src/test/java/org/dunespindle/coordination/PlacementsTest.java
@@ -13,21 +13,40 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.dunespindle.bookkeeping.Claim;
-import org.dunespindle.bookkeeping.JobRecord;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.Allocation;
+import org.dunespindle.storage.JobRecord;
 
 /** How much of a large array is placed at once. */
 class PlacementsTest {
     private static final int VALUE = 8192;
 
     private static JobRecord array(int tasks) {
-        return JobRecord.accepted(new Submission("wk-000001", "class", "red", Shape.ARRAY, Priority.LOW, tasks, new Resources(0.25, 0, 1), Optional.empty(), Optional.empty(), false, false, true, "image",
-                2, Duration.ofSeconds(4), Duration.ZERO, Duration.ZERO, Optional.empty()), Instant.EPOCH);
+        return JobRecord.accepted(
+                new Submission(
+                        "wk-000001",
+                        "class",
+                        "red",
+                        Shape.ARRAY,
+                        Priority.LOW,
+                        tasks,
+                        new Resources(0.25, 0, 1),
+                        Optional.empty(),
+                        Optional.empty(),
+                        false,
+                        false,
+                        true,
+                        "image",
+                        2,
+                        Duration.ofSeconds(4),
+                        Duration.ZERO,
+                        Duration.ZERO,
+                        Optional.empty()),
+                Instant.EPOCH);
     }
 
     /** Many or few to a machine, ending, failing and placed again in any order. */
@@ -47,17 +66,19 @@
             if (!places.isEmpty() && Placements.fits(j.placed(places), VALUE)) {
                 j = j.placed(places);
             }
-            most = Math.max(most, j.claims().size());
+            most = Math.max(most, j.allocations().size());
             int pattern = random.nextInt(3);
             var ended = new TreeMap<Integer, Boolean>();
-            for (Claim c : j.claims()) {
-                if (pattern == 0 ? random.nextInt(3) == 0 : pattern == 1 ? c.task() % 2 == 0 : random.nextInt(10) == 0) {
+            for (Allocation c : j.allocations()) {
+                if (pattern == 0
+                        ? random.nextInt(3) == 0
+                        : pattern == 1 ? c.task() % 2 == 0 : random.nextInt(10) == 0) {
                     ended.put(c.task(), pattern != 1 && random.nextInt(4) > 0);
                 }
             }
             j = j.released(ended);
-            int size = Pack.countedSize(j.toNode());
-            assertTrue(size <= VALUE, size + " bytes with " + j.claims().size() + " claims");
+            int size = MessagePackCodec.countedSize(j.toNode());
+            assertTrue(size <= VALUE, size + " bytes with " + j.allocations().size() + " claims");
         }
         assertTrue(perMachine < 48 || most > 300, "no more than " + most + " under way");
     }
@@ -72,9 +93,14 @@
         }
         JobRecord j = array(random.nextBoolean() ? places.size() : 100).placed(places);
         var events = new ArrayList<Reconciler.Event>();
-        for (Claim c : j.claims()) {
+        for (Allocation c : j.allocations()) {
             if (random.nextInt(3) > 0) {
-                events.add(new Reconciler.Event(j.id(), c.task(), random.nextInt(8) == 0 ? 99 : c.base(), List.of(Reconciler.Fate.DONE, Reconciler.Fate.GONE).get(random.nextInt(2)), "ended"));
+                events.add(new Reconciler.Event(
+                        j.id(),
+                        c.task(),
+                        random.nextInt(8) == 0 ? 99 : c.base(),
+                        List.of(Reconciler.Fate.DONE, Reconciler.Fate.GONE).get(random.nextInt(2)),
+                        "ended"));
             }
         }
         JobRecord one = j;
--- /dev/null
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -0,0 +1,542 @@
+package org.dunespindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.Random;
+import java.util.stream.LongStream;
+import org.dunespindle.protocol.Shape;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Two troubles that meet, each meeting brought about on purpose; that it took place is checked too. */
+class CombinedFailuresTest {
+    /** Long tasks, placed and running. */
+    private static List<String> longJobs(SimulatedCluster cluster, int count) {
+        cluster.taskTime = Optional.of(Duration.ofMinutes(5));
+        var ids = new ArrayList<String>();
+        for (int i = 0; i < count; i++) {
+            String id = "wk-%06d".formatted(i);
+            ids.add(id);
+            cluster.sim.after(
+                    1000L + 400L * i,
+                    () -> cluster.submit(ClusterTest.job(
+                            id,
+                            Integer.parseInt(id.substring(3)) % 2 == 0 ? "red" : "blue",
+                            Shape.ARRAY,
+                            2,
+                            false,
+                            false)));
+        }
+        cluster.sim.run(Duration.ofSeconds(40));
+        return ids;
+    }
+
+    private static int other(int node, int by) {
+        return (node + by) % 3;
+    }
+
+    /** Cancels jobs through one controller; all are confirmed there when this ends, and at most a few milliseconds ago. */
+    private static void cancelAt(SimulatedCluster cluster, int node, List<String> ids) {
+        cluster.usersAt = node;
+        ids.forEach(cluster::cancel);
+        Duration latest = cluster.sim.now().plusSeconds(3);
+        while (!ids.stream().allMatch(id -> cluster.cancelledAt(id).isPresent())
+                && cluster.sim.now().compareTo(latest) < 0) {
+            cluster.sim.run(cluster.sim.now().plusMillis(2));
+        }
+        cluster.usersAt = -1;
+        ids.forEach(id -> assertTrue(cluster.cancelledAt(id).isPresent(), id + " is not confirmed as cancelled"));
+    }
+
+    /**
+     * The gap: the leader alone is refused, cancellations are confirmed elsewhere, then nobody reaches the state service for longer than
+     * {@code cancel_s}. Its workers go on reporting to the leader, which has never read of them.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {301, 302, 303, 304, 305})
+    void whatTheLeaderCouldNotReadEndsInTimeAndTheRestGoesOn(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = longJobs(cluster, 8);
+        int leader = cluster.leader();
+        List<WorkerStandIn> all = cluster.alive();
+        cluster.refusedNode = leader;
+        cluster.sim.run(cluster.sim.now().plusMillis(300 + 150 * (seed - 301)));
+        List<String> gone = ids.subList(0, 4);
+        cancelAt(cluster, other(leader, 1), gone);
+        cluster.state.out = true;
+        Duration begun = cluster.sim.now();
+        cluster.sim.run(begun.plusSeconds(6));
+        assertEquals(
+                List.of(),
+                all.stream()
+                        .filter(w -> gone.stream().anyMatch(w::holds))
+                        .map(WorkerStandIn::id)
+                        .toList(),
+                "told by the others, the leader stops them at once");
+        cluster.sim.run(begun.plus(SimulatedCluster.CANCEL).plusSeconds(15));
+        assertEquals(List.of(), cluster.broken);
+        assertEquals(
+                List.of(),
+                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                "leases that ran out though every cancellation is known");
+        cluster.refusedNode = -1;
+        cluster.state.recover();
+        ids.subList(4, 8).forEach(cluster::cancel);
+        cluster.sim.run(cluster.sim.now().plusSeconds(60));
+        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.startsAfterCancel);
+    }
+
+    /** The same with controllers that cannot talk, or one that has ended: then only the leases of its workers can end what was cancelled. */
+    @ParameterizedTest
+    @ValueSource(longs = {311, 312, 313, 314, 315, 316})
+    void whatNobodyCanTellTheLeaderEndsWithTheLeases(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = longJobs(cluster, 8);
+        int leader = cluster.leader();
+        cluster.refusedNode = leader;
+        cluster.peersRefuse = seed % 2 == 0;
+        cluster.sim.run(cluster.sim.now().plusMillis(100 + 100 * (seed - 311)));
+        int confirms = other(leader, 1 + (int) seed / 2 % 2);
+        cancelAt(cluster, confirms, ids.subList(0, 4));
+        cluster.state.out = true;
+        if (!cluster.peersRefuse) {
+            cluster.crash(confirms, Duration.ofSeconds(2)); // what comes back cannot read, so it cannot tell
+        }
+        cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL).plusSeconds(25));
+        assertEquals(List.of(), cluster.broken);
+        cluster.peersRefuse = false;
+        cluster.refusedNode = -1;
+        cluster.state.recover();
+        ids.subList(4, 8).forEach(cluster::cancel);
+        cluster.sim.run(cluster.sim.now().plusSeconds(90));
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    /**
+     * Who hears whom, how long messages between controllers are held, who is refused, who ends or stands still, how long nobody reaches the
+     * state service: all drawn, and cancellations come through whichever controller can store them. What a controller concludes from
+     * the others' answers must hold in all of it.
+     */
+    @ParameterizedTest
+    @MethodSource("gaps")
+    void whoeverHearsWhomWhatIsCancelledEndsInTime(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        var random = new Random(seed);
+        List<String> ids = longJobs(cluster, 8);
+        for (int round = 0; round < 2; round++) {
+            int refused = random.nextInt(4) == 0 ? random.nextInt(3) : cluster.leader();
+            cluster.refusedNode = refused;
+            for (int pair = 0; pair < 9; pair++) {
+                if (random.nextInt(5) == 0) {
+                    cluster.peersBlocked.add(pair);
+                }
+            }
+            cluster.peerDelayMillis = random.nextInt(3) == 0 ? 1400 : 0;
+            cluster.sim.run(cluster.sim.now().plusMillis(random.nextInt(5000)));
+            int confirms = other(Math.max(0, refused), 1 + random.nextInt(2));
+            List<String> some = ids.subList(4 * round, 4 * round + 1 + random.nextInt(3));
+            cluster.usersAt = confirms;
+            some.forEach(cluster::cancel);
+            cluster.sim.run(cluster.sim.now().plusMillis(30 + random.nextInt(250)));
+            cluster.usersAt = -1;
+            cluster.state.out = true;
+            cluster.sim.run(cluster.sim.now().plusMillis(random.nextInt(1500)));
+            switch (random.nextInt(4)) {
+                case 0, 1 -> cluster.crash(confirms, Duration.ofMillis(50 + random.nextInt(3000)));
+                case 2 -> cluster.freeze(confirms, Duration.ofMillis(2000 + random.nextInt(20_000)));
+                default -> {}
+            }
+            cluster.sim.run(cluster.sim.now().plusMillis(3000 + random.nextInt(45_000)));
+            cluster.refusedNode = -1;
+            cluster.peersBlocked.clear();
+            cluster.state.recover();
+            cluster.sim.run(cluster.sim.now().plusMillis(2000 + random.nextInt(12_000)));
+        }
+        cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL).plusSeconds(5));
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    static LongStream gaps() {
+        long from = Long.getLong("gap.from", 400);
+        return LongStream.range(from, from + Integer.getInteger("gap.count", 40));
+    }
+
+    private static FailureMix day(long seed) {
+        var mix = new FailureMix(seed);
+        mix.submitJobs(14);
+        return mix;
+    }
+
+    /** Moments drawn so that the troubles meet in any order. */
+    private static Duration near(FailureMix mix, int second) {
+        return Duration.ofMillis(second * 1000L + mix.cluster().sim.random.nextInt(4000));
+    }
+
+    private static void assertKept(FailureMix mix, String... meetings) {
+        assertEquals(List.of(), mix.play(), () -> mix.story().toString());
+        for (String meeting : meetings) {
+            assertTrue(mix.cluster().met.containsKey(meeting), meeting + " did not take place: " + mix.cluster().met);
+        }
+    }
+
+    /** Workers and users go on reaching the old leader; what the new one confirms as cancelled must end there too. */
+    @ParameterizedTest
+    @ValueSource(longs = {321, 322, 323, 324})
+    void jobsAreCancelledThroughTheNewLeaderWhileTheOldOneIsCutOff(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = longJobs(cluster, 8);
+        int old = cluster.leader();
+        cluster.isolatedNode = old;
+        while (cluster.leader() == old || cluster.leader() < 0) {
+            cluster.sim.run(cluster.sim.now().plusMillis(100 * (seed - 320)));
+        }
+        cancelAt(cluster, cluster.leader(), ids);
+        cluster.sim.run(cluster.sim.now().plusSeconds(25 + 5 * (seed - 321)));
+        cluster.isolatedNode = -1;
+        cluster.sim.run(cluster.sim.now().plusSeconds(60));
+        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.startsAfterCancel);
+        assertEquals(
+                List.of(),
+                cluster.alive().stream()
+                        .filter(w -> ids.stream().anyMatch(w::holds))
+                        .map(WorkerStandIn::id)
+                        .toList());
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {331, 332, 333, 334})
+    void reportsHeldBackArriveAtTheNewLeader(long seed) {
+        var mix = day(seed);
+        mix.at(near(mix, 18), () -> {
+            mix.cluster().alive().forEach(w -> {
+                w.holdReports(Duration.ofMillis(7000 + 1000 * (seed - 330)));
+                mix.cluster().sim.after(3000, () -> w.holdReports(Duration.ZERO));
+            });
+            mix.cluster()
+                    .sim
+                    .after(500 * (seed - 331), () -> mix.cluster().crash(mix.leader(), Duration.ofMillis(200)));
+        });
+        assertKept(mix, "held report");
+    }
+
+    /** The old leader's share of the limit, its placements, holds and stops: none of them may be used twice or be lost. */
+    @ParameterizedTest
+    @ValueSource(longs = {341, 342, 343, 344})
+    void leadersChangeTenTimesInTwoMinutesAlsoInAnOutage(long seed) {
+        var mix = day(seed);
+        for (int k = 0; k < 10; k++) {
+            mix.at(
+                    Duration.ofMillis(6000 + 11_500L * k),
+                    () -> mix.cluster()
+                            .crash(
+                                    mix.leader(),
+                                    Duration.ofMillis(
+                                            60 + mix.cluster().sim.random.nextInt(1500))));
+        }
+        mix.at(near(mix, 40), () -> mix.cluster().state.out = true);
+        mix.at(Duration.ofSeconds(62), mix.cluster().state::recover);
+        mix.at(near(mix, 20), () -> mix.cluster().cancel(mix.ids().get(3)));
+        assertKept(mix);
+    }
+
+    /**
+     * The leader ends while placeholders fetch and is back within a second. It takes its pages again, for the lead still bears its name, but
+     * another controller is elected: all placeholders then wait on machines that the leader does not command.
+     */
+    @ParameterizedTest
+    @MethodSource("formerLeaders")
+    void placeholdersOfAFormerLeaderAreTakenUp(long seed) {
+        var cluster = new SimulatedCluster(seed, 7, 10);
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.GANG, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.GANG, 5, false, false));
+        while (!mode(cluster, "wk-000001").equals("HOLD")
+                || !mode(cluster, "wk-000002").equals("HOLD")) {
+            cluster.sim.run(cluster.sim.now().plusMillis(10));
+            assertTrue(cluster.sim.now().compareTo(Duration.ofSeconds(60)) < 0, "no placeholder was placed");
+        }
+        int old = cluster.leader();
+        cluster.crash(old, Duration.ofMillis(200 + 37 * (seed % 20)));
+        cluster.sim.run(cluster.sim.now().plusSeconds(9));
+        if (cluster.leader() != old) {
+            cluster.met("another leads");
+        }
+        cluster.sim.run(cluster.sim.now().plusSeconds(30));
+        for (String id : List.of("wk-000001", "wk-000002")) {
+            assertTrue(
+                    List.of("running", "done").contains(cluster.lastTold(id)),
+                    id + " waits for its timer, all placed: " + cluster.rules.dump());
+        }
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    private static String mode(SimulatedCluster cluster, String id) {
+        StateStandIn.Row row = cluster.state.rows().get("ds/job/" + id);
+        return row == null ? "" : row.value().path("mode").asText();
+    }
+
+    static LongStream formerLeaders() {
+        long from = Long.getLong("former.from", 3500);
+        return LongStream.range(from, from + Integer.getInteger("former.count", 10));
+    }
+
+    /** Commands reach it and are answered, but its lease runs out again and again: it must not be given task after task. */
+    @ParameterizedTest
+    @ValueSource(longs = {361, 362, 363})
+    void aMuteMachineGetsNothingNewAndIsReturned(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        cluster.sim.run(Duration.ofSeconds(8).plusMillis(400 * (seed - 360)));
+        WorkerStandIn mute = cluster.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .findFirst()
+                .orElseThrow();
+        mute.mute(true);
+        cluster.sim.run(Duration.ofSeconds(30));
+        long held = mute.held();
+        assertEquals(0, held, "tasks are started on it though its leases run out");
+        cluster.sim.run(Duration.ofSeconds(75));
+        assertTrue(mute.dead(), "it is kept");
+        cluster.sim.run(Duration.ofSeconds(300));
+        ClusterTest.assertAllDone(cluster, ids);
+    }
+
+    /** Each ends long after the others, the leader changes in between; done is told within 3 s of the last end, and never before. */
+    @ParameterizedTest
+    @ValueSource(longs = {371, 372, 373, 374})
+    void tasksOfAJobEndFarApartAcrossAChangeOfLeader(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(4 + 17L * p.index()));
+        var ids = new ArrayList<String>();
+        for (int i = 0; i < 6; i++) {
+            String id = "wk-%06d".formatted(i);
+            ids.add(id);
+            cluster.submit(
+                    ClusterTest.job(id, i % 2 == 0 ? "red" : "blue", Shape.ARRAY, i % 2 == 0 ? 3 : 2, false, false));
+        }
+        for (int k = 0; k < 4; k++) {
+            cluster.sim.after(
+                    12_000L + 9000L * k + 500 * (seed - 371),
+                    () -> cluster.crash(Math.max(0, cluster.leader()), Duration.ofMillis(300)));
+        }
+        cluster.sim.run(Duration.ofSeconds(55));
+        Duration calm = cluster.sim.now();
+        cluster.sim.run(Duration.ofSeconds(200));
+        ClusterTest.assertAllDone(cluster, ids);
+        for (String id : ids) {
+            Duration last = cluster.completedAt(id).orElseThrow();
+            if (last.compareTo(calm) > 0) {
+                // The stand-in's user asks every five seconds, more or less.
+                assertEquals(200, cluster.poll(0, id).join().status());
+            }
+            assertTrue(cluster.toldOverAt(id).orElseThrow().compareTo(last) >= 0, id);
+        }
+    }
+
+    /** Some of the machines are unreachable when the leader ends, others do not hear the answers of the new one. */
+    @ParameterizedTest
+    @ValueSource(longs = {381, 382, 383, 384, 385})
+    void aLeaderEndsWhileMachinesWithLongTasksCannotBeReached(long seed) {
+        var mix = day(seed);
+        SimulatedCluster cluster = mix.cluster();
+        cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(20 + p.index() % 3 * 8L));
+        mix.at(near(mix, 24), () -> {
+            List<WorkerStandIn> all = cluster.alive();
+            for (int i = 0; i < all.size(); i++) {
+                WorkerStandIn w = all.get(i);
+                if (i % 3 == 0) {
+                    cluster.cut(w, Duration.ofSeconds(6 + seed % 5 * 4));
+                } else if (i % 3 == 1) {
+                    w.oneWay(true);
+                    cluster.sim.after(8000 + 4000 * (seed % 5), () -> w.oneWay(false));
+                }
+            }
+            cluster.met("unreachable machines");
+            cluster.crash(mix.leader(), Duration.ofMillis(500 + 2000 * (seed % 3)));
+        });
+        assertKept(mix, "unreachable machines");
+    }
+
+    /** Commands and answers are held for seconds, then the machine goes on as if nothing had been; some of its jobs are cancelled by then. */
+    @ParameterizedTest
+    @ValueSource(longs = {391, 392, 393, 394, 395})
+    void commandsAreHeldUpAndTheMachineGoesOn(long seed) {
+        var mix = day(seed);
+        SimulatedCluster cluster = mix.cluster();
+        for (int k = 0; k < 5; k++) {
+            mix.at(
+                    near(mix, 9 + 7 * k),
+                    () -> cluster.alive()
+                            .forEach(w -> w.hang(Duration.ofMillis(1500 + cluster.sim.random.nextInt(7500)))));
+        }
+        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 25));
+        assertKept(mix, "CANCEL_NOW");
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {401, 402, 403})
+    void allControllersAreAwayForLongerThanALease(long seed) {
+        var mix = day(seed);
+        mix.at(near(mix, 22), () -> {
+            for (int n = 0; n < 3; n++) {
+                mix.cluster().crash(n, SimulatedCluster.LEASE.plusMillis(1500 + 1100L * n));
+            }
+        });
+        assertKept(mix);
+    }
+
+    /** Urgent work and other work, more than there is room for, while every message takes long. */
+    @ParameterizedTest
+    @ValueSource(longs = {411, 412})
+    void moreWorkThanRoomOverSlowLinks(long seed) {
+        var mix = new FailureMix(seed);
+        mix.cluster().slowMillis = 250;
+        mix.submitJobs(30);
+        mix.at(Duration.ofSeconds(100), () -> mix.cluster().slowMillis = 0);
+        assertKept(mix);
+    }
+
+    /**
+     * A team at its limit, the leader changes, some of its machines cannot be asked, and one of its jobs is cancelled meanwhile: its use
+     * counts until the proof.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {421, 422, 423, 424, 425})
+    void aTeamAtItsLimitWhenTheLeaderChanges(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        cluster.taskTime = Optional.of(Duration.ofSeconds(40));
+        for (int i = 0; i < 4; i++) {
+            cluster.submit(ClusterTest.job(
+                    "wk-%06d".formatted(i), "blue", Shape.ARRAY, 4, false, false)); // 16 tasks, 6 allowed at once
+        }
+        cluster.sim.run(Duration.ofSeconds(20).plusMillis(300 * (seed - 420)));
+        assertEquals(6, cluster.alive().stream().mapToLong(WorkerStandIn::held).sum(), "the team is at its limit");
+        List<WorkerStandIn> some =
+                cluster.alive().stream().filter(w -> w.held() > 0).limit(1).toList();
+        String held = some.get(0).tasks().iterator().next().task.job();
+        some.forEach(w -> cluster.cut(w, Duration.ofSeconds(9 + seed % 4)));
+        cluster.crash(cluster.leader(), Duration.ofMillis(400));
+        cluster.sim.run(cluster.sim.now().plusMillis(200 * (seed - 421)));
+        cluster.cancel(held);
+        cluster.sim.run(Duration.ofSeconds(260));
+        assertEquals(List.of(), cluster.broken);
+        for (int i = 0; i < 4; i++) {
+            String id = "wk-%06d".formatted(i);
+            assertEquals(id.equals(held) ? "cancelled" : "done", cluster.lastTold(id), id);
+        }
+    }
+
+    /** One controller hands over and takes back, then all end and one returns within a second, the others much later. */
+    @ParameterizedTest
+    @ValueSource(longs = {431, 432, 433, 434})
+    void controllersHandOverAndBackThenAllEndAndOneReturns(long seed) {
+        var mix = day(seed);
+        SimulatedCluster cluster = mix.cluster();
+        int node = (int) seed % 3;
+        mix.at(near(mix, 9), () -> cluster.crash(node, Duration.ofMillis(2500)));
+        mix.at(near(mix, 20), () -> {
+            cluster.crash(node, Duration.ofMillis(150 + 200 * (seed - 431)));
+            cluster.crash((node + 1) % 3, Duration.ofSeconds(25));
+            cluster.crash((node + 2) % 3, Duration.ofSeconds(18));
+        });
+        assertKept(mix);
+    }
+
+    /** Transactions without an answer are carried out seconds later, after newer ones of the same controller, while leaders change. */
+    @ParameterizedTest
+    @ValueSource(longs = {441, 442, 443, 444, 445})
+    void transactionsAreCarriedOutLateAfterNewerOnes(long seed) {
+        var mix = day(seed);
+        SimulatedCluster cluster = mix.cluster();
+        cluster.lateWrites = 0.25;
+        mix.at(near(mix, 25), () -> cluster.crash(mix.leader(), Duration.ofMillis(300)));
+        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 30));
+        mix.add(FailureMix.Trouble.ODD_REQUESTS, near(mix, 20));
+        mix.at(Duration.ofSeconds(90), () -> cluster.lateWrites = 0);
+        assertKept(mix, "late write");
+    }
+
+    /**
+     * Old reports, of earlier sessions too since leases run out meanwhile, arrive long after newer ones, also at controllers that have
+     * just started.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {451, 452, 453, 454})
+    void oldReportsOfEarlierSessionsArriveLate(long seed) {
+        var mix = day(seed);
+        SimulatedCluster cluster = mix.cluster();
+        cluster.lateCopies = 3;
+        cluster.latestCopy = Duration.ofSeconds(38);
+        mix.at(
+                near(mix, 12),
+                () -> cluster.alive().stream().limit(3).forEach(w -> cluster.cut(w, Duration.ofSeconds(14))));
+        mix.at(near(mix, 33), () -> {
+            assertTrue(cluster.alive().stream().anyMatch(w -> w.session() > 1), "no lease ran out");
+            cluster.met("later session");
+            cluster.crash(mix.leader(), Duration.ofMillis(300));
+        });
+        mix.at(Duration.ofSeconds(70), () -> cluster.lateCopies = 0);
+        assertKept(mix, "later session");
+    }
+
+    /**
+     * Cancellation, question and repeated submission at the very moment of a job's end, with no other trouble: done and cancelled are
+     * never both told.
+     */
+    @ParameterizedTest
+    @ValueSource(longs = {461, 462, 463, 464})
+    void requestsMeetTheEndOfAJob(long seed) {
+        var mix = day(seed);
+        mix.cluster().cancelledAtEnd = 1;
+        mix.cluster().repeatedAtEnd = true;
+        assertKept(mix, "cancelled at its end");
+        assertTrue(
+                mix.cluster().met.get("cancelled at its end") >= mix.ids().size(),
+                "every job is called off at its end: " + mix.cluster().met);
+    }
+
+    /** The state service answers slowly, then refuses the leader, then everybody for longer than {@code cancel_s}, while users cancel and ask. */
+    @ParameterizedTest
+    @ValueSource(longs = {471, 472, 473, 474})
+    void aSlowStateServiceRefusesTheLeaderAndThenEverybody(long seed) {
+        var mix = day(seed);
+        SimulatedCluster cluster = mix.cluster();
+        cluster.slowStateMillis = 900;
+        mix.at(near(mix, 22), () -> cluster.refusedNode = mix.leader());
+        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 23));
+        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 28));
+        mix.at(near(mix, 28), () -> cluster.state.out = true);
+        mix.at(Duration.ofSeconds(66), () -> {
+            cluster.refusedNode = -1;
+            cluster.slowStateMillis = 0;
+            cluster.state.recover();
+        });
+        assertKept(mix, "CANCEL_NOW");
+    }
+
+    /** Jobs bound to a zone, arrays that must stay apart among them, lose machines while the leader changes. */
+    @ParameterizedTest
+    @ValueSource(longs = {481, 482, 483, 484})
+    void jobsBoundToAZoneLoseMachines(long seed) {
+        var mix = day(seed);
+        SimulatedCluster cluster = mix.cluster();
+        for (int k = 0; k < 4; k++) {
+            mix.at(near(mix, 14 + 8 * k), () -> {
+                WorkerStandIn w = cluster.worker(cluster.sim.random.nextInt(20));
+                if (w != null) {
+                    cluster.met("machine lost");
+                    cluster.die(w);
+                }
+            });
+        }
+        mix.at(near(mix, 26), () -> cluster.crash(mix.leader(), Duration.ofMillis(200)));
+        assertKept(mix, "machine lost");
+    }
+}
--- /dev/null
+++ b/src/test/java/org/dunespindle/sim/FailureMix.java
@@ -0,0 +1,307 @@
+package org.dunespindle.sim;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.Random;
+import org.dunespindle.protocol.Priority;
+import org.dunespindle.protocol.Resources;
+import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.Submission;
+
+/** A day of a few troubles that meet, drawn from a seed: the same seed is the same day. */
+final class FailureMix {
+    /** All troubles are over by then, and nothing that was held back is left soon after. */
+    static final Duration OVER = Duration.ofSeconds(130);
+
+    static final Duration END = Duration.ofSeconds(420);
+    private static final int MACHINES_ASKED = 3;
+
+    /** One trouble; it begins when it is made and ends by itself. */
+    enum Trouble {
+        LEADER_WITHOUT_STATE_AND_PEERS,
+        LEADER_REFUSED,
+        STATE_OUT,
+        ZONE_CUT,
+        ONE_CRASHES,
+        ALL_CRASH,
+        LEADERS_CHANGE,
+        STANDS_STILL,
+        MUTE,
+        DEAF,
+        HANG,
+        MACHINES_CUT,
+        LATE_WRITES,
+        LATE_REPORTS,
+        HELD_REPORTS,
+        CANCEL_NOW,
+        CANCEL_AT_END,
+        ODD_REQUESTS,
+        BLOCKED,
+        PEERS_REFUSE,
+        LOSS,
+        LATE_RENTAL,
+        DIES,
+        TAKEN,
+        LEADER_DEAF
+    }
+
+    private final SimulatedCluster cluster;
+    private final Random random;
+    private final List<String> ids = new ArrayList<>();
+    private final List<String> story = new ArrayList<>();
+
+    FailureMix(long seed) {
+        cluster = new SimulatedCluster(
+                seed, 7, seed % 4 == 1 ? 10 : 1); // some days a record for each machine, else most share one
+        random = new Random(seed * 31 + 7);
+        if (seed % 3 == 2) {
+            cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(5 + p.index() * 11L % 30));
+        }
+    }
+
+    SimulatedCluster cluster() {
+        return cluster;
+    }
+
+    /** What was made to happen, for whoever looks into a seed. */
+    List<String> story() {
+        return story;
+    }
+
+    List<String> ids() {
+        return ids;
+    }
+
+    /** Jobs of all kinds: bound to a zone, together, apart, cheap machines or not, some saving, some long. */
+    void submitJobs(int count) {
+        for (int i = 0; i < count; i++) {
+            String id = "wk-%06d".formatted(i);
+            ids.add(id);
+            boolean gang = i % 3 == 0;
+            int tasks = gang ? 1 + random.nextInt(4) : 2 + random.nextInt(6);
+            boolean apart = !gang && i % 5 == 4;
+            Optional<String> zone = i % 7 == 2 && !apart ? Optional.of(i % 2 == 0 ? "east" : "west") : Optional.empty();
+            Duration saves = i % 4 == 1 ? Duration.ofSeconds(5) : Duration.ZERO;
+            var job = new Submission(
+                    id,
+                    gang ? "gang" : "array",
+                    i % 2 == 0 ? "red" : "blue",
+                    gang ? Shape.GANG : Shape.ARRAY,
+                    gang ? Priority.URGENT : Priority.LOW,
+                    tasks,
+                    new Resources(1, 1, 1),
+                    Optional.empty(),
+                    zone,
+                    gang && i % 2 == 0,
+                    apart,
+                    i % 4 != 0,
+                    "image-" + tasks % 2,
+                    2,
+                    Duration.ofSeconds(5),
+                    saves,
+                    saves.isZero() ? saves : Duration.ofSeconds(3),
+                    Optional.empty());
+            cluster.sim.after(500L + i * 3500L + random.nextInt(1500), () -> cluster.submit(job));
+        }
+    }
+
+    /** Makes one trouble happen some time into the day. */
+    void add(Trouble trouble, Duration at) {
+        cluster.sim.after(at, () -> {
+            story.add(cluster.sim.now().toMillis() + " ms: " + trouble);
+            cluster.met(trouble.name());
+            begin(trouble);
+        });
+    }
+
+    /** Something of a test's own, some time into the day. */
+    void at(Duration at, Runnable what) {
+        cluster.sim.after(at, what);
+    }
+
+    /** So many troubles of any kind, close enough to meet. */
+    void addAny(int count) {
+        Trouble[] all = Trouble.values();
+        int from = 8000 + random.nextInt(25_000);
+        for (int i = 0; i < count; i++) {
+            add(all[random.nextInt(all.length)], Duration.ofMillis(from + random.nextInt(15_000)));
+        }
+    }
+
+    /** Runs the day; what is checked at its end is in the result beside the rules broken. */
+    List<String> play() {
+        cluster.sim.after(OVER, () -> cluster.calm = true);
+        cluster.sim.run(END);
+        var wrong = new ArrayList<>(cluster.broken);
+        wrong.addAll(cluster.rules.dayFailures());
+        for (String id : ids) {
+            if (!List.of("done", "cancelled").contains(cluster.lastTold(id))) {
+                wrong.add(id + " is " + cluster.lastTold(id));
+            }
+        }
+        return wrong;
+    }
+
+    int leader() {
+        return Math.max(0, cluster.leader());
+    }
+
+    private Duration millis(int least, int most) {
+        return Duration.ofMillis(least + random.nextInt(most - least));
+    }
+
+    private void until(Duration length, Runnable end) {
+        cluster.sim.after(length, end);
+    }
+
+    private List<WorkerStandIn> someMachines() {
+        var some = new ArrayList<WorkerStandIn>();
+        for (int i = 0; i < 1 + random.nextInt(MACHINES_ASKED); i++) {
+            WorkerStandIn w = cluster.worker(random.nextInt(50));
+            if (w != null) {
+                some.add(w);
+            }
+        }
+        return some;
+    }
+
+    /** Begins a trouble; each belongs to one of the groups, and the others let it pass. */
+    private void begin(Trouble trouble) {
+        controllerTrouble(trouble);
+        machineTrouble(trouble);
+        messageTrouble(trouble);
+        userTrouble(trouble);
+    }
+
+    private void controllerTrouble(Trouble trouble) {
+        switch (trouble) {
+            case LEADER_WITHOUT_STATE_AND_PEERS -> {
+                cluster.isolatedNode = leader();
+                until(millis(6000, 45_000), () -> cluster.isolatedNode = -1);
+            }
+            case LEADER_REFUSED -> {
+                cluster.refusedNode = leader();
+                until(millis(2000, 40_000), () -> cluster.refusedNode = -1);
+            }
+            case STATE_OUT -> {
+                cluster.state.out = true;
+                until(millis(4000, 45_000), cluster.state::recover);
+            }
+            case ZONE_CUT -> {
+                cluster.zoneCut = random.nextBoolean() ? "east" : "west";
+                until(millis(6000, 30_000), () -> cluster.zoneCut = "");
+            }
+            case ONE_CRASHES -> cluster.crash(random.nextInt(3), millis(50, 9000));
+            case ALL_CRASH -> {
+                for (int n = 0; n < 3; n++) {
+                    cluster.crash(n, millis(50, 12_000));
+                }
+            }
+            case LEADERS_CHANGE -> {
+                for (int k = 0; k < 6; k++) {
+                    cluster.sim.after(millis(0, 45_000), () -> cluster.crash(leader(), millis(50, 900)));
+                }
+            }
+            case STANDS_STILL -> cluster.freeze((leader() + random.nextInt(2)) % 3, millis(2000, 20_000));
+            case PEERS_REFUSE -> {
+                cluster.peersRefuse = true;
+                until(millis(5000, 40_000), () -> cluster.peersRefuse = false);
+            }
+            case LEADER_DEAF -> {
+                cluster.deafNode = leader();
+                until(millis(8000, 40_000), () -> cluster.deafNode = -1);
+            }
+            default -> {}
+        }
+    }
+
+    private void machineTrouble(Trouble trouble) {
+        switch (trouble) {
+            case MUTE ->
+                someMachines().forEach(w -> {
+                    w.mute(true);
+                    until(millis(5000, 45_000), () -> w.mute(false));
+                });
+            case DEAF ->
+                someMachines().forEach(w -> {
+                    w.oneWay(true);
+                    until(millis(5000, 45_000), () -> w.oneWay(false));
+                });
+            case HANG -> someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
+            case MACHINES_CUT -> someMachines().forEach(w -> cluster.cut(w, millis(2000, 30_000)));
+            case HELD_REPORTS ->
+                someMachines().forEach(w -> {
+                    w.holdReports(millis(3000, 25_000));
+                    until(millis(3000, 15_000), () -> w.holdReports(Duration.ZERO));
+                });
+            case BLOCKED -> {
+                List<WorkerStandIn> some = someMachines();
+                int node = random.nextInt(3);
+                some.forEach(w -> cluster.block(node, w));
+                until(millis(10_000, 60_000), () -> some.forEach(w -> cluster.unblock(node, w)));
+            }
+            case DIES -> someMachines().stream().limit(1).forEach(cluster::die);
+            case TAKEN ->
+                someMachines().stream()
+                        .filter(w -> w.takenAt == null)
+                        .forEach(w -> cluster.take(w, millis(6000, 14_000)));
+            default -> {}
+        }
+    }
+
+    private void messageTrouble(Trouble trouble) {
+        switch (trouble) {
+            case LATE_WRITES -> {
+                cluster.lateWrites = 0.1 + random.nextDouble() * 0.3;
+                until(millis(10_000, 50_000), () -> cluster.lateWrites = 0);
+            }
+            case LATE_REPORTS -> {
+                cluster.lateCopies = 2;
+                until(millis(20_000, 60_000), () -> cluster.lateCopies = 0);
+            }
+            case LOSS -> {
+                cluster.loss = 0.03;
+                cluster.repeat = 0.1;
+                until(millis(10_000, 50_000), () -> {
+                    cluster.loss = 0;
+                    cluster.repeat = 0;
+                });
+            }
+            case LATE_RENTAL -> cluster.lateRentals = true;
+            default -> {}
+        }
+    }
+
+    private void userTrouble(Trouble trouble) {
+        switch (trouble) {
+            case CANCEL_NOW -> {
+                ids.stream()
+                        .filter(id -> cluster.lastTold(id).equals("running"))
+                        .limit(4)
+                        .forEach(id -> cluster.sim.after(random.nextInt(200), () -> cluster.cancel(id)));
+                if (random.nextBoolean()) {
+                    someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
+                }
+            }
+            case CANCEL_AT_END -> {
+                cluster.cancelledAtEnd = 0.5;
+                until(millis(20_000, 50_000), () -> cluster.cancelledAtEnd = 0);
+            }
+            case ODD_REQUESTS -> {
+                for (int k = 0; k < 20; k++) {
+                    String id = ids.get(random.nextInt(ids.size()));
+                    cluster.sim.after(millis(0, 40_000), () -> cluster.repeat(id));
+                    cluster.sim.after(millis(0, 40_000), () -> cluster.askForStranger("wk-9" + random.nextInt(9999)));
+                    cluster.sim.after(millis(0, 40_000), () -> {
+                        if (cluster.lastTold(id).equals("done")) {
+                            cluster.cancel(id);
+                        }
+                    });
+                }
+            }
+            default -> {}
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -0,0 +1,571 @@
+package org.dunespindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import org.dunespindle.protocol.Priority;
+import org.dunespindle.protocol.Resources;
+import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.Submission;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What is checked at a day's end, each trouble by itself, with whole controllers in virtual time. */
+class FailureTest {
+    private static String hosts(SimulatedCluster cluster) {
+        return cluster.admin(0, "GET", "/v1/hosts", "")
+                .join()
+                .body()
+                .path("hosts")
+                .toString();
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {71, 72, 73})
+    void aMachineThatTakesNoCommandsIsClosedReturnedAndReplaced(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = ClusterTest.submitMix(cluster, 14);
+        cluster.sim.run(Duration.ofSeconds(9));
+        WorkerStandIn deaf = cluster.worker((int) seed % 3);
+        deaf.oneWay(true);
+        cluster.sim.run(Duration.ofSeconds(60));
+        assertTrue(deaf.dead(), "its reports alone kept it");
+        cluster.sim.run(Duration.ofSeconds(300));
+        ClusterTest.assertAllDone(cluster, ids);
+    }
+
+    @Test
+    void nothingIsBookedOnAMachineThatOnlyReports() {
+        var cluster = new SimulatedCluster(74);
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 2, false, false));
+        cluster.sim.run(Duration.ofSeconds(20));
+        WorkerStandIn deaf = cluster.worker(0);
+        deaf.oneWay(true);
+        cluster.sim.run(
+                Duration.ofSeconds(33)); // its lease is over by now and its tasks are gone, but its reports go on
+        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.ARRAY, 6, false, false));
+        cluster.sim.run(Duration.ofSeconds(36));
+        assertTrue(
+                cluster
+                        .admin(0, "GET", "/v1/jobs/wk-000002", "")
+                        .join()
+                        .body()
+                        .path("places")
+                        .findValuesAsText("host")
+                        .stream()
+                        .noneMatch(deaf.id()::equals));
+        cluster.sim.run(Duration.ofSeconds(120));
+        ClusterTest.assertAllDone(cluster, List.of("wk-000002"));
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {81, 82, 83, 84})
+    void lateCopiesOfReportsProveNothing(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        cluster.lateCopies = 2;
+        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        for (int n = 0; n < 3; n++) {
+            int node = n;
+            cluster.sim.after(12_000L + 4000L * n, () -> cluster.crash(node, Duration.ofMillis(300)));
+        }
+        cluster.sim.after(20_000, () -> cluster.die(cluster.worker((int) seed % 5)));
+        cluster.sim.run(Duration.ofSeconds(300));
+        ClusterTest.assertAllDone(cluster, ids);
+        assertEquals(List.of(), cluster.alive().stream().map(WorkerStandIn::id).toList());
+        assertEquals("[]", hosts(cluster), "copies of reports rebuilt machines that were returned");
+    }
+
+    @Test
+    void copiesDoNotKeepADeadMachine() {
+        var cluster = new SimulatedCluster(85);
+        cluster.lateCopies = 3;
+        cluster.latestCopy = Duration.ofSeconds(40);
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 1, false, false));
+        cluster.sim.run(Duration.ofSeconds(40));
+        WorkerStandIn lost = cluster.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .findFirst()
+                .orElseThrow();
+        cluster.die(lost);
+        cluster.sim.run(Duration.ofSeconds(75));
+        assertTrue(
+                cluster.alive().stream().anyMatch(w -> w.tasks().iterator().hasNext()),
+                "the task runs elsewhere while copies of its machine's reports still come");
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    @ParameterizedTest
+    @ValueSource(ints = {0, 1, 2})
+    void workersLeaveAControllerThatReachesNobodyElse(int node) {
+        var cluster = new SimulatedCluster(91 + node);
+        for (int i = 0; i < 6; i++) {
+            cluster.submit(ClusterTest.job(
+                    "wk-%06d".formatted(i), i < 3 ? "red" : "blue", Shape.SERVICE, 1 + i % 2, false, false));
+        }
+        cluster.sim.run(Duration.ofSeconds(30));
+        List<WorkerStandIn> all = cluster.alive();
+        cluster.sim.after(100, () -> cluster.isolatedNode = node);
+        cluster.sim.run(Duration.ofSeconds(75));
+        cluster.isolatedNode = -1;
+        cluster.sim.run(Duration.ofSeconds(100));
+        assertEquals(List.of(), cluster.broken);
+        assertEquals(
+                List.of(),
+                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                "leases that ran out");
+    }
+
+    /** The workers' lease is 10 s: when the first controller is back, too little is left of it to leave the others' machines to them first. */
+    @ParameterizedTest
+    @ValueSource(longs = {93, 94, 95, 96, 97, 98})
+    void workersOutliveACrashOfAllControllers(long seed) {
+        var cluster = new SimulatedCluster(seed, 7, 10); // a record each, so that they hash to different controllers
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 8, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.SERVICE, 4, false, false));
+        cluster.sim.run(Duration.ofSeconds(30));
+        List<WorkerStandIn> all = cluster.alive();
+        for (int n = 0; n < 3; n++) {
+            cluster.crash(n, n == 0 ? Duration.ofMillis(5300) : Duration.ofSeconds(20));
+        }
+        cluster.sim.run(
+                cluster.sim.now().plusMillis(6300)); // one is back, and has not taken over the others' machines yet
+        for (WorkerStandIn w : all) {
+            assertEquals(200, cluster.answer(0, w), w.id());
+        }
+        cluster.sim.run(Duration.ofSeconds(60));
+        assertEquals(
+                List.of(),
+                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                "leases that ran out");
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    @Test
+    void inAnOutageThatAllShareWorkersAreAnswered() {
+        var cluster = new SimulatedCluster(95);
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 8, false, false));
+        cluster.sim.run(Duration.ofSeconds(30));
+        List<WorkerStandIn> all = cluster.alive();
+        cluster.state.out = true;
+        cluster.sim.run(Duration.ofSeconds(48));
+        cluster.state.recover();
+        cluster.sim.run(Duration.ofSeconds(70));
+        assertEquals(
+                List.of(),
+                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                "leases that ran out");
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {101, 102, 103, 104})
+    void controllersBackAtOnceInMidElection(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        for (int k = 0; k < 6; k++) {
+            cluster.sim.after(6000L + k * 5200L, () -> {
+                int leader = Math.max(0, cluster.leader());
+                cluster.crash(leader, Duration.ofMillis(50 + cluster.sim.random.nextInt(400)));
+                // The next one goes while the election and the take-over are under way.
+                cluster.sim.after(
+                        300 + cluster.sim.random.nextInt(4500),
+                        () -> cluster.crash((leader + 1) % 3, Duration.ofMillis(100)));
+            });
+        }
+        cluster.sim.run(Duration.ofSeconds(300));
+        ClusterTest.assertAllDone(cluster, ids);
+    }
+
+    /** A machine of a running gang is about to be taken away, so the gang saves; the controllers crash in those seconds. */
+    @ParameterizedTest
+    @ValueSource(longs = {105, 106, 107, 108, 109, 110})
+    void allControllersCrashWhileAGangSaves(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        Submission gang = new Submission(
+                "wk-000001",
+                "class",
+                "red",
+                Shape.GANG,
+                Priority.URGENT,
+                6,
+                new Resources(1, 1, 1),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                true,
+                "image",
+                2,
+                Duration.ofSeconds(25),
+                Duration.ofSeconds(5),
+                Duration.ofSeconds(4),
+                Optional.empty());
+        cluster.submit(gang);
+        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.ARRAY, 5, false, true));
+        while (!cluster.lastTold("wk-000001").equals("running")
+                && cluster.sim.now().compareTo(Duration.ofSeconds(60)) < 0) {
+            cluster.sim.run(cluster.sim.now().plusSeconds(1));
+        }
+        cluster.sim.run(cluster.sim.now().plusSeconds(3));
+        WorkerStandIn taken = cluster.alive().stream()
+                .filter(w -> w.holds("wk-000001"))
+                .findFirst()
+                .orElseThrow();
+        cluster.take(taken, Duration.ofSeconds(12));
+        for (int n = 0; n < 3; n++) {
+            int node = n;
+            cluster.sim.after(
+                    2200 + 500 * (seed - 105), () -> cluster.crash(node, Duration.ofMillis(400 + 700L * node)));
+        }
+        cluster.sim.run(cluster.sim.now().plusSeconds(300));
+        ClusterTest.assertAllDone(cluster, List.of("wk-000001", "wk-000002"));
+        assertTrue(cluster.saves > 0, "nothing was saved");
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {111, 112})
+    void everyControllerKnowsEveryJobAfterTroubles(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        cluster.loss = 0.03;
+        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        cluster.sim.after(8000, () -> cluster.isolatedNode = (int) seed % 3);
+        cluster.sim.after(22_000, () -> cluster.isolatedNode = -1);
+        cluster.sim.after(15_000, () -> cluster.crash((int) (seed + 1) % 3, Duration.ofMillis(200)));
+        cluster.sim.after(30_000, () -> cluster.state.out = true);
+        cluster.sim.after(44_000, cluster.state::recover);
+        cluster.sim.after(44_100, () -> cluster.loss = 0);
+        cluster.sim.run(Duration.ofSeconds(119)); // 75 s after the last trouble
+        for (int node = 0; node < 3; node++) {
+            for (String id : ids) {
+                assertEquals(200, cluster.poll(node, id).join().status(), id + " at controller " + node);
+            }
+        }
+        cluster.sim.run(Duration.ofSeconds(400));
+        ClusterTest.assertAllDone(cluster, ids);
+    }
+
+    @Test
+    void aJobOnMoreMachinesThanATransactionGuardsIsRecorded() {
+        // Names far apart: every machine has a record of its own, and there are more of them than one transaction may
+        // guard.
+        var cluster = new SimulatedCluster(121, 90, 10);
+        cluster.submit(new Submission(
+                "wk-000001",
+                "class",
+                "red",
+                Shape.ARRAY,
+                Priority.LOW,
+                80,
+                new Resources(4, 0, 1),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                false,
+                "image",
+                2,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty()));
+        cluster.submit(new Submission(
+                "wk-000002",
+                "class",
+                "blue",
+                Shape.GANG,
+                Priority.URGENT,
+                70,
+                new Resources(4, 0, 1),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                false,
+                "image",
+                2,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty()));
+        cluster.sim.run(Duration.ofSeconds(300));
+        ClusterTest.assertAllDone(cluster, List.of("wk-000001", "wk-000002"));
+    }
+
+    /** Small jobs keep coming, from the gang's own team and from another one that borrows beyond its guarantee. */
+    @ParameterizedTest
+    @ValueSource(strings = {"URGENT", "NORMAL"})
+    void aLargeGangBeginsWithinFourMinutes(String priority) {
+        var cluster = new SimulatedCluster(131);
+        for (int i = 0; i < 300; i++) {
+            Submission small = new Submission(
+                    "wk-%06d".formatted(i + 10),
+                    "small",
+                    i % 3 == 0 ? "red" : "blue",
+                    Shape.ARRAY,
+                    Priority.NORMAL,
+                    2,
+                    new Resources(1, 1, 1),
+                    Optional.empty(),
+                    Optional.empty(),
+                    false,
+                    false,
+                    false,
+                    "image-1",
+                    2,
+                    Duration.ofSeconds(5),
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    Optional.empty());
+            cluster.sim.after(1000L + i * 900L, () -> cluster.submit(small));
+        }
+        Submission large = new Submission(
+                "wk-000001",
+                "large",
+                "red",
+                Shape.GANG,
+                Priority.valueOf(priority),
+                9,
+                new Resources(1, 1, 1),
+                Optional.empty(),
+                Optional.empty(),
+                true,
+                false,
+                false,
+                "image-2",
+                2,
+                Duration.ofSeconds(5),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty());
+        cluster.sim.after(30_000, () -> cluster.submit(large));
+        cluster.sim.run(Duration.ofSeconds(270));
+        assertEquals(List.of(), cluster.broken);
+        assertTrue(
+                List.of("running", "done").contains(cluster.lastTold("wk-000001")),
+                cluster.admin(0, "GET", "/v1/jobs/wk-000001", "").join().body().toString());
+    }
+
+    /** Controllers that stand still while their clocks go on, the leader first, at any stage of placing, replacing, saving and cancelling. */
+    @ParameterizedTest
+    @ValueSource(longs = {141, 142, 143, 144, 145, 146, 147, 148, 149, 150})
+    void controllersStandStillAtAnyStage(long seed) {
+        var cluster = new SimulatedCluster(seed);
+        cluster.repeat = 0.1;
+        List<String> ids = ClusterTest.submitMix(cluster, 14);
+        for (int k = 0; k < 5; k++) {
+            int which = k;
+            cluster.sim.after(3000L + k * 9000L + cluster.sim.random.nextInt(6000), () -> {
+                int leader = Math.max(0, cluster.leader());
+                cluster.freeze(
+                        (leader + (which % 2)) % 3, Duration.ofMillis(1500 + cluster.sim.random.nextInt(24_000)));
+            });
+        }
+        cluster.sim.after(14_000, () -> cluster.cancel(ids.get(9)));
+        cluster.sim.after(16_000, () -> cluster.take(cluster.worker((int) seed % 4), Duration.ofSeconds(12)));
+        cluster.sim.after(26_000, () -> cluster.crash((int) seed % 3, Duration.ofMillis(300)));
+        cluster.sim.run(Duration.ofSeconds(400));
+        assertEquals(List.of(), cluster.broken);
+        ids.stream().filter(id -> !id.equals(ids.get(9))).forEach(id -> assertEquals("done", cluster.lastTold(id), id));
+        assertTrue(List.of("done", "cancelled").contains(cluster.lastTold(ids.get(9))));
+    }
+
+    /** What an earlier owner told last may be minutes old, since a machine that is up is told of once. */
+    @ParameterizedTest
+    @ValueSource(longs = {161, 162, 163, 164})
+    void machinesOfACrashedControllerAreKept(long seed) {
+        var cluster = new SimulatedCluster(seed, 7, 10); // a record each, so that they hash to different controllers
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
+        cluster.sim.run(Duration.ofSeconds(70));
+        List<WorkerStandIn> used = cluster.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .toList();
+        assertTrue(!used.isEmpty());
+        int leader = cluster.leader();
+        cluster.crash((leader + 1) % 3, Duration.ofSeconds(200));
+        cluster.crash((leader + 2) % 3, Duration.ofSeconds(200));
+        cluster.sim.run(Duration.ofSeconds(100));
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    /** Nobody else could take over: what it has not heard, it could not hear. */
+    @ParameterizedTest
+    @ValueSource(ints = {14, 19, 27})
+    void aControllerThatStoodStillReturnsNoMachineForItsSilence(int seconds) {
+        var cluster = new SimulatedCluster(151);
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 6, false, false));
+        cluster.sim.run(Duration.ofSeconds(60));
+        int leader = cluster.leader();
+        cluster.crash((leader + 1) % 3, Duration.ofSeconds(200));
+        cluster.crash((leader + 2) % 3, Duration.ofSeconds(200));
+        cluster.sim.run(Duration.ofSeconds(75));
+        // Its workers can't reach it right after it wakes: what it has last heard of them is old by then.
+        List<WorkerStandIn> all = cluster.alive();
+        List<WorkerStandIn> used =
+                all.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
+        assertTrue(!used.isEmpty());
+        cluster.freeze(leader, Duration.ofSeconds(seconds));
+        all.forEach(w -> cluster.cut(w, Duration.ofSeconds(seconds).plusMillis(2500)));
+        cluster.sim.run(Duration.ofSeconds(75 + seconds + 8));
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    /** It would keep the lead and its machines, answer for neither, and give the machines back as silent. */
+    @ParameterizedTest
+    @ValueSource(ints = {0, 1, 2})
+    void aControllerThatHasLostItsWorkersStepsAside(int offset) {
+        var cluster = new SimulatedCluster(171, 7, 10);
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
+        cluster.sim.run(Duration.ofSeconds(70));
+        List<WorkerStandIn> used = cluster.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .toList();
+        assertTrue(!used.isEmpty());
+        int deaf = (cluster.leader() + offset) % 3;
+        cluster.deafNode = deaf;
+        cluster.sim.run(Duration.ofSeconds(110));
+        if (offset == 0) {
+            assertTrue(cluster.leader() >= 0 && cluster.leader() != deaf, "it still leads");
+        }
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
+        assertEquals(
+                List.of(),
+                used.stream()
+                        .filter(w -> w.session() > 1)
+                        .map(WorkerStandIn::id)
+                        .toList(),
+                "leases that ran out");
+        cluster.deafNode = -1;
+        cluster.sim.run(Duration.ofSeconds(125));
+        assertTrue(
+                cluster.admin(deaf, "GET", "/v1/controllers", "")
+                        .join()
+                        .body()
+                        .toString()
+                        .contains("n" + deaf),
+                "it does not take part again");
+        List<String> ids = List.of("wk-000003", "wk-000004");
+        ids.forEach(id -> cluster.submit(ClusterTest.job(id, "red", Shape.ARRAY, 2, false, false)));
+        cluster.sim.run(Duration.ofSeconds(200));
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    /** The leader hears nothing of the others' machines for far longer than a lease; the others hear them all the time. */
+    @ParameterizedTest
+    @ValueSource(longs = {181, 182, 183})
+    void machinesOfControllersThatCannotTalkToTheLeaderAreKept(long seed) {
+        var cluster = new SimulatedCluster(seed, 7, 10);
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
+        cluster.sim.run(Duration.ofSeconds(70));
+        List<WorkerStandIn> used = cluster.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .toList();
+        cluster.peersRefuse = true;
+        cluster.sim.run(Duration.ofSeconds(150));
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
+        cluster.peersRefuse = false;
+        cluster.submit(ClusterTest.job("wk-000003", "red", Shape.GANG, 3, false, false));
+        cluster.sim.run(Duration.ofSeconds(200));
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    /** Held reports arrive all at once when a cut ends; that commands did not arrive before says nothing about after. */
+    @ParameterizedTest
+    @CsvSource({"191, 27", "192, 27", "193, 27", "191, 33", "192, 33", "193, 33"
+    }) // a new leader gives up what it never heard after 25 s
+    void machinesAreKeptWhenTheirCutEnds(long seed, int seconds) {
+        var cluster = new SimulatedCluster(seed, 7, 10);
+        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
+        cluster.sim.run(Duration.ofSeconds(70));
+        List<WorkerStandIn> cut = cluster.alive().stream()
+                .filter(w -> w.zone.equals(cluster.worker(0).zone))
+                .toList();
+        List<WorkerStandIn> used =
+                cut.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
+        assertTrue(cut.size() >= 4 && !used.isEmpty());
+        cut.forEach(w -> cluster.cut(w, Duration.ofSeconds(seconds)));
+        cluster.crash(
+                cluster.leader(), Duration.ofSeconds(8)); // the next one takes machines over that it cannot command yet
+        cluster.sim.run(Duration.ofSeconds(125));
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    /**
+     * Three controllers in two zones: the one alone in its zone is cut off, or the two together, with the leader on either side; some
+     * crash meanwhile.
+     */
+    @ParameterizedTest
+    @CsvSource({"211, west, 2", "212, west, 0", "213, east, 0", "214, east, 2", "215, west, 1", "216, east, 1"})
+    void aZoneIsCutOffFromEverything(long seed, String zone, int crashed) {
+        var cluster = new SimulatedCluster(seed, 120, 3);
+        cluster.provide(40);
+        cluster.taskTime = Optional.of(Duration.ofMinutes(10));
+        for (String id : List.of("wk-000101", "wk-000102")) {
+            cluster.submit(new Submission(
+                    id,
+                    "class",
+                    id.endsWith("1") ? "red" : "blue",
+                    Shape.ARRAY,
+                    Priority.NORMAL,
+                    20,
+                    new Resources(4, 1, 1),
+                    Optional.empty(),
+                    Optional.empty(),
+                    false,
+                    false,
+                    false,
+                    "image",
+                    2,
+                    Duration.ofSeconds(60),
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    Optional.empty()));
+        }
+        cluster.sim.run(Duration.ofSeconds(70));
+        cluster.taskTime = Optional.empty();
+        List<WorkerStandIn> used = cluster.alive().stream()
+                .filter(w -> w.zone.equals(zone) && w.tasks().iterator().hasNext())
+                .toList();
+        assertTrue(!used.isEmpty());
+        cluster.zoneCut = zone;
+        cluster.sim.after(4000, () -> cluster.crash(crashed, Duration.ofMillis(700)));
+        List<String> ids = ClusterTest.submitMix(cluster, 6);
+        cluster.sim.run(Duration.ofSeconds(96));
+        cluster.zoneCut = "";
+        cluster.sim.run(Duration.ofSeconds(101));
+        assertEquals(
+                List.of(),
+                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                "given back");
+        cluster.cancel("wk-000101");
+        cluster.cancel("wk-000102");
+        cluster.sim.run(Duration.ofSeconds(400));
+        ClusterTest.assertAllDone(cluster, ids);
+    }
+}
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import org.dunespindle.coordination.FrontDesk;
+import org.dunespindle.coordination.UserApi;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
@@ -24,41 +24,64 @@
     /** A thousand sockets, of which calls to machines may take an eighth. */
     private static final int MOST_CALLS = 1024 / 8;
 
-    private static World busy(int machines) {
-        var world = new World(201, machines, 1);
-        world.provide(machines);
-        world.taskTime = Optional.of(Duration.ofMinutes(10));
+    private static SimulatedCluster busy(int machines) {
+        var cluster = new SimulatedCluster(201, machines, 1);
+        cluster.provide(machines);
+        cluster.taskTime = Optional.of(Duration.ofMinutes(10));
         for (int i = 0; i < machines / TASKS; i++) {
-            Submission s = new Submission("wk-%06d".formatted(i), "class", i % 2 == 0 ? "red" : "blue", Shape.ARRAY, Priority.NORMAL, TASKS, new Resources(4, 1, 1), Optional.empty(), Optional.empty(),
-                    false, false, false, "image", 2, Duration.ofSeconds(60), Duration.ZERO, Duration.ZERO, Optional.empty());
-            world.sim.after(3000L + 20L * i, () -> world.submit(s));
+            Submission s = new Submission(
+                    "wk-%06d".formatted(i),
+                    "class",
+                    i % 2 == 0 ? "red" : "blue",
+                    Shape.ARRAY,
+                    Priority.NORMAL,
+                    TASKS,
+                    new Resources(4, 1, 1),
+                    Optional.empty(),
+                    Optional.empty(),
+                    false,
+                    false,
+                    false,
+                    "image",
+                    2,
+                    Duration.ofSeconds(60),
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    Optional.empty());
+            cluster.sim.after(3000L + 20L * i, () -> cluster.submit(s));
         }
-        world.sim.run(Duration.ofSeconds(60));
-        return world;
+        cluster.sim.run(Duration.ofSeconds(60));
+        return cluster;
     }
 
-    private static int busyMachines(World world) {
-        return (int) world.alive().stream().filter(w -> w.tasks().iterator().hasNext()).count();
+    private static int busyMachines(SimulatedCluster cluster) {
+        return (int) cluster.alive().stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .count();
     }
 
     /** What it takes from the crash on until half a minute later. */
     private static Map<String, Integer> crashOfAll(int machines) {
-        World world = busy(machines);
-        assertEquals(machines, busyMachines(world));
-        var before = new TreeMap<>(world.counts);
-        long sessions = world.alive().stream().mapToLong(WorkerStandIn::session).sum();
+        SimulatedCluster cluster = busy(machines);
+        assertEquals(machines, busyMachines(cluster));
+        var before = new TreeMap<>(cluster.counts);
+        long sessions =
+                cluster.alive().stream().mapToLong(WorkerStandIn::session).sum();
         for (int n = 0; n < 3; n++) {
-            world.crash(n, Duration.ofMillis(1500 + 700L * n));
+            cluster.crash(n, Duration.ofMillis(1500 + 700L * n));
         }
-        world.sim.run(Duration.ofSeconds(90));
-        assertEquals(machines, busyMachines(world));
-        assertEquals(sessions, world.alive().stream().mapToLong(WorkerStandIn::session).sum(), "leases ran out");
-        assertEquals(0, world.broken.size(), world.broken.toString());
-        assertTrue(world.mostOpen <= MOST_CALLS, world.mostOpen + " calls at once");
-        String hosts = world.admin(0, "GET", "/v1/hosts", "").join().body().toString();
+        cluster.sim.run(Duration.ofSeconds(90));
+        assertEquals(machines, busyMachines(cluster));
+        assertEquals(
+                sessions,
+                cluster.alive().stream().mapToLong(WorkerStandIn::session).sum(),
+                "leases ran out");
+        assertEquals(0, cluster.broken.size(), cluster.broken.toString());
+        assertTrue(cluster.mostOpen <= MOST_CALLS, cluster.mostOpen + " calls at once");
+        String hosts = cluster.admin(0, "GET", "/v1/hosts", "").join().body().toString();
         assertTrue(hosts.contains("i-0001"), hosts.substring(0, Math.min(200, hosts.length())));
         var took = new TreeMap<String, Integer>();
-        world.counts.forEach((kind, n) -> took.put(kind, n - before.getOrDefault(kind, 0)));
+        cluster.counts.forEach((kind, n) -> took.put(kind, n - before.getOrDefault(kind, 0)));
         return took;
     }
 
@@ -67,7 +90,9 @@
         Map<String, Integer> small = crashOfAll(SMALL);
         Map<String, Integer> large = crashOfAll(SMALL * TIMES);
         for (String kind : small.keySet()) {
-            assertTrue(large.get(kind) <= small.get(kind) * TIMES * 1.3 + 20, kind + ": " + small + " with " + SMALL + " machines, " + large + " with " + SMALL * TIMES);
+            assertTrue(
+                    large.get(kind) <= small.get(kind) * TIMES * 1.3 + 20,
+                    kind + ": " + small + " with " + SMALL + " machines, " + large + " with " + SMALL * TIMES);
         }
         // What does not depend on machines must not grow with them at all.
         for (String kind : new String[] {"node", "cloud"}) {
@@ -78,30 +103,41 @@
     /** A third of all machines falls silent for longer than a lease, then comes back. */
     @Test
     void aCutOfAThirdKeepsCallsBounded() {
-        World world = busy(SMALL * 2);
-        world.alive().stream().filter(w -> w.id().hashCode() % 3 == 0).forEach(w -> world.cut(w, Duration.ofSeconds(25)));
-        int before = world.counts.get("worker");
-        world.sim.run(Duration.ofSeconds(84));
-        assertTrue(world.mostOpen <= MOST_CALLS, world.mostOpen + " calls at once");
-        assertTrue(world.counts.get("worker") - before < 20 * SMALL, "calls to machines: " + (world.counts.get("worker") - before));
-        world.sim.run(Duration.ofSeconds(130));
-        assertEquals(0, world.broken.size(), world.broken.toString());
+        SimulatedCluster cluster = busy(SMALL * 2);
+        cluster.alive().stream()
+                .filter(w -> w.id().hashCode() % 3 == 0)
+                .forEach(w -> cluster.cut(w, Duration.ofSeconds(25)));
+        int before = cluster.counts.get("worker");
+        cluster.sim.run(Duration.ofSeconds(84));
+        assertTrue(cluster.mostOpen <= MOST_CALLS, cluster.mostOpen + " calls at once");
+        assertTrue(
+                cluster.counts.get("worker") - before < 20 * SMALL,
+                "calls to machines: " + (cluster.counts.get("worker") - before));
+        cluster.sim.run(Duration.ofSeconds(130));
+        assertEquals(0, cluster.broken.size(), cluster.broken.toString());
     }
 
     /** More submissions at once than can be stored while their users wait: the rest is told at once when to come back. */
     @Test
     void whatCannotBeStoredInTimeIsAnsweredAtOnce() {
-        var world = new World(202);
-        world.sim.run(Duration.ofSeconds(5));
-        var answers = new ArrayList<CompletableFuture<FrontDesk.Answer>>();
+        var cluster = new SimulatedCluster(202);
+        cluster.sim.run(Duration.ofSeconds(5));
+        var answers = new ArrayList<CompletableFuture<UserApi.Answer>>();
         for (int i = 0; i < 2000; i++) {
-            answers.add(world.offerTo(0, WorldTest.job("wk-%06d".formatted(i), "red", Shape.ARRAY, 1, false, false)));
+            answers.add(
+                    cluster.offerTo(0, ClusterTest.job("wk-%06d".formatted(i), "red", Shape.ARRAY, 1, false, false)));
         }
-        var refused = answers.stream().filter(CompletableFuture::isDone).map(CompletableFuture::join).toList();
+        var refused = answers.stream()
+                .filter(CompletableFuture::isDone)
+                .map(CompletableFuture::join)
+                .toList();
         assertTrue(refused.size() > 1000 && refused.size() < 2000, refused.size() + " refused");
-        assertTrue(refused.stream().allMatch(a -> a.status() == 503 && a.retryAfter().isPresent()));
-        world.sim.run(Duration.ofSeconds(20));
+        assertTrue(refused.stream()
+                .allMatch(a -> a.status() == 503 && a.retryAfter().isPresent()));
+        cluster.sim.run(Duration.ofSeconds(20));
         assertTrue(answers.stream().allMatch(CompletableFuture::isDone));
-        assertEquals(2000 - refused.size(), answers.stream().filter(a -> a.join().status() == 201).count());
+        assertEquals(
+                2000 - refused.size(),
+                answers.stream().filter(a -> a.join().status() == 201).count());
     }
 }
