--- /dev/null
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -0,0 +1,699 @@
+package org.dunespindle.sim;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.BiConsumer;
+import java.util.function.Function;
+import org.dunespindle.TestSettings;
+import org.dunespindle.coordination.Admin;
+import org.dunespindle.coordination.Controller;
+import org.dunespindle.coordination.UserApi;
+import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.Settings;
+import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.TaskId;
+import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.transport.CallFailure;
+import org.dunespindle.transport.Caller;
+import org.dunespindle.transport.HttpAnswer;
+
+/**
+ * Three real controllers in virtual time with stand-ins for state service, cloud and workers, over a
+ * network that delays, loses and repeats. Keeps watch over the protocol's rules.
+ */
+public final class SimulatedCluster {
+    static final int SLOTS = 4;
+    static final Duration LEASE = Duration.ofSeconds(10);
+    static final Duration GANG_WAIT = Duration.ofSeconds(30);
+    static final Duration GANG_PEER = Duration.ofSeconds(5);
+    static final int QUOTA_RED = 10;
+    static final int QUOTA_BLUE = 6;
+    private static final Duration ANSWER_WITHIN = Duration.ofSeconds(4);
+    static final Duration CANCEL = Duration.ofSeconds(30);
+    static final List<String> ZONES = List.of("east", "west");
+    public final Sim sim;
+    public final StateStandIn state;
+    final ClusterRules rules = new ClusterRules(this);
+    final TaskRuns runs = new TaskRuns(this);
+    private final CloudStandIn cloud = new CloudStandIn(this);
+    final List<String> broken = new ArrayList<>();
+    private final Controller[] nodes = new Controller[3];
+    private final Sim.Process[] processes = new Sim.Process[3];
+    final Map<String, WorkerStandIn> workers = new TreeMap<>();
+    final Map<String, Submission> jobs = new LinkedHashMap<>();
+    final Map<String, Set<Integer>> done = new HashMap<>();
+    final Map<String, Duration> cancelled = new HashMap<>();
+    private final Map<String, Duration> overAt = new HashMap<>();
+    private final Map<String, Duration> offered = new HashMap<>();
+    final Map<String, String> told = new HashMap<>();
+    /** The one controller that the state service refuses, or -1. */
+    public int refusedNode = -1;
+    /** The cloud answers nothing. */
+    public boolean cloudSilent;
+    /** The next rental is carried out late and not answered. */
+    public boolean lateRentals;
+
+    private final Set<String> blocked = new HashSet<>();
+    /** A controller that reaches neither the state service nor the others, only its workers; or -1. */
+    public int isolatedNode = -1;
+    /** A controller that reaches no worker and is reached by none, though by everybody else; or -1. */
+    public int deafNode = -1;
+    /** The zone that is cut off from everything, or empty. What is regional is in no zone. */
+    public String zoneCut = "";
+    /** In which zone each controller is. */
+    public final String[] areas = {"east", "east", "west"};
+    /** Controllers don't reach one another. */
+    public boolean peersRefuse;
+    /** Controllers that do not reach one another, as from * 3 + to. */
+    final Set<Integer> peersBlocked = new HashSet<>();
+    /** The longest that a message between controllers is held on its way. */
+    public int peerDelayMillis;
+    /** How many more copies of a report come late, and how late at most. */
+    public int lateCopies;
+
+    Duration latestCopy = Duration.ofSeconds(25);
+    final int mostMachines;
+    final int nameStep;
+    public double loss;
+    public double repeat;
+    int nextMachine = 1;
+    /** The part of the transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
+    public double lateWrites;
+    /** The part of the jobs' ends at whose very moment their users call them off. */
+    public double cancelledAtEnd;
+    /** Users ask about a job, and repeat its submission, at its very end. */
+    public boolean repeatedAtEnd;
+    /** Jobs submitted with a mistake: each of their tasks fails as soon as it runs. */
+    final Set<String> faultyJobs = new HashSet<>();
+    /** Tasks that failed, by job. */
+    final Map<String, Integer> errors = new HashMap<>();
+    /** The only controller that users reach, or -1 for any that is healthy. */
+    public int usersAt = -1;
+    /** Whether somebody still makes trouble; what must hold once troubles are over is watched from then on. */
+    public boolean calm;
+    /** How often what a test is about has happened, by name: a meeting that did not take place proves nothing. */
+    final Map<String, Integer> met = new TreeMap<>();
+
+    final Set<String> wantedGone = new HashSet<>();
+    final Map<String, Duration> submittedAt = new HashMap<>();
+    final Map<String, Duration> begunAt = new HashMap<>();
+    /** Tasks that began although their user had been told before that the job is cancelled. */
+    final List<String> startsAfterCancel = new ArrayList<>();
+
+    private boolean dirty;
+
+    SimulatedCluster(long seed) {
+        this(seed, 7, 1);
+    }
+
+    /** A larger cluster; machines' names may be further apart, so that fewer of them share a record. */
+    SimulatedCluster(long seed, int mostMachines, int nameStep) {
+        this.mostMachines = mostMachines;
+        this.nameStep = nameStep;
+        sim = new Sim(seed);
+        state = new StateStandIn(sim);
+        for (int i = 0; i < 3; i++) {
+            boot(i);
+        }
+        sim.after(100, this::watch);
+        if (mostMachines < 100) {
+            sim.afterEach(() -> {
+                if (dirty) {
+                    dirty = false;
+                    rules.quota();
+                }
+            });
+        }
+    }
+
+    private Settings settings(int i) {
+        var seeds = new StringBuilder();
+        for (int k = 0; k < 3; k++) {
+            if (k != i) {
+                seeds.append(
+                        "[[seeds]]\nnode_name = \"n%d\"\narea = \"east\"\naddress = \"node:%d\"\n".formatted(k, k));
+            }
+        }
+        try {
+            JsonNode file =
+                    TestSettings.node("n" + i, "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", seeds.toString());
+            ((ObjectNode) file).put("area", areas[i]);
+            if (mostMachines > 100) {
+                file.path("deployment")
+                        .path("teams")
+                        .forEach(t ->
+                                ((ObjectNode) t).put("gpus", 2.0 * mostMachines).put("gpus_max", 4.0 * mostMachines));
+            }
+            return Settings.parse(file);
+        } catch (MalformedException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private void boot(int i) {
+        var process = sim.new Process();
+        processes[i] = process;
+        nodes[i] = new Controller(settings(i), caller(process, i), process);
+        nodes[i].start();
+    }
+
+    /** Machines that are up from the start, in both zones. */
+    void provide(int count) {
+        for (int i = 0; i < count; i++) {
+            String id = "i-%04d".formatted(nextMachine);
+            nextMachine += nameStep;
+            workers.put(id, new WorkerStandIn(this, id, ZONES.get(i % ZONES.size()), false));
+        }
+    }
+
+    /** How much longer every message takes, and the state service's answers. */
+    public int slowMillis;
+
+    public int slowStateMillis;
+    /** How long a certain task runs, if not as long as others. */
+    Function<TaskId, Optional<Duration>> lengthOf = p -> Optional.empty();
+    /** When the last task of a job completed. */
+    Optional<Duration> completedAt(String id) {
+        return Optional.ofNullable(completed.get(id));
+    }
+
+    /** When its user was told first that a job is over. */
+    Optional<Duration> toldOverAt(String id) {
+        return over(id) ? Optional.ofNullable(overAt.get(id)) : Optional.empty();
+    }
+
+    final Map<String, Duration> completed = new HashMap<>();
+    /** How long tasks run, if not a few seconds. */
+    Optional<Duration> taskTime = Optional.empty();
+    /** Calls by kind so far, and changes written. */
+    final Map<String, Integer> counts = new TreeMap<>();
+
+    private final int[] open = new int[3];
+    /** Most calls to machines that one controller had under way at once. */
+    public int mostOpen;
+
+    private void count(int from, String address, String target, byte[] body, CompletableFuture<HttpAnswer> result) {
+        String kind = address.substring(0, address.indexOf(':'));
+        counts.merge(kind, 1, Integer::sum);
+        if (target.equals("/txn")) {
+            try {
+                counts.merge("writes", MessagePackCodec.read(body).path("apply").size(), Integer::sum);
+            } catch (MalformedException e) {
+                throw new IllegalStateException(e);
+            }
+        }
+        if (kind.equals("worker")) {
+            mostOpen = Math.max(mostOpen, ++open[from]);
+            result.whenComplete((a, e) -> open[from]--);
+        }
+    }
+
+    /** Kills a controller; a new process of the same name comes after the pause. */
+    void crash(int i, Duration pause) {
+        if (processes[i].isDead()) {
+            return; // it is down already; a second process of its name would come back beside the first
+        }
+        processes[i].kill();
+        open[i] = 0;
+        nodes[i] = null;
+        sim.after(pause, () -> boot(i));
+    }
+
+    /** A controller stands still for a while, its clocks going on. */
+    void freeze(int i, Duration length) {
+        processes[i].freeze(length);
+    }
+
+    /** Something about tasks on machines changed. */
+    void changed() {
+        dirty = true;
+    }
+
+    void met(String what) {
+        met.merge(what, 1, Integer::sum);
+    }
+
+    int nodeIndex(String name) {
+        return name.matches("n[0-2]") ? name.charAt(1) - '0' : -1;
+    }
+
+    /** Machines returned to the cloud so far that were alive. */
+    public int returned;
+
+    WorkerStandIn worker(int index) {
+        List<WorkerStandIn> all = workers.values().stream().filter(w -> !w.dead).toList();
+        return all.isEmpty() ? null : all.get(index % all.size());
+    }
+
+    void die(WorkerStandIn w) {
+        w.dead = true;
+    }
+
+    /** Tasks that saved when they were stopped. */
+    public int saves;
+
+    Duration saveTime(TaskId task) {
+        return jobs.get(task.job()).saveTime();
+    }
+
+    /** The cloud takes a machine away after a notice. */
+    void take(WorkerStandIn w, Duration notice) {
+        w.takenAt = sim.now().plus(notice);
+        sim.after(notice, () -> {
+            w.dead = true;
+            workers.remove(w.id);
+        });
+    }
+
+    /** A machine without network for a while; it is told nothing and heard by nobody, and what was sent arrives late. */
+    void cut(WorkerStandIn w, Duration length) {
+        w.cut = true;
+        sim.after(length, () -> w.cut = false);
+    }
+
+    /** From now on a controller and a machine cannot reach each other. */
+    void block(int node, WorkerStandIn w) {
+        blocked.add(node + w.id);
+    }
+
+    void unblock(int node, WorkerStandIn w) {
+        blocked.remove(node + w.id);
+    }
+
+    private long delay() {
+        return 2 + slowMillis + sim.random.nextInt(15) + (sim.random.nextInt(50) == 0 ? 300 : 0);
+    }
+
+    private Caller caller(Sim.Process owner, int from) {
+        return (address, method, target, body, type, timeout) -> {
+            var result = new CompletableFuture<HttpAnswer>();
+            count(from, address, target, body, result);
+            owner.after(timeout, () -> result.completeExceptionally(new CallFailure("no answer in time", true)));
+            boolean twice = sim.random.nextDouble() < repeat && address.startsWith("worker");
+            if (lateWrites > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWrites) {
+                met("late write");
+                sim.after(
+                        2000 + sim.random.nextInt(10_000),
+                        () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
+                return result;
+            }
+            for (int copy = 0; copy < (twice ? 2 : 1); copy++) {
+                int held = peerDelayMillis > 0 && address.startsWith("node") ? sim.random.nextInt(peerDelayMillis) : 0;
+                sim.after(
+                        delay() + held + copy * sim.random.nextInt(8000),
+                        () -> deliver(owner, from, address, method, target, body, result));
+            }
+            return result;
+        };
+    }
+
+    private boolean apart(String one, String other) {
+        return !zoneCut.isEmpty() && one.equals(zoneCut) != other.equals(zoneCut);
+    }
+
+    private void deliver(
+            Sim.Process owner,
+            int from,
+            String address,
+            String method,
+            String target,
+            byte[] body,
+            CompletableFuture<HttpAnswer> result) {
+        WorkerStandIn w = address.startsWith("worker") ? workers.get("i-" + address.substring(7)) : null;
+        if (apart(areas[from], w != null ? w.zone : address.startsWith("node") ? areas[address.charAt(5) - '0'] : "")) {
+            if (w != null && !w.dead) {
+                sim.after(
+                        500,
+                        () -> deliver(owner, from, address, method, target, body, result)); // held back, delivered late
+            }
+            return;
+        }
+        if (w != null && (w.cut || w.hung()) && !w.dead) {
+            sim.after(
+                    500,
+                    () -> deliver(owner, from, address, method, target, body, result)); // held back, delivered late
+            return;
+        }
+        if (w != null && (blocked.contains(from + w.id) || w.oneWay || from == deafNode)) {
+            return;
+        }
+        if (address.startsWith("node") && (peersRefuse || peersBlocked.contains(from * 3 + address.charAt(5) - '0'))) {
+            return;
+        }
+        if (address.startsWith("state") && from == isolatedNode
+                || address.startsWith("node") && (from == isolatedNode || address.endsWith(":" + isolatedNode))) {
+            return;
+        }
+        if (cloudSilent && address.startsWith("cloud")) {
+            return;
+        }
+        if (lateRentals && address.startsWith("cloud") && target.equals("/rentals")) {
+            lateRentals = false; // carried out half a minute later, and never answered
+            sim.after(30_000, () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
+            return;
+        }
+        StateStandIn.Reply reply;
+        try {
+            reply = from == refusedNode && address.startsWith("state")
+                    ? new StateStandIn.Reply(503, MessagePackCodec.map())
+                    : reply(
+                            address,
+                            method,
+                            target,
+                            address.startsWith("node")
+                                    ? null
+                                    : body.length == 0 ? MessagePackCodec.map() : MessagePackCodec.read(body),
+                            body,
+                            w);
+        } catch (MalformedException e) {
+            throw new IllegalStateException(e);
+        }
+        if (reply == null || sim.random.nextDouble() < loss) {
+            return; // executed, or not there; either way no answer comes
+        }
+        byte[] bytes = address.startsWith("node") ? Admin.write(reply.body()) : MessagePackCodec.write(reply.body());
+        int slow = slowStateMillis > 0 && address.startsWith("state") ? sim.random.nextInt(slowStateMillis) : 0;
+        sim.after(delay() + slow, () -> owner.arrive(() -> result.complete(new HttpAnswer(reply.status(), bytes))));
+    }
+
+    private StateStandIn.Reply reply(
+            String address, String method, String target, JsonNode body, byte[] raw, WorkerStandIn w) {
+        if (address.startsWith("state")) {
+            return state.answer(method, target, body);
+        }
+        if (address.startsWith("cloud")) {
+            return cloud.answer(target, body);
+        }
+        if (address.startsWith("node")) {
+            Controller c = nodes[address.charAt(5) - '0'];
+            if (c == null) {
+                return null;
+            }
+            if (processes[address.charAt(5) - '0'].frozen()) {
+                processes[address.charAt(5) - '0'].arrive(() -> c.heard(raw)); // its asker has given up by then
+                return null;
+            }
+            return new StateStandIn.Reply(200, c.heard(raw));
+        }
+        return w == null || w.dead
+                ? null
+                : target.equals("/inspect") ? new StateStandIn.Reply(200, w.report()) : w.commands(body);
+    }
+
+    void toNode(int node, WorkerStandIn from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
+        for (int copy = 0; copy < lateCopies; copy++) {
+            // A late copy arrives whatever has become of the machine meanwhile, and nobody hears what is answered to
+            // it.
+            sim.after(2000 + sim.random.nextInt((int) latestCopy.toMillis()), () -> {
+                if (nodes[node] != null) {
+                    Controller late = nodes[node];
+                    processes[node].arrive(() -> receive(late, report, (status, body) -> {}));
+                }
+            });
+        }
+        if (from.heldReports && !from.mute) {
+            // It arrives where it was sent to, whoever leads by then.
+            sim.after(from.heldFor, () -> {
+                met("held report");
+                if (nodes[node] != null) {
+                    Controller late = nodes[node];
+                    processes[node].arrive(() -> receive(late, report, (status, body) -> {}));
+                }
+            });
+            return;
+        }
+        Sim.Process target = processes[node];
+        Controller c = nodes[node];
+        sim.after(delay(), () -> {
+            if (from.cut
+                    || from.dead
+                    || from.mute
+                    || node == deafNode
+                    || apart(from.zone, areas[node])
+                    || blocked.contains(node + from.id)) {
+                return;
+            }
+            if (c == null || target.isDead()) {
+                answer.accept(0, MessagePackCodec.map()); // its machine refuses the connection
+                return;
+            }
+            Duration sentAt = sim.now();
+            target.arrive(() -> receive(
+                    c,
+                    report,
+                    (status, body) -> sim.after(delay(), () -> {
+                        if (sim.now().minus(sentAt).compareTo(ANSWER_WITHIN) < 0
+                                && !from.cut
+                                && !from.oneWay
+                                && !from.dead
+                                && sim.random.nextDouble() >= loss) {
+                            answer.accept(status, body);
+                        }
+                    })));
+        });
+    }
+
+    private static void receive(Controller c, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
+        try {
+            c.heartbeatHandler()
+                    .report(WorkerReport.parse(MessagePackCodec.read(MessagePackCodec.write(report))), answer::accept);
+        } catch (MalformedException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    /** What a controller answers a worker's report at once, or 0. */
+    int answer(int node, WorkerStandIn w) {
+        var status = new int[1];
+        receive(nodes[node], w.report(), (code, body) -> status[0] = code);
+        return status[0];
+    }
+
+    /** All machines that live. */
+    List<WorkerStandIn> alive() {
+        return workers.values().stream().filter(w -> !w.dead).toList();
+    }
+
+    /** The controller that leads as stored, or -1. */
+    int leader() {
+        StateStandIn.Row r = state.rows().get("ds/leader");
+        return r == null ? -1 : nodeIndex(r.value().path("node").asText());
+    }
+
+    // The users
+
+    void submit(Submission job) {
+        jobs.put(job.id(), job);
+        submittedAt.putIfAbsent(job.id(), sim.now());
+        offer(job);
+    }
+
+    /** A user repeats a submission; whatever became of the job meanwhile, it is known. */
+    void repeat(String id) {
+        Duration asked = sim.now();
+        if (!told.containsKey(id)) {
+            return;
+        }
+        ask(
+                n -> n.submit(MessagePackCodec.write(jobs.get(id).toNode()), a -> {
+                    if (a.status() == 200 || a.status() == 201) {
+                        told(id, asked, a);
+                    } else if (a.status() != 503) {
+                        broken.add("forgotten: repeated submission of " + id + " answered " + a.status());
+                    }
+                }),
+                () -> {});
+    }
+
+    /** A user asks how an accepted job stands. */
+    void askAbout(String id) {
+        Duration asked = sim.now();
+        ask(
+                n -> n.poll(id, a -> {
+                    if (a.status() == 200) {
+                        told(id, asked, a);
+                    } else if (a.status() == 404) {
+                        broken.add("forgotten: " + id);
+                    }
+                }),
+                () -> {});
+    }
+
+    /** A user asks about a job that nobody submitted. */
+    void askForStranger(String id) {
+        ask(
+                n -> n.poll(id, a -> {
+                    if (a.status() == 200) {
+                        broken.add("invented: " + id);
+                    }
+                }),
+                () -> {});
+    }
+
+    private void offer(Submission job) {
+        Duration asked = sim.now();
+        // A controller that dies with the request never answers it; its user asks again.
+        sim.after(5000, () -> {
+            if (!told.containsKey(job.id()) && !(offered.get(job.id()).compareTo(asked) > 0)) {
+                offer(job);
+            }
+        });
+        offered.put(job.id(), asked);
+        ask(
+                n -> n.submit(MessagePackCodec.write(job.toNode()), a -> {
+                    if (a.status() == 200 || a.status() == 201) {
+                        told(job.id(), asked, a);
+                    } else if (a.status() != 503) {
+                        broken.add("submission of " + job.id() + " answered " + a.status());
+                    } else {
+                        sim.after(1000, () -> offer(job));
+                    }
+                }),
+                () -> offer(job));
+    }
+
+    private void ask(java.util.function.Consumer<UserApi> question, Runnable otherwise) {
+        int i = usersAt >= 0 ? usersAt : sim.random.nextInt(3);
+        if (nodes[i] == null || processes[i].frozen() || apart("", areas[i]) || !nodes[i].healthy()) {
+            sim.after(500, otherwise);
+        } else {
+            question.accept(nodes[i].userApi());
+        }
+    }
+
+    /** Offers a job to one controller, whose answer comes in virtual time. */
+    CompletableFuture<UserApi.Answer> offerTo(int node, Submission job) {
+        jobs.put(job.id(), job);
+        return offer(node, job.toNode());
+    }
+
+    /** The same with whatever body a user may send. */
+    CompletableFuture<UserApi.Answer> offer(int node, ObjectNode body) {
+        var result = new CompletableFuture<UserApi.Answer>();
+        nodes[node].userApi().submit(MessagePackCodec.write(body), result::complete);
+        return result;
+    }
+
+    /** A question at one controller, whose answer comes in virtual time. */
+    CompletableFuture<UserApi.Answer> question(int node, String id) {
+        var result = new CompletableFuture<UserApi.Answer>();
+        nodes[node].userApi().poll(id, result::complete);
+        return result;
+    }
+
+    /** What all controllers decided lately, in words. */
+    String decisions() {
+        var text = new StringBuilder();
+        for (int n = 0; n < 3; n++) {
+            admin(n, "GET", "/v1/decisions", "")
+                    .join()
+                    .body()
+                    .path("decisions")
+                    .forEach(d -> text.append(d.path("what").asText()).append('\n'));
+        }
+        return text.toString();
+    }
+
+    /** A cancellation at one controller, answered within the next seconds of virtual time. */
+    UserApi.Answer cancelAt(int node, String id) {
+        var result = new CompletableFuture<UserApi.Answer>();
+        nodes[node].userApi().cancel(id, result::complete);
+        sim.run(sim.now().plusSeconds(2));
+        return result.join();
+    }
+
+    /** A poll at one controller, as a status. */
+    CompletableFuture<UserApi.Answer> poll(int node, String id) {
+        CompletableFuture<UserApi.Answer> result = question(node, id);
+        sim.run(sim.now().plusSeconds(2));
+        return result;
+    }
+
+    /** Asks a controller's administration API; the answer comes within the next second of virtual time. */
+    CompletableFuture<Admin.Answer> admin(int node, String method, String path, String body) {
+        var result = new CompletableFuture<Admin.Answer>();
+        nodes[node]
+                .admin()
+                .handle(method, path, body.getBytes(java.nio.charset.StandardCharsets.UTF_8), result::complete);
+        sim.run(sim.now().plusSeconds(1));
+        return result;
+    }
+
+    /** What a job's user was told last, if that was that it is cancelled, and when first. */
+    Optional<Duration> cancelledAt(String id) {
+        return Optional.ofNullable(cancelled.get(id));
+    }
+
+    void cancel(String id) {
+        Duration asked = sim.now();
+        wantedGone.add(id);
+        ask(
+                n -> n.cancel(id, a -> {
+                    if (a.status() == 200) {
+                        told(id, asked, a);
+                    } else {
+                        sim.after(1000, () -> cancel(id));
+                    }
+                }),
+                () -> cancel(id));
+    }
+
+    /** Takes an answer to a question asked at some time; answers that crossed a newer one say nothing about order. */
+    private void told(String id, Duration asked, UserApi.Answer a) {
+        String phase = a.body().path("phase").asText();
+        String before = told.getOrDefault(id, "");
+        boolean over = before.equals("done") || before.equals("cancelled");
+        if (over && !before.equals(phase) && asked.compareTo(overAt.get(id)) > 0) {
+            broken.add("went_back: " + id + " was " + before + ", now " + phase);
+        }
+        if (!over) {
+            told.put(id, phase);
+            overAt.put(id, sim.now());
+        } else if (!before.equals(phase) && (phase.equals("done") || phase.equals("cancelled"))) {
+            broken.add("went_back: " + id + " was told " + before + " and " + phase);
+        }
+        if (phase.equals("cancelled")) {
+            if (!wantedGone.contains(id)) {
+                broken.add("went_back: " + id + " cancelled by nobody");
+            }
+            if (cancelled.putIfAbsent(id, sim.now()) == null) {
+                sim.after(CANCEL.plusMillis(1), rules::quota);
+            }
+        }
+        if (phase.equals("done")
+                && done.getOrDefault(id, Set.of()).size() < jobs.get(id).tasks()) {
+            broken.add("not_done: " + id);
+        }
+    }
+
+    String lastTold(String id) {
+        return told.getOrDefault(id, "");
+    }
+
+    private void watch() {
+        for (String id : jobs.keySet()) {
+            if (sim.random.nextInt(20) == 0 && told.containsKey(id)) {
+                askAbout(id);
+            }
+        }
+        rules.quota();
+        rules.waits();
+        sim.after(250, this::watch);
+    }
+
+    boolean over(String id) {
+        return List.of("done", "cancelled").contains(told.getOrDefault(id, ""));
+    }
+}
--- a/src/test/java/org/dunespindle/bookkeeping/ReplicaTest.java
+++ b/src/test/java/org/dunespindle/storage/ReplicaTest.java
@@ -1,4 +1,4 @@
-package org.dunespindle.bookkeeping;
+package org.dunespindle.storage;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.dunespindle.TestSettings;
 import org.dunespindle.protocol.MalformedException;
-import org.dunespindle.protocol.Pack;
+import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.sim.Sim;
 import org.dunespindle.transport.AnswerTooLong;
@@ -26,13 +26,20 @@
     private static final int ROWS = 40;
     private static final int PER_PAGE = 10;
 
-    private enum Trouble { TOO_LONG, NEVER_ARRIVES, UNREADABLE, TOO_OLD, REFUSED }
+    private enum Trouble {
+        TOO_LONG,
+        NEVER_ARRIVES,
+        UNREADABLE,
+        TOO_OLD,
+        REFUSED
+    }
 
     private final Sim sim = new Sim(1);
     private final List<String> asked = new ArrayList<>();
     private long epoch = 100;
     /** Logs that reach back before this cannot be had. */
     private long logFrom;
+
     private Trouble trouble = Trouble.TOO_OLD;
     private int failPages;
     private boolean out;
@@ -46,43 +53,49 @@
             sim.after(timeout, () -> result.completeExceptionally(new CallFailure("no answer in time", true)));
             return result;
         };
-        var state = new StateClient(http, Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", "")), process);
-        var replica = new Replica(state, process, Duration.ofMillis(300), () -> { });
+        var state = new StateClient(
+                http,
+                Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", "")),
+                process);
+        var replica = new Replica(state, process, Duration.ofMillis(300), () -> {});
         replica.start();
         return replica;
     }
 
     private void answer(String target, CompletableFuture<HttpAnswer> result) {
         if (out) {
-            result.complete(new HttpAnswer(503, Pack.write(Pack.map())));
+            result.complete(new HttpAnswer(503, MessagePackCodec.write(MessagePackCodec.map())));
         } else if (target.startsWith("/watch")) {
             long since = Long.parseLong(target.replaceAll(".*since=(\\d+).*", "$1"));
             if (since >= logFrom) {
-                ObjectNode n = Pack.map().put("epoch", epoch);
+                ObjectNode n = MessagePackCodec.map().put("epoch", epoch);
                 n.putArray("log");
-                result.complete(new HttpAnswer(200, Pack.write(n)));
+                result.complete(new HttpAnswer(200, MessagePackCodec.write(n)));
                 return;
             }
             switch (trouble) {
                 case TOO_LONG -> result.completeExceptionally(new AnswerTooLong());
-                case NEVER_ARRIVES -> { }
+                case NEVER_ARRIVES -> {}
                 case UNREADABLE -> result.complete(new HttpAnswer(200, new byte[] {(byte) 0xc1}));
-                case TOO_OLD -> result.complete(new HttpAnswer(410, Pack.write(Pack.map())));
-                default -> result.complete(new HttpAnswer(503, Pack.write(Pack.map())));
+                case TOO_OLD -> result.complete(new HttpAnswer(410, MessagePackCodec.write(MessagePackCodec.map())));
+                default -> result.complete(new HttpAnswer(503, MessagePackCodec.write(MessagePackCodec.map())));
             }
         } else if (failPages > 0) {
             failPages--;
-            result.complete(new HttpAnswer(503, Pack.write(Pack.map())));
+            result.complete(new HttpAnswer(503, MessagePackCodec.write(MessagePackCodec.map())));
         } else {
             String since = target.contains("since=") ? target.replaceAll(".*since=([^&]+).*", "$1") : "";
-            ObjectNode n = Pack.map().put("epoch", epoch);
+            ObjectNode n = MessagePackCodec.map().put("epoch", epoch);
             var rows = n.putArray("rows");
             int from = since.isEmpty() ? 0 : Integer.parseInt(since.substring(since.lastIndexOf('/') + 1)) + 1;
             for (int i = from; i < Math.min(ROWS, from + PER_PAGE); i++) {
-                rows.addObject().put("key", "ds/x/%03d".formatted(i)).put("stamp", epoch).set("v", Pack.map().put("at", epoch));
+                rows.addObject()
+                        .put("key", "ds/x/%03d".formatted(i))
+                        .put("stamp", epoch)
+                        .set("v", MessagePackCodec.map().put("at", epoch));
             }
             epoch++; // others go on writing while pages are read
-            result.complete(new HttpAnswer(200, Pack.write(n.put("more", from + PER_PAGE < ROWS))));
+            result.complete(new HttpAnswer(200, MessagePackCodec.write(n.put("more", from + PER_PAGE < ROWS))));
         }
     }
 
@@ -111,7 +124,9 @@
         failPages = 6;
         sim.run(Duration.ofSeconds(12));
         assertTrue(replica.age().compareTo(Duration.ofSeconds(1)) < 0, "its view is " + replica.age());
-        long first = asked.stream().filter(t -> t.startsWith("/keys") && !t.contains("since=")).count();
+        long first = asked.stream()
+                .filter(t -> t.startsWith("/keys") && !t.contains("since="))
+                .count();
         long good = asked.stream().filter(t -> t.startsWith("/keys")).count() - 6;
         assertEquals(ROWS / PER_PAGE, good, "pages read more than once; the first one " + first + " times: " + asked);
     }
@@ -127,6 +142,7 @@
         asked.clear();
         sim.run(Duration.ofSeconds(24));
         assertTrue(replica.age().compareTo(Duration.ofSeconds(1)) < 0);
-        assertTrue(asked.stream().noneMatch(t -> t.startsWith("/keys")), "everything was read again after a mere outage");
+        assertTrue(
+                asked.stream().noneMatch(t -> t.startsWith("/keys")), "everything was read again after a mere outage");
     }
 }
