--- a/src/main/java/org/dunespindle/coordination/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/coordination/ArrayPlanner.java
@@ -13,16 +13,12 @@
 final class ArrayPlanner {
     private final PlanState state;
     private final ZoneChooser zoneChooser;
-    private final JobOrder order;
-    private final PreemptionPlanner preemption;
     /** Jobs that left no room which one more of their tasks would fit into; room only shrinks while arrays are planned. */
     private final List<Submission> fullFor = new ArrayList<>();
 
-    ArrayPlanner(PlanState state, ZoneChooser zoneChooser, JobOrder order) {
+    ArrayPlanner(PlanState state, ZoneChooser zoneChooser) {
         this.state = state;
         this.zoneChooser = zoneChooser;
-        this.order = order;
-        this.preemption = new PreemptionPlanner(state);
     }
 
     /** An array while its tasks are placed. */
@@ -62,7 +58,6 @@
         List<Progress> arrays = alike.stream().map(Progress::new).toList();
         arrays.forEach(array -> place(array, true));
         arrays.forEach(array -> place(array, false));
-        arrays.forEach(this::reclaim);
         arrays.forEach(this::conclude);
     }
 
@@ -83,15 +78,6 @@
         }
     }
 
-    /** Room that the job's team is guaranteed, taken back from other teams; only the leader stops tasks. */
-    private void reclaim(Progress array) {
-        int left = array.left();
-        if (left > 0 && state.snapshot().gangs() && order.guaranteedInTime(array.record)) {
-            int missing = preemption.reclaim(array.record, state.candidates(array.job), array.zones, left, order);
-            array.placed += left - missing;
-        }
-    }
-
     private void take(Progress array, MachineRoom machine) {
         int task = array.unplaced.nextInt();
         array.placed++;
--- a/src/main/java/org/dunespindle/coordination/JobOrder.java
+++ b/src/main/java/org/dunespindle/coordination/JobOrder.java
@@ -67,16 +67,6 @@
                 && ranks.get(one.id()).tier() == ranks.get(other.id()).tier();
     }
 
-    /** Whether a job lies within its team's guarantee. */
-    boolean guaranteed(JobRecord job) {
-        return guaranteed.contains(job.id());
-    }
-
-    /** Whether an ordered job lies within its team's guarantee and may still be in time; such jobs are planned before all that do not. */
-    boolean guaranteedInTime(JobRecord job) {
-        return guaranteed(job) && ranks.get(job.id()).tier() != LOST_CAUSE;
-    }
-
     /**
      * Gangs go in the order they came. Arrays that can still meet the first time they are measured by go least work first,
      * so that most of them meet it when not all can; then those that can meet a later one, then lost causes. One that
--- a/src/main/java/org/dunespindle/coordination/Planner.java
+++ b/src/main/java/org/dunespindle/coordination/Planner.java
@@ -159,7 +159,7 @@
             queues = new GangQueues(state);
             var zoneChooser = new ZoneChooser(state);
             gangs = new GangPlanner(state, zoneChooser);
-            arrays = new ArrayPlanner(state, zoneChooser, order);
+            arrays = new ArrayPlanner(state, zoneChooser);
             demand = new MachineDemand(state, zoneChooser);
         }
 
--- a/src/main/java/org/dunespindle/coordination/PreemptionPlanner.java
+++ b/src/main/java/org/dunespindle/coordination/PreemptionPlanner.java
@@ -6,12 +6,11 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.PriorityQueue;
-import java.util.function.Predicate;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 
-/** Chooses which tasks give way to a gang, or to an array that its team is guaranteed. */
+/** Chooses which lower tasks give way to a gang. */
 final class PreemptionPlanner {
     /** What a fetch counts for, and how much of a task's work at most, when it is chosen who gives way. */
     private static final Duration FETCH_COST = Duration.ofSeconds(20);
@@ -37,39 +36,13 @@
         return victim.job().job().priority().compareTo(job.job().priority()) < 0;
     }
 
-    /** Makes room for a gang where lower tasks lose least by giving way; tells how many members still lack a place. */
+    /** Makes room where lower tasks lose least by giving way; tells how many members still lack a place. */
     int makeRoom(JobRecord job, List<MachineRoom> candidates, ZoneRules zones, int members) {
-        return makeRoom(job, candidates, zones, members, victim -> mayEvict(job, victim));
-    }
-
-    /**
-     * Gives an array within its team's guarantee its room back from what other teams run beyond theirs, where that loses next to nothing:
-     * from tasks that save when they are stopped. Only on machines commanded here, since another owner, which may not be placing this
-     * job, would fill the room with the same work again.
-     */
-    int reclaim(JobRecord job, List<MachineRoom> candidates, ZoneRules zones, int tasks, JobOrder order) {
-        List<MachineRoom> own =
-                candidates.stream().filter(machine -> machine.host().mine()).toList();
-        return makeRoom(job, own, zones, tasks, victim -> beyondGuarantee(job, victim.job(), order));
-    }
-
-    private static boolean beyondGuarantee(JobRecord job, JobRecord victim, JobOrder order) {
-        boolean otherTeam = !victim.job().team().equals(job.job().team());
-        boolean notHigher = victim.job().priority().compareTo(job.job().priority()) <= 0;
-        return otherTeam && notHigher && victim.job().saves() && !order.guaranteed(victim);
-    }
-
-    private int makeRoom(
-            JobRecord job,
-            List<MachineRoom> candidates,
-            ZoneRules zones,
-            int members,
-            Predicate<MachineRoom.Victim> mayEvict) {
         var options = new PriorityQueue<Option>(Comparator.comparingLong(Option::cost)
                 .thenComparing(o -> o.machine.host().id()));
         for (MachineRoom machine : candidates) {
             if (machine.host().up() && zones.allows(machine.host())) {
-                option(job, machine, mayEvict).ifPresent(options::add);
+                option(job, machine).ifPresent(options::add);
             }
         }
         int left = members;
@@ -81,7 +54,7 @@
             carryOut(job, chosen);
             zones.add(chosen.machine.host().zone());
             left--;
-            option(job, chosen.machine, mayEvict).ifPresent(options::add);
+            option(job, chosen.machine).ifPresent(options::add);
         }
         return left;
     }
@@ -96,7 +69,7 @@
     }
 
     /** How one member finds room on a machine; empty if no lower work there makes any. */
-    private Optional<Option> option(JobRecord job, MachineRoom machine, Predicate<MachineRoom.Victim> mayEvict) {
+    private Optional<Option> option(JobRecord job, MachineRoom machine) {
         if (!machine.canBeFreed()) {
             return Optional.empty();
         }
@@ -107,7 +80,7 @@
             if (one.fitsIn(free)) {
                 break;
             }
-            if (mayEvict.test(victim)) {
+            if (mayEvict(job, victim)) {
                 chosen.add(victim);
                 free = free.plus(victim.size());
             }
--- a/src/test/java/org/dunespindle/coordination/PlannerTest.java
+++ b/src/test/java/org/dunespindle/coordination/PlannerTest.java
@@ -30,9 +30,7 @@
             "red",
             new Settings.Team("red", 0, Double.POSITIVE_INFINITY, 4, 6),
             "blue",
-            new Settings.Team("blue", 0, Double.POSITIVE_INFINITY, 2, 9),
-            "guest",
-            new Settings.Team("guest", 0, Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY));
+            new Settings.Team("blue", 0, Double.POSITIVE_INFINITY, 2, 9));
 
     private static final Targets TARGETS = new Targets(List.of(
             new Settings.Objective("finished", "c", Duration.ofSeconds(900), 0.9, 1),
@@ -204,71 +202,6 @@
         assertEquals(List.of(), plan(List.of(stopping, gang), hosts).evictions());
     }
 
-    private static JobRecord guest(int id, Priority priority, Duration checkpointEvery) {
-        Submission plain = job(id, "guest", Shape.ARRAY, priority, 8, ANYWHERE).job();
-        return JobRecord.accepted(
-                new Submission(
-                        plain.id(),
-                        plain.jobClass(),
-                        plain.team(),
-                        plain.shape(),
-                        plain.priority(),
-                        plain.tasks(),
-                        new Resources(2, 0, 2),
-                        plain.types(),
-                        plain.zone(),
-                        false,
-                        false,
-                        true,
-                        plain.image(),
-                        1,
-                        plain.estimate(),
-                        checkpointEvery,
-                        Duration.ofSeconds(1),
-                        Optional.empty()),
-                Instant.ofEpochSecond(900));
-    }
-
-    /** Four of a guest's tasks leave no processor free on a machine whose accelerators are all idle. */
-    private static JobRecord filling(JobRecord guest) {
-        return guest.placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a", 3, "a")));
-    }
-
-    /** Without this, guests that came first kept 42% of the accelerators of a day idle while guaranteed arrays found no room. */
-    @Test
-    void guaranteedArraysGetTheirRoomBackFromGuestsThatSave() {
-        JobRecord guest = filling(guest(1, Priority.LOW, Duration.ofSeconds(30)));
-        JobRecord guaranteed = job(990, "red", Shape.ARRAY, Priority.LOW, 2, ANYWHERE);
-        List<Planner.Host> hosts = List.of(host("a", "east", false, 8));
-        Planner.Plan plan = plan(List.of(guest, guaranteed), hosts);
-        assertEquals(1, plan.evictions().size(), "one of the guest's tasks makes room for both");
-        assertEquals("wk-000990", plan.evictions().get(0).forJob());
-        assertEquals(List.of(), plan.bookings(), "nothing is booked in room that is not free yet");
-        JobRecord stopping = guest.stopTask(plan.evictions().get(0).allocation().task());
-        Planner.Plan next = plan(List.of(stopping, guaranteed), hosts);
-        assertEquals(List.of(), next.evictions(), "while it saves, no more are stopped");
-        assertEquals(List.of(), next.bookings(), "nor is the guest booked there again");
-    }
-
-    @Test
-    void guestsKeepTheirRoomWhereItIsNotDue() {
-        JobRecord guaranteed = job(990, "red", Shape.ARRAY, Priority.NORMAL, 2, ANYWHERE);
-        JobRecord alsoGuest = job(991, "guest", Shape.ARRAY, Priority.NORMAL, 2, ANYWHERE);
-        JobRecord saves = filling(guest(1, Priority.LOW, Duration.ofSeconds(30)));
-        JobRecord losesAll = filling(guest(1, Priority.LOW, Duration.ZERO));
-        JobRecord higher = filling(guest(1, Priority.URGENT, Duration.ofSeconds(30)));
-        List<Planner.Host> here = List.of(host("a", "east", false, 8));
-        Planner.Host h = here.get(0);
-        List<Planner.Host> elsewhere =
-                List.of(new Planner.Host(h.id(), h.type(), h.zone(), h.spot(), h.size(), true, false, Set.of()));
-        assertEquals(List.of(), plan(List.of(losesAll, guaranteed), here).evictions(), "its work would be lost");
-        assertEquals(List.of(), plan(List.of(higher, guaranteed), here).evictions(), "it ranks higher");
-        assertEquals(List.of(), plan(List.of(saves, alsoGuest), here).evictions(), "nobody is guaranteed anything");
-        assertEquals(
-                List.of(), plan(List.of(saves, guaranteed), elsewhere).evictions(), "another controller's machine");
-        assertEquals(1, plan(List.of(saves, guaranteed), here).evictions().size(), "else it gives way");
-    }
-
     @Test
     void workThatCanMeetNoTimeAnyMoreLetsTheOthersGoFirst() {
         // The first is within its team's guarantee besides. Now is second 1000: it came at 50 and is past both times,
