--- a/src/test/java/org/dunespindle/coordination/PlannerTest.java
+++ b/src/test/java/org/dunespindle/coordination/PlannerTest.java
@@ -202,6 +202,48 @@
         assertEquals(List.of(), plan(List.of(stopping, gang), hosts).evictions());
     }
 
+    private static JobRecord withImage(JobRecord record, String image) {
+        Submission s = record.job();
+        return JobRecord.accepted(
+                new Submission(
+                        s.id(),
+                        s.jobClass(),
+                        s.team(),
+                        s.shape(),
+                        s.priority(),
+                        s.tasks(),
+                        s.perTask(),
+                        s.types(),
+                        s.zone(),
+                        s.sameZone(),
+                        s.spread(),
+                        s.spot(),
+                        image,
+                        s.imageGb(),
+                        s.estimate(),
+                        s.checkpointEvery(),
+                        s.saveTime(),
+                        s.due()),
+                record.arrived());
+    }
+
+    /** Fetches of several images share a machine's rate: without this a gang waited for its image beside others' fetches. */
+    @Test
+    void aMachineThatFetchesAnotherImageComesLater() {
+        JobRecord fetching = withImage(job(1, "red", Shape.ARRAY, Priority.NORMAL, 1, ANYWHERE), "another")
+                .placed(new TreeMap<>(Map.of(0, "a")));
+        JobRecord alone = job(2, "blue", Shape.GANG, Priority.URGENT, 1, ANYWHERE);
+        List<Planner.Host> hosts = List.of(host("a", "east", false, 3), host("b", "east", false, 3));
+        assertEquals(
+                Map.of(0, "b"),
+                plan(List.of(fetching, alone), hosts).bookings().get(0).places());
+        JobRecord same = withImage(fetching, alone.job().image()).placed(new TreeMap<>(Map.of(0, "a")));
+        assertEquals(
+                Map.of(0, "a"),
+                plan(List.of(same, alone), hosts).bookings().get(0).places(),
+                "one fetch serves both");
+    }
+
     @Test
     void workThatCanMeetNoTimeAnyMoreLetsTheOthersGoFirst() {
         // The first is within its team's guarantee besides. Now is second 1000: it came at 50 and is past both times,
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -21,7 +21,7 @@
 
 /** What operators met on bad nights: faulty jobs, long silences, storms of questions, guests. */
 class OperationsTest {
-    private static Submission array(String id, String team, Priority priority, int tasks) {
+    static Submission array(String id, String team, Priority priority, int tasks) {
         return new Submission(
                 id,
                 "class",
--- /dev/null
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -0,0 +1,117 @@
+package org.dunespindle.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.stream.LongStream;
+import org.dunespindle.protocol.Priority;
+import org.dunespindle.protocol.Shape;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/** Controllers that do nothing for a while and then go on: alone and together, with clocks that ran on and clocks that did not. */
+class PausedControllersTest {
+    private static final Duration A_MINUTE_AND_A_HALF = Duration.ofSeconds(90);
+
+    /** How a controller pauses. */
+    private enum Pause {
+        /** Its clocks run on. */
+        STANDS_STILL,
+        /** Its steady clock stands still too: to itself no time has passed. */
+        SUSPENDED
+    }
+
+    static LongStream seeds() {
+        long from = Long.getLong("pauses.from", 701);
+        return LongStream.range(from, from + Integer.getInteger("pauses.count", 6));
+    }
+
+    private static void pause(SimulatedCluster cluster, int node, Pause pause, Duration length) {
+        if (pause == Pause.SUSPENDED) {
+            cluster.processes[node].suspend(length);
+        } else {
+            cluster.freeze(node, length);
+        }
+    }
+
+    private static Pause pauseOf(long seed) {
+        return Pause.values()[(int) (seed % Pause.values().length)];
+    }
+
+    /** Two of three are silent at once for longer than any lease: the third serves users and keeps all machines and their tasks. */
+    @ParameterizedTest
+    @MethodSource("seeds")
+    void oneControllerServesWhileTwoAreSilent(long seed) {
+        var cluster = new SimulatedCluster(seed, 7, 10);
+        cluster.submit(ClusterTest.job("wk-000101", "red", Shape.SERVICE, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000102", "blue", Shape.SERVICE, 4, false, false));
+        cluster.sim.run(Duration.ofSeconds(60));
+        List<WorkerStandIn> used =
+                cluster.alive().stream().filter(w -> w.held() > 0).toList();
+        int left = (int) (seed % 3);
+        // A worker gives each silent controller 4 s and pauses 1 s before the next: only one that tries both first is
+        // beyond its lease.
+        List<WorkerStandIn> inTime =
+                used.stream().filter(w -> w.reportsTo() != (left + 1) % 3).toList();
+        pause(cluster, (left + 1) % 3, pauseOf(seed), A_MINUTE_AND_A_HALF);
+        pause(cluster, (left + 2) % 3, pauseOf(seed / 2), A_MINUTE_AND_A_HALF);
+        var ids = new ArrayList<String>();
+        for (int i = 0; i < 4; i++) {
+            String id = "wk-%06d".formatted(i);
+            ids.add(id);
+            cluster.sim.after(9000 + 9000L * i, () -> cluster.submit(OperationsTest.array(id, "red", Priority.LOW, 2)));
+        }
+        cluster.sim.run(Duration.ofSeconds(146));
+        // Asked directly: the users of a simulated cluster seldom find the one controller that answers.
+        ids.forEach(id -> assertEquals(
+                "done", cluster.poll(left, id).join().body().path("phase").asText(), id + " while two are silent"));
+        cluster.sim.run(Duration.ofSeconds(220));
+        assertEquals(
+                List.of(),
+                inTime.stream()
+                        .filter(w -> w.session() > 1)
+                        .map(WorkerStandIn::id)
+                        .toList());
+        // A machine that lost its tasks with its lease may be returned as idle, but none for a silence that was its
+        // controllers'.
+        String decisions = cluster.decisions();
+        List.of("has been silent", "no controller hears", "takes no commands")
+                .forEach(why -> assertTrue(!decisions.contains(why), decisions));
+        assertEquals(List.of(), cluster.broken);
+    }
+
+    /**
+     * A controller pauses for 5 to 20 s, or for a minute and a half, at any stage of placing, replacing, saving and renewing, while jobs
+     * are cancelled through the others. On waking it tells nobody an older state and starts nothing that was cancelled.
+     */
+    @ParameterizedTest
+    @MethodSource("seeds")
+    void whatWasCancelledDuringAPauseNeverStarts(long seed) {
+        var random = new Random(seed);
+        var cluster = new SimulatedCluster(seed);
+        List<String> ids = ClusterTest.submitMix(cluster, 14);
+        cluster.sim.run(Duration.ofMillis(2500 + random.nextInt(9000)));
+        int paused = random.nextBoolean() ? Math.max(0, cluster.leader()) : random.nextInt(3);
+        Duration length =
+                random.nextInt(3) == 0 ? A_MINUTE_AND_A_HALF : Duration.ofMillis(5000 + random.nextInt(15_000));
+        pause(cluster, paused, pauseOf(seed), length);
+        cluster.usersAt = (paused + 1) % 3;
+        var cancelled = ids.subList(0, 4);
+        cancelled.forEach(id -> cluster.sim.after(random.nextInt(9000), () -> cluster.cancel(id)));
+        cluster.sim.after(length.minusMillis(5), () -> cluster.usersAt = paused);
+        cluster.sim.after(length.plusSeconds(8), () -> cluster.usersAt = -1);
+        cluster.sim.run(Duration.ofSeconds(300));
+        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.startsAfterCancel);
+        List<String> kept = ids.subList(4, ids.size());
+        assertTrue(
+                kept.stream().allMatch(id -> cluster.lastTold(id).equals("done")),
+                () -> kept.stream()
+                                .filter(id -> !cluster.lastTold(id).equals("done"))
+                                .toList() + " are not done");
+    }
+}
--- a/src/test/java/org/dunespindle/sim/Sim.java
+++ b/src/test/java/org/dunespindle/sim/Sim.java
@@ -62,6 +62,8 @@
     public final class Process implements Timeline {
         private boolean dead;
         private Duration frozenUntil = Duration.ZERO;
+        /** How much its steady clock has lost by being suspended. */
+        private Duration behind = Duration.ZERO;
 
         /** Ends the process: none of its timers fires any more. */
         public void kill() {
@@ -78,6 +80,15 @@
             frozenUntil = now.plus(length);
         }
 
+        /**
+         * It does nothing, and its steady clock stands still too: a suspended virtual machine. Afterwards it seems to itself as if no time
+         * had passed, and only the time of day has moved on.
+         */
+        public void suspend(Duration length) {
+            freeze(length);
+            Sim.this.after(length, () -> behind = behind.plus(length));
+        }
+
         /** Whether it stands still. */
         public boolean frozen() {
             return now.compareTo(frozenUntil) < 0;
@@ -95,12 +106,14 @@
             }
         }
 
-        private void fire(Runnable work) {
+        private void fire(Duration due, Runnable work) {
             if (dead) {
                 return;
             }
             if (frozen()) {
-                Sim.this.after(frozenUntil.minus(now).plusMillis(1), () -> fire(work));
+                Sim.this.after(frozenUntil.minus(now).plusMillis(1), () -> fire(due, work));
+            } else if (now().compareTo(due) < 0) {
+                Sim.this.after(due.minus(now()), () -> fire(due, work));
             } else {
                 work.run();
             }
@@ -108,7 +121,7 @@
 
         @Override
         public Duration now() {
-            return now;
+            return now.minus(behind);
         }
 
         @Override
@@ -118,7 +131,8 @@
 
         @Override
         public void after(Duration delay, Runnable work) {
-            Sim.this.after(delay, () -> fire(work));
+            Duration due = now().plus(delay);
+            Sim.this.after(delay, () -> fire(due, work));
         }
     }
 }
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -50,7 +50,7 @@
     private final CloudStandIn cloud = new CloudStandIn(this);
     final List<String> broken = new ArrayList<>();
     private final Controller[] nodes = new Controller[3];
-    private final Sim.Process[] processes = new Sim.Process[3];
+    final Sim.Process[] processes = new Sim.Process[3];
     final Map<String, WorkerStandIn> workers = new TreeMap<>();
     final Map<String, Submission> jobs = new LinkedHashMap<>();
     final Map<String, Set<Integer>> done = new HashMap<>();
--- a/src/test/java/org/dunespindle/sim/WorkerStandIn.java
+++ b/src/test/java/org/dunespindle/sim/WorkerStandIn.java
@@ -39,6 +39,11 @@
     private Duration hungSince = Duration.ZERO;
     private Duration hungUntil = Duration.ZERO;
 
+    /** The controller that it reports to. */
+    int reportsTo() {
+        return node;
+    }
+
     /** A task on the machine. */
     final class Task {
         final TaskId task;
