--- a/src/main/java/org/dunespindle/AdminCommands.java
+++ b/src/main/java/org/dunespindle/AdminCommands.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
-import org.dunespindle.coordination.Admin;
+import org.dunespindle.api.Admin;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.transport.HttpAnswer;
 import org.dunespindle.transport.HttpCaller;
--- a/src/main/java/org/dunespindle/coordination/Admin.java
+++ b/src/main/java/org/dunespindle/api/Admin.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.api;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -9,9 +9,19 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.Decisions;
+import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Options;
+import org.dunespindle.controller.Controller;
+import org.dunespindle.job.TeamAccounts;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.scheduling.TeamUse;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
@@ -35,10 +45,7 @@
     private final JobExchange exchange;
     private final Map<String, Histogram> latencies;
 
-    /** An answer before it is put on the wire. */
-    public record Answer(int status, ObjectNode body) {}
-
-    Admin(
+    public Admin(
             ControllerContext context,
             Committer committer,
             MachineWriter machineWriter,
@@ -59,7 +66,7 @@
     }
 
     /** Answers a request of the administration API. */
-    public void handle(String method, String path, byte[] body, Consumer<Answer> answer) {
+    public void handle(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         if (!path.startsWith(PREFIX)) {
             answer.accept(error(404, "no such path"));
         } else if (!replica.loaded()) {
@@ -80,15 +87,15 @@
     }
 
     /** An answer that tells what is wrong. */
-    public static Answer error(int status, String text) {
-        return new Answer(status, MessagePackCodec.map().put("error", text));
+    public static AdminResponse error(int status, String text) {
+        return new AdminResponse(status, MessagePackCodec.map().put("error", text));
     }
 
-    private Answer read(String what) {
+    private AdminResponse read(String what) {
         ObjectNode n = MessagePackCodec.map();
         if (what.startsWith("jobs/")) {
             return replica.job(what.substring("jobs/".length()))
-                    .map(j -> new Answer(200, show(j, true)))
+                    .map(j -> new AdminResponse(200, show(j, true)))
                     .orElseGet(() -> error(404, "no such job"));
         }
         switch (what) {
@@ -133,7 +140,7 @@
                         404, "no such path; there are jobs, hosts, teams, controllers, options, decisions, latency");
             }
         }
-        return new Answer(200, n);
+        return new AdminResponse(200, n);
     }
 
     /** How many replicas there should be, are, and are being started again. */
@@ -213,7 +220,7 @@
     }
 
     /** Stores options if nobody changed them since the caller read them. */
-    private void setOptions(byte[] body, Consumer<Answer> answer) {
+    private void setOptions(byte[] body, Consumer<AdminResponse> answer) {
         JsonNode n;
         try {
             n = JSON.readTree(body);
@@ -243,10 +250,10 @@
                 new Txn().guard(Keys.OPTIONS, n.get("stamp").longValue()).write(Keys.OPTIONS, merged),
                 Keys.OPTIONS,
                 answer,
-                () -> new Answer(200, MessagePackCodec.map().put("stamp", replica.stamp(Keys.OPTIONS))));
+                () -> new AdminResponse(200, MessagePackCodec.map().put("stamp", replica.stamp(Keys.OPTIONS))));
     }
 
-    private void drain(String id, Consumer<Answer> answer) {
+    private void drain(String id, Consumer<AdminResponse> answer) {
         MachineRecord h = replica.hosts().get(id);
         if (h == null) {
             answer.accept(error(404, "no such machine"));
@@ -257,23 +264,24 @@
             return;
         }
         machineWriter.change(
-                Committer.Lane.USERS,
+                CommitPriority.USERS,
                 h.leaving(MachineRecord.DRAINED),
                 r -> answer.accept(after(
                         r,
-                        () -> new Answer(
+                        () -> new AdminResponse(
                                 200, MessagePackCodec.map().put("id", id).put("leaving", true)))));
     }
 
-    private void commit(Txn txn, String key, Consumer<Answer> answer, java.util.function.Supplier<Answer> good) {
+    private void commit(
+            Txn txn, String key, Consumer<AdminResponse> answer, java.util.function.Supplier<AdminResponse> good) {
         if (committer.isLocked(key)) {
             answer.accept(error(409, "another change is under way; read again and repeat"));
             return;
         }
-        committer.propose(Committer.Lane.USERS, txn, r -> answer.accept(after(r, good)));
+        committer.propose(CommitPriority.USERS, txn, r -> answer.accept(after(r, good)));
     }
 
-    private static Answer after(TxnResult r, java.util.function.Supplier<Answer> good) {
+    private static AdminResponse after(TxnResult r, java.util.function.Supplier<AdminResponse> good) {
         if (r instanceof TxnResult.Applied) {
             return good.get();
         }
--- a/src/main/java/org/dunespindle/coordination/ExchangeContext.java
+++ b/src/main/java/org/dunespindle/api/ExchangeContext.java
@@ -1,16 +1,20 @@
-package org.dunespindle.coordination;
+package org.dunespindle.api;
 
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.function.Supplier;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.Decisions;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Options;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 
 /**
  * What a {@link JobExchange} may use of the controller that it belongs to.
--- a/src/main/java/org/dunespindle/coordination/JobExchange.java
+++ b/src/main/java/org/dunespindle/api/JobExchange.java
@@ -1,8 +1,10 @@
-package org.dunespindle.coordination;
+package org.dunespindle.api;
 
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
+import org.dunespindle.scheduling.ClusterSnapshot;
+import org.dunespindle.scheduling.Plan;
 import org.dunespindle.storage.JobRecord;
 
 /**
@@ -37,7 +39,7 @@
     default void start() {}
 
     /** Looks at a new plan of this controller, which covers the whole cell while it leads. */
-    default void planned(Planner.Snapshot snapshot, Planner.Plan plan) {}
+    default void planned(ClusterSnapshot snapshot, Plan plan) {}
 
     /** Has the cell that may hold a job store that it is cancelled. */
     default void cancel(JobRecord job, Consumer<Cancellation> then) {
@@ -60,7 +62,7 @@
      * @param path the part after the API's version
      * @return false if the request concerns something else
      */
-    default boolean administer(String method, String path, byte[] body, Consumer<Admin.Answer> answer) {
+    default boolean administer(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         return false;
     }
 }
--- a/src/main/java/org/dunespindle/coordination/UserApi.java
+++ b/src/main/java/org/dunespindle/api/UserApi.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.api;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
@@ -9,6 +9,9 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.ControllerContext;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.MalformedException;
 import org.dunespindle.protocol.MessagePackCodec;
@@ -19,9 +22,9 @@
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.Replica;
 import org.dunespindle.storage.StateClient;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.Txn;
 import org.dunespindle.storage.TxnResult;
+import org.dunespindle.time.Timeline;
 
 /** The users' side: submissions, polls and cancellations. Every answer rests on what is stored. */
 public final class UserApi {
@@ -59,7 +62,7 @@
     }
 
     /** Creates the API; the catalog is empty until the cloud has answered. */
-    UserApi(
+    public UserApi(
             ControllerContext context,
             StateClient state,
             Committer committer,
@@ -130,12 +133,12 @@
             answer.accept(Answer.error(400, "the job's description is too long"));
         } else if (committer.isLocked(key)) {
             answer.accept(Answer.later("the same submission is being stored", SOON));
-        } else if (committer.waiting(Committer.Lane.USERS) >= mostWaiting) {
+        } else if (committer.waiting(CommitPriority.USERS) >= mostWaiting) {
             answer.accept(Answer.later("more submissions wait than can be stored in time", LATER));
         } else {
             Duration begun = timeline.now();
             Txn txn = jobWriter.write(new Txn(), record);
-            committer.propose(Committer.Lane.USERS, txn, result -> {
+            committer.propose(CommitPriority.USERS, txn, result -> {
                 long micros = timeline.now().minus(begun).toNanos() / 1000;
                 accepts.recordValue(Math.min(accepts.getHighestTrackableValue(), micros));
                 stored(job.id(), result, answer);
@@ -164,7 +167,7 @@
     }
 
     /** Why a job can never run, if so. */
-    static Optional<String> whyNever(Submission job, List<MachineType> types, Settings settings) {
+    public static Optional<String> whyNever(Submission job, List<MachineType> types, Settings settings) {
         Settings.Team team = settings.teams().get(job.team());
         if (team == null) {
             return Optional.of("team " + job.team() + " is unknown");
@@ -258,11 +261,11 @@
                     } else if (known.get().away()) {
                         exchange.cancel(
                                 known.get(), outcome -> cancelledElsewhere(known.get(), outcome, until, answer));
-                    } else if (committer.waiting(Committer.Lane.USERS) >= 2 * mostWaiting) {
+                    } else if (committer.waiting(CommitPriority.USERS) >= 2 * mostWaiting) {
                         answer.accept(Answer.later("more requests wait than can be stored in time", LATER));
                     } else {
                         committer.propose(
-                                Committer.Lane.USERS,
+                                CommitPriority.USERS,
                                 jobWriter.write(new Txn(), known.get().cancelled()),
                                 r -> {
                                     if (r instanceof TxnResult.Applied) {
@@ -298,7 +301,7 @@
             return;
         }
         JobRecord ended = outcome == JobExchange.Cancellation.DONE ? asked.doneElsewhere() : asked.cancelled();
-        committer.propose(Committer.Lane.USERS, jobWriter.write(new Txn(), ended), result -> again(id, until, answer));
+        committer.propose(CommitPriority.USERS, jobWriter.write(new Txn(), ended), result -> again(id, until, answer));
     }
 
     private void again(String id, Duration until, Consumer<Answer> answer) {
--- /dev/null
+++ b/src/main/java/org/dunespindle/control/CommitPriority.java
@@ -0,0 +1,8 @@
+package org.dunespindle.control;
+
+/** Who goes first when writes are scarce. */
+public enum CommitPriority {
+    USERS,
+    PLACING,
+    MAINTENANCE
+}
--- a/src/main/java/org/dunespindle/coordination/Committer.java
+++ b/src/main/java/org/dunespindle/control/Committer.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 import org.dunespindle.storage.Replica;
 import org.dunespindle.storage.StateClient;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.Txn;
 import org.dunespindle.storage.TxnResult;
+import org.dunespindle.time.Timeline;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -40,7 +40,7 @@
     private final Replica replica;
     private final Timeline timeline;
     private final int txnOps;
-    private final Map<Lane, ArrayDeque<Proposal>> lanes = new EnumMap<>(Lane.class);
+    private final Map<CommitPriority, ArrayDeque<Proposal>> lanes = new EnumMap<>(CommitPriority.class);
     private final Set<String> locked = new HashSet<>();
     private final Runnable settled;
     private Duration notBefore = Duration.ZERO;
@@ -51,15 +51,8 @@
     private long written;
     private final Map<String, Integer> kinds = new TreeMap<>();
 
-    /** Who goes first when writes are scarce. */
-    public enum Lane {
-        USERS,
-        PLACING,
-        MAINTENANCE
-    }
-
     /** A change that waits for its turn; one that was refused together with others is sent alone. */
-    private record Proposal(Lane lane, Set<String> locks, Txn txn, Consumer<TxnResult> then, boolean alone) {
+    private record Proposal(CommitPriority lane, Set<String> locks, Txn txn, Consumer<TxnResult> then, boolean alone) {
         Proposal sentAlone() {
             return new Proposal(lane, locks, txn, then, true);
         }
@@ -72,7 +65,7 @@
         this.timeline = timeline;
         this.txnOps = txnOps;
         this.settled = settled;
-        for (Lane lane : Lane.values()) {
+        for (CommitPriority lane : CommitPriority.values()) {
             lanes.put(lane, new ArrayDeque<>());
         }
     }
@@ -88,7 +81,7 @@
     }
 
     /** Changes of one lane that wait for their turn. */
-    public int waiting(Lane lane) {
+    public int waiting(CommitPriority lane) {
         return lanes.get(lane).size();
     }
 
@@ -103,7 +96,7 @@
     }
 
     /** Proposes a change; the keys it writes are locked until {@code then} has run. */
-    public void propose(Lane lane, Txn txn, Consumer<TxnResult> then) {
+    public void propose(CommitPriority lane, Txn txn, Consumer<TxnResult> then) {
         var locks = Set.copyOf(txn.changes().keySet());
         locked.addAll(locks);
         lanes.get(lane).addLast(new Proposal(lane, locks, txn, then, false));
@@ -137,8 +130,9 @@
             int cost = head.txn.changeCount();
             // What users wait for may be paid off afterwards; the rest waits until it is paid for, maintenance until
             // some is left over.
-            double wanted =
-                    head.lane == Lane.USERS ? -USERS_AHEAD : cost + (head.lane == Lane.MAINTENANCE ? KEPT_BACK : 0);
+            double wanted = head.lane == CommitPriority.USERS
+                    ? -USERS_AHEAD
+                    : cost + (head.lane == CommitPriority.MAINTENANCE ? KEPT_BACK : 0);
             if (pause.isNegative() && state.writes().lacks(wanted)) {
                 pause = state.writes().until(wanted);
             }
--- a/src/main/java/org/dunespindle/coordination/ControllerContext.java
+++ b/src/main/java/org/dunespindle/control/ControllerContext.java
@@ -1,9 +1,9 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 
 /**
  * What nearly every part of a controller needs.
@@ -15,7 +15,7 @@
  * @param decisions where decisions are told to operators
  * @param stalls whether this process has listened all along
  */
-record ControllerContext(
+public record ControllerContext(
         Settings settings,
         Timeline timeline,
         Replica replica,
--- a/src/main/java/org/dunespindle/coordination/Decisions.java
+++ b/src/main/java/org/dunespindle/control/Decisions.java
@@ -1,10 +1,10 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Instant;
 import java.util.ArrayDeque;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 import org.slf4j.Logger;
 import org.slf4j.helpers.MessageFormatter;
 
--- a/src/main/java/org/dunespindle/coordination/FormatUpgrade.java
+++ b/src/main/java/org/dunespindle/control/FormatUpgrade.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,7 +14,7 @@
  * Raises the stored format version. The leader does so once every configured controller is a member that announces the
  * newer version; the transaction is guarded by all their member records, so none can have come back older meanwhile.
  */
-final class FormatUpgrade {
+public final class FormatUpgrade {
     private static final Logger LOG = LoggerFactory.getLogger(FormatUpgrade.class);
     private final Replica replica;
     private final Membership membership;
@@ -24,7 +24,7 @@
     private final List<String> controllers = new ArrayList<>();
 
     /** Creates the upgrade for a program that announces and understands the given versions. */
-    FormatUpgrade(ControllerContext context, Committer committer, FormatSupport formats) {
+    public FormatUpgrade(ControllerContext context, Committer committer, FormatSupport formats) {
         this.formats = formats;
         this.replica = context.replica();
         this.membership = context.membership();
@@ -35,17 +35,17 @@
     }
 
     /** The newest format version that this program reads. */
-    int newest() {
+    public int newest() {
         return formats.readable();
     }
 
     /** Whether what is stored is newer than this program understands. */
-    boolean tooNew() {
+    public boolean tooNew() {
         return replica.formatVersion() > formats.readable();
     }
 
     /** The leader's part. */
-    void tick() {
+    public void tick() {
         int announced = formats.announced();
         boolean raised = replica.formatVersion() >= announced;
         if (raised || committer.isLocked(Keys.FORMAT) || !allAnnounce()) {
@@ -56,7 +56,7 @@
         controllers.forEach(name -> txn.guard(Keys.member(name), replica.stamp(Keys.member(name))));
         txn.write(Keys.FORMAT, FormatVersion.record(announced));
         decisions.tell(LOG, "all controllers read format version {}; it is used from now on", announced);
-        committer.propose(Committer.Lane.PLACING, txn, r -> {});
+        committer.propose(CommitPriority.PLACING, txn, r -> {});
     }
 
     private boolean allAnnounce() {
--- a/src/main/java/org/dunespindle/coordination/MachineWriter.java
+++ b/src/main/java/org/dunespindle/control/MachineWriter.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -12,9 +12,9 @@
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.Txn;
 import org.dunespindle.storage.TxnResult;
+import org.dunespindle.time.Timeline;
 
 /**
  * Changes to machines' records, gathered for a moment: machines that share a page then change in one
@@ -34,7 +34,7 @@
         final long stamp;
         final Map<String, Optional<MachineRecord>> changes = new HashMap<>();
         final List<Consumer<TxnResult>> then = new ArrayList<>();
-        Committer.Lane lane = Committer.Lane.MAINTENANCE;
+        CommitPriority lane = CommitPriority.MAINTENANCE;
 
         Edit(long stamp) {
             this.stamp = stamp;
@@ -61,16 +61,16 @@
     }
 
     /** Writes a machine's new record. */
-    public void change(Committer.Lane lane, MachineRecord to, Consumer<TxnResult> then) {
+    public void change(CommitPriority lane, MachineRecord to, Consumer<TxnResult> then) {
         edit(lane, to.id(), Optional.of(to), then);
     }
 
     /** Drops the record of a machine that is proven gone. */
     public void remove(String host, Consumer<TxnResult> then) {
-        edit(Committer.Lane.MAINTENANCE, host, Optional.empty(), then);
+        edit(CommitPriority.MAINTENANCE, host, Optional.empty(), then);
     }
 
-    private void edit(Committer.Lane lane, String host, Optional<MachineRecord> to, Consumer<TxnResult> then) {
+    private void edit(CommitPriority lane, String host, Optional<MachineRecord> to, Consumer<TxnResult> then) {
         String key = Keys.host(host);
         if (committer.isLocked(key)) {
             then.accept(new TxnResult.Refused(0, "another change is under way"));
--- a/src/main/java/org/dunespindle/coordination/Membership.java
+++ b/src/main/java/org/dunespindle/control/Membership.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -14,9 +14,9 @@
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.Replica;
 import org.dunespindle.storage.StateClient;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.Txn;
 import org.dunespindle.storage.TxnResult;
+import org.dunespindle.time.Timeline;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -157,13 +157,13 @@
     }
 
     /** Gives up the lease, and all that hangs on it, until it is asked back; an answer that stays out changes nothing: the lease ends by itself. */
-    void stepAside() {
+    public void stepAside() {
         aside = true;
         lease.ifPresent(state::endLease);
         lease = OptionalLong.empty();
     }
 
-    void comeBack() {
+    public void comeBack() {
         aside = false;
     }
 
--- a/src/main/java/org/dunespindle/coordination/Options.java
+++ b/src/main/java/org/dunespindle/control/Options.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/src/main/java/org/dunespindle/coordination/OversizeRecords.java
+++ b/src/main/java/org/dunespindle/control/OversizeRecords.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -8,14 +8,14 @@
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.Replica;
 import org.dunespindle.storage.StateClient;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.Txn;
+import org.dunespindle.time.Timeline;
 
 /**
  * Cuts job records that are longer than a value may become, one at a time and only while nothing else waits to be written. It
  * saves work later: whoever changes such a record cuts it anyway.
  */
-final class OversizeRecords {
+public final class OversizeRecords {
     private static final Duration LOOK_EVERY = Duration.ofMillis(500);
 
     private final Replica replica;
@@ -28,7 +28,7 @@
 
     private Duration lookAgainAt = Duration.ZERO;
 
-    OversizeRecords(ControllerContext context, Committer committer, StateClient state) {
+    public OversizeRecords(ControllerContext context, Committer committer, StateClient state) {
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
         this.timeline = context.timeline();
@@ -37,7 +37,7 @@
     }
 
     /** The leader's part. */
-    void tick() {
+    public void tick() {
         Duration now = timeline.now();
         if (now.compareTo(lookAgainAt) < 0 || committer.waiting() > 0) {
             return;
@@ -56,7 +56,7 @@
             }
             Txn txn = jobWriter.write(new Txn(), job);
             if (!state.writes().lacks(txn.changeCount())) {
-                committer.propose(Committer.Lane.MAINTENANCE, txn, r -> {});
+                committer.propose(CommitPriority.MAINTENANCE, txn, r -> {});
             }
             return;
         }
--- a/src/main/java/org/dunespindle/coordination/Reconciler.java
+++ b/src/main/java/org/dunespindle/control/Reconciler.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -14,7 +14,7 @@
 import org.dunespindle.protocol.WorkerCommand;
 import org.dunespindle.protocol.WorkerReport;
 import org.dunespindle.storage.JobRecord;
-import org.dunespindle.storage.Replica.Placed;
+import org.dunespindle.storage.PlacedTask;
 
 /**
  * Works out the difference between what should be on a machine and what its worker reports: commands to
@@ -26,56 +26,16 @@
 
     private Reconciler() {}
 
-    /** What became of an allocation. */
-    public enum Fate {
-        DONE,
-        GONE,
-        ERROR,
-        WAITED_IN_VAIN,
-        REFUSED
-    }
-
-    /**
-     * An allocation's fate, to be recorded before the worker may forget the task. It names the allocation by its base too: by the time it
-     * is recorded the task may have been booked again, and must not be taken for ended then.
-     */
-    public record Event(String job, int task, long base, Fate fate, String why) {}
-
-    /** The outcome for one machine. */
-    public record Verdict(List<WorkerCommand> commands, List<Event> events) {
-        /**
-         * What became of allocations on a machine that takes no commands, or whose reports reach nobody: a task that its report shows
-         * absent, with no start under way, is free to start elsewhere.
-         */
-        List<Event> withoutStarts(List<Placed> allocations) {
-            var ended = new ArrayList<>(events);
-            var unstarted = new HashSet<TaskId>();
-            commands.stream().filter(WorkerCommand.Run.class::isInstance).forEach(run -> unstarted.add(run.task()));
-            for (Placed placed : allocations) {
-                if (unstarted.contains(
-                        new TaskId(placed.job().id(), placed.allocation().task()))) {
-                    ended.add(new Event(
-                            placed.job().id(),
-                            placed.allocation().task(),
-                            placed.allocation().base(),
-                            Fate.GONE,
-                            "the machine and its controllers do not reach each other"));
-                }
-            }
-            return ended;
-        }
-    }
-
     /** Compares a machine's allocations with what its worker reports. */
-    public static Verdict judge(List<Placed> allocations, WorkerReport report) {
+    public static ReconciliationResult judge(List<PlacedTask> allocations, WorkerReport report) {
         var commands = new ArrayList<WorkerCommand>();
-        var events = new ArrayList<Event>();
+        var events = new ArrayList<TaskTermination>();
         var byTask = new HashMap<TaskId, List<TaskStatus>>();
         report.tasks()
                 .forEach(t -> byTask.computeIfAbsent(t.task(), k -> new ArrayList<>(2))
                         .add(t));
         Set<TaskId> allocated = new HashSet<>();
-        for (Placed p : allocations) {
+        for (PlacedTask p : allocations) {
             TaskId id = new TaskId(p.job().id(), p.allocation().task());
             allocated.add(id);
             judgeClaim(p, id, byTask.getOrDefault(id, List.of()), commands, events);
@@ -89,11 +49,15 @@
                                         : new WorkerCommand.Halt(t.task(), t.attempt(), Duration.ZERO)));
             }
         }
-        return new Verdict(commands, events);
+        return new ReconciliationResult(commands, events);
     }
 
     private static void judgeClaim(
-            Placed p, TaskId id, List<TaskStatus> present, List<WorkerCommand> commands, List<Event> events) {
+            PlacedTask p,
+            TaskId id,
+            List<TaskStatus> present,
+            List<WorkerCommand> commands,
+            List<TaskTermination> events) {
         JobRecord job = p.job();
         long wanted = job.wantedAttempt(p.allocation());
         boolean stop = !job.open() || p.allocation().stopping() || job.mode() == JobRecord.Mode.STOP;
@@ -113,7 +77,8 @@
         }
         if (own != null && own.exited()) {
             if (!othersLive) {
-                events.add(new Event(job.id(), id.index(), p.allocation().base(), fate(own, job, p), why(own)));
+                events.add(
+                        new TaskTermination(job.id(), id.index(), p.allocation().base(), fate(own, job, p), why(own)));
             }
         } else if (own != null) {
             if (stop && own.phase() != TaskPhase.SAVING) {
@@ -123,7 +88,8 @@
             }
         } else if (!othersLive) {
             if (stop) {
-                events.add(new Event(job.id(), id.index(), p.allocation().base(), Fate.GONE, "released"));
+                events.add(new TaskTermination(
+                        job.id(), id.index(), p.allocation().base(), TerminationCause.GONE, "released"));
             } else {
                 commands.add(new WorkerCommand.Run(id, wanted));
             }
@@ -135,18 +101,18 @@
         return job.open() && job.job().saves() ? job.job().saveTime().plus(EXTRA_GRACE) : Duration.ZERO;
     }
 
-    private static Fate fate(TaskStatus t, JobRecord job, Placed p) {
+    private static TerminationCause fate(TaskStatus t, JobRecord job, PlacedTask p) {
         return switch (t.cause().orElse(ExitCause.STOPPED)) {
-            case DONE -> Fate.DONE;
-            case ERROR -> Fate.ERROR;
-            case NO_ROOM, BUSY, UNKNOWN -> Fate.REFUSED;
+            case DONE -> TerminationCause.DONE;
+            case ERROR -> TerminationCause.ERROR;
+            case NO_ROOM, BUSY, UNKNOWN -> TerminationCause.REFUSED;
             case INCOMPLETE ->
                 job.mode() == JobRecord.Mode.HOLD
                                 && job.open()
                                 && !p.allocation().stopping()
-                        ? Fate.WAITED_IN_VAIN
-                        : Fate.GONE;
-            default -> Fate.GONE;
+                        ? TerminationCause.WAITED_IN_VAIN
+                        : TerminationCause.GONE;
+            default -> TerminationCause.GONE;
         };
     }
 
--- a/src/main/java/org/dunespindle/coordination/StallDetector.java
+++ b/src/main/java/org/dunespindle/control/StallDetector.java
@@ -1,7 +1,7 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import java.time.Duration;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -10,21 +10,21 @@
  * nobody here listened, so silence is counted from the moment of waking. What rests on the age of the stored
  * state needs no such care: a reading counts from when it was asked for.
  */
-final class StallDetector {
+public final class StallDetector {
     private static final Logger LOG = LoggerFactory.getLogger(StallDetector.class);
     private static final Duration STOOD_STILL = Duration.ofSeconds(2);
     private final Timeline timeline;
     private Duration lastBeat;
     private Duration listeningSince;
 
-    StallDetector(Timeline timeline) {
+    public StallDetector(Timeline timeline) {
         this.timeline = timeline;
         this.lastBeat = timeline.now();
         this.listeningSince = lastBeat;
     }
 
     /** Called at least twice a second, and before anything is concluded from silence. */
-    void beat() {
+    public void beat() {
         Duration now = timeline.now();
         Duration gap = now.minus(lastBeat);
         lastBeat = now;
@@ -35,12 +35,12 @@
     }
 
     /** How long this process has listened without a break. */
-    Duration awake() {
+    public Duration awake() {
         return timeline.now().minus(listeningSince);
     }
 
     /** How long something has been silent that was last heard then, as far as it was listened to. */
-    Duration silence(Duration heardAt) {
+    public Duration silence(Duration heardAt) {
         Duration silent = timeline.now().minus(heardAt);
         Duration awake = awake();
         return silent.compareTo(awake) < 0 ? silent : awake;
--- /dev/null
+++ b/src/main/java/org/dunespindle/control/WorkerState.java
@@ -0,0 +1,143 @@
+package org.dunespindle.control;
+
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import org.dunespindle.protocol.WorkerCommand;
+import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.time.Durations;
+
+/** One worker as seen from here. */
+public final class WorkerState {
+    private static final int REMEMBERED_IMAGES = 12;
+    public Optional<WorkerReport> report = Optional.empty();
+    /**
+     * When the worker last reported here, or was first reached under its present token, which leaves it no time yet to report. That
+     * it answers later shows that it is there, not that its reports arrive: without them its lease runs out.
+     */
+    public Optional<Duration> heardAt = Optional.empty();
+    /** When it last answered when asked or commanded. */
+    Optional<Duration> answeredAt = Optional.empty();
+
+    private long answeredUnder = -1;
+    /** When anything new came from it, be it an old copy. */
+    Duration seenAt = Duration.ZERO;
+    /** A direct command is under way; nothing is concluded until its answer is in. */
+    public boolean calling;
+    /** A {@code run} went unanswered under this token and may still land; empty once fenced off. */
+    public Optional<Long> unansweredUnder = Optional.empty();
+
+    public Duration unansweredAt = Duration.ZERO;
+    /** Since when no command is known to arrive: reports alone prove a machine alive, not that it can be commanded. */
+    public Optional<Duration> unprovenSince = Optional.empty();
+
+    public Duration callAgainAt = Duration.ZERO;
+    public Duration strayAt = Duration.ZERO;
+    public long strayStamp = -1;
+    public int strays;
+    public boolean verifying;
+    /** When this worker was last sent away because this controller was cut off. */
+    public Optional<Duration> turnedAwayAt = Optional.empty();
+    /** What became of allocations here, not stored yet; since when. */
+    public List<TaskTermination> events = List.of();
+
+    public Duration eventsSince = Duration.ZERO;
+    final LinkedHashMap<String, Boolean> images = new LinkedHashMap<>();
+    /** Starts sent under {@link #startsToken} in {@link #startsSession}: late copies of them are void only under a higher one. */
+    public final Set<WorkerCommand.Run> starts = new HashSet<>();
+
+    public long startsToken;
+    long startsSession;
+    /** For the heartbeat to the leader: what was told last, and its number. */
+    public String told = "";
+
+    public long toldAs;
+
+    /** Takes a report that came by itself; late copies change nothing, and the first of all may be one: it proves no life. */
+    public boolean reported(WorkerReport r, Duration now) {
+        boolean first = report.isEmpty();
+        boolean newer = accept(r, now);
+        if (newer && !first) {
+            heardAt = Optional.of(now);
+        }
+        return newer;
+    }
+
+    /** Takes what a worker says unless something newer is known. */
+    private boolean accept(WorkerReport r, Duration now) {
+        if (report.isPresent()) {
+            if (!r.newerThan(report.get())) {
+                return false;
+            }
+            if (r.session() > report.get().session()) {
+                // Its lease ran out although it is up: it may be that our answers do not arrive.
+                unprovenSince = Optional.of(unprovenSince.orElse(now));
+            }
+        }
+        seenAt = now;
+        report = Optional.of(r);
+        return true;
+    }
+
+    /** Takes a worker's answer to a question or command. */
+    public void answered(WorkerReport r, Duration now) {
+        accept(r, now);
+        if (heardAt.isEmpty() || r.token() > answeredUnder) {
+            heardAt = Optional.of(now);
+            answeredUnder = r.token();
+        }
+        answeredAt = Optional.of(now);
+        unprovenSince = Optional.empty();
+    }
+
+    /** The last sign of life of any kind. */
+    public Optional<Duration> aliveAt() {
+        return Durations.later(heardAt, answeredAt);
+    }
+
+    public void unanswered(Duration now) {
+        unprovenSince = Optional.of(unprovenSince.orElse(now));
+    }
+
+    public void fetched(String image) {
+        images.remove(image);
+        images.put(image, true); // now the latest
+        if (images.size() > REMEMBERED_IMAGES) {
+            images.remove(images.keySet().iterator().next());
+        }
+    }
+
+    public Set<String> images() {
+        return images.keySet();
+    }
+
+    /** Whether the last report can prove something: under this token, with no unanswered start. */
+    public boolean proves(long token) {
+        return !calling
+                && unansweredUnder.isEmpty()
+                && report.isPresent()
+                && report.get().token() == token;
+    }
+
+    /** Notes starts about to be sent. */
+    public void starting(long token, long session, List<WorkerCommand> commands) {
+        if (token != startsToken || session != startsSession) {
+            starts.clear();
+            startsToken = token;
+            startsSession = session;
+        }
+        commands.forEach(o -> {
+            if (o instanceof WorkerCommand.Run run) {
+                starts.add(run);
+            }
+        });
+    }
+
+    /** Whether a late copy of this attempt's start could still be carried out: then the worker must not forget it. */
+    public boolean mayStartAgain(WorkerCommand.Forget f, long token) {
+        return token == startsToken && starts.contains(new WorkerCommand.Run(f.task(), f.attempt()));
+    }
+}
--- a/src/main/java/org/dunespindle/coordination/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.controller;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
@@ -9,15 +9,58 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.HdrHistogram.Histogram;
+import org.dunespindle.api.Admin;
+import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.api.JobExchange;
+import org.dunespindle.api.UserApi;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.Decisions;
+import org.dunespindle.control.FormatUpgrade;
+import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Options;
+import org.dunespindle.control.OversizeRecords;
+import org.dunespindle.control.Sessions;
+import org.dunespindle.control.StallDetector;
+import org.dunespindle.control.TaskTermination;
+import org.dunespindle.control.TerminationCause;
+import org.dunespindle.job.Gangs;
+import org.dunespindle.job.Outcomes;
+import org.dunespindle.job.PlacementPacing;
+import org.dunespindle.job.Placements;
+import org.dunespindle.machine.CloudClient;
+import org.dunespindle.machine.CloudInventory;
+import org.dunespindle.machine.FailureAttribution;
+import org.dunespindle.machine.Fleet;
+import org.dunespindle.machine.MachineCatalog;
+import org.dunespindle.machine.MachineNews;
+import org.dunespindle.machine.MachineRenter;
+import org.dunespindle.machine.MachineReturner;
+import org.dunespindle.machine.Ownership;
+import org.dunespindle.machine.Quarantine;
+import org.dunespindle.peer.PeerState;
+import org.dunespindle.peer.Peers;
+import org.dunespindle.peer.WriteShare;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.scheduling.ClusterSnapshot;
+import org.dunespindle.scheduling.Plan;
+import org.dunespindle.scheduling.Planner;
+import org.dunespindle.scheduling.Targets;
 import org.dunespindle.storage.FormatSupport;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.PlacedTask;
 import org.dunespindle.storage.Replica;
 import org.dunespindle.storage.StateClient;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 import org.dunespindle.transport.Caller;
+import org.dunespindle.worker.Cancellations;
+import org.dunespindle.worker.HeartbeatHandler;
+import org.dunespindle.worker.Preemptions;
+import org.dunespindle.worker.WorkerClient;
+import org.dunespindle.worker.WorkerConnectivity;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -83,7 +126,7 @@
     private final Histogram accepts = new Histogram(LONGEST_MICROS, 2);
     private final Histogram rounds = new Histogram(LONGEST_MICROS, 2);
     private final Histogram plans = new Histogram(LONGEST_MICROS, 2);
-    private Planner.Plan plan = Planner.Plan.NONE;
+    private Plan plan = Plan.NONE;
     private Duration lastRound = Duration.ZERO;
     private Duration lastLook = Duration.ZERO;
     private Duration lastCost = Duration.ZERO;
@@ -291,7 +334,7 @@
         if (replica.age().compareTo(CUT_OFF_VIEW) < 0) {
             return false;
         }
-        List<Peers.Heartbeat> heartbeats = peers.fresh();
+        List<PeerState> heartbeats = peers.fresh();
         return heartbeats.isEmpty()
                 ? !settings.seeds().isEmpty()
                 : heartbeats.stream().anyMatch(w -> w.viewAge().compareTo(PLACING_VIEW) < 0);
@@ -394,19 +437,19 @@
     }
 
     /** Claims on machines that the cloud confirmed as gone, or that have no record any more, which comes later still. */
-    private List<Reconciler.Event> onGoneMachines() {
-        var events = new ArrayList<Reconciler.Event>();
+    private List<TaskTermination> onGoneMachines() {
+        var events = new ArrayList<TaskTermination>();
         var hosts = new ArrayList<>(returner.gone());
         replica.hostsWithAllocations().stream()
                 .filter(h -> !replica.hosts().containsKey(h) && !returner.isGone(h))
                 .forEach(hosts::add);
         for (String host : hosts) {
-            for (Replica.Placed p : replica.allocationsOn(host)) {
-                events.add(new Reconciler.Event(
+            for (PlacedTask p : replica.allocationsOn(host)) {
+                events.add(new TaskTermination(
                         p.job().id(),
                         p.allocation().task(),
                         p.allocation().base(),
-                        Reconciler.Fate.GONE,
+                        TerminationCause.GONE,
                         "its machine " + host + " is gone"));
             }
         }
@@ -425,8 +468,8 @@
     private void plan() {
         Duration begun = timeline.now();
         plannedFor = replica.version() + workerClient.version();
-        Planner.Plan before = plan;
-        Planner.Snapshot snapshot = snapshots.now();
+        Plan before = plan;
+        ClusterSnapshot snapshot = snapshots.now();
         plan = Planner.plan(snapshot);
         if (LOG.isDebugEnabled() && membership.leads()) {
             plan.reasons().forEach((job, why) -> {
--- a/src/main/java/org/dunespindle/coordination/LoadLog.java
+++ b/src/main/java/org/dunespindle/controller/LoadLog.java
@@ -1,13 +1,17 @@
-package org.dunespindle.coordination;
+package org.dunespindle.controller;
 
 import java.time.Duration;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.ControllerContext;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.protocol.TaskStatus;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.StateClient;
+import org.dunespindle.worker.HeartbeatHandler;
+import org.dunespindle.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/dunespindle/coordination/PlanSnapshots.java
+++ b/src/main/java/org/dunespindle/controller/PlanSnapshots.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.controller;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -11,7 +11,28 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import java.util.function.ToIntFunction;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.Options;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.job.Outcomes;
+import org.dunespindle.job.PlacementPacing;
+import org.dunespindle.job.Placements;
+import org.dunespindle.machine.FailureAttribution;
+import org.dunespindle.machine.Fleet;
+import org.dunespindle.machine.MachineCatalog;
+import org.dunespindle.machine.MachineNews;
+import org.dunespindle.machine.MachineRenter;
+import org.dunespindle.machine.MachineReturner;
+import org.dunespindle.peer.Peers;
+import org.dunespindle.peer.ReportedMachine;
 import org.dunespindle.protocol.MachineType;
+import org.dunespindle.scheduling.ClusterSnapshot;
+import org.dunespindle.scheduling.Headroom;
+import org.dunespindle.scheduling.JobAttempt;
+import org.dunespindle.scheduling.MachinePool;
+import org.dunespindle.scheduling.MachineSnapshot;
+import org.dunespindle.scheduling.ProjectedJobs;
+import org.dunespindle.scheduling.Targets;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
@@ -38,8 +59,8 @@
     private final Targets targets;
     private final Headroom headroom;
     private final Supplier<Options> options;
-    private final Map<String, Planner.Place> places = new HashMap<>();
-    private final Map<Planner.Started, Duration> startedAt = new HashMap<>();
+    private final Map<String, MachinePool> places = new HashMap<>();
+    private final Map<JobAttempt, Duration> startedAt = new HashMap<>();
 
     /** The parts of a controller that know what a plan depends on. */
     record Sources(
@@ -72,12 +93,12 @@
     }
 
     /** The state as it is known now. */
-    Planner.Snapshot now() {
+    ClusterSnapshot now() {
         boolean leads = context.membership().leads();
         ProjectedJobs projection = placements.projection();
         List<JobRecord> jobs = projection.expected();
         headroom.observe(jobs);
-        return new Planner.Snapshot(
+        return new ClusterSnapshot(
                 context.timeline().wallTime(),
                 projection,
                 hosts(leads),
@@ -104,8 +125,8 @@
         return job -> failureAttribution.faultyJob(job.id()) ? 1 : most;
     }
 
-    private List<Planner.Host> hosts(boolean leads) {
-        var hosts = new ArrayList<Planner.Host>();
+    private List<MachineSnapshot> hosts(boolean leads) {
+        var hosts = new ArrayList<MachineSnapshot>();
         var trusted = new HashMap<String, Boolean>();
         Map<String, MachineRecord> machines = context.replica().hosts();
         places.keySet().retainAll(machines.keySet());
@@ -113,7 +134,7 @@
         // compiler.
         for (MachineRecord machine : machines.values()) {
             if (!places.containsKey(machine.id())) {
-                places.put(machine.id(), new Planner.Place(machine.type(), machine.zone(), machine.spot()));
+                places.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot()));
             }
             boolean mine = context.membership().owns(machine);
             if ((mine || leads) && !returner.leaves(machine)) {
@@ -143,14 +164,14 @@
     /** A machine that its owner hears but gives nothing new, as after a notice. */
     private boolean departsElsewhere(MachineRecord machine) {
         Duration lately = context.settings().workers().report().multipliedBy(2);
-        Optional<Peers.Machine> told = peers.machine(machine);
+        Optional<ReportedMachine> told = peers.machine(machine);
         boolean closed =
                 told.isPresent() && !told.get().up() && told.get().silentFor().compareTo(lately) < 0;
         return machine.leaving() || closed;
     }
 
     private void add(
-            List<Planner.Host> hosts,
+            List<MachineSnapshot> hosts,
             MachineRecord machine,
             MachineType type,
             boolean mine,
@@ -159,11 +180,9 @@
         if (!up && !(fleet.booting(machine) && fleet.bootsInTime(machine))) {
             return;
         }
-        Set<String> images = context.sessions()
-                .known(machine.id())
-                .map(Sessions.Session::images)
-                .orElse(Set.of());
-        hosts.add(new Planner.Host(
+        Set<String> images =
+                context.sessions().known(machine.id()).map(WorkerState::images).orElse(Set.of());
+        hosts.add(new MachineSnapshot(
                 machine.id(), machine.type(), machine.zone(), machine.spot(), type.size(), up, mine, images));
     }
 
@@ -180,20 +199,20 @@
         if (!talks && !context.membership().isAlive(machine.owner(), machine.incarnation())) {
             return false;
         }
-        Optional<Peers.Machine> told = peers.lastTold(machine);
+        Optional<ReportedMachine> told = peers.lastTold(machine);
         return told.isPresent() && told.get().up() && !told.get().bad();
     }
 
     /** How long tasks booked together have been under way: since they were first seen here, which is a little late or, after a start, much. */
-    private Function<Planner.Started, Duration> progress(List<JobRecord> jobs, boolean all) {
+    private Function<JobAttempt, Duration> progress(List<JobRecord> jobs, boolean all) {
         Duration now = context.timeline().now();
-        var present = new HashSet<Planner.Started>();
+        var present = new HashSet<JobAttempt>();
         for (JobRecord job : jobs) {
             if (!all && (job.spec().isEmpty() || !job.job().service())) {
                 continue;
             }
             for (Allocation allocation : job.allocations()) {
-                present.add(new Planner.Started(job.id(), allocation.base()));
+                present.add(new JobAttempt(job.id(), allocation.base()));
             }
         }
         startedAt.keySet().retainAll(present);
--- /dev/null
+++ b/src/main/java/org/dunespindle/controller/package-info.java
@@ -0,0 +1,2 @@
+/** The wiring of one controller and its main loop. */
+package org.dunespindle.controller;
--- a/src/main/java/org/dunespindle/federation/Abandonment.java
+++ b/src/main/java/org/dunespindle/federation/Abandonment.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.dunespindle.coordination.Committer;
-import org.dunespindle.coordination.ExchangeContext;
+import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.control.CommitPriority;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.Replica;
@@ -45,7 +45,7 @@
         if (over && !context.committer().isLocked(key)) {
             context.decisions().tell(LOG, "cell {} is abandoned and forgotten", cell);
             Txn txn = self.guarded(new Txn()).guard(key, replica.stamp(key)).remove(key);
-            context.committer().propose(Committer.Lane.MAINTENANCE, txn, result -> {});
+            context.committer().propose(CommitPriority.MAINTENANCE, txn, result -> {});
         }
     }
 
@@ -81,7 +81,7 @@
         if (!context.committer().isLocked(key)) {
             String cellKey = Keys.cell(cell);
             Txn txn = self.guarded(context.jobWriter().write(new Txn(), after)).guard(cellKey, replica.stamp(cellKey));
-            context.committer().propose(Committer.Lane.PLACING, txn, result -> {});
+            context.committer().propose(CommitPriority.PLACING, txn, result -> {});
         }
     }
 }
--- a/src/main/java/org/dunespindle/federation/CancellationCall.java
+++ b/src/main/java/org/dunespindle/federation/CancellationCall.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.dunespindle.coordination.JobExchange;
+import org.dunespindle.api.JobExchange;
 import org.dunespindle.storage.JobRecord;
 
 /** Asks one controller of a cell after another to store that a job is cancelled, until one tells that it has. */
--- a/src/main/java/org/dunespindle/federation/CellContact.java
+++ b/src/main/java/org/dunespindle/federation/CellContact.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 
 /** What this controller knows of another cell from talking to it. Nothing here is stored. */
 final class CellContact {
--- a/src/main/java/org/dunespindle/federation/DelegationService.java
+++ b/src/main/java/org/dunespindle/federation/DelegationService.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.dunespindle.coordination.Committer;
-import org.dunespindle.coordination.ExchangeContext;
-import org.dunespindle.coordination.Options;
+import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.Options;
 import org.dunespindle.storage.Delegation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
@@ -304,7 +304,7 @@
         String key = Keys.job(before.id());
         if (!context.committer().isLocked(key)) {
             context.committer()
-                    .propose(Committer.Lane.PLACING, context.jobWriter().write(new Txn(), after), result -> {
+                    .propose(CommitPriority.PLACING, context.jobWriter().write(new Txn(), after), result -> {
                         if (result instanceof TxnResult.Applied) {
                             tell(before, after);
                         }
@@ -345,7 +345,7 @@
         long stamp = replica.stamp(key);
         unsettled.put(job.id(), new Unsettled(number.getAsLong(), stamp));
         Txn txn = self.guarded(context.jobWriter().write(new Txn(), job.tied(intent)));
-        context.committer().propose(Committer.Lane.PLACING, txn, result -> {
+        context.committer().propose(CommitPriority.PLACING, txn, result -> {
             if (!(result instanceof TxnResult.Unknown)) {
                 unsettled.remove(job.id());
             }
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -9,13 +9,15 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.dunespindle.coordination.Admin;
-import org.dunespindle.coordination.Committer;
-import org.dunespindle.coordination.ExchangeContext;
-import org.dunespindle.coordination.JobExchange;
-import org.dunespindle.coordination.Options;
-import org.dunespindle.coordination.Planner;
+import org.dunespindle.api.AdminResponse;
+import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.api.JobExchange;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.Options;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.scheduling.ClusterSnapshot;
+import org.dunespindle.scheduling.Plan;
+import org.dunespindle.scheduling.Shortfall;
 import org.dunespindle.storage.Delegation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
@@ -58,12 +60,12 @@
 
     /** The latest plan, surveyed when somebody asks. */
     private static final class Planned {
-        final Planner.Snapshot snapshot;
-        final Planner.Plan plan;
+        final ClusterSnapshot snapshot;
+        final Plan plan;
         final Duration at;
         Optional<RoomSurvey> survey = Optional.empty();
 
-        Planned(Planner.Snapshot snapshot, Planner.Plan plan, Duration at) {
+        Planned(ClusterSnapshot snapshot, Plan plan, Duration at) {
             this.snapshot = snapshot;
             this.plan = plan;
             this.at = at;
@@ -185,19 +187,19 @@
             Txn txn = self.guarded(new Txn())
                     .guard(key, replica.stamp(key))
                     .write(key, FederationRecords.write(new FederationRecords.KnownCell(cell, 0, false)));
-            context.committer().propose(Committer.Lane.MAINTENANCE, txn, result -> {});
+            context.committer().propose(CommitPriority.MAINTENANCE, txn, result -> {});
         }
     }
 
     // Room, and who waits for it
 
     @Override
-    public void planned(Planner.Snapshot snapshot, Planner.Plan plan) {
+    public void planned(ClusterSnapshot snapshot, Plan plan) {
         if (!self.mayGiveAway()) {
             return;
         }
         planned = Optional.of(new Planned(snapshot, plan, now()));
-        for (Planner.Shortfall shortfall : plan.shortfalls()) {
+        for (Shortfall shortfall : plan.shortfalls()) {
             JobRecord job = shortfall.job();
             if (SpillPolicy.movable(job)) {
                 lacks.merge(job.id(), new Lack(now(), now()), (before, now) -> new Lack(before.since, now.last));
@@ -355,7 +357,7 @@
     }
 
     @Override
-    public boolean administer(String method, String path, byte[] body, Consumer<Admin.Answer> answer) {
+    public boolean administer(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         return admin.handle(method, path, body, answer);
     }
 }
--- a/src/main/java/org/dunespindle/federation/FederationAdmin.java
+++ b/src/main/java/org/dunespindle/federation/FederationAdmin.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.dunespindle.coordination.Admin;
-import org.dunespindle.coordination.Committer;
-import org.dunespindle.coordination.ExchangeContext;
+import org.dunespindle.api.Admin;
+import org.dunespindle.api.AdminResponse;
+import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.control.CommitPriority;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.storage.Delegation;
 import org.dunespindle.storage.JobRecord;
@@ -54,12 +55,12 @@
     }
 
     /** Answers a request; false if it concerns something else. */
-    boolean handle(String method, String path, byte[] body, Consumer<Admin.Answer> answer) {
+    boolean handle(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         boolean read = method.equals("GET") && (path.equals(CELLS) || path.equals(DELEGATIONS));
         boolean abandon = method.equals("POST") && path.startsWith(CELLS + "/") && path.endsWith(ABANDON);
         if (read) {
             replica.refresh(
-                    () -> answer.accept(new Admin.Answer(OK, path.equals(CELLS) ? cells() : delegationList())),
+                    () -> answer.accept(new AdminResponse(OK, path.equals(CELLS) ? cells() : delegationList())),
                     () -> answer.accept(unavailable()));
         } else if (abandon) {
             String name = path.substring(CELLS.length() + 1, path.length() - ABANDON.length());
@@ -68,7 +69,7 @@
         return read || abandon;
     }
 
-    private static Admin.Answer unavailable() {
+    private static AdminResponse unavailable() {
         return Admin.error(UNAVAILABLE, "the state service does not answer");
     }
 
@@ -204,13 +205,13 @@
     }
 
     /** Stores that a cell is given up, if the caller names it in the body as well. */
-    private void abandon(String name, byte[] body, Consumer<Admin.Answer> answer) {
+    private void abandon(String name, byte[] body, Consumer<AdminResponse> answer) {
         String key = Keys.cell(name);
         Optional<FederationRecords.KnownCell> cell = known.cell(name);
         if (!contacts.containsKey(name) || cell.isEmpty()) {
             answer.accept(Admin.error(NOT_FOUND, "no such cell, or nothing is known of it"));
         } else if (!confirmed(name, body)) {
-            answer.accept(new Admin.Answer(
+            answer.accept(new AdminResponse(
                     BAD_REQUEST,
                     MessagePackCodec.map()
                             .put("error", "not confirmed: send {\"confirm\": \"" + name + "\"}. " + RISK)
@@ -224,11 +225,11 @@
                     .write(key, FederationRecords.write(cell.get().abandon()));
             context.committer()
                     .propose(
-                            Committer.Lane.USERS,
+                            CommitPriority.USERS,
                             txn,
                             result -> answer.accept(
                                     result instanceof TxnResult.Applied
-                                            ? new Admin.Answer(
+                                            ? new AdminResponse(
                                                     OK,
                                                     MessagePackCodec.map()
                                                             .put("cell", name)
--- a/src/main/java/org/dunespindle/federation/OwnCellKeeper.java
+++ b/src/main/java/org/dunespindle/federation/OwnCellKeeper.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.random.RandomGenerator;
-import org.dunespindle.coordination.Committer;
-import org.dunespindle.coordination.ExchangeContext;
+import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.control.CommitPriority;
 import org.dunespindle.protocol.MalformedException;
 import org.dunespindle.storage.FormatVersion;
 import org.dunespindle.storage.Keys;
@@ -95,7 +95,7 @@
         var next = new FederationRecords.OwnCell(
                 new CellId(name, identity, incarnation, draw()), replica.stamp(Keys.LEADER));
         Txn txn = guarded(new Txn()).write(Keys.FEDERATION, FederationRecords.write(next));
-        context.committer().propose(Committer.Lane.PLACING, txn, result -> {
+        context.committer().propose(CommitPriority.PLACING, txn, result -> {
             if (result instanceof TxnResult.Applied) {
                 context.decisions().tell(LOG, "cell {} is in incarnation {}", name, incarnation);
             }
--- a/src/main/java/org/dunespindle/federation/RoomSurvey.java
+++ b/src/main/java/org/dunespindle/federation/RoomSurvey.java
@@ -6,13 +6,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.dunespindle.coordination.Planner;
-import org.dunespindle.coordination.TeamUse;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.scheduling.Binding;
+import org.dunespindle.scheduling.ClusterSnapshot;
+import org.dunespindle.scheduling.MachinePool;
+import org.dunespindle.scheduling.MachineSnapshot;
+import org.dunespindle.scheduling.Plan;
+import org.dunespindle.scheduling.TaskAttempt;
+import org.dunespindle.scheduling.TeamUse;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
@@ -24,19 +29,19 @@
     /** Of an array, room for this part of its tasks is enough to begin with. */
     private static final int ARRAY_PART = 4;
 
-    private final Planner.Snapshot snapshot;
+    private final ClusterSnapshot snapshot;
     private final List<Machine> machines = new ArrayList<>();
     private final TeamUse use;
     private final List<JobRecord> lacking = new ArrayList<>();
     /** What may be rented, as far as is known: markets that the cloud did not refuse lately. */
-    private final Map<Planner.Market, MachineType> rentable = new LinkedHashMap<>();
+    private final Map<MachinePool, MachineType> rentable = new LinkedHashMap<>();
 
     private static final class Machine {
-        final Planner.Host host;
+        final MachineSnapshot host;
         Resources free;
         final Map<Priority, Resources> heldBy = new HashMap<>();
 
-        Machine(Planner.Host host) {
+        Machine(MachineSnapshot host) {
             this.host = host;
             this.free = host.size();
         }
@@ -54,11 +59,11 @@
     }
 
     /** Surveys a cell by its leader's plan, and by the machine types that its cloud rents out. */
-    public RoomSurvey(Planner.Snapshot snapshot, Planner.Plan plan, List<MachineType> types) {
+    public RoomSurvey(ClusterSnapshot snapshot, Plan plan, List<MachineType> types) {
         this.snapshot = snapshot;
         this.use = snapshot.projection().use();
         var byId = new HashMap<String, Machine>();
-        for (Planner.Host host : snapshot.hosts()) {
+        for (MachineSnapshot host : snapshot.hosts()) {
             var machine = new Machine(host);
             machines.add(machine);
             byId.put(host.id(), machine);
@@ -78,7 +83,7 @@
     private void addMarkets(MachineType type) {
         for (String zone : type.zones()) {
             for (boolean spot : new boolean[] {false, true}) {
-                var market = new Planner.Market(type.name(), zone, spot);
+                var market = new MachinePool(type.name(), zone, spot);
                 if (!snapshot.refused().contains(market)) {
                     rentable.put(market, type);
                 }
@@ -89,15 +94,14 @@
     private void occupy(JobRecord job, List<Allocation> allocations, Map<String, Machine> byId) {
         for (Allocation allocation : allocations) {
             Machine machine = byId.get(allocation.host());
-            boolean ended =
-                    snapshot.ended().contains(new Planner.Ended(job.id(), allocation.task(), allocation.base()));
+            boolean ended = snapshot.ended().contains(new TaskAttempt(job.id(), allocation.task(), allocation.base()));
             if (machine != null && !ended) {
                 take(machine, job, !job.job().gang());
             }
         }
     }
 
-    private void book(Planner.Booking booking, Map<String, Machine> byId) {
+    private void book(Binding booking, Map<String, Machine> byId) {
         for (String host : booking.places().values()) {
             Machine machine = byId.get(host);
             if (machine != null) {
@@ -148,8 +152,8 @@
     private Map<String, Integer> tasksByZone(Submission job) {
         var byZone = new TreeMap<String, Integer>();
         for (Machine machine : machines) {
-            Planner.Host host = machine.host;
-            if (mayUse(job, new Planner.Market(host.type(), host.zone(), host.spot()))) {
+            MachineSnapshot host = machine.host;
+            if (mayUse(job, new MachinePool(host.type(), host.zone(), host.spot()))) {
                 byZone.merge(host.zone(), fit(job, machine.freeFor(job.priority())), Integer::sum);
             }
         }
@@ -161,7 +165,7 @@
         return byZone;
     }
 
-    private static boolean mayUse(Submission job, Planner.Market market) {
+    private static boolean mayUse(Submission job, MachinePool market) {
         boolean kind = job.spot() || !market.spot();
         boolean type = job.types().map(list -> list.contains(market.type())).orElse(true);
         return kind && type && job.zone().map(market.zone()::equals).orElse(true);
@@ -177,11 +181,11 @@
 
     /** What other cells are told. */
     public List<RoomHint> hints() {
-        var byMarket = new LinkedHashMap<Planner.Market, List<Machine>>();
+        var byMarket = new LinkedHashMap<MachinePool, List<Machine>>();
         rentable.keySet().forEach(market -> byMarket.put(market, new ArrayList<>()));
         for (Machine machine : machines) {
-            Planner.Host host = machine.host;
-            var market = new Planner.Market(host.type(), host.zone(), host.spot());
+            MachineSnapshot host = machine.host;
+            var market = new MachinePool(host.type(), host.zone(), host.spot());
             byMarket.computeIfAbsent(market, key -> new ArrayList<>()).add(machine);
         }
         var hints = new ArrayList<RoomHint>();
@@ -193,7 +197,7 @@
         return hints;
     }
 
-    private RoomHint hint(Planner.Market market, List<Machine> alike, Priority priority) {
+    private RoomHint hint(MachinePool market, List<Machine> alike, Priority priority) {
         MachineType more = rentable.get(market);
         Resources sum = Resources.NONE;
         Resources largest = more == null ? Resources.NONE : more.size();
--- a/src/main/java/org/dunespindle/federation/VisitorCleanup.java
+++ b/src/main/java/org/dunespindle/federation/VisitorCleanup.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.dunespindle.coordination.Committer;
-import org.dunespindle.coordination.ExchangeContext;
+import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.control.CommitPriority;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.Replica;
@@ -101,7 +101,7 @@
         if (news) {
             context.decisions().tell(LOG, "cell {} is known in incarnation {}", from.name(), from.incarnation());
         }
-        context.committer().propose(Committer.Lane.MAINTENANCE, txn, result -> {});
+        context.committer().propose(CommitPriority.MAINTENANCE, txn, result -> {});
     }
 
     private void remove(Txn txn, JobRecord job) {
--- a/src/main/java/org/dunespindle/federation/VisitorService.java
+++ b/src/main/java/org/dunespindle/federation/VisitorService.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.dunespindle.coordination.Committer;
-import org.dunespindle.coordination.ExchangeContext;
+import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.control.CommitPriority;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
@@ -324,7 +324,7 @@
                 .write(new Txn(), change.record)
                 .guard(cellKey, replica.stamp(cellKey))
                 .guard(Keys.FORMAT, replica.stamp(Keys.FORMAT));
-        context.committer().propose(Committer.Lane.USERS, txn, result -> {
+        context.committer().propose(CommitPriority.USERS, txn, result -> {
             if (result instanceof TxnResult.Applied) {
                 tell(request, change);
                 reply.accept(change.reply);
--- a/src/main/java/org/dunespindle/coordination/Gangs.java
+++ b/src/main/java/org/dunespindle/job/Gangs.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.job;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -7,6 +7,12 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.Decisions;
+import org.dunespindle.control.Options;
+import org.dunespindle.control.Sessions;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.TaskPhase;
@@ -16,15 +22,16 @@
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.PlacedTask;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Replica.Placed;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.Txn;
+import org.dunespindle.time.Timeline;
+import org.dunespindle.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Moves gangs on: to real tasks once every placeholder idles, back to the queue when the timer ends the placement. */
-final class Gangs {
+public final class Gangs {
     private static final Logger LOG = LoggerFactory.getLogger(Gangs.class);
     private static final Duration FETCH_ALLOWANCE = Duration.ofSeconds(30);
     private static final long LONGEST_MICROS = 3_600_000_000L;
@@ -42,7 +49,7 @@
     private final Map<String, Duration> replacingSince = new HashMap<>();
     private final Map<String, Duration> firstHold = new HashMap<>();
 
-    Gangs(ControllerContext context, Committer committer, WorkerClient workerClient, Supplier<Options> options) {
+    public Gangs(ControllerContext context, Committer committer, WorkerClient workerClient, Supplier<Options> options) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
@@ -54,16 +61,16 @@
         this.options = options;
     }
 
-    Histogram holdPlacement() {
+    public Histogram holdPlacement() {
         return holdPlacement;
     }
 
-    Histogram replacement() {
+    public Histogram replacement() {
         return replacement;
     }
 
     /** The leader's part. */
-    void tick() {
+    public void tick() {
         Duration now = timeline.now();
         var holding = new HashSet<String>();
         for (JobRecord j : replica.livingJobs()) {
@@ -120,7 +127,7 @@
 
     private void change(JobRecord to) {
         var txn = new Txn().guard(Keys.LEADER, replica.stamp(Keys.LEADER));
-        committer.propose(Committer.Lane.PLACING, jobWriter.write(txn, to), r -> {});
+        committer.propose(CommitPriority.PLACING, jobWriter.write(txn, to), r -> {});
     }
 
     /** Whether every member is reported in a phase, by machines commanded here. */
@@ -140,13 +147,13 @@
     }
 
     /** On every controller: from a machine about to be taken away, work that can save is stopped in time, gangs as a whole. */
-    void drainNoticed() {
+    public void drainNoticed() {
         for (String host : workerClient.noticed()) {
             MachineRecord h = replica.hosts().get(host);
             if (h == null || !workerClient.inCommand(h)) {
                 continue;
             }
-            for (Placed p : replica.allocationsOn(h.id())) {
+            for (PlacedTask p : replica.allocationsOn(h.id())) {
                 JobRecord j = p.job();
                 if (committer.isLocked(Keys.job(j.id()))
                         || !j.open()
@@ -164,7 +171,7 @@
                                 : "task " + j.id() + "/" + p.allocation().task());
                 var txn = new Txn().guard(Keys.host(h.id()), replica.stamp(Keys.host(h.id())));
                 JobRecord stopped = j.job().gang() ? j.stopGang() : stopAllOn(j, h.id());
-                committer.propose(Committer.Lane.PLACING, jobWriter.write(txn, stopped), r -> {});
+                committer.propose(CommitPriority.PLACING, jobWriter.write(txn, stopped), r -> {});
             }
         }
     }
--- a/src/main/java/org/dunespindle/coordination/JobChanges.java
+++ b/src/main/java/org/dunespindle/job/JobChanges.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.job;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -6,6 +6,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.TreeMap;
+import org.dunespindle.control.TaskTermination;
+import org.dunespindle.control.TerminationCause;
 import org.dunespindle.storage.JobRecord;
 
 /** Applies what became of allocations to a job's record. Pure. */
@@ -17,18 +19,18 @@
     private JobChanges() {}
 
     /** The record after some outcomes. */
-    public static JobRecord apply(JobRecord job, List<Reconciler.Event> events, Instant now) {
+    public static JobRecord apply(JobRecord job, List<TaskTermination> events, Instant now) {
         JobRecord j = job;
         var ended = new TreeMap<Integer, Boolean>();
         boolean plain = job.open() && !job.job().gang();
         var bases = new HashMap<Integer, Long>();
         job.allocations().forEach(c -> bases.put(c.task(), c.base()));
-        for (Reconciler.Event e : events) {
+        for (TaskTermination e : events) {
             if (bases.getOrDefault(e.task(), -1L) != e.base() || ended.containsKey(e.task())) {
                 continue;
             }
-            if (plain && (e.fate() == Reconciler.Fate.DONE || e.fate() == Reconciler.Fate.GONE)) {
-                ended.put(e.task(), e.fate() == Reconciler.Fate.DONE);
+            if (plain && (e.fate() == TerminationCause.DONE || e.fate() == TerminationCause.GONE)) {
+                ended.put(e.task(), e.fate() == TerminationCause.DONE);
             } else if (j.allocation(e.task()).filter(c -> c.base() == e.base()).isPresent()) {
                 j = one(j, e, now);
             }
@@ -36,12 +38,12 @@
         return ended.isEmpty() ? j : j.released(ended);
     }
 
-    private static JobRecord one(JobRecord j, Reconciler.Event e, Instant now) {
+    private static JobRecord one(JobRecord j, TaskTermination e, Instant now) {
         boolean gang = j.spec().isPresent() && j.job().gang();
-        if (gang && e.fate() == Reconciler.Fate.DONE && j.open()) {
+        if (gang && e.fate() == TerminationCause.DONE && j.open()) {
             return j.gangDone();
         }
-        if (e.fate() == Reconciler.Fate.WAITED_IN_VAIN) {
+        if (e.fate() == TerminationCause.WAITED_IN_VAIN) {
             return j.rebooked(e.task());
         }
         JobRecord after = j;
@@ -49,14 +51,14 @@
             // One member gone breaks the attempt: the others exit with peers or wait in vain, so all are stopped.
             after = after.stopGang();
         }
-        after = after.released(e.task(), e.fate() == Reconciler.Fate.DONE);
-        if (e.fate() == Reconciler.Fate.ERROR && after.open()) {
+        after = after.released(e.task(), e.fate() == TerminationCause.DONE);
+        if (e.fate() == TerminationCause.ERROR && after.open()) {
             after = after.failed(1, pause(after.failures() + 1, freeFailures(after), now));
             if (gang && after.failures() > FREE_FAILURES) {
                 after = after.requeued(
                         now.toEpochMilli()); // it lets the gangs of its team go first, one of which may not fail
             }
-        } else if (e.fate() == Reconciler.Fate.REFUSED && after.open()) {
+        } else if (e.fate() == TerminationCause.REFUSED && after.open()) {
             after = after.failed(0, Optional.of(now.plus(FIRST_PAUSE)));
         }
         return after;
--- a/src/main/java/org/dunespindle/coordination/Outcomes.java
+++ b/src/main/java/org/dunespindle/job/Outcomes.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.job;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -8,15 +8,28 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.Decisions;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Sessions;
+import org.dunespindle.control.TaskTermination;
+import org.dunespindle.control.TerminationCause;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.machine.FailureAttribution;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.scheduling.TaskAttempt;
+import org.dunespindle.scheduling.TeamUse;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.Txn;
 import org.dunespindle.storage.TxnResult;
+import org.dunespindle.time.Timeline;
+import org.dunespindle.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,7 +38,7 @@
  * gathered for a moment, since each write of a record costs the same however many of them it tells; what
  * ends a job, or sends tasks back to the queue, is stored at once.
  */
-final class Outcomes {
+public final class Outcomes {
     private static final Logger LOG = LoggerFactory.getLogger(Outcomes.class);
     /** While more of the job is under way here: what has ended is stored with its next placement, at the latest after this. */
     private static final Duration GATHER = Duration.ofSeconds(15);
@@ -53,9 +66,9 @@
     private Duration lookAgainAt = Duration.ZERO;
     private Map<String, List<Seen>> byJob = Map.of();
 
-    private record Seen(Reconciler.Event event, Duration since) {}
+    private record Seen(TaskTermination event, Duration since) {}
 
-    Outcomes(
+    public Outcomes(
             ControllerContext context,
             Committer committer,
             WorkerClient workerClient,
@@ -74,23 +87,23 @@
     }
 
     /** Claims whose end is reported but not stored: their room is free already. */
-    Set<Planner.Ended> ended() {
-        var set = new HashSet<Planner.Ended>();
+    public Set<TaskAttempt> ended() {
+        var set = new HashSet<TaskAttempt>();
         for (String host : workerClient.withEvents()) {
             // A placeholder that waited in vain is booked again where it was, so its room is not free.
             sessions.of(host).events.stream()
-                    .filter(e -> e.fate() != Reconciler.Fate.WAITED_IN_VAIN)
-                    .forEach(e -> set.add(new Planner.Ended(e.job(), e.task(), e.base())));
+                    .filter(e -> e.fate() != TerminationCause.WAITED_IN_VAIN)
+                    .forEach(e -> set.add(new TaskAttempt(e.job(), e.task(), e.base())));
         }
         return set;
     }
 
     /** Proposes what is due, along with allocations on machines that are proven gone. */
-    void store(List<Reconciler.Event> gone) {
+    public void store(List<TaskTermination> gone) {
         lookAtTeams();
         byJob = new LinkedHashMap<>();
         for (String host : workerClient.withEvents()) {
-            Sessions.Session s = sessions.of(host);
+            WorkerState s = sessions.of(host);
             s.events.forEach(
                     e -> byJob.computeIfAbsent(e.job(), k -> new ArrayList<>()).add(new Seen(e, s.eventsSince)));
         }
@@ -119,7 +132,7 @@
                 || !j.open()
                 || j.job().whole()
                 || seen.stream()
-                        .anyMatch(s -> s.event.fate() != Reconciler.Fate.DONE
+                        .anyMatch(s -> s.event.fate() != TerminationCause.DONE
                                 && timeline.now().minus(s.since).compareTo(GATHER_LAST) >= 0)) {
             return true;
         }
@@ -141,7 +154,7 @@
 
     private void store(JobRecord j) {
         var txn = new Txn();
-        var events = new ArrayList<Reconciler.Event>();
+        var events = new ArrayList<TaskTermination>();
         JobRecord after = fold(j, txn, events);
         if (after == j) {
             return;
@@ -151,7 +164,7 @@
             return; // it would lock the record for long; the job's next placement takes it along
         }
         committer.propose(
-                hurry ? Committer.Lane.PLACING : Committer.Lane.MAINTENANCE, jobWriter.write(txn, after), r -> {
+                hurry ? CommitPriority.PLACING : CommitPriority.MAINTENANCE, jobWriter.write(txn, after), r -> {
                     if (r instanceof TxnResult.Applied) {
                         events.forEach(e -> tell(j, e));
                     }
@@ -162,7 +175,7 @@
      * Takes what is known of a job's tasks into its record, which is written anyway. As many outcomes as half of a
      * transaction's guards allow; the others follow once it is stored.
      */
-    JobRecord fold(JobRecord j, Txn txn, List<Reconciler.Event> taken) {
+    JobRecord fold(JobRecord j, Txn txn, List<TaskTermination> taken) {
         var pages = new HashSet<String>();
         for (Seen s : byJob.getOrDefault(j.id(), List.of())) {
             Optional<Allocation> allocation = j.allocation(s.event.task()).filter(c -> c.base() == s.event.base());
@@ -179,9 +192,9 @@
         return JobChanges.apply(j, taken, timeline.wallTime());
     }
 
-    void tell(JobRecord job, Reconciler.Event e) {
+    void tell(JobRecord job, TaskTermination e) {
         String host = job.allocation(e.task()).map(Allocation::host).orElse("?");
-        if (e.fate() == Reconciler.Fate.ERROR) {
+        if (e.fate() == TerminationCause.ERROR) {
             decisions.tell(
                     LOG,
                     "task {}/{} failed on machine {}; it is started again elsewhere or later",
@@ -197,7 +210,7 @@
                         job.id(),
                         failureAttribution.machinesOf(job.id()));
             }
-        } else if (e.fate() == Reconciler.Fate.DONE) {
+        } else if (e.fate() == TerminationCause.DONE) {
             failureAttribution.succeeded(job.id(), host);
         } else if (job.open()) {
             decisions.tell(LOG, "task {}/{} left machine {}: {}", job.id(), e.task(), host, e.why());
--- a/src/main/java/org/dunespindle/coordination/PlacementPacing.java
+++ b/src/main/java/org/dunespindle/job/PlacementPacing.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.job;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -6,15 +6,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.ControllerContext;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
+import org.dunespindle.time.Durations;
 
 /**
  * Which arrays are not placed here just now, because another controller looks after them or because more of their tasks are awaited.
  * Two controllers that write one record at once only make one of them fail. When a record stays as it is with tasks to place, its home
  * has no room, and any other helps. Under load, a job's placements are gathered, the longer the more changes wait to be written.
  */
-final class PlacementPacing {
+public final class PlacementPacing {
     /** What a job's home gets before others help. */
     private static final Duration HOME_FIRST = Duration.ofMillis(900);
 
@@ -37,13 +40,13 @@
     /** A job's record as it has been for a while, as seen here. */
     private record Unchanged(long stamp, Duration since) {}
 
-    PlacementPacing(ControllerContext context, Committer committer) {
+    public PlacementPacing(ControllerContext context, Committer committer) {
         this.context = context;
         this.committer = committer;
     }
 
     /** The arrays, of those given, that are left alone now. */
-    Set<String> leftAlone(List<JobRecord> jobs) {
+    public Set<String> leftAlone(List<JobRecord> jobs) {
         var alone = new HashSet<String>();
         var seen = new HashSet<String>();
         Duration gather = gatherTime();
--- a/src/main/java/org/dunespindle/coordination/Placements.java
+++ b/src/main/java/org/dunespindle/job/Placements.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.job;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,21 +9,36 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Predicate;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.Decisions;
+import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.TaskTermination;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.scheduling.Binding;
+import org.dunespindle.scheduling.Eviction;
+import org.dunespindle.scheduling.Plan;
+import org.dunespindle.scheduling.ProjectedJob;
+import org.dunespindle.scheduling.ProjectedJobs;
+import org.dunespindle.scheduling.TeamUse;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.Txn;
 import org.dunespindle.storage.TxnResult;
+import org.dunespindle.time.Timeline;
+import org.dunespindle.worker.Preemptions;
+import org.dunespindle.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Carries out this controller's part of a plan: books tasks on its machines, and stops those that give way. */
-final class Placements {
+public final class Placements {
     private static final Logger LOG = LoggerFactory.getLogger(Placements.class);
     /** Stopping tasks splits groups of allocations, so a record is not filled to the brim by placing. */
     private static final double FILLED_BY_PLACING = 0.7;
@@ -50,7 +65,7 @@
     /** Records proposed but not stored yet: their room is taken, or another job would be booked on it too. */
     private final Map<String, JobRecord> proposed = new HashMap<>();
 
-    Placements(
+    public Placements(
             ControllerContext context,
             Committer committer,
             MachineWriter machineWriter,
@@ -74,12 +89,12 @@
     }
 
     /** This controller's account with each team's limit. */
-    TeamAccounts teamAccounts() {
+    public TeamAccounts teamAccounts() {
         return teamAccounts;
     }
 
     /** The living jobs as stored, and as they will be if what is proposed here is stored. */
-    ProjectedJobs projection() {
+    public ProjectedJobs projection() {
         var jobs = new ArrayList<ProjectedJob>();
         replica.livingJobs().forEach(stored -> jobs.add(projected(stored)));
         return new ProjectedJobs(jobs);
@@ -90,9 +105,9 @@
     }
 
     /** One transaction per booking, guarded by the job, its machines and its team's ledger. */
-    void place(Planner.Plan plan) {
+    public void place(Plan plan) {
         TeamUse use = null;
-        for (Planner.Booking b : plan.bookings()) {
+        for (Binding b : plan.bookings()) {
             // What would only queue is decided anew later, for more tasks at once: so batches widen with the load.
             if (committer.waiting() >= (b.job().job().gang() ? MOST_WAITING_GANGS : MOST_WAITING)) {
                 return;
@@ -113,7 +128,7 @@
     }
 
     /** The places on machines commanded here, as many as one transaction's guards allow: the others follow in the next. */
-    private Map<Integer, String> ownPart(Planner.Booking b) {
+    private Map<Integer, String> ownPart(Binding b) {
         int room = Txn.mostGuards(settings.state().lowest().txnOps()) / 2 - OTHER_GUARDS;
         boolean may = !b.job().job().gang() || membership.leads();
         var pages = new HashSet<String>();
@@ -135,7 +150,7 @@
 
     private void place(JobRecord job, Map<Integer, String> wanted, TeamUse use) {
         var txn = new Txn();
-        List<Reconciler.Event> told = new ArrayList<>();
+        List<TaskTermination> told = new ArrayList<>();
         JobRecord folded = outcomes.fold(job, txn, told);
         Map<Integer, String> places = asManyAsFit(folded, wanted);
         if (places.isEmpty()) {
@@ -209,24 +224,24 @@
 
     private void propose(Txn txn, String id, JobRecord record, java.util.function.Consumer<TxnResult> then) {
         proposed.put(id, record);
-        committer.propose(Committer.Lane.PLACING, txn, r -> {
+        committer.propose(CommitPriority.PLACING, txn, r -> {
             proposed.remove(id);
             then.accept(r);
         });
     }
 
     /** Stops replicas that are to run elsewhere, where room was found for them. */
-    void move(Planner.Plan plan) {
+    public void move(Plan plan) {
         plan.moves().forEach(e -> stop(e, "moves to another machine"));
     }
 
     /** Stops the tasks that give way, once their machine is borrowed: its owner would fill the room with other work at once. */
-    void evict(Planner.Plan plan) {
+    public void evict(Plan plan) {
         plan.evictions().forEach(e -> stop(e, "gives way to " + e.forJob()));
     }
 
     /** Has a task end that runs on a machine commanded here, unless it was told already. */
-    private void stop(Planner.Eviction e, String why) {
+    private void stop(Eviction e, String why) {
         String host = e.allocation().host();
         MachineRecord h = replica.hosts().get(host);
         if (h == null || !membership.owns(h) || e.allocation().stopping()) {
--- a/src/main/java/org/dunespindle/coordination/TeamAccounts.java
+++ b/src/main/java/org/dunespindle/job/TeamAccounts.java
@@ -1,11 +1,16 @@
-package org.dunespindle.coordination;
+package org.dunespindle.job;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.ControllerContext;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.scheduling.TeamLedger;
+import org.dunespindle.scheduling.TeamUse;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.Replica;
@@ -18,7 +23,7 @@
  * This controller's account with each team's record: what it has placed under the record as it stands, and what of that is not certain. Every
  * change of a record is told with what it rests on; there are no more of them than the state service takes writes.
  */
-final class TeamAccounts {
+public final class TeamAccounts {
     private static final Logger LOG = LoggerFactory.getLogger(TeamAccounts.class);
     private final Settings settings;
     private final Replica replica;
@@ -163,7 +168,7 @@
 
     private void close(Basis basis, String key, TeamLedger.Entry entry) {
         var closing = new Txn().guard(key, basis.stamp).write(key, entry.toNode());
-        committer.propose(Committer.Lane.PLACING, closing, result -> {
+        committer.propose(CommitPriority.PLACING, closing, result -> {
             if (result instanceof TxnResult.Applied) {
                 countsOf(basis.team.name()).closed++;
                 LOG.info("{}; closes the shares: {}", basis, basis.describe(entry));
@@ -186,7 +191,7 @@
     }
 
     /** Shows a team's record, and this controller's account with it. */
-    void show(String team, ObjectNode into) {
+    public void show(String team, ObjectNode into) {
         TeamLedger.Entry entry = TeamLedger.Entry.parse(replica.value(Keys.team(team)));
         Account account = account(team);
         Counts counted = countsOf(team);
--- a/src/main/java/org/dunespindle/coordination/CloudClient.java
+++ b/src/main/java/org/dunespindle/machine/CloudClient.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -13,9 +13,10 @@
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.RentalRequest;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.scheduling.MachinePool;
 import org.dunespindle.storage.MeteredCaller;
 import org.dunespindle.storage.RateBudget;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 import org.dunespindle.transport.CallFailure;
 import org.dunespindle.transport.Caller;
 import org.dunespindle.transport.HttpAnswer;
@@ -75,7 +76,7 @@
     }
 
     /** Rents machines; repeating it with the same request id is safe until it was answered with 200. */
-    public CompletableFuture<Rented> rent(String requestId, Planner.Market market, int count) {
+    public CompletableFuture<Rented> rent(String requestId, MachinePool market, int count) {
         var request = new RentalRequest(requestId, market.type(), market.zone(), market.spot(), count);
         return call("POST", "/rentals", MessagePackCodec.write(request.toNode()))
                 .thenCompose(a -> {
--- a/src/main/java/org/dunespindle/coordination/CloudInventory.java
+++ b/src/main/java/org/dunespindle/machine/CloudInventory.java
@@ -1,14 +1,17 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import java.time.Duration;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.MachineWriter;
 import org.dunespindle.protocol.ListedMachine;
+import org.dunespindle.scheduling.MachinePool;
 
 /** The cloud's list of machines as the leader last read it, and machines that it names but no record does. */
-final class CloudInventory {
+public final class CloudInventory {
     private static final Duration LIST_EVERY = Duration.ofSeconds(4);
     /** Beyond twice its lag, a list surely does not name machines returned by an earlier leader any more. */
     private static final Duration SURE_OF_LIST = Duration.ofSeconds(2);
@@ -26,7 +29,7 @@
     private boolean firstOfAll;
     private boolean listing;
 
-    CloudInventory(
+    public CloudInventory(
             ControllerContext context,
             MachineWriter machineWriter,
             CloudClient cloud,
@@ -109,7 +112,7 @@
     }
 
     private void adopt(ListedMachine machine) {
-        var market = new Planner.Market(machine.type(), machine.zone(), machine.spot());
+        var market = new MachinePool(machine.type(), machine.zone(), machine.spot());
         renter.record(
                 machine.id(),
                 machine.address(),
--- a/src/main/java/org/dunespindle/coordination/FailureAttribution.java
+++ b/src/main/java/org/dunespindle/machine/FailureAttribution.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -15,7 +15,7 @@
  * fails on different machines and has never ended well on any. A controller sees only its own machines fail, but every job's record tells
  * how often it has failed in all.
  */
-final class FailureAttribution {
+public final class FailureAttribution {
     /** A job that failed on so many machines, and nowhere ended well, is taken for faulty. */
     private static final int MACHINES = 2;
     /** So many failures elsewhere, and none of its tasks done, show the same of a job that failed on one machine here. */
@@ -28,21 +28,21 @@
 
     private final Set<String> endedWell = new HashSet<>();
 
-    FailureAttribution(Function<String, Optional<JobRecord>> record) {
+    public FailureAttribution(Function<String, Optional<JobRecord>> record) {
         this.record = record;
     }
 
-    void failed(String job, String machine) {
+    public void failed(String job, String machine) {
         machinesOfJob.computeIfAbsent(job, j -> new HashSet<>()).add(machine);
         failuresByMachine.computeIfAbsent(machine, m -> new HashMap<>()).merge(job, 1, Integer::sum);
     }
 
-    void succeeded(String job, String machine) {
+    public void succeeded(String job, String machine) {
         endedWell.add(job);
         failuresByMachine.remove(machine);
     }
 
-    boolean faultyJob(String job) {
+    public boolean faultyJob(String job) {
         return !endedWell.contains(job)
                 && machinesOfJob.getOrDefault(job, Set.of()).size() >= MACHINES;
     }
@@ -65,12 +65,12 @@
     }
 
     /** Machines on which a job has failed. */
-    Set<String> machinesOf(String job) {
+    public Set<String> machinesOf(String job) {
         return machinesOfJob.getOrDefault(job, Set.of());
     }
 
     /** Forgets jobs that are over and machines that are gone. */
-    void prune(Predicate<String> presentMachine) {
+    public void prune(Predicate<String> presentMachine) {
         Predicate<String> over = j -> record.apply(j).filter(JobRecord::open).isEmpty();
         machinesOfJob.keySet().removeIf(over);
         endedWell.removeIf(over);
--- a/src/main/java/org/dunespindle/coordination/Fleet.java
+++ b/src/main/java/org/dunespindle/machine/Fleet.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -6,19 +6,29 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Supplier;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Options;
+import org.dunespindle.control.StallDetector;
+import org.dunespindle.peer.Peers;
 import org.dunespindle.protocol.ListedMachine;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.scheduling.Plan;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.TxnResult;
+import org.dunespindle.time.Durations;
+import org.dunespindle.time.Timeline;
+import org.dunespindle.worker.FailureDetector;
+import org.dunespindle.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The leader's dealings with the cloud: what to rent, what to give back, and what the list says. */
-final class Fleet {
+public final class Fleet {
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
     private static final Duration TELL_EVERY = Duration.ofSeconds(10);
     private static final Duration EARLY = Duration.ofSeconds(15);
@@ -56,9 +66,10 @@
     private Duration judgeAgainAt = Duration.ZERO;
 
     /** What the leader does with the cloud. */
-    record Cloud(CloudInventory inventory, MachineCatalog catalog, MachineRenter renter, MachineReturner returner) {}
+    public record Cloud(
+            CloudInventory inventory, MachineCatalog catalog, MachineRenter renter, MachineReturner returner) {}
 
-    Fleet(
+    public Fleet(
             ControllerContext context,
             MachineWriter machineWriter,
             WorkerClient workerClient,
@@ -108,7 +119,7 @@
     }
 
     /** Called with every plan on every controller; only the leader acts. */
-    void tick(Planner.Plan plan) {
+    public void tick(Plan plan) {
         Duration now = timeline.now();
         if (!membership.leads()) {
             standDown();
@@ -131,7 +142,7 @@
     }
 
     /** This controller does not lead now. What it knew as a leader says nothing once it leads again. */
-    void standDown() {
+    public void standDown() {
         if (leadingSince.isPresent()) {
             leadingSince = Optional.empty();
             renter.standDown();
@@ -195,7 +206,7 @@
         }
     }
 
-    private void judge(Duration now, Planner.Plan plan) {
+    private void judge(Duration now, Plan plan) {
         failures.look(
                 leadingSince.orElse(now), h -> age(h).compareTo(Durations.part(bootTime(h), LATE_BOOT_TENTHS, 10)) > 0);
         for (MachineRecord h : List.copyOf(replica.hosts().values())) {
--- a/src/main/java/org/dunespindle/coordination/MachineCatalog.java
+++ b/src/main/java/org/dunespindle/machine/MachineCatalog.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.Optional;
 import org.dunespindle.protocol.MachineType;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 
 /** The cloud's machine types, read again now and then: prices move. */
-final class MachineCatalog {
+public final class MachineCatalog {
     private static final Duration REFRESH_EVERY = Duration.ofSeconds(60);
     private static final Duration RETRY = Duration.ofMillis(800);
     private final CloudClient cloud;
@@ -18,14 +18,14 @@
     private Optional<List<MachineType>> types = Optional.empty();
     private Map<String, MachineType> byName = Map.of();
 
-    MachineCatalog(CloudClient cloud, Timeline timeline, Runnable changed) {
+    public MachineCatalog(CloudClient cloud, Timeline timeline, Runnable changed) {
         this.cloud = cloud;
         this.timeline = timeline;
         this.changed = changed;
     }
 
     /** Begins to read, and keeps reading. */
-    void start() {
+    public void start() {
         cloud.catalog().whenComplete((list, failure) -> {
             if (failure == null) {
                 take(list);
@@ -43,12 +43,12 @@
     }
 
     /** All machine types; empty until the cloud has answered. */
-    Optional<List<MachineType>> types() {
+    public Optional<List<MachineType>> types() {
         return types;
     }
 
     /** A machine type, if the cloud offers it. */
-    Optional<MachineType> type(String name) {
+    public Optional<MachineType> type(String name) {
         return Optional.ofNullable(byName.get(name));
     }
 }
--- a/src/main/java/org/dunespindle/coordination/MachineNews.java
+++ b/src/main/java/org/dunespindle/machine/MachineNews.java
@@ -1,14 +1,18 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.peer.MachineStatus;
 import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.worker.WorkerClient;
 
 /** What this controller can tell the leader of the machines that it commands. */
-final class MachineNews {
+public final class MachineNews {
     /** Silence is told anew in steps of so many seconds. */
     private static final int SILENCE_STEP = 3;
 
@@ -21,7 +25,8 @@
 
     private long lastNumber;
 
-    MachineNews(ControllerContext context, WorkerClient workerClient, Quarantine quarantine, MachineReturner returner) {
+    public MachineNews(
+            ControllerContext context, WorkerClient workerClient, Quarantine quarantine, MachineReturner returner) {
         this.context = context;
         this.workerClient = workerClient;
         this.quarantine = quarantine;
@@ -30,8 +35,8 @@
     }
 
     /** The machines commanded here that have reported, numbered anew where something changed since it was last told. */
-    List<Peers.News> all() {
-        var list = new ArrayList<Peers.News>();
+    public List<MachineStatus> all() {
+        var list = new ArrayList<MachineStatus>();
         for (MachineRecord machine : context.replica().hosts().values()) {
             if (context.membership().owns(machine)) {
                 context.sessions()
@@ -40,11 +45,11 @@
                         .ifPresent(session -> list.add(news(machine, session)));
             }
         }
-        list.sort(Comparator.comparingLong(Peers.News::number));
+        list.sort(Comparator.comparingLong(MachineStatus::number));
         return list;
     }
 
-    private Peers.News news(MachineRecord machine, Sessions.Session session) {
+    private MachineStatus news(MachineRecord machine, WorkerState session) {
         boolean up = takesTasks(machine);
         boolean bad = quarantine.holds(machine.id());
         Duration silent = up ? Duration.ZERO : silence(session);
@@ -55,28 +60,28 @@
             session.toldAs = ++lastNumber;
         }
         String address = session.report.map(report -> report.address()).orElse(machine.address());
-        return new Peers.News(
+        return new MachineStatus(
                 machine.id(), session.toldAs, machine.token(), up, bad, silent, address, session.images());
     }
 
-    private Duration silence(Sessions.Session session) {
+    private Duration silence(WorkerState session) {
         Duration heard = session.heardAt.orElseThrow();
         Optional<Duration> unproven = session.unprovenSince.filter(since -> since.compareTo(heard) < 0);
         return context.stalls().silence(unproven.orElse(heard));
     }
 
     /** Whether new tasks may go to a machine commanded here. */
-    boolean takesTasks(MachineRecord machine) {
+    public boolean takesTasks(MachineRecord machine) {
         if (!workerClient.ready(machine) || quarantine.holds(machine.id()) || returner.leaves(machine)) {
             return false;
         }
-        Sessions.Session session = context.sessions().of(machine.id());
+        WorkerState session = context.sessions().of(machine.id());
         boolean noticed = session.report.flatMap(report -> report.notice()).isPresent();
         return !noticed && !workerClient.mute(session) && alive(session);
     }
 
     /** Whether a machine commanded here will be gone soon, though what runs there may still run. */
-    boolean departs(MachineRecord machine) {
+    public boolean departs(MachineRecord machine) {
         boolean noticed = context.sessions()
                 .known(machine.id())
                 .flatMap(session -> session.report)
@@ -85,7 +90,7 @@
         return noticed || machine.leaving() || quarantine.holds(machine.id());
     }
 
-    private boolean alive(Sessions.Session session) {
+    private boolean alive(WorkerState session) {
         Optional<Duration> at = session.aliveAt();
         return at.isPresent() && context.timeline().now().minus(at.get()).compareTo(heardLately) < 0;
     }
--- a/src/main/java/org/dunespindle/coordination/MachineRenter.java
+++ b/src/main/java/org/dunespindle/machine/MachineRenter.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -10,13 +10,20 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Predicate;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.scheduling.MachinePool;
+import org.dunespindle.scheduling.Plan;
+import org.dunespindle.scheduling.Targets;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.Replica;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Rents machines, one request at a time, and records them. */
-final class MachineRenter {
+public final class MachineRenter {
     private static final Logger LOG = LoggerFactory.getLogger(MachineRenter.class);
     private static final Duration NO_CAPACITY_PAUSE = Duration.ofSeconds(6);
     private static final Duration LONGEST_PAUSE = Duration.ofSeconds(25);
@@ -35,7 +42,7 @@
     private final MachineCatalog catalog;
     private final Targets targets;
     private final Predicate<String> gone;
-    private final Map<Planner.Market, Refusal> refusals = new HashMap<>();
+    private final Map<MachinePool, Refusal> refusals = new HashMap<>();
     /** Machines rented here whose records are not stored yet; nothing more is rented until they count as room. */
     private final Map<String, Runnable> unrecorded = new LinkedHashMap<>();
 
@@ -49,7 +56,7 @@
      *
      * @param gone whether the cloud has confirmed a machine's return
      */
-    MachineRenter(
+    public MachineRenter(
             ControllerContext context,
             MachineWriter machineWriter,
             CloudClient cloud,
@@ -66,8 +73,8 @@
     }
 
     /** Markets that had no capacity a moment ago. */
-    Set<Planner.Market> refused() {
-        var set = new HashSet<Planner.Market>();
+    public Set<MachinePool> refused() {
+        var set = new HashSet<MachinePool>();
         refusals.forEach((market, refusal) -> {
             if (refusal.until.compareTo(context.timeline().now()) > 0) {
                 set.add(market);
@@ -82,7 +89,7 @@
     }
 
     /** Rents what a plan lacks most urgently. */
-    void rent(Planner.Plan plan) {
+    void rent(Plan plan) {
         recordRented();
         boolean fresh = replica.age().compareTo(FRESH_VIEW) <= 0;
         if (!unrecorded.isEmpty() || renting || catalog.types().isEmpty() || !fresh) {
@@ -121,7 +128,7 @@
     }
 
     private void answered(RentalNeeds.Rental rental, int count, CloudClient.Rented rented) {
-        Planner.Market market = rental.market();
+        MachinePool market = rental.market();
         if (rented.noCapacity() || rented.hosts().size() < count) {
             refuse(market);
         } else {
@@ -143,11 +150,11 @@
         recordRented();
     }
 
-    private static String kind(Planner.Market market) {
+    private static String kind(MachinePool market) {
         return market.spot() ? "spot" : "ordinary";
     }
 
-    private void refuse(Planner.Market market) {
+    private void refuse(MachinePool market) {
         Refusal before = refusals.get(market);
         Duration pause = before == null ? NO_CAPACITY_PAUSE : before.pause.multipliedBy(2);
         if (pause.compareTo(LONGEST_PAUSE) > 0) {
@@ -174,7 +181,7 @@
     }
 
     /** Records a machine. One that is rented for a gang is the leader's from the start: borrowing it would cost a write more. */
-    void record(String id, String address, Planner.Market market, Instant rented, boolean forGang) {
+    void record(String id, String address, MachinePool market, Instant rented, boolean forGang) {
         Membership membership = context.membership();
         String here = context.settings().nodeName();
         String owner = forGang ? here : membership.hashed(id).orElse(here);
@@ -194,6 +201,6 @@
                 Instant.EPOCH,
                 false,
                 "");
-        machineWriter.change(Committer.Lane.PLACING, machine, r -> {});
+        machineWriter.change(CommitPriority.PLACING, machine, r -> {});
     }
 }
--- a/src/main/java/org/dunespindle/coordination/MachineReturner.java
+++ b/src/main/java/org/dunespindle/machine/MachineReturner.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -7,6 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.MachineWriter;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.Replica;
@@ -14,7 +17,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Returns machines to the cloud. Only its 200 shows that a machine and everything on it are gone. */
-final class MachineReturner {
+public final class MachineReturner {
     private static final Logger LOG = LoggerFactory.getLogger(MachineReturner.class);
     private static final Duration RETRY = Duration.ofMillis(700);
     private static final Duration REMEMBER_GONE = Duration.ofSeconds(300);
@@ -31,7 +34,7 @@
 
     private boolean returning;
 
-    MachineReturner(ControllerContext context, MachineWriter machineWriter, CloudClient cloud) {
+    public MachineReturner(ControllerContext context, MachineWriter machineWriter, CloudClient cloud) {
         this.context = context;
         this.replica = context.replica();
         this.machineWriter = machineWriter;
@@ -39,24 +42,24 @@
     }
 
     /** Whether the cloud confirmed a machine as returned: its allocations can be released. */
-    boolean isGone(String host) {
+    public boolean isGone(String host) {
         return goneAt.containsKey(host);
     }
 
     /** All machines that the cloud confirmed as returned lately. */
-    Set<String> gone() {
+    public Set<String> gone() {
         return goneAt.keySet();
     }
 
     /** Whether a machine is on its way out, though its record may not say so. */
-    boolean leaves(MachineRecord machine) {
+    public boolean leaves(MachineRecord machine) {
         return machine.leaving() || dropped.contains(machine.id()) || isGone(machine.id());
     }
 
     /** Stores that a machine leaves; it is returned once that is settled and, where the reason allows, its tasks have ended. */
     void leave(MachineRecord machine, String why) {
         tell(machine, why);
-        machineWriter.change(Committer.Lane.MAINTENANCE, machine.leaving(why), r -> {});
+        machineWriter.change(CommitPriority.MAINTENANCE, machine.leaving(why), r -> {});
     }
 
     /**
--- a/src/main/java/org/dunespindle/coordination/Ownership.java
+++ b/src/main/java/org/dunespindle/machine/Ownership.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -13,20 +13,30 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Supplier;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Options;
+import org.dunespindle.control.Sessions;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.peer.Peers;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.scheduling.Plan;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.PlacedTask;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Replica.Placed;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
+import org.dunespindle.worker.WorkerClient;
 
 /**
  * Who commands which machine: machines are hashed among the live controllers, and the leader borrows those that
  * gangs are placed on. A borrowed machine stays while gangs come back to it, and is returned when none has for
  * a while, since every change of hands costs writes and a call.
  */
-final class Ownership {
+public final class Ownership {
     private static final Duration LOOK_EVERY = Duration.ofMillis(250);
     private static final Duration OTHERS_FIRST = Duration.ofSeconds(4);
     private static final int MOST_PAGES_HANDED_ON = 6;
@@ -48,7 +58,7 @@
     private Duration lookAgainAt = Duration.ZERO;
     private Duration returnAgainAt = Duration.ZERO;
 
-    Ownership(
+    public Ownership(
             ControllerContext context,
             WorkerClient workerClient,
             MachineWriter machineWriter,
@@ -85,7 +95,7 @@
     }
 
     /** Takes over machines whose controller is gone, and hands back or on those that hash elsewhere. */
-    void tick(Planner.Plan plan) {
+    public void tick(Plan plan) {
         Duration now = timeline.now();
         if (now.compareTo(lookAgainAt) < 0) {
             return;
@@ -146,8 +156,8 @@
     }
 
     private boolean hasGang(MachineRecord h) {
-        List<Placed> allocations = replica.allocationsOn(h.id());
-        for (Placed p : allocations) {
+        List<PlacedTask> allocations = replica.allocationsOn(h.id());
+        for (PlacedTask p : allocations) {
             if (p.job().spec().isPresent() && p.job().job().gang()) {
                 return true;
             }
@@ -164,7 +174,7 @@
             return;
         }
         Duration kept = membership.leads() ? options.get().borrowedAtLeast() : Duration.ZERO;
-        Optional<Sessions.Session> s = sessions.known(h.id());
+        Optional<WorkerState> s = sessions.known(h.id());
         boolean calm = h.keepUntil().isBefore(timeline.wallTime())
                 && now.minus(gangAt.getOrDefault(h.id(), Duration.ZERO)).compareTo(kept) > 0
                 && s.filter(x -> x.calling || x.unansweredUnder.isPresent() || !x.events.isEmpty())
@@ -175,12 +185,12 @@
         boolean turn = handedOn.contains(Keys.host(h.id())) || handedOn.size() < MOST_PAGES_HANDED_ON;
         if (calm && turn && inc.isPresent() && peers.heartbeat(home.get()).isPresent()) {
             handedOn.add(Keys.host(h.id()));
-            machineWriter.change(Committer.Lane.MAINTENANCE, h.ownedBy(home.get(), inc.get(), Instant.EPOCH), r -> {});
+            machineWriter.change(CommitPriority.MAINTENANCE, h.ownedBy(home.get(), inc.get(), Instant.EPOCH), r -> {});
         }
     }
 
     /** Gangs are the leader's: it takes the machines that they are planned on, and those that their placeholders are on. */
-    void borrow(Planner.Plan plan) {
+    public void borrow(Plan plan) {
         long borrowed = -1;
         var wanted = new LinkedHashSet<>(plan.gangHosts());
         wanted.addAll(placeholdersElsewhere());
--- a/src/main/java/org/dunespindle/coordination/Quarantine.java
+++ b/src/main/java/org/dunespindle/machine/Quarantine.java
@@ -1,14 +1,17 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Supplier;
+import org.dunespindle.control.Options;
+import org.dunespindle.peer.Peers;
+import org.dunespindle.peer.ReportedMachine;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 
 /** Machines on which tasks of different jobs keep failing: nothing new is placed there, and those that stay so are given back. */
-final class Quarantine {
+public final class Quarantine {
     /** In quarantine first: jobs that failed there may turn out to fail elsewhere too. */
     private static final Duration LENGTH = Duration.ofSeconds(15);
 
@@ -18,7 +21,8 @@
     private final Supplier<Options> options;
     private final Map<String, Duration> since = new HashMap<>();
 
-    Quarantine(FailureAttribution failureAttribution, Peers peers, Timeline timeline, Supplier<Options> options) {
+    public Quarantine(
+            FailureAttribution failureAttribution, Peers peers, Timeline timeline, Supplier<Options> options) {
         this.failureAttribution = failureAttribution;
         this.peers = peers;
         this.timeline = timeline;
@@ -32,7 +36,7 @@
 
     /** Whether a machine has been in quarantine, here or as its owner tells, for long enough to be given back. */
     boolean over(MachineRecord machine) {
-        boolean fails = peers.machine(machine).filter(Peers.Machine::bad).isPresent() || holds(machine.id());
+        boolean fails = peers.machine(machine).filter(ReportedMachine::bad).isPresent() || holds(machine.id());
         if (!fails) {
             since.remove(machine.id());
             return false;
--- a/src/main/java/org/dunespindle/coordination/RentalNeeds.java
+++ b/src/main/java/org/dunespindle/machine/RentalNeeds.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.machine;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,11 +9,17 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.dunespindle.control.ControllerContext;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.scheduling.MachinePool;
+import org.dunespindle.scheduling.Planner;
+import org.dunespindle.scheduling.Shortfall;
+import org.dunespindle.scheduling.Targets;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.time.Durations;
 
 /** Works out which machines to rent for what found no room in a plan. */
 final class RentalNeeds {
@@ -25,13 +31,13 @@
     private final ControllerContext context;
     private final MachineCatalog catalog;
     private final Targets targets;
-    private final Set<Planner.Market> refused;
+    private final Set<MachinePool> refused;
     private final Map<String, Integer> machinesPerZone = new HashMap<>();
     private final Map<Ask, Integer> slots = new HashMap<>();
-    private final Map<Planner.Market, Need> needs = new LinkedHashMap<>();
+    private final Map<MachinePool, Need> needs = new LinkedHashMap<>();
 
     /** Machines of a market to rent, and whether the first job that needs one is a gang. */
-    record Rental(Planner.Market market, int count, boolean forGang) {}
+    record Rental(MachinePool market, int count, boolean forGang) {}
 
     private static final class Need {
         int count;
@@ -43,7 +49,7 @@
     /** What jobs alike ask of a machine. */
     private record Ask(boolean spot, Resources perTask, Optional<List<String>> types) {}
 
-    RentalNeeds(ControllerContext context, MachineCatalog catalog, Targets targets, Set<Planner.Market> refused) {
+    RentalNeeds(ControllerContext context, MachineCatalog catalog, Targets targets, Set<MachinePool> refused) {
         this.context = context;
         this.catalog = catalog;
         this.targets = targets;
@@ -52,11 +58,11 @@
     }
 
     /** Packs what found no room into machines of the cheapest kinds that may serve it. */
-    List<Rental> of(List<Planner.Shortfall> shortfalls) {
+    List<Rental> of(List<Shortfall> shortfalls) {
         Duration queued = runningWork();
-        for (Planner.Shortfall shortfall : shortfalls) {
+        for (Shortfall shortfall : shortfalls) {
             Submission job = shortfall.job().job();
-            List<Planner.Market> markets = markets(job);
+            List<MachinePool> markets = markets(job);
             if (!job.gang()) {
                 queued = queued.plus(Durations.times(job.estimate(), shortfall.tasks()));
                 keepCheapestIfInTime(shortfall, markets, queued);
@@ -75,7 +81,7 @@
         return rentals;
     }
 
-    private void add(Planner.Market market, Planner.Shortfall shortfall) {
+    private void add(MachinePool market, Shortfall shortfall) {
         Submission job = shortfall.job().job();
         Need need = needs.computeIfAbsent(market, m -> new Need());
         need.forGang |= need.count == 0 && job.gang() && job.tasks() > 1;
@@ -107,7 +113,7 @@
     }
 
     /** Work that ends in time even if it queues for the cheapest kind is not worth a dear machine. */
-    private void keepCheapestIfInTime(Planner.Shortfall shortfall, List<Planner.Market> markets, Duration queued) {
+    private void keepCheapestIfInTime(Shortfall shortfall, List<MachinePool> markets, Duration queued) {
         Submission job = shortfall.job().job();
         Optional<Duration> target = targets.nearest(job);
         int running = slots.computeIfAbsent(new Ask(job.spot(), job.perTask(), job.types()), this::slots);
@@ -159,13 +165,13 @@
         return job.types().map(allowed -> allowed.contains(type.name())).orElse(true);
     }
 
-    private double price(Planner.Market market) {
+    private double price(MachinePool market) {
         return catalog.type(market.type()).orElseThrow().price(market.spot());
     }
 
     /** Allowed markets that were not refused lately, cheapest first, then the zone with fewest machines. */
-    private List<Planner.Market> markets(Submission job) {
-        var list = new ArrayList<Planner.Market>();
+    private List<MachinePool> markets(Submission job) {
+        var list = new ArrayList<MachinePool>();
         for (MachineType type : all()) {
             if (allows(job, type) && job.perTask().fitsIn(type.size())) {
                 addMarkets(job, type, list);
@@ -176,11 +182,11 @@
         return list;
     }
 
-    private void addMarkets(Submission job, MachineType type, List<Planner.Market> into) {
+    private void addMarkets(Submission job, MachineType type, List<MachinePool> into) {
         for (String zone : type.zones()) {
             if (job.zone().map(zone::equals).orElse(true)) {
                 for (boolean spot : job.spot() ? new boolean[] {true, false} : new boolean[] {false}) {
-                    var market = new Planner.Market(type.name(), zone, spot);
+                    var market = new MachinePool(type.name(), zone, spot);
                     if (!refused.contains(market)) {
                         into.add(market);
                     }
--- /dev/null
+++ b/src/main/java/org/dunespindle/peer/PeerState.java
@@ -0,0 +1,6 @@
+package org.dunespindle.peer;
+
+import java.time.Duration;
+
+/** The last heartbeat of a controller. */
+public record PeerState(Duration at, long incarnation, Duration viewAge, double writes, int waiting) {}
--- a/src/main/java/org/dunespindle/coordination/Peers.java
+++ b/src/main/java/org/dunespindle/peer/Peers.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.peer;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -14,11 +14,13 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
+import org.dunespindle.api.Admin;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Durations;
+import org.dunespindle.time.Timeline;
 import org.dunespindle.transport.Caller;
 
 /**
@@ -35,8 +37,6 @@
     private static final int MOST_MACHINES = 4000;
     /** What they may take of a message, of which the receiver reads a mebibyte; the others follow in the next. */
     private static final int MOST_NEWS_CHARACTERS = 600_000;
-    /** Brackets, numbers and separators of a row, at most. */
-    private static final int ROW_FRAME = 64;
     /** A list of cancelled jobs longer than this is not sent: the asker then goes by the age of its copy. */
     private static final int MOST_CANCELLED = 2000;
 
@@ -48,13 +48,13 @@
     private final Supplier<Optional<String>> leader;
     private final Replica replica;
     private final Listener listener;
-    private final Map<String, Heartbeat> heartbeats = new HashMap<>();
+    private final Map<String, PeerState> heartbeats = new HashMap<>();
     private final Map<String, Heard> heard = new HashMap<>();
     /** Up to which number each controller has taken our news. */
     private final Map<String, Long> taken = new HashMap<>();
 
     /** Takes what other controllers tell that concerns other parts. */
-    interface Listener {
+    public interface Listener {
         /** A machine has fetched an image. */
         void imageSeen(String host, String image);
 
@@ -62,39 +62,10 @@
         void cancelled(String node, Duration asked, List<String> jobs);
     }
 
-    /** The last heartbeat of a controller. */
-    public record Heartbeat(Duration at, long incarnation, Duration viewAge, double writes, int waiting) {}
-
-    /** A machine as its owner last told. */
-    public record Machine(boolean up, boolean bad, Duration silentFor, Duration toldAt, String address, long token) {}
-
-    /** A machine's state as its owner tells it, with a number that grows with every change. */
-    public record News(
-            String host,
-            long number,
-            long token,
-            boolean up,
-            boolean bad,
-            Duration silentFor,
-            String address,
-            Set<String> images) {
-        /** About how long its row is. */
-        int characters() {
-            int sum = ROW_FRAME + host.length() + address.length();
-            for (String image : images) {
-                sum += image.length() + 3;
-            }
-            return sum;
-        }
-    }
-
-    /** What this controller needs of the write rate. */
-    public record Need(double writes, int waiting) {}
-
     private static final class Heard {
         long incarnation;
         long upTo;
-        final Map<String, Machine> machines = new HashMap<>();
+        final Map<String, ReportedMachine> machines = new HashMap<>();
     }
 
     /** Creates the link to the other controllers. */
@@ -116,9 +87,9 @@
     }
 
     /** A controller's last heartbeat while it is fresh. */
-    public Optional<Heartbeat> heartbeat(String node) {
+    public Optional<PeerState> heartbeat(String node) {
         return Optional.ofNullable(heartbeats.get(node))
-                .filter(w -> timeline.now().minus(w.at).compareTo(FRESH) < 0);
+                .filter(w -> timeline.now().minus(w.at()).compareTo(FRESH) < 0);
     }
 
     /**
@@ -126,37 +97,37 @@
      * that has been quiet for longer than that lives.
      */
     public boolean fellQuiet(String node) {
-        Heartbeat w = heartbeats.get(node);
-        Duration quiet = w == null ? Duration.ZERO : timeline.now().minus(w.at);
+        PeerState w = heartbeats.get(node);
+        Duration quiet = w == null ? Duration.ZERO : timeline.now().minus(w.at());
         return quiet.compareTo(QUIET) > 0 && quiet.compareTo(LEASE_TELLS) < 0;
     }
 
     /** All heartbeats that are fresh. */
-    public List<Heartbeat> fresh() {
-        var list = new ArrayList<Heartbeat>();
+    public List<PeerState> fresh() {
+        var list = new ArrayList<PeerState>();
         heartbeats.keySet().forEach(n -> heartbeat(n).ifPresent(list::add));
         return list;
     }
 
     /** What a machine's owner told of it under its present token, while the owner's heartbeat is fresh. */
-    public Optional<Machine> machine(MachineRecord host) {
+    public Optional<ReportedMachine> machine(MachineRecord host) {
         return heartbeat(host.owner()).isEmpty() ? Optional.empty() : lastTold(host);
     }
 
     /** The same however old it is: for an owner that lives but cannot talk to this controller. */
-    public Optional<Machine> lastTold(MachineRecord host) {
-        Optional<Machine> told = told(host.owner(), host.id());
-        return told.isPresent() && told.get().token == host.token() ? told : Optional.empty();
+    public Optional<ReportedMachine> lastTold(MachineRecord host) {
+        Optional<ReportedMachine> told = told(host.owner(), host.id());
+        return told.isPresent() && told.get().token() == host.token() ? told : Optional.empty();
     }
 
-    private Optional<Machine> told(String node, String host) {
+    private Optional<ReportedMachine> told(String node, String host) {
         Heard from = heard.get(node);
         return from == null ? Optional.empty() : Optional.ofNullable(from.machines.get(host));
     }
 
     /** Where a machine is reached, as anybody told. */
     public Optional<String> address(MachineRecord host) {
-        return told(host.owner(), host.id()).map(Machine::address).filter(a -> !a.isEmpty());
+        return told(host.owner(), host.id()).map(ReportedMachine::address).filter(a -> !a.isEmpty());
     }
 
     /**
@@ -166,13 +137,14 @@
     public Optional<Duration> aliveAt(MachineRecord host) {
         Optional<Duration> last = Optional.empty();
         for (Map.Entry<String, Heard> e : heard.entrySet()) {
-            Machine m = e.getValue().machines.get(host.id());
+            ReportedMachine m = e.getValue().machines.get(host.id());
             if (m != null) {
-                boolean present = m.up
+                boolean present = m.up()
                         && e.getKey().equals(host.owner())
-                        && m.token == host.token()
+                        && m.token() == host.token()
                         && heartbeats.containsKey(e.getKey());
-                Duration at = present ? heartbeats.get(e.getKey()).at : m.toldAt.minus(m.silentFor);
+                Duration at =
+                        present ? heartbeats.get(e.getKey()).at() : m.toldAt().minus(m.silentFor());
                 last = Durations.later(last, Optional.of(at));
             }
         }
@@ -194,7 +166,7 @@
      *
      * @param news machines in the order of their numbers
      */
-    public void tell(Duration viewAge, Need need, List<News> news) {
+    public void tell(Duration viewAge, WriteDemand need, List<MachineStatus> news) {
         for (Settings.Seed seed : settings.seeds()) {
             ObjectNode n = head(viewAge, need).put("readTo", replica.syncedTo());
             Duration asked = timeline.now();
@@ -210,38 +182,38 @@
         }
     }
 
-    private ObjectNode head(Duration viewAge, Need need) {
+    private ObjectNode head(Duration viewAge, WriteDemand need) {
         return MessagePackCodec.map()
                 .put("node", settings.nodeName())
                 .put("inc", incarnation.getAsLong())
                 .put("viewAgeMs", viewAge.toMillis())
-                .put("writes", need.writes)
-                .put("waiting", need.waiting);
+                .put("writes", need.writes())
+                .put("waiting", need.waiting());
     }
 
-    private static void add(ObjectNode n, List<News> news, long from) {
+    private static void add(ObjectNode n, List<MachineStatus> news, long from) {
         ArrayNode list = n.put("from", from).putArray("news");
         long upTo = from;
         int characters = 0;
-        for (News m : news) {
-            if (m.number > from && list.size() < MOST_MACHINES && characters < MOST_NEWS_CHARACTERS) {
-                upTo = m.number;
+        for (MachineStatus m : news) {
+            if (m.number() > from && list.size() < MOST_MACHINES && characters < MOST_NEWS_CHARACTERS) {
+                upTo = m.number();
                 characters += m.characters();
                 ArrayNode row = list.addArray()
-                        .add(m.host)
-                        .add(m.token)
-                        .add(m.up)
-                        .add(m.bad)
-                        .add(m.silentFor.toMillis())
-                        .add(m.address);
-                m.images.forEach(row::add);
+                        .add(m.host())
+                        .add(m.token())
+                        .add(m.up())
+                        .add(m.bad())
+                        .add(m.silentFor().toMillis())
+                        .add(m.address());
+                m.images().forEach(row::add);
             }
         }
         n.put("upTo", upTo);
     }
 
     /** Takes a heartbeat in and builds the answer to it; an unreadable one counts as none. */
-    public ObjectNode hear(byte[] body, Duration viewAge, Need need) {
+    public ObjectNode hear(byte[] body, Duration viewAge, WriteDemand need) {
         ObjectNode answer = head(viewAge, need);
         try {
             JsonNode n = JSON.readTree(body);
@@ -254,7 +226,7 @@
                     h.upTo = 0;
                     h.machines.clear();
                 }
-                // News that do not continue what is known here are left; the answer says where to go on.
+                // MachineStatus that do not continue what is known here are left; the answer says where to go on.
                 if (n.has("news") && n.path("from").asLong() <= h.upTo) {
                     n.get("news").forEach(row -> take(h, row));
                     h.upTo = Math.max(h.upTo, n.path("upTo").asLong());
@@ -281,7 +253,7 @@
         String host = row.path(0).asText();
         h.machines.put(
                 host,
-                new Machine(
+                new ReportedMachine(
                         row.path(2).asBoolean(),
                         row.path(3).asBoolean(),
                         Duration.ofMillis(row.path(4).asLong()),
@@ -317,7 +289,7 @@
     private void note(String node, JsonNode n) {
         heartbeats.put(
                 node,
-                new Heartbeat(
+                new PeerState(
                         timeline.now(),
                         n.path("inc").asLong(),
                         Duration.ofMillis(n.path("viewAgeMs").asLong()),
--- a/src/main/java/org/dunespindle/coordination/WriteShare.java
+++ b/src/main/java/org/dunespindle/peer/WriteShare.java
@@ -1,16 +1,18 @@
-package org.dunespindle.coordination;
+package org.dunespindle.peer;
 
 import java.time.Duration;
+import org.dunespindle.control.Committer;
+import org.dunespindle.control.Membership;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.StateClient;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 
 /**
  * Divides the state service's write rate among the controllers by need, as they tell one another: the leader writes
  * most, and an equal part each would leave it short while the others' lie idle. Only a matter of pace: what
  * is written too fast is refused and sent again.
  */
-final class WriteShare {
+public final class WriteShare {
     /** Controllers hear of one another's need late, so some of the rate is left unused. */
     private static final double SAFE_PART = 0.92;
 
@@ -25,7 +27,7 @@
     private Duration at = Duration.ZERO;
     private double rate;
 
-    WriteShare(
+    public WriteShare(
             Settings settings,
             Peers peers,
             Membership membership,
@@ -40,8 +42,8 @@
         this.timeline = timeline;
     }
 
-    Peers.Need need() {
-        return new Peers.Need(rate, committer.waiting());
+    public WriteDemand need() {
+        return new WriteDemand(rate, committer.waiting());
     }
 
     /** What a controller would write if it could: what it does, and some of what waits. */
@@ -50,7 +52,7 @@
     }
 
     /** Called about once a second. */
-    void adjust() {
+    public void adjust() {
         Duration now = timeline.now();
         double seconds = now.minus(at).toNanos() / 1e9;
         if (seconds > 0.1) {
--- a/src/main/java/org/dunespindle/coordination/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import it.unimi.dsi.fastutil.ints.IntIterator;
 import java.util.ArrayList;
--- a/src/main/java/org/dunespindle/coordination/JobOrder.java
+++ b/src/main/java/org/dunespindle/scheduling/JobOrder.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,6 +9,7 @@
 import java.util.Set;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
+import org.dunespindle.time.Durations;
 
 /** The order in which jobs are planned. */
 final class JobOrder {
@@ -19,7 +20,7 @@
     /** Estimates are often too high by so much: a job is not a lost cause while this part of its estimate fits. */
     private static final double BEST_CASE = 0.7;
 
-    private final Planner.Snapshot snapshot;
+    private final ClusterSnapshot snapshot;
     private final Set<String> guaranteed;
     private final Map<String, Rank> ranks = new HashMap<>();
 
@@ -31,7 +32,7 @@
         }
     }
 
-    JobOrder(Planner.Snapshot snapshot) {
+    JobOrder(ClusterSnapshot snapshot) {
         this.snapshot = snapshot;
         this.guaranteed = Planner.guaranteed(snapshot.jobs(), snapshot.teams());
     }
--- a/src/main/java/org/dunespindle/coordination/MachineRoom.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineRoom.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -10,7 +10,7 @@
 
 /** A machine's room while a plan is made. */
 final class MachineRoom {
-    private final Planner.Host host;
+    private final MachineSnapshot host;
     private Resources free;
     /** Room of tasks that are being stopped. */
     private Resources ending = Resources.NONE;
@@ -37,12 +37,12 @@
         }
     }
 
-    MachineRoom(Planner.Host host) {
+    MachineRoom(MachineSnapshot host) {
         this.host = host;
         this.free = host.size();
     }
 
-    Planner.Host host() {
+    MachineSnapshot host() {
         return host;
     }
 
--- a/src/main/java/org/dunespindle/coordination/PlanState.java
+++ b/src/main/java/org/dunespindle/scheduling/PlanState.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -28,14 +28,14 @@
     private static final double OTHER_FETCH = 1.5;
     private static final int MOST_OTHER_FETCHES = 2;
 
-    private final Planner.Snapshot snapshot;
+    private final ClusterSnapshot snapshot;
     private final List<MachineRoom> machines = new ArrayList<>();
     private final Map<String, MachineRoom> byId;
     private final TeamUse use;
-    private final List<Planner.Booking> bookings = new ArrayList<>();
-    private final List<Planner.Eviction> evictions = new ArrayList<>();
-    private final List<Planner.Eviction> moves = new ArrayList<>();
-    private final List<Planner.Shortfall> shortfalls = new ArrayList<>();
+    private final List<Binding> bookings = new ArrayList<>();
+    private final List<Eviction> evictions = new ArrayList<>();
+    private final List<Eviction> moves = new ArrayList<>();
+    private final List<Shortfall> shortfalls = new ArrayList<>();
     private final Map<String, String> reasons = new LinkedHashMap<>();
     private final Set<String> wanted = new HashSet<>();
     private final Set<String> gangHosts = new HashSet<>();
@@ -56,7 +56,7 @@
 
     /** Which machines a job may use. */
     private record Eligibility(boolean spot, Optional<String> zone, Optional<List<String>> types) {
-        boolean includes(Planner.Host host) {
+        boolean includes(MachineSnapshot host) {
             boolean kind = spot || !host.spot();
             boolean place = zone.isEmpty() || zone.get().equals(host.zone());
             return kind && place && (types.isEmpty() || types.get().contains(host.type()));
@@ -65,12 +65,12 @@
 
     private record ImageEligibility(Eligibility machines, String image) {}
 
-    PlanState(Planner.Snapshot snapshot) {
+    PlanState(ClusterSnapshot snapshot) {
         this.snapshot = snapshot;
         this.use = snapshot.projection().use();
         snapshot.ended().forEach(ended -> jobsWithEnded.add(ended.job()));
         byId = new HashMap<>(snapshot.hosts().size() * 2);
-        for (Planner.Host host : snapshot.hosts()) {
+        for (MachineSnapshot host : snapshot.hosts()) {
             var machine = new MachineRoom(host);
             machines.add(machine);
             byId.put(host.id(), machine);
@@ -102,7 +102,7 @@
 
     private boolean ended(JobRecord job, Allocation allocation) {
         return jobsWithEnded.contains(job.id())
-                && snapshot.ended().contains(new Planner.Ended(job.id(), allocation.task(), allocation.base()));
+                && snapshot.ended().contains(new TaskAttempt(job.id(), allocation.task(), allocation.base()));
     }
 
     /** A machine that the plan knows of. */
@@ -110,12 +110,12 @@
         return Optional.ofNullable(byId.get(id));
     }
 
-    Planner.Snapshot snapshot() {
+    ClusterSnapshot snapshot() {
         return snapshot;
     }
 
-    Planner.Plan plan() {
-        return new Planner.Plan(bookings, evictions, shortfalls, reasons, wanted, gangHosts, moves);
+    Plan plan() {
+        return new Plan(bookings, evictions, shortfalls, reasons, wanted, gangHosts, moves);
     }
 
     /** How many of a job's ended tasks make place in its record. */
@@ -187,22 +187,22 @@
 
     void book(JobRecord job, Map<Integer, String> places) {
         if (!places.isEmpty()) {
-            bookings.add(new Planner.Booking(job, places));
+            bookings.add(new Binding(job, places));
         }
     }
 
     void evict(MachineRoom.Victim victim, JobRecord forJob) {
-        evictions.add(new Planner.Eviction(victim.job(), victim.allocation(), forJob.id()));
+        evictions.add(new Eviction(victim.job(), victim.allocation(), forJob.id()));
     }
 
     /** Notes that a replica is to run elsewhere. */
     void move(MachineRoom.Victim replica) {
-        moves.add(new Planner.Eviction(
-                replica.job(), replica.allocation(), replica.job().id()));
+        moves.add(
+                new Eviction(replica.job(), replica.allocation(), replica.job().id()));
     }
 
     void lacks(JobRecord job, int tasks, Optional<String> zone) {
-        shortfalls.add(new Planner.Shortfall(job, tasks, zone));
+        shortfalls.add(new Shortfall(job, tasks, zone));
     }
 
     /** Notes why a job waits; what was noted first stands. */
@@ -274,7 +274,7 @@
 
     /** Up before booting, a fetched image before a cheap kind, cheap kinds before dear ones, few fetches before many, full before empty. */
     static double score(Submission job, MachineRoom machine) {
-        Planner.Host host = machine.host();
+        MachineSnapshot host = machine.host();
         Resources size = host.size();
         double fill = size.gpus() > 0
                 ? 1 - machine.free().gpus() / size.gpus()
@@ -298,7 +298,7 @@
     Map<String, Integer> zonesTaken(JobRecord job) {
         var taken = new HashMap<String, Integer>();
         for (Allocation allocation : job.allocations()) {
-            Planner.Place place = snapshot.whereabouts().get(allocation.host());
+            MachinePool place = snapshot.whereabouts().get(allocation.host());
             if (place != null) {
                 taken.merge(place.zone(), 1, Integer::sum);
             }
--- a/src/main/java/org/dunespindle/coordination/Planner.java
+++ b/src/main/java/org/dunespindle/scheduling/Planner.java
@@ -1,6 +1,5 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
-import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -10,11 +9,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import java.util.function.Function;
-import java.util.function.ToIntFunction;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
 /**
@@ -27,92 +23,8 @@
 
     private Planner() {}
 
-    /** A machine as the plan sees it. */
-    public record Host(
-            String id,
-            String type,
-            String zone,
-            boolean spot,
-            Resources size,
-            boolean up,
-            boolean mine,
-            Set<String> images) {}
-
-    /**
-     * Everything a plan depends on.
-     *
-     * @param projection the jobs, as stored and as expected
-     * @param mostTasks how many tasks of an array may be under way at once
-     * @param ended tasks whose end is reported but not stored yet: their room is free, their team's use is not
-     * @param leftAlone jobs that another controller is placing, or that wait for more: not booked here now
-     * @param gangs whether gangs are planned here
-     * @param departing machines that are about to be taken away, returned or closed
-     * @param progress how long tasks have been under way, as far as known here
-     */
-    public record Snapshot(
-            Instant now,
-            ProjectedJobs projection,
-            List<Host> hosts,
-            Map<String, Settings.Team> teams,
-            Map<String, Place> whereabouts,
-            Set<Market> refused,
-            ToIntFunction<JobRecord> mostTasks,
-            Set<Ended> ended,
-            Set<String> leftAlone,
-            boolean gangs,
-            Set<String> departing,
-            List<Headroom.Phantom> phantoms,
-            Targets targets,
-            Function<Started, Duration> progress) {
-        /** The jobs as this controller expects them to be. */
-        public List<JobRecord> jobs() {
-            return projection.expected();
-        }
-    }
-
-    /** An allocation whose task has ended. */
-    public record Ended(String job, int task, long base) {}
-
-    /** Tasks of a job that were booked together. */
-    public record Started(String job, long base) {}
-
-    /** Type, zone and kind, as the cloud rents them. */
-    public record Market(String type, String zone, boolean spot) {}
-
-    /** Type, zone and kind of a machine that holds allocations, whether or not it can take more. */
-    public record Place(String type, String zone, boolean spot) {}
-
-    /** Tasks of one job booked at once. */
-    public record Booking(JobRecord job, Map<Integer, String> places) {}
-
-    /** A task that should give way to a job. */
-    public record Eviction(JobRecord victim, Allocation allocation, String forJob) {}
-
-    /** Room that no machine offers, not even a booting one. */
-    public record Shortfall(JobRecord job, int tasks, Optional<String> zone) {}
-
-    /**
-     * The outcome.
-     *
-     * @param reasons why a job waits
-     * @param wantedHosts machines that something is planned on
-     * @param gangHosts those of them that gangs are planned on
-     * @param moves replicas that are to run elsewhere
-     */
-    public record Plan(
-            List<Booking> bookings,
-            List<Eviction> evictions,
-            List<Shortfall> shortfalls,
-            Map<String, String> reasons,
-            Set<String> wantedHosts,
-            Set<String> gangHosts,
-            List<Eviction> moves) {
-        public static final Plan NONE =
-                new Plan(List.of(), List.of(), List.of(), Map.of(), Set.of(), Set.of(), List.of());
-    }
-
     /** Works out a plan. */
-    public static Plan plan(Snapshot s) {
+    public static Plan plan(ClusterSnapshot s) {
         return new Work(s).run();
     }
 
@@ -134,7 +46,7 @@
     }
 
     /** How many of the same size fit into some room. */
-    static int fitCount(Resources one, Resources free, int most) {
+    public static int fitCount(Resources one, Resources free, int most) {
         int n = 0;
         while (n < most && one.times(n + 1).fitsIn(free)) {
             n++;
@@ -155,7 +67,7 @@
         private final List<JobRecord> alike = new ArrayList<>();
         private final List<JobRecord> queued = new ArrayList<>();
 
-        Work(Snapshot snapshot) {
+        Work(ClusterSnapshot snapshot) {
             state = new PlanState(snapshot);
             order = new JobOrder(snapshot);
             queues = new GangQueues(state);
--- a/src/main/java/org/dunespindle/coordination/PreemptionPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -104,7 +104,7 @@
     /** The work that stopping a task throws away: what it did since it started, or since it last saved. */
     private Duration lost(MachineRoom.Victim victim) {
         Submission job = victim.job().job();
-        var started = new Planner.Started(victim.job().id(), victim.allocation().base());
+        var started = new JobAttempt(victim.job().id(), victim.allocation().base());
         Duration done = state.snapshot().progress().apply(started);
         Duration kept = job.saves() ? job.checkpointEvery() : MOST_LOST;
         return done.compareTo(kept) > 0 ? kept : done;
--- a/src/main/java/org/dunespindle/coordination/ProjectedJobs.java
+++ b/src/main/java/org/dunespindle/scheduling/ProjectedJobs.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
     private final List<JobRecord> expected;
     private final List<ProjectedJob> overtaken;
 
-    ProjectedJobs(List<ProjectedJob> all) {
+    public ProjectedJobs(List<ProjectedJob> all) {
         this.all = all;
         this.expected = new ArrayList<>(all.size());
         this.overtaken = new ArrayList<>();
--- a/src/main/java/org/dunespindle/coordination/ReplicaMoves.java
+++ b/src/main/java/org/dunespindle/scheduling/ReplicaMoves.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import java.time.Duration;
 import java.util.HashSet;
@@ -81,7 +81,7 @@
     /** Whether an allocation is one of a few replicas that alone keep their machine, and has been for a while. */
     private boolean emptied(JobRecord record, Allocation allocation) {
         Optional<MachineRoom> machine = state.machine(allocation.host());
-        var started = new Planner.Started(record.id(), allocation.base());
+        var started = new JobAttempt(record.id(), allocation.base());
         return machine.isPresent()
                 && machine.get().onlyReplicas()
                 && machine.get().replicas() <= FEW_REPLICAS
--- a/src/main/java/org/dunespindle/coordination/Targets.java
+++ b/src/main/java/org/dunespindle/scheduling/Targets.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import java.time.Duration;
 import java.util.HashMap;
--- a/src/main/java/org/dunespindle/coordination/TeamLedger.java
+++ b/src/main/java/org/dunespindle/scheduling/TeamLedger.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -16,7 +16,7 @@
  * added unseen. Where that bound is too coarse for what is asked, the shares are closed first: from then on
  * every placement writes the record, so a view that reaches up to it shows the exact use.
  */
-final class TeamLedger {
+public final class TeamLedger {
     /** Stands for no limit; sums of it stay exact enough to compare. */
     private static final double NO_LIMIT = 1e12;
     /** Smaller shares would be used up at once, so the record is written with every placement instead. */
@@ -25,10 +25,10 @@
     private TeamLedger() {}
 
     /** A team's record. */
-    record Entry(Resources bound, Resources share) {
+    public record Entry(Resources bound, Resources share) {
         static final Entry NONE = new Entry(Resources.NONE, Resources.NONE);
 
-        static Entry parse(Optional<JsonNode> stored) {
+        public static Entry parse(Optional<JsonNode> stored) {
             return stored.map(n -> new Entry(
                             new Resources(
                                     n.path("cpus").asDouble(), n.path("gpus").asDouble(), 0),
@@ -39,7 +39,7 @@
                     .orElse(NONE);
         }
 
-        ObjectNode toNode() {
+        public ObjectNode toNode() {
             return MessagePackCodec.map()
                     .put("cpus", bound.cpus())
                     .put("gpus", bound.gpus())
@@ -53,7 +53,7 @@
     }
 
     /** How a placement may go ahead. */
-    sealed interface Way {
+    public sealed interface Way {
         /** Guarded by the record's stamp alone. */
         record Guard() implements Way {}
 
@@ -68,7 +68,7 @@
     }
 
     /** Why nothing may be placed now. */
-    enum WaitReason {
+    public enum WaitReason {
         VIEW_BEHIND_RECORD("what is known here does not reach up to its record"),
         LIMIT_REACHED("its limit is used up");
 
@@ -78,7 +78,7 @@
             this.text = text;
         }
 
-        String text() {
+        public String text() {
             return text;
         }
     }
@@ -93,7 +93,7 @@
      * @param upToDate whether the view reaches up to the record
      * @param use all allocations as stored, with what this controller has proposed beside them; never less than is stored at the record
      */
-    record View(
+    public record View(
             Settings.Team team,
             int names,
             Entry entry,
@@ -103,7 +103,7 @@
             boolean upToDate,
             Resources use) {}
 
-    static Way way(View v, Resources need) {
+    public static Way way(View v, Resources need) {
         if (v.entitled && !v.entry.closed() && within(v.spent.plus(need), v.entry.share)) {
             return new Way.Guard();
         }
--- a/src/main/java/org/dunespindle/coordination/TeamUse.java
+++ b/src/main/java/org/dunespindle/scheduling/TeamUse.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -38,12 +38,12 @@
     }
 
     /** Counts more tasks of a job. */
-    void add(Submission job, int tasks) {
+    public void add(Submission job, int tasks) {
         byTeam.merge(job.team(), job.perTask().times(tasks), Resources::plus);
     }
 
     /** Visits the teams that use anything. */
-    void forEach(BiConsumer<String, Resources> visitor) {
+    public void forEach(BiConsumer<String, Resources> visitor) {
         byTeam.forEach(visitor);
     }
 }
--- a/src/main/java/org/dunespindle/coordination/ZoneChooser.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -43,7 +43,7 @@
     /** The rules for a job of which one task leaves its place. */
     ZoneRules rulesWithout(JobRecord job, Allocation leaving) {
         Map<String, Integer> taken = state.zonesTaken(job);
-        Planner.Place place = state.snapshot().whereabouts().get(leaving.host());
+        MachinePool place = state.snapshot().whereabouts().get(leaving.host());
         if (place != null) {
             taken.computeIfPresent(place.zone(), (zone, count) -> count > 1 ? count - 1 : null);
         }
@@ -89,7 +89,7 @@
         int soon = Math.min(missing - now - freed, room.booting);
         double perImage = room.withImage >= missing ? IMAGE_FOR_ALL : IMAGE_FOR_SOME;
         double score = FREE_NOW * now + FREED * freed + soon + perImage * Math.min(missing, room.withImage);
-        for (Planner.Market market : state.snapshot().refused()) {
+        for (MachinePool market : state.snapshot().refused()) {
             if (market.zone().equals(zone) && !market.spot()) {
                 score -= REFUSED_TASK * (missing - now - freed - soon) + REFUSED;
             }
--- a/src/main/java/org/dunespindle/coordination/ZoneRules.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneRules.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -41,7 +41,7 @@
         return only;
     }
 
-    boolean allows(Planner.Host host) {
+    boolean allows(MachineSnapshot host) {
         boolean rightZone = only.isEmpty() || only.get().equals(host.zone());
         return rightZone && (mostPerZone == Integer.MAX_VALUE || taken.getOrDefault(host.zone(), 0) < mostPerZone);
     }
--- a/src/main/java/org/dunespindle/storage/AllocationIndex.java
+++ b/src/main/java/org/dunespindle/storage/AllocationIndex.java
@@ -10,7 +10,7 @@
 
 /** The allocations of all jobs by machine, kept as job records change. */
 final class AllocationIndex {
-    private final Map<String, List<Replica.Placed>> byHost = new HashMap<>();
+    private final Map<String, List<PlacedTask>> byHost = new HashMap<>();
     private final Consumer<String> touched;
 
     /**
@@ -28,7 +28,7 @@
     }
 
     /** The allocations on one machine. */
-    List<Replica.Placed> on(String host) {
+    List<PlacedTask> on(String host) {
         return byHost.getOrDefault(host, List.of());
     }
 
@@ -51,8 +51,8 @@
             }
         });
         now.forEach((host, allocations) -> {
-            List<Replica.Placed> list = byHost.computeIfAbsent(host, h -> new ArrayList<>(2));
-            allocations.forEach(allocation -> list.add(new Replica.Placed(after.get(), allocation)));
+            List<PlacedTask> list = byHost.computeIfAbsent(host, h -> new ArrayList<>(2));
+            allocations.forEach(allocation -> list.add(new PlacedTask(after.get(), allocation)));
             if (!allocations.equals(old.get(host))) {
                 touched.accept(host);
             }
--- a/src/main/java/org/dunespindle/storage/MeteredCaller.java
+++ b/src/main/java/org/dunespindle/storage/MeteredCaller.java
@@ -4,6 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
 import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.time.Timeline;
 import org.dunespindle.transport.Caller;
 import org.dunespindle.transport.HttpAnswer;
 
--- a/src/main/java/org/dunespindle/storage/RateBudget.java
+++ b/src/main/java/org/dunespindle/storage/RateBudget.java
@@ -2,6 +2,7 @@
 
 import java.time.Duration;
 import java.util.ArrayDeque;
+import org.dunespindle.time.Timeline;
 
 /**
  * This controller's share of a service's rate. Work waits its turn in order; urgent work (lease
--- a/src/main/java/org/dunespindle/storage/Replica.java
+++ b/src/main/java/org/dunespindle/storage/Replica.java
@@ -16,6 +16,7 @@
 import org.dunespindle.protocol.MalformedException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.StateMessages;
+import org.dunespindle.time.Timeline;
 import org.dunespindle.transport.AnswerTooLong;
 import org.dunespindle.transport.CallFailure;
 import org.dunespindle.transport.HttpAnswer;
@@ -77,9 +78,6 @@
     private boolean timerSet;
     private List<Waiter> waiting = new ArrayList<>();
 
-    /** An allocation with its job. */
-    public record Placed(JobRecord job, Allocation allocation) {}
-
     private record Own(Txn txn, long revision) {}
 
     private record Waiter(Runnable served, Runnable failed) {}
@@ -202,7 +200,7 @@
     }
 
     /** The allocations on one machine. */
-    public List<Placed> allocationsOn(String host) {
+    public List<PlacedTask> allocationsOn(String host) {
         return allocations.on(host);
     }
 
--- a/src/main/java/org/dunespindle/storage/StateClient.java
+++ b/src/main/java/org/dunespindle/storage/StateClient.java
@@ -10,6 +10,7 @@
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.StateMessages;
+import org.dunespindle.time.Timeline;
 import org.dunespindle.transport.CallFailure;
 import org.dunespindle.transport.Caller;
 import org.dunespindle.transport.HttpAnswer;
--- a/src/main/java/org/dunespindle/coordination/Durations.java
+++ b/src/main/java/org/dunespindle/time/Durations.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.time;
 
 import java.time.Duration;
 import java.util.Optional;
@@ -7,25 +7,25 @@
  * Arithmetic on times for what runs for every machine or job with every plan: the standard library multiplies and divides durations
  * as decimals, which costs more than the rest of such a comparison.
  */
-final class Durations {
+public final class Durations {
     private static final long LONGEST_MILLIS = Long.MAX_VALUE / 4;
 
     private Durations() {}
 
     /** A multiple, to the millisecond; huge ones are cut off. */
-    static Duration times(Duration duration, long factor) {
+    public static Duration times(Duration duration, long factor) {
         long millis = duration.toMillis();
         boolean fits = factor == 0 || Math.abs(millis) <= LONGEST_MILLIS / Math.abs(factor);
         return Duration.ofMillis(fits ? millis * factor : LONGEST_MILLIS);
     }
 
     /** A part, to the millisecond. */
-    static Duration part(Duration duration, long numerator, long denominator) {
+    public static Duration part(Duration duration, long numerator, long denominator) {
         return Duration.ofMillis(times(duration, numerator).toMillis() / denominator);
     }
 
     /** The later of two moments that may be unknown; the known one if only one is. */
-    static Optional<Duration> later(Optional<Duration> one, Optional<Duration> other) {
+    public static Optional<Duration> later(Optional<Duration> one, Optional<Duration> other) {
         if (one.isEmpty()) {
             return other;
         }
--- a/src/main/java/org/dunespindle/storage/Timeline.java
+++ b/src/main/java/org/dunespindle/time/Timeline.java
@@ -1,4 +1,4 @@
-package org.dunespindle.storage;
+package org.dunespindle.time;
 
 import java.time.Duration;
 import java.time.Instant;
--- a/src/main/java/org/dunespindle/coordination/CallSlots.java
+++ b/src/main/java/org/dunespindle/worker/CallSlots.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.worker;
 
 import java.util.LinkedHashSet;
 import java.util.function.Consumer;
--- a/src/main/java/org/dunespindle/coordination/Cancellations.java
+++ b/src/main/java/org/dunespindle/worker/Cancellations.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.worker;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,9 +9,9 @@
 import java.util.Set;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.PlacedTask;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Replica.Placed;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 
 /**
  * What this controller knows of cancellations, and how old that knowledge may be at most.
@@ -23,7 +23,7 @@
  * So what is known here is as old as the <em>oldest</em> of the last answers of all others, each counted from when it was
  * asked. One that does not answer may have confirmed anything since, so then age grows, whoever else answers.
  */
-final class Cancellations {
+public final class Cancellations {
     private final Replica replica;
     private final Timeline timeline;
     private final List<String> others;
@@ -32,7 +32,7 @@
     /** Jobs that others say are cancelled and that the copy here may still show as open. */
     private final Set<String> told = new HashSet<>();
 
-    Cancellations(Settings settings, Replica replica, Timeline timeline) {
+    public Cancellations(Settings settings, Replica replica, Timeline timeline) {
         this.replica = replica;
         this.timeline = timeline;
         this.others = settings.seeds().stream().map(Settings.Seed::name).toList();
@@ -44,7 +44,7 @@
      * @param asked when the question was sent: what it confirms later may be missing in the answer
      * @return the jobs that were not known here to be cancelled
      */
-    List<String> answered(String node, Duration asked, List<String> cancelled) {
+    public List<String> answered(String node, Duration asked, List<String> cancelled) {
         askedAt.merge(node, asked, (a, b) -> a.compareTo(b) > 0 ? a : b);
         var news = new ArrayList<String>();
         for (String id : cancelled) {
@@ -75,19 +75,19 @@
     }
 
     /** A machine's allocations as they stand with what others told: those of cancelled jobs are to end. */
-    List<Placed> marked(List<Placed> allocations) {
+    List<PlacedTask> marked(List<PlacedTask> allocations) {
         if (told.isEmpty()) {
             return allocations;
         }
         return allocations.stream()
                 .map(p -> p.job().open() && told.contains(p.job().id())
-                        ? new Placed(p.job().cancelled(), p.allocation())
+                        ? new PlacedTask(p.job().cancelled(), p.allocation())
                         : p)
                 .toList();
     }
 
     /** Forgets what the copy shows by itself. */
-    void prune() {
+    public void prune() {
         told.removeIf(id -> replica.job(id).filter(j -> !j.open()).isPresent());
     }
 }
--- a/src/main/java/org/dunespindle/coordination/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.worker;
 
 import java.time.Duration;
 import java.util.HashMap;
@@ -7,16 +7,23 @@
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.function.Predicate;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Sessions;
+import org.dunespindle.control.StallDetector;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.peer.Peers;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Durations;
+import org.dunespindle.time.Timeline;
 
 /**
  * Whether a machine that nobody hears may be given up. FailureDetector has many causes that are not the machine's: its zone is cut off, its
  * controller has lost its workers or cannot talk to the leader, it changed hands a moment ago, or this process did not listen.
  */
-final class FailureDetector {
+public final class FailureDetector {
     private static final int FEWEST_FOR_CUT = 4;
     private static final int MOST_SPARED = 3;
     private static final Duration ASKED_LATELY = Duration.ofSeconds(12);
@@ -45,7 +52,7 @@
 
     private record Command(long token, Duration since) {}
 
-    FailureDetector(
+    public FailureDetector(
             ControllerContext context,
             WorkerClient workerClient,
             Peers peers,
@@ -65,8 +72,8 @@
      * When any controller last had a sign of life from a machine that could not be an old copy. Of its own machines a controller expects
      * reports: without them their leases run out. Another's may report to their owner alone, so an answer is enough.
      */
-    Optional<Duration> heard(MachineRecord host) {
-        Optional<Sessions.Session> session = sessions.known(host.id());
+    public Optional<Duration> heard(MachineRecord host) {
+        Optional<WorkerState> session = sessions.known(host.id());
         Optional<Duration> here = Optional.empty();
         if (session.isPresent()) {
             here = membership.owns(host) ? session.get().heardAt : session.get().aliveAt();
@@ -75,14 +82,14 @@
     }
 
     /** Forgets everything: what was seen as an earlier leader says nothing. */
-    void reset() {
+    public void reset() {
         cutOff.clear();
         commands.clear();
         spared.clear();
         askedInVain.clear();
     }
 
-    void forget(String host) {
+    public void forget(String host) {
         commands.remove(host);
         spared.remove(host);
         askedInVain.remove(host);
@@ -93,7 +100,7 @@
      *
      * @param longUp whether a machine must have been up for long: one that this leader never heard is then as silent as others
      */
-    void look(Duration leadingSince, Predicate<MachineRecord> longUp) {
+    public void look(Duration leadingSince, Predicate<MachineRecord> longUp) {
         var all = new HashMap<String, Integer>();
         var silent = new HashMap<String, Integer>();
         Duration limit = Durations.times(settings.workers().report(), 2).plusSeconds(2);
@@ -122,7 +129,7 @@
     }
 
     /** How long a machine has been silent. Whoever takes one over has not heard it yet, and what its earlier owner told last may be minutes old. */
-    Duration of(MachineRecord h, Duration leadingSince) {
+    public Duration of(MachineRecord h, Duration leadingSince) {
         Duration now = timeline.now();
         Command command = commands.get(h.id());
         if (command == null || command.token != h.token()) {
@@ -137,7 +144,7 @@
     }
 
     /** Whether a machine silent for so long is given up. */
-    boolean proven(MachineRecord h, Duration silent, Duration most) {
+    public boolean proven(MachineRecord h, Duration silent, Duration most) {
         Duration now = timeline.now();
         boolean ownerTalks = membership.owns(h) || peers.heartbeat(h.owner()).isPresent();
         Duration limit = most.plus(ownerTalks ? Duration.ZERO : OWNER_MUTE);
@@ -154,7 +161,7 @@
      * What runs there goes on as long as a controller in it may answer the workers, and their leases after that;
      * replacing it all earlier would only lose the work.
      */
-    boolean spares(MachineRecord h, Duration silent) {
+    public boolean spares(MachineRecord h, Duration silent) {
         var w = settings.workers();
         Duration patience = w.cancel().compareTo(w.lease()) > 0
                 ? w.cancel().plus(w.lease().dividedBy(2))
@@ -167,7 +174,7 @@
      * this controller, or may not reach the machine; then others will be found to command it. One that answers again and again but
      * whose reports reach nobody is of no use. While the answer is out, it may.
      */
-    boolean answersWhenAsked(MachineRecord h) {
+    public boolean answersWhenAsked(MachineRecord h) {
         Duration now = timeline.now();
         Duration vain = askedInVain.get(h.id());
         if (vain != null && now.minus(vain).compareTo(ASKED_LATELY) < 0
--- a/src/main/java/org/dunespindle/coordination/HeartbeatHandler.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.worker;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
@@ -9,6 +9,14 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.Decisions;
+import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Reconciler;
+import org.dunespindle.control.Sessions;
+import org.dunespindle.control.WorkerState;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.WorkerCommand;
@@ -16,8 +24,9 @@
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.TxnResult;
+import org.dunespindle.time.Durations;
+import org.dunespindle.time.Timeline;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -54,7 +63,7 @@
 
     private long reports;
 
-    HeartbeatHandler(
+    public HeartbeatHandler(
             ControllerContext context,
             MachineWriter machineWriter,
             WorkerClient workerClient,
@@ -80,14 +89,14 @@
     }
 
     /** Reports answered so far. */
-    long reports() {
+    public long reports() {
         return reports;
     }
 
     /** Answers a report: status and body. */
     public void report(WorkerReport r, BiConsumer<Integer, ObjectNode> answer) {
         reports++;
-        Sessions.Session session = sessions.of(r.host());
+        WorkerState session = sessions.of(r.host());
         Optional<WorkerReport> before = session.report;
         Duration now = timeline.now();
         boolean wasSilent = workerClient.silent(session);
@@ -175,7 +184,7 @@
     private void answerOwned(
             WorkerReport r,
             MachineRecord record,
-            Sessions.Session session,
+            WorkerState session,
             boolean newer,
             BiConsumer<Integer, ObjectNode> answer) {
         if (!accepts(r, record)) {
@@ -213,7 +222,7 @@
      * away everywhere: it is better kept alive than left to die, as long as no cancellation can have been missed.
      */
     private void answerCutOff(
-            WorkerReport r, MachineRecord record, Sessions.Session session, BiConsumer<Integer, ObjectNode> answer) {
+            WorkerReport r, MachineRecord record, WorkerState session, BiConsumer<Integer, ObjectNode> answer) {
         Duration now = timeline.now();
         boolean ours = record != null && membership.owns(record) && accepts(r, record);
         Optional<Duration> away = session.turnedAwayAt.map(now::minus).filter(d -> d.compareTo(TURNED_AWAY_MEMORY) < 0);
@@ -231,7 +240,7 @@
     /** In a cut between zones only the own zone's workers are heard, and nobody else can answer them. */
     private boolean hearsOtherZones() {
         Duration recent = Durations.times(settings.workers().report(), 2).plusSeconds(1);
-        for (Sessions.Session s : sessions.all().values()) {
+        for (WorkerState s : sessions.all().values()) {
             if (s.heardAt.isPresent()
                     && timeline.now().minus(s.heardAt.get()).compareTo(recent) < 0
                     && s.report.filter(x -> !x.zone().equals(settings.zone())).isPresent()) {
@@ -242,8 +251,7 @@
     }
 
     /** A machine that no record names. Its report may be a late copy and the machine long gone, so it is asked itself first. */
-    private void unknown(
-            WorkerReport r, Sessions.Session session, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
+    private void unknown(WorkerReport r, WorkerState session, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
         Optional<String> owner = membership.hashed(r.host());
         if (!membership.joined() || owner.isEmpty()) {
             answer.accept(503, error("not a member yet"));
@@ -271,7 +279,7 @@
                         false,
                         "");
                 decisions.tell(LOG, "machine {} reported without having been rented by us; taken up", r.host());
-                machineWriter.change(Committer.Lane.PLACING, record, answerAfter(r, answer));
+                machineWriter.change(CommitPriority.PLACING, record, answerAfter(r, answer));
             });
         }
     }
@@ -295,7 +303,7 @@
     private void stray(
             WorkerReport r,
             MachineRecord record,
-            Sessions.Session session,
+            WorkerState session,
             boolean newer,
             BiConsumer<Integer, ObjectNode> answer) {
         Duration now = timeline.now();
--- a/src/main/java/org/dunespindle/coordination/WorkerClient.java
+++ b/src/main/java/org/dunespindle/worker/WorkerClient.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.worker;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -9,6 +9,17 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.Decisions;
+import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Reconciler;
+import org.dunespindle.control.ReconciliationResult;
+import org.dunespindle.control.Sessions;
+import org.dunespindle.control.StallDetector;
+import org.dunespindle.control.TaskTermination;
+import org.dunespindle.control.WorkerState;
 import org.dunespindle.protocol.ExitCause;
 import org.dunespindle.protocol.MalformedException;
 import org.dunespindle.protocol.MessagePackCodec;
@@ -18,9 +29,11 @@
 import org.dunespindle.protocol.WorkerReport;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.PlacedTask;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
 import org.dunespindle.storage.TxnResult;
+import org.dunespindle.time.Durations;
+import org.dunespindle.time.Timeline;
 import org.dunespindle.transport.CallFailure;
 import org.dunespindle.transport.Caller;
 import org.slf4j.Logger;
@@ -63,7 +76,7 @@
     private final CallSlots slots;
 
     /** Creates a client for the workers' direct commands. */
-    WorkerClient(
+    public WorkerClient(
             ControllerContext context,
             MachineWriter machineWriter,
             Caller http,
@@ -146,7 +159,7 @@
     }
 
     /** Looks at the machines of jobs that others say are cancelled. */
-    void cancelledElsewhere(List<String> jobs) {
+    public void cancelledElsewhere(List<String> jobs) {
         jobs.forEach(id -> replica.job(id).ifPresent(j -> j.allocations().forEach(c -> due.add(c.host()))));
         if (!jobs.isEmpty()) {
             changed.run();
@@ -154,11 +167,11 @@
     }
 
     /** Asks a worker itself: only an answer shows that it is there, and that commands from here reach it. */
-    void verify(WorkerReport r, Sessions.Session session, Consumer<Boolean> then) {
+    void verify(WorkerReport r, WorkerState session, Consumer<Boolean> then) {
         verify(r.host(), r.address(), session, then);
     }
 
-    private void verify(String host, String address, Sessions.Session session, Consumer<Boolean> then) {
+    private void verify(String host, String address, WorkerState session, Consumer<Boolean> then) {
         if (slots.full()) {
             then.accept(false);
             return;
@@ -175,7 +188,7 @@
 
     /** Asks a machine itself whether it is there; false if it cannot be asked now. */
     boolean ask(MachineRecord record, String address, Consumer<Boolean> then) {
-        Sessions.Session s = sessions.of(record.id());
+        WorkerState s = sessions.of(record.id());
         if (address.isEmpty() || s.verifying || slots.full()) {
             return false;
         }
@@ -196,7 +209,7 @@
                 .flatMap(s -> s.report)
                 .map(WorkerReport::token)
                 .orElse(0L);
-        machineWriter.change(Committer.Lane.PLACING, mine.above(seen), then);
+        machineWriter.change(CommitPriority.PLACING, mine.above(seen), then);
     }
 
     /** Where a machine is reached, as far as known here. */
@@ -214,7 +227,7 @@
 
     /** A worker under our token whose last report stands and whom commands reach: its machine can take tasks. */
     public boolean ready(MachineRecord record) {
-        Optional<Sessions.Session> s = sessions.known(record.id());
+        Optional<WorkerState> s = sessions.known(record.id());
         return s.isPresent()
                 && inCommand(record)
                 && !record.leaving()
@@ -242,7 +255,7 @@
 
     private void attendNow(String host) {
         MachineRecord record = replica.hosts().get(host);
-        Optional<Sessions.Session> known = sessions.known(host);
+        Optional<WorkerState> known = sessions.known(host);
         if (record == null || !membership.owns(record)) {
             known.ifPresent(s -> events(host, s, List.of()));
             return;
@@ -251,7 +264,7 @@
             due.add(host); // until everything up to the record that made this controller the owner is read
             return;
         }
-        Sessions.Session s = sessions.of(host);
+        WorkerState s = sessions.of(host);
         if (s.calling) {
             return; // the answer brings it back
         }
@@ -261,7 +274,7 @@
         if (s.report.isPresent() && s.report.get().token() > record.token()) {
             if (!machineWriter.busy(host)) {
                 machineWriter.change(
-                        Committer.Lane.PLACING,
+                        CommitPriority.PLACING,
                         record.fenced().above(s.report.get().token()),
                         r -> due.add(host));
             }
@@ -274,12 +287,12 @@
     }
 
     /** A machine's allocations, with those marked that are to end though their record does not say so. */
-    List<Replica.Placed> allocations(String host) {
+    List<PlacedTask> allocations(String host) {
         return preemptions.marked(host, cancellations.marked(replica.allocationsOn(host)));
     }
 
     /** Whether nothing of any kind has come from a machine for longer than reports take. */
-    boolean silent(Sessions.Session s) {
+    boolean silent(WorkerState s) {
         return olderThan(s.aliveAt(), LATE_REPORT);
     }
 
@@ -287,7 +300,7 @@
      * Whether a machine's reports no longer arrive, though it may answer when it is asked: then its lease is running out. A worker whose
      * controller does not answer, or that was taken over, needs some seconds to find the next one.
      */
-    boolean mute(Sessions.Session s) {
+    public boolean mute(WorkerState s) {
         return olderThan(s.heardAt, NEXT_CONTROLLER);
     }
 
@@ -296,9 +309,9 @@
         return sign.isEmpty() || stalls.silence(sign.get()).compareTo(limit) >= 0;
     }
 
-    private void conclude(MachineRecord record, Sessions.Session s) {
+    private void conclude(MachineRecord record, WorkerState s) {
         WorkerReport report = s.report.get();
-        Reconciler.Verdict v = Reconciler.judge(allocations(record.id()), report);
+        ReconciliationResult v = Reconciler.judge(allocations(record.id()), report);
         report.tasks().forEach(t -> {
             if (t.phase() == TaskPhase.RUNNING || t.phase() == TaskPhase.ASSEMBLING) {
                 replica.job(t.task().job()).flatMap(j -> j.spec()).ifPresent(spec -> s.fetched(spec.image()));
@@ -332,7 +345,7 @@
         }
     }
 
-    private void events(String host, Sessions.Session s, List<Reconciler.Event> events) {
+    private void events(String host, WorkerState s, List<TaskTermination> events) {
         if (s.events.isEmpty() && events.isEmpty()) {
             return;
         }
@@ -354,7 +367,7 @@
      * A worker that has forgotten an attempt would start it again on a late copy of the command. So one that ended without
      * being done is kept in its reports until a higher token has voided all copies; when several are, the token is raised.
      */
-    List<WorkerCommand> keepExits(MachineRecord record, Sessions.Session s, List<WorkerCommand> commands) {
+    List<WorkerCommand> keepExits(MachineRecord record, WorkerState s, List<WorkerCommand> commands) {
         if (s.starts.isEmpty() || s.startsToken != record.token() || commands.isEmpty()) {
             return commands;
         }
@@ -376,7 +389,7 @@
             }
         }
         if (held > MOST_KEPT_EXITS && !machineWriter.busy(record.id())) {
-            machineWriter.change(Committer.Lane.MAINTENANCE, record.fenced(), r -> {});
+            machineWriter.change(CommitPriority.MAINTENANCE, record.fenced(), r -> {});
         }
         return kept;
     }
@@ -385,14 +398,14 @@
      * A start that went unanswered may still land: a higher token, once the worker has seen it, rules that out. A machine
      * that stays silent needs none: it is returned.
      */
-    private boolean fenced(MachineRecord record, Sessions.Session s) {
+    private boolean fenced(MachineRecord record, WorkerState s) {
         if (record.token() > s.unansweredUnder.get()) {
             s.unansweredUnder = Optional.empty();
             return true;
         }
         if (s.aliveAt().filter(t -> t.compareTo(s.unansweredAt) > 0).isPresent()) {
             if (!machineWriter.busy(record.id())) {
-                machineWriter.change(Committer.Lane.PLACING, record.fenced(), r -> due.add(record.id()));
+                machineWriter.change(CommitPriority.PLACING, record.fenced(), r -> due.add(record.id()));
             }
         } else {
             call(record, s, List.of());
@@ -400,7 +413,7 @@
         return false;
     }
 
-    private void call(MachineRecord record, Sessions.Session s, List<WorkerCommand> commands) {
+    private void call(MachineRecord record, WorkerState s, List<WorkerCommand> commands) {
         String address = address(record);
         if (address.isEmpty() || timeline.now().compareTo(s.callAgainAt) < 0) {
             return; // a timer brings it back
@@ -454,14 +467,14 @@
                 });
     }
 
-    private void unanswered(MachineRecord record, Sessions.Session s, long token) {
+    private void unanswered(MachineRecord record, WorkerState s, long token) {
         s.unansweredUnder = Optional.of(token);
         s.unansweredAt = timeline.now();
         decisions.tell(
                 LOG, "machine {} did not answer a start; it is fenced before anything is concluded", record.id());
     }
 
-    private void pause(String host, Sessions.Session s, Duration pause) {
+    private void pause(String host, WorkerState s, Duration pause) {
         s.callAgainAt = timeline.now().plus(pause);
         if (pause.isZero()) {
             due.add(host);
@@ -474,7 +487,7 @@
         }
     }
 
-    private boolean answered(String host, Sessions.Session s, byte[] body) {
+    private boolean answered(String host, WorkerState s, byte[] body) {
         try {
             WorkerReport r = WorkerReport.parse(MessagePackCodec.read(body));
             if (r.host().equals(host)) {
--- a/src/main/java/org/dunespindle/coordination/WorkerConnectivity.java
+++ b/src/main/java/org/dunespindle/worker/WorkerConnectivity.java
@@ -1,14 +1,21 @@
-package org.dunespindle.coordination;
+package org.dunespindle.worker;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Optional;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.Decisions;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Sessions;
+import org.dunespindle.control.StallDetector;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.peer.Peers;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,7 +24,7 @@
  * steps aside, before its workers' leases end: the others take its machines, and the lead, as after a crash. Left
  * in place it would hold machines that it cannot command, and take them for dead.
  */
-final class WorkerConnectivity {
+public final class WorkerConnectivity {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerConnectivity.class);
     private static final Duration LATENESS = Duration.ofMillis(800);
     private static final Duration VIEW = Duration.ofSeconds(3);
@@ -40,7 +47,7 @@
     private Optional<Duration> awaySince = Optional.empty();
     private Duration askAgainAt = Duration.ZERO;
 
-    WorkerConnectivity(ControllerContext context, WorkerClient workerClient, Peers peers) {
+    public WorkerConnectivity(ControllerContext context, WorkerClient workerClient, Peers peers) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
@@ -54,7 +61,7 @@
     }
 
     /** Called about twice a second. */
-    void tick() {
+    public void tick() {
         Duration now = timeline.now();
         if (now.compareTo(askAgainAt) < 0) {
             return;
@@ -86,8 +93,7 @@
         var silent = new ArrayList<MachineRecord>();
         int all = 0;
         for (MachineRecord h : replica.hosts().values()) {
-            Optional<Sessions.Session> s =
-                    membership.owns(h) && !h.leaving() ? sessions.known(h.id()) : Optional.empty();
+            Optional<WorkerState> s = membership.owns(h) && !h.leaving() ? sessions.known(h.id()) : Optional.empty();
             if (s.isPresent()
                     && s.get().heardAt.isPresent()
                     && s.get().report.filter(r -> r.token() == h.token()).isPresent()) {
--- /dev/null
+++ b/src/main/java/org/dunespindle/worker/package-info.java
@@ -0,0 +1,2 @@
+/** Dealings with the workers on machines: heartbeats, direct commands, failure detection. */
+package org.dunespindle.worker;
--- a/src/test/java/org/dunespindle/FeaturesTest.java
+++ b/src/test/java/org/dunespindle/FeaturesTest.java
@@ -116,7 +116,7 @@
                     .getConstructor(settings)
                     .newInstance(parsed);
             daemon.close();
-            assertTrue(loader.loaded("org.dunespindle.coordination.Controller"), "the check looks at the right loader");
+            assertTrue(loader.loaded("org.dunespindle.controller.Controller"), "the check looks at the right loader");
             for (String name : feature) {
                 assertFalse(loader.loaded(name), name);
                 loader.loadClass(name); // it exists: the name above is not misspelt
--- a/src/test/java/org/dunespindle/coordination/CommitterTest.java
+++ b/src/test/java/org/dunespindle/control/CommitterTest.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -91,7 +91,7 @@
         for (int i = 0; i < 60; i++) {
             String key = "ds/x/" + (i % 10 == 5 ? "stale" : "good") + i;
             committer.propose(
-                    Committer.Lane.PLACING,
+                    CommitPriority.PLACING,
                     new Txn().guard(key, 0).write(key, MessagePackCodec.map().put("n", i)),
                     r -> results.put(key, r));
         }
@@ -113,7 +113,7 @@
         for (int i = 0; i < 30; i++) {
             String key = "ds/x/" + (i % 10 == 5 ? "refused" : "good") + i;
             committer.propose(
-                    Committer.Lane.PLACING,
+                    CommitPriority.PLACING,
                     new Txn().guard(key, 0).write(key, MessagePackCodec.map().put("n", i)),
                     r -> results.put(key, r));
         }
