--- a/src/test/java/org/dunespindle/coordination/ReconcilerTest.java
+++ b/src/test/java/org/dunespindle/control/ReconcilerTest.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,6 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
+import org.dunespindle.job.JobChanges;
 import org.dunespindle.protocol.ExitCause;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
@@ -20,7 +21,7 @@
 import org.dunespindle.protocol.WorkerCommand;
 import org.dunespindle.protocol.WorkerReport;
 import org.dunespindle.storage.JobRecord;
-import org.dunespindle.storage.Replica.Placed;
+import org.dunespindle.storage.PlacedTask;
 import org.junit.jupiter.api.Test;
 
 /** What is ordered and concluded from a report that is proof. */
@@ -55,10 +56,10 @@
         return job(Shape.GANG, 2, Duration.ZERO).placed(new TreeMap<>(Map.of(0, "h", 1, "k")));
     }
 
-    private static Reconciler.Verdict judge(JobRecord j, TaskStatus... tasks) {
-        List<Placed> allocations = j.allocations().stream()
+    private static ReconciliationResult judge(JobRecord j, TaskStatus... tasks) {
+        List<PlacedTask> allocations = j.allocations().stream()
                 .filter(c -> c.host().equals("h"))
-                .map(c -> new Placed(j, c))
+                .map(c -> new PlacedTask(j, c))
                 .toList();
         return Reconciler.judge(
                 allocations, new WorkerReport("h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(tasks)));
@@ -92,7 +93,7 @@
     void aPlaceholderThatWaitedInVainIsBookedAgain() {
         JobRecord j = held();
         var events = judge(j, exited(placeholder(j), ExitCause.INCOMPLETE)).events();
-        assertEquals(Reconciler.Fate.WAITED_IN_VAIN, events.get(0).fate());
+        assertEquals(TerminationCause.WAITED_IN_VAIN, events.get(0).fate());
         JobRecord after = JobChanges.apply(j, events, Instant.EPOCH);
         assertEquals(2, after.allocations().size());
         assertTrue(placeholder(after) > placeholder(j));
@@ -118,7 +119,7 @@
         assertEquals(
                 List.of(new WorkerCommand.Halt(FIRST, placeholder(j), Duration.ZERO)),
                 judge(j, status(placeholder(j), TaskPhase.SAVING)).commands());
-        assertEquals(Reconciler.Fate.GONE, judge(j).events().get(0).fate());
+        assertEquals(TerminationCause.GONE, judge(j).events().get(0).fate());
     }
 
     @Test
@@ -169,8 +170,8 @@
             j = j.placed(new TreeMap<>(Map.of(0, "h")));
             j = JobChanges.apply(
                     j,
-                    List.of(new Reconciler.Event(
-                            j.id(), 0, j.allocation(0).orElseThrow().base(), Reconciler.Fate.ERROR, "error")),
+                    List.of(new TaskTermination(
+                            j.id(), 0, j.allocation(0).orElseThrow().base(), TerminationCause.ERROR, "error")),
                     Instant.EPOCH);
         }
         assertTrue(j.notBefore().orElseThrow().isAfter(Instant.EPOCH.plusSeconds(4)));
--- a/src/test/java/org/dunespindle/federation/AdmissionTest.java
+++ b/src/test/java/org/dunespindle/federation/AdmissionTest.java
@@ -9,15 +9,19 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.dunespindle.coordination.Planner;
-import org.dunespindle.coordination.ProjectedJobs;
-import org.dunespindle.coordination.Targets;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Shape;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.scheduling.ClusterSnapshot;
+import org.dunespindle.scheduling.MachinePool;
+import org.dunespindle.scheduling.MachineSnapshot;
+import org.dunespindle.scheduling.Plan;
+import org.dunespindle.scheduling.Planner;
+import org.dunespindle.scheduling.ProjectedJobs;
+import org.dunespindle.scheduling.Targets;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Visit;
 import org.junit.jupiter.api.Test;
@@ -27,20 +31,19 @@
     private static final Resources SIZE = new Resources(4, 4, 4);
     private static final MachineType BOX =
             new MachineType("box", SIZE, 50, 1, 10, 4, Duration.ofSeconds(30), List.of("east", "west"));
-    private static final Set<Planner.Market> ALL_REFUSED = Set.of(
-            new Planner.Market("box", "east", false),
-            new Planner.Market("box", "east", true),
-            new Planner.Market("box", "west", false),
-            new Planner.Market("box", "west", true));
-
-    private static Planner.Host host(String id, String zone) {
-        return new Planner.Host(id, "box", zone, false, SIZE, true, true, Set.of());
+    private static final Set<MachinePool> ALL_REFUSED = Set.of(
+            new MachinePool("box", "east", false),
+            new MachinePool("box", "east", true),
+            new MachinePool("box", "west", false),
+            new MachinePool("box", "west", true));
+
+    private static MachineSnapshot host(String id, String zone) {
+        return new MachineSnapshot(id, "box", zone, false, SIZE, true, true, Set.of());
     }
 
-    private static Planner.Snapshot snapshot(
-            Instant now, List<JobRecord> jobs, Set<Planner.Market> refused, double limit) {
+    private static ClusterSnapshot snapshot(Instant now, List<JobRecord> jobs, Set<MachinePool> refused, double limit) {
         var red = new Settings.Team("red", 0, Double.POSITIVE_INFINITY, 4, limit);
-        return new Planner.Snapshot(
+        return new ClusterSnapshot(
                 now,
                 ProjectedJobs.ofStored(jobs),
                 List.of(host("i-1", "east"), host("i-2", "west")),
@@ -57,8 +60,8 @@
                 started -> Duration.ZERO);
     }
 
-    private static RoomSurvey survey(List<JobRecord> jobs, Set<Planner.Market> refused) {
-        Planner.Snapshot snapshot = snapshot(Instant.EPOCH, jobs, refused, 10);
+    private static RoomSurvey survey(List<JobRecord> jobs, Set<MachinePool> refused) {
+        ClusterSnapshot snapshot = snapshot(Instant.EPOCH, jobs, refused, 10);
         return new RoomSurvey(snapshot, Planner.plan(snapshot), List.of(BOX));
     }
 
@@ -156,7 +159,7 @@
     }
 
     private static List<String> placed(List<JobRecord> jobs) {
-        Planner.Plan plan = Planner.plan(snapshot(Instant.EPOCH.plusSeconds(70), jobs, ALL_REFUSED, 100));
+        Plan plan = Planner.plan(snapshot(Instant.EPOCH.plusSeconds(70), jobs, ALL_REFUSED, 100));
         assertTrue(plan.bookings().size() <= 1);
         return plan.bookings().stream().map(booking -> booking.job().id()).toList();
     }
--- a/src/test/java/org/dunespindle/coordination/PlacementsTest.java
+++ b/src/test/java/org/dunespindle/job/PlacementsTest.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.job;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,6 +13,8 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.dunespindle.control.TaskTermination;
+import org.dunespindle.control.TerminationCause;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
@@ -95,19 +97,19 @@
             places.put(i, "i-%05d".formatted(i / 8));
         }
         JobRecord j = array(random.nextBoolean() ? places.size() : 100).placed(places);
-        var events = new ArrayList<Reconciler.Event>();
+        var events = new ArrayList<TaskTermination>();
         for (Allocation c : j.allocations()) {
             if (random.nextInt(3) > 0) {
-                events.add(new Reconciler.Event(
+                events.add(new TaskTermination(
                         j.id(),
                         c.task(),
                         random.nextInt(8) == 0 ? 99 : c.base(),
-                        List.of(Reconciler.Fate.DONE, Reconciler.Fate.GONE).get(random.nextInt(2)),
+                        List.of(TerminationCause.DONE, TerminationCause.GONE).get(random.nextInt(2)),
                         "ended"));
             }
         }
         JobRecord one = j;
-        for (Reconciler.Event e : events) {
+        for (TaskTermination e : events) {
             one = JobChanges.apply(one, List.of(e), Instant.EPOCH);
         }
         assertEquals(one.toNode(), JobChanges.apply(j, events, Instant.EPOCH).toNode());
--- /dev/null
+++ b/src/test/java/org/dunespindle/job/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of placements. */
+package org.dunespindle.job;
--- /dev/null
+++ b/src/test/java/org/dunespindle/machine/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the machine fleet. */
+package org.dunespindle.machine;
--- a/src/test/java/org/dunespindle/coordination/PeersTest.java
+++ b/src/test/java/org/dunespindle/peer/PeersTest.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.peer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,6 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.dunespindle.TestSettings;
+import org.dunespindle.api.Admin;
 import org.dunespindle.protocol.MalformedException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
@@ -68,7 +69,7 @@
                     .add("a:1")
                     .add("image");
         }
-        return peers.hear(Admin.write(n), Duration.ZERO, new Peers.Need(0, 0));
+        return peers.hear(Admin.write(n), Duration.ZERO, new WriteDemand(0, 0));
     }
 
     @Test
@@ -106,7 +107,7 @@
     @Test
     void unreadableWordsCountAsNone() {
         for (String s : List.of("", "nonsense", "[]", "{\"node\":3}")) {
-            peers.hear(s.getBytes(java.nio.charset.StandardCharsets.UTF_8), Duration.ZERO, new Peers.Need(0, 0));
+            peers.hear(s.getBytes(java.nio.charset.StandardCharsets.UTF_8), Duration.ZERO, new WriteDemand(0, 0));
         }
         assertEquals(Set.of(), Set.copyOf(peers.fresh()));
     }
--- /dev/null
+++ b/src/test/java/org/dunespindle/peer/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of heartbeats between controllers. */
+package org.dunespindle.peer;
--- a/src/test/java/org/dunespindle/coordination/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -67,19 +67,19 @@
                 Instant.ofEpochSecond(id));
     }
 
-    private static Planner.Host host(String id, String zone, boolean spot, int gpus) {
-        return new Planner.Host(id, "m", zone, spot, new Resources(8, gpus, 8), true, true, Set.of());
+    private static MachineSnapshot host(String id, String zone, boolean spot, int gpus) {
+        return new MachineSnapshot(id, "m", zone, spot, new Resources(8, gpus, 8), true, true, Set.of());
     }
 
-    private static Planner.Plan plan(List<JobRecord> jobs, List<Planner.Host> hosts) {
-        var places = new HashMap<String, Planner.Place>();
-        hosts.forEach(h -> places.put(h.id(), new Planner.Place(h.type(), h.zone(), h.spot())));
+    private static Plan plan(List<JobRecord> jobs, List<MachineSnapshot> hosts) {
+        var places = new HashMap<String, MachinePool>();
+        hosts.forEach(h -> places.put(h.id(), new MachinePool(h.type(), h.zone(), h.spot())));
         return Planner.plan(snapshot(ProjectedJobs.ofStored(jobs), hosts, places));
     }
 
-    private static Planner.Snapshot snapshot(
-            ProjectedJobs jobs, List<Planner.Host> hosts, Map<String, Planner.Place> places) {
-        return new Planner.Snapshot(
+    private static ClusterSnapshot snapshot(
+            ProjectedJobs jobs, List<MachineSnapshot> hosts, Map<String, MachinePool> places) {
+        return new ClusterSnapshot(
                 Instant.ofEpochSecond(1000),
                 jobs,
                 hosts,
@@ -110,13 +110,13 @@
                     1 + random.nextInt(5),
                     new Where(sameZone, !sameZone && random.nextBoolean(), random.nextBoolean())));
         }
-        var hosts = new ArrayList<Planner.Host>();
+        var hosts = new ArrayList<MachineSnapshot>();
         for (int i = 0; i < 5; i++) {
             hosts.add(
                     host("h" + i, random.nextBoolean() ? "east" : "west", random.nextBoolean(), 1 + random.nextInt(3)));
         }
         for (int round = 0; round < 4; round++) {
-            Planner.Plan plan = plan(jobs, hosts);
+            Plan plan = plan(jobs, hosts);
             var byId = new LinkedHashMap<String, JobRecord>();
             jobs.forEach(j -> byId.put(j.id(), j));
             plan.bookings().forEach(b -> byId.put(b.job().id(), b.job().placed(b.places())));
@@ -130,7 +130,7 @@
         }
     }
 
-    private static void check(List<JobRecord> jobs, List<Planner.Host> hosts) {
+    private static void check(List<JobRecord> jobs, List<MachineSnapshot> hosts) {
         ProjectedJobs.ofStored(jobs)
                 .use()
                 .forEach((team, use) -> assertTrue(TEAMS.get(team).withinLimit(use), team + " uses " + use));
@@ -138,7 +138,7 @@
         for (JobRecord j : jobs) {
             var zones = new HashMap<String, Integer>();
             j.allocations().forEach(c -> {
-                Planner.Host h = hosts.stream()
+                MachineSnapshot h = hosts.stream()
                         .filter(x -> x.id().equals(c.host()))
                         .findFirst()
                         .orElseThrow();
@@ -160,7 +160,7 @@
     void noPlaceholderBeforeTheLimitCoversTheWholeGang() {
         JobRecord running = job(1, "red", Shape.ARRAY, Priority.URGENT, 3, ANYWHERE);
         running = running.placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
-        Planner.Plan plan = plan(
+        Plan plan = plan(
                 List.of(running, job(2, "red", Shape.GANG, Priority.URGENT, 4, ANYWHERE)),
                 List.of(host("a", "east", false, 8)));
         assertEquals(List.of(), plan.bookings());
@@ -169,7 +169,7 @@
 
     @Test
     void oneGangPerTeamIsInPlacementAndOthersGoOn() {
-        Planner.Plan plan = plan(
+        Plan plan = plan(
                 List.of(
                         job(1, "blue", Shape.GANG, Priority.NORMAL, 4, ANYWHERE),
                         job(2, "blue", Shape.GANG, Priority.URGENT, 2, ANYWHERE),
@@ -186,7 +186,7 @@
     void aFullyBookedGangAndGangsOfOneDoNotHoldUpTheQueue() {
         JobRecord booked =
                 job(1, "blue", Shape.GANG, Priority.URGENT, 2, ANYWHERE).placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
-        Planner.Plan plan = plan(
+        Plan plan = plan(
                 List.of(
                         booked,
                         job(2, "blue", Shape.GANG, Priority.URGENT, 2, ANYWHERE),
@@ -203,7 +203,7 @@
                 .placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "b", 3, "b")));
         var hosts = List.of(host("a", "east", false, 2), host("b", "east", false, 2));
         JobRecord gang = job(2, "red", Shape.GANG, Priority.URGENT, 1, ANYWHERE);
-        Planner.Plan plan = plan(List.of(low, gang), hosts);
+        Plan plan = plan(List.of(low, gang), hosts);
         assertEquals(1, plan.evictions().size());
         // While the stopped task has not left, nothing else is emptied for the same gang.
         JobRecord stopping = low.stopTask(plan.evictions().get(0).allocation().task());
@@ -241,7 +241,7 @@
         JobRecord fetching = withImage(job(1, "red", Shape.ARRAY, Priority.NORMAL, 1, ANYWHERE), "another")
                 .placed(new TreeMap<>(Map.of(0, "a")));
         JobRecord alone = job(2, "blue", Shape.GANG, Priority.URGENT, 1, ANYWHERE);
-        List<Planner.Host> hosts = List.of(host("a", "east", false, 3), host("b", "east", false, 3));
+        List<MachineSnapshot> hosts = List.of(host("a", "east", false, 3), host("b", "east", false, 3));
         assertEquals(
                 Map.of(0, "b"),
                 plan(List.of(fetching, alone), hosts).bookings().get(0).places());
@@ -258,7 +258,7 @@
         // the second can still meet 900 s.
         JobRecord lost = begun(job(50, "blue", Shape.ARRAY, Priority.LOW, 2, ANYWHERE));
         JobRecord open = begun(job(600, "blue", Shape.ARRAY, Priority.LOW, 3, ANYWHERE));
-        Planner.Plan plan = plan(List.of(lost, open), List.of(host("a", "east", false, 1)));
+        Plan plan = plan(List.of(lost, open), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000600"),
                 plan.bookings().stream().map(b -> b.job().id()).toList());
@@ -300,7 +300,7 @@
     void anArrayThatHasWaitedLongBeginsBeforeSmallerOnes() {
         JobRecord large = job(50, "blue", Shape.ARRAY, Priority.LOW, 9, ANYWHERE);
         JobRecord small = begun(job(990, "blue", Shape.ARRAY, Priority.LOW, 2, ANYWHERE));
-        Planner.Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
+        Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000050"),
                 plan.bookings().stream().map(b -> b.job().id()).toList());
@@ -310,7 +310,7 @@
     void whenNotAllCanMeetTheirTimeTheLeastWorkGoesFirst() {
         JobRecord large = job(980, "blue", Shape.ARRAY, Priority.LOW, 9, ANYWHERE);
         JobRecord small = job(990, "blue", Shape.ARRAY, Priority.LOW, 2, ANYWHERE);
-        Planner.Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
+        Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000990"),
                 plan.bookings().stream().map(b -> b.job().id()).toList());
@@ -325,9 +325,9 @@
         JobRecord full = job(1, "red", Shape.ARRAY, Priority.LOW, 9, ANYWHERE)
                 .placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
         var ended = Set.of(
-                new Planner.Ended(full.id(), 0, full.allocations().get(0).base()),
-                new Planner.Ended(full.id(), 2, full.allocations().get(0).base()));
-        Planner.Plan plan = Planner.plan(new Planner.Snapshot(
+                new TaskAttempt(full.id(), 0, full.allocations().get(0).base()),
+                new TaskAttempt(full.id(), 2, full.allocations().get(0).base()));
+        Plan plan = Planner.plan(new ClusterSnapshot(
                 Instant.ofEpochSecond(1000),
                 ProjectedJobs.ofStored(List.of(full)),
                 List.of(host("a", "east", false, 8)),
@@ -353,7 +353,7 @@
         JobRecord low = job(990, "blue", Shape.ARRAY, Priority.LOW, 5, ANYWHERE);
         JobRecord equal = job(991, "blue", Shape.ARRAY, Priority.URGENT, 1, ANYWHERE);
         var hosts = List.of(host("a", "east", false, 4));
-        Planner.Plan plan = Planner.plan(new Planner.Snapshot(
+        Plan plan = Planner.plan(new ClusterSnapshot(
                 Instant.ofEpochSecond(1000),
                 ProjectedJobs.ofStored(List.of(low, equal)),
                 hosts,
@@ -384,7 +384,7 @@
         JobRecord gang = job(2, "red", Shape.GANG, Priority.URGENT, 3, ANYWHERE);
         var hosts = List.of(host("a", "east", false, 8), host("b", "east", false, 8));
         ProjectedJob used = overtaken(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
-        Planner.Plan plan =
+        Plan plan =
                 Planner.plan(snapshot(new ProjectedJobs(List.of(used, ProjectedJob.ofStored(gang))), hosts, Map.of()));
         assertTrue(plan.bookings().stream().noneMatch(b -> b.job().id().equals(gang.id())));
     }
@@ -394,7 +394,7 @@
         JobRecord array = job(1, "blue", Shape.ARRAY, Priority.LOW, 5, ANYWHERE);
         JobRecord other = job(2, "red", Shape.ARRAY, Priority.LOW, 1, ANYWHERE);
         ProjectedJob full = overtaken(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
-        Planner.Plan plan = Planner.plan(snapshot(
+        Plan plan = Planner.plan(snapshot(
                 new ProjectedJobs(List.of(full, ProjectedJob.ofStored(other))),
                 List.of(host("a", "east", false, 3)),
                 Map.of()));
@@ -405,7 +405,7 @@
     void equalPriorityNeverGivesWay() {
         JobRecord other =
                 job(1, "blue", Shape.ARRAY, Priority.URGENT, 2, ANYWHERE).placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
-        Planner.Plan plan = plan(
+        Plan plan = plan(
                 List.of(other, job(2, "red", Shape.GANG, Priority.URGENT, 1, ANYWHERE)),
                 List.of(host("a", "east", false, 2)));
         assertEquals(List.of(), plan.evictions());
@@ -419,14 +419,14 @@
                 job(1, "red", Shape.GANG, Priority.URGENT, 2, new Where(false, false, false)),
                 job(2, "red", Shape.GANG, Priority.URGENT, 3, new Where(false, false, false)),
                 job(3, "red", Shape.GANG, Priority.URGENT, 4, new Where(false, false, false)));
-        Planner.Plan empty = plan(gangs, List.of());
+        Plan empty = plan(gangs, List.of());
         // The third would be beyond the team's limit of six together with those before it.
         assertEquals(
                 List.of("wk-000001 2", "wk-000002 3"),
                 empty.shortfalls().stream()
                         .map(g -> g.job().id() + " " + g.tasks())
                         .toList());
-        Planner.Plan roomy = plan(gangs, List.of(host("h1", "east", false, 4), host("h2", "east", false, 4)));
+        Plan roomy = plan(gangs, List.of(host("h1", "east", false, 4), host("h2", "east", false, 4)));
         assertEquals(
                 List.of("wk-000001"),
                 roomy.bookings().stream().map(b -> b.job().id()).toList());
--- a/src/test/java/org/dunespindle/coordination/ServicePlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,7 +28,7 @@
     private static final Resources REPLICA = new Resources(2, 0, 8);
     private static final Resources TRAINING = new Resources(21, 2, 100);
 
-    private final List<Planner.Host> hosts = new ArrayList<>();
+    private final List<MachineSnapshot> hosts = new ArrayList<>();
     private final Set<String> departing = new HashSet<>();
     private Duration progress = Duration.ZERO;
 
@@ -61,13 +61,13 @@
     }
 
     private void host(String id, String zone, String... images) {
-        hosts.add(new Planner.Host(id, "m", zone, false, MACHINE, true, true, Set.of(images)));
+        hosts.add(new MachineSnapshot(id, "m", zone, false, MACHINE, true, true, Set.of(images)));
     }
 
-    private Planner.Plan plan(JobRecord... jobs) {
-        var places = new HashMap<String, Planner.Place>();
-        hosts.forEach(h -> places.put(h.id(), new Planner.Place(h.type(), h.zone(), h.spot())));
-        return Planner.plan(new Planner.Snapshot(
+    private Plan plan(JobRecord... jobs) {
+        var places = new HashMap<String, MachinePool>();
+        hosts.forEach(h -> places.put(h.id(), new MachinePool(h.type(), h.zone(), h.spot())));
+        return Planner.plan(new ClusterSnapshot(
                 Instant.ofEpochSecond(1000),
                 ProjectedJobs.ofStored(List.of(jobs)),
                 hosts,
@@ -84,7 +84,7 @@
                 started -> progress));
     }
 
-    private static List<String> placesOf(Planner.Plan plan, JobRecord job) {
+    private static List<String> placesOf(Plan plan, JobRecord job) {
         return plan.bookings().stream()
                 .filter(b -> b.job().id().equals(job.id()))
                 .flatMap(b -> b.places().values().stream())
@@ -118,10 +118,9 @@
         host("a", "east");
         host("b", "east");
         JobRecord job = job(1, Shape.SERVICE, Priority.CRITICAL, 5, REPLICA, true);
-        Planner.Plan plan = plan(job);
+        Plan plan = plan(job);
         assertEquals(3, placesOf(plan, job).size(), "at most half, rounded up, in one zone");
-        assertEquals(
-                2, plan.shortfalls().stream().mapToInt(Planner.Shortfall::tasks).sum());
+        assertEquals(2, plan.shortfalls().stream().mapToInt(Shortfall::tasks).sum());
         JobRecord three = job.placed(Map.of(0, "a", 1, "b", 2, "a"));
         assertEquals(List.of(), placesOf(plan(three), three));
     }
@@ -145,7 +144,7 @@
                 .real();
         JobRecord wide = job(3, Shape.GANG, Priority.URGENT, 1, new Resources(23, 2, 100), false);
         JobRecord replica = service(2, 1);
-        Planner.Plan plan = plan(training, wide, replica);
+        Plan plan = plan(training, wide, replica);
         assertEquals(List.of("a"), placesOf(plan, replica));
         assertEquals(List.of("b"), placesOf(plan, wide));
     }
@@ -159,7 +158,7 @@
             places.put(i, "a");
         }
         JobRecord replica = service(2, 1);
-        Planner.Plan plan = plan(low.placed(places), replica);
+        Plan plan = plan(low.placed(places), replica);
         assertEquals(1, plan.evictions().size());
         assertEquals(List.of(), placesOf(plan, replica));
     }
@@ -182,7 +181,7 @@
         JobRecord others = service(2, 2).placed(Map.of(0, "b", 1, "b"));
         assertEquals(List.of(), plan(alone, others).moves(), "it has only just started");
         progress = Duration.ofMinutes(6);
-        List<Planner.Eviction> moves = plan(alone, others).moves();
+        List<Eviction> moves = plan(alone, others).moves();
         assertEquals(1, moves.size());
         assertEquals("a", moves.get(0).allocation().host());
     }
@@ -192,7 +191,7 @@
         host("a", "east");
         JobRecord faulty = service(1, 6);
         var snapshotMost = new int[] {1};
-        Planner.Plan plan = Planner.plan(new Planner.Snapshot(
+        Plan plan = Planner.plan(new ClusterSnapshot(
                 Instant.ofEpochSecond(1000),
                 ProjectedJobs.ofStored(List.of(faulty)),
                 hosts,
--- a/src/test/java/org/dunespindle/coordination/TeamUseTest.java
+++ b/src/test/java/org/dunespindle/scheduling/TeamUseTest.java
@@ -1,4 +1,4 @@
-package org.dunespindle.coordination;
+package org.dunespindle.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- /dev/null
+++ b/src/test/java/org/dunespindle/scheduling/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of scheduling decisions. */
+package org.dunespindle.scheduling;
--- a/src/test/java/org/dunespindle/sim/AdminTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminTest.java
@@ -6,7 +6,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
-import org.dunespindle.coordination.Admin;
+import org.dunespindle.api.AdminResponse;
 import org.dunespindle.protocol.Shape;
 import org.junit.jupiter.api.Test;
 
@@ -21,7 +21,7 @@
         return cluster;
     }
 
-    private static Admin.Answer get(SimulatedCluster cluster, String path) {
+    private static AdminResponse get(SimulatedCluster cluster, String path) {
         return cluster.admin(0, "GET", path, "").join();
     }
 
@@ -54,7 +54,7 @@
         for (String values : new String[] {
             "{\"idle_return_s\":-1}", "{\"idle_return_s\":\"x\"}", "{\"quarantine_errors\":1.5}", "{\"nonsense\":1}"
         }) {
-            Admin.Answer a = cluster.admin(0, "PUT", "/v1/options", "{\"stamp\":0,\"values\":" + values + "}")
+            AdminResponse a = cluster.admin(0, "PUT", "/v1/options", "{\"stamp\":0,\"values\":" + values + "}")
                     .join();
             assertEquals(400, a.status());
             assertTrue(a.body().path("error").asText().length() > 20);
@@ -67,7 +67,7 @@
     @Test
     void jobsTellWhyTheyWait() {
         SimulatedCluster cluster = running();
-        Admin.Answer a = get(cluster, "/v1/jobs/wk-000003");
+        AdminResponse a = get(cluster, "/v1/jobs/wk-000003");
         assertEquals(200, a.status());
         assertTrue(a.body().path("waits").asText().contains("limit"), a.body().toString());
         assertEquals(404, get(cluster, "/v1/jobs/wk-999999").status());
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
-import org.dunespindle.coordination.UserApi;
+import org.dunespindle.api.UserApi;
 import org.dunespindle.federation.CellId;
 import org.dunespindle.federation.CellReply;
 import org.dunespindle.federation.CellRequest;
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import org.dunespindle.coordination.UserApi;
+import org.dunespindle.api.UserApi;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.LongStream;
-import org.dunespindle.coordination.UserApi;
+import org.dunespindle.api.UserApi;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Random;
-import org.dunespindle.coordination.UserApi;
+import org.dunespindle.api.UserApi;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Shape;
--- a/src/test/java/org/dunespindle/sim/Sim.java
+++ b/src/test/java/org/dunespindle/sim/Sim.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Random;
-import org.dunespindle.storage.Timeline;
+import org.dunespindle.time.Timeline;
 
 /** Virtual time: events in order, nothing waits for real. */
 public final class Sim {
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -16,9 +16,10 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.dunespindle.coordination.Admin;
-import org.dunespindle.coordination.Controller;
-import org.dunespindle.coordination.UserApi;
+import org.dunespindle.api.Admin;
+import org.dunespindle.api.AdminResponse;
+import org.dunespindle.api.UserApi;
+import org.dunespindle.controller.Controller;
 import org.dunespindle.protocol.MalformedException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Submission;
@@ -653,8 +654,8 @@
     }
 
     /** Asks a controller's administration API; the answer comes within the next second of virtual time. */
-    CompletableFuture<Admin.Answer> admin(int node, String method, String path, String body) {
-        var result = new CompletableFuture<Admin.Answer>();
+    CompletableFuture<AdminResponse> admin(int node, String method, String path, String body) {
+        var result = new CompletableFuture<AdminResponse>();
         nodes[node]
                 .admin()
                 .handle(method, path, body.getBytes(java.nio.charset.StandardCharsets.UTF_8), result::complete);
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.dunespindle.coordination.UserApi;
+import org.dunespindle.api.UserApi;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Submission;
 
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -10,7 +10,7 @@
 import java.util.function.Function;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
-import org.dunespindle.coordination.Membership;
+import org.dunespindle.control.Membership;
 import org.dunespindle.protocol.MalformedException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
