--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -52,10 +52,31 @@
 
     /** Where a gang stands: queued, placeholders being placed, real tasks, or being stopped as a whole. */
     public enum Mode {
-        IDLE,
-        HOLD,
-        REAL,
-        STOP
+        IDLE("IDLE"),
+        HOLD("HOLD"),
+        REAL("REAL"),
+        STOP("STOP");
+
+        private final String stored;
+
+        Mode(String stored) {
+            this.stored = stored;
+        }
+
+        /** The name in the stored record. */
+        String stored() {
+            return stored;
+        }
+
+        /** Reads the name in the stored record. */
+        static Mode parse(String text) throws MalformedException {
+            for (Mode mode : values()) {
+                if (mode.stored.equals(text)) {
+                    return mode;
+                }
+            }
+            throw new MalformedException("unknown gang phase " + text);
+        }
     }
 
     /** The record of a job that has just been accepted. */
--- a/src/main/java/org/dunespindle/storage/JobRecordCodec.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordCodec.java
@@ -64,7 +64,7 @@
     private static void putProgress(ObjectNode n, JobRecord job) {
         n.put("gen", job.generation())
                 .put("next", job.next())
-                .put("mode", job.mode().name())
+                .put("mode", job.mode().stored())
                 .put("try", job.attempt())
                 .put("order", job.order())
                 .put("fails", job.failures());
@@ -203,7 +203,7 @@
                 n.path("next").intValue(),
                 List.copyOf(TaskSet.parse(again)),
                 List.copyOf(allocations),
-                JobRecord.Mode.valueOf(n.path("mode").asText("IDLE")),
+                JobRecord.Mode.parse(n.path("mode").asText("IDLE")),
                 n.path("try").longValue(),
                 n.path("order").longValue(),
                 n.path("fails").intValue(),
