--- /dev/null
+++ b/src/test/java/org/dunespindle/coordination/PeerHeartbeatCompatibilityTest.java
@@ -0,0 +1,127 @@
+package org.dunespindle.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.CompletableFuture;
+import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.transport.Caller;
+import org.dunespindle.transport.HttpAnswer;
+import org.junit.jupiter.api.Test;
+
+/**
+ * What controllers send one another, letter by letter: during an upgrade old and new ones talk, so neither the heartbeat nor the
+ * answer to it may change with the names in the sources.
+ */
+class PeerHeartbeatCompatibilityTest {
+    private static final Duration VIEW_AGE = Duration.ofMillis(250);
+    private static final Peers.Need NEED = new Peers.Need(12.5, 4);
+
+    /** Two jobs were cancelled, at revision 5. */
+    private final StateServiceStub service = new StateServiceStub(Map.of(
+            "ds/job/wk-000007", "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"next\":0}",
+            "ds/job/wk-000008", "{\"at\":1700000000123,\"end\":\"DONE\",\"next\":3}"));
+
+    private final List<String> sent = new ArrayList<>();
+    private final List<String> told = new ArrayList<>();
+    private String answer = "{}";
+
+    private final Caller peer = (address, method, target, body, type, timeout) -> {
+        sent.add(String.join(" ", address, method, target, type, new String(body, StandardCharsets.UTF_8)));
+        return CompletableFuture.completedFuture(new HttpAnswer(200, answer.getBytes(StandardCharsets.UTF_8)));
+    };
+
+    private final Peers peers = new Peers(
+            service.settings,
+            peer,
+            service.process,
+            () -> 6L,
+            () -> Optional.of("n1"),
+            service.replica,
+            new Peers.Listener() {
+                @Override
+                public void imageSeen(String host, String image) {
+                    told.add(host + " has " + image);
+                }
+
+                @Override
+                public void cancelled(String node, Duration asked, List<String> jobs) {
+                    told.add(node + " knows of " + jobs);
+                }
+            });
+
+    PeerHeartbeatCompatibilityTest() throws MalformedException {}
+
+    private static Peers.News news(String host, long number, String... images) {
+        var set = new LinkedHashSet<>(List.of(images));
+        return new Peers.News(host, number, 11, true, false, Duration.ofMillis(40), "10.0.0.7:7000", set);
+    }
+
+    private static MachineRecord machine(String id, long token) {
+        return new MachineRecord(
+                id, "", "gpu-8", "east", false, "n1", 3, token, Instant.EPOCH, Instant.EPOCH, false, "");
+    }
+
+    private String hear(String heartbeat) {
+        return peers.hear(heartbeat.getBytes(StandardCharsets.UTF_8), VIEW_AGE, NEED)
+                .toString();
+    }
+
+    @Test
+    void aHeartbeatToTheLeaderAndItsAnswer() {
+        answer = "{\"node\":\"n1\",\"inc\":3,\"viewAgeMs\":70,\"writes\":1.5,\"waiting\":2,\"took\":8,\"tookOf\":6,"
+                + "\"cancelled\":[\"wk-000001\",\"wk-000002\"]}";
+        List<Peers.News> news = List.of(news("i-0023", 8, "image:7", "image:8"), news("i-0024", 9));
+        String head = "peer:1 POST /peer/heartbeat application/json "
+                + "{\"node\":\"n0\",\"inc\":6,\"viewAgeMs\":250,\"writes\":12.5,\"waiting\":4,\"readTo\":5,";
+        peers.tell(VIEW_AGE, NEED, news);
+        peers.tell(VIEW_AGE, NEED, news);
+        assertEquals(
+                List.of(
+                        head
+                                + "\"from\":0,\"news\":[[\"i-0023\",11,true,false,40,\"10.0.0.7:7000\",\"image:7\",\"image:8\"],"
+                                + "[\"i-0024\",11,true,false,40,\"10.0.0.7:7000\"]],\"upTo\":9}",
+                        head + "\"from\":8,\"news\":[[\"i-0024\",11,true,false,40,\"10.0.0.7:7000\"]],\"upTo\":9}"),
+                sent);
+        assertEquals("n1 knows of [wk-000001, wk-000002]", told.get(0));
+        assertEquals(
+                Optional.of(new Peers.Heartbeat(service.process.now(), 3, Duration.ofMillis(70), 1.5, 2)),
+                peers.heartbeat("n1"));
+    }
+
+    @Test
+    void aHeartbeatThatIsHeard() {
+        assertEquals(
+                "{\"node\":\"n0\",\"inc\":6,\"viewAgeMs\":250,\"writes\":12.5,\"waiting\":4,\"took\":9,\"tookOf\":3,"
+                        + "\"cancelled\":[\"wk-000007\"]}",
+                hear("{\"node\":\"n1\",\"inc\":3,\"viewAgeMs\":70,\"writes\":1.5,\"waiting\":2,\"readTo\":4,\"from\":0,"
+                        + "\"news\":[[\"i-0023\",11,true,false,40,\"10.0.0.7:7000\",\"image:7\"],"
+                        + "[\"i-0024\",12,false,true,50,\"\"]],\"upTo\":9}"));
+        Duration now = service.process.now();
+        assertEquals(Optional.of(new Peers.Heartbeat(now, 3, Duration.ofMillis(70), 1.5, 2)), peers.heartbeat("n1"));
+        assertEquals(
+                Optional.of(new Peers.Machine(true, false, Duration.ofMillis(40), now, "10.0.0.7:7000", 11)),
+                peers.machine(machine("i-0023", 11)));
+        assertEquals(
+                Optional.of(new Peers.Machine(false, true, Duration.ofMillis(50), now, "", 12)),
+                peers.machine(machine("i-0024", 12)));
+        assertEquals(List.of("i-0023 has image:7"), told);
+    }
+
+    @Test
+    void anAnswerToOneThatReadsAsFarOrIsOlder() {
+        String head = "{\"node\":\"n0\",\"inc\":6,\"viewAgeMs\":250,\"writes\":12.5,\"waiting\":4";
+        assertEquals(
+                head + ",\"took\":0,\"tookOf\":3,\"cancelled\":[]}", hear("{\"node\":\"n1\",\"inc\":3,\"readTo\":5}"));
+        assertEquals(head + ",\"took\":0,\"tookOf\":3}", hear("{\"node\":\"n1\",\"inc\":3}"));
+        assertEquals(head + "}", hear("not readable"));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/dunespindle/coordination/StateServiceStub.java
@@ -0,0 +1,102 @@
+package org.dunespindle.coordination;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import org.dunespindle.TestSettings;
+import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.Settings;
+import org.dunespindle.sim.Sim;
+import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateClient;
+import org.dunespindle.transport.Caller;
+import org.dunespindle.transport.HttpAnswer;
+
+/** A state service that holds given texts, applies every transaction, and remembers what was written, for tests of stored forms. */
+final class StateServiceStub implements Caller {
+    /** The revision of the texts that it begins with. */
+    static final long REVISION = 5;
+
+    private static final String SEED = """
+            [[seeds]]
+            node_name = "n1"
+            area = "east"
+            address = "peer:1"
+            """;
+
+    /** The values that were written, as JSON text, by key. */
+    final Map<String, String> written = new LinkedHashMap<>();
+
+    final Sim sim = new Sim(1);
+    final Sim.Process process = sim.new Process();
+    final Settings settings;
+    final StateClient client;
+    final Replica replica;
+    private final Map<String, String> stored;
+    private final List<ObjectNode> log = new ArrayList<>();
+    private long revision = REVISION;
+
+    /** A service that holds these texts, and a copy of them. */
+    StateServiceStub(Map<String, String> stored) throws MalformedException {
+        this.stored = stored;
+        settings = Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", SEED));
+        client = new StateClient(this, settings, process);
+        replica = new Replica(client, process, Duration.ofMillis(300), () -> {});
+        replica.start();
+        sim.run(Duration.ofSeconds(2));
+    }
+
+    static JsonNode json(String text) {
+        try {
+            return new ObjectMapper().readTree(text);
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    @Override
+    public CompletableFuture<HttpAnswer> send(
+            String address, String method, String target, byte[] body, String type, Duration timeout) {
+        var result = new CompletableFuture<HttpAnswer>();
+        sim.after(5, () -> result.complete(new HttpAnswer(200, MessagePackCodec.write(answer(target, body)))));
+        return result;
+    }
+
+    private ObjectNode answer(String target, byte[] body) {
+        if (target.startsWith("/holds")) {
+            return MessagePackCodec.map().put("tether", 7);
+        }
+        if (target.equals("/txn")) {
+            apply(body);
+        }
+        ObjectNode answer = MessagePackCodec.map().put("epoch", revision);
+        if (target.startsWith("/watch")) {
+            log.forEach(answer.putArray("log")::add);
+        } else if (target.startsWith("/keys")) {
+            var rows = answer.put("more", false).putArray("rows");
+            stored.forEach((key, text) ->
+                    rows.addObject().put("key", key).put("stamp", REVISION).set("v", json(text)));
+        }
+        return answer;
+    }
+
+    private void apply(byte[] body) {
+        try {
+            revision++;
+            for (JsonNode change : MessagePackCodec.read(body).path("apply")) {
+                written.put(change.path("write").asText(), change.path("v").toString());
+                log.add(((ObjectNode) change.deepCopy()).put("stamp", revision));
+            }
+        } catch (MalformedException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/dunespindle/coordination/StoredCoordinationCompatibilityTest.java
@@ -0,0 +1,101 @@
+package org.dunespindle.coordination;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.time.Duration;
+import java.util.Map;
+import java.util.Optional;
+import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.Resources;
+import org.dunespindle.storage.FormatVersion;
+import org.junit.jupiter.api.Test;
+
+/**
+ * What controllers keep about themselves, teams and options in the state service, letter by letter: running cells hold these
+ * texts, whatever the sources call their parts.
+ */
+class StoredCoordinationCompatibilityTest {
+    private static final Duration LEASE = Duration.ofSeconds(10);
+
+    private static Membership membership(StateServiceStub service) {
+        return new Membership("n0", FormatVersion.CELL_TIES, service.client, service.replica, service.process);
+    }
+
+    private static void run(StateServiceStub service, Membership membership) {
+        for (int i = 0; i < 20; i++) {
+            membership.tick();
+            service.sim.run(service.sim.now().plusMillis(100));
+        }
+    }
+
+    @Test
+    void aControllerThatJoinsAndLeads() throws MalformedException {
+        var service = new StateServiceStub(Map.of("ds/incarnation/n0", "{\"n\":4}"));
+        Membership membership = membership(service);
+        run(service, membership);
+        assertEquals(
+                Map.of(
+                        "ds/incarnation/n0", "{\"n\":5}",
+                        "ds/member/n0", "{\"inc\":5,\"version\":3}",
+                        "ds/leader", "{\"node\":\"n0\",\"inc\":5}"),
+                service.written);
+        assertEquals(5, membership.incarnation());
+        assertTrue(membership.leads());
+    }
+
+    @Test
+    void anotherControllerThatLeads() throws MalformedException {
+        var service = new StateServiceStub(Map.of(
+                "ds/member/n1", "{\"inc\":3,\"version\":2}",
+                "ds/member/n2", "{\"inc\":8}",
+                "ds/leader", "{\"node\":\"n1\",\"inc\":3}"));
+        Membership membership = membership(service);
+        run(service, membership);
+        assertEquals(Optional.of("n1"), membership.leader());
+        assertEquals(Optional.of(3L), membership.incarnationOf("n1"));
+        assertEquals(FormatVersion.JOB_PARTS, membership.formatVersionOf("n1"));
+        assertEquals(FormatVersion.WHOLE_RECORDS, membership.formatVersionOf("n2"));
+        assertEquals(
+                Map.of("ds/incarnation/n0", "{\"n\":1}", "ds/member/n0", "{\"inc\":1,\"version\":3}"),
+                service.written,
+                "it leaves the leader's key alone");
+    }
+
+    @Test
+    void teams() {
+        JsonNode stored = StateServiceStub.json("{\"cpus\":12.5,\"gpus\":3.0,\"shareCpus\":2.25,\"shareGpus\":1.0}");
+        var entry = new TeamLedger.Entry(new Resources(12.5, 3, 0), new Resources(2.25, 1, 0));
+        assertEquals(stored.toString(), entry.toNode().toString());
+        assertEquals(entry, TeamLedger.Entry.parse(Optional.of(stored)));
+        JsonNode without = StateServiceStub.json("{\"cpus\":12.5,\"gpus\":3.0}");
+        assertEquals(
+                new TeamLedger.Entry(new Resources(12.5, 3, 0), Resources.NONE),
+                TeamLedger.Entry.parse(Optional.of(without)));
+    }
+
+    @Test
+    void options() {
+        Options options = Options.of(Optional.of(StateServiceStub.json("""
+                        {"first_hold_timer_s":11,"idle_return_s":12.5,"idle_spot_return_s":13,"silent_return_s":14,
+                         "quarantine_errors":15,"boot_patience":16,"spare_jobs":7,"borrowed_machines":18,"lent_s":19,
+                         "spill_after_s":20,"recall_after_s":21,"spill_pause_s":22,"most_transfers":13,
+                         "most_visitors":24}""")), LEASE);
+        assertEquals(Duration.ofSeconds(11), options.firstHoldTimer());
+        assertEquals(Duration.ofMillis(12_500), options.idleBeforeReturn(false));
+        assertEquals(Duration.ofSeconds(13), options.idleBeforeReturn(true));
+        assertEquals(Duration.ofSeconds(14), options.silentBeforeReturn());
+        assertEquals(15, options.quarantineAfter());
+        assertEquals(16, options.bootPatience());
+        assertEquals(7, options.spareJobs());
+        assertEquals(18, options.borrowedMachines());
+        assertEquals(Duration.ofSeconds(19), options.borrowedAtLeast());
+        assertEquals(Duration.ofSeconds(20), options.spillAfter());
+        assertEquals(Duration.ofSeconds(21), options.recallAfter());
+        assertEquals(Duration.ofSeconds(22), options.spillPause());
+        assertEquals(13, options.mostTransfers());
+        assertEquals(24, options.mostVisitors());
+        assertEquals(14, options.describe().size(), "every option is read above");
+    }
+}
--- /dev/null
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -0,0 +1,346 @@
+package org.dunespindle.storage;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.Priority;
+import org.dunespindle.protocol.Resources;
+import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.Submission;
+import org.dunespindle.sim.Sim;
+import org.junit.jupiter.api.Test;
+
+/**
+ * What is kept in the state service, letter by letter: every record here is written as the text beside it, and that text is read
+ * as the record. What the sources call a field or a constant may change; the text may not, since running cells hold it.
+ */
+class StoredFormsCompatibilityTest {
+    private static final String ID = "wk-000412";
+    private static final Instant ARRIVED = Instant.ofEpochMilli(1_700_000_000_123L);
+    private static final String DESCRIPTION = """
+            {"id":"wk-000412","jobclass":"train","owner":"red","shape":"%s","rank":"urgent","pieces":9,
+             "vcpus":2.0,"accelerators":1.0,"ramGb":16.5,"hulls":["gpu-8","gpu-4"],"dune":"east",
+             "samePlace":true,"apart":false,"driftwood":true,"bundle":"image:7","imageGb":2.5,
+             "guessS":300.0,"snapshotS":30.0,"flushS":2.0,"dueS":3600.0}""";
+
+    private static Submission description(Shape shape) {
+        return new Submission(
+                ID,
+                "train",
+                "red",
+                shape,
+                Priority.URGENT,
+                9,
+                new Resources(2, 1, 16.5),
+                Optional.of(List.of("gpu-8", "gpu-4")),
+                Optional.of("east"),
+                true,
+                false,
+                true,
+                "image:7",
+                2.5,
+                Duration.ofMinutes(5),
+                Duration.ofSeconds(30),
+                Duration.ofSeconds(2),
+                Optional.of(Duration.ofHours(1)));
+    }
+
+    private static JobRecord open(Shape shape, JobRecord.Mode mode, List<Allocation> allocations) {
+        return new JobRecord(
+                ID,
+                Optional.of(description(shape)),
+                ARRIVED,
+                JobRecord.End.OPEN,
+                21,
+                7,
+                List.of(0, 1, 2, 5),
+                allocations,
+                mode,
+                17,
+                1_700_000_000_456L,
+                3,
+                Optional.of(Instant.ofEpochMilli(1_700_000_009_000L)),
+                Optional.empty());
+    }
+
+    private static JobRecord finished(JobRecord.End end, int next, Optional<CellTie> tie) {
+        return new JobRecord(
+                ID,
+                Optional.empty(),
+                ARRIVED,
+                end,
+                0,
+                next,
+                List.of(),
+                List.of(),
+                JobRecord.Mode.IDLE,
+                0,
+                0,
+                0,
+                Optional.empty(),
+                tie);
+    }
+
+    private static JsonNode json(String text) {
+        try {
+            return new ObjectMapper().readTree(text);
+        } catch (IOException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private static void assertStored(String text, JobRecord record) throws MalformedException {
+        assertEquals(json(text).toString(), record.toNode().toString());
+        assertEquals(record, JobRecord.parse(ID, json(text)));
+    }
+
+    /** A copy that has read some keys, as another controller wrote them. */
+    private static Replica copyOf(Map<String, String> stored) {
+        var replica = new Replica(null, new Sim(1).new Process(), Duration.ofSeconds(1), () -> {});
+        var txn = new Txn();
+        stored.forEach((key, text) -> txn.write(key, json(text)));
+        replica.adopt(txn, 5);
+        return replica;
+    }
+
+    @Test
+    void keys() {
+        assertEquals("ds/", Keys.ROOT);
+        assertEquals("ds/job/wk-000412", Keys.job(ID));
+        assertEquals("ds/part/wk-000412/3", Keys.part(ID, 3));
+        assertEquals("ds/page/i-002", Keys.host("i-0023"));
+        assertEquals("ds/team/red", Keys.team("red"));
+        assertEquals("ds/member/n0", Keys.member("n0"));
+        assertEquals("ds/incarnation/", Keys.INCARNATION);
+        assertEquals("ds/leader", Keys.LEADER);
+        assertEquals("ds/options", Keys.OPTIONS);
+        assertEquals("ds/format", Keys.FORMAT);
+        assertEquals("ds/federation", Keys.FEDERATION);
+        assertEquals("ds/cell/b", Keys.cell("b"));
+    }
+
+    @Test
+    void acceptedJobs() throws MalformedException {
+        for (Shape shape : Shape.values()) {
+            String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted(shape.wire())
+                    + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
+                    + "\"again\":\"\",\"claims\":[]}";
+            assertStored(text, JobRecord.accepted(description(shape), ARRIVED));
+        }
+    }
+
+    @Test
+    void placedJobsInEveryMode() throws MalformedException {
+        var allocations = List.of(
+                new Allocation(3, "i-0023", 17, false),
+                new Allocation(4, "i-0023", 17, false),
+                new Allocation(6, "i-0031", 17, false),
+                new Allocation(7, "i-0024", 18, true));
+        var modes = Map.of(
+                JobRecord.Mode.IDLE, "IDLE",
+                JobRecord.Mode.HOLD, "HOLD",
+                JobRecord.Mode.REAL, "REAL",
+                JobRecord.Mode.STOP, "STOP");
+        assertEquals(Set.of(JobRecord.Mode.values()), modes.keySet());
+        for (Map.Entry<JobRecord.Mode, String> mode : modes.entrySet()) {
+            String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted("group")
+                    + ",\"gen\":21,\"next\":7,\"mode\":\"" + mode.getValue()
+                    + "\",\"try\":17,\"order\":1700000000456,\"fails\":3,\"wait\":1700000009000,"
+                    + "\"again\":\"0-2,5\",\"claims\":[[17,false,{\"i-002\":{\"3\":\"3-4\"},\"i-003\":{\"1\":\"6\"}}],"
+                    + "[18,true,{\"i-002\":{\"4\":\"7\"}}]]}";
+            assertStored(text, open(Shape.GANG, mode.getKey(), allocations));
+        }
+    }
+
+    @Test
+    void endedJobsInEveryWay() throws MalformedException {
+        var ends = Map.of(JobRecord.End.OPEN, "OPEN", JobRecord.End.DONE, "DONE", JobRecord.End.CANCELLED, "CANCELLED");
+        assertEquals(Set.of(JobRecord.End.values()), ends.keySet());
+        for (Map.Entry<JobRecord.End, String> end : ends.entrySet()) {
+            String text = "{\"at\":1700000000123,\"end\":\"" + end.getValue() + "\",\"next\":9}";
+            assertStored(text, finished(end.getKey(), 9, Optional.empty()));
+        }
+    }
+
+    @Test
+    void aCancelledJobThatStillRuns() throws MalformedException {
+        JobRecord running = open(Shape.ARRAY, JobRecord.Mode.IDLE, List.of(new Allocation(6, "i-0023", 17, false)));
+        String text = "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"job\":" + DESCRIPTION.formatted("array")
+                + ",\"gen\":21,\"next\":7,\"mode\":\"IDLE\",\"try\":17,\"order\":1700000000456,\"fails\":3,"
+                + "\"wait\":1700000009000,\"again\":\"\",\"claims\":[[17,false,{\"i-002\":{\"3\":\"6\"}}]]}";
+        assertStored(text, running.cancelled());
+    }
+
+    @Test
+    void delegationsInEveryPhase() throws MalformedException {
+        var phases = Map.of(
+                Delegation.Phase.HOME, "HOME",
+                Delegation.Phase.OFFERED, "OFFERED",
+                Delegation.Phase.ACCEPTED, "ACCEPTED",
+                Delegation.Phase.RECALLED, "RECALLED");
+        assertEquals(Set.of(Delegation.Phase.values()), phases.keySet());
+        for (Map.Entry<Delegation.Phase, String> phase : phases.entrySet()) {
+            String head = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted("array")
+                    + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
+                    + "\"away\":[\"b\",12,\"" + phase.getValue() + "\",2";
+            JobRecord job = JobRecord.accepted(description(Shape.ARRAY), ARRIVED);
+            assertStored(
+                    head + "],\"again\":\"\",\"claims\":[]}",
+                    job.tied(new Delegation("b", 12, phase.getKey(), 2, Optional.empty())));
+            var notBefore = Optional.of(Instant.ofEpochMilli(1_700_000_030_000L));
+            assertStored(
+                    head + ",1700000030000],\"again\":\"\",\"claims\":[]}",
+                    job.tied(new Delegation("b", 12, phase.getKey(), 2, notBefore)));
+        }
+    }
+
+    @Test
+    void jobsOfOtherCells() throws MalformedException {
+        assertStored(
+                "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted("daemon")
+                        + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
+                        + "\"visit\":[\"a\",12,false],\"again\":\"\",\"claims\":[]}",
+                JobRecord.visiting(description(Shape.SERVICE), ARRIVED, Visit.of("a", 12)));
+        assertStored(
+                "{\"at\":1700000000123,\"end\":\"DONE\",\"visit\":[\"a\",12,false],\"next\":9}",
+                finished(JobRecord.End.DONE, 9, Optional.of(Visit.of("a", 12))));
+    }
+
+    @Test
+    void tombstonesOfTransfersThatNeverCame() throws MalformedException {
+        assertStored(
+                "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"visit\":[\"a\",12,false],\"next\":0}",
+                JobRecord.tombstone(ID, ARRIVED, Visit.of("a", 12), true));
+        assertStored(
+                "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"visit\":[\"a\",12,true],\"next\":0}",
+                JobRecord.tombstone(ID, ARRIVED, Visit.of("a", 12), false));
+    }
+
+    /** Values are MessagePack there; this one stands for all. */
+    @Test
+    void bytesOfAValue() {
+        assertEquals(
+                "83a26174cf0000018bcfe5687ba3656e64a4444f4e45a46e65787409",
+                HexFormat.of()
+                        .formatHex(MessagePackCodec.write(finished(JobRecord.End.DONE, 9, Optional.empty())
+                                .toNode())));
+    }
+
+    /** A record that was cut, as a copy puts it together from the values stored under its keys. */
+    private static void assertCut(JobRecord record, String main, String... parts) {
+        JobRecordCodec.Cut cut = JobRecordCodec.cut(record, 300);
+        var stored = new HashMap<String, String>(Map.of("ds/job/wk-000412", main));
+        assertEquals(json(main).toString(), cut.main().toString());
+        assertEquals(parts.length, cut.parts().size());
+        for (int i = 0; i < parts.length; i++) {
+            assertEquals(
+                    json(parts[i]).toString(),
+                    JobRecordCodec.part(cut.parts().get(i)).toString());
+            stored.put("ds/part/wk-000412/" + i, parts[i]);
+        }
+        assertEquals(Optional.of(record), copyOf(stored).job(ID));
+    }
+
+    @Test
+    void recordsCutIntoParts() {
+        var allocations = List.of(
+                new Allocation(3, "i-0023", 17, false),
+                new Allocation(4, "i-0023", 17, false),
+                new Allocation(6, "i-0031", 17, false),
+                new Allocation(7, "i-0024", 18, true));
+        assertCut(
+                open(Shape.GANG, JobRecord.Mode.STOP, allocations),
+                "{\"at\":1700000000123,\"end\":\"OPEN\",\"gen\":21,\"next\":7,\"mode\":\"STOP\",\"try\":17,\"order\":1700000000"
+                        + "456,\"fails\":3,\"wait\":1700000009000,\"length\":363,\"parts\":2,\"text\":\"{\\\"id\\\":\\\"wk-000412\\\",\\"
+                        + "\"jobclass\\\":\\\"train\\\",\\\"owner\\\":\\\"red\\\",\\\"shape\\\":\\\"group\\\",\\\"rank\\\":\\\"urgent\\\""
+                        + ",\\\"pieces\\\":9,\\\"vcpus\\\":2.0,\"}",
+                "{\"text\":\"\\\"accelerators\\\":1.0,\\\"ramGb\\\":16.5,\\\"hulls\\\":[\\\"gpu-8\\\",\\\"gpu-4\\\"],\\\"dune\\"
+                        + "\":\\\"east\\\",\\\"samePlace\\\":true,\\\"apart\\\":false,\\\"driftwood\\\":true,\\\"bundle\\\":\\\"image:7\\"
+                        + "\",\\\"imageGb\\\":2.5,\\\"guessS\\\":300.0,\\\"snapshotS\\\":30.0,\\\"flushS\\\":2.0,\\\"dueS\\\":3600.0}\\n1"
+                        + "7:i-002/3=3-4;i-003/1=6|18!:i-0\"}",
+                "{\"text\":\"02/4=7\\n0-2,5\"}");
+    }
+
+    @Test
+    void recordsCutIntoPartsWithNamesOfMachinesThatNeedQuotes() {
+        JobRecord job = open(Shape.ARRAY, JobRecord.Mode.IDLE, List.of(new Allocation(6, "rack:1/a", 17, false)))
+                .tied(new Delegation("b", 12, Delegation.Phase.HOME, 2, Optional.empty()));
+        assertCut(
+                job,
+                "{\"at\":1700000000123,\"end\":\"OPEN\",\"gen\":21,\"next\":7,\"mode\":\"IDLE\",\"try\":17,\"order\":1700000000"
+                        + "456,\"fails\":3,\"wait\":1700000009000,\"away\":[\"b\",12,\"HOME\",2],\"length\":359,\"parts\":2,\"text\":\"{"
+                        + "\\\"id\\\":\\\"wk-000412\\\",\\\"jobclass\\\":\\\"train\\\",\\\"owner\\\":\\\"red\\\",\\\"shape\\\":\\\"array"
+                        + "\\\",\\\"rank\\\":\\\"urgent\\\",\\\"p\"}",
+                "{\"text\":\"ieces\\\":9,\\\"vcpus\\\":2.0,\\\"accelerators\\\":1.0,\\\"ramGb\\\":16.5,\\\"hulls\\\":[\\\"gpu-8"
+                        + "\\\",\\\"gpu-4\\\"],\\\"dune\\\":\\\"east\\\",\\\"samePlace\\\":true,\\\"apart\\\":false,\\\"driftwood\\\":tru"
+                        + "e,\\\"bundle\\\":\\\"image:7\\\",\\\"imageGb\\\":2.5,\\\"guessS\\\":300.0,\\\"snapshotS\\\":30.0,\\\"flushS\\"
+                        + "\":2.0,\\\"dueS\\\":3600.0}\\n[[17,fal\"}",
+                "{\"text\":\"se,{\\\"rack:1/\\\":{\\\"a\\\":\\\"6\\\"}}]]\\n0-2,5\"}");
+    }
+
+    @Test
+    void machinesThatShareAPage() {
+        var ordinary = new MachineRecord(
+                "i-0023",
+                "10.0.0.7:7000",
+                "gpu-8",
+                "east",
+                false,
+                "n0",
+                4,
+                11,
+                Instant.ofEpochMilli(1_700_000_000_000L),
+                Instant.ofEpochMilli(1_700_000_040_000L),
+                false,
+                "");
+        var idle = new MachineRecord(
+                "i-0024", "", "gpu-4", "west", true, "n1", 5, 12, ARRIVED, Instant.EPOCH, true, MachineRecord.IDLE);
+        var drained = new MachineRecord(
+                "i-0025", "", "gpu-4", "west", true, "n1", 5, 12, ARRIVED, Instant.EPOCH, true, MachineRecord.DRAINED);
+        String page = """
+                {"i-0023":["10.0.0.7:7000","gpu-8","east",false,"n0",4,11,1700000000000,1700000040000,false,""],
+                 "i-0024":["","gpu-4","west",true,"n1",5,12,1700000000123,0,true,"it is idle"],
+                 "i-0025":["","gpu-4","west",true,"n1",5,12,1700000000123,0,true,"an operator drains it"]}""";
+        Replica replica = copyOf(Map.of("ds/page/i-002", page));
+        assertEquals(Map.of("i-0023", ordinary, "i-0024", idle, "i-0025", drained), replica.hosts());
+        JsonNode written = replica.rewrite("ds/page/i-002", Map.of())
+                .changes()
+                .get("ds/page/i-002")
+                .value()
+                .orElseThrow();
+        assertEquals(json(page).toString(), written.toString());
+    }
+
+    @Test
+    void formatVersions() {
+        assertEquals(
+                "{\"version\":1}",
+                FormatVersion.record(FormatVersion.WHOLE_RECORDS).toString());
+        assertEquals(
+                "{\"version\":2}", FormatVersion.record(FormatVersion.JOB_PARTS).toString());
+        assertEquals(
+                "{\"version\":3}", FormatVersion.record(FormatVersion.CELL_TIES).toString());
+        assertEquals(
+                FormatVersion.CELL_TIES,
+                copyOf(Map.of("ds/format", "{\"version\":3}")).formatVersion());
+        assertEquals(FormatVersion.WHOLE_RECORDS, copyOf(Map.of()).formatVersion());
+    }
+
+    @Test
+    void controllersAreKnownByTheirKeys() {
+        Replica replica = copyOf(Map.of("ds/member/n1", "{\"inc\":3,\"version\":2}"));
+        assertEquals(Set.of("n1"), replica.members().keySet());
+    }
+}
