--- a/src/main/java/org/dunespindle/AdminCommands.java
+++ b/src/main/java/org/dunespindle/AdminCommands.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
-import org.dunespindle.api.Admin;
+import org.dunespindle.api.AdminApi;
 import org.dunespindle.protocol.MessagePackCodec;
-import org.dunespindle.transport.HttpAnswer;
-import org.dunespindle.transport.HttpCaller;
-import org.dunespindle.transport.Sockets;
+import org.dunespindle.transport.HttpClientResponse;
+import org.dunespindle.transport.NettyHttpClient;
+import org.dunespindle.transport.ConnectionBudget;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Model.OptionSpec;
 import picocli.CommandLine.Model.PositionalParamSpec;
@@ -99,7 +99,7 @@
         String argument = parsed.matchedPositionalValue(0, "");
         var group = new NioEventLoopGroup(1);
         try {
-            var http = new HttpCaller(group.next(), 4, new Sockets(SOCKETS));
+            var http = new NettyHttpClient(group.next(), 4, new ConnectionBudget(SOCKETS));
             return switch (name) {
                 case "job" -> print(call(http, at, "GET", "/v1/jobs/" + argument, new byte[0]));
                 case "drain" -> print(call(http, at, "POST", "/v1/hosts/" + argument + "/drain", new byte[0]));
@@ -119,17 +119,17 @@
         }
     }
 
-    private static int abandon(HttpCaller http, String at, String cell, String confirmed) throws IOException {
-        byte[] body = Admin.write(MessagePackCodec.map().put("confirm", confirmed));
+    private static int abandon(NettyHttpClient http, String at, String cell, String confirmed) throws IOException {
+        byte[] body = AdminApi.write(MessagePackCodec.map().put("confirm", confirmed));
         return print(call(http, at, "POST", "/v1/cells/" + cell + "/abandon", body));
     }
 
-    private static HttpAnswer call(HttpCaller http, String at, String method, String path, byte[] body) {
+    private static HttpClientResponse call(NettyHttpClient http, String at, String method, String path, byte[] body) {
         return http.send(at, method, path, body, "application/json", TIMEOUT).join();
     }
 
     /** Reads the present stamp first, so that a change made meanwhile is not overwritten unseen. */
-    private static int set(HttpCaller http, String at, String assignment) throws IOException {
+    private static int set(NettyHttpClient http, String at, String assignment) throws IOException {
         List<String> parts = List.of(assignment.split("=", 2));
         JsonNode value;
         try {
@@ -141,17 +141,17 @@
             System.err.println("dunespindle: expected NAME=VALUE with a number, not " + assignment);
             return 2;
         }
-        HttpAnswer now = call(http, at, "GET", "/v1/options", new byte[0]);
+        HttpClientResponse now = call(http, at, "GET", "/v1/options", new byte[0]);
         if (now.status() != 200) {
             return print(now);
         }
         ObjectNode change = MessagePackCodec.map()
                 .put("stamp", JSON.readTree(now.body()).path("stamp").longValue());
         change.putObject("values").set(parts.get(0), value);
-        return print(call(http, at, "PUT", "/v1/options", Admin.write(change)));
+        return print(call(http, at, "PUT", "/v1/options", AdminApi.write(change)));
     }
 
-    private static int print(HttpAnswer answer) throws IOException {
+    private static int print(HttpClientResponse answer) throws IOException {
         JsonNode body = JSON.readTree(answer.body());
         if (answer.status() == 200) {
             System.out.println(JSON.writerWithDefaultPrettyPrinter().writeValueAsString(body));
--- a/src/main/java/org/dunespindle/ClassArchiveTraining.java
+++ b/src/main/java/org/dunespindle/ClassArchiveTraining.java
@@ -10,16 +10,16 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.SampleMessages;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.Shape;
-import org.dunespindle.transport.HttpCall;
-import org.dunespindle.transport.HttpCaller;
-import org.dunespindle.transport.HttpListener;
-import org.dunespindle.transport.HttpReply;
-import org.dunespindle.transport.Sockets;
+import org.dunespindle.protocol.JobKind;
+import org.dunespindle.transport.HttpServerRequest;
+import org.dunespindle.transport.NettyHttpClient;
+import org.dunespindle.transport.NettyHttpServer;
+import org.dunespindle.transport.HttpServerResponse;
+import org.dunespindle.transport.ConnectionBudget;
 
 /**
  * A short life on loopback, so that the build can archive the classes that a real start loads: starting a
@@ -74,7 +74,7 @@
         try {
             new ClassArchiveTraining().play();
             return 0;
-        } catch (IOException | MalformedException | RuntimeException e) {
+        } catch (IOException | MalformedMessageException | RuntimeException e) {
             System.err.println("dunespindle: class archive training: " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
@@ -82,16 +82,16 @@
         }
     }
 
-    private void play() throws IOException, MalformedException, InterruptedException {
+    private void play() throws IOException, MalformedMessageException, InterruptedException {
         var group = new NioEventLoopGroup(1);
-        var sockets = new Sockets(SOCKETS);
+        var sockets = new ConnectionBudget(SOCKETS);
         Channel outside = listen(group, sockets);
         String there = HOST + ":" + port(outside);
         String text = SETTINGS.formatted(HOST, HOST, there, there, there);
         Path settings = Files.writeString(Files.createTempFile("class-archive-training", ".toml"), text);
         try (Daemon daemon = new Daemon(Settings.load(settings))) {
             ask(
-                    new HttpCaller(group.next(), 4, sockets),
+                    new NettyHttpClient(group.next(), 4, sockets),
                     HOST + ":" + daemon.frontAddress().getPort(),
                     there);
         } finally {
@@ -101,19 +101,19 @@
         }
     }
 
-    private Channel listen(NioEventLoopGroup group, Sockets sockets) throws InterruptedException {
+    private Channel listen(NioEventLoopGroup group, ConnectionBudget sockets) throws InterruptedException {
         var address = new InetSocketAddress(HOST, 0);
-        return HttpListener.open(
+        return NettyHttpServer.open(
                 group, address, BODY_LIMIT, this::answer, status -> reply(status, MessagePackCodec.map()), sockets);
     }
 
     /** One request of each kind, with time between them for the controller to join and to act. */
-    private static void ask(HttpCaller http, String controller, String worker) throws InterruptedException {
+    private static void ask(NettyHttpClient http, String controller, String worker) throws InterruptedException {
         Thread.sleep(LENGTH.toMillis() / 2);
         send(http, controller, "GET", "/healthz", MessagePackCodec.map());
         send(http, controller, "POST", "/agent/beat", SampleMessages.workerReport(worker, 1, 0));
-        send(http, controller, "POST", "/submissions", SampleMessages.job("wk-1", Shape.ARRAY));
-        send(http, controller, "POST", "/submissions", SampleMessages.job("wk-2", Shape.GANG));
+        send(http, controller, "POST", "/submissions", SampleMessages.job("wk-1", JobKind.ARRAY));
+        send(http, controller, "POST", "/submissions", SampleMessages.job("wk-2", JobKind.GANG));
         Thread.sleep(LENGTH.toMillis() / 4);
         send(http, controller, "POST", "/agent/beat", SampleMessages.workerReport(worker, 2, 2));
         send(http, controller, "GET", "/submissions/wk-1", MessagePackCodec.map());
@@ -121,7 +121,7 @@
         Thread.sleep(LENGTH.toMillis() / 4);
     }
 
-    private static void send(HttpCaller http, String address, String method, String path, ObjectNode body) {
+    private static void send(NettyHttpClient http, String address, String method, String path, ObjectNode body) {
         byte[] bytes = method.equals("GET") ? new byte[0] : MessagePackCodec.write(body);
         http.send(address, method, path, bytes, MessagePackCodec.TYPE, TIMEOUT);
     }
@@ -130,11 +130,11 @@
         return ((InetSocketAddress) c.localAddress()).getPort();
     }
 
-    private static HttpReply reply(int status, ObjectNode body) {
-        return new HttpReply(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), Optional.empty());
+    private static HttpServerResponse reply(int status, ObjectNode body) {
+        return new HttpServerResponse(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), Optional.empty());
     }
 
-    private void answer(HttpCall call, Consumer<HttpReply> out) {
+    private void answer(HttpServerRequest call, Consumer<HttpServerResponse> out) {
         revision += call.path().equals("/txn") ? 1 : 0;
         out.accept(reply(200, SampleMessages.answer(call.path(), revision)));
     }
--- a/src/main/java/org/dunespindle/Daemon.java
+++ b/src/main/java/org/dunespindle/Daemon.java
@@ -11,22 +11,22 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.dunespindle.api.Admin;
-import org.dunespindle.api.ExchangeContext;
-import org.dunespindle.api.JobExchange;
+import org.dunespindle.api.AdminApi;
+import org.dunespindle.api.DelegationContext;
+import org.dunespindle.api.JobDelegation;
 import org.dunespindle.api.UserApi;
 import org.dunespindle.controller.Controller;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.storage.FormatSupport;
-import org.dunespindle.time.Timeline;
-import org.dunespindle.transport.HttpCall;
-import org.dunespindle.transport.HttpCaller;
-import org.dunespindle.transport.HttpListener;
-import org.dunespindle.transport.HttpReply;
-import org.dunespindle.transport.Sockets;
+import org.dunespindle.time.TimeSource;
+import org.dunespindle.transport.HttpServerRequest;
+import org.dunespindle.transport.NettyHttpClient;
+import org.dunespindle.transport.NettyHttpServer;
+import org.dunespindle.transport.HttpServerResponse;
+import org.dunespindle.transport.ConnectionBudget;
 
 /** Ties a controller to its listeners. One event loop does everything, so nothing needs a lock. */
 public final class Daemon implements AutoCloseable {
@@ -37,7 +37,7 @@
 
     private static final String JSON = "application/json";
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final Sockets sockets;
+    private final ConnectionBudget sockets;
     private final Controller controller;
     private final Optional<Extension> extension;
     private final Channel front;
@@ -51,7 +51,7 @@
         FormatSupport formats();
 
         /** Links a controller to other cells; called once, before the controller starts. */
-        JobExchange connect(ExchangeContext context, NioEventLoopGroup group);
+        JobDelegation connect(DelegationContext context, NioEventLoopGroup group);
 
         @Override
         void close();
@@ -65,24 +65,24 @@
     /** Binds the listeners and starts the controller. */
     public Daemon(Settings settings, Optional<Extension> extension) throws InterruptedException {
         this.extension = extension;
-        sockets = new Sockets(settings.sockets());
+        sockets = new ConnectionBudget(settings.sockets());
         EventLoop loop = group.next();
         var timeline = new LoopTimeline(loop);
         controller = new Controller(
                 settings,
-                new HttpCaller(loop, settings.sockets() / KEPT_PART, sockets),
+                new NettyHttpClient(loop, settings.sockets() / KEPT_PART, sockets),
                 timeline,
                 extension.map(Extension::formats).orElse(FormatSupport.STANDARD),
                 this::end,
-                context -> extension.map(part -> part.connect(context, group)).orElse(JobExchange.NONE));
-        front = HttpListener.open(
+                context -> extension.map(part -> part.connect(context, group)).orElse(JobDelegation.NONE));
+        front = NettyHttpServer.open(
                 group,
                 settings.front(),
                 BODY_LIMIT,
                 this::front,
                 status -> packed(status, MessagePackCodec.map().put("error", refusal(status)), Optional.empty()),
                 sockets);
-        peer = HttpListener.open(
+        peer = NettyHttpServer.open(
                 group,
                 settings.peerListen(),
                 PEER_BODY_LIMIT,
@@ -93,7 +93,7 @@
     }
 
     /** Time as the event loop keeps it. */
-    private record LoopTimeline(EventLoop loop, long origin) implements Timeline {
+    private record LoopTimeline(EventLoop loop, long origin) implements TimeSource {
         LoopTimeline(EventLoop loop) {
             this(loop, System.nanoTime());
         }
@@ -109,7 +109,7 @@
         }
 
         @Override
-        public void after(Duration delay, Runnable work) {
+        public void schedule(Duration delay, Runnable work) {
             loop.schedule(work, delay.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
@@ -153,15 +153,15 @@
         };
     }
 
-    private static HttpReply packed(int status, ObjectNode body, Optional<Duration> retryAfter) {
-        return new HttpReply(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), retryAfter);
+    private static HttpServerResponse packed(int status, ObjectNode body, Optional<Duration> retryAfter) {
+        return new HttpServerResponse(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), retryAfter);
     }
 
-    private static HttpReply json(int status, ObjectNode body) {
-        return new HttpReply(status, JSON, Admin.write(body), Optional.empty());
+    private static HttpServerResponse json(int status, ObjectNode body) {
+        return new HttpServerResponse(status, JSON, AdminApi.write(body), Optional.empty());
     }
 
-    private void front(HttpCall call, Consumer<HttpReply> reply) {
+    private void front(HttpServerRequest call, Consumer<HttpServerResponse> reply) {
         Consumer<UserApi.Answer> user = a -> reply.accept(packed(a.status(), a.body(), a.retryAfter()));
         String path = call.path();
         if (path.equals("/agent/beat")) {
@@ -169,7 +169,7 @@
         } else if (path.equals("/healthz")) {
             only("GET", call, reply, () -> {
                 boolean well = controller.healthy();
-                reply.accept(new HttpReply(
+                reply.accept(new HttpServerResponse(
                         well ? 200 : 503,
                         "text/plain",
                         (well ? "ok" : "not ready").getBytes(StandardCharsets.US_ASCII),
@@ -197,11 +197,11 @@
         }
     }
 
-    private static void notFound(Consumer<HttpReply> reply) {
+    private static void notFound(Consumer<HttpServerResponse> reply) {
         reply.accept(packed(404, MessagePackCodec.map().put("error", "no such path"), Optional.empty()));
     }
 
-    private static void only(String method, HttpCall call, Consumer<HttpReply> reply, Runnable work) {
+    private static void only(String method, HttpServerRequest call, Consumer<HttpServerResponse> reply, Runnable work) {
         if (call.method().equals(method)) {
             work.run();
         } else {
@@ -210,19 +210,19 @@
         }
     }
 
-    private void beat(HttpCall call, Consumer<HttpReply> reply) {
+    private void beat(HttpServerRequest call, Consumer<HttpServerResponse> reply) {
         try {
-            WorkerReport report = WorkerReport.parse(MessagePackCodec.read(call.body()));
-            controller.heartbeatHandler().report(report, (status, body) -> {
-                HttpReply whole = packed(status, body, Optional.empty());
+            WorkerHeartbeat report = WorkerHeartbeat.parse(MessagePackCodec.read(call.body()));
+            controller.heartbeatHandler().onHeartbeat(report, (status, body) -> {
+                HttpServerResponse whole = packed(status, body, Optional.empty());
                 reply.accept(sockets.scarce() ? whole.andClose() : whole);
             });
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             reply.accept(packed(400, MessagePackCodec.map().put("error", e.getMessage()), Optional.empty()));
         }
     }
 
-    private void peer(HttpCall call, Consumer<HttpReply> reply) {
+    private void peer(HttpServerRequest call, Consumer<HttpServerResponse> reply) {
         if (call.path().equals("/peer/heartbeat") && call.method().equals("POST")) {
             reply.accept(json(200, controller.heard(call.body())));
         } else {
--- a/src/main/java/org/dunespindle/Features.java
+++ b/src/main/java/org/dunespindle/Features.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.dunespindle.federation.FederationSettings;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 
 /**
  * The features file: what is switched on beyond the ordinary program. Unlike the platform's settings, what it does not know it
@@ -21,22 +21,22 @@
     private static final Set<String> TABLES = Set.of("federation");
 
     /** Reads the file; a complaint names the field. */
-    static Features load(Path file) throws MalformedException {
+    static Features load(Path file) throws MalformedMessageException {
         JsonNode root;
         try {
             root = new TomlMapper().readTree(Files.readAllBytes(file));
         } catch (IOException e) {
-            throw new MalformedException("cannot read " + file + ": "
+            throw new MalformedMessageException("cannot read " + file + ": "
                     + e.getMessage().lines().findFirst().orElse("unreadable"));
         }
         return parse(root);
     }
 
     /** Reads and checks the file's content. */
-    static Features parse(JsonNode root) throws MalformedException {
+    static Features parse(JsonNode root) throws MalformedMessageException {
         for (Map.Entry<String, JsonNode> entry : root.properties()) {
             if (!TABLES.contains(entry.getKey())) {
-                throw new MalformedException(entry.getKey() + " is unknown");
+                throw new MalformedMessageException(entry.getKey() + " is unknown");
             }
         }
         return new Features(FederationSettings.parse(root.path("federation")));
--- a/src/main/java/org/dunespindle/FederationExtension.java
+++ b/src/main/java/org/dunespindle/FederationExtension.java
@@ -6,8 +6,8 @@
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.security.SecureRandom;
-import org.dunespindle.api.ExchangeContext;
-import org.dunespindle.api.JobExchange;
+import org.dunespindle.api.DelegationContext;
+import org.dunespindle.api.JobDelegation;
 import org.dunespindle.federation.Federation;
 import org.dunespindle.federation.FederationSettings;
 import org.dunespindle.federation.grpc.GrpcCellServer;
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public JobExchange connect(ExchangeContext context, NioEventLoopGroup group) {
+    public JobDelegation connect(DelegationContext context, NioEventLoopGroup group) {
         EventLoop loop = group.next(); // the group has one loop, the controller's
         transport = new GrpcCellTransport(group, loop);
         var federation = new Federation(context, settings, transport, new SecureRandom());
--- a/src/main/java/org/dunespindle/Main.java
+++ b/src/main/java/org/dunespindle/Main.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 import java.util.Optional;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Settings;
 import picocli.CommandLine;
 import picocli.CommandLine.Model.CommandSpec;
@@ -80,7 +80,7 @@
         Settings settings;
         try {
             settings = Settings.load(file);
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             System.err.println("dunespindle: settings: " + e.getMessage());
             return BAD_SETTINGS;
         }
@@ -89,7 +89,7 @@
             if (features.isPresent()) {
                 extension = Features.load(features.get()).federation().map(FederationExtension::new);
             }
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             System.err.println("dunespindle: features: " + e.getMessage());
             return BAD_SETTINGS;
         }
--- a/src/main/java/org/dunespindle/api/Admin.java
+++ b/src/main/java/org/dunespindle/api/AdminApi.java
@@ -10,53 +10,53 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import org.dunespindle.control.CommitPriority;
-import org.dunespindle.control.Committer;
+import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.Decisions;
-import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.EventRecorder;
+import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
 import org.dunespindle.control.Options;
 import org.dunespindle.controller.Controller;
-import org.dunespindle.job.TeamAccounts;
+import org.dunespindle.job.TeamQuotas;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.scheduling.TeamUse;
+import org.dunespindle.scheduling.TeamUsage;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
 
 /** The administration API, version 1: JSON on the peers' address. */
-public final class Admin {
+public final class AdminApi {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PREFIX = "/v1/";
     private final Settings settings;
-    private final Replica replica;
+    private final StateReplica replica;
     private final Membership membership;
-    private final Committer committer;
-    private final MachineWriter machineWriter;
-    private final TeamAccounts teamAccounts;
-    private final Decisions decisions;
+    private final CommitQueue committer;
+    private final MachineRecordWriter machineWriter;
+    private final TeamQuotas teamAccounts;
+    private final EventRecorder decisions;
     private final Controller controller;
-    private final JobExchange exchange;
+    private final JobDelegation exchange;
     private final Map<String, Histogram> latencies;
 
-    public Admin(
+    public AdminApi(
             ControllerContext context,
-            Committer committer,
-            MachineWriter machineWriter,
-            TeamAccounts teamAccounts,
+            CommitQueue committer,
+            MachineRecordWriter machineWriter,
+            TeamQuotas teamAccounts,
             Controller controller,
-            JobExchange exchange,
+            JobDelegation exchange,
             Map<String, Histogram> latencies) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.decisions = context.decisions();
+        this.decisions = context.eventRecorder();
         this.committer = committer;
         this.machineWriter = machineWriter;
         this.teamAccounts = teamAccounts;
@@ -101,14 +101,14 @@
         switch (what) {
             case "jobs" -> {
                 var list = n.putArray("jobs");
-                replica.livingJobs().forEach(j -> list.add(show(j, false)));
+                replica.activeJobs().forEach(j -> list.add(show(j, false)));
                 n.put(
                         "finished",
-                        replica.jobs().values().stream().filter(j -> !j.open()).count());
+                        replica.jobs().values().stream().filter(j -> !j.isOpen()).count());
             }
             case "hosts" -> {
                 var list = n.putArray("hosts");
-                replica.hosts().values().forEach(h -> list.add(show(h)));
+                replica.machines().values().forEach(h -> list.add(show(h)));
             }
             case "teams" -> teams(n);
             case "controllers" -> {
@@ -120,12 +120,12 @@
                                 .put("incarnation", v.path("inc").longValue())
                                 .put(
                                         "machines",
-                                        replica.hosts().values().stream()
+                                        replica.machines().values().stream()
                                                 .filter(h -> h.owner().equals(name))
                                                 .count()));
             }
             case "options" ->
-                n.put("stamp", replica.stamp(Keys.OPTIONS))
+                n.put("stamp", replica.modRevision(Keys.OPTIONS))
                         .set("options", controller.options().describe());
             case "decisions" -> decisions.toNode(n.put("controller", settings.nodeName()));
             case "latency" ->
@@ -147,36 +147,36 @@
     private static void showReplicas(ObjectNode n, JobRecord j) {
         long stopping = j.allocations().stream().filter(Allocation::stopping).count();
         long running = j.allocations().size() - stopping;
-        n.put("replicasWanted", j.job().tasks())
+        n.put("replicasWanted", j.submission().tasks())
                 .put("replicasRunning", running)
-                .put("replicasRestarting", j.job().tasks() - running);
+                .put("replicasRestarting", j.submission().tasks() - running);
     }
 
     private ObjectNode show(JobRecord j, boolean whole) {
         ObjectNode n = UserApi.show(j, exchange).body();
-        j.visit().ifPresent(visit -> n.put("visitorOf", visit.home()));
+        j.inboundDelegation().ifPresent(visit -> n.put("visitorOf", visit.home()));
         j.spec()
                 .ifPresent(s -> n.put("class", s.jobClass())
                         .put("team", s.team())
-                        .put("shape", s.shape().wire())
+                        .put("shape", s.kind().wire())
                         .put("priority", s.priority().wire())
                         .put("tasks", s.tasks()));
         n.put("accepted", j.arrived().toString());
-        if (j.open() && j.job().service()) {
+        if (j.isOpen() && j.submission().isService()) {
             showReplicas(n, j);
         }
-        boolean placing = j.open() && j.job().gang() && j.mode() != JobRecord.Mode.REAL;
-        if (placing || j.unplacedCount() > 0 || j.away()) {
+        boolean placing = j.isOpen() && j.submission().isGang() && j.gangPhase() != JobRecord.GangPhase.RUNNING;
+        if (placing || j.unplacedCount() > 0 || j.isDelegatedAway()) {
             n.put("waits", controller.whyWaits(j));
         }
         if (whole && j.spec().isPresent()) {
-            n.put("mode", j.mode().name().toLowerCase(java.util.Locale.ROOT)).put("failures", j.failures());
+            n.put("mode", j.gangPhase().name().toLowerCase(java.util.Locale.ROOT)).put("failures", j.failures());
             var list = n.putArray("places");
             for (Allocation c : j.allocations()) {
                 list.addObject()
                         .put("task", c.task())
-                        .put("host", c.host())
-                        .put("attempt", j.wantedAttempt(c))
+                        .put("host", c.machineId())
+                        .put("attempt", j.expectedAttempt(c))
                         .put("stopping", c.stopping());
             }
         }
@@ -193,13 +193,13 @@
                 .put("token", h.token())
                 .put("rented", h.rented().toString())
                 .put("tasks", replica.allocationsOn(h.id()).size())
-                .put("leaving", h.leaving());
+                .put("leaving", h.draining());
         membership.hashed(h.id()).filter(home -> !home.equals(h.owner())).ifPresent(home -> n.put("lentBy", home));
-        return h.leaving() ? n.put("why", h.why()) : n;
+        return h.draining() ? n.put("why", h.drainReason()) : n;
     }
 
     private void teams(ObjectNode n) {
-        TeamUse use = TeamUse.stored(replica);
+        TeamUsage use = TeamUsage.stored(replica);
         var list = n.putArray("teams");
         settings.teams().values().forEach(t -> {
             Resources r = use.of(t.name());
@@ -247,14 +247,14 @@
             merged.set(e.getKey(), e.getValue());
         }
         commit(
-                new Txn().guard(Keys.OPTIONS, n.get("stamp").longValue()).write(Keys.OPTIONS, merged),
+                new Transaction().requireRevision(Keys.OPTIONS, n.get("stamp").longValue()).write(Keys.OPTIONS, merged),
                 Keys.OPTIONS,
                 answer,
-                () -> new AdminResponse(200, MessagePackCodec.map().put("stamp", replica.stamp(Keys.OPTIONS))));
+                () -> new AdminResponse(200, MessagePackCodec.map().put("stamp", replica.modRevision(Keys.OPTIONS))));
     }
 
     private void drain(String id, Consumer<AdminResponse> answer) {
-        MachineRecord h = replica.hosts().get(id);
+        MachineRecord h = replica.machines().get(id);
         if (h == null) {
             answer.accept(error(404, "no such machine"));
             return;
@@ -265,7 +265,7 @@
         }
         machineWriter.change(
                 CommitPriority.USERS,
-                h.leaving(MachineRecord.DRAINED),
+                h.draining(MachineRecord.DRAINED),
                 r -> answer.accept(after(
                         r,
                         () -> new AdminResponse(
@@ -273,7 +273,7 @@
     }
 
     private void commit(
-            Txn txn, String key, Consumer<AdminResponse> answer, java.util.function.Supplier<AdminResponse> good) {
+            Transaction txn, String key, Consumer<AdminResponse> answer, java.util.function.Supplier<AdminResponse> good) {
         if (committer.isLocked(key)) {
             answer.accept(error(409, "another change is under way; read again and repeat"));
             return;
@@ -281,11 +281,11 @@
         committer.propose(CommitPriority.USERS, txn, r -> answer.accept(after(r, good)));
     }
 
-    private static AdminResponse after(TxnResult r, java.util.function.Supplier<AdminResponse> good) {
-        if (r instanceof TxnResult.Applied) {
+    private static AdminResponse after(TransactionResult r, java.util.function.Supplier<AdminResponse> good) {
+        if (r instanceof TransactionResult.Applied) {
             return good.get();
         }
-        return r instanceof TxnResult.Conflict
+        return r instanceof TransactionResult.Conflict
                 ? error(409, "changed by somebody else meanwhile; read again and repeat")
                 : error(503, "the state service does not answer");
     }
--- a/src/main/java/org/dunespindle/api/ExchangeContext.java
+++ b/src/main/java/org/dunespindle/api/DelegationContext.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.dunespindle.control.Committer;
-import org.dunespindle.control.Decisions;
+import org.dunespindle.control.CommitQueue;
+import org.dunespindle.control.EventRecorder;
 import org.dunespindle.control.Membership;
 import org.dunespindle.control.Options;
 import org.dunespindle.protocol.MachineType;
@@ -13,24 +13,24 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.time.TimeSource;
 
 /**
- * What a {@link JobExchange} may use of the controller that it belongs to.
+ * What a {@link JobDelegation} may use of the controller that it belongs to.
  *
  * @param whyNever why a job can never run in this cell, if so; empty while that is not known yet
  * @param whyWaits why an unfinished job waits in this cell
  * @param machineTypes what the cell's cloud rents out; empty while that is not known yet
  */
-public record ExchangeContext(
+public record DelegationContext(
         Settings settings,
-        Timeline timeline,
-        Replica replica,
+        TimeSource timeline,
+        StateReplica replica,
         JobRecordWriter jobWriter,
         Membership membership,
-        Committer committer,
-        Decisions decisions,
+        CommitQueue committer,
+        EventRecorder decisions,
         Supplier<Options> options,
         Function<Submission, Optional<NeverVerdict>> whyNever,
         Function<JobRecord, String> whyWaits,
--- a/src/main/java/org/dunespindle/api/JobExchange.java
+++ b/src/main/java/org/dunespindle/api/JobDelegation.java
@@ -11,9 +11,9 @@
  * What a controller needs to know of other cells: the seam between placing jobs on this cell's machines and giving them to, or
  * taking them from, others. Everything runs on the controller's one thread.
  */
-public interface JobExchange {
+public interface JobDelegation {
     /** A cell on its own. */
-    JobExchange NONE = new JobExchange() {};
+    JobDelegation NONE = new JobDelegation() {};
 
     /**
      * How a job stands in the cell that holds it, as that cell told last.
--- a/src/main/java/org/dunespindle/api/UserApi.java
+++ b/src/main/java/org/dunespindle/api/UserApi.java
@@ -10,21 +10,21 @@
 import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
 import org.dunespindle.control.CommitPriority;
-import org.dunespindle.control.Committer;
+import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.protocol.MachineType;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.StateClient;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.StateStoreClient;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.time.TimeSource;
 
 /** The users' side: submissions, polls and cancellations. Every answer rests on what is stored. */
 public final class UserApi {
@@ -35,14 +35,14 @@
     private static final int WAITING_SECONDS = 2;
     private static final Duration PATIENCE = Duration.ofMillis(1800);
     private final Settings settings;
-    private final Replica replica;
-    private final StateClient state;
+    private final StateReplica replica;
+    private final StateStoreClient state;
     private final JobRecordWriter jobWriter;
-    private final Committer committer;
-    private final Timeline timeline;
+    private final CommitQueue committer;
+    private final TimeSource timeline;
     private final Supplier<Optional<List<MachineType>>> catalog;
     private final Histogram accepts;
-    private final JobExchange exchange;
+    private final JobDelegation exchange;
     /** What waits longer than its user does is of no use; cancellations may still wait when submissions may not. */
     private final int mostWaiting;
 
@@ -64,18 +64,18 @@
     /** Creates the API; the catalog is empty until the cloud has answered. */
     public UserApi(
             ControllerContext context,
-            StateClient state,
-            Committer committer,
+            StateStoreClient state,
+            CommitQueue committer,
             Supplier<Optional<List<MachineType>>> catalog,
             Histogram accepts,
-            JobExchange exchange) {
+            JobDelegation exchange) {
         this.exchange = exchange;
         this.settings = context.settings();
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
         this.state = state;
         this.committer = committer;
-        this.timeline = context.timeline();
+        this.timeline = context.timeSource();
         this.catalog = catalog;
         this.accepts = accepts;
         this.mostWaiting =
@@ -87,7 +87,7 @@
         Submission job;
         try {
             job = Submission.parse(MessagePackCodec.read(body));
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             answer.accept(Answer.error(400, e.getMessage()));
             return;
         }
@@ -137,7 +137,7 @@
             answer.accept(Answer.later("more submissions wait than can be stored in time", LATER));
         } else {
             Duration begun = timeline.now();
-            Txn txn = jobWriter.write(new Txn(), record);
+            Transaction txn = jobWriter.write(new Transaction(), record);
             committer.propose(CommitPriority.USERS, txn, result -> {
                 long micros = timeline.now().minus(begun).toNanos() / 1000;
                 accepts.recordValue(Math.min(accepts.getHighestTrackableValue(), micros));
@@ -146,10 +146,10 @@
         }
     }
 
-    private void stored(String id, TxnResult result, Consumer<Answer> answer) {
-        if (result instanceof TxnResult.Applied) {
+    private void stored(String id, TransactionResult result, Consumer<Answer> answer) {
+        if (result instanceof TransactionResult.Applied) {
             answer.accept(Answer.of(201, MessagePackCodec.map().put("id", id).put("phase", "queued")));
-        } else if (own(id).isPresent() && !(result instanceof TxnResult.Refused)) {
+        } else if (own(id).isPresent() && !(result instanceof TransactionResult.Refused)) {
             current(id, answer);
         } else {
             answer.accept(out());
@@ -158,11 +158,11 @@
 
     /** A job that this cell accepted from its user. One that it took in from another cell is known to that cell's users only. */
     private Optional<JobRecord> own(String id) {
-        return replica.job(id).filter(job -> job.visit().isEmpty());
+        return replica.job(id).filter(job -> job.inboundDelegation().isEmpty());
     }
 
     private Answer idTaken(String id) {
-        String home = replica.job(id).flatMap(JobRecord::visit).orElseThrow().home();
+        String home = replica.job(id).flatMap(JobRecord::inboundDelegation).orElseThrow().home();
         return Answer.later("the id is in use by a job of cell " + home, LATER);
     }
 
@@ -176,8 +176,8 @@
         if (zones.isEmpty()) {
             return Optional.of("a task fits no allowed machine type");
         }
-        boolean together = job.whole();
-        if (!team.withinLimit(together ? job.wholeAsk() : job.perTask())) {
+        boolean together = job.runsAsWhole();
+        if (!team.withinLimit(together ? job.totalResources() : job.perTask())) {
             return Optional.of("the job needs more than the limit of team " + job.team());
         }
         if (together && job.sameZone() && job.spread() && job.tasks() > 1) {
@@ -220,7 +220,7 @@
     /** Answers with the stored state. A final state can be told from the copy: it never changes again. */
     private void current(String id, Consumer<Answer> answer) {
         Optional<JobRecord> known = own(id);
-        if (known.isPresent() && !known.get().open()) {
+        if (known.isPresent() && !known.get().isOpen()) {
             answer.accept(show(known.get()));
         } else if (state.failing()) {
             answer.accept(out());
@@ -254,11 +254,11 @@
                     String key = Keys.job(id);
                     if (known.isEmpty()) {
                         answer.accept(absent(id));
-                    } else if (!known.get().open()) {
+                    } else if (!known.get().isOpen()) {
                         answer.accept(show(known.get()));
                     } else if (committer.isLocked(key)) {
                         again(id, until, answer);
-                    } else if (known.get().away()) {
+                    } else if (known.get().isDelegatedAway()) {
                         exchange.cancel(
                                 known.get(), outcome -> cancelledElsewhere(known.get(), outcome, until, answer));
                     } else if (committer.waiting(CommitPriority.USERS) >= 2 * mostWaiting) {
@@ -266,9 +266,9 @@
                     } else {
                         committer.propose(
                                 CommitPriority.USERS,
-                                jobWriter.write(new Txn(), known.get().cancelled()),
+                                jobWriter.write(new Transaction(), known.get().cancelled()),
                                 r -> {
-                                    if (r instanceof TxnResult.Applied) {
+                                    if (r instanceof TransactionResult.Applied) {
                                         answer.accept(Answer.of(
                                                 200,
                                                 MessagePackCodec.map()
@@ -285,30 +285,30 @@
 
     /** Stores what another cell told of a job that it may have held; its user is told only then. */
     private void cancelledElsewhere(
-            JobRecord asked, JobExchange.Cancellation outcome, Duration until, Consumer<Answer> answer) {
+            JobRecord asked, JobDelegation.Cancellation outcome, Duration until, Consumer<Answer> answer) {
         String id = asked.id();
-        if (outcome == JobExchange.Cancellation.UNKNOWN) {
+        if (outcome == JobDelegation.Cancellation.UNKNOWN) {
             answer.accept(Answer.later(
-                    "cell " + asked.delegation().orElseThrow().cell()
+                    "cell " + asked.outboundDelegation().orElseThrow().cell()
                             + ", which may hold the job, does not confirm that it is cancelled",
                     LATER));
             return;
         }
         boolean sameTransfer =
-                replica.job(id).filter(now -> now.tie().equals(asked.tie())).isPresent();
+                replica.job(id).filter(now -> now.delegationLink().equals(asked.delegationLink())).isPresent();
         if (!sameTransfer || committer.isLocked(Keys.job(id))) {
             again(id, until, answer);
             return;
         }
-        JobRecord ended = outcome == JobExchange.Cancellation.DONE ? asked.doneElsewhere() : asked.cancelled();
-        committer.propose(CommitPriority.USERS, jobWriter.write(new Txn(), ended), result -> again(id, until, answer));
+        JobRecord ended = outcome == JobDelegation.Cancellation.DONE ? asked.doneElsewhere() : asked.cancelled();
+        committer.propose(CommitPriority.USERS, jobWriter.write(new Transaction(), ended), result -> again(id, until, answer));
     }
 
     private void again(String id, Duration until, Consumer<Answer> answer) {
         if (timeline.now().compareTo(until) > 0) {
             answer.accept(out());
         } else {
-            timeline.after(LOCK_WAIT, () -> cancel(id, until, answer));
+            timeline.schedule(LOCK_WAIT, () -> cancel(id, until, answer));
         }
     }
 
@@ -322,12 +322,12 @@
     }
 
     /** A job's state for its user; what another cell told of it comes with its age. */
-    static Answer show(JobRecord j, JobExchange exchange) {
-        Optional<JobExchange.RemoteProgress> remote = j.away() ? exchange.progress(j) : Optional.empty();
+    static Answer show(JobRecord j, JobDelegation exchange) {
+        Optional<JobDelegation.RemoteProgress> remote = j.isDelegatedAway() ? exchange.progress(j) : Optional.empty();
         return remote.map(progress -> show(j, progress)).orElseGet(() -> showLocal(j));
     }
 
-    private static Answer show(JobRecord j, JobExchange.RemoteProgress remote) {
+    private static Answer show(JobRecord j, JobDelegation.RemoteProgress remote) {
         ObjectNode body = MessagePackCodec.map()
                 .put("id", j.id())
                 .put("phase", remote.begun() ? "running" : "queued")
@@ -339,7 +339,7 @@
     }
 
     private static Answer showLocal(JobRecord j) {
-        String phase = switch (j.end()) {
+        String phase = switch (j.outcome()) {
             case DONE -> "done";
             case CANCELLED -> "cancelled";
             case OPEN -> j.runningCount() > 0 ? "running" : "queued";
--- a/src/main/java/org/dunespindle/control/CommitPriority.java
+++ b/src/main/java/org/dunespindle/control/CommitPriority.java
@@ -3,6 +3,6 @@
 /** Who goes first when writes are scarce. */
 public enum CommitPriority {
     USERS,
-    PLACING,
+    PLACEMENT,
     MAINTENANCE
 }
--- a/src/main/java/org/dunespindle/control/Committer.java
+++ b/src/main/java/org/dunespindle/control/CommitQueue.java
@@ -10,11 +10,11 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.StateClient;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.StateStoreClient;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.time.TimeSource;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,8 +24,8 @@
  * Proposals wait here rather than in the rate budget, so that users' requests and urgent work overtake
  * maintenance however much of that there is.
  */
-public final class Committer {
-    private static final Logger LOG = LoggerFactory.getLogger(Committer.class);
+public final class CommitQueue {
+    private static final Logger LOG = LoggerFactory.getLogger(CommitQueue.class);
     private static final int MOST_IN_FLIGHT = 3;
     private static final int USERS_AHEAD = 4;
     private static final int KEPT_BACK = 2;
@@ -36,30 +36,30 @@
     private static final int WIDEN = 10;
     private static final Duration CAUTIOUS_FOR = Duration.ofSeconds(2);
     private static final Duration RATE_PAUSE = Duration.ofMillis(150);
-    private final StateClient state;
-    private final Replica replica;
-    private final Timeline timeline;
+    private final StateStoreClient state;
+    private final StateReplica replica;
+    private final TimeSource timeline;
     private final int txnOps;
     private final Map<CommitPriority, ArrayDeque<Proposal>> lanes = new EnumMap<>(CommitPriority.class);
     private final Set<String> locked = new HashSet<>();
     private final Runnable settled;
     private Duration notBefore = Duration.ZERO;
     private Duration cautiousUntil = Duration.ZERO;
-    private long wasted;
+    private long conflicts;
     private int inFlight;
     private boolean timerSet;
-    private long written;
+    private long committed;
     private final Map<String, Integer> kinds = new TreeMap<>();
 
     /** A change that waits for its turn; one that was refused together with others is sent alone. */
-    private record Proposal(CommitPriority lane, Set<String> locks, Txn txn, Consumer<TxnResult> then, boolean alone) {
+    private record Proposal(CommitPriority lane, Set<String> locks, Transaction txn, Consumer<TransactionResult> then, boolean alone) {
         Proposal sentAlone() {
             return new Proposal(lane, locks, txn, then, true);
         }
     }
 
     /** Creates a committer for transactions of at most so many changes. */
-    public Committer(StateClient state, Replica replica, Timeline timeline, int txnOps, Runnable settled) {
+    public CommitQueue(StateStoreClient state, StateReplica replica, TimeSource timeline, int txnOps, Runnable settled) {
         this.state = state;
         this.replica = replica;
         this.timeline = timeline;
@@ -86,17 +86,17 @@
     }
 
     /** Changes tried in vain, since others had changed the same records. */
-    public long wasted() {
-        return wasted;
+    public long conflicts() {
+        return conflicts;
     }
 
     /** Changes committed or tried so far. */
-    public long written() {
-        return written;
+    public long committed() {
+        return committed;
     }
 
     /** Proposes a change; the keys it writes are locked until {@code then} has run. */
-    public void propose(CommitPriority lane, Txn txn, Consumer<TxnResult> then) {
+    public void propose(CommitPriority lane, Transaction txn, Consumer<TransactionResult> then) {
         var locks = Set.copyOf(txn.changes().keySet());
         locked.addAll(locks);
         lanes.get(lane).addLast(new Proposal(lane, locks, txn, then, false));
@@ -133,8 +133,8 @@
             double wanted = head.lane == CommitPriority.USERS
                     ? -USERS_AHEAD
                     : cost + (head.lane == CommitPriority.MAINTENANCE ? KEPT_BACK : 0);
-            if (pause.isNegative() && state.writes().lacks(wanted)) {
-                pause = state.writes().until(wanted);
+            if (pause.isNegative() && state.writes().isShortOf(wanted)) {
+                pause = state.writes().timeUntil(wanted);
             }
             if (!pause.isNegative() && !pause.isZero()) {
                 later(pause);
@@ -146,8 +146,8 @@
                 LOG.error(
                         "a change of {} keys under {} guards is more than a transaction takes",
                         cost,
-                        head.txn.guards().size());
-                finish(List.of(head), new TxnResult.Refused(0, "more than a transaction takes"));
+                        head.txn.preconditions().size());
+                finish(List.of(head), new TransactionResult.Refused(0, "more than a transaction takes"));
                 continue;
             }
             send(batch((int) Math.max(cost, Math.min(width(), state.writes().available()))));
@@ -161,13 +161,13 @@
 
     private List<Proposal> batch(int mostWrites) {
         var batch = new ArrayList<Proposal>();
-        var txn = new Txn();
+        var txn = new Transaction();
         for (ArrayDeque<Proposal> lane : lanes.values()) {
             while (!lane.isEmpty()
                     && (batch.isEmpty() || !batch.get(0).alone && !lane.peekFirst().alone)
                     && (batch.isEmpty()
                             || txn.changeCount() + lane.peekFirst().txn.changeCount() <= mostWrites)
-                    && txn.absorb(lane.peekFirst().txn, txnOps)) {
+                    && txn.tryMerge(lane.peekFirst().txn, txnOps)) {
                 batch.add(lane.pollFirst());
             }
         }
@@ -175,10 +175,10 @@
     }
 
     private void send(List<Proposal> batch) {
-        var txn = new Txn();
-        batch.forEach(p -> txn.absorb(p.txn, txnOps));
+        var txn = new Transaction();
+        batch.forEach(p -> txn.tryMerge(p.txn, txnOps));
         inFlight++;
-        written += txn.changeCount();
+        committed += txn.changeCount();
         if (LOG.isDebugEnabled()) {
             txn.changes().keySet().forEach(k -> kinds.merge(kind(k), 1, Integer::sum));
         }
@@ -188,20 +188,20 @@
     private void later(Duration pause) {
         if (!timerSet) {
             timerSet = true;
-            timeline.after(pause, () -> {
+            timeline.schedule(pause, () -> {
                 timerSet = false;
                 flush();
             });
         }
     }
 
-    private void settle(List<Proposal> batch, Txn txn, TxnResult result) {
+    private void settle(List<Proposal> batch, Transaction txn, TransactionResult result) {
         inFlight--;
-        if (result instanceof TxnResult.Applied applied) {
-            replica.adopt(txn, applied.revision());
+        if (result instanceof TransactionResult.Applied applied) {
+            replica.applyCommitted(txn, applied.revision());
             finish(batch, result);
-        } else if (result instanceof TxnResult.Conflict conflict) {
-            wasted += txn.changeCount();
+        } else if (result instanceof TransactionResult.Conflict conflict) {
+            conflicts += txn.changeCount();
             cautiousUntil = timeline.now().plus(CAUTIOUS_FOR);
             if (LOG.isDebugEnabled()) {
                 conflict.failed().forEach(k -> kinds.merge("conflict " + kind(k), 1, Integer::sum));
@@ -211,22 +211,22 @@
             for (int i = batch.size() - 1; i >= 0; i--) {
                 Proposal p = batch.get(i);
                 if (conflict.failed().isEmpty()
-                        || p.txn.guards().keySet().stream().anyMatch(conflict.failed()::contains)) {
+                        || p.txn.preconditions().keySet().stream().anyMatch(conflict.failed()::contains)) {
                     stale.add(p);
                 } else {
                     lanes.get(p.lane).addFirst(p);
                 }
             }
             replica.refresh(() -> finish(stale, result), () -> finish(stale, result));
-        } else if (result instanceof TxnResult.Unknown) {
+        } else if (result instanceof TransactionResult.Unknown) {
             // Decide again only on what the store says now. A late copy fails its guards or shows in the log.
             replica.refresh(() -> finish(batch, result), () -> finish(batch, result));
-        } else if (result instanceof TxnResult.Refused refused && refused.asItIs() && batch.size() > 1) {
+        } else if (result instanceof TransactionResult.Refused refused && refused.asItIs() && batch.size() > 1) {
             // One that the service does not take must not sink the others, nor be lost among them: each is sent alone.
             for (int i = batch.size() - 1; i >= 0; i--) {
                 lanes.get(batch.get(i).lane).addFirst(batch.get(i).sentAlone());
             }
-        } else if (result instanceof TxnResult.Refused refused && refused.tooMany()) {
+        } else if (result instanceof TransactionResult.Refused refused && refused.tooMany()) {
             notBefore = timeline.now().plus(RATE_PAUSE);
             for (int i = batch.size() - 1; i >= 0; i--) {
                 lanes.get(batch.get(i).lane).addFirst(batch.get(i));
@@ -237,7 +237,7 @@
         flush();
     }
 
-    private void finish(List<Proposal> batch, TxnResult result) {
+    private void finish(List<Proposal> batch, TransactionResult result) {
         for (Proposal p : batch) {
             locked.removeAll(p.locks);
         }
--- a/src/main/java/org/dunespindle/control/ControllerContext.java
+++ b/src/main/java/org/dunespindle/control/ControllerContext.java
@@ -2,8 +2,8 @@
 
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.JobRecordWriter;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.time.TimeSource;
 
 /**
  * What nearly every part of a controller needs.
@@ -17,10 +17,10 @@
  */
 public record ControllerContext(
         Settings settings,
-        Timeline timeline,
-        Replica replica,
+        TimeSource timeSource,
+        StateReplica replica,
         JobRecordWriter jobWriter,
         Membership membership,
-        Sessions sessions,
-        Decisions decisions,
-        StallDetector stalls) {}
+        WorkerRegistry workers,
+        EventRecorder eventRecorder,
+        PauseDetector pauseDetector) {}
--- a/src/main/java/org/dunespindle/control/Decisions.java
+++ b/src/main/java/org/dunespindle/control/EventRecorder.java
@@ -4,25 +4,25 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Instant;
 import java.util.ArrayDeque;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.time.TimeSource;
 import org.slf4j.Logger;
 import org.slf4j.helpers.MessageFormatter;
 
 /** Tells each decision in one log line and remembers the latest for the administration API. */
-public final class Decisions {
+public final class EventRecorder {
     private static final int REMEMBERED = 200;
-    private final Timeline timeline;
+    private final TimeSource timeline;
     private final ArrayDeque<Entry> latest = new ArrayDeque<>();
 
     private record Entry(Instant at, String text) {}
 
     /** Creates an empty list. */
-    public Decisions(Timeline timeline) {
+    public EventRecorder(TimeSource timeline) {
         this.timeline = timeline;
     }
 
     /** Logs a decision and keeps it for the administration API. */
-    public void tell(Logger log, String pattern, Object... parts) {
+    public void record(Logger log, String pattern, Object... parts) {
         String text = MessageFormatter.arrayFormat(pattern, parts).getMessage();
         log.info(text);
         latest.addLast(new Entry(timeline.wallTime(), text));
--- a/src/main/java/org/dunespindle/control/FormatUpgrade.java
+++ b/src/main/java/org/dunespindle/control/FormatUpgrade.java
@@ -5,8 +5,8 @@
 import org.dunespindle.storage.FormatSupport;
 import org.dunespindle.storage.FormatVersion;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -16,19 +16,19 @@
  */
 public final class FormatUpgrade {
     private static final Logger LOG = LoggerFactory.getLogger(FormatUpgrade.class);
-    private final Replica replica;
+    private final StateReplica replica;
     private final Membership membership;
-    private final Committer committer;
-    private final Decisions decisions;
+    private final CommitQueue committer;
+    private final EventRecorder decisions;
     private final FormatSupport formats;
     private final List<String> controllers = new ArrayList<>();
 
     /** Creates the upgrade for a program that announces and understands the given versions. */
-    public FormatUpgrade(ControllerContext context, Committer committer, FormatSupport formats) {
+    public FormatUpgrade(ControllerContext context, CommitQueue committer, FormatSupport formats) {
         this.formats = formats;
         this.replica = context.replica();
         this.membership = context.membership();
-        this.decisions = context.decisions();
+        this.decisions = context.eventRecorder();
         this.committer = committer;
         controllers.add(context.settings().nodeName());
         context.settings().seeds().forEach(seed -> controllers.add(seed.name()));
@@ -52,11 +52,11 @@
             return;
         }
         var txn =
-                new Txn().guard(Keys.FORMAT, replica.stamp(Keys.FORMAT)).guard(Keys.LEADER, replica.stamp(Keys.LEADER));
-        controllers.forEach(name -> txn.guard(Keys.member(name), replica.stamp(Keys.member(name))));
+                new Transaction().requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT)).requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
+        controllers.forEach(name -> txn.requireRevision(Keys.member(name), replica.modRevision(Keys.member(name))));
         txn.write(Keys.FORMAT, FormatVersion.record(announced));
-        decisions.tell(LOG, "all controllers read format version {}; it is used from now on", announced);
-        committer.propose(CommitPriority.PLACING, txn, r -> {});
+        decisions.record(LOG, "all controllers read format version {}; it is used from now on", announced);
+        committer.propose(CommitPriority.PLACEMENT, txn, r -> {});
     }
 
     private boolean allAnnounce() {
--- a/src/main/java/org/dunespindle/control/Reconciler.java
+++ b/src/main/java/org/dunespindle/control/HeartbeatReconciler.java
@@ -12,7 +12,7 @@
 import org.dunespindle.protocol.TaskPhase;
 import org.dunespindle.protocol.TaskStatus;
 import org.dunespindle.protocol.WorkerCommand;
-import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.PlacedTask;
 
@@ -21,13 +21,13 @@
  * send, and what became of allocations. Pure; the caller vouches that the report is proof, that is, it comes
  * under the present token and session and no {@code run} can still be under way.
  */
-public final class Reconciler {
+public final class HeartbeatReconciler {
     private static final Duration EXTRA_GRACE = Duration.ofSeconds(3);
 
-    private Reconciler() {}
+    private HeartbeatReconciler() {}
 
     /** Compares a machine's allocations with what its worker reports. */
-    public static ReconciliationResult judge(List<PlacedTask> allocations, WorkerReport report) {
+    public static ReconciliationResult reconcile(List<PlacedTask> allocations, WorkerHeartbeat report) {
         var commands = new ArrayList<WorkerCommand>();
         var events = new ArrayList<TaskTermination>();
         var byTask = new HashMap<TaskId, List<TaskStatus>>();
@@ -59,8 +59,8 @@
             List<WorkerCommand> commands,
             List<TaskTermination> events) {
         JobRecord job = p.job();
-        long wanted = job.wantedAttempt(p.allocation());
-        boolean stop = !job.open() || p.allocation().stopping() || job.mode() == JobRecord.Mode.STOP;
+        long wanted = job.expectedAttempt(p.allocation());
+        boolean stop = !job.isOpen() || p.allocation().stopping() || job.gangPhase() == JobRecord.GangPhase.STOPPING;
         boolean othersLive = false;
         TaskStatus own = null;
         for (TaskStatus t : present) {
@@ -78,18 +78,18 @@
         if (own != null && own.exited()) {
             if (!othersLive) {
                 events.add(
-                        new TaskTermination(job.id(), id.index(), p.allocation().base(), fate(own, job, p), why(own)));
+                        new TaskTermination(job.id(), id.index(), p.allocation().attemptBase(), fate(own, job, p), why(own)));
             }
         } else if (own != null) {
             if (stop && own.phase() != TaskPhase.SAVING) {
                 commands.add(new WorkerCommand.Halt(id, wanted, grace(job)));
-            } else if (stop && !job.open()) {
+            } else if (stop && !job.isOpen()) {
                 commands.add(new WorkerCommand.Halt(id, wanted, Duration.ZERO));
             }
         } else if (!othersLive) {
             if (stop) {
                 events.add(new TaskTermination(
-                        job.id(), id.index(), p.allocation().base(), TerminationCause.GONE, "released"));
+                        job.id(), id.index(), p.allocation().attemptBase(), TerminationCause.GONE, "released"));
             } else {
                 commands.add(new WorkerCommand.Run(id, wanted));
             }
@@ -98,19 +98,19 @@
 
     /** A cancelled job's progress is of no use to anybody; others may save. */
     private static Duration grace(JobRecord job) {
-        return job.open() && job.job().saves() ? job.job().saveTime().plus(EXTRA_GRACE) : Duration.ZERO;
+        return job.isOpen() && job.submission().checkpoints() ? job.submission().checkpointTime().plus(EXTRA_GRACE) : Duration.ZERO;
     }
 
     private static TerminationCause fate(TaskStatus t, JobRecord job, PlacedTask p) {
         return switch (t.cause().orElse(ExitCause.STOPPED)) {
             case DONE -> TerminationCause.DONE;
             case ERROR -> TerminationCause.ERROR;
-            case NO_ROOM, BUSY, UNKNOWN -> TerminationCause.REFUSED;
+            case NO_ROOM, BUSY, UNKNOWN -> TerminationCause.REJECTED;
             case INCOMPLETE ->
-                job.mode() == JobRecord.Mode.HOLD
-                                && job.open()
+                job.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS
+                                && job.isOpen()
                                 && !p.allocation().stopping()
-                        ? TerminationCause.WAITED_IN_VAIN
+                        ? TerminationCause.ASSEMBLY_TIMEOUT
                         : TerminationCause.GONE;
             default -> TerminationCause.GONE;
         };
--- a/src/main/java/org/dunespindle/control/MachineWriter.java
+++ b/src/main/java/org/dunespindle/control/MachineRecordWriter.java
@@ -11,29 +11,29 @@
 import java.util.function.Consumer;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.time.TimeSource;
 
 /**
  * Changes to machines' records, gathered for a moment: machines that share a page then change in one
  * write. Each change rests on the record as read when it was asked for; if the page has changed since,
  * all of it is dropped and decided anew.
  */
-public final class MachineWriter {
+public final class MachineRecordWriter {
     private static final int MOST_WAITING = 6;
     private static final Duration GATHER = Duration.ofMillis(2);
-    private final Replica replica;
-    private final Committer committer;
-    private final Timeline timeline;
+    private final StateReplica replica;
+    private final CommitQueue committer;
+    private final TimeSource timeline;
     private final Map<String, Edit> open = new LinkedHashMap<>();
     private boolean timerSet;
 
     private static final class Edit {
         final long stamp;
         final Map<String, Optional<MachineRecord>> changes = new HashMap<>();
-        final List<Consumer<TxnResult>> then = new ArrayList<>();
+        final List<Consumer<TransactionResult>> then = new ArrayList<>();
         CommitPriority lane = CommitPriority.MAINTENANCE;
 
         Edit(long stamp) {
@@ -42,7 +42,7 @@
     }
 
     /** Creates a writer of machine records. */
-    public MachineWriter(Replica replica, Committer committer, Timeline timeline) {
+    public MachineRecordWriter(StateReplica replica, CommitQueue committer, TimeSource timeline) {
         this.replica = replica;
         this.committer = committer;
         this.timeline = timeline;
@@ -50,7 +50,7 @@
 
     /** Whether a change to this machine is under way, or to one that shares its page. */
     public boolean busy(String host) {
-        String key = Keys.host(host);
+        String key = Keys.machinePage(host);
         return committer.isLocked(key)
                 || open.containsKey(key) && open.get(key).changes.containsKey(host);
     }
@@ -61,25 +61,25 @@
     }
 
     /** Writes a machine's new record. */
-    public void change(CommitPriority lane, MachineRecord to, Consumer<TxnResult> then) {
+    public void change(CommitPriority lane, MachineRecord to, Consumer<TransactionResult> then) {
         edit(lane, to.id(), Optional.of(to), then);
     }
 
     /** Drops the record of a machine that is proven gone. */
-    public void remove(String host, Consumer<TxnResult> then) {
+    public void remove(String host, Consumer<TransactionResult> then) {
         edit(CommitPriority.MAINTENANCE, host, Optional.empty(), then);
     }
 
-    private void edit(CommitPriority lane, String host, Optional<MachineRecord> to, Consumer<TxnResult> then) {
-        String key = Keys.host(host);
+    private void edit(CommitPriority lane, String host, Optional<MachineRecord> to, Consumer<TransactionResult> then) {
+        String key = Keys.machinePage(host);
         if (committer.isLocked(key)) {
-            then.accept(new TxnResult.Refused(0, "another change is under way"));
+            then.accept(new TransactionResult.Refused(0, "another change is under way"));
             return;
         }
-        long stamp = replica.stamp(key);
+        long stamp = replica.modRevision(key);
         Edit edit = open.get(key);
         if (edit != null && (edit.stamp != stamp || edit.changes.containsKey(host))) {
-            then.accept(new TxnResult.Conflict(Set.of(key)));
+            then.accept(new TransactionResult.Conflict(Set.of(key)));
             return;
         }
         if (edit == null) {
@@ -91,7 +91,7 @@
         edit.lane = lane.compareTo(edit.lane) < 0 ? lane : edit.lane;
         if (!timerSet) {
             timerSet = true;
-            timeline.after(GATHER, this::flush);
+            timeline.schedule(GATHER, this::flush);
         }
     }
 
@@ -100,11 +100,11 @@
         var machineWriter = new LinkedHashMap<>(open);
         open.clear();
         machineWriter.forEach((key, edit) -> {
-            Consumer<TxnResult> all = r -> edit.then.forEach(t -> t.accept(r));
-            if (replica.stamp(key) != edit.stamp || committer.isLocked(key)) {
-                all.accept(new TxnResult.Conflict(Set.of(key)));
+            Consumer<TransactionResult> all = r -> edit.then.forEach(t -> t.accept(r));
+            if (replica.modRevision(key) != edit.stamp || committer.isLocked(key)) {
+                all.accept(new TransactionResult.Conflict(Set.of(key)));
             } else {
-                Txn txn = replica.rewrite(key, edit.changes);
+                Transaction txn = replica.rewrite(key, edit.changes);
                 committer.propose(edit.lane, txn, all);
             }
         });
--- a/src/main/java/org/dunespindle/control/Membership.java
+++ b/src/main/java/org/dunespindle/control/Membership.java
@@ -12,11 +12,11 @@
 import org.dunespindle.storage.FormatVersion;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.StateClient;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.StateStoreClient;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.time.TimeSource;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -31,19 +31,19 @@
     private static final Duration RETRY = Duration.ofMillis(400);
     private final String node;
     private final int newestFormat;
-    private final StateClient state;
-    private final Replica replica;
-    private final Timeline timeline;
+    private final StateStoreClient state;
+    private final StateReplica replica;
+    private final TimeSource timeline;
     private final Map<String, Optional<String>> hashes = new HashMap<>();
     private long hashedFor = -1;
     private long incarnation;
     private OptionalLong lease = OptionalLong.empty();
     private boolean joining;
-    private boolean aside;
+    private boolean resigned;
     private boolean electing;
 
     /** Creates a membership that has not joined yet. */
-    public Membership(String node, int newestFormat, StateClient state, Replica replica, Timeline timeline) {
+    public Membership(String node, int newestFormat, StateStoreClient state, StateReplica replica, TimeSource timeline) {
         this.newestFormat = newestFormat;
         this.node = node;
         this.state = state;
@@ -58,7 +58,7 @@
 
     /** Whether this process has an incarnation and a member key. */
     public boolean joined() {
-        return incarnation > 0 && !aside && lease.isPresent() && isAlive(node, incarnation);
+        return incarnation > 0 && !resigned && lease.isPresent() && isAlive(node, incarnation);
     }
 
     /** Whether an incarnation of a controller holds its lease. */
@@ -107,7 +107,7 @@
             hashedFor = replica.memberVersion();
             hashes.clear();
         }
-        return hashes.computeIfAbsent(Keys.page(host), this::weigh);
+        return hashes.computeIfAbsent(Keys.machinePageName(host), this::weigh);
     }
 
     /** The live controller that looks after a job first. */
@@ -121,7 +121,7 @@
 
     /** Which of some controllers a machine would hash to if they were the live ones. */
     public Optional<String> hashedAmong(Set<String> names, String host) {
-        return heaviest(names, Keys.page(host));
+        return heaviest(names, Keys.machinePageName(host));
     }
 
     private static Optional<String> heaviest(Set<String> names, String host) {
@@ -149,7 +149,7 @@
         if (!replica.loaded()) {
             return;
         }
-        if (!aside && !joining && (incarnation == 0 || lease.isEmpty())) {
+        if (!resigned && !joining && (incarnation == 0 || lease.isEmpty())) {
             join();
         } else if (joined()) {
             elect();
@@ -157,14 +157,14 @@
     }
 
     /** Gives up the lease, and all that hangs on it, until it is asked back; an answer that stays out changes nothing: the lease ends by itself. */
-    public void stepAside() {
-        aside = true;
+    public void resign() {
+        resigned = true;
         lease.ifPresent(state::endLease);
         lease = OptionalLong.empty();
     }
 
-    public void comeBack() {
-        aside = false;
+    public void rejoin() {
+        resigned = false;
     }
 
     private void join() {
@@ -172,12 +172,12 @@
         if (incarnation == 0) {
             String key = Keys.INCARNATION + node;
             long next = replica.value(key).map(v -> v.path("n").longValue()).orElse(0L) + 1;
-            var txn = new Txn()
-                    .guard(key, replica.stamp(key))
+            var txn = new Transaction()
+                    .requireRevision(key, replica.modRevision(key))
                     .write(key, MessagePackCodec.map().put("n", next));
             state.commit(txn).thenAccept(r -> {
-                if (r instanceof TxnResult.Applied a) {
-                    replica.adopt(txn, a.revision());
+                if (r instanceof TransactionResult.Applied a) {
+                    replica.applyCommitted(txn, a.revision());
                     incarnation = next;
                     openLease();
                 } else {
@@ -191,7 +191,7 @@
     }
 
     private void retryJoin() {
-        timeline.after(RETRY, () -> joining = false);
+        timeline.schedule(RETRY, () -> joining = false);
     }
 
     private void openLease() {
@@ -201,12 +201,12 @@
                 return;
             }
             long id = opened.getAsLong();
-            var txn = new Txn()
+            var txn = new Transaction()
                     .writeWithLease(Keys.member(node), memberRecord(), id)
-                    .guard(Keys.member(node), replica.stamp(Keys.member(node)));
+                    .requireRevision(Keys.member(node), replica.modRevision(Keys.member(node)));
             state.commit(txn).thenAccept(r -> {
-                if (r instanceof TxnResult.Applied a) {
-                    replica.adopt(txn, a.revision());
+                if (r instanceof TransactionResult.Applied a) {
+                    replica.applyCommitted(txn, a.revision());
                     lease = OptionalLong.of(id);
                     joining = false;
                     LOG.info("{} joined as incarnation {}", node, incarnation);
@@ -224,7 +224,7 @@
     }
 
     private void scheduleRenewal(long id) {
-        timeline.after(RENEW_EVERY, () -> renew(id));
+        timeline.schedule(RENEW_EVERY, () -> renew(id));
     }
 
     private void renew(long id) {
@@ -233,7 +233,7 @@
         }
         state.renewLease(id).whenComplete((alive, failure) -> {
             if (failure != null) {
-                timeline.after(RETRY, () -> renew(id));
+                timeline.schedule(RETRY, () -> renew(id));
             } else if (alive) {
                 scheduleRenewal(id);
             } else if (lease.isPresent() && lease.getAsLong() == id) {
@@ -252,15 +252,15 @@
             return;
         }
         electing = true;
-        var txn = new Txn()
-                .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
+        var txn = new Transaction()
+                .requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER))
                 .writeWithLease(
                         Keys.LEADER,
                         MessagePackCodec.map().put("node", node).put("inc", incarnation),
                         lease.orElseThrow());
         state.commit(txn).thenAccept(r -> {
-            if (r instanceof TxnResult.Applied a) {
-                replica.adopt(txn, a.revision());
+            if (r instanceof TransactionResult.Applied a) {
+                replica.applyCommitted(txn, a.revision());
                 LOG.info("{} leads now", node);
             }
             replica.refresh(() -> electing = false, () -> electing = false);
--- a/src/main/java/org/dunespindle/control/StallDetector.java
+++ b/src/main/java/org/dunespindle/control/PauseDetector.java
@@ -1,7 +1,7 @@
 package org.dunespindle.control;
 
 import java.time.Duration;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.time.TimeSource;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -10,21 +10,21 @@
  * nobody here listened, so silence is counted from the moment of waking. What rests on the age of the stored
  * state needs no such care: a reading counts from when it was asked for.
  */
-public final class StallDetector {
-    private static final Logger LOG = LoggerFactory.getLogger(StallDetector.class);
+public final class PauseDetector {
+    private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
     private static final Duration STOOD_STILL = Duration.ofSeconds(2);
-    private final Timeline timeline;
+    private final TimeSource timeline;
     private Duration lastBeat;
     private Duration listeningSince;
 
-    public StallDetector(Timeline timeline) {
+    public PauseDetector(TimeSource timeline) {
         this.timeline = timeline;
         this.lastBeat = timeline.now();
         this.listeningSince = lastBeat;
     }
 
     /** Called at least twice a second, and before anything is concluded from silence. */
-    public void beat() {
+    public void tick() {
         Duration now = timeline.now();
         Duration gap = now.minus(lastBeat);
         lastBeat = now;
--- a/src/main/java/org/dunespindle/control/TerminationCause.java
+++ b/src/main/java/org/dunespindle/control/TerminationCause.java
@@ -5,6 +5,6 @@
     DONE,
     GONE,
     ERROR,
-    WAITED_IN_VAIN,
-    REFUSED
+    ASSEMBLY_TIMEOUT,
+    REJECTED
 }
--- a/src/main/java/org/dunespindle/control/WorkerState.java
+++ b/src/main/java/org/dunespindle/control/WorkerState.java
@@ -7,44 +7,44 @@
 import java.util.Optional;
 import java.util.Set;
 import org.dunespindle.protocol.WorkerCommand;
-import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.time.Durations;
 
 /** One worker as seen from here. */
 public final class WorkerState {
     private static final int REMEMBERED_IMAGES = 12;
-    public Optional<WorkerReport> report = Optional.empty();
+    public Optional<WorkerHeartbeat> lastHeartbeat = Optional.empty();
     /**
      * When the worker last reported here, or was first reached under its present token, which leaves it no time yet to report. That
      * it answers later shows that it is there, not that its reports arrive: without them its lease runs out.
      */
-    public Optional<Duration> heardAt = Optional.empty();
+    public Optional<Duration> lastHeartbeatAt = Optional.empty();
     /** When it last answered when asked or commanded. */
-    Optional<Duration> answeredAt = Optional.empty();
+    Optional<Duration> lastAnswerAt = Optional.empty();
 
     private long answeredUnder = -1;
     /** When anything new came from it, be it an old copy. */
     Duration seenAt = Duration.ZERO;
     /** A direct command is under way; nothing is concluded until its answer is in. */
-    public boolean calling;
+    public boolean callInFlight;
     /** A {@code run} went unanswered under this token and may still land; empty once fenced off. */
-    public Optional<Long> unansweredUnder = Optional.empty();
+    public Optional<Long> unansweredStartToken = Optional.empty();
 
     public Duration unansweredAt = Duration.ZERO;
     /** Since when no command is known to arrive: reports alone prove a machine alive, not that it can be commanded. */
-    public Optional<Duration> unprovenSince = Optional.empty();
+    public Optional<Duration> commandsUnconfirmedSince = Optional.empty();
 
-    public Duration callAgainAt = Duration.ZERO;
-    public Duration strayAt = Duration.ZERO;
-    public long strayStamp = -1;
-    public int strays;
-    public boolean verifying;
+    public Duration nextCallAt = Duration.ZERO;
+    public Duration lastRedirectAt = Duration.ZERO;
+    public long redirectRevision = -1;
+    public int redirects;
+    public boolean inspectionInFlight;
     /** When this worker was last sent away because this controller was cut off. */
     public Optional<Duration> turnedAwayAt = Optional.empty();
     /** What became of allocations here, not stored yet; since when. */
-    public List<TaskTermination> events = List.of();
+    public List<TaskTermination> terminations = List.of();
 
-    public Duration eventsSince = Duration.ZERO;
+    public Duration terminationsSince = Duration.ZERO;
     final LinkedHashMap<String, Boolean> images = new LinkedHashMap<>();
     /** Starts sent under {@link #startsToken} in {@link #startsSession}: late copies of them are void only under a higher one. */
     public final Set<WorkerCommand.Run> starts = new HashSet<>();
@@ -52,54 +52,54 @@
     public long startsToken;
     long startsSession;
     /** For the heartbeat to the leader: what was told last, and its number. */
-    public String told = "";
+    public String lastPublished = "";
 
-    public long toldAs;
+    public long lastPublishedSequence;
 
     /** Takes a report that came by itself; late copies change nothing, and the first of all may be one: it proves no life. */
-    public boolean reported(WorkerReport r, Duration now) {
-        boolean first = report.isEmpty();
+    public boolean acceptHeartbeat(WorkerHeartbeat r, Duration now) {
+        boolean first = lastHeartbeat.isEmpty();
         boolean newer = accept(r, now);
         if (newer && !first) {
-            heardAt = Optional.of(now);
+            lastHeartbeatAt = Optional.of(now);
         }
         return newer;
     }
 
     /** Takes what a worker says unless something newer is known. */
-    private boolean accept(WorkerReport r, Duration now) {
-        if (report.isPresent()) {
-            if (!r.newerThan(report.get())) {
+    private boolean accept(WorkerHeartbeat r, Duration now) {
+        if (lastHeartbeat.isPresent()) {
+            if (!r.newerThan(lastHeartbeat.get())) {
                 return false;
             }
-            if (r.session() > report.get().session()) {
+            if (r.agentEpoch() > lastHeartbeat.get().agentEpoch()) {
                 // Its lease ran out although it is up: it may be that our answers do not arrive.
-                unprovenSince = Optional.of(unprovenSince.orElse(now));
+                commandsUnconfirmedSince = Optional.of(commandsUnconfirmedSince.orElse(now));
             }
         }
         seenAt = now;
-        report = Optional.of(r);
+        lastHeartbeat = Optional.of(r);
         return true;
     }
 
     /** Takes a worker's answer to a question or command. */
-    public void answered(WorkerReport r, Duration now) {
+    public void answered(WorkerHeartbeat r, Duration now) {
         accept(r, now);
-        if (heardAt.isEmpty() || r.token() > answeredUnder) {
-            heardAt = Optional.of(now);
+        if (lastHeartbeatAt.isEmpty() || r.token() > answeredUnder) {
+            lastHeartbeatAt = Optional.of(now);
             answeredUnder = r.token();
         }
-        answeredAt = Optional.of(now);
-        unprovenSince = Optional.empty();
+        lastAnswerAt = Optional.of(now);
+        commandsUnconfirmedSince = Optional.empty();
     }
 
     /** The last sign of life of any kind. */
-    public Optional<Duration> aliveAt() {
-        return Durations.later(heardAt, answeredAt);
+    public Optional<Duration> lastSeenAlive() {
+        return Durations.later(lastHeartbeatAt, lastAnswerAt);
     }
 
     public void unanswered(Duration now) {
-        unprovenSince = Optional.of(unprovenSince.orElse(now));
+        commandsUnconfirmedSince = Optional.of(commandsUnconfirmedSince.orElse(now));
     }
 
     public void fetched(String image) {
@@ -115,11 +115,11 @@
     }
 
     /** Whether the last report can prove something: under this token, with no unanswered start. */
-    public boolean proves(long token) {
-        return !calling
-                && unansweredUnder.isEmpty()
-                && report.isPresent()
-                && report.get().token() == token;
+    public boolean isProofUnder(long token) {
+        return !callInFlight
+                && unansweredStartToken.isEmpty()
+                && lastHeartbeat.isPresent()
+                && lastHeartbeat.get().token() == token;
     }
 
     /** Notes starts about to be sent. */
--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -9,58 +9,58 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.HdrHistogram.Histogram;
-import org.dunespindle.api.Admin;
-import org.dunespindle.api.ExchangeContext;
-import org.dunespindle.api.JobExchange;
+import org.dunespindle.api.AdminApi;
+import org.dunespindle.api.DelegationContext;
+import org.dunespindle.api.JobDelegation;
 import org.dunespindle.api.UserApi;
-import org.dunespindle.control.Committer;
+import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.Decisions;
+import org.dunespindle.control.EventRecorder;
 import org.dunespindle.control.FormatUpgrade;
-import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
 import org.dunespindle.control.Options;
-import org.dunespindle.control.OversizeRecords;
-import org.dunespindle.control.Sessions;
-import org.dunespindle.control.StallDetector;
+import org.dunespindle.control.OversizeRecordSplitter;
+import org.dunespindle.control.WorkerRegistry;
+import org.dunespindle.control.PauseDetector;
 import org.dunespindle.control.TaskTermination;
 import org.dunespindle.control.TerminationCause;
-import org.dunespindle.job.Gangs;
-import org.dunespindle.job.Outcomes;
+import org.dunespindle.job.GangLifecycle;
+import org.dunespindle.job.TerminationWriter;
 import org.dunespindle.job.PlacementPacing;
-import org.dunespindle.job.Placements;
+import org.dunespindle.job.PlacementWriter;
 import org.dunespindle.machine.CloudClient;
 import org.dunespindle.machine.CloudInventory;
-import org.dunespindle.machine.FailureAttribution;
-import org.dunespindle.machine.Fleet;
+import org.dunespindle.machine.CrashLoopDetector;
+import org.dunespindle.machine.FleetManager;
 import org.dunespindle.machine.MachineCatalog;
-import org.dunespindle.machine.MachineNews;
-import org.dunespindle.machine.MachineRenter;
-import org.dunespindle.machine.MachineReturner;
-import org.dunespindle.machine.Ownership;
+import org.dunespindle.machine.MachineStatusReporter;
+import org.dunespindle.machine.MachineProvisioner;
+import org.dunespindle.machine.MachineTerminator;
+import org.dunespindle.machine.ShardOwnership;
 import org.dunespindle.machine.Quarantine;
 import org.dunespindle.peer.PeerState;
-import org.dunespindle.peer.Peers;
-import org.dunespindle.peer.WriteShare;
+import org.dunespindle.peer.PeerHeartbeats;
+import org.dunespindle.peer.WriteRateAllocator;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.scheduling.ClusterSnapshot;
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.scheduling.Planner;
-import org.dunespindle.scheduling.Targets;
+import org.dunespindle.scheduling.ServiceLevelObjectives;
 import org.dunespindle.storage.FormatSupport;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.PlacedTask;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.StateClient;
-import org.dunespindle.time.Timeline;
-import org.dunespindle.transport.Caller;
-import org.dunespindle.worker.Cancellations;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.StateStoreClient;
+import org.dunespindle.time.TimeSource;
+import org.dunespindle.transport.HttpClient;
+import org.dunespindle.worker.CancellationTracker;
 import org.dunespindle.worker.HeartbeatHandler;
-import org.dunespindle.worker.Preemptions;
+import org.dunespindle.worker.PendingPreemptions;
 import org.dunespindle.worker.WorkerClient;
-import org.dunespindle.worker.WorkerConnectivity;
+import org.dunespindle.worker.PartitionDetector;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -87,42 +87,42 @@
     private static final int PLAN_SHARE = 10;
     private static final long LONGEST_MICROS = 60_000_000L;
     private final Settings settings;
-    private final Timeline timeline;
-    private final StateClient state;
-    private final Replica replica;
+    private final TimeSource timeline;
+    private final StateStoreClient state;
+    private final StateReplica replica;
     private final Membership membership;
-    private final Committer committer;
-    private final Sessions sessions = new Sessions();
-    private final StallDetector stalls;
-    private final Preemptions preemptions = new Preemptions();
-    private final Cancellations cancellations;
-    private final FailureAttribution failureAttribution;
-    private final MachineWriter machineWriter;
+    private final CommitQueue committer;
+    private final WorkerRegistry sessions = new WorkerRegistry();
+    private final PauseDetector stalls;
+    private final PendingPreemptions preemptions = new PendingPreemptions();
+    private final CancellationTracker cancellations;
+    private final CrashLoopDetector failureAttribution;
+    private final MachineRecordWriter machineWriter;
     private final WorkerClient workerClient;
     private final HeartbeatHandler heartbeatHandler;
-    private final Peers peers;
+    private final PeerHeartbeats peers;
     private final CloudClient cloud;
     private final MachineCatalog catalog;
-    private final Fleet fleet;
-    private final MachineReturner returner;
-    private final MachineNews machineNews;
-    private final Ownership ownership;
-    private final Outcomes outcomes;
-    private final Placements placements;
-    private final Gangs gangs;
+    private final FleetManager fleet;
+    private final MachineTerminator returner;
+    private final MachineStatusReporter machineNews;
+    private final ShardOwnership ownership;
+    private final TerminationWriter outcomes;
+    private final PlacementWriter placements;
+    private final GangLifecycle gangs;
     private final UserApi userApi;
-    private final Decisions decisions;
-    private final WriteShare writeShare;
-    private final PlanSnapshots snapshots;
-    private final LoadLog loadLog;
+    private final EventRecorder decisions;
+    private final WriteRateAllocator writeShare;
+    private final SnapshotBuilder snapshots;
+    private final LoadReporter loadLog;
     private final FormatUpgrade formatUpgrade;
-    private final OversizeRecords oversizeRecords;
+    private final OversizeRecordSplitter oversizeRecords;
     private final Consumer<String> cannotGoOn;
-    private final JobExchange exchange;
+    private final JobDelegation exchange;
     private Options options;
     private long optionsStamp;
-    private final Admin admin;
-    private final WorkerConnectivity connectivity;
+    private final AdminApi admin;
+    private final PartitionDetector connectivity;
     private final Histogram accepts = new Histogram(LONGEST_MICROS, 2);
     private final Histogram rounds = new Histogram(LONGEST_MICROS, 2);
     private final Histogram plans = new Histogram(LONGEST_MICROS, 2);
@@ -144,66 +144,66 @@
      */
     public Controller(
             Settings settings,
-            Caller http,
-            Timeline timeline,
+            HttpClient http,
+            TimeSource timeline,
             FormatSupport formats,
             Consumer<String> cannotGoOn,
-            Function<ExchangeContext, JobExchange> connector) {
+            Function<DelegationContext, JobDelegation> connector) {
         this.cannotGoOn = cannotGoOn;
         this.settings = settings;
         this.timeline = timeline;
-        this.stalls = new StallDetector(timeline);
-        this.decisions = new Decisions(timeline);
+        this.stalls = new PauseDetector(timeline);
+        this.decisions = new EventRecorder(timeline);
         this.options = Options.defaults(settings.workers().lease());
-        var targets = new Targets(settings.objectives());
-        this.state = new StateClient(http, settings, timeline);
-        this.replica = new Replica(state, timeline, SYNC_EVERY, this::wake);
+        var targets = new ServiceLevelObjectives(settings.objectives());
+        this.state = new StateStoreClient(http, settings, timeline);
+        this.replica = new StateReplica(state, timeline, SYNC_EVERY, this::wake);
         this.membership = new Membership(settings.nodeName(), formats.announced(), state, replica, timeline);
-        this.committer = new Committer(
+        this.committer = new CommitQueue(
                 state, replica, timeline, settings.state().lowest().txnOps(), this::wake);
         var context = context();
         this.formatUpgrade = new FormatUpgrade(context, committer, formats);
-        this.oversizeRecords = new OversizeRecords(context, committer, state);
-        this.machineWriter = new MachineWriter(replica, committer, timeline);
-        this.failureAttribution = new FailureAttribution(replica::job);
-        this.cancellations = new Cancellations(settings, replica, timeline);
+        this.oversizeRecords = new OversizeRecordSplitter(context, committer, state);
+        this.machineWriter = new MachineRecordWriter(replica, committer, timeline);
+        this.failureAttribution = new CrashLoopDetector(replica::job);
+        this.cancellations = new CancellationTracker(settings, replica, timeline);
         this.workerClient = new WorkerClient(context, machineWriter, http, preemptions, cancellations, this::wake);
         this.heartbeatHandler = new HeartbeatHandler(
                 context, machineWriter, workerClient, cancellations, this::cutOff, this::fellQuiet, this::wake);
-        this.peers = new Peers(
+        this.peers = new PeerHeartbeats(
                 settings, http, timeline, membership::incarnation, membership::leader, replica, new PeerListener());
-        this.writeShare = new WriteShare(settings, peers, membership, committer, state, timeline);
+        this.writeShare = new WriteRateAllocator(settings, peers, membership, committer, state, timeline);
         this.cloud = new CloudClient(http, settings, timeline);
         this.catalog = new MachineCatalog(cloud, timeline, this::wake);
-        this.returner = new MachineReturner(context, machineWriter, cloud);
-        var renter = new MachineRenter(context, machineWriter, cloud, catalog, targets, returner::isGone);
+        this.returner = new MachineTerminator(context, machineWriter, cloud);
+        var renter = new MachineProvisioner(context, machineWriter, cloud, catalog, targets, returner::isGone);
         var inventory = new CloudInventory(context, machineWriter, cloud, renter, returner);
         var quarantine = new Quarantine(failureAttribution, peers, timeline, this::options);
-        this.fleet = new Fleet(
+        this.fleet = new FleetManager(
                 context,
                 machineWriter,
                 workerClient,
                 peers,
                 quarantine,
                 this::options,
-                new Fleet.Cloud(inventory, catalog, renter, returner));
-        this.machineNews = new MachineNews(context, workerClient, quarantine, returner);
-        this.ownership = new Ownership(context, workerClient, machineWriter, peers, this::options);
-        this.outcomes = new Outcomes(context, committer, workerClient, failureAttribution);
-        this.placements = new Placements(
+                new FleetManager.Cloud(inventory, catalog, renter, returner));
+        this.machineNews = new MachineStatusReporter(context, workerClient, quarantine, returner);
+        this.ownership = new ShardOwnership(context, workerClient, machineWriter, peers, this::options);
+        this.outcomes = new TerminationWriter(context, committer, workerClient, failureAttribution);
+        this.placements = new PlacementWriter(
                 context, committer, machineWriter, outcomes, preemptions, workerClient, machineNews::takesTasks);
-        this.gangs = new Gangs(context, committer, workerClient, this::options);
-        this.snapshots = new PlanSnapshots(context, planSources(context, renter), targets, this::options);
-        this.loadLog = new LoadLog(context, heartbeatHandler, workerClient, committer, state, rounds, plans);
-        this.connectivity = new WorkerConnectivity(context, workerClient, peers);
+        this.gangs = new GangLifecycle(context, committer, workerClient, this::options);
+        this.snapshots = new SnapshotBuilder(context, planSources(context, renter), targets, this::options);
+        this.loadLog = new LoadReporter(context, heartbeatHandler, workerClient, committer, state, rounds, plans);
+        this.connectivity = new PartitionDetector(context, workerClient, peers);
         this.exchange = connector.apply(exchangeContext(context));
         this.admin =
-                new Admin(context, committer, machineWriter, placements.teamAccounts(), this, exchange, latencies());
+                new AdminApi(context, committer, machineWriter, placements.teamAccounts(), this, exchange, latencies());
         this.userApi = new UserApi(context, state, committer, catalog::types, accepts, exchange);
     }
 
-    private ExchangeContext exchangeContext(ControllerContext context) {
-        return new ExchangeContext(
+    private DelegationContext exchangeContext(ControllerContext context) {
+        return new DelegationContext(
                 settings,
                 timeline,
                 replica,
@@ -213,13 +213,13 @@
                 decisions,
                 this::options,
                 job -> catalog.types()
-                        .map(types -> new ExchangeContext.NeverVerdict(UserApi.whyNever(job, types, settings))),
+                        .map(types -> new DelegationContext.NeverVerdict(UserApi.whyNever(job, types, settings))),
                 this::whyWaitsHere,
                 () -> catalog.types().orElse(List.of()));
     }
 
-    private PlanSnapshots.Sources planSources(ControllerContext context, MachineRenter renter) {
-        return new PlanSnapshots.Sources(
+    private SnapshotBuilder.Sources planSources(ControllerContext context, MachineProvisioner renter) {
+        return new SnapshotBuilder.Sources(
                 catalog,
                 fleet,
                 renter,
@@ -251,7 +251,7 @@
 
     /** The operators' settings as stored now. */
     public Options options() {
-        long stamp = replica.stamp(Keys.OPTIONS);
+        long stamp = replica.modRevision(Keys.OPTIONS);
         if (stamp != optionsStamp) {
             optionsStamp = stamp;
             options = Options.of(replica.value(Keys.OPTIONS), settings.workers().lease());
@@ -260,7 +260,7 @@
     }
 
     /** The administration API. */
-    public Admin admin() {
+    public AdminApi admin() {
         return admin;
     }
 
@@ -270,19 +270,19 @@
     }
 
     private String whyWaitsHere(JobRecord j) {
-        if (replica.age().compareTo(PLACING_VIEW) > 0) {
+        if (replica.staleness().compareTo(PLACING_VIEW) > 0) {
             return "the state service does not answer; nothing new is placed";
         }
-        if (j.spec().isPresent() && j.job().gang() && j.mode() == JobRecord.Mode.STOP) {
+        if (j.spec().isPresent() && j.submission().isGang() && j.gangPhase() == JobRecord.GangPhase.STOPPING) {
             return "its members are being stopped before it is placed again";
         }
-        if (failureAttribution.faultyJob(j.id())) {
+        if (failureAttribution.isCrashLooping(j.id())) {
             return "its tasks have failed " + j.failures() + " times, on "
                     + failureAttribution.machinesOf(j.id()).size()
                     + " machines seen from here, and none ended well; one is tried at a time, with growing pauses";
         }
-        if (j.away()) {
-            return "cell " + j.delegation().orElseThrow().cell() + " may hold it";
+        if (j.isDelegatedAway()) {
+            return "cell " + j.outboundDelegation().orElseThrow().cell() + " may hold it";
         }
         if (j.unplacedCount() == 0) {
             return "its placeholders fetch the image";
@@ -290,7 +290,7 @@
         return plan.reasons()
                 .getOrDefault(
                         j.id(),
-                        j.job().gang() && !membership.leads()
+                        j.submission().isGang() && !membership.leads()
                                 ? "the leading controller places gangs; ask "
                                         + membership.leader().orElse("it")
                                 : "it is about to be placed");
@@ -331,41 +331,41 @@
      * answer, and say that they can't either; if nobody answers, it must be assumed that others go on elsewhere.
      */
     private boolean cutOff() {
-        if (replica.age().compareTo(CUT_OFF_VIEW) < 0) {
+        if (replica.staleness().compareTo(CUT_OFF_VIEW) < 0) {
             return false;
         }
-        List<PeerState> heartbeats = peers.fresh();
+        List<PeerState> heartbeats = peers.livePeers();
         return heartbeats.isEmpty()
                 ? !settings.seeds().isEmpty()
-                : heartbeats.stream().anyMatch(w -> w.viewAge().compareTo(PLACING_VIEW) < 0);
+                : heartbeats.stream().anyMatch(w -> w.replicaStaleness().compareTo(PLACING_VIEW) < 0);
     }
 
     private boolean fellQuiet(String owner) {
-        return peers.fellQuiet(owner);
+        return peers.isSuspected(owner);
     }
 
     private void tick() {
-        stalls.beat();
+        stalls.tick();
         connectivity.tick();
         wake();
-        timeline.after(ROUND_AT_LEAST_EVERY, this::tick);
+        timeline.schedule(ROUND_AT_LEAST_EVERY, this::tick);
     }
 
     private void sendHeartbeat() {
         if (replica.loaded()) {
             writeShare.adjust();
-            peers.tell(replica.age(), writeShare.need(), peers.leaderListens() ? machineNews.all() : List.of());
-            peers.keepOnly(replica.hosts().keySet());
+            peers.send(replica.staleness(), writeShare.need(), peers.leaderListens() ? machineNews.all() : List.of());
+            peers.keepOnly(replica.machines().keySet());
             cancellations.prune();
-            failureAttribution.prune(replica.hosts()::containsKey);
-            sessions.forget(replica.hosts().keySet(), timeline.now());
+            failureAttribution.prune(replica.machines()::containsKey);
+            sessions.evictGone(replica.machines().keySet(), timeline.now());
         }
-        timeline.after(HEARTBEAT_EVERY, this::sendHeartbeat);
+        timeline.schedule(HEARTBEAT_EVERY, this::sendHeartbeat);
     }
 
     /** Takes in another controller's heartbeat and answers it. */
     public ObjectNode heard(byte[] heartbeat) {
-        return peers.hear(heartbeat, replica.age(), writeShare.need());
+        return peers.receive(heartbeat, replica.staleness(), writeShare.need());
     }
 
     /** Asks for a round soon. A dear round is followed by a longer pause, so that answers to users and workers keep their turn. */
@@ -378,11 +378,11 @@
         Duration next = lastRound
                 .plus(gap.compareTo(ROUND_AT_MOST_EVERY) > 0 ? gap : ROUND_AT_MOST_EVERY)
                 .minus(timeline.now());
-        timeline.after(next.compareTo(Duration.ofMillis(2)) < 0 ? Duration.ofMillis(2) : next, () -> {
+        timeline.schedule(next.compareTo(Duration.ofMillis(2)) < 0 ? Duration.ofMillis(2) : next, () -> {
             roundSet = false;
             Duration begun = timeline.now();
             lastRound = begun;
-            stalls.beat();
+            stalls.tick();
             try {
                 round();
             } catch (RuntimeException e) {
@@ -419,7 +419,7 @@
             return;
         }
         ownership.tick(plan);
-        if (replica.age().compareTo(PLACING_VIEW) > 0 || catalog.types().isEmpty()) {
+        if (replica.staleness().compareTo(PLACING_VIEW) > 0 || catalog.types().isEmpty()) {
             return; // an outage: what runs goes on, nothing new is placed
         }
         if (membership.leads()) {
@@ -440,15 +440,15 @@
     private List<TaskTermination> onGoneMachines() {
         var events = new ArrayList<TaskTermination>();
         var hosts = new ArrayList<>(returner.gone());
-        replica.hostsWithAllocations().stream()
-                .filter(h -> !replica.hosts().containsKey(h) && !returner.isGone(h))
+        replica.machinesWithAllocations().stream()
+                .filter(h -> !replica.machines().containsKey(h) && !returner.isGone(h))
                 .forEach(hosts::add);
         for (String host : hosts) {
             for (PlacedTask p : replica.allocationsOn(host)) {
                 events.add(new TaskTermination(
                         p.job().id(),
                         p.allocation().task(),
-                        p.allocation().base(),
+                        p.allocation().attemptBase(),
                         TerminationCause.GONE,
                         "its machine " + host + " is gone"));
             }
@@ -493,10 +493,10 @@
     }
 
     /** What of the others' messages concerns other parts. */
-    private final class PeerListener implements Peers.Listener {
+    private final class PeerListener implements PeerHeartbeats.Listener {
         @Override
         public void imageSeen(String host, String image) {
-            sessions.of(host).fetched(image); // what a machine has fetched outlives the change of its owner
+            sessions.getOrCreate(host).fetched(image); // what a machine has fetched outlives the change of its owner
         }
 
         @Override
--- a/src/main/java/org/dunespindle/controller/LoadLog.java
+++ b/src/main/java/org/dunespindle/controller/LoadReporter.java
@@ -3,38 +3,38 @@
 import java.time.Duration;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import org.dunespindle.control.Committer;
+import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.protocol.TaskStatus;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.StateClient;
+import org.dunespindle.storage.StateStoreClient;
 import org.dunespindle.worker.HeartbeatHandler;
 import org.dunespindle.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Tells a controller's load every few seconds, for whoever reads the log at debug. */
-final class LoadLog {
-    private static final Logger LOG = LoggerFactory.getLogger(LoadLog.class);
+final class LoadReporter {
+    private static final Logger LOG = LoggerFactory.getLogger(LoadReporter.class);
     private static final Duration TELL_EVERY = Duration.ofSeconds(10);
     private static final double MOST = 90;
     private final ControllerContext context;
     private final HeartbeatHandler heartbeatHandler;
     private final WorkerClient workerClient;
-    private final Committer committer;
-    private final StateClient state;
+    private final CommitQueue committer;
+    private final StateStoreClient state;
     private final Histogram rounds;
     private final Histogram plans;
     private Duration toldAt = Duration.ZERO;
 
-    LoadLog(
+    LoadReporter(
             ControllerContext context,
             HeartbeatHandler heartbeatHandler,
             WorkerClient workerClient,
-            Committer committer,
-            StateClient state,
+            CommitQueue committer,
+            StateStoreClient state,
             Histogram rounds,
             Histogram plans) {
         this.context = context;
@@ -48,7 +48,7 @@
 
     /** Writes the log lines when they are due. */
     void tell() {
-        Duration now = context.timeline().now();
+        Duration now = context.timeSource().now();
         if (!LOG.isDebugEnabled() || now.minus(toldAt).compareTo(TELL_EVERY) < 0) {
             return;
         }
@@ -56,11 +56,11 @@
         LOG.debug("accelerators by class and phase: {}", acceleratorsByPhase());
         LOG.debug(
                 "load: {} reports, {} calls, {} writes ({} wait, {} in vain), may write {}/s, {}",
-                heartbeatHandler.reports(),
+                heartbeatHandler.heartbeatCount(),
                 workerClient.calls(),
-                committer.written(),
+                committer.committed(),
                 committer.waiting(),
-                committer.wasted(),
+                committer.conflicts(),
                 Math.round(state.writes().perSecond()),
                 committer.kinds());
         LOG.debug(
@@ -73,7 +73,7 @@
                 state.latency().getTotalCount(),
                 millis(state.latency(), MOST),
                 ownMachines(),
-                context.replica().hosts().size());
+                context.replica().machines().size());
     }
 
     private static long millis(Histogram histogram, double percentile) {
@@ -81,18 +81,18 @@
     }
 
     private long ownMachines() {
-        return context.replica().hosts().values().stream()
+        return context.replica().machines().values().stream()
                 .filter(context.membership()::owns)
                 .count();
     }
 
     private TreeMap<String, Double> acceleratorsByPhase() {
         var byPhase = new TreeMap<String, Double>();
-        for (MachineRecord machine : context.replica().hosts().values()) {
+        for (MachineRecord machine : context.replica().machines().values()) {
             if (context.membership().owns(machine)) {
-                context.sessions()
-                        .known(machine.id())
-                        .flatMap(session -> session.report)
+                context.workers()
+                        .find(machine.id())
+                        .flatMap(session -> session.lastHeartbeat)
                         .ifPresent(report -> report.tasks().forEach(task -> add(byPhase, task)));
             }
         }
--- a/src/main/java/org/dunespindle/controller/PlanSnapshots.java
+++ b/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
@@ -14,31 +14,31 @@
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.control.Options;
 import org.dunespindle.control.WorkerState;
-import org.dunespindle.job.Outcomes;
+import org.dunespindle.job.TerminationWriter;
 import org.dunespindle.job.PlacementPacing;
-import org.dunespindle.job.Placements;
-import org.dunespindle.machine.FailureAttribution;
-import org.dunespindle.machine.Fleet;
+import org.dunespindle.job.PlacementWriter;
+import org.dunespindle.machine.CrashLoopDetector;
+import org.dunespindle.machine.FleetManager;
 import org.dunespindle.machine.MachineCatalog;
-import org.dunespindle.machine.MachineNews;
-import org.dunespindle.machine.MachineRenter;
-import org.dunespindle.machine.MachineReturner;
-import org.dunespindle.peer.Peers;
+import org.dunespindle.machine.MachineStatusReporter;
+import org.dunespindle.machine.MachineProvisioner;
+import org.dunespindle.machine.MachineTerminator;
+import org.dunespindle.peer.PeerHeartbeats;
 import org.dunespindle.peer.ReportedMachine;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.scheduling.ClusterSnapshot;
-import org.dunespindle.scheduling.Headroom;
+import org.dunespindle.scheduling.DemandForecast;
 import org.dunespindle.scheduling.JobAttempt;
 import org.dunespindle.scheduling.MachinePool;
 import org.dunespindle.scheduling.MachineSnapshot;
 import org.dunespindle.scheduling.ProjectedJobs;
-import org.dunespindle.scheduling.Targets;
+import org.dunespindle.scheduling.ServiceLevelObjectives;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
 
 /** Gathers what a plan depends on: all machines and gangs for the leader, its own machines for any other controller. */
-final class PlanSnapshots {
+final class SnapshotBuilder {
     /** What a record holds beside its allocations, in bytes. */
     private static final int RECORD_BYTES_RESERVED = 1600;
     /** What a task takes of its job's record at least, however many share a machine: a run of tasks breaks up while they end one by one. */
@@ -47,17 +47,17 @@
     private static final int LEAST_TASKS = 8;
     private final ControllerContext context;
     private final MachineCatalog catalog;
-    private final Fleet fleet;
-    private final MachineRenter renter;
-    private final MachineReturner returner;
-    private final MachineNews machineNews;
-    private final Peers peers;
-    private final Placements placements;
-    private final Outcomes outcomes;
+    private final FleetManager fleet;
+    private final MachineProvisioner renter;
+    private final MachineTerminator returner;
+    private final MachineStatusReporter machineNews;
+    private final PeerHeartbeats peers;
+    private final PlacementWriter placements;
+    private final TerminationWriter outcomes;
     private final PlacementPacing pacing;
-    private final FailureAttribution failureAttribution;
-    private final Targets targets;
-    private final Headroom headroom;
+    private final CrashLoopDetector failureAttribution;
+    private final ServiceLevelObjectives targets;
+    private final DemandForecast headroom;
     private final Supplier<Options> options;
     private final Map<String, MachinePool> places = new HashMap<>();
     private final Map<JobAttempt, Duration> startedAt = new HashMap<>();
@@ -65,17 +65,17 @@
     /** The parts of a controller that know what a plan depends on. */
     record Sources(
             MachineCatalog catalog,
-            Fleet fleet,
-            MachineRenter renter,
-            MachineReturner returner,
-            MachineNews machineNews,
-            Peers peers,
-            Placements placements,
-            Outcomes outcomes,
+            FleetManager fleet,
+            MachineProvisioner renter,
+            MachineTerminator returner,
+            MachineStatusReporter machineNews,
+            PeerHeartbeats peers,
+            PlacementWriter placements,
+            TerminationWriter outcomes,
             PlacementPacing pacing,
-            FailureAttribution failureAttribution) {}
+            CrashLoopDetector failureAttribution) {}
 
-    PlanSnapshots(ControllerContext context, Sources sources, Targets targets, Supplier<Options> options) {
+    SnapshotBuilder(ControllerContext context, Sources sources, ServiceLevelObjectives targets, Supplier<Options> options) {
         this.context = context;
         this.catalog = sources.catalog;
         this.fleet = sources.fleet;
@@ -88,7 +88,7 @@
         this.pacing = sources.pacing;
         this.failureAttribution = sources.failureAttribution;
         this.targets = targets;
-        this.headroom = new Headroom(context.settings().objectives());
+        this.headroom = new DemandForecast(context.settings().objectives());
         this.options = options;
     }
 
@@ -99,7 +99,7 @@
         List<JobRecord> jobs = projection.expected();
         headroom.observe(jobs);
         return new ClusterSnapshot(
-                context.timeline().wallTime(),
+                context.timeSource().wallTime(),
                 projection,
                 hosts(leads),
                 context.settings().teams(),
@@ -111,8 +111,8 @@
                 leads,
                 departing(leads),
                 leads
-                        ? headroom.phantoms(
-                                options.get().spareJobs(), context.timeline().wallTime())
+                        ? headroom.forecastJobs(
+                                options.get().spareJobs(), context.timeSource().wallTime())
                         : List.of(),
                 targets,
                 progress(jobs, leads));
@@ -122,13 +122,13 @@
     private ToIntFunction<JobRecord> mostTasks() {
         int room = context.jobWriter().capacity() - RECORD_BYTES_RESERVED;
         int most = Math.max(LEAST_TASKS, room / RECORD_BYTES_PER_TASK);
-        return job -> failureAttribution.faultyJob(job.id()) ? 1 : most;
+        return job -> failureAttribution.isCrashLooping(job.id()) ? 1 : most;
     }
 
     private List<MachineSnapshot> hosts(boolean leads) {
         var hosts = new ArrayList<MachineSnapshot>();
         var trusted = new HashMap<String, Boolean>();
-        Map<String, MachineRecord> machines = context.replica().hosts();
+        Map<String, MachineRecord> machines = context.replica().machines();
         places.keySet().retainAll(machines.keySet());
         // A plain loop: this runs for every machine with every plan, and capturing lambdas are dear with the first-tier
         // compiler.
@@ -150,7 +150,7 @@
     /** Machines on their way out: their owners move replicas ahead, and the leader rents room for those that find none. */
     private Set<String> departing(boolean leads) {
         var departing = new HashSet<String>();
-        for (MachineRecord machine : context.replica().hosts().values()) {
+        for (MachineRecord machine : context.replica().machines().values()) {
             if (!context.replica().allocationsOn(machine.id()).isEmpty()) {
                 boolean mine = context.membership().owns(machine);
                 if (mine ? machineNews.departs(machine) : leads && departsElsewhere(machine)) {
@@ -167,7 +167,7 @@
         Optional<ReportedMachine> told = peers.machine(machine);
         boolean closed =
                 told.isPresent() && !told.get().up() && told.get().silentFor().compareTo(lately) < 0;
-        return machine.leaving() || closed;
+        return machine.draining() || closed;
     }
 
     private void add(
@@ -181,7 +181,7 @@
             return;
         }
         Set<String> images =
-                context.sessions().known(machine.id()).map(WorkerState::images).orElse(Set.of());
+                context.workers().find(machine.id()).map(WorkerState::images).orElse(Set.of());
         hosts.add(new MachineSnapshot(
                 machine.id(), machine.type(), machine.zone(), machine.spot(), type.size(), up, mine, images));
     }
@@ -200,19 +200,19 @@
             return false;
         }
         Optional<ReportedMachine> told = peers.lastTold(machine);
-        return told.isPresent() && told.get().up() && !told.get().bad();
+        return told.isPresent() && told.get().up() && !told.get().quarantined();
     }
 
     /** How long tasks booked together have been under way: since they were first seen here, which is a little late or, after a start, much. */
     private Function<JobAttempt, Duration> progress(List<JobRecord> jobs, boolean all) {
-        Duration now = context.timeline().now();
+        Duration now = context.timeSource().now();
         var present = new HashSet<JobAttempt>();
         for (JobRecord job : jobs) {
-            if (!all && (job.spec().isEmpty() || !job.job().service())) {
+            if (!all && (job.spec().isEmpty() || !job.submission().isService())) {
                 continue;
             }
             for (Allocation allocation : job.allocations()) {
-                present.add(new JobAttempt(job.id(), allocation.base()));
+                present.add(new JobAttempt(job.id(), allocation.attemptBase()));
             }
         }
         startedAt.keySet().retainAll(present);
--- a/src/main/java/org/dunespindle/federation/AdmissionPolicy.java
+++ b/src/main/java/org/dunespindle/federation/AdmissionPolicy.java
@@ -16,21 +16,21 @@
      * @param givesAway kinds of work that this cell gives away
      */
     public record View(
-            RoomSurvey room, Optional<String> never, int visitors, int mostVisitors, Collection<WorkKind> givesAway) {}
+            CapacitySurvey room, Optional<String> never, int visitors, int mostVisitors, Collection<ResourceKind> givesAway) {}
 
     /** Why the job is not taken; empty if it is. */
-    public static Optional<Refusal.Reason> refusal(Submission job, View view) {
-        WorkKind kind = WorkKind.of(job);
+    public static Optional<Rejection.Reason> refusal(Submission job, View view) {
+        ResourceKind kind = ResourceKind.of(job);
         if (view.never.isPresent()) {
-            return Optional.of(Refusal.Reason.NEVER_FITS);
+            return Optional.of(Rejection.Reason.NEVER_FITS);
         }
         if (view.givesAway.stream().anyMatch(kind::overlaps)) {
-            return Optional.of(Refusal.Reason.GIVES_AWAY);
+            return Optional.of(Rejection.Reason.GIVES_AWAY);
         }
         if (view.visitors >= view.mostVisitors) {
-            return Optional.of(Refusal.Reason.TOO_MANY_VISITORS);
+            return Optional.of(Rejection.Reason.TOO_MANY_VISITORS);
         }
         boolean room = !view.room.lacks(kind, job.priority()) && view.room.hasRoomFor(job);
-        return room ? Optional.empty() : Optional.of(Refusal.Reason.NO_ROOM);
+        return room ? Optional.empty() : Optional.of(Rejection.Reason.NO_ROOM);
     }
 }
--- a/src/main/java/org/dunespindle/federation/RoomHint.java
+++ b/src/main/java/org/dunespindle/federation/CapacityHint.java
@@ -11,7 +11,7 @@
  * @param largest the same on the machine that has most, or the size of one that may be rented
  * @param rentable whether more such machines may be had, as far as the cell knows
  */
-public record RoomHint(
+public record CapacityHint(
         String type,
         String zone,
         boolean spot,
@@ -33,17 +33,17 @@
             return 0;
         }
         if (rentable) {
-            return Submission.MOST_TASKS;
+            return Submission.MAX_TASKS;
         }
         double most = Math.min(
                 ratio(free.cpus(), job.perTask().cpus()),
                 Math.min(
                         ratio(free.gpus(), job.perTask().gpus()),
                         ratio(free.ramGb(), job.perTask().ramGb())));
-        return (int) Math.min(Submission.MOST_TASKS, Math.floor(most));
+        return (int) Math.min(Submission.MAX_TASKS, Math.floor(most));
     }
 
     private static double ratio(double free, double one) {
-        return one <= 0 ? Submission.MOST_TASKS : free / one + 1e-9;
+        return one <= 0 ? Submission.MAX_TASKS : free / one + 1e-9;
     }
 }
--- a/src/main/java/org/dunespindle/federation/RoomSurvey.java
+++ b/src/main/java/org/dunespindle/federation/CapacitySurvey.java
@@ -17,7 +17,7 @@
 import org.dunespindle.scheduling.MachineSnapshot;
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.scheduling.TaskAttempt;
-import org.dunespindle.scheduling.TeamUse;
+import org.dunespindle.scheduling.TeamUsage;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
@@ -25,13 +25,13 @@
  * What room a plan leaves in a cell: for each priority what is free or held by work that would give way, after what the plan books.
  * Pure, and made once a plan, for hints to other cells and for deciding whether to take a job of theirs.
  */
-public final class RoomSurvey {
+public final class CapacitySurvey {
     /** Of an array, room for this part of its tasks is enough to begin with. */
     private static final int ARRAY_PART = 4;
 
     private final ClusterSnapshot snapshot;
     private final List<Machine> machines = new ArrayList<>();
-    private final TeamUse use;
+    private final TeamUsage use;
     private final List<JobRecord> lacking = new ArrayList<>();
     /** What may be rented, as far as is known: markets that the cloud did not refuse lately. */
     private final Map<MachinePool, MachineType> rentable = new LinkedHashMap<>();
@@ -59,11 +59,11 @@
     }
 
     /** Surveys a cell by its leader's plan, and by the machine types that its cloud rents out. */
-    public RoomSurvey(ClusterSnapshot snapshot, Plan plan, List<MachineType> types) {
+    public CapacitySurvey(ClusterSnapshot snapshot, Plan plan, List<MachineType> types) {
         this.snapshot = snapshot;
         this.use = snapshot.projection().use();
         var byId = new HashMap<String, Machine>();
-        for (MachineSnapshot host : snapshot.hosts()) {
+        for (MachineSnapshot host : snapshot.machines()) {
             var machine = new Machine(host);
             machines.add(machine);
             byId.put(host.id(), machine);
@@ -71,12 +71,12 @@
         types.forEach(this::addMarkets);
         snapshot.jobs().forEach(job -> occupy(job, job.allocations(), byId));
         snapshot.projection().overtaken().forEach(job -> occupy(job.stored(), job.hidden(), byId));
-        plan.bookings().forEach(booking -> book(booking, byId));
+        plan.bindings().forEach(booking -> book(booking, byId));
         var present = new HashMap<String, JobRecord>();
         snapshot.jobs().forEach(job -> present.put(job.id(), job));
         plan.shortfalls().stream()
                 .map(shortfall -> present.get(shortfall.job().id()))
-                .filter(job -> job != null && job.open())
+                .filter(job -> job != null && job.isOpen())
                 .forEach(lacking::add);
     }
 
@@ -93,10 +93,10 @@
 
     private void occupy(JobRecord job, List<Allocation> allocations, Map<String, Machine> byId) {
         for (Allocation allocation : allocations) {
-            Machine machine = byId.get(allocation.host());
-            boolean ended = snapshot.ended().contains(new TaskAttempt(job.id(), allocation.task(), allocation.base()));
+            Machine machine = byId.get(allocation.machineId());
+            boolean ended = snapshot.ended().contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
             if (machine != null && !ended) {
-                take(machine, job, !job.job().gang());
+                take(machine, job, !job.submission().isGang());
             }
         }
     }
@@ -111,10 +111,10 @@
     }
 
     private static void take(Machine machine, JobRecord job, boolean givesWay) {
-        Resources one = job.job().perTask();
+        Resources one = job.submission().perTask();
         machine.free = machine.free.minus(one);
         if (givesWay) {
-            machine.heldBy.merge(job.job().priority(), one, Resources::plus);
+            machine.heldBy.merge(job.submission().priority(), one, Resources::plus);
         }
     }
 
@@ -124,18 +124,18 @@
     }
 
     /** Whether work of a priority, or of a higher one, already waits for machines that work of a kind could use. */
-    public boolean lacks(WorkKind kind, Priority priority) {
+    public boolean lacks(ResourceKind kind, Priority priority) {
         return lacking.stream()
-                .anyMatch(job -> job.job().priority().compareTo(priority) >= 0
-                        && WorkKind.of(job.job()).overlaps(kind));
+                .anyMatch(job -> job.submission().priority().compareTo(priority) >= 0
+                        && ResourceKind.of(job.submission()).overlaps(kind));
     }
 
     /** Whether a job finds room, as far as the plan tells, and its team's limit allows it. */
     public boolean hasRoomFor(Submission job) {
-        int wanted = job.gang() ? job.tasks() : Math.max(1, job.tasks() / ARRAY_PART);
+        int wanted = job.isGang() ? job.tasks() : Math.max(1, job.tasks() / ARRAY_PART);
         Settings.Team team = snapshot.teams().get(job.team());
         Resources before = use.of(job.team());
-        if (team == null || !team.withinLimit(before.plus(job.perTask().times(job.gang() ? wanted : 1)))) {
+        if (team == null || !team.withinLimit(before.plus(job.perTask().times(job.isGang() ? wanted : 1)))) {
             return false;
         }
         Map<String, Integer> byZone = tasksByZone(job);
@@ -180,7 +180,7 @@
     }
 
     /** What other cells are told. */
-    public List<RoomHint> hints() {
+    public List<CapacityHint> hints() {
         var byMarket = new LinkedHashMap<MachinePool, List<Machine>>();
         rentable.keySet().forEach(market -> byMarket.put(market, new ArrayList<>()));
         for (Machine machine : machines) {
@@ -188,7 +188,7 @@
             var market = new MachinePool(host.type(), host.zone(), host.spot());
             byMarket.computeIfAbsent(market, key -> new ArrayList<>()).add(machine);
         }
-        var hints = new ArrayList<RoomHint>();
+        var hints = new ArrayList<CapacityHint>();
         byMarket.forEach((market, alike) -> {
             for (Priority priority : Priority.values()) {
                 hints.add(hint(market, alike, priority));
@@ -197,7 +197,7 @@
         return hints;
     }
 
-    private RoomHint hint(MachinePool market, List<Machine> alike, Priority priority) {
+    private CapacityHint hint(MachinePool market, List<Machine> alike, Priority priority) {
         MachineType more = rentable.get(market);
         Resources sum = Resources.NONE;
         Resources largest = more == null ? Resources.NONE : more.size();
@@ -208,6 +208,6 @@
                     room.gpus() > largest.gpus() || room.gpus() == largest.gpus() && room.cpus() > largest.cpus();
             largest = larger ? room : largest;
         }
-        return new RoomHint(market.type(), market.zone(), market.spot(), priority, sum, largest, more != null);
+        return new CapacityHint(market.type(), market.zone(), market.spot(), priority, sum, largest, more != null);
     }
 }
--- a/src/main/java/org/dunespindle/federation/Abandonment.java
+++ b/src/main/java/org/dunespindle/federation/CellAbandonment.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -16,16 +16,16 @@
  * Gives a cell up by an operator's word: jobs given to it come home, its own jobs here are cancelled, and what is stored of it is
  * dropped at last, so that it may be met anew. If the cell still runs those jobs, they run twice: nobody but the operator can know.
  */
-final class Abandonment {
-    private static final Logger LOG = LoggerFactory.getLogger(Abandonment.class);
+final class CellAbandonment {
+    private static final Logger LOG = LoggerFactory.getLogger(CellAbandonment.class);
     private static final int MOST_AT_ONCE = 4;
 
-    private final ExchangeContext context;
-    private final Replica replica;
-    private final OwnCellKeeper self;
+    private final DelegationContext context;
+    private final StateReplica replica;
+    private final CellIdentityKeeper self;
     private final KnownCells known;
 
-    Abandonment(ExchangeContext context, OwnCellKeeper self, KnownCells known) {
+    CellAbandonment(DelegationContext context, CellIdentityKeeper self, KnownCells known) {
         this.context = context;
         this.replica = context.replica();
         this.self = self;
@@ -43,8 +43,8 @@
         String key = Keys.cell(cell);
         boolean over = changes.isEmpty() && visitorsOf(cell).isEmpty();
         if (over && !context.committer().isLocked(key)) {
-            context.decisions().tell(LOG, "cell {} is abandoned and forgotten", cell);
-            Txn txn = self.guarded(new Txn()).guard(key, replica.stamp(key)).remove(key);
+            context.decisions().record(LOG, "cell {} is abandoned and forgotten", cell);
+            Transaction txn = self.guarded(new Transaction()).requireRevision(key, replica.modRevision(key)).remove(key);
             context.committer().propose(CommitPriority.MAINTENANCE, txn, result -> {});
         }
     }
@@ -52,13 +52,13 @@
     private List<JobRecord> changes(String cell, List<JobRecord> away) {
         var changes = new ArrayList<JobRecord>();
         for (JobRecord job : away) {
-            if (job.delegation().orElseThrow().cell().equals(cell)) {
-                changes.add(job.tied(
-                        job.delegation().get().returned(context.timeline().wallTime())));
+            if (job.outboundDelegation().orElseThrow().cell().equals(cell)) {
+                changes.add(job.withDelegationLink(
+                        job.outboundDelegation().get().returned(context.timeline().wallTime())));
             }
         }
         for (JobRecord job : visitorsOf(cell)) {
-            if (job.open()) {
+            if (job.isOpen()) {
                 changes.add(job.cancelled());
             }
         }
@@ -67,9 +67,9 @@
 
     private List<JobRecord> visitorsOf(String cell) {
         var visitors = new ArrayList<JobRecord>();
-        for (JobRecord job : replica.visitors()) {
-            boolean ended = !job.open() && job.spec().isEmpty();
-            if (!ended && job.visit().orElseThrow().home().equals(cell)) {
+        for (JobRecord job : replica.inboundJobs()) {
+            boolean ended = !job.isOpen() && job.spec().isEmpty();
+            if (!ended && job.inboundDelegation().orElseThrow().home().equals(cell)) {
                 visitors.add(job);
             }
         }
@@ -80,8 +80,8 @@
         String key = Keys.job(after.id());
         if (!context.committer().isLocked(key)) {
             String cellKey = Keys.cell(cell);
-            Txn txn = self.guarded(context.jobWriter().write(new Txn(), after)).guard(cellKey, replica.stamp(cellKey));
-            context.committer().propose(CommitPriority.PLACING, txn, result -> {});
+            Transaction txn = self.guarded(context.jobWriter().write(new Transaction(), after)).requireRevision(cellKey, replica.modRevision(cellKey));
+            context.committer().propose(CommitPriority.PLACEMENT, txn, result -> {});
         }
     }
 }
--- a/src/main/java/org/dunespindle/federation/CellContact.java
+++ b/src/main/java/org/dunespindle/federation/CellConnection.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.time.TimeSource;
 
 /** What this controller knows of another cell from talking to it. Nothing here is stored. */
-final class CellContact {
+final class CellConnection {
     static final Duration DEADLINE = Duration.ofMillis(1500);
     private static final int MOST_UNDER_WAY = 6;
     /** Of requests that users wait for. */
@@ -22,7 +22,7 @@
     private final FederationSettings.RemoteCell cell;
     private final List<String> controllers;
     private final CellTransport transport;
-    private final Timeline timeline;
+    private final TimeSource timeline;
     private int preferred;
     private int underWay;
     private Optional<CellReply.Greeting> greeting = Optional.empty();
@@ -30,12 +30,12 @@
     private Optional<Duration> answeredAt = Optional.empty();
     private Optional<String> greetingTrouble = Optional.empty();
     private Optional<String> contradiction = Optional.empty();
-    private final Map<WorkKind, Refused> refusals = new HashMap<>();
+    private final Map<ResourceKind, Refused> refusals = new HashMap<>();
 
     /** A refusal that was told, and until when the cell is not asked again. */
-    record Refused(Refusal.Reason reason, Duration until) {}
+    record Refused(Rejection.Reason reason, Duration until) {}
 
-    CellContact(FederationSettings.RemoteCell cell, CellTransport transport, Timeline timeline) {
+    CellConnection(FederationSettings.RemoteCell cell, CellTransport transport, TimeSource timeline) {
         this.cell = cell;
         this.controllers = new ArrayList<>(cell.controllers().keySet());
         this.transport = transport;
@@ -148,12 +148,12 @@
         return news;
     }
 
-    void refused(WorkKind kind, Refusal refusal) {
+    void refused(ResourceKind kind, Rejection refusal) {
         refusals.put(kind, new Refused(refusal.reason(), timeline.now().plus(refusal.retryAfter())));
     }
 
     /** A refusal of work of some kind that still holds. */
-    Optional<Refused> refusal(WorkKind kind) {
+    Optional<Refused> refusal(ResourceKind kind) {
         refusals.values().removeIf(refused -> refused.until.compareTo(timeline.now()) <= 0);
         return Optional.ofNullable(refusals.get(kind));
     }
--- a/src/main/java/org/dunespindle/federation/OwnCellKeeper.java
+++ b/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.random.RandomGenerator;
-import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.storage.FormatVersion;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -18,13 +18,13 @@
  * This cell's identity, and the numbers of its transfers. Each leader raises the incarnation before it gives anything away; a
  * number is built on it, so none is ever used twice, and none of an earlier leader's is higher.
  */
-final class OwnCellKeeper {
-    private static final Logger LOG = LoggerFactory.getLogger(OwnCellKeeper.class);
+final class CellIdentityKeeper {
+    private static final Logger LOG = LoggerFactory.getLogger(CellIdentityKeeper.class);
     /** Transfers of one incarnation take so many bits of their number. */
     private static final int COUNTER_BITS = 20;
 
-    private final ExchangeContext context;
-    private final Replica replica;
+    private final DelegationContext context;
+    private final StateReplica replica;
     private final String name;
     private final RandomGenerator random;
     private long readAt = -1;
@@ -32,7 +32,7 @@
     private long countedIncarnation;
     private long counter;
 
-    OwnCellKeeper(ExchangeContext context, String name, RandomGenerator random) {
+    CellIdentityKeeper(DelegationContext context, String name, RandomGenerator random) {
         this.context = context;
         this.replica = context.replica();
         this.name = name;
@@ -50,13 +50,13 @@
     }
 
     private Optional<FederationRecords.OwnCell> stored() {
-        long stamp = replica.stamp(Keys.FEDERATION);
+        long stamp = replica.modRevision(Keys.FEDERATION);
         if (stamp != readAt) {
             readAt = stamp;
             read = replica.value(Keys.FEDERATION).flatMap(value -> {
                 try {
                     return Optional.of(FederationRecords.readOwn(value));
-                } catch (MalformedException e) {
+                } catch (MalformedMessageException e) {
                     LOG.error(
                             "the record {} cannot be read: {}; this cell takes no part",
                             Keys.FEDERATION,
@@ -72,9 +72,9 @@
     boolean mayGiveAway() {
         return formatReady()
                 && context.membership().leads()
-                && stored().filter(cell -> cell.leaderStamp() == replica.stamp(Keys.LEADER))
+                && stored().filter(cell -> cell.leaderStamp() == replica.modRevision(Keys.LEADER))
                         .isPresent()
-                && replica.syncedTo() >= replica.stamp(Keys.FEDERATION);
+                && replica.appliedRevision() >= replica.modRevision(Keys.FEDERATION);
     }
 
     /** The leader's part: stores an incarnation of its own. */
@@ -82,7 +82,7 @@
         boolean due = formatReady() && context.membership().leads() && !mayGiveAway();
         boolean readable =
                 stored().isPresent() || replica.value(Keys.FEDERATION).isEmpty();
-        boolean written = stored().filter(cell -> cell.leaderStamp() == replica.stamp(Keys.LEADER))
+        boolean written = stored().filter(cell -> cell.leaderStamp() == replica.modRevision(Keys.LEADER))
                 .isPresent();
         if (due && readable && !written && !context.committer().isLocked(Keys.FEDERATION)) {
             raise();
@@ -93,20 +93,20 @@
         String identity = id().map(CellId::identity).orElseGet(this::draw);
         long incarnation = id().map(CellId::incarnation).orElse(0L) + 1;
         var next = new FederationRecords.OwnCell(
-                new CellId(name, identity, incarnation, draw()), replica.stamp(Keys.LEADER));
-        Txn txn = guarded(new Txn()).write(Keys.FEDERATION, FederationRecords.write(next));
-        context.committer().propose(CommitPriority.PLACING, txn, result -> {
-            if (result instanceof TxnResult.Applied) {
-                context.decisions().tell(LOG, "cell {} is in incarnation {}", name, incarnation);
+                new CellId(name, identity, incarnation, draw()), replica.modRevision(Keys.LEADER));
+        Transaction txn = guarded(new Transaction()).write(Keys.FEDERATION, FederationRecords.write(next));
+        context.committer().propose(CommitPriority.PLACEMENT, txn, result -> {
+            if (result instanceof TransactionResult.Applied) {
+                context.decisions().record(LOG, "cell {} is in incarnation {}", name, incarnation);
             }
         });
     }
 
     /** Guards a change by the leadership and the incarnation under which it was decided. */
-    Txn guarded(Txn txn) {
-        return txn.guard(Keys.FEDERATION, replica.stamp(Keys.FEDERATION))
-                .guard(Keys.LEADER, replica.stamp(Keys.LEADER))
-                .guard(Keys.FORMAT, replica.stamp(Keys.FORMAT));
+    Transaction guarded(Transaction txn) {
+        return txn.requireRevision(Keys.FEDERATION, replica.modRevision(Keys.FEDERATION))
+                .requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER))
+                .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT));
     }
 
     private String draw() {
--- a/src/main/java/org/dunespindle/federation/CellMessageCodec.java
+++ b/src/main/java/org/dunespindle/federation/CellMessageCodec.java
@@ -11,12 +11,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
 
-/** The JSON form of what cells say to one another. What cannot be understood is a {@link MalformedException}. */
+/** The JSON form of what cells say to one another. What cannot be understood is a {@link MalformedMessageException}. */
 public final class CellMessageCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
     /** More transfers than this are asked about in several requests. */
@@ -50,7 +50,7 @@
     }
 
     /** Reads a request. */
-    public static CellRequest readRequest(byte[] body) throws MalformedException {
+    public static CellRequest readRequest(byte[] body) throws MalformedMessageException {
         JsonNode node = tree(body);
         CellId from = FederationRecords.readId(node.path("from"));
         return switch (FederationRecords.text(node, KIND)) {
@@ -60,15 +60,15 @@
             case "cancel" -> new CellRequest.Cancel(from, FederationRecords.text(node, "to"), transfer(node));
             case "progress" ->
                 new CellRequest.Progress(from, FederationRecords.text(node, "to"), transfers(node.path("transfers")));
-            default -> throw new MalformedException("kind is unknown");
+            default -> throw new MalformedMessageException("kind is unknown");
         };
     }
 
-    private static CellRequest.Offer offer(CellId from, JsonNode node) throws MalformedException {
+    private static CellRequest.Offer offer(CellId from, JsonNode node) throws MalformedMessageException {
         Submission job = Submission.parse(node.path("submission"));
         Transfer transfer = transfer(node);
         if (!transfer.job().equals(job.id())) {
-            throw new MalformedException("the transfer names another job");
+            throw new MalformedMessageException("the transfer names another job");
         }
         Instant arrived = Instant.ofEpochMilli(FederationRecords.whole(node, "arrived"));
         return new CellRequest.Offer(from, FederationRecords.readId(node.path("to")), transfer, arrived, job);
@@ -100,7 +100,7 @@
     }
 
     /** Reads an answer. */
-    public static CellReply readReply(byte[] body) throws MalformedException {
+    public static CellReply readReply(byte[] body) throws MalformedMessageException {
         JsonNode node = tree(body);
         return switch (FederationRecords.text(node, KIND)) {
             case "greeting" ->
@@ -113,12 +113,12 @@
             case "declined" ->
                 new CellReply.Declined(
                         transfer(node),
-                        new Refusal(
-                                constant(Refusal.Reason.class, node, "reason"),
+                        new Rejection(
+                                constant(Rejection.Reason.class, node, "reason"),
                                 Duration.ofMillis(FederationRecords.whole(node, "retryAfterMs"))));
             case "not-served" ->
                 new CellReply.NotServed(constant(CellReply.Reason.class, node, "reason"), optionalText(node, "leader"));
-            default -> throw new MalformedException("kind is unknown");
+            default -> throw new MalformedMessageException("kind is unknown");
         };
     }
 
@@ -126,15 +126,15 @@
         return node.put("job", transfer.job()).put("number", transfer.number());
     }
 
-    private static Transfer transfer(JsonNode node) throws MalformedException {
+    private static Transfer transfer(JsonNode node) throws MalformedMessageException {
         String job = FederationRecords.text(node, "job");
         if (!Submission.wellFormedId(job)) {
-            throw new MalformedException("job must look like wk-000412");
+            throw new MalformedMessageException("job must look like wk-000412");
         }
         return new Transfer(job, FederationRecords.whole(node, "number"));
     }
 
-    private static List<Transfer> transfers(JsonNode list) throws MalformedException {
+    private static List<Transfer> transfers(JsonNode list) throws MalformedMessageException {
         check(list.isArray() && list.size() <= MOST_TRANSFERS, "transfers must be a list of at most " + MOST_TRANSFERS);
         var transfers = new ArrayList<Transfer>();
         for (JsonNode row : list) {
@@ -143,7 +143,7 @@
         return List.copyOf(transfers);
     }
 
-    private static void putReport(ObjectNode node, VisitReport report) {
+    private static void putReport(ObjectNode node, InboundJobStatus report) {
         putTransfer(node, report.transfer())
                 .put("state", report.state().name())
                 .put("done", report.done())
@@ -152,13 +152,13 @@
         report.waits().ifPresent(why -> node.put("waits", why));
     }
 
-    private static List<VisitReport> reports(JsonNode list) throws MalformedException {
+    private static List<InboundJobStatus> reports(JsonNode list) throws MalformedMessageException {
         check(list.isArray() && list.size() <= MOST_TRANSFERS, "reports must be a list of at most " + MOST_TRANSFERS);
-        var reports = new ArrayList<VisitReport>();
+        var reports = new ArrayList<InboundJobStatus>();
         for (JsonNode row : list) {
-            reports.add(new VisitReport(
+            reports.add(new InboundJobStatus(
                     transfer(row),
-                    constant(VisitState.class, row, "state"),
+                    constant(InboundJobState.class, row, "state"),
                     (int) FederationRecords.whole(row, "done"),
                     (int) FederationRecords.whole(row, "running"),
                     (int) FederationRecords.whole(row, "failures"),
@@ -167,7 +167,7 @@
         return List.copyOf(reports);
     }
 
-    private static void putHint(ObjectNode node, RoomHint hint) {
+    private static void putHint(ObjectNode node, CapacityHint hint) {
         node.put("type", hint.type())
                 .put("zone", hint.zone())
                 .put("spot", hint.spot())
@@ -177,11 +177,11 @@
         putResources(node.putArray("largest"), hint.largest());
     }
 
-    private static List<RoomHint> hints(JsonNode list) throws MalformedException {
+    private static List<CapacityHint> hints(JsonNode list) throws MalformedMessageException {
         check(list.isArray() && list.size() <= MOST_HINTS, "room must be a list of at most " + MOST_HINTS);
-        var hints = new ArrayList<RoomHint>();
+        var hints = new ArrayList<CapacityHint>();
         for (JsonNode row : list) {
-            hints.add(new RoomHint(
+            hints.add(new CapacityHint(
                     FederationRecords.text(row, "type"),
                     row.path("zone").asText(),
                     row.path("spot").asBoolean(),
@@ -197,7 +197,7 @@
         list.add(resources.cpus()).add(resources.gpus()).add(resources.ramGb());
     }
 
-    private static Resources resources(JsonNode list) throws MalformedException {
+    private static Resources resources(JsonNode list) throws MalformedMessageException {
         check(list.size() == 3, "resources must be three numbers");
         return new Resources(
                 list.get(0).doubleValue(),
@@ -206,33 +206,33 @@
     }
 
     private static <E extends Enum<E>> E constant(Class<E> type, JsonNode node, String field)
-            throws MalformedException {
+            throws MalformedMessageException {
         String name = FederationRecords.text(node, field);
         for (E constant : type.getEnumConstants()) {
             if (constant.name().equals(name)) {
                 return constant;
             }
         }
-        throw new MalformedException(field + " " + (name.length() > 40 ? "" : name + " ") + "is unknown");
+        throw new MalformedMessageException(field + " " + (name.length() > 40 ? "" : name + " ") + "is unknown");
     }
 
     private static Optional<String> optionalText(JsonNode node, String field) {
         return Optional.ofNullable(node.path(field).textValue());
     }
 
-    private static void check(boolean fine, String complaint) throws MalformedException {
+    private static void check(boolean fine, String complaint) throws MalformedMessageException {
         if (!fine) {
-            throw new MalformedException(complaint);
+            throw new MalformedMessageException(complaint);
         }
     }
 
-    private static JsonNode tree(byte[] body) throws MalformedException {
+    private static JsonNode tree(byte[] body) throws MalformedMessageException {
         try {
             JsonNode node = JSON.readTree(body);
             check(node != null && node.isObject(), "the message is not a JSON object");
             return node;
         } catch (IOException e) {
-            throw new MalformedException("the message is not JSON");
+            throw new MalformedMessageException("the message is not JSON");
         }
     }
 
--- a/src/main/java/org/dunespindle/federation/CellReply.java
+++ b/src/main/java/org/dunespindle/federation/CellReply.java
@@ -12,14 +12,14 @@
      * @param leader the name of the controller that leads, as far as known
      * @param room empty unless the answering controller leads and has planned
      */
-    record Greeting(CellId self, boolean leads, Optional<String> leader, Optional<List<RoomHint>> room)
+    record Greeting(CellId self, boolean leads, Optional<String> leader, Optional<List<CapacityHint>> room)
             implements CellReply {}
 
     /** How transfers stand, as stored: an offer, a recall or a cancellation is answered only after its effect is stored. */
-    record Reports(List<VisitReport> reports) implements CellReply {}
+    record Reports(List<InboundJobStatus> reports) implements CellReply {}
 
     /** The job is not taken, and that is stored: the transfer has ended. */
-    record Declined(Transfer transfer, Refusal refusal) implements CellReply {}
+    record Declined(Transfer transfer, Rejection refusal) implements CellReply {}
 
     /** Nothing was changed, and nothing about any transfer can be concluded. */
     record NotServed(Reason reason, Optional<String> leader) implements CellReply {
--- a/src/main/java/org/dunespindle/federation/DelegationRules.java
+++ b/src/main/java/org/dunespindle/federation/DelegationRules.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Optional;
-import org.dunespindle.storage.Delegation;
+import org.dunespindle.storage.OutboundDelegation;
 
 /**
  * What a job's own cell does next about a transfer, by what the other cell told of it. Pure. A job comes home only by an answer that
@@ -21,7 +21,7 @@
      * @param again when the job may be given away again, should it come home now
      */
     public record View(
-            Delegation delegation, Optional<VisitState> told, Duration waited, Duration patience, Instant again) {
+            OutboundDelegation delegation, Optional<InboundJobState> told, Duration waited, Duration patience, Instant again) {
         private boolean overdue() {
             return waited.compareTo(patience) > 0;
         }
@@ -39,7 +39,7 @@
         record Ask() implements Step {}
 
         /** Stores the transfer's new phase. */
-        record Store(Delegation delegation) implements Step {}
+        record Store(OutboundDelegation delegation) implements Step {}
 
         /** Stores that the job is done. */
         record StoreDone() implements Step {}
@@ -53,7 +53,7 @@
 
     /** Decides the next step of an outstanding transfer. */
     public static Step next(View view) {
-        VisitState told = view.told.orElse(VisitState.UNKNOWN);
+        InboundJobState told = view.told.orElse(InboundJobState.UNKNOWN);
         return switch (told) {
             case DONE -> new Step.StoreDone();
             case CANCELLED -> new Step.StoreCancelled();
@@ -69,22 +69,22 @@
         };
     }
 
-    private static Step offered(View view, VisitState told) {
-        if (told != VisitState.UNKNOWN) {
+    private static Step offered(View view, InboundJobState told) {
+        if (told != InboundJobState.UNKNOWN) {
             return new Step.Store(view.delegation.accepted());
         }
         return view.overdue() ? new Step.Store(view.delegation.recalled()) : new Step.SendOffer();
     }
 
-    private static Step accepted(View view, VisitState told) {
-        if (told == VisitState.UNKNOWN && view.told.isPresent()) {
+    private static Step accepted(View view, InboundJobState told) {
+        if (told == InboundJobState.UNKNOWN && view.told.isPresent()) {
             return new Step.Contradiction("it does not know a job that it had accepted");
         }
-        boolean waits = told == VisitState.QUEUED;
+        boolean waits = told == InboundJobState.QUEUED;
         return waits && view.overdue() ? new Step.Store(view.delegation.recalled()) : new Step.Ask();
     }
 
-    private static Step recalled(View view, VisitState told) {
-        return told == VisitState.BEGUN ? new Step.Store(view.delegation.kept()) : new Step.SendRecall();
+    private static Step recalled(View view, InboundJobState told) {
+        return told == InboundJobState.BEGUN ? new Step.Store(view.delegation.kept()) : new Step.SendRecall();
     }
 }
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -10,24 +10,24 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.dunespindle.api.AdminResponse;
-import org.dunespindle.api.ExchangeContext;
-import org.dunespindle.api.JobExchange;
+import org.dunespindle.api.DelegationContext;
+import org.dunespindle.api.JobDelegation;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.Options;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.scheduling.ClusterSnapshot;
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.scheduling.Shortfall;
-import org.dunespindle.storage.Delegation;
+import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** One controller's part in a federation of cells: answers other cells, and gives away what finds no room in this one. */
-public final class Federation implements JobExchange {
+public final class Federation implements JobDelegation {
     private static final Logger LOG = LoggerFactory.getLogger(Federation.class);
     private static final Duration TICK = Duration.ofMillis(500);
     private static final Duration HELLO_EVERY = Duration.ofSeconds(2);
@@ -41,21 +41,21 @@
     private static final int OFFERS_AT_ONCE = 4;
     private static final int MOST_COMMITS_WAITING = 8;
 
-    private final ExchangeContext context;
-    private final Replica replica;
+    private final DelegationContext context;
+    private final StateReplica replica;
     private final FederationSettings settings;
-    private final OwnCellKeeper self;
+    private final CellIdentityKeeper self;
     private final KnownCells known;
-    private final Map<String, CellContact> contacts = new LinkedHashMap<>();
-    private final DelegationService delegations;
-    private final VisitorService visitors;
-    private final Abandonment abandonment;
+    private final Map<String, CellConnection> contacts = new LinkedHashMap<>();
+    private final OutboundDelegationService delegations;
+    private final InboundDelegationService visitors;
+    private final CellAbandonment abandonment;
     private final FederationAdmin admin;
 
     private Optional<Planned> planned = Optional.empty();
     private final Map<String, Lack> lacks = new HashMap<>();
-    private final Map<WorkKind, Duration> gaveAway = new HashMap<>();
-    private final Map<WorkKind, Duration> tookIn = new HashMap<>();
+    private final Map<ResourceKind, Duration> gaveAway = new HashMap<>();
+    private final Map<ResourceKind, Duration> tookIn = new HashMap<>();
     private final Map<String, Duration> saidHelloAt = new HashMap<>();
 
     /** The latest plan, surveyed when somebody asks. */
@@ -63,7 +63,7 @@
         final ClusterSnapshot snapshot;
         final Plan plan;
         final Duration at;
-        Optional<RoomSurvey> survey = Optional.empty();
+        Optional<CapacitySurvey> survey = Optional.empty();
 
         Planned(ClusterSnapshot snapshot, Plan plan, Duration at) {
             this.snapshot = snapshot;
@@ -77,17 +77,17 @@
 
     /** Creates a controller's part; nothing is sent before {@link #start}. */
     public Federation(
-            ExchangeContext context, FederationSettings settings, CellTransport transport, RandomGenerator random) {
+            DelegationContext context, FederationSettings settings, CellTransport transport, RandomGenerator random) {
         this.context = context;
         this.replica = context.replica();
         this.settings = settings;
-        this.self = new OwnCellKeeper(context, settings.cell(), random);
+        this.self = new CellIdentityKeeper(context, settings.cell(), random);
         this.known = new KnownCells(replica);
         settings.cells()
-                .forEach(cell -> contacts.put(cell.name(), new CellContact(cell, transport, context.timeline())));
-        this.delegations = new DelegationService(context, self, known, contacts);
-        this.visitors = new VisitorService(context, settings, self, known, this::admission, this::room);
-        this.abandonment = new Abandonment(context, self, known);
+                .forEach(cell -> contacts.put(cell.name(), new CellConnection(cell, transport, context.timeline())));
+        this.delegations = new OutboundDelegationService(context, self, known, contacts);
+        this.visitors = new InboundDelegationService(context, settings, self, known, this::admission, this::room);
+        this.abandonment = new CellAbandonment(context, self, known);
         this.admin = new FederationAdmin(context, self, known, contacts, delegations);
     }
 
@@ -103,7 +103,7 @@
         } catch (RuntimeException e) {
             LOG.error("a round of the federation failed and is repeated", e);
         }
-        context.timeline().after(TICK, this::start);
+        context.timeline().schedule(TICK, this::start);
     }
 
     private void tick() {
@@ -128,7 +128,7 @@
         return context.timeline().now();
     }
 
-    private void sayHello(CellContact contact) {
+    private void sayHello(CellConnection contact) {
         boolean abandoned = known.cell(contact.name())
                 .filter(FederationRecords.KnownCell::abandoned)
                 .isPresent();
@@ -144,7 +144,7 @@
                 () -> {});
     }
 
-    private void greeted(CellContact contact, CellReply reply, Duration asked) {
+    private void greeted(CellConnection contact, CellReply reply, Duration asked) {
         Optional<String> trouble = Optional.empty();
         if (reply instanceof CellReply.NotServed notServed) {
             trouble = notServed.reason().needsOperator()
@@ -160,7 +160,7 @@
         if (contact.greetingTrouble(trouble)) {
             String what = trouble.map(text -> text + "; nothing more is offered to it")
                     .orElse("all is well again");
-            context.decisions().tell(LOG, "cell {}: {}", contact.name(), what);
+            context.decisions().record(LOG, "cell {}: {}", contact.name(), what);
         }
     }
 
@@ -184,8 +184,8 @@
     private void remember(CellId cell) {
         String key = Keys.cell(cell.name());
         if (!context.committer().isLocked(key)) {
-            Txn txn = self.guarded(new Txn())
-                    .guard(key, replica.stamp(key))
+            Transaction txn = self.guarded(new Transaction())
+                    .requireRevision(key, replica.modRevision(key))
                     .write(key, FederationRecords.write(new FederationRecords.KnownCell(cell, 0, false)));
             context.committer().propose(CommitPriority.MAINTENANCE, txn, result -> {});
         }
@@ -208,32 +208,32 @@
         lacks.values().removeIf(lack -> now().minus(lack.last).compareTo(LACK_FORGOTTEN) > 0);
     }
 
-    private Optional<RoomSurvey> survey() {
+    private Optional<CapacitySurvey> survey() {
         return planned.filter(plan -> now().minus(plan.at).compareTo(PLAN_FRESH) < 0)
                 .map(plan -> {
                     if (plan.survey.isEmpty()) {
-                        plan.survey = Optional.of(new RoomSurvey(
+                        plan.survey = Optional.of(new CapacitySurvey(
                                 plan.snapshot, plan.plan, context.machineTypes().get()));
                     }
                     return plan.survey.get();
                 });
     }
 
-    private Optional<List<RoomHint>> room() {
-        return survey().map(RoomSurvey::hints);
+    private Optional<List<CapacityHint>> room() {
+        return survey().map(CapacitySurvey::hints);
     }
 
-    private Optional<Refusal.Reason> admission(Submission job) {
-        Optional<RoomSurvey> survey = survey();
-        Optional<ExchangeContext.NeverVerdict> never = context.whyNever().apply(job);
+    private Optional<Rejection.Reason> admission(Submission job) {
+        Optional<CapacitySurvey> survey = survey();
+        Optional<DelegationContext.NeverVerdict> never = context.whyNever().apply(job);
         if (survey.isEmpty() || never.isEmpty()) {
-            return Optional.of(Refusal.Reason.NO_ROOM);
+            return Optional.of(Rejection.Reason.NO_ROOM);
         }
         int open = 0;
-        for (JobRecord visitor : replica.visitors()) {
-            open += visitor.open() ? 1 : 0;
+        for (JobRecord visitor : replica.inboundJobs()) {
+            open += visitor.isOpen() ? 1 : 0;
         }
-        Optional<Refusal.Reason> refusal = AdmissionPolicy.refusal(
+        Optional<Rejection.Reason> refusal = AdmissionPolicy.refusal(
                 job,
                 new AdmissionPolicy.View(
                         survey.get(),
@@ -242,7 +242,7 @@
                         context.options().get().mostVisitors(),
                         givesAway()));
         if (refusal.isEmpty()) {
-            tookIn.put(WorkKind.of(job), now());
+            tookIn.put(ResourceKind.of(job), now());
         }
         return refusal;
     }
@@ -259,13 +259,13 @@
     }
 
     /** Kinds of work that this cell gives away: what waits for it, what is on its way, and what went a moment ago. */
-    private List<WorkKind> givesAway() {
+    private List<ResourceKind> givesAway() {
         gaveAway.values().removeIf(at -> now().minus(at).compareTo(SAME_DIRECTION) > 0);
         var kinds = new ArrayList<>(gaveAway.keySet());
-        waitedLong().forEach(job -> kinds.add(WorkKind.of(job.job())));
+        waitedLong().forEach(job -> kinds.add(ResourceKind.of(job.submission())));
         for (JobRecord job : delegations.away()) {
-            if (job.delegation().orElseThrow().phase() != Delegation.Phase.ACCEPTED) {
-                kinds.add(WorkKind.of(job.job()));
+            if (job.outboundDelegation().orElseThrow().phase() != OutboundDelegation.Phase.ACCEPTED) {
+                kinds.add(ResourceKind.of(job.submission()));
             }
         }
         return kinds;
@@ -273,9 +273,9 @@
 
     private void noteVisitors() {
         tookIn.values().removeIf(at -> now().minus(at).compareTo(SAME_DIRECTION) > 0);
-        for (JobRecord visitor : replica.visitors()) {
-            if (visitor.open() && visitor.untouched()) {
-                tookIn.put(WorkKind.of(visitor.job()), now());
+        for (JobRecord visitor : replica.inboundJobs()) {
+            if (visitor.isOpen() && visitor.neverPlaced()) {
+                tookIn.put(ResourceKind.of(visitor.submission()), now());
             }
         }
     }
@@ -293,18 +293,18 @@
                 options.mostTransfers(),
                 OFFERS_AT_ONCE);
         for (SpillPolicy.Choice choice : SpillPolicy.choose(view)) {
-            gaveAway.put(WorkKind.of(choice.job().job()), now());
+            gaveAway.put(ResourceKind.of(choice.job().submission()), now());
             delegations.give(choice);
         }
     }
 
     private List<SpillPolicy.Target> targets() {
         var targets = new ArrayList<SpillPolicy.Target>();
-        for (CellContact contact : contacts.values()) {
+        for (CellConnection contact : contacts.values()) {
             Optional<FederationRecords.KnownCell> cell = known.cell(contact.name());
             boolean usable = contact.trouble().isEmpty()
                     && cell.filter(stored -> !stored.abandoned()).isPresent();
-            Optional<List<RoomHint>> room = contact.freshGreeting().flatMap(CellReply.Greeting::room);
+            Optional<List<CapacityHint>> room = contact.freshGreeting().flatMap(CellReply.Greeting::room);
             if (usable && room.isPresent()) {
                 targets.add(new SpillPolicy.Target(
                         contact.name(),
@@ -319,8 +319,8 @@
 
     @Override
     public void cancel(JobRecord job, Consumer<Cancellation> then) {
-        Delegation delegation = job.delegation().orElseThrow();
-        CellContact contact = contacts.get(delegation.cell());
+        OutboundDelegation delegation = job.outboundDelegation().orElseThrow();
+        CellConnection contact = contacts.get(delegation.cell());
         Optional<FederationRecords.KnownCell> cell = known.cell(delegation.cell());
         if (contact == null || cell.isEmpty() || self.id().isEmpty() || !contact.freeForUsers()) {
             then.accept(Cancellation.UNKNOWN);
@@ -339,10 +339,10 @@
     @Override
     public Optional<RemoteProgress> progress(JobRecord job) {
         return delegations.told(job).map(told -> {
-            VisitReport report = told.report();
-            boolean begun = report.state() == VisitState.BEGUN || report.state() == VisitState.DONE;
+            InboundJobStatus report = told.report();
+            boolean begun = report.state() == InboundJobState.BEGUN || report.state() == InboundJobState.DONE;
             return new RemoteProgress(
-                    job.delegation().orElseThrow().cell(),
+                    job.outboundDelegation().orElseThrow().cell(),
                     begun,
                     report.done(),
                     report.running(),
--- a/src/main/java/org/dunespindle/federation/FederationAdmin.java
+++ b/src/main/java/org/dunespindle/federation/FederationAdmin.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.dunespindle.api.Admin;
+import org.dunespindle.api.AdminApi;
 import org.dunespindle.api.AdminResponse;
-import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.protocol.MessagePackCodec;
-import org.dunespindle.storage.Delegation;
+import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
 
 /** The federation's part of the administration API: {@code cells}, {@code delegations}, and abandoning a cell. */
 final class FederationAdmin {
@@ -33,19 +33,19 @@
     private static final String RISK =
             "jobs given to the cell are placed here again and run twice if it still runs them; its jobs here are cancelled";
 
-    private final ExchangeContext context;
-    private final Replica replica;
-    private final OwnCellKeeper self;
+    private final DelegationContext context;
+    private final StateReplica replica;
+    private final CellIdentityKeeper self;
     private final KnownCells known;
-    private final Map<String, CellContact> contacts;
-    private final DelegationService delegations;
+    private final Map<String, CellConnection> contacts;
+    private final OutboundDelegationService delegations;
 
     FederationAdmin(
-            ExchangeContext context,
-            OwnCellKeeper self,
+            DelegationContext context,
+            CellIdentityKeeper self,
             KnownCells known,
-            Map<String, CellContact> contacts,
-            DelegationService delegations) {
+            Map<String, CellConnection> contacts,
+            OutboundDelegationService delegations) {
         this.context = context;
         this.replica = context.replica();
         this.self = self;
@@ -70,7 +70,7 @@
     }
 
     private static AdminResponse unavailable() {
-        return Admin.error(UNAVAILABLE, "the state service does not answer");
+        return AdminApi.error(UNAVAILABLE, "the state service does not answer");
     }
 
     private ObjectNode cells() {
@@ -82,7 +82,7 @@
         return node;
     }
 
-    private void show(CellContact contact, ObjectNode node) {
+    private void show(CellConnection contact, ObjectNode node) {
         node.put("name", contact.name()).put("state", state(contact));
         contact.silentFor().ifPresent(silence -> node.put("answeredMsAgo", silence.toMillis()));
         contact.trouble().ifPresent(trouble -> node.put("trouble", trouble));
@@ -97,7 +97,7 @@
         node.put("jobsThere", countAway(contact.name())).put("itsJobsHere", countVisitors(contact.name()));
     }
 
-    private String state(CellContact contact) {
+    private String state(CellConnection contact) {
         if (contact.trouble().isPresent()) {
             return "needs an operator";
         }
@@ -118,14 +118,14 @@
 
     private long countAway(String cell) {
         return delegations.away().stream()
-                .filter(job -> job.delegation().orElseThrow().cell().equals(cell))
+                .filter(job -> job.outboundDelegation().orElseThrow().cell().equals(cell))
                 .count();
     }
 
     private int countVisitors(String cell) {
         int count = 0;
-        for (JobRecord job : replica.visitors()) {
-            count += job.open() && job.visit().orElseThrow().home().equals(cell) ? 1 : 0;
+        for (JobRecord job : replica.inboundJobs()) {
+            count += job.isOpen() && job.inboundDelegation().orElseThrow().home().equals(cell) ? 1 : 0;
         }
         return count;
     }
@@ -133,26 +133,26 @@
     private ObjectNode delegationList() {
         ObjectNode node = MessagePackCodec.map();
         var away = node.putArray(DELEGATIONS);
-        for (JobRecord job : replica.livingJobs()) {
-            job.delegation().ifPresent(delegation -> show(job, delegation, away.addObject()));
+        for (JobRecord job : replica.activeJobs()) {
+            job.outboundDelegation().ifPresent(delegation -> show(job, delegation, away.addObject()));
         }
         var visitors = node.putArray("visitors");
-        for (JobRecord job : replica.visitors()) {
-            if (job.open()) {
+        for (JobRecord job : replica.inboundJobs()) {
+            if (job.isOpen()) {
                 visitors.addObject()
                         .put("job", job.id())
-                        .put("home", job.visit().orElseThrow().home())
-                        .put("transfer", job.visit().get().transfer())
-                        .put("begun", !job.untouched());
+                        .put("home", job.inboundDelegation().orElseThrow().home())
+                        .put("transfer", job.inboundDelegation().get().transfer())
+                        .put("begun", !job.neverPlaced());
             }
         }
         return node;
     }
 
-    private void show(JobRecord job, Delegation delegation, ObjectNode node) {
+    private void show(JobRecord job, OutboundDelegation delegation, ObjectNode node) {
         node.put("job", job.id())
-                .put("team", job.job().team())
-                .put("priority", job.job().priority().wire())
+                .put("team", job.submission().team())
+                .put("priority", job.submission().priority().wire())
                 .put("cell", delegation.cell())
                 .put("transfer", delegation.transfer())
                 .put("phase", delegation.phase().name().toLowerCase(java.util.Locale.ROOT))
@@ -170,11 +170,11 @@
 
     /** Why a job that other cells were asked to take waits. */
     Optional<String> whyWaits(JobRecord job) {
-        Optional<Delegation> delegation = job.open() ? job.delegation() : Optional.empty();
+        Optional<OutboundDelegation> delegation = job.isOpen() ? job.outboundDelegation() : Optional.empty();
         if (delegation.isEmpty()) {
             return Optional.empty();
         }
-        Delegation transfer = delegation.get();
+        OutboundDelegation transfer = delegation.get();
         String cell = "cell " + transfer.cell();
         Optional<String> wrong = delegations.contradiction(job.id());
         if (wrong.isPresent()) {
@@ -209,7 +209,7 @@
         String key = Keys.cell(name);
         Optional<FederationRecords.KnownCell> cell = known.cell(name);
         if (!contacts.containsKey(name) || cell.isEmpty()) {
-            answer.accept(Admin.error(NOT_FOUND, "no such cell, or nothing is known of it"));
+            answer.accept(AdminApi.error(NOT_FOUND, "no such cell, or nothing is known of it"));
         } else if (!confirmed(name, body)) {
             answer.accept(new AdminResponse(
                     BAD_REQUEST,
@@ -218,24 +218,24 @@
                             .put("jobsThere", countAway(name))
                             .put("itsJobsHere", countVisitors(name))));
         } else if (context.committer().isLocked(key)) {
-            answer.accept(Admin.error(CONFLICT, "another change is under way; read again and repeat"));
+            answer.accept(AdminApi.error(CONFLICT, "another change is under way; read again and repeat"));
         } else {
-            Txn txn = new Txn()
-                    .guard(key, replica.stamp(key))
+            Transaction txn = new Transaction()
+                    .requireRevision(key, replica.modRevision(key))
                     .write(key, FederationRecords.write(cell.get().abandon()));
             context.committer()
                     .propose(
                             CommitPriority.USERS,
                             txn,
                             result -> answer.accept(
-                                    result instanceof TxnResult.Applied
+                                    result instanceof TransactionResult.Applied
                                             ? new AdminResponse(
                                                     OK,
                                                     MessagePackCodec.map()
                                                             .put("cell", name)
                                                             .put("abandoned", true)
                                                             .put("risk", RISK))
-                                            : Admin.error(UNAVAILABLE, "not stored; read again and repeat")));
+                                            : AdminApi.error(UNAVAILABLE, "not stored; read again and repeat")));
         }
     }
 
--- a/src/main/java/org/dunespindle/federation/FederationRecords.java
+++ b/src/main/java/org/dunespindle/federation/FederationRecords.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 
 /** Reads and writes what is stored about cells. */
@@ -44,11 +44,11 @@
         return putId(MessagePackCodec.map(), cell.id).put(FLOOR, cell.floor).put(ABANDONED, cell.abandoned);
     }
 
-    static OwnCell readOwn(JsonNode value) throws MalformedException {
+    static OwnCell readOwn(JsonNode value) throws MalformedMessageException {
         return new OwnCell(readId(value), whole(value, LEADER_STAMP));
     }
 
-    static KnownCell readKnown(JsonNode value) throws MalformedException {
+    static KnownCell readKnown(JsonNode value) throws MalformedMessageException {
         return new KnownCell(
                 readId(value), whole(value, FLOOR), value.path(ABANDONED).asBoolean());
     }
@@ -62,22 +62,22 @@
     }
 
     /** Reads a cell's identity from a stored value or a message. */
-    static CellId readId(JsonNode from) throws MalformedException {
+    static CellId readId(JsonNode from) throws MalformedMessageException {
         return new CellId(text(from, NAME), text(from, IDENTITY), whole(from, INCARNATION), text(from, MARK));
     }
 
-    static String text(JsonNode node, String field) throws MalformedException {
+    static String text(JsonNode node, String field) throws MalformedMessageException {
         JsonNode value = node.path(field);
         if (!value.isTextual() || value.textValue().isEmpty()) {
-            throw new MalformedException(field + " must be text");
+            throw new MalformedMessageException(field + " must be text");
         }
         return value.textValue();
     }
 
-    static long whole(JsonNode node, String field) throws MalformedException {
+    static long whole(JsonNode node, String field) throws MalformedMessageException {
         JsonNode value = node.path(field);
         if (!value.isIntegralNumber() || !value.canConvertToLong() || value.longValue() < 0) {
-            throw new MalformedException(field + " must be a whole number");
+            throw new MalformedMessageException(field + " must be a whole number");
         }
         return value.longValue();
     }
--- a/src/main/java/org/dunespindle/federation/FederationSettings.java
+++ b/src/main/java/org/dunespindle/federation/FederationSettings.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 
 /**
  * The table {@code federation} of a features file, checked.
@@ -32,7 +32,7 @@
     public record RemoteCell(String name, Map<String, String> controllers) {}
 
     /** Reads the table; empty if it is missing or switched off. The message of a failure names the field. */
-    public static Optional<FederationSettings> parse(JsonNode table) throws MalformedException {
+    public static Optional<FederationSettings> parse(JsonNode table) throws MalformedMessageException {
         if (table.isMissingNode()) {
             return Optional.empty();
         }
@@ -49,7 +49,7 @@
         return Optional.of(new FederationSettings(cell, port.intValue(), cells(table.path("cells"), cell)));
     }
 
-    private static List<RemoteCell> cells(JsonNode list, String self) throws MalformedException {
+    private static List<RemoteCell> cells(JsonNode list, String self) throws MalformedMessageException {
         require(list.isArray() && !list.isEmpty(), AT + "cells must name at least one other cell");
         var cells = new ArrayList<RemoteCell>();
         for (JsonNode row : list) {
@@ -64,7 +64,7 @@
         return List.copyOf(cells);
     }
 
-    private static Map<String, String> controllers(JsonNode table) throws MalformedException {
+    private static Map<String, String> controllers(JsonNode table) throws MalformedMessageException {
         require(
                 table.isObject() && !table.isEmpty(),
                 AT_CELLS + "controllers must be a table of controllers' names and addresses");
@@ -79,22 +79,22 @@
         return java.util.Collections.unmodifiableMap(controllers);
     }
 
-    private static String name(JsonNode value, String field) throws MalformedException {
+    private static String name(JsonNode value, String field) throws MalformedMessageException {
         require(
                 value.isTextual() && value.textValue().matches(NAME),
                 field + " must be 1 to 32 lower-case letters, digits and dashes");
         return value.textValue();
     }
 
-    private static void known(JsonNode table, Set<String> fields, String at) throws MalformedException {
+    private static void known(JsonNode table, Set<String> fields, String at) throws MalformedMessageException {
         for (Map.Entry<String, JsonNode> entry : table.properties()) {
             require(fields.contains(entry.getKey()), at + entry.getKey() + " is unknown");
         }
     }
 
-    private static void require(boolean fine, String complaint) throws MalformedException {
+    private static void require(boolean fine, String complaint) throws MalformedMessageException {
         if (!fine) {
-            throw new MalformedException(complaint);
+            throw new MalformedMessageException(complaint);
         }
     }
 }
--- a/src/main/java/org/dunespindle/federation/VisitorCleanup.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.Visit;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.InboundDelegation;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -21,17 +21,17 @@
  * for good. What is kept of those is dropped, in the same transaction that raises the stored floor; from then on anything late
  * about them is refused by its number alone.
  */
-final class VisitorCleanup {
-    private static final Logger LOG = LoggerFactory.getLogger(VisitorCleanup.class);
+final class InboundDelegationCleanup {
+    private static final Logger LOG = LoggerFactory.getLogger(InboundDelegationCleanup.class);
     private static final Duration EVERY = Duration.ofSeconds(5);
 
-    private final ExchangeContext context;
-    private final Replica replica;
-    private final OwnCellKeeper self;
+    private final DelegationContext context;
+    private final StateReplica replica;
+    private final CellIdentityKeeper self;
     private final KnownCells known;
     private final Map<String, Duration> cleanedAt = new HashMap<>();
 
-    VisitorCleanup(ExchangeContext context, OwnCellKeeper self, KnownCells known) {
+    InboundDelegationCleanup(DelegationContext context, CellIdentityKeeper self, KnownCells known) {
         this.context = context;
         this.replica = context.replica();
         this.self = self;
@@ -67,8 +67,8 @@
         if (hello.floor() < stored.floor()) {
             return Optional.of(CellReply.Reason.FLOOR_WENT_BACK);
         }
-        for (JobRecord job : replica.visitors()) {
-            if (job.open() && below(job, hello.from().name(), hello.floor())) {
+        for (JobRecord job : replica.inboundJobs()) {
+            if (job.isOpen() && below(job, hello.from().name(), hello.floor())) {
                 return Optional.of(CellReply.Reason.ENDED_JOBS_RUN);
             }
         }
@@ -76,7 +76,7 @@
     }
 
     private static boolean below(JobRecord job, String home, long floor) {
-        Visit visit = job.visit().orElseThrow();
+        InboundDelegation visit = job.inboundDelegation().orElseThrow();
         return visit.home().equals(home) && visit.transfer() < floor;
     }
 
@@ -94,19 +94,19 @@
             return;
         }
         cleanedAt.put(from.name(), context.timeline().now());
-        Txn txn = self.guarded(new Txn())
-                .guard(key, replica.stamp(key))
+        Transaction txn = self.guarded(new Transaction())
+                .requireRevision(key, replica.modRevision(key))
                 .write(key, FederationRecords.write(new FederationRecords.KnownCell(from, hello.floor(), false)));
         ended.forEach(job -> remove(txn, job));
         if (news) {
-            context.decisions().tell(LOG, "cell {} is known in incarnation {}", from.name(), from.incarnation());
+            context.decisions().record(LOG, "cell {} is known in incarnation {}", from.name(), from.incarnation());
         }
         context.committer().propose(CommitPriority.MAINTENANCE, txn, result -> {});
     }
 
-    private void remove(Txn txn, JobRecord job) {
+    private void remove(Transaction txn, JobRecord job) {
         String key = Keys.job(job.id());
-        txn.guard(key, replica.stamp(key)).remove(key);
+        txn.requireRevision(key, replica.modRevision(key)).remove(key);
     }
 
     private boolean cleanedLately(String cell) {
@@ -118,8 +118,8 @@
     private List<JobRecord> endedBelow(String home, long floor) {
         int most = context.settings().state().lowest().txnOps() - 1;
         var ended = new ArrayList<JobRecord>();
-        for (JobRecord job : replica.visitors()) {
-            boolean over = !job.open() && job.spec().isEmpty();
+        for (JobRecord job : replica.inboundJobs()) {
+            boolean over = !job.isOpen() && job.spec().isEmpty();
             boolean free = !context.committer().isLocked(Keys.job(job.id()));
             if (ended.size() < most && over && free && below(job, home, floor)) {
                 ended.add(job);
