--- a/src/main/java/org/dunespindle/federation/VisitorService.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationService.java
@@ -7,15 +7,15 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
-import org.dunespindle.storage.Visit;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.storage.InboundDelegation;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,21 +24,21 @@
  * an effect is stored before it is answered. One key, the job's own, holds whatever is known of a transfer, so that an offer and a
  * recall that meet at two controllers can't both succeed.
  */
-final class VisitorService {
-    private static final Logger LOG = LoggerFactory.getLogger(VisitorService.class);
+final class InboundDelegationService {
+    private static final Logger LOG = LoggerFactory.getLogger(InboundDelegationService.class);
     /** The asker's deadline is not much longer. */
     private static final Duration PATIENCE = Duration.ofMillis(1200);
 
     private static final Duration LOCK_WAIT = Duration.ofMillis(40);
 
-    private final ExchangeContext context;
-    private final Replica replica;
+    private final DelegationContext context;
+    private final StateReplica replica;
     private final FederationSettings settings;
-    private final OwnCellKeeper self;
+    private final CellIdentityKeeper self;
     private final KnownCells known;
-    private final VisitorCleanup cleanup;
-    private final Function<Submission, Optional<Refusal.Reason>> admission;
-    private final java.util.function.Supplier<Optional<List<RoomHint>>> room;
+    private final InboundDelegationCleanup cleanup;
+    private final Function<Submission, Optional<Rejection.Reason>> admission;
+    private final java.util.function.Supplier<Optional<List<CapacityHint>>> room;
 
     /** A change that a request asks for, and what is answered once it is stored. */
     private record Change(JobRecord record, CellReply reply) {}
@@ -60,13 +60,13 @@
      * @param admission why a job is not taken, by the leader's latest plan
      * @param room what this controller can tell of the cell's room, if it leads
      */
-    VisitorService(
-            ExchangeContext context,
+    InboundDelegationService(
+            DelegationContext context,
             FederationSettings settings,
-            OwnCellKeeper self,
+            CellIdentityKeeper self,
             KnownCells known,
-            Function<Submission, Optional<Refusal.Reason>> admission,
-            java.util.function.Supplier<Optional<List<RoomHint>>> room) {
+            Function<Submission, Optional<Rejection.Reason>> admission,
+            java.util.function.Supplier<Optional<List<CapacityHint>>> room) {
         this.context = context;
         this.replica = context.replica();
         this.settings = settings;
@@ -74,7 +74,7 @@
         this.known = known;
         this.admission = admission;
         this.room = room;
-        this.cleanup = new VisitorCleanup(context, self, known);
+        this.cleanup = new InboundDelegationCleanup(context, self, known);
     }
 
     /** Answers a request. */
@@ -149,42 +149,42 @@
                 self.id().orElseThrow(), leads, context.membership().leader(), leads ? room.get() : Optional.empty());
     }
 
-    private List<VisitReport> reports(CellRequest.Progress progress) {
-        var reports = new ArrayList<VisitReport>();
+    private List<InboundJobStatus> reports(CellRequest.Progress progress) {
+        var reports = new ArrayList<InboundJobStatus>();
         for (Transfer transfer : progress.transfers()) {
             reports.add(report(progress.from(), transfer));
         }
         return reports;
     }
 
-    private VisitReport report(CellId from, Transfer transfer) {
+    private InboundJobStatus report(CellId from, Transfer transfer) {
         Optional<JobRecord> record = visitor(from, transfer);
         if (record.isEmpty()) {
-            VisitState state = closed(from, transfer) ? VisitState.CLOSED : VisitState.UNKNOWN;
-            return VisitReport.of(transfer, state);
+            InboundJobState state = closed(from, transfer) ? InboundJobState.CLOSED : InboundJobState.UNKNOWN;
+            return InboundJobStatus.of(transfer, state);
         }
         return report(transfer, record.get());
     }
 
-    private VisitReport report(Transfer transfer, JobRecord record) {
+    private InboundJobStatus report(Transfer transfer, JobRecord record) {
         Optional<String> waits =
                 record.unplacedCount() > 0 ? Optional.of(context.whyWaits().apply(record)) : Optional.empty();
-        return new VisitReport(
+        return new InboundJobStatus(
                 transfer, state(record), record.doneCount(), record.runningCount(), record.failures(), waits);
     }
 
-    private static VisitState state(JobRecord record) {
-        return switch (record.end()) {
-            case DONE -> VisitState.DONE;
-            case CANCELLED -> record.visit().orElseThrow().withdrawn() ? VisitState.WITHDRAWN : VisitState.CANCELLED;
-            case OPEN -> record.untouched() ? VisitState.QUEUED : VisitState.BEGUN;
+    private static InboundJobState state(JobRecord record) {
+        return switch (record.outcome()) {
+            case DONE -> InboundJobState.DONE;
+            case CANCELLED -> record.inboundDelegation().orElseThrow().withdrawn() ? InboundJobState.WITHDRAWN : InboundJobState.CANCELLED;
+            case OPEN -> record.neverPlaced() ? InboundJobState.QUEUED : InboundJobState.BEGUN;
         };
     }
 
     /** What is stored of exactly this transfer. */
     private Optional<JobRecord> visitor(CellId from, Transfer transfer) {
         return replica.job(transfer.job())
-                .filter(job -> job.visit()
+                .filter(job -> job.inboundDelegation()
                         .filter(visit -> visit.home().equals(from.name()) && visit.transfer() == transfer.number())
                         .isPresent());
     }
@@ -192,7 +192,7 @@
     /** Whether the job's own cell has moved on from a transfer: it ended it, or made a later one. */
     private boolean closed(CellId from, Transfer transfer) {
         boolean later = replica.job(transfer.job())
-                .flatMap(JobRecord::visit)
+                .flatMap(JobRecord::inboundDelegation)
                 .filter(visit -> visit.home().equals(from.name()) && visit.transfer() > transfer.number())
                 .isPresent();
         return later
@@ -206,7 +206,7 @@
             return answer(report(transfer, same.get()));
         }
         if (closed(offer.from(), transfer)) {
-            return answer(VisitReport.of(transfer, VisitState.CLOSED));
+            return answer(InboundJobStatus.of(transfer, InboundJobState.CLOSED));
         }
         if (!self.mayGiveAway()) {
             return Verdict.answer(new CellReply.NotServed(
@@ -219,15 +219,15 @@
         if (occupied.isPresent()) {
             return occupied.get();
         }
-        Visit visit = Visit.of(offer.from().name(), transfer.number());
-        Optional<Refusal.Reason> refusal = admission.apply(offer.job());
+        InboundDelegation visit = InboundDelegation.of(offer.from().name(), transfer.number());
+        Optional<Rejection.Reason> refusal = admission.apply(offer.job());
         if (refusal.isPresent()) {
             return Verdict.store(
                     JobRecord.tombstone(transfer.job(), now(), visit, false),
-                    new CellReply.Declined(transfer, Refusal.of(refusal.get())));
+                    new CellReply.Declined(transfer, Rejection.of(refusal.get())));
         }
-        JobRecord taken = JobRecord.visiting(offer.job(), offer.arrived(), visit);
-        return Verdict.store(taken, new CellReply.Reports(List.of(VisitReport.of(transfer, VisitState.QUEUED))));
+        JobRecord taken = JobRecord.acceptedFromOrigin(offer.job(), offer.arrived(), visit);
+        return Verdict.store(taken, new CellReply.Reports(List.of(InboundJobStatus.of(transfer, InboundJobState.QUEUED))));
     }
 
     /** The key may hold a job of this cell's own users, for good, or a visitor from elsewhere, for a while. */
@@ -239,11 +239,11 @@
         if (present.isEmpty()) {
             return Optional.empty();
         }
-        if (present.get().visit().isEmpty()) {
-            return Optional.of(Verdict.answer(new CellReply.Declined(transfer, Refusal.of(Refusal.Reason.ID_TAKEN))));
+        if (present.get().inboundDelegation().isEmpty()) {
+            return Optional.of(Verdict.answer(new CellReply.Declined(transfer, Rejection.of(Rejection.Reason.ID_TAKEN))));
         }
-        boolean sameHome = present.get().visit().get().home().equals(from.name());
-        boolean over = present.get().visit().get().withdrawn();
+        boolean sameHome = present.get().inboundDelegation().get().home().equals(from.name());
+        boolean over = present.get().inboundDelegation().get().withdrawn();
         return sameHome && over
                 ? Optional.empty()
                 : Optional.of(Verdict.answer(CellReply.NotServed.of(CellReply.Reason.ID_IN_USE)));
@@ -254,8 +254,8 @@
         Optional<JobRecord> present = visitor(recall.from(), transfer);
         if (present.isPresent()) {
             JobRecord job = present.get();
-            return job.open() && job.untouched()
-                    ? Verdict.store(job.withdrawn(), reports(transfer, VisitState.WITHDRAWN))
+            return job.isOpen() && job.neverPlaced()
+                    ? Verdict.store(job.withdrawn(), reports(transfer, InboundJobState.WITHDRAWN))
                     : answer(report(transfer, job));
         }
         return tombstone(recall.from(), transfer, false);
@@ -266,8 +266,8 @@
         Optional<JobRecord> present = visitor(cancel.from(), transfer);
         if (present.isPresent()) {
             JobRecord job = present.get();
-            return job.open()
-                    ? Verdict.store(job.cancelled(), reports(transfer, VisitState.CANCELLED))
+            return job.isOpen()
+                    ? Verdict.store(job.cancelled(), reports(transfer, InboundJobState.CANCELLED))
                     : answer(report(transfer, job));
         }
         return tombstone(cancel.from(), transfer, true);
@@ -276,9 +276,9 @@
     /** Stores that a transfer is over of which nothing has come here yet. */
     private Verdict tombstone(CellId from, Transfer transfer, boolean cancelled) {
         if (closed(from, transfer)) {
-            return answer(VisitReport.of(transfer, VisitState.CLOSED));
+            return answer(InboundJobStatus.of(transfer, InboundJobState.CLOSED));
         }
-        VisitState ended = cancelled ? VisitState.CANCELLED : VisitState.WITHDRAWN;
+        InboundJobState ended = cancelled ? InboundJobState.CANCELLED : InboundJobState.WITHDRAWN;
         Optional<Verdict> occupied = occupied(from, transfer);
         if (occupied.isPresent()) {
             boolean forGood = occupied.get()
@@ -287,7 +287,7 @@
                     .isPresent();
             return forGood ? Verdict.answer(reports(transfer, ended)) : occupied.get();
         }
-        Visit visit = Visit.of(from.name(), transfer.number());
+        InboundDelegation visit = InboundDelegation.of(from.name(), transfer.number());
         return Verdict.store(JobRecord.tombstone(transfer.job(), now(), visit, cancelled), reports(transfer, ended));
     }
 
@@ -295,12 +295,12 @@
         return context.timeline().wallTime();
     }
 
-    private static Verdict answer(VisitReport report) {
+    private static Verdict answer(InboundJobStatus report) {
         return Verdict.answer(new CellReply.Reports(List.of(report)));
     }
 
-    private static CellReply reports(Transfer transfer, VisitState state) {
-        return new CellReply.Reports(List.of(VisitReport.of(transfer, state)));
+    private static CellReply reports(Transfer transfer, InboundJobState state) {
+        return new CellReply.Reports(List.of(InboundJobStatus.of(transfer, state)));
     }
 
     /**
@@ -320,12 +320,12 @@
         }
         Change change = verdict.change.orElseThrow();
         String cellKey = Keys.cell(request.from().name());
-        Txn txn = context.jobWriter()
-                .write(new Txn(), change.record)
-                .guard(cellKey, replica.stamp(cellKey))
-                .guard(Keys.FORMAT, replica.stamp(Keys.FORMAT));
+        Transaction txn = context.jobWriter()
+                .write(new Transaction(), change.record)
+                .requireRevision(cellKey, replica.modRevision(cellKey))
+                .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT));
         context.committer().propose(CommitPriority.USERS, txn, result -> {
-            if (result instanceof TxnResult.Applied) {
+            if (result instanceof TransactionResult.Applied) {
                 tell(request, change);
                 reply.accept(change.reply);
             } else {
@@ -337,8 +337,8 @@
     private void tell(CellRequest request, Change change) {
         String job = change.record.id();
         String cell = request.from().name();
-        if (change.record.open()) {
-            context.decisions().tell(LOG, "job {} of cell {} is taken in", job, cell);
+        if (change.record.isOpen()) {
+            context.decisions().record(LOG, "job {} of cell {} is taken in", job, cell);
         } else if (change.reply instanceof CellReply.Declined declined) {
             LOG.debug(
                     "job {} of cell {} is not taken: {}",
@@ -347,12 +347,12 @@
                     declined.refusal().reason());
         } else {
             context.decisions()
-                    .tell(
+                    .record(
                             LOG,
                             "job {} of cell {} is {} again",
                             job,
                             cell,
-                            change.record.visit().orElseThrow().withdrawn()
+                            change.record.inboundDelegation().orElseThrow().withdrawn()
                                     ? "at home"
                                     : "cancelled by its user, and not wanted");
         }
@@ -362,7 +362,7 @@
         if (context.timeline().now().compareTo(until) > 0) {
             reply.accept(CellReply.NotServed.of(CellReply.Reason.STATE_UNAVAILABLE));
         } else {
-            context.timeline().after(LOCK_WAIT, () -> handle(request, until, reply));
+            context.timeline().schedule(LOCK_WAIT, () -> handle(request, until, reply));
         }
     }
 }
--- a/src/main/java/org/dunespindle/federation/VisitState.java
+++ b/src/main/java/org/dunespindle/federation/InboundJobState.java
@@ -1,7 +1,7 @@
 package org.dunespindle.federation;
 
 /** How a transfer stands in the cell that it went to. */
-public enum VisitState {
+public enum InboundJobState {
     /** Nothing is stored of it; an offer may still be under way. */
     UNKNOWN,
     /** Accepted, and no task was ever booked. */
--- a/src/main/java/org/dunespindle/federation/KnownCells.java
+++ b/src/main/java/org/dunespindle/federation/KnownCells.java
@@ -3,28 +3,28 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateReplica;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What is stored of other cells, read once for each version of the record. */
 final class KnownCells {
     private static final Logger LOG = LoggerFactory.getLogger(KnownCells.class);
-    private final Replica replica;
+    private final StateReplica replica;
     private final Map<String, Read> read = new HashMap<>();
 
     private record Read(long stamp, Optional<FederationRecords.KnownCell> cell) {}
 
-    KnownCells(Replica replica) {
+    KnownCells(StateReplica replica) {
         this.replica = replica;
     }
 
     /** A cell as stored; empty if it was never heard of, or its record cannot be read. */
     Optional<FederationRecords.KnownCell> cell(String name) {
         String key = Keys.cell(name);
-        long stamp = replica.stamp(key);
+        long stamp = replica.modRevision(key);
         Read known = read.get(name);
         if (known == null || known.stamp != stamp) {
             known = new Read(stamp, parse(key));
@@ -42,7 +42,7 @@
         return replica.value(key).flatMap(value -> {
             try {
                 return Optional.of(FederationRecords.readKnown(value));
-            } catch (MalformedException e) {
+            } catch (MalformedMessageException e) {
                 LOG.error("the record {} cannot be read: {}; nothing is exchanged with that cell", key, e.getMessage());
                 return Optional.empty();
             }
--- a/src/main/java/org/dunespindle/federation/DelegationService.java
+++ b/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
@@ -11,15 +11,15 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.dunespindle.api.ExchangeContext;
+import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.Options;
-import org.dunespindle.storage.Delegation;
+import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,8 +28,8 @@
  * {@link DelegationRules}; this class asks, stores, and asks again. Only the leader offers and recalls. Any controller asks
  * how jobs stand, for its own users' polls.
  */
-final class DelegationService {
-    private static final Logger LOG = LoggerFactory.getLogger(DelegationService.class);
+final class OutboundDelegationService {
+    private static final Logger LOG = LoggerFactory.getLogger(OutboundDelegationService.class);
     private static final Duration RESEND = Duration.ofSeconds(2);
     private static final Duration ASK_EVERY_AS_LEADER = Duration.ofSeconds(1);
     private static final Duration ASK_EVERY = Duration.ofSeconds(3);
@@ -38,12 +38,12 @@
 
     private static final int MOST_PAUSE_DOUBLINGS = 6;
 
-    private final ExchangeContext context;
-    private final Replica replica;
-    private final OwnCellKeeper self;
+    private final DelegationContext context;
+    private final StateReplica replica;
+    private final CellIdentityKeeper self;
     private final KnownCells known;
-    private final Map<String, CellContact> contacts;
-    private final RemoteReports reports = new RemoteReports();
+    private final Map<String, CellConnection> contacts;
+    private final RemoteJobStates reports = new RemoteJobStates();
     private final Map<String, Followed> followed = new HashMap<>();
     /** Intents whose outcome is not known: they may yet be applied, until their job's record changes. */
     private final Map<String, Unsettled> unsettled = new HashMap<>();
@@ -55,21 +55,21 @@
 
     /** A transfer's phase, since when it is known here, and when something was sent about it last. */
     private static final class Followed {
-        final Delegation delegation;
+        final OutboundDelegation delegation;
         final Duration since;
         Duration sentAt;
         boolean sending;
         Optional<Duration> endKnownAt = Optional.empty();
 
-        Followed(Delegation delegation, Duration since) {
+        Followed(OutboundDelegation delegation, Duration since) {
             this.delegation = delegation;
             this.since = since;
             this.sentAt = since.minus(RESEND);
         }
     }
 
-    DelegationService(
-            ExchangeContext context, OwnCellKeeper self, KnownCells known, Map<String, CellContact> contacts) {
+    OutboundDelegationService(
+            DelegationContext context, CellIdentityKeeper self, KnownCells known, Map<String, CellConnection> contacts) {
         this.context = context;
         this.replica = context.replica();
         this.self = self;
@@ -88,8 +88,8 @@
     /** Jobs of this cell that another one may hold. */
     List<JobRecord> away() {
         var away = new ArrayList<JobRecord>();
-        for (JobRecord job : replica.livingJobs()) {
-            if (job.away()) {
+        for (JobRecord job : replica.activeJobs()) {
+            if (job.isDelegatedAway()) {
                 away.add(job);
             }
         }
@@ -98,10 +98,10 @@
 
     /** The number below which all of this cell's transfers have ended for good. */
     long floor() {
-        unsettled.entrySet().removeIf(entry -> replica.stamp(Keys.job(entry.getKey())) != entry.getValue().stamp);
+        unsettled.entrySet().removeIf(entry -> replica.modRevision(Keys.job(entry.getKey())) != entry.getValue().stamp);
         long floor = self.unusedTransfer();
         for (JobRecord job : away()) {
-            floor = Math.min(floor, job.delegation().orElseThrow().transfer());
+            floor = Math.min(floor, job.outboundDelegation().orElseThrow().transfer());
         }
         for (Unsettled intent : unsettled.values()) {
             floor = Math.min(floor, intent.transfer);
@@ -116,7 +116,7 @@
         var toAsk = new LinkedHashMap<String, List<JobRecord>>();
         for (JobRecord job : away) {
             ids.add(job.id());
-            CellContact contact = contacts.get(job.delegation().orElseThrow().cell());
+            CellConnection contact = contacts.get(job.outboundDelegation().orElseThrow().cell());
             if (contact != null) {
                 follow(job, contact, toAsk);
             }
@@ -128,8 +128,8 @@
         toAsk.forEach(this::ask);
     }
 
-    private void follow(JobRecord job, CellContact contact, Map<String, List<JobRecord>> toAsk) {
-        Delegation delegation = job.delegation().orElseThrow();
+    private void follow(JobRecord job, CellConnection contact, Map<String, List<JobRecord>> toAsk) {
+        OutboundDelegation delegation = job.outboundDelegation().orElseThrow();
         Followed state = followed.get(job.id());
         if (state == null || !state.delegation.equals(delegation)) {
             state = new Followed(delegation, now());
@@ -151,7 +151,7 @@
         }
     }
 
-    private DelegationRules.View view(JobRecord job, Delegation delegation, Followed state) {
+    private DelegationRules.View view(JobRecord job, OutboundDelegation delegation, Followed state) {
         Options options = context.options().get();
         return new DelegationRules.View(
                 delegation,
@@ -162,30 +162,30 @@
     }
 
     /** When a job may be given away again: the pause doubles with every transfer. */
-    private Instant again(Delegation delegation, Options options) {
+    private Instant again(OutboundDelegation delegation, Options options) {
         int doublings = Math.min(MOST_PAUSE_DOUBLINGS, delegation.transfers() - 1);
         return context.timeline().wallTime().plus(options.spillPause().multipliedBy(1L << doublings));
     }
 
     /** Tells which cells contradict what is stored here; nothing is offered to them while they do. */
     private void tellContradictions(List<JobRecord> away) {
-        for (CellContact contact : contacts.values()) {
+        for (CellConnection contact : contacts.values()) {
             Optional<JobRecord> job = away.stream()
                     .filter(one -> contradictions.containsKey(one.id())
-                            && one.delegation().orElseThrow().cell().equals(contact.name()))
+                            && one.outboundDelegation().orElseThrow().cell().equals(contact.name()))
                     .findFirst();
             Optional<String> what = job.map(one -> contradictions.get(one.id()));
             if (contact.contradiction(what)) {
                 String told = what.map(text -> text + " (job " + job.get().id() + "); nothing more is offered to it")
                         .orElse("what it tells agrees again with what is stored here");
-                context.decisions().tell(LOG, "cell {}: {}", contact.name(), told);
+                context.decisions().record(LOG, "cell {}: {}", contact.name(), told);
             }
         }
     }
 
-    private void carryOut(DelegationRules.Step step, JobRecord job, CellContact contact, Followed state) {
+    private void carryOut(DelegationRules.Step step, JobRecord job, CellConnection contact, Followed state) {
         if (step instanceof DelegationRules.Step.Store store) {
-            store(job, job.tied(store.delegation()));
+            store(job, job.withDelegationLink(store.delegation()));
         } else if (step instanceof DelegationRules.Step.SendOffer
                 && contact.trouble().isEmpty()) {
             contact.freshGreeting()
@@ -194,7 +194,7 @@
                             contact,
                             state,
                             new CellRequest.Offer(
-                                    self.id().orElseThrow(), told.self(), transfer(job), job.arrived(), job.job())));
+                                    self.id().orElseThrow(), told.self(), transfer(job), job.arrived(), job.submission())));
         } else if (step instanceof DelegationRules.Step.SendRecall) {
             known.cell(contact.name())
                     .ifPresent(cell -> send(
@@ -207,10 +207,10 @@
     }
 
     private static Transfer transfer(JobRecord job) {
-        return new Transfer(job.id(), job.delegation().orElseThrow().transfer());
+        return new Transfer(job.id(), job.outboundDelegation().orElseThrow().transfer());
     }
 
-    private void send(JobRecord job, CellContact contact, Followed state, CellRequest request) {
+    private void send(JobRecord job, CellConnection contact, Followed state, CellRequest request) {
         if (state.sending || !contact.free() || now().minus(state.sentAt).compareTo(RESEND) < 0) {
             return;
         }
@@ -227,15 +227,15 @@
     }
 
     /** Takes in what another cell told of a job, and goes on with it at once. */
-    private void answered(JobRecord job, CellContact contact, CellReply reply, Duration asked) {
-        Delegation.Phase phase = job.delegation().orElseThrow().phase();
+    private void answered(JobRecord job, CellConnection contact, CellReply reply, Duration asked) {
+        OutboundDelegation.Phase phase = job.outboundDelegation().orElseThrow().phase();
         if (reply instanceof CellReply.Reports told) {
             told.reports().forEach(report -> reports.take(report, phase, asked));
         } else if (reply instanceof CellReply.Declined declined) {
-            contact.refused(WorkKind.of(job.job()), declined.refusal());
-            reports.take(VisitReport.of(declined.transfer(), VisitState.WITHDRAWN), phase, asked);
+            contact.refused(ResourceKind.of(job.submission()), declined.refusal());
+            reports.take(InboundJobStatus.of(declined.transfer(), InboundJobState.WITHDRAWN), phase, asked);
             context.decisions()
-                    .tell(
+                    .record(
                             LOG,
                             "job {}: cell {} {}",
                             job.id(),
@@ -249,12 +249,12 @@
                     notServed.reason().words());
         }
         replica.job(job.id())
-                .filter(present -> present.tie().equals(job.tie()) && present.open())
+                .filter(present -> present.delegationLink().equals(job.delegationLink()) && present.isOpen())
                 .ifPresent(present -> follow(present, contact, new HashMap<>()));
     }
 
     private void ask(String cell, List<JobRecord> jobs) {
-        CellContact contact = contacts.get(cell);
+        CellConnection contact = contacts.get(cell);
         Optional<FederationRecords.KnownCell> stored = known.cell(cell);
         Duration every = leads() ? ASK_EVERY_AS_LEADER : ASK_EVERY;
         Duration last = askedAt.getOrDefault(cell, Duration.ofDays(-1));
@@ -271,10 +271,10 @@
         }
     }
 
-    private void ask(CellContact contact, String identity, List<JobRecord> jobs) {
-        var phases = new HashMap<Transfer, Delegation.Phase>();
+    private void ask(CellConnection contact, String identity, List<JobRecord> jobs) {
+        var phases = new HashMap<Transfer, OutboundDelegation.Phase>();
         jobs.forEach(
-                job -> phases.put(transfer(job), job.delegation().orElseThrow().phase()));
+                job -> phases.put(transfer(job), job.outboundDelegation().orElseThrow().phase()));
         Duration asked = now();
         var request = new CellRequest.Progress(self.id().orElseThrow(), identity, List.copyOf(phases.keySet()));
         contact.call(
@@ -304,8 +304,8 @@
         String key = Keys.job(before.id());
         if (!context.committer().isLocked(key)) {
             context.committer()
-                    .propose(CommitPriority.PLACING, context.jobWriter().write(new Txn(), after), result -> {
-                        if (result instanceof TxnResult.Applied) {
+                    .propose(CommitPriority.PLACEMENT, context.jobWriter().write(new Transaction(), after), result -> {
+                        if (result instanceof TransactionResult.Applied) {
                             tell(before, after);
                         }
                     });
@@ -313,12 +313,12 @@
     }
 
     private void tell(JobRecord before, JobRecord after) {
-        Delegation transfer = before.delegation().orElseThrow();
-        if (!after.open()) {
-            context.decisions().tell(LOG, "job {} ended in cell {}: {}", before.id(), transfer.cell(), after.end());
-        } else if (!after.away()) {
+        OutboundDelegation transfer = before.outboundDelegation().orElseThrow();
+        if (!after.isOpen()) {
+            context.decisions().record(LOG, "job {} ended in cell {}: {}", before.id(), transfer.cell(), after.outcome());
+        } else if (!after.isDelegatedAway()) {
             context.decisions()
-                    .tell(
+                    .record(
                             LOG,
                             "job {} is back from cell {}, transfer {}",
                             before.id(),
@@ -329,7 +329,7 @@
                     "{} in cell {}: {}",
                     before.id(),
                     transfer.cell(),
-                    after.delegation().orElseThrow().phase());
+                    after.outboundDelegation().orElseThrow().phase());
         }
     }
 
@@ -341,23 +341,23 @@
         if (number.isEmpty() || known.cell(choice.cell()).isEmpty()) {
             return;
         }
-        Delegation intent = Delegation.offer(job.delegation(), choice.cell(), number.getAsLong());
-        long stamp = replica.stamp(key);
+        OutboundDelegation intent = OutboundDelegation.offer(job.outboundDelegation(), choice.cell(), number.getAsLong());
+        long stamp = replica.modRevision(key);
         unsettled.put(job.id(), new Unsettled(number.getAsLong(), stamp));
-        Txn txn = self.guarded(context.jobWriter().write(new Txn(), job.tied(intent)));
-        context.committer().propose(CommitPriority.PLACING, txn, result -> {
-            if (!(result instanceof TxnResult.Unknown)) {
+        Transaction txn = self.guarded(context.jobWriter().write(new Transaction(), job.withDelegationLink(intent)));
+        context.committer().propose(CommitPriority.PLACEMENT, txn, result -> {
+            if (!(result instanceof TransactionResult.Unknown)) {
                 unsettled.remove(job.id());
             }
-            if (result instanceof TxnResult.Applied) {
+            if (result instanceof TransactionResult.Applied) {
                 context.decisions()
-                        .tell(LOG, "job {} found no room here and is offered to cell {}", job.id(), choice.cell());
+                        .record(LOG, "job {} found no room here and is offered to cell {}", job.id(), choice.cell());
             }
         });
     }
 
     /** What was told of a job that is away. */
-    Optional<RemoteReports.Told> told(JobRecord job) {
+    Optional<RemoteJobStates.Told> told(JobRecord job) {
         return reports.of(job);
     }
 
@@ -367,7 +367,7 @@
     }
 
     /** Takes in what a cancellation was answered. */
-    void heard(JobRecord job, VisitReport report, Duration asked) {
-        reports.take(report, job.delegation().orElseThrow().phase(), asked);
+    void heard(JobRecord job, InboundJobStatus report, Duration asked) {
+        reports.take(report, job.outboundDelegation().orElseThrow().phase(), asked);
     }
 }
--- a/src/main/java/org/dunespindle/federation/Refusal.java
+++ b/src/main/java/org/dunespindle/federation/Rejection.java
@@ -7,7 +7,7 @@
  *
  * @param retryAfter when asking again may help
  */
-public record Refusal(Reason reason, Duration retryAfter) {
+public record Rejection(Reason reason, Duration retryAfter) {
     private static final Duration SOON = Duration.ofSeconds(20);
     private static final Duration LATER = Duration.ofMinutes(2);
     private static final Duration MUCH_LATER = Duration.ofMinutes(30);
@@ -35,7 +35,7 @@
     }
 
     /** A refusal with the usual time to ask again. */
-    public static Refusal of(Reason reason) {
-        return new Refusal(reason, reason.retryAfter);
+    public static Rejection of(Reason reason) {
+        return new Rejection(reason, reason.retryAfter);
     }
 }
--- a/src/main/java/org/dunespindle/federation/RemoteReports.java
+++ b/src/main/java/org/dunespindle/federation/RemoteJobStates.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.dunespindle.storage.Delegation;
+import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
 
 /**
  * What other cells told of this cell's jobs. Answers may arrive out of order, so what was told once of a transfer is never replaced by
  * an earlier state of it.
  */
-final class RemoteReports {
+final class RemoteJobStates {
     private final Map<String, Told> told = new HashMap<>();
 
     /** A report and when it was asked for. */
-    record Told(VisitReport report, Duration asked) {}
+    record Told(InboundJobStatus report, Duration asked) {}
 
     /**
      * Takes a report in.
@@ -24,9 +24,9 @@
      * @param phase the transfer's phase when it was asked about: that a cell does not know a transfer means something only if it had
      *     stored it before the question
      */
-    void take(VisitReport report, Delegation.Phase phase, Duration asked) {
-        boolean known = phase == Delegation.Phase.ACCEPTED;
-        if (report.state() == VisitState.UNKNOWN && !known) {
+    void take(InboundJobStatus report, OutboundDelegation.Phase phase, Duration asked) {
+        boolean known = phase == OutboundDelegation.Phase.ACCEPTED;
+        if (report.state() == InboundJobState.UNKNOWN && !known) {
             return;
         }
         Told before = told.get(report.transfer().job());
@@ -35,26 +35,26 @@
         }
     }
 
-    private static boolean newer(VisitReport report, Duration asked, Told before) {
+    private static boolean newer(InboundJobStatus report, Duration asked, Told before) {
         long number = report.transfer().number();
         long numberBefore = before.report.transfer().number();
         if (number != numberBefore) {
             return number > numberBefore;
         }
-        VisitState state = report.state();
-        VisitState stateBefore = before.report.state();
+        InboundJobState state = report.state();
+        InboundJobState stateBefore = before.report.state();
         if (stateBefore.ended()) {
             return false;
         }
         return state.ended()
-                || state == VisitState.UNKNOWN && asked.compareTo(before.asked) > 0
+                || state == InboundJobState.UNKNOWN && asked.compareTo(before.asked) > 0
                 || state.compareTo(stateBefore) >= 0 && asked.compareTo(before.asked) >= 0
                 || state.compareTo(stateBefore) > 0;
     }
 
     /** What was told of a job's present transfer. */
     Optional<Told> of(JobRecord job) {
-        long transfer = job.delegation().map(Delegation::transfer).orElse(-1L);
+        long transfer = job.outboundDelegation().map(OutboundDelegation::transfer).orElse(-1L);
         return Optional.ofNullable(told.get(job.id()))
                 .filter(known -> known.report.transfer().number() == transfer);
     }
--- a/src/main/java/org/dunespindle/federation/WorkKind.java
+++ b/src/main/java/org/dunespindle/federation/ResourceKind.java
@@ -9,14 +9,14 @@
  *
  * @param types the machine types that it may use; empty for any
  */
-public record WorkKind(Optional<List<String>> types) {
+public record ResourceKind(Optional<List<String>> types) {
     /** The kind of a job's work. */
-    public static WorkKind of(Submission job) {
-        return new WorkKind(job.types().map(list -> list.stream().sorted().toList()));
+    public static ResourceKind of(Submission job) {
+        return new ResourceKind(job.types().map(list -> list.stream().sorted().toList()));
     }
 
     /** Whether there may be a machine that both could use. */
-    public boolean overlaps(WorkKind other) {
+    public boolean overlaps(ResourceKind other) {
         return types.isEmpty() || other.types.isEmpty() || types.get().stream().anyMatch(other.types.get()::contains);
     }
 }
--- a/src/main/java/org/dunespindle/federation/SpillPolicy.java
+++ b/src/main/java/org/dunespindle/federation/SpillPolicy.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import org.dunespindle.protocol.Submission;
-import org.dunespindle.storage.Delegation;
+import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
 
 /** Which waiting jobs are offered to which cells. Pure. */
@@ -25,7 +25,7 @@
      *
      * @param refuses kinds of work that it refused lately
      */
-    public record Target(String cell, List<RoomHint> room, Predicate<WorkKind> refuses) {}
+    public record Target(String cell, List<CapacityHint> room, Predicate<ResourceKind> refuses) {}
 
     /** A job and the cell that it is offered to. */
     public record Choice(JobRecord job, String cell) {}
@@ -41,22 +41,22 @@
             Instant now,
             List<JobRecord> waiting,
             List<Target> targets,
-            List<WorkKind> takesIn,
+            List<ResourceKind> takesIn,
             int mostTransfers,
             int most) {}
 
     /** Whether a job could be given away at all: as a whole, and with no task ever booked. */
     public static boolean movable(JobRecord job) {
-        return job.open()
-                && !job.job().service()
-                && job.untouched()
-                && job.visit().isEmpty()
-                && !job.away();
+        return job.isOpen()
+                && !job.submission().isService()
+                && job.neverPlaced()
+                && job.inboundDelegation().isEmpty()
+                && !job.isDelegatedAway();
     }
 
     /** Whether a job may be given away now, after what became of earlier transfers. */
     public static boolean due(JobRecord job, Instant now, int mostTransfers) {
-        Optional<Delegation> before = job.delegation();
+        Optional<OutboundDelegation> before = job.outboundDelegation();
         return before.isEmpty()
                 || before.get().transfers() < mostTransfers
                         && before.get()
@@ -71,15 +71,15 @@
         var promised = new HashMap<String, Integer>();
         List<JobRecord> ordered = view.waiting.stream()
                 .filter(job -> movable(job) && due(job, view.now, view.mostTransfers))
-                .sorted(Comparator.comparing((JobRecord job) -> job.job().priority(), Comparator.reverseOrder())
+                .sorted(Comparator.comparing((JobRecord job) -> job.submission().priority(), Comparator.reverseOrder())
                         .thenComparing(JobRecord::arrived)
                         .thenComparing(JobRecord::id))
                 .toList();
         for (JobRecord job : ordered) {
-            WorkKind kind = WorkKind.of(job.job());
+            ResourceKind kind = ResourceKind.of(job.submission());
             if (choices.size() < view.most && view.takesIn.stream().noneMatch(kind::overlaps)) {
                 target(job, kind, view.targets, promised).ifPresent(cell -> {
-                    promised.merge(cell, job.job().tasks(), Integer::sum);
+                    promised.merge(cell, job.submission().tasks(), Integer::sum);
                     choices.add(new Choice(job, cell));
                 });
             }
@@ -88,14 +88,14 @@
     }
 
     private static Optional<String> target(
-            JobRecord job, WorkKind kind, List<Target> targets, Map<String, Integer> promised) {
-        Submission asked = job.job();
-        int wanted = asked.gang() ? asked.tasks() : Math.max(1, asked.tasks() / ARRAY_PART);
+            JobRecord job, ResourceKind kind, List<Target> targets, Map<String, Integer> promised) {
+        Submission asked = job.submission();
+        int wanted = asked.isGang() ? asked.tasks() : Math.max(1, asked.tasks() / ARRAY_PART);
         String best = null;
         int bestRoom = 0;
         for (Target target : targets) {
             int room = room(asked, target.room) - promised.getOrDefault(target.cell, 0);
-            boolean before = job.delegation()
+            boolean before = job.outboundDelegation()
                     .filter(last -> last.cell().equals(target.cell))
                     .isPresent();
             int rank = before ? 1 : 1 + room; // one that gave it back is asked again only if there is no other
@@ -107,9 +107,9 @@
         return Optional.ofNullable(best);
     }
 
-    private static int room(Submission job, List<RoomHint> hints) {
+    private static int room(Submission job, List<CapacityHint> hints) {
         var byZone = new TreeMap<String, Integer>();
-        for (RoomHint hint : hints) {
+        for (CapacityHint hint : hints) {
             if (hint.concerns(job)) {
                 byZone.merge(hint.zone(), hint.tasks(job), Integer::sum);
             }
--- a/src/main/java/org/dunespindle/federation/grpc/GrpcCellServer.java
+++ b/src/main/java/org/dunespindle/federation/grpc/GrpcCellServer.java
@@ -20,7 +20,7 @@
 import org.dunespindle.federation.CellMessageCodec;
 import org.dunespindle.federation.CellReply;
 import org.dunespindle.federation.CellRequest;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 
 /** Listens for requests of other cells on a port of its own; they are handled on the controller's thread. */
 public final class GrpcCellServer implements AutoCloseable {
@@ -84,7 +84,7 @@
         CellRequest request;
         try {
             request = CellMessageCodec.readRequest(body);
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             fail(answer, Status.INVALID_ARGUMENT, e.getMessage());
             return;
         }
--- a/src/main/java/org/dunespindle/federation/grpc/GrpcCellTransport.java
+++ b/src/main/java/org/dunespindle/federation/grpc/GrpcCellTransport.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import org.dunespindle.federation.CellCallFailure;
+import org.dunespindle.federation.CellCallException;
 import org.dunespindle.federation.CellMessageCodec;
 import org.dunespindle.federation.CellReply;
 import org.dunespindle.federation.CellRequest;
 import org.dunespindle.federation.CellTransport;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 
 /** Calls controllers of other cells; one connection to each, kept alive. Used on the controller's thread alone. */
 public final class GrpcCellTransport implements CellTransport, AutoCloseable {
@@ -79,8 +79,8 @@
             controller.execute(() -> {
                 try {
                     result.complete(CellMessageCodec.readReply(body));
-                } catch (MalformedException e) {
-                    result.completeExceptionally(new CellCallFailure("an answer cannot be read: " + e.getMessage()));
+                } catch (MalformedMessageException e) {
+                    result.completeExceptionally(new CellCallException("an answer cannot be read: " + e.getMessage()));
                 }
             });
         }
@@ -88,12 +88,12 @@
         @Override
         public void onError(Throwable failure) {
             String status = Status.fromThrowable(failure).getCode().name();
-            controller.execute(() -> result.completeExceptionally(new CellCallFailure(status)));
+            controller.execute(() -> result.completeExceptionally(new CellCallException(status)));
         }
 
         @Override
         public void onCompleted() {
-            controller.execute(() -> result.completeExceptionally(new CellCallFailure("no answer")));
+            controller.execute(() -> result.completeExceptionally(new CellCallException("no answer")));
         }
     }
 
--- a/src/main/java/org/dunespindle/job/JobChanges.java
+++ b/src/main/java/org/dunespindle/job/JobTransitions.java
@@ -11,63 +11,63 @@
 import org.dunespindle.storage.JobRecord;
 
 /** Applies what became of allocations to a job's record. Pure. */
-public final class JobChanges {
+public final class JobTransitions {
     private static final Duration FIRST_PAUSE = Duration.ofSeconds(1);
     private static final Duration LONGEST_PAUSE = Duration.ofSeconds(30);
     private static final int FREE_FAILURES = 3;
 
-    private JobChanges() {}
+    private JobTransitions() {}
 
     /** The record after some outcomes. */
     public static JobRecord apply(JobRecord job, List<TaskTermination> events, Instant now) {
         JobRecord j = job;
         var ended = new TreeMap<Integer, Boolean>();
-        boolean plain = job.open() && !job.job().gang();
+        boolean plain = job.isOpen() && !job.submission().isGang();
         var bases = new HashMap<Integer, Long>();
-        job.allocations().forEach(c -> bases.put(c.task(), c.base()));
+        job.allocations().forEach(c -> bases.put(c.task(), c.attemptBase()));
         for (TaskTermination e : events) {
-            if (bases.getOrDefault(e.task(), -1L) != e.base() || ended.containsKey(e.task())) {
+            if (bases.getOrDefault(e.task(), -1L) != e.attemptBase() || ended.containsKey(e.task())) {
                 continue;
             }
-            if (plain && (e.fate() == TerminationCause.DONE || e.fate() == TerminationCause.GONE)) {
-                ended.put(e.task(), e.fate() == TerminationCause.DONE);
-            } else if (j.allocation(e.task()).filter(c -> c.base() == e.base()).isPresent()) {
+            if (plain && (e.cause() == TerminationCause.DONE || e.cause() == TerminationCause.GONE)) {
+                ended.put(e.task(), e.cause() == TerminationCause.DONE);
+            } else if (j.allocation(e.task()).filter(c -> c.attemptBase() == e.attemptBase()).isPresent()) {
                 j = one(j, e, now);
             }
         }
-        return ended.isEmpty() ? j : j.released(ended);
+        return ended.isEmpty() ? j : j.withReleased(ended);
     }
 
     private static JobRecord one(JobRecord j, TaskTermination e, Instant now) {
-        boolean gang = j.spec().isPresent() && j.job().gang();
-        if (gang && e.fate() == TerminationCause.DONE && j.open()) {
+        boolean gang = j.spec().isPresent() && j.submission().isGang();
+        if (gang && e.cause() == TerminationCause.DONE && j.isOpen()) {
             return j.gangDone();
         }
-        if (e.fate() == TerminationCause.WAITED_IN_VAIN) {
-            return j.rebooked(e.task());
+        if (e.cause() == TerminationCause.ASSEMBLY_TIMEOUT) {
+            return j.withPlaceholderReplaced(e.task());
         }
         JobRecord after = j;
-        if (gang && j.open() && j.mode() == JobRecord.Mode.REAL) {
+        if (gang && j.isOpen() && j.gangPhase() == JobRecord.GangPhase.RUNNING) {
             // One member gone breaks the attempt: the others exit with peers or wait in vain, so all are stopped.
-            after = after.stopGang();
+            after = after.withGangStopping();
         }
-        after = after.released(e.task(), e.fate() == TerminationCause.DONE);
-        if (e.fate() == TerminationCause.ERROR && after.open()) {
-            after = after.failed(1, pause(after.failures() + 1, freeFailures(after), now));
+        after = after.withReleased(e.task(), e.cause() == TerminationCause.DONE);
+        if (e.cause() == TerminationCause.ERROR && after.isOpen()) {
+            after = after.withFailures(1, pause(after.failures() + 1, freeFailures(after), now));
             if (gang && after.failures() > FREE_FAILURES) {
-                after = after.requeued(
+                after = after.withQueuePosition(
                         now.toEpochMilli()); // it lets the gangs of its team go first, one of which may not fail
             }
-        } else if (e.fate() == TerminationCause.REFUSED && after.open()) {
-            after = after.failed(0, Optional.of(now.plus(FIRST_PAUSE)));
+        } else if (e.cause() == TerminationCause.REJECTED && after.isOpen()) {
+            after = after.withFailures(0, Optional.of(now.plus(FIRST_PAUSE)));
         }
         return after;
     }
 
     /** A service runs for so long that it meets faulty machines; one that fails everywhere loses all replicas at once. */
     private static int freeFailures(JobRecord job) {
-        boolean service = job.job().service();
-        return FREE_FAILURES + (service ? job.job().tasks() : 0);
+        boolean service = job.submission().isService();
+        return FREE_FAILURES + (service ? job.submission().tasks() : 0);
     }
 
     /** A job that fails everywhere backs off, so that it does not wear out machine after machine. */
--- a/src/main/java/org/dunespindle/job/PlacementPacing.java
+++ b/src/main/java/org/dunespindle/job/PlacementPacing.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.dunespindle.control.Committer;
+import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
@@ -34,13 +34,13 @@
 
     private static final Duration GATHER_MANY = Duration.ofMillis(900);
     private final ControllerContext context;
-    private final Committer committer;
+    private final CommitQueue committer;
     private final Map<String, Unchanged> unchanged = new HashMap<>();
 
     /** A job's record as it has been for a while, as seen here. */
     private record Unchanged(long stamp, Duration since) {}
 
-    public PlacementPacing(ControllerContext context, Committer committer) {
+    public PlacementPacing(ControllerContext context, CommitQueue committer) {
         this.context = context;
         this.committer = committer;
     }
@@ -51,7 +51,7 @@
         var seen = new HashSet<String>();
         Duration gather = gatherTime();
         for (JobRecord job : jobs) {
-            if (job.open() && !job.job().gang() && job.unplacedCount() > 0) {
+            if (job.isOpen() && !job.submission().isGang() && job.unplacedCount() > 0) {
                 seen.add(job.id());
                 if (unchangedFor(job).compareTo(wait(job, gather)) < 0) {
                     alone.add(job.id());
@@ -68,8 +68,8 @@
     }
 
     private Duration unchangedFor(JobRecord job) {
-        Duration now = context.timeline().now();
-        long stamp = context.replica().stamp(Keys.job(job.id()));
+        Duration now = context.timeSource().now();
+        long stamp = context.replica().modRevision(Keys.job(job.id()));
         Unchanged known = unchanged.get(job.id());
         if (known == null || known.stamp != stamp) {
             known = new Unchanged(stamp, now);
@@ -81,7 +81,7 @@
     /** How long a job's record must have stayed as it is before it is placed here. */
     private Duration wait(JobRecord job, Duration gather) {
         boolean many = job.allocations().size() >= MANY_UNDER_WAY && gather.compareTo(GATHER_MANY) < 0;
-        boolean service = job.job().service();
+        boolean service = job.submission().isService();
         Duration patience = service ? Duration.ZERO : many ? GATHER_MANY : gather;
         String here = context.settings().nodeName();
         if (context.membership().homeOf(job.id()).filter(here::equals).isEmpty()) {
--- a/src/main/java/org/dunespindle/job/Placements.java
+++ b/src/main/java/org/dunespindle/job/PlacementWriter.java
@@ -10,10 +10,10 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 import org.dunespindle.control.CommitPriority;
-import org.dunespindle.control.Committer;
+import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.Decisions;
-import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.EventRecorder;
+import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
 import org.dunespindle.control.TaskTermination;
 import org.dunespindle.protocol.Resources;
@@ -23,23 +23,23 @@
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.scheduling.ProjectedJob;
 import org.dunespindle.scheduling.ProjectedJobs;
-import org.dunespindle.scheduling.TeamUse;
+import org.dunespindle.scheduling.TeamUsage;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
-import org.dunespindle.time.Timeline;
-import org.dunespindle.worker.Preemptions;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.time.TimeSource;
+import org.dunespindle.worker.PendingPreemptions;
 import org.dunespindle.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Carries out this controller's part of a plan: books tasks on its machines, and stops those that give way. */
-public final class Placements {
-    private static final Logger LOG = LoggerFactory.getLogger(Placements.class);
+public final class PlacementWriter {
+    private static final Logger LOG = LoggerFactory.getLogger(PlacementWriter.class);
     /** Stopping tasks splits groups of allocations, so a record is not filled to the brim by placing. */
     private static final double FILLED_BY_PLACING = 0.7;
     /** A run of tasks on a machine is short in the record, and at its longest when every other one has left and is to start again. */
@@ -50,53 +50,53 @@
     private static final int MOST_WAITING = 8;
     private static final int MOST_WAITING_GANGS = 24;
     private final Settings settings;
-    private final Replica replica;
+    private final StateReplica replica;
     private final Membership membership;
-    private final Committer committer;
-    private final MachineWriter machineWriter;
-    private final Outcomes outcomes;
-    private final Timeline timeline;
-    private final Decisions decisions;
+    private final CommitQueue committer;
+    private final MachineRecordWriter machineWriter;
+    private final TerminationWriter outcomes;
+    private final TimeSource timeline;
+    private final EventRecorder decisions;
     private final Predicate<MachineRecord> takesTasks;
-    private final Preemptions preemptions;
+    private final PendingPreemptions preemptions;
     private final WorkerClient workerClient;
     private final JobRecordWriter jobWriter;
-    private final TeamAccounts teamAccounts;
+    private final TeamQuotas teamAccounts;
     /** Records proposed but not stored yet: their room is taken, or another job would be booked on it too. */
     private final Map<String, JobRecord> proposed = new HashMap<>();
 
-    public Placements(
+    public PlacementWriter(
             ControllerContext context,
-            Committer committer,
-            MachineWriter machineWriter,
-            Outcomes outcomes,
-            Preemptions preemptions,
+            CommitQueue committer,
+            MachineRecordWriter machineWriter,
+            TerminationWriter outcomes,
+            PendingPreemptions preemptions,
             WorkerClient workerClient,
             Predicate<MachineRecord> takesTasks) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
         this.membership = context.membership();
-        this.timeline = context.timeline();
-        this.decisions = context.decisions();
+        this.timeline = context.timeSource();
+        this.decisions = context.eventRecorder();
         this.committer = committer;
         this.machineWriter = machineWriter;
         this.outcomes = outcomes;
         this.preemptions = preemptions;
         this.workerClient = workerClient;
-        this.teamAccounts = new TeamAccounts(context, committer);
+        this.teamAccounts = new TeamQuotas(context, committer);
         this.takesTasks = takesTasks;
     }
 
     /** This controller's account with each team's limit. */
-    public TeamAccounts teamAccounts() {
+    public TeamQuotas teamAccounts() {
         return teamAccounts;
     }
 
     /** The living jobs as stored, and as they will be if what is proposed here is stored. */
     public ProjectedJobs projection() {
         var jobs = new ArrayList<ProjectedJob>();
-        replica.livingJobs().forEach(stored -> jobs.add(projected(stored)));
+        replica.activeJobs().forEach(stored -> jobs.add(projected(stored)));
         return new ProjectedJobs(jobs);
     }
 
@@ -106,14 +106,14 @@
 
     /** One transaction per booking, guarded by the job, its machines and its team's ledger. */
     public void place(Plan plan) {
-        TeamUse use = null;
-        for (Binding b : plan.bookings()) {
+        TeamUsage use = null;
+        for (Binding b : plan.bindings()) {
             // What would only queue is decided anew later, for more tasks at once: so batches widen with the load.
-            if (committer.waiting() >= (b.job().job().gang() ? MOST_WAITING_GANGS : MOST_WAITING)) {
+            if (committer.waiting() >= (b.job().submission().isGang() ? MOST_WAITING_GANGS : MOST_WAITING)) {
                 return;
             }
             if (committer.isLocked(Keys.job(b.job().id()))
-                    || committer.isLocked(Keys.team(b.job().job().team()))) {
+                    || committer.isLocked(Keys.team(b.job().submission().team()))) {
                 continue;
             }
             Map<Integer, String> places = ownPart(b);
@@ -129,35 +129,35 @@
 
     /** The places on machines commanded here, as many as one transaction's guards allow: the others follow in the next. */
     private Map<Integer, String> ownPart(Binding b) {
-        int room = Txn.mostGuards(settings.state().lowest().txnOps()) / 2 - OTHER_GUARDS;
-        boolean may = !b.job().job().gang() || membership.leads();
+        int room = Transaction.maxPreconditions(settings.state().lowest().txnOps()) / 2 - OTHER_GUARDS;
+        boolean may = !b.job().submission().isGang() || membership.leads();
         var pages = new HashSet<String>();
         var places = new LinkedHashMap<Integer, String>();
         b.places().forEach((task, host) -> {
-            MachineRecord h = replica.hosts().get(host);
+            MachineRecord h = replica.machines().get(host);
             if (may
                     && h != null
                     && membership.owns(h)
                     && !machineWriter.busy(host)
                     && takesTasks.test(h)
-                    && (pages.contains(Keys.host(host)) || pages.size() < room)) {
-                pages.add(Keys.host(host));
+                    && (pages.contains(Keys.machinePage(host)) || pages.size() < room)) {
+                pages.add(Keys.machinePage(host));
                 places.put(task, host);
             }
         });
         return places;
     }
 
-    private void place(JobRecord job, Map<Integer, String> wanted, TeamUse use) {
-        var txn = new Txn();
+    private void place(JobRecord job, Map<Integer, String> wanted, TeamUsage use) {
+        var txn = new Transaction();
         List<TaskTermination> told = new ArrayList<>();
         JobRecord folded = outcomes.fold(job, txn, told);
         Map<Integer, String> places = asManyAsFit(folded, wanted);
         if (places.isEmpty()) {
             return; // some of its tasks must end first
         }
-        Resources need = job.job().perTask().times(places.size());
-        Optional<TeamAccounts.Grant> grant = teamAccounts.ask(txn, job, use, need);
+        Resources need = job.submission().perTask().times(places.size());
+        Optional<TeamQuotas.Grant> grant = teamAccounts.ask(txn, job, use, need);
         if (grant.isEmpty()) {
             return;
         }
@@ -165,26 +165,26 @@
         if (!txn.fits(settings.state().lowest().txnOps())) {
             return;
         }
-        use.add(job.job(), places.size());
+        use.add(job.submission(), places.size());
         grant.get().proposed();
         tell(job, places.size());
         propose(txn, job.id(), placed, result -> {
             grant.get().settled(result);
-            if (result instanceof TxnResult.Applied) {
+            if (result instanceof TransactionResult.Applied) {
                 told.forEach(event -> outcomes.tell(job, event));
             }
         });
     }
 
-    private JobRecord addPlacement(Txn txn, JobRecord job, JobRecord folded, Map<Integer, String> places) {
-        JobRecord placed = folded.placed(places);
-        if (job.job().gang() && job.job().tasks() == 1) {
-            placed = placed.real(); // its placeholder would be the whole gang and start, so it runs directly
+    private JobRecord addPlacement(Transaction txn, JobRecord job, JobRecord folded, Map<Integer, String> places) {
+        JobRecord placed = folded.withPlaced(places);
+        if (job.submission().isGang() && job.submission().tasks() == 1) {
+            placed = placed.withGangRunning(); // its placeholder would be the whole gang and start, so it runs directly
         }
         jobWriter.write(txn, placed);
-        places.values().forEach(host -> txn.guard(Keys.host(host), replica.stamp(Keys.host(host))));
-        if (job.job().gang()) {
-            txn.guard(Keys.LEADER, replica.stamp(Keys.LEADER));
+        places.values().forEach(host -> txn.requireRevision(Keys.machinePage(host), replica.modRevision(Keys.machinePage(host))));
+        if (job.submission().isGang()) {
+            txn.requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
         }
         return placed;
     }
@@ -195,7 +195,7 @@
             LOG.debug(
                     "{} ({}): {} placed {} ms after it came",
                     job.id(),
-                    job.job().jobClass(),
+                    job.submission().jobClass(),
                     tasks,
                     age);
         }
@@ -205,7 +205,7 @@
     private Map<Integer, String> asManyAsFit(JobRecord job, Map<Integer, String> places) {
         Map<Integer, String> some = places;
         while (!some.isEmpty()) {
-            JobRecord placed = job.placed(some);
+            JobRecord placed = job.withPlaced(some);
             if (fits(jobWriter.size(placed), placed.allocations().size(), jobWriter.capacity())) {
                 return some;
             }
@@ -222,9 +222,9 @@
                 && size + BROKEN_UP_PER_TASK * allocations <= capacity * FILLED_WHEN_BROKEN_UP;
     }
 
-    private void propose(Txn txn, String id, JobRecord record, java.util.function.Consumer<TxnResult> then) {
+    private void propose(Transaction txn, String id, JobRecord record, java.util.function.Consumer<TransactionResult> then) {
         proposed.put(id, record);
-        committer.propose(CommitPriority.PLACING, txn, r -> {
+        committer.propose(CommitPriority.PLACEMENT, txn, r -> {
             proposed.remove(id);
             then.accept(r);
         });
@@ -242,14 +242,14 @@
 
     /** Has a task end that runs on a machine commanded here, unless it was told already. */
     private void stop(Eviction e, String why) {
-        String host = e.allocation().host();
-        MachineRecord h = replica.hosts().get(host);
+        String host = e.allocation().machineId();
+        MachineRecord h = replica.machines().get(host);
         if (h == null || !membership.owns(h) || e.allocation().stopping()) {
             return;
         }
-        preemptions.add(Preemptions.of(e.victim(), e.allocation()), host);
-        workerClient.attend(host);
-        decisions.tell(
+        preemptions.add(PendingPreemptions.of(e.victim(), e.allocation()), host);
+        workerClient.scheduleReconciliation(host);
+        decisions.record(
                 LOG, "task {}/{} on {} {}", e.victim().id(), e.allocation().task(), host, why);
     }
 }
--- a/src/main/java/org/dunespindle/job/TeamAccounts.java
+++ b/src/main/java/org/dunespindle/job/TeamQuotas.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 import java.util.Optional;
 import org.dunespindle.control.CommitPriority;
-import org.dunespindle.control.Committer;
+import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.scheduling.TeamLedger;
-import org.dunespindle.scheduling.TeamUse;
+import org.dunespindle.scheduling.QuotaAdmission;
+import org.dunespindle.scheduling.TeamUsage;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,11 +23,11 @@
  * This controller's account with each team's record: what it has placed under the record as it stands, and what of that is not certain. Every
  * change of a record is told with what it rests on; there are no more of them than the state service takes writes.
  */
-public final class TeamAccounts {
-    private static final Logger LOG = LoggerFactory.getLogger(TeamAccounts.class);
+public final class TeamQuotas {
+    private static final Logger LOG = LoggerFactory.getLogger(TeamQuotas.class);
     private final Settings settings;
-    private final Replica replica;
-    private final Committer committer;
+    private final StateReplica replica;
+    private final CommitQueue committer;
     private final Map<String, Account> accounts = new HashMap<>();
     private final Map<String, Counts> counts = new HashMap<>();
 
@@ -57,9 +57,9 @@
     final class Grant {
         private final Basis basis;
         private final Account account;
-        private final Optional<TeamLedger.Entry> written;
+        private final Optional<QuotaAdmission.Reservation> written;
 
-        private Grant(Basis basis, Account account, Optional<TeamLedger.Entry> written) {
+        private Grant(Basis basis, Account account, Optional<QuotaAdmission.Reservation> written) {
             this.basis = basis;
             this.account = account;
             this.written = written;
@@ -71,13 +71,13 @@
         }
 
         /** What became of the transaction. */
-        void settled(TxnResult result) {
+        void settled(TransactionResult result) {
             Counts counted = countsOf(basis.team.name());
-            if (result instanceof TxnResult.Applied) {
+            if (result instanceof TransactionResult.Applied) {
                 counted.withinShare += written.isPresent() ? 0 : 1;
                 counted.withNewRecord += written.isPresent() ? 1 : 0;
                 written.ifPresent(entry -> LOG.info("{}; its record is now {}", basis, basis.describe(entry)));
-            } else if (result instanceof TxnResult.Unknown) {
+            } else if (result instanceof TransactionResult.Unknown) {
                 account.unsure = account.unsure.plus(basis.need);
                 counted.unanswered++;
                 LOG.info("{}; not answered, so it counts until the record changes", basis);
@@ -91,8 +91,8 @@
 
     /** What a decision about a team's limit rested on. */
     private record Basis(
-            Settings.Team team, String job, Resources need, long stamp, long syncedTo, TeamLedger.View view) {
-        String describe(TeamLedger.Entry entry) {
+            Settings.Team team, String job, Resources need, long stamp, long syncedTo, QuotaAdmission.QuotaView view) {
+        String describe(QuotaAdmission.Reservation entry) {
             return "bound " + amount(entry.bound()) + ", share " + amount(entry.share());
         }
 
@@ -109,67 +109,67 @@
         public String toString() {
             return "team " + team.name() + ": " + amount(need) + " for " + job + " under its record of revision "
                     + stamp
-                    + " (" + describe(view.entry()) + "); counted " + amount(view.use()) + " up to revision " + syncedTo
-                    + ", placed under the record " + amount(view.spent()) + ", unsure " + amount(view.unsure())
+                    + " (" + describe(view.reservation()) + "); counted " + amount(view.use()) + " up to revision " + syncedTo
+                    + ", placed under the record " + amount(view.usedUnderReservation()) + ", unsure " + amount(view.unacknowledged())
                     + (view.entitled() ? "" : ", no share of its own");
         }
     }
 
-    TeamAccounts(ControllerContext context, Committer committer) {
+    TeamQuotas(ControllerContext context, CommitQueue committer) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.committer = committer;
     }
 
     /** Adds to a transaction what the team's record asks for; empty if nothing may be placed now. */
-    Optional<Grant> ask(Txn txn, JobRecord job, TeamUse use, Resources need) {
-        String name = job.job().team();
+    Optional<Grant> ask(Transaction txn, JobRecord job, TeamUsage use, Resources need) {
+        String name = job.submission().team();
         String key = Keys.team(name);
         Settings.Team team = settings.teams().get(name);
         Account account = account(name);
-        var view = new TeamLedger.View(
+        var view = new QuotaAdmission.QuotaView(
                 team,
                 settings.seeds().size() + 1,
-                TeamLedger.Entry.parse(replica.value(key)),
+                QuotaAdmission.Reservation.parse(replica.value(key)),
                 entitled(account),
                 account.spent,
                 account.unsure,
-                replica.syncedTo() >= account.stamp,
+                replica.appliedRevision() >= account.stamp,
                 use.of(name));
-        var basis = new Basis(team, job.id(), need, account.stamp, replica.syncedTo(), view);
+        var basis = new Basis(team, job.id(), need, account.stamp, replica.appliedRevision(), view);
         if (!team.withinLimit(view.use().plus(need))) {
             return waits(name, "its limit is used up by what is stored and under way");
         }
-        TeamLedger.Way way = TeamLedger.way(view, need);
-        if (way instanceof TeamLedger.Way.Close close) {
-            close(basis, key, close.entry());
+        QuotaAdmission.Decision way = QuotaAdmission.decide(view, need);
+        if (way instanceof QuotaAdmission.Decision.RevokeShares close) {
+            close(basis, key, close.reservation());
             return waits(name, "its shares are being closed");
         }
-        if (way instanceof TeamLedger.Way.Wait wait) {
+        if (way instanceof QuotaAdmission.Decision.Defer wait) {
             return waits(name, wait.reason().text());
         }
-        txn.guard(key, account.stamp);
-        if (way instanceof TeamLedger.Way.Write write) {
-            txn.write(key, write.entry().toNode());
-            return Optional.of(new Grant(basis, account, Optional.of(write.entry())));
+        txn.requireRevision(key, account.stamp);
+        if (way instanceof QuotaAdmission.Decision.AdmitWithReservation write) {
+            txn.write(key, write.reservation().toNode());
+            return Optional.of(new Grant(basis, account, Optional.of(write.reservation())));
         }
         return Optional.of(new Grant(basis, account, Optional.empty()));
     }
 
     private Account account(String team) {
-        long stamp = replica.stamp(Keys.team(team));
+        long stamp = replica.modRevision(Keys.team(team));
         return accounts.compute(team, (t, old) -> old != null && old.stamp == stamp ? old : new Account(stamp));
     }
 
     /** A process that started after the record was written can't know what an earlier one of its name placed under it. */
     private boolean entitled(Account account) {
-        return account.stamp > replica.stamp(Keys.INCARNATION + settings.nodeName());
+        return account.stamp > replica.modRevision(Keys.INCARNATION + settings.nodeName());
     }
 
-    private void close(Basis basis, String key, TeamLedger.Entry entry) {
-        var closing = new Txn().guard(key, basis.stamp).write(key, entry.toNode());
-        committer.propose(CommitPriority.PLACING, closing, result -> {
-            if (result instanceof TxnResult.Applied) {
+    private void close(Basis basis, String key, QuotaAdmission.Reservation entry) {
+        var closing = new Transaction().requireRevision(key, basis.stamp).write(key, entry.toNode());
+        committer.propose(CommitPriority.PLACEMENT, closing, result -> {
+            if (result instanceof TransactionResult.Applied) {
                 countsOf(basis.team.name()).closed++;
                 LOG.info("{}; closes the shares: {}", basis, basis.describe(entry));
             }
@@ -192,11 +192,11 @@
 
     /** Shows a team's record, and this controller's account with it. */
     public void show(String team, ObjectNode into) {
-        TeamLedger.Entry entry = TeamLedger.Entry.parse(replica.value(Keys.team(team)));
+        QuotaAdmission.Reservation entry = QuotaAdmission.Reservation.parse(replica.value(Keys.team(team)));
         Account account = account(team);
         Counts counted = countsOf(team);
         into.put("recordRevision", account.stamp)
-                .put("syncedToRevision", replica.syncedTo())
+                .put("syncedToRevision", replica.appliedRevision())
                 .put("entitled", entitled(account));
         show(into.putObject("bound"), entry.bound());
         show(into.putObject("share"), entry.share());
--- a/src/main/java/org/dunespindle/job/Outcomes.java
+++ b/src/main/java/org/dunespindle/job/TerminationWriter.java
@@ -9,26 +9,26 @@
 import java.util.Optional;
 import java.util.Set;
 import org.dunespindle.control.CommitPriority;
-import org.dunespindle.control.Committer;
+import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.Decisions;
+import org.dunespindle.control.EventRecorder;
 import org.dunespindle.control.Membership;
-import org.dunespindle.control.Sessions;
+import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.TaskTermination;
 import org.dunespindle.control.TerminationCause;
 import org.dunespindle.control.WorkerState;
-import org.dunespindle.machine.FailureAttribution;
+import org.dunespindle.machine.CrashLoopDetector;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.scheduling.TaskAttempt;
-import org.dunespindle.scheduling.TeamUse;
+import org.dunespindle.scheduling.TeamUsage;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.time.TimeSource;
 import org.dunespindle.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -38,8 +38,8 @@
  * gathered for a moment, since each write of a record costs the same however many of them it tells; what
  * ends a job, or sends tasks back to the queue, is stored at once.
  */
-public final class Outcomes {
-    private static final Logger LOG = LoggerFactory.getLogger(Outcomes.class);
+public final class TerminationWriter {
+    private static final Logger LOG = LoggerFactory.getLogger(TerminationWriter.class);
     /** While more of the job is under way here: what has ended is stored with its next placement, at the latest after this. */
     private static final Duration GATHER = Duration.ofSeconds(15);
     /** Once nothing more of the job is under way here: others may hold its last task. */
@@ -51,13 +51,13 @@
     private static final int MOST_WAITING = 6;
     private static final double TIGHT = 0.75;
     private static final int OTHER_GUARDS = 6;
-    private final Replica replica;
-    private final Committer committer;
+    private final StateReplica replica;
+    private final CommitQueue committer;
     private final WorkerClient workerClient;
-    private final Sessions sessions;
-    private final Timeline timeline;
-    private final Decisions decisions;
-    private final FailureAttribution failureAttribution;
+    private final WorkerRegistry sessions;
+    private final TimeSource timeline;
+    private final EventRecorder decisions;
+    private final CrashLoopDetector failureAttribution;
     private final Membership membership;
     private final Settings settings;
     private final JobRecordWriter jobWriter;
@@ -68,32 +68,32 @@
 
     private record Seen(TaskTermination event, Duration since) {}
 
-    public Outcomes(
+    public TerminationWriter(
             ControllerContext context,
-            Committer committer,
+            CommitQueue committer,
             WorkerClient workerClient,
-            FailureAttribution failureAttribution) {
+            CrashLoopDetector failureAttribution) {
         this.settings = context.settings();
         this.jobWriter = context.jobWriter();
         this.membership = context.membership();
         this.replica = context.replica();
-        this.sessions = context.sessions();
-        this.timeline = context.timeline();
-        this.decisions = context.decisions();
+        this.sessions = context.workers();
+        this.timeline = context.timeSource();
+        this.decisions = context.eventRecorder();
         this.failureAttribution = failureAttribution;
         this.committer = committer;
         this.workerClient = workerClient;
-        this.mostHosts = Math.max(1, Txn.mostGuards(settings.state().lowest().txnOps()) / 2 - OTHER_GUARDS);
+        this.mostHosts = Math.max(1, Transaction.maxPreconditions(settings.state().lowest().txnOps()) / 2 - OTHER_GUARDS);
     }
 
     /** Claims whose end is reported but not stored: their room is free already. */
     public Set<TaskAttempt> ended() {
         var set = new HashSet<TaskAttempt>();
-        for (String host : workerClient.withEvents()) {
+        for (String host : workerClient.machinesWithTerminations()) {
             // A placeholder that waited in vain is booked again where it was, so its room is not free.
-            sessions.of(host).events.stream()
-                    .filter(e -> e.fate() != TerminationCause.WAITED_IN_VAIN)
-                    .forEach(e -> set.add(new TaskAttempt(e.job(), e.task(), e.base())));
+            sessions.getOrCreate(host).terminations.stream()
+                    .filter(e -> e.cause() != TerminationCause.ASSEMBLY_TIMEOUT)
+                    .forEach(e -> set.add(new TaskAttempt(e.job(), e.task(), e.attemptBase())));
         }
         return set;
     }
@@ -102,10 +102,10 @@
     public void store(List<TaskTermination> gone) {
         lookAtTeams();
         byJob = new LinkedHashMap<>();
-        for (String host : workerClient.withEvents()) {
-            WorkerState s = sessions.of(host);
-            s.events.forEach(
-                    e -> byJob.computeIfAbsent(e.job(), k -> new ArrayList<>()).add(new Seen(e, s.eventsSince)));
+        for (String host : workerClient.machinesWithTerminations()) {
+            WorkerState s = sessions.getOrCreate(host);
+            s.terminations.forEach(
+                    e -> byJob.computeIfAbsent(e.job(), k -> new ArrayList<>()).add(new Seen(e, s.terminationsSince)));
         }
         gone.forEach(e -> byJob.computeIfAbsent(e.job(), k -> new ArrayList<>()).add(new Seen(e, Duration.ZERO)));
         byJob.forEach((id, seen) -> replica.job(id)
@@ -119,7 +119,7 @@
         }
         lookAgainAt = timeline.now().plus(LOOK_AT_TEAMS_EVERY);
         tightTeams.clear();
-        TeamUse.stored(replica).forEach((name, use) -> {
+        TeamUsage.stored(replica).forEach((name, use) -> {
             Settings.Team team = settings.teams().get(name);
             if (team != null && (use.gpus() > TIGHT * team.gpusMax() || use.cpus() > TIGHT * team.cpusMax())) {
                 tightTeams.add(name);
@@ -129,10 +129,10 @@
 
     private boolean due(JobRecord j, List<Seen> seen) {
         if (j.spec().isEmpty()
-                || !j.open()
-                || j.job().whole()
+                || !j.isOpen()
+                || j.submission().runsAsWhole()
                 || seen.stream()
-                        .anyMatch(s -> s.event.fate() != TerminationCause.DONE
+                        .anyMatch(s -> s.event.cause() != TerminationCause.DONE
                                 && timeline.now().minus(s.since).compareTo(GATHER_LAST) >= 0)) {
             return true;
         }
@@ -142,30 +142,30 @@
                 return true;
             }
             long here = j.allocations().stream()
-                    .filter(c -> Optional.ofNullable(replica.hosts().get(c.host()))
+                    .filter(c -> Optional.ofNullable(replica.machines().get(c.machineId()))
                             .filter(membership::owns)
                             .isPresent())
                     .count();
             last = here <= seen.size();
         }
-        Duration patience = last ? GATHER_LAST : tightTeams.contains(j.job().team()) ? GATHER_TIGHT : GATHER;
+        Duration patience = last ? GATHER_LAST : tightTeams.contains(j.submission().team()) ? GATHER_TIGHT : GATHER;
         return seen.stream().anyMatch(s -> timeline.now().minus(s.since).compareTo(patience) >= 0);
     }
 
     private void store(JobRecord j) {
-        var txn = new Txn();
+        var txn = new Transaction();
         var events = new ArrayList<TaskTermination>();
         JobRecord after = fold(j, txn, events);
         if (after == j) {
             return;
         }
-        boolean hurry = !after.open() || after.job().whole();
+        boolean hurry = !after.isOpen() || after.submission().runsAsWhole();
         if (!hurry && committer.waiting() >= MOST_WAITING) {
             return; // it would lock the record for long; the job's next placement takes it along
         }
         committer.propose(
-                hurry ? CommitPriority.PLACING : CommitPriority.MAINTENANCE, jobWriter.write(txn, after), r -> {
-                    if (r instanceof TxnResult.Applied) {
+                hurry ? CommitPriority.PLACEMENT : CommitPriority.MAINTENANCE, jobWriter.write(txn, after), r -> {
+                    if (r instanceof TransactionResult.Applied) {
                         events.forEach(e -> tell(j, e));
                     }
                 });
@@ -175,45 +175,45 @@
      * Takes what is known of a job's tasks into its record, which is written anyway. As many outcomes as half of a
      * transaction's guards allow; the others follow once it is stored.
      */
-    JobRecord fold(JobRecord j, Txn txn, List<TaskTermination> taken) {
+    JobRecord fold(JobRecord j, Transaction txn, List<TaskTermination> taken) {
         var pages = new HashSet<String>();
         for (Seen s : byJob.getOrDefault(j.id(), List.of())) {
-            Optional<Allocation> allocation = j.allocation(s.event.task()).filter(c -> c.base() == s.event.base());
+            Optional<Allocation> allocation = j.allocation(s.event.task()).filter(c -> c.attemptBase() == s.event.attemptBase());
             if (allocation.isEmpty()) {
                 continue; // booked again since
             }
-            String page = Keys.host(allocation.get().host());
+            String page = Keys.machinePage(allocation.get().machineId());
             if (pages.contains(page) || pages.size() < mostHosts) {
                 pages.add(page);
-                txn.guard(page, replica.stamp(page));
+                txn.requireRevision(page, replica.modRevision(page));
                 taken.add(s.event);
             }
         }
-        return JobChanges.apply(j, taken, timeline.wallTime());
+        return JobTransitions.apply(j, taken, timeline.wallTime());
     }
 
     void tell(JobRecord job, TaskTermination e) {
-        String host = job.allocation(e.task()).map(Allocation::host).orElse("?");
-        if (e.fate() == TerminationCause.ERROR) {
-            decisions.tell(
+        String host = job.allocation(e.task()).map(Allocation::machineId).orElse("?");
+        if (e.cause() == TerminationCause.ERROR) {
+            decisions.record(
                     LOG,
                     "task {}/{} failed on machine {}; it is started again elsewhere or later",
                     job.id(),
                     e.task(),
                     host);
-            boolean known = failureAttribution.faultyJob(job.id());
+            boolean known = failureAttribution.isCrashLooping(job.id());
             failureAttribution.failed(job.id(), host);
-            if (!known && failureAttribution.faultyJob(job.id())) {
-                decisions.tell(
+            if (!known && failureAttribution.isCrashLooping(job.id())) {
+                decisions.record(
                         LOG,
                         "job {} fails on every machine: on {} so far; it is taken for faulty and tried ever more seldom until its user cancels it",
                         job.id(),
                         failureAttribution.machinesOf(job.id()));
             }
-        } else if (e.fate() == TerminationCause.DONE) {
+        } else if (e.cause() == TerminationCause.DONE) {
             failureAttribution.succeeded(job.id(), host);
-        } else if (job.open()) {
-            decisions.tell(LOG, "task {}/{} left machine {}: {}", job.id(), e.task(), host, e.why());
+        } else if (job.isOpen()) {
+            decisions.record(LOG, "task {}/{} left machine {}: {}", job.id(), e.task(), host, e.detail());
         }
     }
 }
--- a/src/main/java/org/dunespindle/machine/CloudClient.java
+++ b/src/main/java/org/dunespindle/machine/CloudClient.java
@@ -9,17 +9,17 @@
 import org.HdrHistogram.Histogram;
 import org.dunespindle.protocol.ListedMachine;
 import org.dunespindle.protocol.MachineType;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.RentalRequest;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.scheduling.MachinePool;
-import org.dunespindle.storage.MeteredCaller;
-import org.dunespindle.storage.RateBudget;
-import org.dunespindle.time.Timeline;
-import org.dunespindle.transport.CallFailure;
-import org.dunespindle.transport.Caller;
-import org.dunespindle.transport.HttpAnswer;
+import org.dunespindle.storage.RateLimitedHttpClient;
+import org.dunespindle.storage.RateLimiter;
+import org.dunespindle.time.TimeSource;
+import org.dunespindle.transport.HttpCallException;
+import org.dunespindle.transport.HttpClient;
+import org.dunespindle.transport.HttpClientResponse;
 
 /** The cloud, called within its rate. */
 public final class CloudClient {
@@ -28,16 +28,16 @@
     /** Only the leader makes more than a rare call, so it gets most of the rate; the rest is for the others' catalogs. */
     private static final double LEADERS_PART = 0.7;
 
-    private final MeteredCaller service;
+    private final RateLimitedHttpClient service;
 
     /** A rental's outcome: machines, or a refusal for want of capacity. */
     public record Rented(List<String> hosts, boolean noCapacity) {}
 
     /** Creates a client for the cloud that the settings name. */
-    public CloudClient(Caller http, Settings settings, Timeline timeline) {
+    public CloudClient(HttpClient http, Settings settings, TimeSource timeline) {
         double rate = LEADERS_PART * settings.cloud().rps();
         this.service =
-                new MeteredCaller(http, settings.cloudAddress(), timeline, new RateBudget(timeline, rate), TIMEOUT);
+                new RateLimitedHttpClient(http, settings.cloudAddress(), timeline, new RateLimiter(timeline, rate), TIMEOUT);
     }
 
     /** How long calls took, in microseconds. */
@@ -65,8 +65,8 @@
                             ListedMachine m = ListedMachine.parse(row);
                             got.add(m);
                             last = m.id();
-                        } catch (MalformedException e) {
-                            return CompletableFuture.failedFuture(new CallFailure("unreadable list", true));
+                        } catch (MalformedMessageException e) {
+                            return CompletableFuture.failedFuture(new HttpCallException("unreadable list", true));
                         }
                     }
                     return body.path("more").asBoolean(false) && !last.equals(since)
@@ -92,7 +92,7 @@
                                     .contains("no capacity");
                     return none
                             ? CompletableFuture.completedFuture(new Rented(List.of(), true))
-                            : CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
+                            : CompletableFuture.failedFuture(new HttpCallException("status " + a.status(), true));
                 });
     }
 
@@ -103,26 +103,26 @@
         return call("POST", "/rentals/return", MessagePackCodec.write(body))
                 .thenCompose(a -> a.status() == 200
                         ? CompletableFuture.completedFuture(null)
-                        : CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true)));
+                        : CompletableFuture.failedFuture(new HttpCallException("status " + a.status(), true)));
     }
 
     @FunctionalInterface
     private interface Parser<T> {
-        T parse(JsonNode node) throws MalformedException;
+        T parse(JsonNode node) throws MalformedMessageException;
     }
 
-    private static <T> CompletableFuture<T> parsed(HttpAnswer a, Parser<T> parser) {
+    private static <T> CompletableFuture<T> parsed(HttpClientResponse a, Parser<T> parser) {
         if (a.status() != 200) {
-            return CompletableFuture.failedFuture(new CallFailure("status " + a.status(), true));
+            return CompletableFuture.failedFuture(new HttpCallException("status " + a.status(), true));
         }
         try {
             return CompletableFuture.completedFuture(parser.parse(MessagePackCodec.read(a.body())));
-        } catch (MalformedException e) {
-            return CompletableFuture.failedFuture(new CallFailure("unreadable answer", true));
+        } catch (MalformedMessageException e) {
+            return CompletableFuture.failedFuture(new HttpCallException("unreadable answer", true));
         }
     }
 
-    private CompletableFuture<HttpAnswer> call(String method, String target, byte[] body) {
+    private CompletableFuture<HttpClientResponse> call(String method, String target, byte[] body) {
         return service.call(false, method, target, body);
     }
 }
--- a/src/main/java/org/dunespindle/machine/CloudInventory.java
+++ b/src/main/java/org/dunespindle/machine/CloudInventory.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.protocol.ListedMachine;
 import org.dunespindle.scheduling.MachinePool;
 
@@ -17,10 +17,10 @@
     private static final Duration SURE_OF_LIST = Duration.ofSeconds(2);
 
     private final ControllerContext context;
-    private final MachineWriter machineWriter;
+    private final MachineRecordWriter machineWriter;
     private final CloudClient cloud;
-    private final MachineRenter renter;
-    private final MachineReturner returner;
+    private final MachineProvisioner renter;
+    private final MachineTerminator returner;
     private Map<String, ListedMachine> listed = Map.of();
     /** Since when this controller leads; empty while it does not, or has not begun to. */
     private Optional<Duration> leading = Optional.empty();
@@ -31,10 +31,10 @@
 
     public CloudInventory(
             ControllerContext context,
-            MachineWriter machineWriter,
+            MachineRecordWriter machineWriter,
             CloudClient cloud,
-            MachineRenter renter,
-            MachineReturner returner) {
+            MachineProvisioner renter,
+            MachineTerminator returner) {
         this.context = context;
         this.machineWriter = machineWriter;
         this.cloud = cloud;
@@ -54,10 +54,10 @@
 
     /** This controller has begun to lead. */
     void beginToLead() {
-        leading = Optional.of(context.timeline().now());
-        listAgainAt = context.timeline().now();
+        leading = Optional.of(context.timeSource().now());
+        listAgainAt = context.timeSource().now();
         // While no machine is known at all this is the first leader ever, and what the list names is there.
-        firstOfAll = context.replica().hosts().isEmpty();
+        firstOfAll = context.replica().machines().isEmpty();
     }
 
     /** This controller does not lead now: a list that was asked for before is not adopted from when it leads again. */
@@ -68,7 +68,7 @@
 
     /** Reads the list when it is due. */
     void tick() {
-        Duration now = context.timeline().now();
+        Duration now = context.timeSource().now();
         if (listing || now.compareTo(listAgainAt) < 0) {
             return;
         }
@@ -95,7 +95,7 @@
      */
     private void adopt() {
         Duration least = context.settings().cloud().listLag().multipliedBy(2).plus(SURE_OF_LIST);
-        if (firstOfAll || sure(leading, context.timeline().now(), least)) {
+        if (firstOfAll || sure(leading, context.timeSource().now(), least)) {
             listed.values().stream().filter(this::unknown).forEach(this::adopt);
         }
     }
@@ -107,7 +107,7 @@
 
     private boolean unknown(ListedMachine machine) {
         String id = machine.id();
-        boolean recorded = context.replica().hosts().containsKey(id) || machineWriter.busy(id);
+        boolean recorded = context.replica().machines().containsKey(id) || machineWriter.busy(id);
         return !machine.failed() && !recorded && !returner.isGone(id);
     }
 
@@ -117,7 +117,7 @@
                 machine.id(),
                 machine.address(),
                 market,
-                context.timeline().wallTime().minus(machine.age()),
+                context.timeSource().wallTime().minus(machine.age()),
                 false);
     }
 }
--- a/src/main/java/org/dunespindle/machine/FailureAttribution.java
+++ b/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
@@ -15,7 +15,7 @@
  * fails on different machines and has never ended well on any. A controller sees only its own machines fail, but every job's record tells
  * how often it has failed in all.
  */
-public final class FailureAttribution {
+public final class CrashLoopDetector {
     /** A job that failed on so many machines, and nowhere ended well, is taken for faulty. */
     private static final int MACHINES = 2;
     /** So many failures elsewhere, and none of its tasks done, show the same of a job that failed on one machine here. */
@@ -28,7 +28,7 @@
 
     private final Set<String> endedWell = new HashSet<>();
 
-    public FailureAttribution(Function<String, Optional<JobRecord>> record) {
+    public CrashLoopDetector(Function<String, Optional<JobRecord>> record) {
         this.record = record;
     }
 
@@ -42,7 +42,7 @@
         failuresByMachine.remove(machine);
     }
 
-    public boolean faultyJob(String job) {
+    public boolean isCrashLooping(String job) {
         return !endedWell.contains(job)
                 && machinesOfJob.getOrDefault(job, Set.of()).size() >= MACHINES;
     }
@@ -52,7 +52,7 @@
         int count = 0;
         for (Map.Entry<String, Integer> e :
                 failuresByMachine.getOrDefault(machine, Map.of()).entrySet()) {
-            count += faultyJob(e.getKey()) || failsElsewhere(e.getKey(), e.getValue()) ? 0 : 1;
+            count += isCrashLooping(e.getKey()) || failsElsewhere(e.getKey(), e.getValue()) ? 0 : 1;
         }
         return count;
     }
@@ -71,7 +71,7 @@
 
     /** Forgets jobs that are over and machines that are gone. */
     public void prune(Predicate<String> presentMachine) {
-        Predicate<String> over = j -> record.apply(j).filter(JobRecord::open).isEmpty();
+        Predicate<String> over = j -> record.apply(j).filter(JobRecord::isOpen).isEmpty();
         machinesOfJob.keySet().removeIf(over);
         endedWell.removeIf(over);
         failuresByMachine.keySet().removeIf(m -> !presentMachine.test(m));
--- a/src/main/java/org/dunespindle/machine/Fleet.java
+++ b/src/main/java/org/dunespindle/machine/FleetManager.java
@@ -7,29 +7,29 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
 import org.dunespindle.control.Options;
-import org.dunespindle.control.StallDetector;
-import org.dunespindle.peer.Peers;
+import org.dunespindle.control.PauseDetector;
+import org.dunespindle.peer.PeerHeartbeats;
 import org.dunespindle.protocol.ListedMachine;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.TxnResult;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.TransactionResult;
 import org.dunespindle.time.Durations;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.time.TimeSource;
 import org.dunespindle.worker.FailureDetector;
 import org.dunespindle.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The leader's dealings with the cloud: what to rent, what to give back, and what the list says. */
-public final class Fleet {
-    private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+public final class FleetManager {
+    private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
     private static final Duration TELL_EVERY = Duration.ofSeconds(10);
     private static final Duration EARLY = Duration.ofSeconds(15);
     /** Most machines are up by then; on the others nothing is planned any more. */
@@ -46,19 +46,19 @@
 
     private static final String FAILS = "it fails its tasks";
     private final Settings settings;
-    private final Replica replica;
+    private final StateReplica replica;
     private final Membership membership;
-    private final MachineWriter machineWriter;
+    private final MachineRecordWriter machineWriter;
     private final WorkerClient workerClient;
-    private final Timeline timeline;
-    private final StallDetector stalls;
+    private final TimeSource timeline;
+    private final PauseDetector stalls;
     private final FailureDetector failures;
     private final Supplier<Options> options;
     private final Quarantine quarantine;
     private final CloudInventory inventory;
     private final MachineCatalog catalog;
-    private final MachineRenter renter;
-    private final MachineReturner returner;
+    private final MachineProvisioner renter;
+    private final MachineTerminator returner;
     private final Map<String, Duration> idleSince = new HashMap<>();
     private final Map<String, Duration> firstSeen = new HashMap<>();
     private Optional<Duration> leadingSince = Optional.empty();
@@ -67,20 +67,20 @@
 
     /** What the leader does with the cloud. */
     public record Cloud(
-            CloudInventory inventory, MachineCatalog catalog, MachineRenter renter, MachineReturner returner) {}
+            CloudInventory inventory, MachineCatalog catalog, MachineProvisioner renter, MachineTerminator returner) {}
 
-    public Fleet(
+    public FleetManager(
             ControllerContext context,
-            MachineWriter machineWriter,
+            MachineRecordWriter machineWriter,
             WorkerClient workerClient,
-            Peers peers,
+            PeerHeartbeats peers,
             Quarantine quarantine,
             Supplier<Options> options,
             Cloud cloud) {
         this.replica = context.replica();
         this.membership = context.membership();
-        this.timeline = context.timeline();
-        this.stalls = context.stalls();
+        this.timeline = context.timeSource();
+        this.stalls = context.pauseDetector();
         this.settings = context.settings();
         this.machineWriter = machineWriter;
         this.workerClient = workerClient;
@@ -161,21 +161,21 @@
         }
         tellAgainAt = now.plus(TELL_EVERY);
         var counts = new java.util.TreeMap<String, Integer>();
-        for (MachineRecord h : replica.hosts().values()) {
+        for (MachineRecord h : replica.machines().values()) {
             int allocations = replica.allocationsOn(h.id()).size();
-            String use = heard(h).isEmpty() ? "booting" : h.leaving() ? "leaving" : allocations == 0 ? "idle" : "used";
+            String use = heard(h).isEmpty() ? "booting" : h.draining() ? "leaving" : allocations == 0 ? "idle" : "used";
             counts.merge((h.spot() ? "spot " : "ordinary ") + use, 1, Integer::sum);
             counts.merge("tasks", allocations, Integer::sum);
         }
         double allocated = 0;
         double holding = 0;
-        for (JobRecord j : replica.livingJobs()) {
-            allocated += j.job().perTask().gpus() * j.allocations().size();
-            holding += j.job().gang() && j.mode() != JobRecord.Mode.REAL
-                    ? j.job().perTask().gpus() * j.allocations().size()
+        for (JobRecord j : replica.activeJobs()) {
+            allocated += j.submission().perTask().gpus() * j.allocations().size();
+            holding += j.submission().isGang() && j.gangPhase() != JobRecord.GangPhase.RUNNING
+                    ? j.submission().perTask().gpus() * j.allocations().size()
                     : 0;
         }
-        double all = replica.hosts().values().stream()
+        double all = replica.machines().values().stream()
                 .mapToDouble(
                         h -> catalog.type(h.type()).map(t -> t.size().gpus()).orElse(0.0))
                 .sum();
@@ -188,13 +188,13 @@
     }
 
     private void removeGone() {
-        for (MachineRecord h : List.copyOf(replica.hosts().values())) {
+        for (MachineRecord h : List.copyOf(replica.machines().values())) {
             if (returner.isGone(h.id())
                     && replica.allocationsOn(h.id()).isEmpty()
                     && !machineWriter.busy(h.id())
                     && !machineWriter.crowded()) {
                 machineWriter.remove(h.id(), r -> {
-                    if (r instanceof TxnResult.Applied) {
+                    if (r instanceof TransactionResult.Applied) {
                         firstSeen.remove(h.id());
                         quarantine.forget(h.id());
                         failures.forget(h.id());
@@ -209,12 +209,12 @@
     private void judge(Duration now, Plan plan) {
         failures.look(
                 leadingSince.orElse(now), h -> age(h).compareTo(Durations.part(bootTime(h), LATE_BOOT_TENTHS, 10)) > 0);
-        for (MachineRecord h : List.copyOf(replica.hosts().values())) {
+        for (MachineRecord h : List.copyOf(replica.machines().values())) {
             if (returner.leaves(h) || machineWriter.busy(h.id())) {
                 continue;
             }
             boolean idle = replica.allocationsOn(h.id()).isEmpty()
-                    && !plan.wantedHosts().contains(h.id());
+                    && !plan.wantedMachines().contains(h.id());
             if (!idle) {
                 idleSince.remove(h.id());
             } else {
@@ -284,7 +284,7 @@
      */
     private Duration patienceWith(MachineRecord h, Duration limit) {
         boolean holdsReplicas = replica.allocationsOn(h.id()).stream()
-                .anyMatch(p -> p.job().spec().isPresent() && p.job().job().service());
+                .anyMatch(p -> p.job().spec().isPresent() && p.job().submission().isService());
         if (!holdsReplicas) {
             return limit;
         }
@@ -299,7 +299,7 @@
     private Duration idleLimit(boolean spot) {
         Duration set = options.get().idleBeforeReturn(spot);
         double part = Math.sqrt(
-                (double) SMALL_FLEET / Math.max(SMALL_FLEET, replica.hosts().size()));
+                (double) SMALL_FLEET / Math.max(SMALL_FLEET, replica.machines().size()));
         Duration limit = Duration.ofMillis((long) (set.toMillis() * part));
         return limit.compareTo(LEAST_IDLE) > 0 ? limit : set.compareTo(LEAST_IDLE) > 0 ? LEAST_IDLE : set;
     }
--- a/src/main/java/org/dunespindle/machine/MachineCatalog.java
+++ b/src/main/java/org/dunespindle/machine/MachineCatalog.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 import java.util.Optional;
 import org.dunespindle.protocol.MachineType;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.time.TimeSource;
 
 /** The cloud's machine types, read again now and then: prices move. */
 public final class MachineCatalog {
     private static final Duration REFRESH_EVERY = Duration.ofSeconds(60);
     private static final Duration RETRY = Duration.ofMillis(800);
     private final CloudClient cloud;
-    private final Timeline timeline;
+    private final TimeSource timeline;
     private final Runnable changed;
     private Optional<List<MachineType>> types = Optional.empty();
     private Map<String, MachineType> byName = Map.of();
 
-    public MachineCatalog(CloudClient cloud, Timeline timeline, Runnable changed) {
+    public MachineCatalog(CloudClient cloud, TimeSource timeline, Runnable changed) {
         this.cloud = cloud;
         this.timeline = timeline;
         this.changed = changed;
@@ -30,7 +30,7 @@
             if (failure == null) {
                 take(list);
             }
-            timeline.after(types.isPresent() ? REFRESH_EVERY : RETRY, this::start);
+            timeline.schedule(types.isPresent() ? REFRESH_EVERY : RETRY, this::start);
         });
     }
 
--- a/src/main/java/org/dunespindle/machine/MachineRenter.java
+++ b/src/main/java/org/dunespindle/machine/MachineProvisioner.java
@@ -12,19 +12,19 @@
 import java.util.function.Predicate;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
 import org.dunespindle.scheduling.MachinePool;
 import org.dunespindle.scheduling.Plan;
-import org.dunespindle.scheduling.Targets;
+import org.dunespindle.scheduling.ServiceLevelObjectives;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateReplica;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Rents machines, one request at a time, and records them. */
-public final class MachineRenter {
-    private static final Logger LOG = LoggerFactory.getLogger(MachineRenter.class);
+public final class MachineProvisioner {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
     private static final Duration NO_CAPACITY_PAUSE = Duration.ofSeconds(6);
     private static final Duration LONGEST_PAUSE = Duration.ofSeconds(25);
     private static final Duration RETRY = Duration.ofMillis(700);
@@ -36,11 +36,11 @@
     private static final int MOST_AT_ONCE = 50;
 
     private final ControllerContext context;
-    private final Replica replica;
-    private final MachineWriter machineWriter;
+    private final StateReplica replica;
+    private final MachineRecordWriter machineWriter;
     private final CloudClient cloud;
     private final MachineCatalog catalog;
-    private final Targets targets;
+    private final ServiceLevelObjectives targets;
     private final Predicate<String> gone;
     private final Map<MachinePool, Refusal> refusals = new HashMap<>();
     /** Machines rented here whose records are not stored yet; nothing more is rented until they count as room. */
@@ -56,12 +56,12 @@
      *
      * @param gone whether the cloud has confirmed a machine's return
      */
-    public MachineRenter(
+    public MachineProvisioner(
             ControllerContext context,
-            MachineWriter machineWriter,
+            MachineRecordWriter machineWriter,
             CloudClient cloud,
             MachineCatalog catalog,
-            Targets targets,
+            ServiceLevelObjectives targets,
             Predicate<String> gone) {
         this.context = context;
         this.replica = context.replica();
@@ -76,7 +76,7 @@
     public Set<MachinePool> refused() {
         var set = new HashSet<MachinePool>();
         refusals.forEach((market, refusal) -> {
-            if (refusal.until.compareTo(context.timeline().now()) > 0) {
+            if (refusal.until.compareTo(context.timeSource().now()) > 0) {
                 set.add(market);
             }
         });
@@ -91,11 +91,11 @@
     /** Rents what a plan lacks most urgently. */
     void rent(Plan plan) {
         recordRented();
-        boolean fresh = replica.age().compareTo(FRESH_VIEW) <= 0;
+        boolean fresh = replica.staleness().compareTo(FRESH_VIEW) <= 0;
         if (!unrecorded.isEmpty() || renting || catalog.types().isEmpty() || !fresh) {
             return;
         }
-        List<RentalNeeds.Rental> rentals = new RentalNeeds(context, catalog, targets, refused()).of(plan.shortfalls());
+        List<ScaleOutPlanner.Rental> rentals = new ScaleOutPlanner(context, catalog, targets, refused()).of(plan.shortfalls());
         if (!rentals.isEmpty()) {
             renting = true;
             request(nextRequestId(), rentals.get(0), TRIES);
@@ -108,7 +108,7 @@
         return "r-" + context.settings().nodeName() + "-" + context.membership().incarnation() + "-" + requests;
     }
 
-    private void request(String id, RentalNeeds.Rental rental, int tries) {
+    private void request(String id, ScaleOutPlanner.Rental rental, int tries) {
         int count = Math.min(MOST_AT_ONCE, rental.count());
         cloud.rent(id, rental.market(), count).whenComplete((rented, failure) -> {
             if (failure == null) {
@@ -117,7 +117,7 @@
                 return;
             }
             // Its answer may be lost, so the same request is sent again; what it rents all the same shows in the list.
-            context.timeline().after(RETRY, () -> {
+            context.timeSource().schedule(RETRY, () -> {
                 if (tries > 1 && context.membership().leads()) {
                     request(id, rental, tries - 1);
                 } else {
@@ -127,7 +127,7 @@
         });
     }
 
-    private void answered(RentalNeeds.Rental rental, int count, CloudClient.Rented rented) {
+    private void answered(ScaleOutPlanner.Rental rental, int count, CloudClient.Rented rented) {
         MachinePool market = rental.market();
         if (rented.noCapacity() || rented.hosts().size() < count) {
             refuse(market);
@@ -137,15 +137,15 @@
         if (rented.hosts().isEmpty()) {
             return;
         }
-        context.decisions()
-                .tell(
+        context.eventRecorder()
+                .record(
                         LOG,
                         "rented {} of {} in {} ({})",
                         rented.hosts().size(),
                         market.type(),
                         market.zone(),
                         kind(market));
-        Instant at = context.timeline().wallTime();
+        Instant at = context.timeSource().wallTime();
         rented.hosts().forEach(id -> unrecorded.put(id, () -> record(id, "", market, at, rental.forGang())));
         recordRented();
     }
@@ -160,9 +160,9 @@
         if (pause.compareTo(LONGEST_PAUSE) > 0) {
             pause = LONGEST_PAUSE;
         }
-        refusals.put(market, new Refusal(context.timeline().now().plus(pause), pause));
-        context.decisions()
-                .tell(
+        refusals.put(market, new Refusal(context.timeSource().now().plus(pause), pause));
+        context.eventRecorder()
+                .record(
                         LOG,
                         "no more {} in {} ({}); asked again in {} s",
                         market.type(),
@@ -172,7 +172,7 @@
     }
 
     private void recordRented() {
-        unrecorded.keySet().removeIf(id -> replica.hosts().containsKey(id) || gone.test(id));
+        unrecorded.keySet().removeIf(id -> replica.machines().containsKey(id) || gone.test(id));
         List.copyOf(unrecorded.entrySet()).forEach(entry -> {
             if (!machineWriter.busy(entry.getKey())) {
                 entry.getValue().run();
@@ -187,7 +187,7 @@
         String owner = forGang ? here : membership.hashed(id).orElse(here);
         long incarnation = membership.incarnationOf(owner).orElse(membership.incarnation());
         Optional<Long> seen =
-                context.sessions().known(id).flatMap(s -> s.report).map(report -> report.token());
+                context.workers().find(id).flatMap(s -> s.lastHeartbeat).map(report -> report.token());
         var machine = new MachineRecord(
                 id,
                 address,
@@ -201,6 +201,6 @@
                 Instant.EPOCH,
                 false,
                 "");
-        machineWriter.change(CommitPriority.PLACING, machine, r -> {});
+        machineWriter.change(CommitPriority.PLACEMENT, machine, r -> {});
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineNews.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -12,21 +12,21 @@
 import org.dunespindle.worker.WorkerClient;
 
 /** What this controller can tell the leader of the machines that it commands. */
-public final class MachineNews {
+public final class MachineStatusReporter {
     /** Silence is told anew in steps of so many seconds. */
     private static final int SILENCE_STEP = 3;
 
     private final ControllerContext context;
     private final WorkerClient workerClient;
     private final Quarantine quarantine;
-    private final MachineReturner returner;
+    private final MachineTerminator returner;
     /** A machine that takes tasks has been heard this lately. */
     private final Duration heardLately;
 
     private long lastNumber;
 
-    public MachineNews(
-            ControllerContext context, WorkerClient workerClient, Quarantine quarantine, MachineReturner returner) {
+    public MachineStatusReporter(
+            ControllerContext context, WorkerClient workerClient, Quarantine quarantine, MachineTerminator returner) {
         this.context = context;
         this.workerClient = workerClient;
         this.quarantine = quarantine;
@@ -37,15 +37,15 @@
     /** The machines commanded here that have reported, numbered anew where something changed since it was last told. */
     public List<MachineStatus> all() {
         var list = new ArrayList<MachineStatus>();
-        for (MachineRecord machine : context.replica().hosts().values()) {
+        for (MachineRecord machine : context.replica().machines().values()) {
             if (context.membership().owns(machine)) {
-                context.sessions()
-                        .known(machine.id())
-                        .filter(session -> session.heardAt.isPresent())
+                context.workers()
+                        .find(machine.id())
+                        .filter(session -> session.lastHeartbeatAt.isPresent())
                         .ifPresent(session -> list.add(news(machine, session)));
             }
         }
-        list.sort(Comparator.comparingLong(MachineStatus::number));
+        list.sort(Comparator.comparingLong(MachineStatus::sequence));
         return list;
     }
 
@@ -55,19 +55,19 @@
         Duration silent = up ? Duration.ZERO : silence(session);
         String state = up ? "u" : "d" + silent.toSeconds() / SILENCE_STEP;
         String told = machine.token() + state + bad + session.images().hashCode();
-        if (!told.equals(session.told)) {
-            session.told = told;
-            session.toldAs = ++lastNumber;
+        if (!told.equals(session.lastPublished)) {
+            session.lastPublished = told;
+            session.lastPublishedSequence = ++lastNumber;
         }
-        String address = session.report.map(report -> report.address()).orElse(machine.address());
+        String address = session.lastHeartbeat.map(report -> report.address()).orElse(machine.address());
         return new MachineStatus(
-                machine.id(), session.toldAs, machine.token(), up, bad, silent, address, session.images());
+                machine.id(), session.lastPublishedSequence, machine.token(), up, bad, silent, address, session.images());
     }
 
     private Duration silence(WorkerState session) {
-        Duration heard = session.heardAt.orElseThrow();
-        Optional<Duration> unproven = session.unprovenSince.filter(since -> since.compareTo(heard) < 0);
-        return context.stalls().silence(unproven.orElse(heard));
+        Duration heard = session.lastHeartbeatAt.orElseThrow();
+        Optional<Duration> unproven = session.commandsUnconfirmedSince.filter(since -> since.compareTo(heard) < 0);
+        return context.pauseDetector().silence(unproven.orElse(heard));
     }
 
     /** Whether new tasks may go to a machine commanded here. */
@@ -75,23 +75,23 @@
         if (!workerClient.ready(machine) || quarantine.holds(machine.id()) || returner.leaves(machine)) {
             return false;
         }
-        WorkerState session = context.sessions().of(machine.id());
-        boolean noticed = session.report.flatMap(report -> report.notice()).isPresent();
+        WorkerState session = context.workers().getOrCreate(machine.id());
+        boolean noticed = session.lastHeartbeat.flatMap(report -> report.notice()).isPresent();
         return !noticed && !workerClient.mute(session) && alive(session);
     }
 
     /** Whether a machine commanded here will be gone soon, though what runs there may still run. */
     public boolean departs(MachineRecord machine) {
-        boolean noticed = context.sessions()
-                .known(machine.id())
-                .flatMap(session -> session.report)
+        boolean noticed = context.workers()
+                .find(machine.id())
+                .flatMap(session -> session.lastHeartbeat)
                 .flatMap(report -> report.notice())
                 .isPresent();
-        return noticed || machine.leaving() || quarantine.holds(machine.id());
+        return noticed || machine.draining() || quarantine.holds(machine.id());
     }
 
     private boolean alive(WorkerState session) {
-        Optional<Duration> at = session.aliveAt();
-        return at.isPresent() && context.timeline().now().minus(at.get()).compareTo(heardLately) < 0;
+        Optional<Duration> at = session.lastSeenAlive();
+        return at.isPresent() && context.timeSource().now().minus(at.get()).compareTo(heardLately) < 0;
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineReturner.java
+++ b/src/main/java/org/dunespindle/machine/MachineTerminator.java
@@ -9,24 +9,24 @@
 import java.util.Set;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateReplica;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Returns machines to the cloud. Only its 200 shows that a machine and everything on it are gone. */
-public final class MachineReturner {
-    private static final Logger LOG = LoggerFactory.getLogger(MachineReturner.class);
+public final class MachineTerminator {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineTerminator.class);
     private static final Duration RETRY = Duration.ofMillis(700);
     private static final Duration REMEMBER_GONE = Duration.ofSeconds(300);
     /** The cloud takes no longer list. */
     private static final int MOST_AT_ONCE = 100;
 
     private final ControllerContext context;
-    private final Replica replica;
-    private final MachineWriter machineWriter;
+    private final StateReplica replica;
+    private final MachineRecordWriter machineWriter;
     private final CloudClient cloud;
     private final Map<String, Duration> goneAt = new HashMap<>();
     /** Machines being returned without a word in their record: nobody places anything on what is silent. */
@@ -34,7 +34,7 @@
 
     private boolean returning;
 
-    public MachineReturner(ControllerContext context, MachineWriter machineWriter, CloudClient cloud) {
+    public MachineTerminator(ControllerContext context, MachineRecordWriter machineWriter, CloudClient cloud) {
         this.context = context;
         this.replica = context.replica();
         this.machineWriter = machineWriter;
@@ -53,13 +53,13 @@
 
     /** Whether a machine is on its way out, though its record may not say so. */
     public boolean leaves(MachineRecord machine) {
-        return machine.leaving() || dropped.contains(machine.id()) || isGone(machine.id());
+        return machine.draining() || dropped.contains(machine.id()) || isGone(machine.id());
     }
 
     /** Stores that a machine leaves; it is returned once that is settled and, where the reason allows, its tasks have ended. */
     void leave(MachineRecord machine, String why) {
         tell(machine, why);
-        machineWriter.change(CommitPriority.MAINTENANCE, machine.leaving(why), r -> {});
+        machineWriter.change(CommitPriority.MAINTENANCE, machine.draining(why), r -> {});
     }
 
     /**
@@ -72,7 +72,7 @@
     }
 
     private void tell(MachineRecord machine, String why) {
-        context.decisions().tell(LOG, "machine {} is given back: {}", machine.id(), why);
+        context.eventRecorder().record(LOG, "machine {} is given back: {}", machine.id(), why);
     }
 
     /** Forgets decisions that were not carried out: what was decided as an earlier leader says nothing. */
@@ -87,10 +87,10 @@
 
     /** Forgets returned machines whose records are long removed. */
     void prune() {
-        Duration now = context.timeline().now();
+        Duration now = context.timeSource().now();
         goneAt.entrySet()
                 .removeIf(entry -> now.minus(entry.getValue()).compareTo(REMEMBER_GONE) > 0
-                        && !replica.hosts().containsKey(entry.getKey()));
+                        && !replica.machines().containsKey(entry.getKey()));
     }
 
     /** Returns what is to leave, many machines with one request. */
@@ -105,17 +105,17 @@
         returning = true;
         cloud.giveBack(hosts).whenComplete((ok, failure) -> {
             if (failure == null) {
-                hosts.forEach(host -> goneAt.put(host, context.timeline().now()));
+                hosts.forEach(host -> goneAt.put(host, context.timeSource().now()));
                 returning = false;
             } else {
-                context.timeline().after(RETRY, () -> returning = false);
+                context.timeSource().schedule(RETRY, () -> returning = false);
             }
         });
     }
 
     private List<String> due() {
         var hosts = new ArrayList<String>();
-        for (MachineRecord machine : replica.hosts().values()) {
+        for (MachineRecord machine : replica.machines().values()) {
             boolean may = dropped.contains(machine.id()) || settled(machine) && unused(machine);
             if (may && !isGone(machine.id()) && hosts.size() < MOST_AT_ONCE) {
                 hosts.add(machine.id());
@@ -126,10 +126,10 @@
 
     /** Placements guard the record's stamp: once it says leaving and everything up to it is known, nothing new can come. */
     private boolean settled(MachineRecord machine) {
-        return machine.leaving() && replica.syncedTo() >= replica.stamp(Keys.host(machine.id()));
+        return machine.draining() && replica.appliedRevision() >= replica.modRevision(Keys.machinePage(machine.id()));
     }
 
     private boolean unused(MachineRecord machine) {
-        return !machine.leavesWhenEmpty() || replica.allocationsOn(machine.id()).isEmpty();
+        return !machine.drainsGracefully() || replica.allocationsOn(machine.id()).isEmpty();
     }
 }
--- a/src/main/java/org/dunespindle/machine/Quarantine.java
+++ b/src/main/java/org/dunespindle/machine/Quarantine.java
@@ -5,24 +5,24 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import org.dunespindle.control.Options;
-import org.dunespindle.peer.Peers;
+import org.dunespindle.peer.PeerHeartbeats;
 import org.dunespindle.peer.ReportedMachine;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.time.TimeSource;
 
 /** Machines on which tasks of different jobs keep failing: nothing new is placed there, and those that stay so are given back. */
 public final class Quarantine {
     /** In quarantine first: jobs that failed there may turn out to fail elsewhere too. */
     private static final Duration LENGTH = Duration.ofSeconds(15);
 
-    private final FailureAttribution failureAttribution;
-    private final Peers peers;
-    private final Timeline timeline;
+    private final CrashLoopDetector failureAttribution;
+    private final PeerHeartbeats peers;
+    private final TimeSource timeline;
     private final Supplier<Options> options;
     private final Map<String, Duration> since = new HashMap<>();
 
     public Quarantine(
-            FailureAttribution failureAttribution, Peers peers, Timeline timeline, Supplier<Options> options) {
+            CrashLoopDetector failureAttribution, PeerHeartbeats peers, TimeSource timeline, Supplier<Options> options) {
         this.failureAttribution = failureAttribution;
         this.peers = peers;
         this.timeline = timeline;
@@ -36,7 +36,7 @@
 
     /** Whether a machine has been in quarantine, here or as its owner tells, for long enough to be given back. */
     boolean over(MachineRecord machine) {
-        boolean fails = peers.machine(machine).filter(ReportedMachine::bad).isPresent() || holds(machine.id());
+        boolean fails = peers.machine(machine).filter(ReportedMachine::quarantined).isPresent() || holds(machine.id());
         if (!fails) {
             since.remove(machine.id());
             return false;
--- a/src/main/java/org/dunespindle/machine/RentalNeeds.java
+++ b/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
@@ -16,13 +16,13 @@
 import org.dunespindle.scheduling.MachinePool;
 import org.dunespindle.scheduling.Planner;
 import org.dunespindle.scheduling.Shortfall;
-import org.dunespindle.scheduling.Targets;
+import org.dunespindle.scheduling.ServiceLevelObjectives;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.time.Durations;
 
 /** Works out which machines to rent for what found no room in a plan. */
-final class RentalNeeds {
+final class ScaleOutPlanner {
     private static final Duration FETCH_ALLOWANCE = Duration.ofSeconds(12);
     private static final int MOST_TASKS_PER_MACHINE = 128;
     /** A kind is as good as the cheapest if it costs up to this much more. */
@@ -30,7 +30,7 @@
 
     private final ControllerContext context;
     private final MachineCatalog catalog;
-    private final Targets targets;
+    private final ServiceLevelObjectives targets;
     private final Set<MachinePool> refused;
     private final Map<String, Integer> machinesPerZone = new HashMap<>();
     private final Map<Ask, Integer> slots = new HashMap<>();
@@ -49,21 +49,21 @@
     /** What jobs alike ask of a machine. */
     private record Ask(boolean spot, Resources perTask, Optional<List<String>> types) {}
 
-    RentalNeeds(ControllerContext context, MachineCatalog catalog, Targets targets, Set<MachinePool> refused) {
+    ScaleOutPlanner(ControllerContext context, MachineCatalog catalog, ServiceLevelObjectives targets, Set<MachinePool> refused) {
         this.context = context;
         this.catalog = catalog;
         this.targets = targets;
         this.refused = refused;
-        context.replica().hosts().values().forEach(m -> machinesPerZone.merge(m.zone(), 1, Integer::sum));
+        context.replica().machines().values().forEach(m -> machinesPerZone.merge(m.zone(), 1, Integer::sum));
     }
 
     /** Packs what found no room into machines of the cheapest kinds that may serve it. */
     List<Rental> of(List<Shortfall> shortfalls) {
         Duration queued = runningWork();
         for (Shortfall shortfall : shortfalls) {
-            Submission job = shortfall.job().job();
+            Submission job = shortfall.job().submission();
             List<MachinePool> markets = markets(job);
-            if (!job.gang()) {
+            if (!job.isGang()) {
                 queued = queued.plus(Durations.times(job.estimate(), shortfall.tasks()));
                 keepCheapestIfInTime(shortfall, markets, queued);
             }
@@ -82,9 +82,9 @@
     }
 
     private void add(MachinePool market, Shortfall shortfall) {
-        Submission job = shortfall.job().job();
+        Submission job = shortfall.job().submission();
         Need need = needs.computeIfAbsent(market, m -> new Need());
-        need.forGang |= need.count == 0 && job.gang() && job.tasks() > 1;
+        need.forGang |= need.count == 0 && job.isGang() && job.tasks() > 1;
         int fitting = Planner.fitCount(job.perTask(), need.rest, shortfall.tasks());
         need.rest = need.rest.minus(job.perTask().times(fitting));
         int left = shortfall.tasks() - fitting;
@@ -103,10 +103,10 @@
     /** What is left of running array tasks, by estimate: half of each on average. */
     private Duration runningWork() {
         Duration sum = Duration.ZERO;
-        for (JobRecord job : context.replica().livingJobs()) {
-            if (job.open() && !job.job().gang()) {
+        for (JobRecord job : context.replica().activeJobs()) {
+            if (job.isOpen() && !job.submission().isGang()) {
                 int running = job.allocations().size();
-                sum = sum.plus(Durations.part(job.job().estimate(), running, 2));
+                sum = sum.plus(Durations.part(job.submission().estimate(), running, 2));
             }
         }
         return sum;
@@ -114,14 +114,14 @@
 
     /** Work that ends in time even if it queues for the cheapest kind is not worth a dear machine. */
     private void keepCheapestIfInTime(Shortfall shortfall, List<MachinePool> markets, Duration queued) {
-        Submission job = shortfall.job().job();
+        Submission job = shortfall.job().submission();
         Optional<Duration> target = targets.nearest(job);
         int running = slots.computeIfAbsent(new Ask(job.spot(), job.perTask(), job.types()), this::slots);
         if (target.isEmpty() || running == 0) {
             return;
         }
         Duration waited =
-                Duration.between(shortfall.job().arrived(), context.timeline().wallTime());
+                Duration.between(shortfall.job().arrived(), context.timeSource().wallTime());
         Duration end = waited.plus(Durations.part(queued, 1, running))
                 .plus(Durations.part(job.estimate(), 4, 3))
                 .plus(FETCH_ALLOWANCE);
@@ -143,9 +143,9 @@
     private int slots(Ask ask) {
         var perType = new HashMap<String, Integer>();
         int sum = 0;
-        for (MachineRecord machine : context.replica().hosts().values()) {
+        for (MachineRecord machine : context.replica().machines().values()) {
             boolean type = ask.types.isEmpty() || ask.types.get().contains(machine.type());
-            if (machine.spot() == ask.spot && !machine.leaving() && type) {
+            if (machine.spot() == ask.spot && !machine.draining() && type) {
                 sum += perType.computeIfAbsent(machine.type(), name -> tasksPerMachine(ask.perTask, name));
             }
         }
--- a/src/main/java/org/dunespindle/machine/Ownership.java
+++ b/src/main/java/org/dunespindle/machine/ShardOwnership.java
@@ -15,20 +15,20 @@
 import java.util.function.Supplier;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
 import org.dunespindle.control.Options;
-import org.dunespindle.control.Sessions;
+import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.WorkerState;
-import org.dunespindle.peer.Peers;
+import org.dunespindle.peer.PeerHeartbeats;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.PlacedTask;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.time.TimeSource;
 import org.dunespindle.worker.WorkerClient;
 
 /**
@@ -36,19 +36,19 @@
  * gangs are placed on. A borrowed machine stays while gangs come back to it, and is returned when none has for
  * a while, since every change of hands costs writes and a call.
  */
-public final class Ownership {
+public final class ShardOwnership {
     private static final Duration LOOK_EVERY = Duration.ofMillis(250);
     private static final Duration OTHERS_FIRST = Duration.ofSeconds(4);
     private static final int MOST_PAGES_HANDED_ON = 6;
     private static final Duration RETURN_EVERY = Duration.ofSeconds(5);
     private final Settings settings;
-    private final Replica replica;
+    private final StateReplica replica;
     private final Membership membership;
     private final WorkerClient workerClient;
-    private final MachineWriter machineWriter;
-    private final Peers peers;
-    private final Sessions sessions;
-    private final Timeline timeline;
+    private final MachineRecordWriter machineWriter;
+    private final PeerHeartbeats peers;
+    private final WorkerRegistry sessions;
+    private final TimeSource timeline;
     private final Supplier<Options> options;
     private final Map<String, Duration> gangAt = new HashMap<>();
     private final Set<String> handedOn = new HashSet<>();
@@ -58,17 +58,17 @@
     private Duration lookAgainAt = Duration.ZERO;
     private Duration returnAgainAt = Duration.ZERO;
 
-    public Ownership(
+    public ShardOwnership(
             ControllerContext context,
             WorkerClient workerClient,
-            MachineWriter machineWriter,
-            Peers peers,
+            MachineRecordWriter machineWriter,
+            PeerHeartbeats peers,
             Supplier<Options> options) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.sessions = context.sessions();
-        this.timeline = context.timeline();
+        this.sessions = context.workers();
+        this.timeline = context.timeSource();
         this.workerClient = workerClient;
         this.machineWriter = machineWriter;
         this.peers = peers;
@@ -86,9 +86,9 @@
      */
     private Set<String> placeholdersElsewhere() {
         var hosts = new TreeSet<String>();
-        for (JobRecord j : replica.livingJobs()) {
-            if (j.open() && j.job().gang() && j.mode() == JobRecord.Mode.HOLD) {
-                j.allocations().forEach(c -> hosts.add(c.host()));
+        for (JobRecord j : replica.activeJobs()) {
+            if (j.isOpen() && j.submission().isGang() && j.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS) {
+                j.allocations().forEach(c -> hosts.add(c.machineId()));
             }
         }
         return hosts;
@@ -104,15 +104,15 @@
         boolean returning = now.compareTo(returnAgainAt) >= 0;
         if (returning) {
             returnAgainAt = now.plus(RETURN_EVERY);
-            gangAt.keySet().retainAll(replica.hosts().keySet());
+            gangAt.keySet().retainAll(replica.machines().keySet());
         }
         takeOver();
         handedOn.clear();
-        for (MachineRecord h : replica.hosts().values()) {
+        for (MachineRecord h : replica.machines().values()) {
             if (!membership.owns(h)) {
                 continue;
             }
-            if (hasGang(h) || plan.gangHosts().contains(h.id())) {
+            if (hasGang(h) || plan.gangMachines().contains(h.id())) {
                 gangAt.put(h.id(), now);
             } else if (returning) {
                 handOver(h, now);
@@ -130,7 +130,7 @@
         }
         boolean early = timeline.now().minus(joinedAt.get()).compareTo(othersFirst) < 0;
         var orphans = new ArrayList<MachineRecord>();
-        for (MachineRecord h : replica.hosts().values()) {
+        for (MachineRecord h : replica.machines().values()) {
             if (!membership.isAlive(h.owner(), h.incarnation())) {
                 orphans.add(h);
             }
@@ -138,10 +138,10 @@
         orphans.sort(Comparator.comparing(
                 h -> replica.allocationsOn(h.id()).isEmpty())); // what runs is in a hurry, what idles is not
         var gangPages = new HashSet<String>();
-        orphans.stream().filter(this::hasGang).forEach(h -> gangPages.add(Keys.host(h.id())));
+        orphans.stream().filter(this::hasGang).forEach(h -> gangPages.add(Keys.machinePage(h.id())));
         for (MachineRecord h : orphans) {
             Optional<String> home =
-                    gangPages.contains(Keys.host(h.id())) ? membership.leader() : membership.hashed(h.id());
+                    gangPages.contains(Keys.machinePage(h.id())) ? membership.leader() : membership.hashed(h.id());
             boolean comesBack = early && !membership.hashedAmong(all, h.id()).equals(Optional.of(settings.nodeName()));
             if (!machineWriter.busy(h.id())
                     && !comesBack
@@ -149,8 +149,8 @@
                 // A rented machine's record may not tell its address; its owner did.
                 peers.address(h)
                         .ifPresentOrElse(
-                                a -> workerClient.take(h, a, Instant.EPOCH, r -> {}),
-                                () -> workerClient.take(h, Instant.EPOCH, r -> {}));
+                                a -> workerClient.acquire(h, a, Instant.EPOCH, r -> {}),
+                                () -> workerClient.acquire(h, Instant.EPOCH, r -> {}));
             }
         }
     }
@@ -158,7 +158,7 @@
     private boolean hasGang(MachineRecord h) {
         List<PlacedTask> allocations = replica.allocationsOn(h.id());
         for (PlacedTask p : allocations) {
-            if (p.job().spec().isPresent() && p.job().job().gang()) {
+            if (p.job().spec().isPresent() && p.job().submission().isGang()) {
                 return true;
             }
         }
@@ -174,17 +174,17 @@
             return;
         }
         Duration kept = membership.leads() ? options.get().borrowedAtLeast() : Duration.ZERO;
-        Optional<WorkerState> s = sessions.known(h.id());
+        Optional<WorkerState> s = sessions.find(h.id());
         boolean calm = h.keepUntil().isBefore(timeline.wallTime())
                 && now.minus(gangAt.getOrDefault(h.id(), Duration.ZERO)).compareTo(kept) > 0
-                && s.filter(x -> x.calling || x.unansweredUnder.isPresent() || !x.events.isEmpty())
+                && s.filter(x -> x.callInFlight || x.unansweredStartToken.isPresent() || !x.terminations.isEmpty())
                         .isEmpty();
         Optional<Long> inc = membership.incarnationOf(home.get());
         // A few pages at a time: after a controller came back there are many, and even load is less urgent than all
         // else that is written.
-        boolean turn = handedOn.contains(Keys.host(h.id())) || handedOn.size() < MOST_PAGES_HANDED_ON;
+        boolean turn = handedOn.contains(Keys.machinePage(h.id())) || handedOn.size() < MOST_PAGES_HANDED_ON;
         if (calm && turn && inc.isPresent() && peers.heartbeat(home.get()).isPresent()) {
-            handedOn.add(Keys.host(h.id()));
+            handedOn.add(Keys.machinePage(h.id()));
             machineWriter.change(CommitPriority.MAINTENANCE, h.ownedBy(home.get(), inc.get(), Instant.EPOCH), r -> {});
         }
     }
@@ -192,19 +192,19 @@
     /** Gangs are the leader's: it takes the machines that they are planned on, and those that their placeholders are on. */
     public void borrow(Plan plan) {
         long borrowed = -1;
-        var wanted = new LinkedHashSet<>(plan.gangHosts());
+        var wanted = new LinkedHashSet<>(plan.gangMachines());
         wanted.addAll(placeholdersElsewhere());
         for (String host : wanted) {
-            MachineRecord h = replica.hosts().get(host);
+            MachineRecord h = replica.machines().get(host);
             if (h == null
                     || membership.owns(h)
-                    || h.leaving()
+                    || h.draining()
                     || machineWriter.busy(host)
                     || !h.keepUntil().isBefore(timeline.wallTime())) {
                 continue;
             }
             if (borrowed < 0) {
-                borrowed = replica.hosts().values().stream()
+                borrowed = replica.machines().values().stream()
                         .filter(membership::owns)
                         .filter(o -> membership
                                 .hashed(o.id())
@@ -217,7 +217,7 @@
             }
             gangAt.put(host, timeline.now());
             String address = peers.address(h).orElse(h.address());
-            workerClient.take(h, address, Instant.EPOCH, r -> {});
+            workerClient.acquire(h, address, Instant.EPOCH, r -> {});
         }
     }
 }
--- a/src/main/java/org/dunespindle/peer/MachineStatus.java
+++ b/src/main/java/org/dunespindle/peer/MachineStatus.java
@@ -5,11 +5,11 @@
 
 /** A machine's state as its owner tells it, with a number that grows with every change. */
 public record MachineStatus(
-        String host,
-        long number,
+        String machineId,
+        long sequence,
         long token,
         boolean up,
-        boolean bad,
+        boolean quarantined,
         Duration silentFor,
         String address,
         Set<String> images) {
@@ -18,7 +18,7 @@
 
     /** About how long its row is. */
     int characters() {
-        int sum = ROW_FRAME + host.length() + address.length();
+        int sum = ROW_FRAME + machineId.length() + address.length();
         for (String image : images) {
             sum += image.length() + 3;
         }
--- a/src/main/java/org/dunespindle/peer/Peers.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
@@ -14,21 +14,21 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.dunespindle.api.Admin;
+import org.dunespindle.api.AdminApi;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateReplica;
 import org.dunespindle.time.Durations;
-import org.dunespindle.time.Timeline;
-import org.dunespindle.transport.Caller;
+import org.dunespindle.time.TimeSource;
+import org.dunespindle.transport.HttpClient;
 
 /**
  * What the controllers tell one another about once a second: how fresh their view is, what they need of the
  * write rate, and, to the leader alone, what changed about their machines. Only advice: what is decided
  * rests on the state service and on workers.
  */
-public final class Peers {
+public final class PeerHeartbeats {
     private static final Duration TIMEOUT = Duration.ofMillis(1500);
     private static final Duration FRESH = Duration.ofSeconds(4);
     private static final Duration QUIET = Duration.ofMillis(1700);
@@ -42,11 +42,11 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Settings settings;
-    private final Caller http;
-    private final Timeline timeline;
+    private final HttpClient http;
+    private final TimeSource timeline;
     private final LongSupplier incarnation;
     private final Supplier<Optional<String>> leader;
-    private final Replica replica;
+    private final StateReplica replica;
     private final Listener listener;
     private final Map<String, PeerState> heartbeats = new HashMap<>();
     private final Map<String, Heard> heard = new HashMap<>();
@@ -69,13 +69,13 @@
     }
 
     /** Creates the link to the other controllers. */
-    public Peers(
+    public PeerHeartbeats(
             Settings settings,
-            Caller http,
-            Timeline timeline,
+            HttpClient http,
+            TimeSource timeline,
             LongSupplier incarnation,
             Supplier<Optional<String>> leader,
-            Replica replica,
+            StateReplica replica,
             Listener listener) {
         this.replica = replica;
         this.listener = listener;
@@ -96,14 +96,14 @@
      * Whether a controller that talked a moment ago does not any more: it may have ended, and its lease will tell within seconds. One
      * that has been quiet for longer than that lives.
      */
-    public boolean fellQuiet(String node) {
+    public boolean isSuspected(String node) {
         PeerState w = heartbeats.get(node);
         Duration quiet = w == null ? Duration.ZERO : timeline.now().minus(w.at());
         return quiet.compareTo(QUIET) > 0 && quiet.compareTo(LEASE_TELLS) < 0;
     }
 
     /** All heartbeats that are fresh. */
-    public List<PeerState> fresh() {
+    public List<PeerState> livePeers() {
         var list = new ArrayList<PeerState>();
         heartbeats.keySet().forEach(n -> heartbeat(n).ifPresent(list::add));
         return list;
@@ -144,7 +144,7 @@
                         && m.token() == host.token()
                         && heartbeats.containsKey(e.getKey());
                 Duration at =
-                        present ? heartbeats.get(e.getKey()).at() : m.toldAt().minus(m.silentFor());
+                        present ? heartbeats.get(e.getKey()).at() : m.reportedAt().minus(m.silentFor());
                 last = Durations.later(last, Optional.of(at));
             }
         }
@@ -166,14 +166,14 @@
      *
      * @param news machines in the order of their numbers
      */
-    public void tell(Duration viewAge, WriteDemand need, List<MachineStatus> news) {
+    public void send(Duration viewAge, WriteDemand need, List<MachineStatus> news) {
         for (Settings.Seed seed : settings.seeds()) {
-            ObjectNode n = head(viewAge, need).put("readTo", replica.syncedTo());
+            ObjectNode n = head(viewAge, need).put("readTo", replica.appliedRevision());
             Duration asked = timeline.now();
             if (leader.get().filter(seed.name()::equals).isPresent()) {
                 add(n, news, taken.getOrDefault(seed.name(), 0L));
             }
-            http.send(seed.address(), "POST", "/peer/heartbeat", Admin.write(n), "application/json", TIMEOUT)
+            http.send(seed.address(), "POST", "/peer/heartbeat", AdminApi.write(n), "application/json", TIMEOUT)
                     .whenComplete((a, e) -> {
                         if (a != null && a.status() == 200) {
                             answered(seed.name(), asked, a.body());
@@ -196,14 +196,14 @@
         long upTo = from;
         int characters = 0;
         for (MachineStatus m : news) {
-            if (m.number() > from && list.size() < MOST_MACHINES && characters < MOST_NEWS_CHARACTERS) {
-                upTo = m.number();
+            if (m.sequence() > from && list.size() < MOST_MACHINES && characters < MOST_NEWS_CHARACTERS) {
+                upTo = m.sequence();
                 characters += m.characters();
                 ArrayNode row = list.addArray()
-                        .add(m.host())
+                        .add(m.machineId())
                         .add(m.token())
                         .add(m.up())
-                        .add(m.bad())
+                        .add(m.quarantined())
                         .add(m.silentFor().toMillis())
                         .add(m.address());
                 m.images().forEach(row::add);
@@ -213,7 +213,7 @@
     }
 
     /** Takes a heartbeat in and builds the answer to it; an unreadable one counts as none. */
-    public ObjectNode hear(byte[] body, Duration viewAge, WriteDemand need) {
+    public ObjectNode receive(byte[] body, Duration viewAge, WriteDemand need) {
         ObjectNode answer = head(viewAge, need);
         try {
             JsonNode n = JSON.readTree(body);
--- a/src/main/java/org/dunespindle/peer/PeerState.java
+++ b/src/main/java/org/dunespindle/peer/PeerState.java
@@ -3,4 +3,4 @@
 import java.time.Duration;
 
 /** The last heartbeat of a controller. */
-public record PeerState(Duration at, long incarnation, Duration viewAge, double writes, int waiting) {}
+public record PeerState(Duration at, long incarnation, Duration replicaStaleness, double writes, int waiting) {}
--- a/src/main/java/org/dunespindle/peer/ReportedMachine.java
+++ b/src/main/java/org/dunespindle/peer/ReportedMachine.java
@@ -4,4 +4,4 @@
 
 /** A machine as its owner last told. */
 public record ReportedMachine(
-        boolean up, boolean bad, Duration silentFor, Duration toldAt, String address, long token) {}
+        boolean up, boolean quarantined, Duration silentFor, Duration reportedAt, String address, long token) {}
--- a/src/main/java/org/dunespindle/peer/WriteShare.java
+++ b/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
@@ -1,39 +1,39 @@
 package org.dunespindle.peer;
 
 import java.time.Duration;
-import org.dunespindle.control.Committer;
+import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.Membership;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.storage.StateClient;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateStoreClient;
+import org.dunespindle.time.TimeSource;
 
 /**
  * Divides the state service's write rate among the controllers by need, as they tell one another: the leader writes
  * most, and an equal part each would leave it short while the others' lie idle. Only a matter of pace: what
  * is written too fast is refused and sent again.
  */
-public final class WriteShare {
+public final class WriteRateAllocator {
     /** Controllers hear of one another's need late, so some of the rate is left unused. */
     private static final double SAFE_PART = 0.92;
 
     private static final double LEAST_PART = 0.08;
     private final Settings settings;
-    private final Peers peers;
+    private final PeerHeartbeats peers;
     private final Membership membership;
-    private final Committer committer;
-    private final StateClient state;
-    private final Timeline timeline;
+    private final CommitQueue committer;
+    private final StateStoreClient state;
+    private final TimeSource timeline;
     private long writtenBefore;
     private Duration at = Duration.ZERO;
     private double rate;
 
-    public WriteShare(
+    public WriteRateAllocator(
             Settings settings,
-            Peers peers,
+            PeerHeartbeats peers,
             Membership membership,
-            Committer committer,
-            StateClient state,
-            Timeline timeline) {
+            CommitQueue committer,
+            StateStoreClient state,
+            TimeSource timeline) {
         this.settings = settings;
         this.peers = peers;
         this.membership = membership;
@@ -56,8 +56,8 @@
         Duration now = timeline.now();
         double seconds = now.minus(at).toNanos() / 1e9;
         if (seconds > 0.1) {
-            rate = 0.5 * rate + 0.5 * (committer.written() - writtenBefore) / seconds;
-            writtenBefore = committer.written();
+            rate = 0.5 * rate + 0.5 * (committer.committed() - writtenBefore) / seconds;
+            writtenBefore = committer.committed();
             at = now;
         }
         double all = SAFE_PART * settings.state().lowest().writeRps();
--- a/src/main/java/org/dunespindle/protocol/Shape.java
+++ b/src/main/java/org/dunespindle/protocol/JobKind.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** What a job's tasks are to one another. */
-public enum Shape {
+public enum JobKind {
     /** Independent tasks, each of which runs to completion. */
     ARRAY("array"),
     /** All tasks run at the same time or none does. */
@@ -13,7 +13,7 @@
 
     private final String wire;
 
-    Shape(String wire) {
+    JobKind(String wire) {
         this.wire = wire;
     }
 
@@ -23,8 +23,8 @@
     }
 
     /** Reads the name on the wire. */
-    public static Optional<Shape> parse(String text) {
-        for (Shape s : values()) {
+    public static Optional<JobKind> parse(String text) {
+        for (JobKind s : values()) {
             if (s.wire.equals(text)) {
                 return Optional.of(s);
             }
--- a/src/main/java/org/dunespindle/protocol/ListedMachine.java
+++ b/src/main/java/org/dunespindle/protocol/ListedMachine.java
@@ -12,7 +12,7 @@
     }
 
     /** Reads one row of the cloud's list. */
-    public static ListedMachine parse(JsonNode n) throws MalformedException {
+    public static ListedMachine parse(JsonNode n) throws MalformedMessageException {
         var f = new Submission.Fields(n);
         return new ListedMachine(
                 f.text("id", 200),
--- a/src/main/java/org/dunespindle/protocol/MachineType.java
+++ b/src/main/java/org/dunespindle/protocol/MachineType.java
@@ -21,10 +21,10 @@
     }
 
     /** Reads {@code GET /catalog}. */
-    public static List<MachineType> parseCatalog(JsonNode body) throws MalformedException {
+    public static List<MachineType> parseCatalog(JsonNode body) throws MalformedMessageException {
         JsonNode hulls = body.get("hulls");
         if (hulls == null || !hulls.isArray()) {
-            throw new MalformedException("hulls is missing");
+            throw new MalformedMessageException("hulls is missing");
         }
         var types = new ArrayList<MachineType>();
         for (JsonNode h : hulls) {
--- a/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
+++ b/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
@@ -35,21 +35,21 @@
      * Reads one whole value; anything behind it makes the body malformed. The library's own unpacker builds the tree:
      * Jackson's parser on top of it tells the end of input by an exception, which costs more than most messages.
      */
-    public static JsonNode read(byte[] body) throws MalformedException {
+    public static JsonNode read(byte[] body) throws MalformedMessageException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(body)) {
             JsonNode node = value(unpacker, 0);
             if (unpacker.hasNext()) {
-                throw new MalformedException("the body is not one MessagePack value");
+                throw new MalformedMessageException("the body is not one MessagePack value");
             }
             return node;
         } catch (IOException | RuntimeException e) {
-            throw new MalformedException("the body is not MessagePack");
+            throw new MalformedMessageException("the body is not MessagePack");
         }
     }
 
-    private static JsonNode value(MessageUnpacker in, int depth) throws IOException, MalformedException {
+    private static JsonNode value(MessageUnpacker in, int depth) throws IOException, MalformedMessageException {
         if (depth > DEEPEST) {
-            throw new MalformedException("the body is nested too deeply");
+            throw new MalformedMessageException("the body is nested too deeply");
         }
         MessageFormat format = in.getNextFormat();
         switch (format.getValueType()) {
@@ -87,7 +87,7 @@
                 }
                 return map;
             }
-            default -> throw new MalformedException("the body holds binary data");
+            default -> throw new MalformedMessageException("the body holds binary data");
         }
     }
 
--- a/src/main/java/org/dunespindle/protocol/SampleMessages.java
+++ b/src/main/java/org/dunespindle/protocol/SampleMessages.java
@@ -32,7 +32,7 @@
     }
 
     /** A submission of two tasks. */
-    public static ObjectNode job(String id, Shape shape) {
+    public static ObjectNode job(String id, JobKind shape) {
         return MessagePackCodec.map()
                 .put("id", id)
                 .put("jobclass", "c")
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -83,19 +83,19 @@
     public record Cloud(double rps, Duration listLag) {}
 
     /** Reads the file; a complaint names the field. */
-    public static Settings load(Path file) throws MalformedException {
+    public static Settings load(Path file) throws MalformedMessageException {
         JsonNode root;
         try {
             root = new TomlMapper().readTree(Files.readAllBytes(file));
         } catch (IOException e) {
-            throw new MalformedException("cannot read " + file + ": "
+            throw new MalformedMessageException("cannot read " + file + ": "
                     + e.getMessage().lines().findFirst().orElse("unreadable"));
         }
         return parse(root);
     }
 
     /** Reads and checks settings; the message of a failure names the field. */
-    public static Settings parse(JsonNode root) throws MalformedException {
+    public static Settings parse(JsonNode root) throws MalformedMessageException {
         List<Seed> seeds = seeds(root.path("seeds"));
         JsonNode deployment = table(root, "deployment");
         Map<String, Team> teams = teams(deployment.path("teams"));
@@ -125,12 +125,12 @@
                 sockets(deployment.path("resources")));
     }
 
-    private static List<Seed> seeds(JsonNode list) throws MalformedException {
+    private static List<Seed> seeds(JsonNode list) throws MalformedMessageException {
         var seeds = new ArrayList<Seed>();
         for (JsonNode row : list) {
             String address = text(row, "seeds.", "address");
             if (!address.matches(".+:\\d{1,5}")) {
-                throw new MalformedException("seeds.address must be address:port, not " + address);
+                throw new MalformedMessageException("seeds.address must be address:port, not " + address);
             }
             seeds.add(
                     new Seed(text(row, "seeds.", "node_name"), row.path("area").asText(""), address));
@@ -138,33 +138,33 @@
         return List.copyOf(seeds);
     }
 
-    private static Map<String, Team> teams(JsonNode list) throws MalformedException {
+    private static Map<String, Team> teams(JsonNode list) throws MalformedMessageException {
         var teams = new LinkedHashMap<String, Team>();
         for (JsonNode row : list) {
             Team team = team(row, "deployment.teams.");
             if (teams.put(team.name, team) != null) {
-                throw new MalformedException("deployment.teams.name " + team.name + " occurs twice");
+                throw new MalformedMessageException("deployment.teams.name " + team.name + " occurs twice");
             }
         }
         if (teams.isEmpty()) {
-            throw new MalformedException("deployment.teams is missing");
+            throw new MalformedMessageException("deployment.teams is missing");
         }
         return Map.copyOf(teams);
     }
 
-    private static Team team(JsonNode row, String at) throws MalformedException {
+    private static Team team(JsonNode row, String at) throws MalformedMessageException {
         String name = text(row, at, "name");
         double cpusMax = limit(amount(row, at, "cpus_max"));
         double gpusMax = limit(amount(row, at, "gpus_max"));
         var team = new Team(name, amount(row, at, "cpus"), cpusMax, amount(row, at, "gpus"), gpusMax);
         if (team.cpus > team.cpusMax || team.gpus > team.gpusMax) {
             String field = team.gpus > team.gpusMax ? "gpus" : "cpus";
-            throw new MalformedException(at + field + " of " + name + " is above its limit");
+            throw new MalformedMessageException(at + field + " of " + name + " is above its limit");
         }
         return team;
     }
 
-    private static List<Objective> objectives(JsonNode list) throws MalformedException {
+    private static List<Objective> objectives(JsonNode list) throws MalformedMessageException {
         var objectives = new ArrayList<Objective>();
         String at = "deployment.objectives.";
         for (JsonNode row : list) {
@@ -184,7 +184,7 @@
         return List.copyOf(zones);
     }
 
-    private static Workers workers(JsonNode table) throws MalformedException {
+    private static Workers workers(JsonNode table) throws MalformedMessageException {
         String at = "deployment.workers.";
         var workers = new Workers(
                 duration(table, at, "report_s"),
@@ -193,12 +193,12 @@
                 duration(table, at, "gang_peer_s"),
                 duration(table, at, "cancel_s"));
         if (workers.report.compareTo(workers.lease) >= 0) {
-            throw new MalformedException(at + "lease_s must be longer than report_s");
+            throw new MalformedMessageException(at + "lease_s must be longer than report_s");
         }
         return workers;
     }
 
-    private static State state(JsonNode table) throws MalformedException {
+    private static State state(JsonNode table) throws MalformedMessageException {
         String at = "deployment.state.";
         var now = new State(
                 positive(table, at, "rps"),
@@ -211,21 +211,21 @@
             return now;
         }
         if (!next.isObject()) {
-            throw new MalformedException(at + "next must be a table");
+            throw new MalformedMessageException(at + "next must be a table");
         }
         return new State(now.rps, now.writeRps, now.valueBytes, now.txnOps, Optional.of(nextState(next, now)));
     }
 
     /** Announced limits; those that the table does not name stay as they are. */
-    private static State nextState(JsonNode table, State now) throws MalformedException {
+    private static State nextState(JsonNode table, State now) throws MalformedMessageException {
         String at = "deployment.state.next.";
         double valueKb = table.has("value_kb") ? positive(table, at, "value_kb") : now.valueBytes / BYTES_PER_KB;
         double txnOps = table.has("txn_ops") ? positive(table, at, "txn_ops") : now.txnOps;
         if (valueKb < LEAST_VALUE_KB) {
-            throw new MalformedException(at + "value_kb must be at least " + LEAST_VALUE_KB);
+            throw new MalformedMessageException(at + "value_kb must be at least " + LEAST_VALUE_KB);
         }
         if (txnOps < LEAST_TXN_OPS) {
-            throw new MalformedException(at + "txn_ops must be at least " + LEAST_TXN_OPS);
+            throw new MalformedMessageException(at + "txn_ops must be at least " + LEAST_TXN_OPS);
         }
         return new State(
                 table.has("rps") ? positive(table, at, "rps") : now.rps,
@@ -235,12 +235,12 @@
                 Optional.empty());
     }
 
-    private static Cloud cloud(JsonNode table) throws MalformedException {
+    private static Cloud cloud(JsonNode table) throws MalformedMessageException {
         String at = "deployment.cloud.";
         return new Cloud(positive(table, at, "rps"), seconds(amount(table, at, "list_lag_s")));
     }
 
-    private static int sockets(JsonNode table) throws MalformedException {
+    private static int sockets(JsonNode table) throws MalformedMessageException {
         return (int) Math.max(1, optional(table, "deployment.resources.", "fd_limit", DEFAULT_SOCKETS));
     }
 
@@ -248,43 +248,43 @@
         return value == 0 ? Double.POSITIVE_INFINITY : value;
     }
 
-    private static JsonNode table(JsonNode parent, String name) throws MalformedException {
+    private static JsonNode table(JsonNode parent, String name) throws MalformedMessageException {
         JsonNode t = parent.path(name);
         if (!t.isObject()) {
-            throw new MalformedException("table " + name + " is missing");
+            throw new MalformedMessageException("table " + name + " is missing");
         }
         return t;
     }
 
-    private static String text(JsonNode n, String at, String name) throws MalformedException {
+    private static String text(JsonNode n, String at, String name) throws MalformedMessageException {
         JsonNode v = n.path(name);
         if (!v.isTextual() || v.textValue().isBlank()) {
-            throw new MalformedException(at + name + " must be text");
+            throw new MalformedMessageException(at + name + " must be text");
         }
         return v.textValue();
     }
 
-    private static double amount(JsonNode n, String at, String name) throws MalformedException {
+    private static double amount(JsonNode n, String at, String name) throws MalformedMessageException {
         JsonNode v = n.path(name);
         if (!v.isNumber() || !(v.doubleValue() >= 0) || Double.isInfinite(v.doubleValue())) {
-            throw new MalformedException(at + name + " must be a number of at least 0");
+            throw new MalformedMessageException(at + name + " must be a number of at least 0");
         }
         return v.doubleValue();
     }
 
-    private static double optional(JsonNode n, String at, String name, double otherwise) throws MalformedException {
+    private static double optional(JsonNode n, String at, String name, double otherwise) throws MalformedMessageException {
         return n.path(name).isMissingNode() ? otherwise : amount(n, at, name);
     }
 
-    private static double positive(JsonNode n, String at, String name) throws MalformedException {
+    private static double positive(JsonNode n, String at, String name) throws MalformedMessageException {
         double v = amount(n, at, name);
         if (v <= 0) {
-            throw new MalformedException(at + name + " must be above 0");
+            throw new MalformedMessageException(at + name + " must be above 0");
         }
         return v;
     }
 
-    private static Duration duration(JsonNode n, String at, String name) throws MalformedException {
+    private static Duration duration(JsonNode n, String at, String name) throws MalformedMessageException {
         return seconds(positive(n, at, name));
     }
 
@@ -292,7 +292,7 @@
         return Duration.ofNanos(Math.round(s * 1e9));
     }
 
-    private static InetSocketAddress socket(String name, String text) throws MalformedException {
+    private static InetSocketAddress socket(String name, String text) throws MalformedMessageException {
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
@@ -302,6 +302,6 @@
         } catch (RuntimeException e) {
             // falls through to the complaint below
         }
-        throw new MalformedException(name + " must be address:port, not " + text);
+        throw new MalformedMessageException(name + " must be address:port, not " + text);
     }
 }
--- a/src/main/java/org/dunespindle/protocol/StateMessages.java
+++ b/src/main/java/org/dunespindle/protocol/StateMessages.java
@@ -58,12 +58,12 @@
     }
 
     /** The service's revision after a transaction was applied. */
-    public static long revision(byte[] body) throws MalformedException {
+    public static long revision(byte[] body) throws MalformedMessageException {
         return MessagePackCodec.read(body).path("epoch").longValue();
     }
 
     /** The keys whose guards failed. */
-    public static Set<String> failedKeys(byte[] body) throws MalformedException {
+    public static Set<String> failedKeys(byte[] body) throws MalformedMessageException {
         var keys = new HashSet<String>();
         MessagePackCodec.read(body).path("failed").forEach(key -> keys.add(key.asText()));
         return keys;
@@ -94,7 +94,7 @@
     }
 
     /** The log of changes after a revision. */
-    public static Entries log(byte[] bytes) throws MalformedException {
+    public static Entries log(byte[] bytes) throws MalformedMessageException {
         JsonNode body = MessagePackCodec.read(bytes);
         var entries = new ArrayList<Entry>();
         for (JsonNode row : body.path("log")) {
--- a/src/main/java/org/dunespindle/protocol/Submission.java
+++ b/src/main/java/org/dunespindle/protocol/Submission.java
@@ -13,7 +13,7 @@
         String id,
         String jobClass,
         String team,
-        Shape shape,
+        JobKind kind,
         Priority priority,
         int tasks,
         Resources perTask,
@@ -26,50 +26,50 @@
         double imageGb,
         Duration estimate,
         Duration checkpointEvery,
-        Duration saveTime,
+        Duration checkpointTime,
         Optional<Duration> due) {
-    public static final int MOST_TASKS = 100_000;
+    public static final int MAX_TASKS = 100_000;
 
     /** What all tasks take together. */
-    public Resources wholeAsk() {
+    public Resources totalResources() {
         return perTask.times(tasks);
     }
 
     /** Whether all tasks run at the same time or none does. */
-    public boolean gang() {
-        return shape == Shape.GANG;
+    public boolean isGang() {
+        return kind == JobKind.GANG;
     }
 
     /** Whether its tasks run until its user calls it off. */
-    public boolean service() {
-        return shape == Shape.SERVICE;
+    public boolean isService() {
+        return kind == JobKind.SERVICE;
     }
 
     /** Whether it is of use only with all of its tasks: it may then never need more than its team's limit at once. */
-    public boolean whole() {
-        return gang() || service();
+    public boolean runsAsWhole() {
+        return isGang() || isService();
     }
 
     /** Whether a stopped task can save its progress. */
-    public boolean saves() {
+    public boolean checkpoints() {
         return !checkpointEvery.isZero();
     }
 
     /** Reads and checks a submission; what is missing or out of range is named in the exception. */
-    public static Submission parse(JsonNode body) throws MalformedException {
+    public static Submission parse(JsonNode body) throws MalformedMessageException {
         if (!body.isObject()) {
-            throw new MalformedException("the body is not a map");
+            throw new MalformedMessageException("the body is not a map");
         }
         var f = new Fields(body);
         String id = f.text("id", 64);
         if (!wellFormedId(id)) {
-            throw new MalformedException("id must look like wk-000412");
+            throw new MalformedMessageException("id must look like wk-000412");
         }
-        Shape shape = Shape.parse(f.text("shape", 16))
-                .orElseThrow(() -> new MalformedException("shape must be array, group or daemon"));
+        JobKind shape = JobKind.parse(f.text("shape", 16))
+                .orElseThrow(() -> new MalformedMessageException("shape must be array, group or daemon"));
         Priority priority = Priority.parse(f.text("rank", 16))
-                .orElseThrow(() -> new MalformedException("rank must be critical, urgent, normal or low"));
-        long tasks = f.whole("pieces", 1, MOST_TASKS);
+                .orElseThrow(() -> new MalformedMessageException("rank must be critical, urgent, normal or low"));
+        long tasks = f.whole("pieces", 1, MAX_TASKS);
         var per = new Resources(f.amount("vcpus"), f.amount("accelerators"), f.amount("ramGb"));
         return new Submission(
                 id,
@@ -114,7 +114,7 @@
         n.put("id", id)
                 .put("jobclass", jobClass)
                 .put("owner", team)
-                .put("shape", shape.wire())
+                .put("shape", kind.wire())
                 .put("rank", priority.wire())
                 .put("pieces", tasks);
         n.put("vcpus", perTask.cpus()).put("accelerators", perTask.gpus()).put("ramGb", perTask.ramGb());
@@ -130,7 +130,7 @@
                 .put("imageGb", imageGb);
         n.put("guessS", Fields.inSeconds(estimate))
                 .put("snapshotS", Fields.inSeconds(checkpointEvery))
-                .put("flushS", Fields.inSeconds(saveTime));
+                .put("flushS", Fields.inSeconds(checkpointTime));
         due.ifPresent(d -> n.put("dueS", Fields.inSeconds(d)));
         return n;
     }
@@ -148,10 +148,10 @@
             return d.toNanos() / 1e9;
         }
 
-        private JsonNode present(String name) throws MalformedException {
+        private JsonNode present(String name) throws MalformedMessageException {
             JsonNode v = node.get(name);
             if (v == null || v.isNull()) {
-                throw new MalformedException(name + " is missing");
+                throw new MalformedMessageException(name + " is missing");
             }
             return v;
         }
@@ -161,64 +161,64 @@
             return v == null || v.isNull();
         }
 
-        String text(String name, int most) throws MalformedException {
+        String text(String name, int most) throws MalformedMessageException {
             JsonNode v = present(name);
             if (!v.isTextual() || v.textValue().isEmpty() || v.textValue().length() > most) {
-                throw new MalformedException(name + " must be text of 1 to " + most + " characters");
+                throw new MalformedMessageException(name + " must be text of 1 to " + most + " characters");
             }
             return v.textValue();
         }
 
-        Optional<String> optionalText(String name, int most) throws MalformedException {
+        Optional<String> optionalText(String name, int most) throws MalformedMessageException {
             return absent(name) ? Optional.empty() : Optional.of(text(name, most));
         }
 
-        Optional<List<String>> optionalTexts(String name, int most) throws MalformedException {
+        Optional<List<String>> optionalTexts(String name, int most) throws MalformedMessageException {
             if (absent(name)) {
                 return Optional.empty();
             }
             JsonNode v = node.get(name);
             if (!v.isArray() || v.size() > most) {
-                throw new MalformedException(name + " must be a list of at most " + most + " texts");
+                throw new MalformedMessageException(name + " must be a list of at most " + most + " texts");
             }
             var list = new ArrayList<String>(v.size());
             for (JsonNode item : v) {
                 if (!item.isTextual() || item.textValue().length() > 128) {
-                    throw new MalformedException(name + " must hold only texts");
+                    throw new MalformedMessageException(name + " must hold only texts");
                 }
                 list.add(item.textValue());
             }
             return Optional.of(List.copyOf(list));
         }
 
-        long whole(String name, long least, long most) throws MalformedException {
+        long whole(String name, long least, long most) throws MalformedMessageException {
             JsonNode v = present(name);
             if (!v.isIntegralNumber() || !v.canConvertToLong() || v.longValue() < least || v.longValue() > most) {
-                throw new MalformedException(name + " must be a whole number from " + least + " to " + most);
+                throw new MalformedMessageException(name + " must be a whole number from " + least + " to " + most);
             }
             return v.longValue();
         }
 
-        double amount(String name) throws MalformedException {
+        double amount(String name) throws MalformedMessageException {
             JsonNode v = present(name);
             if (!v.isNumber() || !Double.isFinite(v.doubleValue()) || v.doubleValue() < 0 || v.doubleValue() > MOST) {
-                throw new MalformedException(name + " must be a number from 0 to 1e9");
+                throw new MalformedMessageException(name + " must be a number from 0 to 1e9");
             }
             return v.doubleValue();
         }
 
-        Duration seconds(String name) throws MalformedException {
+        Duration seconds(String name) throws MalformedMessageException {
             return Duration.ofNanos(Math.round(amount(name) * 1e9));
         }
 
-        Optional<Duration> optionalSeconds(String name) throws MalformedException {
+        Optional<Duration> optionalSeconds(String name) throws MalformedMessageException {
             return absent(name) ? Optional.empty() : Optional.of(seconds(name));
         }
 
-        boolean flag(String name) throws MalformedException {
+        boolean flag(String name) throws MalformedMessageException {
             JsonNode v = present(name);
             if (!v.isBoolean()) {
-                throw new MalformedException(name + " must be true or false");
+                throw new MalformedMessageException(name + " must be true or false");
             }
             return v.booleanValue();
         }
--- a/src/main/java/org/dunespindle/protocol/WorkerReport.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
@@ -7,25 +7,25 @@
 import java.util.Optional;
 
 /** A worker's report; {@code token} is the highest fencing token it has seen. */
-public record WorkerReport(
-        String host,
+public record WorkerHeartbeat(
+        String machineId,
         String address,
         String type,
         String zone,
         boolean spot,
-        long session,
-        long tick,
+        long agentEpoch,
+        long sequence,
         long token,
         Optional<Duration> notice,
         List<TaskStatus> tasks) {
     /** Whether this report is newer than another of the same worker. */
-    public boolean newerThan(WorkerReport other) {
-        return session != other.session ? session > other.session : tick > other.tick;
+    public boolean newerThan(WorkerHeartbeat other) {
+        return agentEpoch != other.agentEpoch ? agentEpoch > other.agentEpoch : sequence > other.sequence;
     }
 
     /** Whether it says the same as another but for its number: most reports only say that the machine lives. */
-    public boolean sameAs(WorkerReport other) {
-        return session == other.session
+    public boolean sameAs(WorkerHeartbeat other) {
+        return agentEpoch == other.agentEpoch
                 && token == other.token
                 && notice.isPresent() == other.notice.isPresent()
                 && address.equals(other.address)
@@ -43,22 +43,22 @@
     }
 
     /** Reads a report. */
-    public static WorkerReport parse(JsonNode n) throws MalformedException {
+    public static WorkerHeartbeat parse(JsonNode n) throws MalformedMessageException {
         if (!n.isObject()) {
-            throw new MalformedException("the body is not a map");
+            throw new MalformedMessageException("the body is not a map");
         }
         var f = new Submission.Fields(n);
         JsonNode listed = n.get("pieces");
         var tasks = new ArrayList<TaskStatus>();
         if (listed != null && !listed.isNull()) {
             if (!listed.isArray()) {
-                throw new MalformedException("pieces must be a list");
+                throw new MalformedMessageException("pieces must be a list");
             }
             for (JsonNode p : listed) {
                 tasks.add(status(p));
             }
         }
-        return new WorkerReport(
+        return new WorkerHeartbeat(
                 f.text("host", 200),
                 f.text("address", 200),
                 f.text("hull", 200),
@@ -71,15 +71,15 @@
                 List.copyOf(tasks));
     }
 
-    private static TaskStatus status(JsonNode p) throws MalformedException {
+    private static TaskStatus status(JsonNode p) throws MalformedMessageException {
         if (!p.isObject()) {
-            throw new MalformedException("pieces must hold maps");
+            throw new MalformedMessageException("pieces must hold maps");
         }
         var f = new Submission.Fields(p);
         TaskId id = TaskId.parse(f.text("piece", 200))
-                .orElseThrow(() -> new MalformedException("piece must be a task's name"));
+                .orElseThrow(() -> new MalformedMessageException("piece must be a task's name"));
         TaskPhase phase =
-                TaskPhase.parse(f.text("phase", 32)).orElseThrow(() -> new MalformedException("phase is unknown"));
+                TaskPhase.parse(f.text("phase", 32)).orElseThrow(() -> new MalformedMessageException("phase is unknown"));
         Optional<ExitCause> cause = phase == TaskPhase.EXITED
                 ? Optional.of(ExitCause.parse(p.path("cause").asText("")))
                 : Optional.empty();
--- a/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -35,7 +35,7 @@
 
         Progress(JobRecord record) {
             this.record = record;
-            this.job = record.job();
+            this.job = record.submission();
             this.reserved = state.reserved(job.team());
             this.zones = zoneChooser.rules(record);
             this.unplacedCount = record.unplacedCount();
@@ -66,8 +66,8 @@
         if (left == 0 || full(array.job)) {
             return;
         }
-        List<MachineRoom> candidates = withImage ? state.candidatesWithImage(array.job) : state.candidates(array.job);
-        for (MachineRoom machine : state.roomy(array.job, candidates, array.zones, withImage)) {
+        List<MachineCapacity> candidates = withImage ? state.candidatesWithImage(array.job) : state.candidates(array.job);
+        for (MachineCapacity machine : state.roomy(array.job, candidates, array.zones, withImage)) {
             while (left > 0 && machine.fits(array.job.perTask()) && array.zones.allows(machine.host())) {
                 take(array, machine);
                 left--;
@@ -78,7 +78,7 @@
         }
     }
 
-    private void take(Progress array, MachineRoom machine) {
+    private void take(Progress array, MachineCapacity machine) {
         int task = array.unplaced.nextInt();
         array.placed++;
         state.take(array.job, machine);
--- a/src/main/java/org/dunespindle/scheduling/ClusterSnapshot.java
+++ b/src/main/java/org/dunespindle/scheduling/ClusterSnapshot.java
@@ -24,18 +24,18 @@
 public record ClusterSnapshot(
         Instant now,
         ProjectedJobs projection,
-        List<MachineSnapshot> hosts,
+        List<MachineSnapshot> machines,
         Map<String, Settings.Team> teams,
-        Map<String, MachinePool> whereabouts,
+        Map<String, MachinePool> pools,
         Set<MachinePool> refused,
         ToIntFunction<JobRecord> mostTasks,
         Set<TaskAttempt> ended,
         Set<String> leftAlone,
         boolean gangs,
         Set<String> departing,
-        List<Headroom.Phantom> phantoms,
-        Targets targets,
-        Function<JobAttempt, Duration> progress) {
+        List<DemandForecast.ForecastJob> forecastJobs,
+        ServiceLevelObjectives objectives,
+        Function<JobAttempt, Duration> elapsed) {
     /** The jobs as this controller expects them to be. */
     public List<JobRecord> jobs() {
         return projection.expected();
--- a/src/main/java/org/dunespindle/scheduling/Headroom.java
+++ b/src/main/java/org/dunespindle/scheduling/DemandForecast.java
@@ -19,22 +19,22 @@
  * job but never booked: a phantom. What is likely to come within seconds keeps free room from lower work,
  * which would only have to give way again; beyond that, room for a typical job is kept behind all real ones.
  */
-public final class Headroom {
+public final class DemandForecast {
     private static final int REMEMBERED = 9;
     private static final Duration OBSERVED = Duration.ofSeconds(120);
     private static final Duration AHEAD = Duration.ofSeconds(12);
     private final Set<String> classes = new HashSet<>();
     private final Map<String, ArrayDeque<Submission>> recent = new LinkedHashMap<>();
-    private final Map<String, ArrayDeque<Came>> came = new LinkedHashMap<>();
+    private final Map<String, ArrayDeque<Arrival>> came = new LinkedHashMap<>();
     private final Set<String> seen = new HashSet<>();
 
-    private record Came(Instant at, int tasks) {}
+    private record Arrival(Instant at, int tasks) {}
 
     /** Room that a class is likely to need next, as a job that nothing stores: its tasks, and how many of them within seconds. */
-    public record Phantom(JobRecord job, int soon) {}
+    public record ForecastJob(JobRecord job, int expectedSoon) {}
 
     /** Takes the classes that have an objective for waiting. */
-    public Headroom(List<Settings.Objective> objectives) {
+    public DemandForecast(List<Settings.Objective> objectives) {
         objectives.stream().filter(o -> o.kind().equals("wait")).forEach(o -> classes.add(o.jobClass()));
     }
 
@@ -43,14 +43,14 @@
         var present = new HashSet<String>();
         for (JobRecord j : jobs) {
             present.add(j.id());
-            if (seen.add(j.id()) && classes.contains(j.job().jobClass())) {
-                ArrayDeque<Submission> list = recent.computeIfAbsent(j.job().jobClass(), c -> new ArrayDeque<>());
-                list.addLast(j.job());
+            if (seen.add(j.id()) && classes.contains(j.submission().jobClass())) {
+                ArrayDeque<Submission> list = recent.computeIfAbsent(j.submission().jobClass(), c -> new ArrayDeque<>());
+                list.addLast(j.submission());
                 if (list.size() > REMEMBERED) {
                     list.removeFirst();
                 }
-                came.computeIfAbsent(j.job().jobClass(), c -> new ArrayDeque<>())
-                        .addLast(new Came(j.arrived(), j.job().tasks()));
+                came.computeIfAbsent(j.submission().jobClass(), c -> new ArrayDeque<>())
+                        .addLast(new Arrival(j.arrived(), j.submission().tasks()));
             }
         }
         seen.retainAll(present);
@@ -68,17 +68,17 @@
 
     /** Tasks of a class that are likely to come within seconds, by what came lately. */
     private int soon(String name, Instant now) {
-        ArrayDeque<Came> list = came.get(name);
+        ArrayDeque<Arrival> list = came.get(name);
         while (!list.isEmpty() && Duration.between(list.peekFirst().at, now).compareTo(OBSERVED) > 0) {
             list.removeFirst();
         }
-        int tasks = list.stream().mapToInt(Came::tasks).sum();
+        int tasks = list.stream().mapToInt(Arrival::tasks).sum();
         return (int) (tasks * AHEAD.toMillis() / OBSERVED.toMillis());
     }
 
     /** One per class: some jobs of median size, and what is likely to come soon. */
-    public List<Phantom> phantoms(int perClass, Instant now) {
-        var list = new ArrayList<Phantom>();
+    public List<ForecastJob> forecastJobs(int perClass, Instant now) {
+        var list = new ArrayList<ForecastJob>();
         recent.forEach((name, jobs) -> {
             int[] sizes = jobs.stream().mapToInt(Submission::tasks).sorted().toArray();
             Submission s = jobs.getLast();
@@ -86,7 +86,7 @@
                     "~" + name,
                     name,
                     s.team(),
-                    s.shape(),
+                    s.kind(),
                     s.priority(),
                     perClass * sizes[sizes.length / 2],
                     s.perTask(),
@@ -104,7 +104,7 @@
             int soon = soon(name, now);
             // A class from which nothing has come for long is not expected any more.
             if (perClass > 0 && !came.get(name).isEmpty()) {
-                list.add(new Phantom(JobRecord.accepted(typical, Instant.EPOCH), soon));
+                list.add(new ForecastJob(JobRecord.accepted(typical, Instant.EPOCH), soon));
             }
         });
         return list;
--- a/src/main/java/org/dunespindle/scheduling/GangPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/GangPlanner.java
@@ -22,14 +22,14 @@
 
     /** Places what can be placed of a gang and asks for the rest. */
     void place(JobRecord gang) {
-        Submission job = gang.job();
+        Submission job = gang.submission();
         int missing = gang.unplacedCount();
         if (!state.teamAllows(job, missing)) {
             state.waitsForNow(gang, "its team's unused limit does not cover the whole gang");
             return;
         }
         ZoneRules zones = zoneChooser.rules(gang);
-        List<MachineRoom> candidates = withImages(gang, state.candidates(job), zones, missing);
+        List<MachineCapacity> candidates = withImages(gang, state.candidates(job), zones, missing);
         var members = new Members(gang, missing);
         fill(members, state.roomy(job, candidates, zones, true), zones);
         // Lower work gives way before the gang waits for a machine to boot; that machine then takes the lower work.
@@ -66,11 +66,11 @@
      * A gang starts with its last member, so one fetch delays them all: where machines that have the image can take all of
      * it, if need be by lower work giving way, only those are looked at; otherwise it makes no difference who fetches.
      */
-    private List<MachineRoom> withImages(JobRecord gang, List<MachineRoom> candidates, ZoneRules zones, int missing) {
-        Submission job = gang.job();
-        var fetched = new ArrayList<MachineRoom>();
+    private List<MachineCapacity> withImages(JobRecord gang, List<MachineCapacity> candidates, ZoneRules zones, int missing) {
+        Submission job = gang.submission();
+        var fetched = new ArrayList<MachineCapacity>();
         int room = 0;
-        for (MachineRoom machine : state.candidatesWithImage(job)) {
+        for (MachineCapacity machine : state.candidatesWithImage(job)) {
             if (machine.host().up() && zones.allows(machine.host())) {
                 fetched.add(machine);
                 room += room < missing ? Planner.fitCount(job.perTask(), machine.freeFor(gang), missing) : 0;
@@ -79,9 +79,9 @@
         return room >= missing && !job.spread() ? fetched : candidates;
     }
 
-    private void fill(Members members, List<MachineRoom> machines, ZoneRules zones) {
-        Submission job = members.gang.job();
-        for (MachineRoom machine : machines) {
+    private void fill(Members members, List<MachineCapacity> machines, ZoneRules zones) {
+        Submission job = members.gang.submission();
+        for (MachineCapacity machine : machines) {
             while (members.left > 0 && machine.fits(job.perTask()) && zones.allows(machine.host())) {
                 state.take(job, machine);
                 zones.add(machine.host().zone());
--- a/src/main/java/org/dunespindle/scheduling/GangQueues.java
+++ b/src/main/java/org/dunespindle/scheduling/GangQueues.java
@@ -22,8 +22,8 @@
         var visitors = new HashMap<String, JobRecord>();
         for (JobRecord job : state.snapshot().jobs()) {
             if (queues(job)) {
-                Map<String, JobRecord> queue = job.visit().isPresent() ? visitors : heads;
-                queue.merge(job.job().team(), job, (a, b) -> earlier(a, b) ? a : b);
+                Map<String, JobRecord> queue = job.inboundDelegation().isPresent() ? visitors : heads;
+                queue.merge(job.submission().team(), job, (a, b) -> earlier(a, b) ? a : b);
             }
         }
         visitors.forEach((team, visitor) -> heads.merge(team, visitor, GangQueues::ownOrHigher));
@@ -37,49 +37,49 @@
 
     /** Whether a gang may be placed now. */
     boolean mayPlace(JobRecord gang) {
-        JobRecord head = heads.get(gang.job().team());
+        JobRecord head = heads.get(gang.submission().team());
         if (head == null || head.id().equals(gang.id())) {
             return true;
         }
-        boolean single = gang.job().tasks() == 1;
-        return single && (state.teamAllows(head.job(), head.unplacedCount()) || earlier(gang, head));
+        boolean single = gang.submission().tasks() == 1;
+        return single && (state.teamAllows(head.submission(), head.unplacedCount()) || earlier(gang, head));
     }
 
     /** One that pauses after its tasks failed does not queue: it would keep its team's other gangs waiting for as long. */
     private boolean queues(JobRecord job) {
-        boolean pauses = job.mode() == JobRecord.Mode.IDLE
+        boolean pauses = job.gangPhase() == JobRecord.GangPhase.QUEUED
                 && job.notBefore()
                         .filter(t -> t.isAfter(state.snapshot().now()))
                         .isPresent();
-        return job.open() && job.job().gang() && job.job().tasks() > 1 && job.unplacedCount() > 0 && !pauses;
+        return job.isOpen() && job.submission().isGang() && job.submission().tasks() > 1 && job.unplacedCount() > 0 && !pauses;
     }
 
     private void keepLimitFree(JobRecord head) {
         Duration waited = Duration.between(head.arrived(), state.snapshot().now());
         boolean waitedLong = waited.compareTo(OVERTAKEN_AT_MOST) > 0;
-        boolean unplaced = head.mode() == JobRecord.Mode.IDLE;
-        if (waitedLong && unplaced && !state.teamAllows(head.job(), head.job().tasks())) {
-            state.reserve(head.job().team(), head.job().wholeAsk());
+        boolean unplaced = head.gangPhase() == JobRecord.GangPhase.QUEUED;
+        if (waitedLong && unplaced && !state.teamAllows(head.submission(), head.submission().tasks())) {
+            state.reserve(head.submission().team(), head.submission().totalResources());
         }
     }
 
     /** The cell's own gang goes before one from another cell, unless that has a higher priority or is being placed already. */
     private static JobRecord ownOrHigher(JobRecord own, JobRecord visitor) {
-        boolean placingOwn = own.mode() == JobRecord.Mode.HOLD;
-        boolean placingVisitor = visitor.mode() == JobRecord.Mode.HOLD;
-        boolean higher = visitor.job().priority().compareTo(own.job().priority()) > 0;
+        boolean placingOwn = own.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
+        boolean placingVisitor = visitor.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
+        boolean higher = visitor.submission().priority().compareTo(own.submission().priority()) > 0;
         return placingOwn != placingVisitor ? placingOwn ? own : visitor : higher ? visitor : own;
     }
 
     /** A gang whose placeholders are being placed stays the head; otherwise arrival order decides. */
     private static boolean earlier(JobRecord one, JobRecord other) {
-        boolean placingOne = one.mode() == JobRecord.Mode.HOLD;
-        boolean placingOther = other.mode() == JobRecord.Mode.HOLD;
+        boolean placingOne = one.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
+        boolean placingOther = other.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
         if (placingOne != placingOther) {
             return placingOne;
         }
-        return one.order() != other.order()
-                ? one.order() < other.order()
+        return one.queuePosition() != other.queuePosition()
+                ? one.queuePosition() < other.queuePosition()
                 : one.id().compareTo(other.id()) < 0;
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/JobAttempt.java
+++ b/src/main/java/org/dunespindle/scheduling/JobAttempt.java
@@ -1,4 +1,4 @@
 package org.dunespindle.scheduling;
 
 /** Tasks of a job that were booked together. */
-public record JobAttempt(String job, long base) {}
+public record JobAttempt(String job, long attemptBase) {}
