--- a/src/main/java/org/dunespindle/scheduling/JobOrder.java
+++ b/src/main/java/org/dunespindle/scheduling/JobOrder.java
@@ -41,15 +41,15 @@
     List<JobRecord> jobs() {
         var ordered = new ArrayList<JobRecord>();
         for (JobRecord job : snapshot.jobs()) {
-            if (job.open() && job.unplacedCount() > 0 && plannedHere(job)) {
+            if (job.isOpen() && job.unplacedCount() > 0 && plannedHere(job)) {
                 ordered.add(job);
                 ranks.put(job.id(), rank(job));
             }
         }
         // The oldest unfinished jobs are what counts as guaranteed first; those that are late anyway must not push
         // others past their time too.
-        ordered.sort(Comparator.comparing((JobRecord job) -> job.job().priority(), Comparator.reverseOrder())
-                .thenComparing(job -> job.visit().isPresent()) // the cell's own work first, among equals
+        ordered.sort(Comparator.comparing((JobRecord job) -> job.submission().priority(), Comparator.reverseOrder())
+                .thenComparing(job -> job.inboundDelegation().isPresent()) // the cell's own work first, among equals
                 .thenComparing(job -> ranks.get(job.id()).tier() == LOST_CAUSE)
                 .thenComparing(job -> !guaranteed.contains(job.id()))
                 .thenComparing(job -> ranks.get(job.id()))
@@ -58,14 +58,14 @@
     }
 
     private boolean plannedHere(JobRecord job) {
-        return snapshot.gangs() || !job.job().gang() && !snapshot.leftAlone().contains(job.id());
+        return snapshot.gangs() || !job.submission().isGang() && !snapshot.leftAlone().contains(job.id());
     }
 
     /** Whether two ordered jobs are alike but for the work that is left. */
     boolean equalStanding(JobRecord one, JobRecord other) {
-        return one.job().gang() == other.job().gang()
-                && one.job().priority() == other.job().priority()
-                && one.visit().isPresent() == other.visit().isPresent()
+        return one.submission().isGang() == other.submission().isGang()
+                && one.submission().priority() == other.submission().priority()
+                && one.inboundDelegation().isPresent() == other.inboundDelegation().isPresent()
                 && guaranteed.contains(one.id()) == guaranteed.contains(other.id())
                 && ranks.get(one.id()).tier() == ranks.get(other.id()).tier();
     }
@@ -76,11 +76,11 @@
      * has waited long without any task begun goes first: the largest must begin too.
      */
     private Rank rank(JobRecord record) {
-        Submission job = record.job();
-        if (job.gang() || neverBegun(record)) {
+        Submission job = record.submission();
+        if (job.isGang() || neverBegun(record)) {
             return new Rank(0, record.arrived().toEpochMilli());
         }
-        List<Duration> ends = snapshot.targets().all(job);
+        List<Duration> ends = snapshot.objectives().all(job);
         Duration bestCase = Duration.ofMillis((long) (job.estimate().toMillis() * BEST_CASE));
         long work = Durations.times(job.estimate(), record.unplacedCount()).toMillis();
         int tier = 1;
@@ -96,7 +96,7 @@
     }
 
     private boolean neverBegun(JobRecord job) {
-        boolean untouched = job.allocations().isEmpty() && job.next() == 0;
+        boolean untouched = job.allocations().isEmpty() && job.nextTaskIndex() == 0;
         return untouched && Duration.between(job.arrived(), snapshot.now()).compareTo(BEGIN_WITHIN) > 0;
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/MachineRoom.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
@@ -9,7 +9,7 @@
 import org.dunespindle.storage.JobRecord;
 
 /** A machine's room while a plan is made. */
-final class MachineRoom {
+final class MachineCapacity {
     private final MachineSnapshot host;
     private Resources free;
     /** Room of tasks that are being stopped. */
@@ -33,11 +33,11 @@
     /** A task that may have to give way. */
     record Victim(JobRecord job, Allocation allocation) {
         Resources size() {
-            return job.job().perTask();
+            return job.submission().perTask();
         }
     }
 
-    MachineRoom(MachineSnapshot host) {
+    MachineCapacity(MachineSnapshot host) {
         this.host = host;
         this.free = host.size();
     }
@@ -140,14 +140,14 @@
 
     /** Takes room of a task that is there; where it may give way, it is remembered as a victim. */
     void occupy(JobRecord job, Allocation allocation) {
-        Resources one = job.job().perTask();
+        Resources one = job.submission().perTask();
         take(one);
         tasks++;
-        replicas += job.job().service() ? 1 : 0;
-        needsImage(job.job().image());
-        if (allocation.stopping() || !job.open() || job.mode() == JobRecord.Mode.STOP) {
+        replicas += job.submission().isService() ? 1 : 0;
+        needsImage(job.submission().image());
+        if (allocation.stopping() || !job.isOpen() || job.gangPhase() == JobRecord.GangPhase.STOPPING) {
             ending = ending.plus(one);
-        } else if (!job.job().gang()) {
+        } else if (!job.submission().isGang()) {
             victims.add(0, new Victim(job, allocation));
         }
     }
--- a/src/main/java/org/dunespindle/scheduling/MachineDemand.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineDemand.java
@@ -21,29 +21,29 @@
 
     /** Keeps room that higher jobs will need within seconds from lower work, which would have to give way again. */
     void keepFreeOf(JobRecord lower) {
-        for (Headroom.Phantom phantom : state.snapshot().phantoms()) {
+        for (DemandForecast.ForecastJob phantom : state.snapshot().forecastJobs()) {
             JobRecord expected = phantom.job();
-            if (expected.job().priority().compareTo(lower.job().priority()) > 0) {
+            if (expected.submission().priority().compareTo(lower.submission().priority()) > 0) {
                 kept.computeIfAbsent(expected.id(), id -> keepFree(phantom));
             }
         }
     }
 
     /** Keeps free room on machines that are up for what is likely to come within seconds; tells how many tasks' worth. */
-    private int keepFree(Headroom.Phantom phantom) {
-        Submission job = phantom.job().job();
-        int left = phantom.soon();
+    private int keepFree(DemandForecast.ForecastJob phantom) {
+        Submission job = phantom.job().submission();
+        int left = phantom.expectedSoon();
         if (left == 0) {
             return 0;
         }
         // Wherever it is: which zone the next job wants, or finds most room in, is not known.
-        for (MachineRoom machine : state.roomy(job, state.candidates(job), new ZoneRules(job), true)) {
+        for (MachineCapacity machine : state.roomy(job, state.candidates(job), new ZoneRules(job), true)) {
             while (left > 0 && machine.fits(job.perTask())) {
                 state.keep(job, machine);
                 left--;
             }
         }
-        return phantom.soon() - left;
+        return phantom.expectedSoon() - left;
     }
 
     /**
@@ -51,18 +51,18 @@
      * only rented then, each gang of a burst would wait for the boot of its own.
      */
     void ahead(JobRecord gang) {
-        Submission job = gang.job();
+        Submission job = gang.submission();
         int missing = gang.unplacedCount();
         if (!state.withinLimit(job, state.pending(job.team()), missing)) {
             return; // its turn is not near
         }
         keepRoom(gang, missing, state.candidates(job));
-        state.addPending(job.team(), job.wholeAsk());
+        state.addPending(job.team(), job.totalResources());
     }
 
     /** Keeps or asks for room for a typical job that has not come yet; it is wanted, but nothing is booked or evicted. */
     void expected(JobRecord phantom) {
-        Submission job = phantom.job();
+        Submission job = phantom.submission();
         int missing = job.tasks() - kept.getOrDefault(phantom.id(), 0);
         if (missing > 0) {
             ZoneRules zones = zoneChooser.rules(phantom);
@@ -71,13 +71,13 @@
     }
 
     /** Keeps room on some machines, in their order, and asks for more where they have too little. */
-    private void keepRoom(JobRecord job, int tasks, List<MachineRoom> machines) {
+    private void keepRoom(JobRecord job, int tasks, List<MachineCapacity> machines) {
         ZoneRules zones = zoneChooser.rules(job);
-        Resources one = job.job().perTask();
+        Resources one = job.submission().perTask();
         int missing = tasks;
-        for (MachineRoom machine : machines) {
+        for (MachineCapacity machine : machines) {
             while (missing > 0 && machine.fits(one) && zones.allows(machine.host())) {
-                state.keep(job.job(), machine);
+                state.keep(job.submission(), machine);
                 zones.add(machine.host().zone());
                 missing--;
             }
--- a/src/main/java/org/dunespindle/scheduling/MachineSnapshot.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineSnapshot.java
@@ -11,5 +11,5 @@
         boolean spot,
         Resources size,
         boolean up,
-        boolean mine,
+        boolean owned,
         Set<String> images) {}
--- a/src/main/java/org/dunespindle/scheduling/Plan.java
+++ b/src/main/java/org/dunespindle/scheduling/Plan.java
@@ -13,12 +13,12 @@
  * @param moves replicas that are to run elsewhere
  */
 public record Plan(
-        List<Binding> bookings,
+        List<Binding> bindings,
         List<Eviction> evictions,
         List<Shortfall> shortfalls,
         Map<String, String> reasons,
-        Set<String> wantedHosts,
-        Set<String> gangHosts,
+        Set<String> wantedMachines,
+        Set<String> gangMachines,
         List<Eviction> moves) {
     public static final Plan NONE = new Plan(List.of(), List.of(), List.of(), Map.of(), Set.of(), Set.of(), List.of());
 }
--- a/src/main/java/org/dunespindle/scheduling/PlanState.java
+++ b/src/main/java/org/dunespindle/scheduling/PlanState.java
@@ -29,9 +29,9 @@
     private static final int MOST_OTHER_FETCHES = 2;
 
     private final ClusterSnapshot snapshot;
-    private final List<MachineRoom> machines = new ArrayList<>();
-    private final Map<String, MachineRoom> byId;
-    private final TeamUse use;
+    private final List<MachineCapacity> machines = new ArrayList<>();
+    private final Map<String, MachineCapacity> byId;
+    private final TeamUsage use;
     private final List<Binding> bookings = new ArrayList<>();
     private final List<Eviction> evictions = new ArrayList<>();
     private final List<Eviction> moves = new ArrayList<>();
@@ -49,10 +49,10 @@
     /** Most jobs have no ended task, and looking one up costs more than asking for its job. */
     private final Set<String> jobsWithEnded = new HashSet<>();
 
-    private final Map<Eligibility, List<MachineRoom>> candidates = new HashMap<>();
-    private final Map<ImageEligibility, List<MachineRoom>> candidatesWithImage = new HashMap<>();
+    private final Map<Eligibility, List<MachineCapacity>> candidates = new HashMap<>();
+    private final Map<ImageEligibility, List<MachineCapacity>> candidatesWithImage = new HashMap<>();
     /** Machines by the images that they have, worked out when first asked for. */
-    private final Map<String, List<MachineRoom>> byImage = new HashMap<>();
+    private final Map<String, List<MachineCapacity>> byImage = new HashMap<>();
 
     /** Which machines a job may use. */
     private record Eligibility(boolean spot, Optional<String> zone, Optional<List<String>> types) {
@@ -69,9 +69,9 @@
         this.snapshot = snapshot;
         this.use = snapshot.projection().use();
         snapshot.ended().forEach(ended -> jobsWithEnded.add(ended.job()));
-        byId = new HashMap<>(snapshot.hosts().size() * 2);
-        for (MachineSnapshot host : snapshot.hosts()) {
-            var machine = new MachineRoom(host);
+        byId = new HashMap<>(snapshot.machines().size() * 2);
+        for (MachineSnapshot host : snapshot.machines()) {
+            var machine = new MachineCapacity(host);
             machines.add(machine);
             byId.put(host.id(), machine);
         }
@@ -82,7 +82,7 @@
     /** What others stored takes its room even where this controller's own proposal for the job does not know of it. */
     private void occupyHidden(ProjectedJob job) {
         for (Allocation allocation : job.hidden()) {
-            MachineRoom machine = byId.get(allocation.host());
+            MachineCapacity machine = byId.get(allocation.machineId());
             if (machine != null && !ended(job.stored(), allocation)) {
                 machine.occupy(job.stored(), allocation);
             }
@@ -91,7 +91,7 @@
 
     private void occupy(JobRecord job) {
         for (Allocation allocation : job.allocations()) {
-            MachineRoom machine = byId.get(allocation.host());
+            MachineCapacity machine = byId.get(allocation.machineId());
             if (ended(job, allocation)) {
                 endedOf.merge(job.id(), 1, Integer::sum);
             } else if (machine != null) {
@@ -102,11 +102,11 @@
 
     private boolean ended(JobRecord job, Allocation allocation) {
         return jobsWithEnded.contains(job.id())
-                && snapshot.ended().contains(new TaskAttempt(job.id(), allocation.task(), allocation.base()));
+                && snapshot.ended().contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
     }
 
     /** A machine that the plan knows of. */
-    Optional<MachineRoom> machine(String id) {
+    Optional<MachineCapacity> machine(String id) {
         return Optional.ofNullable(byId.get(id));
     }
 
@@ -167,19 +167,19 @@
     }
 
     /** Takes room for a task, and its part of the team's limit. */
-    void take(Submission job, MachineRoom machine) {
+    void take(Submission job, MachineCapacity machine) {
         machine.take(job.perTask());
         machine.plan();
         machine.needsImage(job.image());
         use.add(job, 1);
         wanted.add(machine.host().id());
-        if (job.gang()) {
+        if (job.isGang()) {
             gangHosts.add(machine.host().id());
         }
     }
 
     /** Keeps room for a task that is not placed now. */
-    void keep(Submission job, MachineRoom machine) {
+    void keep(Submission job, MachineCapacity machine) {
         machine.take(job.perTask());
         machine.plan();
         wanted.add(machine.host().id());
@@ -191,12 +191,12 @@
         }
     }
 
-    void evict(MachineRoom.Victim victim, JobRecord forJob) {
+    void evict(MachineCapacity.Victim victim, JobRecord forJob) {
         evictions.add(new Eviction(victim.job(), victim.allocation(), forJob.id()));
     }
 
     /** Notes that a replica is to run elsewhere. */
-    void move(MachineRoom.Victim replica) {
+    void move(MachineCapacity.Victim replica) {
         moves.add(
                 new Eviction(replica.job(), replica.allocation(), replica.job().id()));
     }
@@ -216,9 +216,9 @@
     }
 
     /** Machines that the job may use, wherever its zone rules lead it. Worked out once for all jobs that ask alike: most do. */
-    List<MachineRoom> candidates(Submission job) {
+    List<MachineCapacity> candidates(Submission job) {
         var asked = new Eligibility(job.spot(), job.zone(), job.types());
-        List<MachineRoom> known = candidates.get(asked);
+        List<MachineCapacity> known = candidates.get(asked);
         if (known == null) {
             known = eligible(machines, asked);
             candidates.put(asked, known);
@@ -226,9 +226,9 @@
         return known;
     }
 
-    private static List<MachineRoom> eligible(List<MachineRoom> machines, Eligibility asked) {
-        var list = new ArrayList<MachineRoom>();
-        for (MachineRoom machine : machines) {
+    private static List<MachineCapacity> eligible(List<MachineCapacity> machines, Eligibility asked) {
+        var list = new ArrayList<MachineCapacity>();
+        for (MachineCapacity machine : machines) {
             if (asked.includes(machine.host())) {
                 list.add(machine);
             }
@@ -237,9 +237,9 @@
     }
 
     /** Those of the machines that the job may use which have its image. */
-    List<MachineRoom> candidatesWithImage(Submission job) {
+    List<MachineCapacity> candidatesWithImage(Submission job) {
         var key = new ImageEligibility(new Eligibility(job.spot(), job.zone(), job.types()), job.image());
-        List<MachineRoom> known = candidatesWithImage.get(key);
+        List<MachineCapacity> known = candidatesWithImage.get(key);
         if (known == null) {
             known = eligible(byImage().getOrDefault(job.image(), List.of()), key.machines);
             candidatesWithImage.put(key, known);
@@ -247,9 +247,9 @@
         return known;
     }
 
-    private Map<String, List<MachineRoom>> byImage() {
+    private Map<String, List<MachineCapacity>> byImage() {
         if (byImage.isEmpty()) {
-            for (MachineRoom machine : machines) {
+            for (MachineCapacity machine : machines) {
                 for (String image : machine.host().images()) {
                     byImage.computeIfAbsent(image, key -> new ArrayList<>()).add(machine);
                 }
@@ -259,9 +259,9 @@
     }
 
     /** Of some machines those with room, the best first. */
-    List<MachineRoom> roomy(Submission job, Collection<MachineRoom> candidates, ZoneRules zones, boolean upOnly) {
-        var list = new ArrayList<MachineRoom>();
-        for (MachineRoom machine : candidates) {
+    List<MachineCapacity> roomy(Submission job, Collection<MachineCapacity> candidates, ZoneRules zones, boolean upOnly) {
+        var list = new ArrayList<MachineCapacity>();
+        for (MachineCapacity machine : candidates) {
             boolean ready = !upOnly || machine.host().up();
             if (ready && machine.fits(job.perTask()) && zones.allows(machine.host())) {
                 machine.score(score(job, machine));
@@ -273,7 +273,7 @@
     }
 
     /** Up before booting, a fetched image before a cheap kind, cheap kinds before dear ones, few fetches before many, full before empty. */
-    static double score(Submission job, MachineRoom machine) {
+    static double score(Submission job, MachineCapacity machine) {
         MachineSnapshot host = machine.host();
         Resources size = host.size();
         double fill = size.gpus() > 0
@@ -284,7 +284,7 @@
         return ready + cheap + imageScore(job.image(), machine) + fill;
     }
 
-    private static double imageScore(String image, MachineRoom machine) {
+    private static double imageScore(String image, MachineCapacity machine) {
         if (machine.hasImage(image)) {
             return IMAGE;
         }
@@ -298,7 +298,7 @@
     Map<String, Integer> zonesTaken(JobRecord job) {
         var taken = new HashMap<String, Integer>();
         for (Allocation allocation : job.allocations()) {
-            MachinePool place = snapshot.whereabouts().get(allocation.host());
+            MachinePool place = snapshot.pools().get(allocation.machineId());
             if (place != null) {
                 taken.merge(place.zone(), 1, Integer::sum);
             }
--- a/src/main/java/org/dunespindle/scheduling/Planner.java
+++ b/src/main/java/org/dunespindle/scheduling/Planner.java
@@ -33,11 +33,11 @@
         var sums = new HashMap<String, Resources>();
         var within = new HashSet<String>();
         jobs.stream()
-                .filter(JobRecord::open)
+                .filter(JobRecord::isOpen)
                 .sorted(Comparator.comparing(JobRecord::arrived).thenComparing(JobRecord::id))
                 .forEach(j -> {
-                    Resources sum = sums.merge(j.job().team(), j.job().wholeAsk(), Resources::plus);
-                    Settings.Team team = teams.get(j.job().team());
+                    Resources sum = sums.merge(j.submission().team(), j.submission().totalResources(), Resources::plus);
+                    Settings.Team team = teams.get(j.submission().team());
                     if (team != null && team.withinGuarantee(sum)) {
                         within.add(j.id());
                     }
@@ -62,7 +62,7 @@
         private final GangPlanner gangs;
         private final ArrayPlanner arrays;
         private final ServicePlanner services;
-        private final ReplicaMoves replicaMoves;
+        private final ServiceRebalancer replicaMoves;
         private final MachineDemand demand;
         private final List<JobRecord> alike = new ArrayList<>();
         private final List<JobRecord> queued = new ArrayList<>();
@@ -75,7 +75,7 @@
             gangs = new GangPlanner(state, zoneChooser);
             arrays = new ArrayPlanner(state, zoneChooser);
             services = new ServicePlanner(state, zoneChooser);
-            replicaMoves = new ReplicaMoves(state, zoneChooser);
+            replicaMoves = new ServiceRebalancer(state, zoneChooser);
             demand = new MachineDemand(state, zoneChooser);
         }
 
@@ -91,12 +91,12 @@
             placeArrays();
             queued.stream().limit(MOST_AHEAD).forEach(demand::ahead);
             replicaMoves.plan();
-            state.snapshot().phantoms().forEach(phantom -> demand.expected(phantom.job()));
+            state.snapshot().forecastJobs().forEach(phantom -> demand.expected(phantom.job()));
             return state.plan();
         }
 
         private void consider(JobRecord job) {
-            boolean gang = job.job().gang();
+            boolean gang = job.submission().isGang();
             if (!gang) {
                 demand.keepFreeOf(job);
             }
@@ -104,14 +104,14 @@
                     job.notBefore().filter(t -> t.isAfter(state.snapshot().now()));
             if (pause.isPresent()) {
                 state.waitsForNow(job, "its tasks fail or were refused; tried again at " + pause.get());
-            } else if (job.job().service()) {
+            } else if (job.submission().isService()) {
                 services.place(job);
             } else if (!gang) {
                 alike.add(job);
             } else if (queues.mayPlace(job)) {
                 gangs.place(job);
             } else {
-                String head = queues.head(job.job().team()).map(JobRecord::id).orElse("another");
+                String head = queues.head(job.submission().team()).map(JobRecord::id).orElse("another");
                 state.waitsForNow(job, "behind gang " + head + " of its team");
                 queued.add(job);
             }
--- a/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
@@ -22,7 +22,7 @@
     private final PlanState state;
 
     /** A way for one member to find room on a machine. */
-    private record Option(MachineRoom machine, List<MachineRoom.Victim> victims, long cost) {}
+    private record Option(MachineCapacity machine, List<MachineCapacity.Victim> victims, long cost) {}
 
     PreemptionPlanner(PlanState state) {
         this.state = state;
@@ -32,15 +32,15 @@
      * Priority decides both who gives way and who is planned first: were that not the same order, lower work would
      * take the freed room back at once, and the job would evict again and again.
      */
-    static boolean mayEvict(JobRecord job, MachineRoom.Victim victim) {
-        return victim.job().job().priority().compareTo(job.job().priority()) < 0;
+    static boolean mayEvict(JobRecord job, MachineCapacity.Victim victim) {
+        return victim.job().submission().priority().compareTo(job.submission().priority()) < 0;
     }
 
     /** Makes room where lower tasks lose least by giving way; tells how many members still lack a place. */
-    int makeRoom(JobRecord job, List<MachineRoom> candidates, ZoneRules zones, int members) {
+    int makeRoom(JobRecord job, List<MachineCapacity> candidates, ZoneRules zones, int members) {
         var options = new PriorityQueue<Option>(Comparator.comparingLong(Option::cost)
                 .thenComparing(o -> o.machine.host().id()));
-        for (MachineRoom machine : candidates) {
+        for (MachineCapacity machine : candidates) {
             if (machine.host().up() && zones.allows(machine.host())) {
                 option(job, machine).ifPresent(options::add);
             }
@@ -62,21 +62,21 @@
     private void carryOut(JobRecord job, Option chosen) {
         chosen.machine.promise(chosen.victims);
         chosen.victims.forEach(victim -> state.evict(victim, job));
-        state.take(job.job(), chosen.machine);
+        state.take(job.submission(), chosen.machine);
         state.waits(
                 job,
                 "waits for lower work to give way on " + chosen.machine.host().id());
     }
 
     /** How one member finds room on a machine; empty if no lower work there makes any. */
-    private Optional<Option> option(JobRecord job, MachineRoom machine) {
+    private Optional<Option> option(JobRecord job, MachineCapacity machine) {
         if (!machine.canBeFreed()) {
             return Optional.empty();
         }
-        Resources one = job.job().perTask();
+        Resources one = job.submission().perTask();
         Resources free = machine.freeSoon();
-        var chosen = new ArrayList<MachineRoom.Victim>(2);
-        for (MachineRoom.Victim victim : machine.victims()) {
+        var chosen = new ArrayList<MachineCapacity.Victim>(2);
+        for (MachineCapacity.Victim victim : machine.victims()) {
             if (one.fitsIn(free)) {
                 break;
             }
@@ -90,23 +90,23 @@
                 : Optional.empty();
     }
 
-    private long cost(JobRecord job, MachineRoom machine, List<MachineRoom.Victim> chosen) {
+    private long cost(JobRecord job, MachineCapacity machine, List<MachineCapacity.Victim> chosen) {
         if (chosen.isEmpty()) {
             return -1; // tasks already being stopped cost nothing more; no second machine must be emptied beside them
         }
-        long cost = machine.hasImage(job.job().image()) ? 0 : FETCH_COST.toMillis();
-        for (MachineRoom.Victim victim : chosen) {
+        long cost = machine.hasImage(job.submission().image()) ? 0 : FETCH_COST.toMillis();
+        for (MachineCapacity.Victim victim : chosen) {
             cost += STOP_COST + lost(victim).toMillis();
         }
         return cost;
     }
 
     /** The work that stopping a task throws away: what it did since it started, or since it last saved. */
-    private Duration lost(MachineRoom.Victim victim) {
-        Submission job = victim.job().job();
-        var started = new JobAttempt(victim.job().id(), victim.allocation().base());
-        Duration done = state.snapshot().progress().apply(started);
-        Duration kept = job.saves() ? job.checkpointEvery() : MOST_LOST;
+    private Duration lost(MachineCapacity.Victim victim) {
+        Submission job = victim.job().submission();
+        var started = new JobAttempt(victim.job().id(), victim.allocation().attemptBase());
+        Duration done = state.snapshot().elapsed().apply(started);
+        Duration kept = job.checkpoints() ? job.checkpointEvery() : MOST_LOST;
         return done.compareTo(kept) > 0 ? kept : done;
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/ProjectedJobs.java
+++ b/src/main/java/org/dunespindle/scheduling/ProjectedJobs.java
@@ -38,7 +38,7 @@
     }
 
     /** What counts against the teams' limits. */
-    public TeamUse use() {
-        return TeamUse.counted(all);
+    public TeamUsage use() {
+        return TeamUsage.counted(all);
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/TeamLedger.java
+++ b/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
@@ -16,20 +16,20 @@
  * added unseen. Where that bound is too coarse for what is asked, the shares are closed first: from then on
  * every placement writes the record, so a view that reaches up to it shows the exact use.
  */
-public final class TeamLedger {
+public final class QuotaAdmission {
     /** Stands for no limit; sums of it stay exact enough to compare. */
     private static final double NO_LIMIT = 1e12;
     /** Smaller shares would be used up at once, so the record is written with every placement instead. */
     private static final double LEAST_SHARE = 0.04;
 
-    private TeamLedger() {}
+    private QuotaAdmission() {}
 
     /** A team's record. */
-    public record Entry(Resources bound, Resources share) {
-        static final Entry NONE = new Entry(Resources.NONE, Resources.NONE);
+    public record Reservation(Resources bound, Resources share) {
+        static final Reservation NONE = new Reservation(Resources.NONE, Resources.NONE);
 
-        public static Entry parse(Optional<JsonNode> stored) {
-            return stored.map(n -> new Entry(
+        public static Reservation parse(Optional<JsonNode> stored) {
+            return stored.map(n -> new Reservation(
                             new Resources(
                                     n.path("cpus").asDouble(), n.path("gpus").asDouble(), 0),
                             new Resources(
@@ -53,18 +53,18 @@
     }
 
     /** How a placement may go ahead. */
-    public sealed interface Way {
+    public sealed interface Decision {
         /** Guarded by the record's stamp alone. */
-        record Guard() implements Way {}
+        record Admit() implements Decision {}
 
         /** Together with this new record. */
-        record Write(Entry entry) implements Way {}
+        record AdmitWithReservation(Reservation reservation) implements Decision {}
 
         /** Not yet: this record, which closes the shares, is to be written first. */
-        record Close(Entry entry) implements Way {}
+        record RevokeShares(Reservation reservation) implements Decision {}
 
         /** Not now. */
-        record Wait(WaitReason reason) implements Way {}
+        record Defer(WaitReason reason) implements Decision {}
     }
 
     /** Why nothing may be placed now. */
@@ -93,42 +93,42 @@
      * @param upToDate whether the view reaches up to the record
      * @param use all allocations as stored, with what this controller has proposed beside them; never less than is stored at the record
      */
-    public record View(
+    public record QuotaView(
             Settings.Team team,
-            int names,
-            Entry entry,
+            int controllers,
+            Reservation reservation,
             boolean entitled,
-            Resources spent,
-            Resources unsure,
+            Resources usedUnderReservation,
+            Resources unacknowledged,
             boolean upToDate,
             Resources use) {}
 
-    public static Way way(View v, Resources need) {
-        if (v.entitled && !v.entry.closed() && within(v.spent.plus(need), v.entry.share)) {
-            return new Way.Guard();
+    public static Decision decide(QuotaView v, Resources need) {
+        if (v.entitled && !v.reservation.closed() && within(v.usedUnderReservation.plus(need), v.reservation.share)) {
+            return new Decision.Admit();
         }
         if (!v.upToDate) {
-            return new Way.Wait(WaitReason.VIEW_BEHIND_RECORD);
+            return new Decision.Defer(WaitReason.VIEW_BEHIND_RECORD);
         }
-        Resources bound = v.use.plus(v.entry.share.times(v.entitled ? v.names - 1 : v.names))
-                .plus(v.unsure);
+        Resources bound = v.use.plus(v.reservation.share.times(v.entitled ? v.controllers - 1 : v.controllers))
+                .plus(v.unacknowledged);
         if (v.team.withinLimit(bound.plus(need))) {
-            return new Way.Write(open(v.team, bound.plus(need), v.names));
+            return new Decision.AdmitWithReservation(open(v.team, bound.plus(need), v.controllers));
         }
         // What may or may not have been stored counts until it cannot be any more: a new record voids what is still
         // under way, and
         // shows what was stored. Without that a team near its limit would wait for ever after a few answers that stayed
         // out.
-        boolean unsure = v.unsure.cpus() > 0 || v.unsure.gpus() > 0;
-        return v.entry.closed() && !unsure
-                ? new Way.Wait(WaitReason.LIMIT_REACHED)
-                : new Way.Close(new Entry(bound, Resources.NONE));
+        boolean unsure = v.unacknowledged.cpus() > 0 || v.unacknowledged.gpus() > 0;
+        return v.reservation.closed() && !unsure
+                ? new Decision.Defer(WaitReason.LIMIT_REACHED)
+                : new Decision.RevokeShares(new Reservation(bound, Resources.NONE));
     }
 
-    private static Entry open(Settings.Team team, Resources bound, int names) {
+    private static Reservation open(Settings.Team team, Resources bound, int names) {
         double cpus = share(team.cpusMax(), bound.cpus(), names);
         double gpus = share(team.gpusMax(), bound.gpus(), names);
-        return new Entry(bound, cpus == 0 || gpus == 0 ? Resources.NONE : new Resources(cpus, gpus, 0));
+        return new Reservation(bound, cpus == 0 || gpus == 0 ? Resources.NONE : new Resources(cpus, gpus, 0));
     }
 
     private static double share(double most, double used, int names) {
--- a/src/main/java/org/dunespindle/scheduling/Targets.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceLevelObjectives.java
@@ -10,12 +10,12 @@
 import org.dunespindle.protocol.Submission;
 
 /** The times within which jobs should be done: multiples of their own deadline, or those that the operators aim at for their class. */
-public final class Targets {
+public final class ServiceLevelObjectives {
     private final Map<String, TreeSet<Duration>> finished = new HashMap<>();
     private final Map<String, TreeSet<Double>> deadlines = new HashMap<>();
 
     /** Takes the completion objectives from the settings. */
-    public Targets(List<Settings.Objective> objectives) {
+    public ServiceLevelObjectives(List<Settings.Objective> objectives) {
         for (Settings.Objective o : objectives) {
             if (o.kind().equals("finished")) {
                 finished.computeIfAbsent(o.jobClass(), c -> new TreeSet<>()).add(o.within());
--- a/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
@@ -53,8 +53,8 @@
     private static List<Resources> acceleratorAsks(List<JobRecord> jobs) {
         var asks = new HashSet<Resources>();
         for (JobRecord job : jobs) {
-            if (job.open() && job.job().perTask().gpus() > 0) {
-                asks.add(job.job().perTask());
+            if (job.isOpen() && job.submission().perTask().gpus() > 0) {
+                asks.add(job.submission().perTask());
             }
         }
         return List.copyOf(asks);
@@ -73,7 +73,7 @@
 
         Progress(JobRecord record) {
             this.record = record;
-            this.job = record.job();
+            this.job = record.submission();
             this.zones = zoneChooser.rules(record);
             this.perZone = state.zonesTaken(record);
             int underWay = record.allocations().size();
@@ -82,11 +82,11 @@
             this.left = state.allowed(job, Resources.NONE, Math.min(room, record.unplacedCount()));
             this.unplaced = record.unplaced(left).iterator();
             for (Allocation allocation : record.allocations()) {
-                perMachine.merge(allocation.host(), 1, Integer::sum);
+                perMachine.merge(allocation.machineId(), 1, Integer::sum);
             }
         }
 
-        void take(MachineRoom machine) {
+        void take(MachineCapacity machine) {
             state.take(job, machine);
             machine.addReplica();
             zones.add(machine.host().zone());
@@ -103,9 +103,9 @@
         if (service.left < missing) {
             state.waits(record, "its team's limit is used up, or its replicas fail and are tried one at a time");
         }
-        List<MachineRoom> candidates = state.candidates(service.job);
-        List<MachineRoom> commanded =
-                candidates.stream().filter(machine -> machine.host().mine()).toList();
+        List<MachineCapacity> candidates = state.candidates(service.job);
+        List<MachineCapacity> commanded =
+                candidates.stream().filter(machine -> machine.host().owned()).toList();
         boolean others = state.snapshot().leftAlone().contains(record.id());
         // Only what is commanded here can be booked here; the rest is looked at for what is missing in all.
         fill(service, commanded, true);
@@ -130,13 +130,13 @@
         }
     }
 
-    private void fill(Progress service, List<MachineRoom> candidates, boolean upOnly) {
+    private void fill(Progress service, List<MachineCapacity> candidates, boolean upOnly) {
         while (service.left > 0) {
-            Optional<MachineRoom> best = best(service, candidates, upOnly);
+            Optional<MachineCapacity> best = best(service, candidates, upOnly);
             if (best.isEmpty()) {
                 return;
             }
-            MachineRoom machine = best.get();
+            MachineCapacity machine = best.get();
             service.take(machine);
             if (machine.bookable()) {
                 service.places.put(service.unplaced.next(), machine.host().id());
@@ -146,10 +146,10 @@
         }
     }
 
-    private Optional<MachineRoom> best(Progress service, List<MachineRoom> candidates, boolean upOnly) {
-        MachineRoom best = null;
+    private Optional<MachineCapacity> best(Progress service, List<MachineCapacity> candidates, boolean upOnly) {
+        MachineCapacity best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
-        for (MachineRoom machine : candidates) {
+        for (MachineCapacity machine : candidates) {
             boolean ready = machine.bookable() || !upOnly;
             if (ready && machine.fits(service.job.perTask()) && service.zones.allows(machine.host())) {
                 double score = score(service, machine);
@@ -162,7 +162,7 @@
         return Optional.ofNullable(best);
     }
 
-    private double score(Progress service, MachineRoom machine) {
+    private double score(Progress service, MachineCapacity machine) {
         double score = PlanState.score(service.job, machine);
         int here = service.perMachine.getOrDefault(machine.host().id(), 0);
         score -= SAME_SERVICE * here * here;
@@ -178,14 +178,14 @@
     }
 
     /** How soon a replica would run on a machine, as far as fetches decide it. */
-    static double startsSoon(Submission job, MachineRoom machine) {
+    static double startsSoon(Submission job, MachineCapacity machine) {
         if (machine.hasImage(job.image())) {
             return IMAGE_THERE;
         }
         return machine.fetches().isEmpty() ? 0 : -FETCHES;
     }
 
-    private boolean displaces(Resources replica, MachineRoom machine) {
+    private boolean displaces(Resources replica, MachineCapacity machine) {
         Resources free = machine.free();
         Resources after = free.minus(replica);
         for (Resources ask : acceleratorAsks) {
--- a/src/main/java/org/dunespindle/scheduling/ReplicaMoves.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
@@ -11,7 +11,7 @@
  * Moves replicas off machines that are about to go, each only where room is found for it elsewhere, and gently off machines
  * that nothing but a few replicas keeps. A replica runs elsewhere only once its end here is confirmed.
  */
-final class ReplicaMoves {
+final class ServiceRebalancer {
     /** How long a replica that needs not move stays where it is. */
     private static final Duration STAYS = Duration.ofSeconds(300);
     /** Replicas on a machine that nothing else keeps, up to which it is emptied: each move is a moment without the replica. */
@@ -22,7 +22,7 @@
     private final PlanState state;
     private final ZoneChooser zoneChooser;
 
-    ReplicaMoves(PlanState state, ZoneChooser zoneChooser) {
+    ServiceRebalancer(PlanState state, ZoneChooser zoneChooser) {
         this.state = state;
         this.zoneChooser = zoneChooser;
     }
@@ -31,7 +31,7 @@
     void plan() {
         boolean mayEmpty = true;
         for (JobRecord record : state.snapshot().jobs()) {
-            if (record.open() && record.job().service()) {
+            if (record.isOpen() && record.submission().isService()) {
                 mayEmpty = move(record, mayEmpty);
             }
         }
@@ -47,15 +47,15 @@
             if (allocation.stopping()) {
                 continue;
             }
-            boolean departs = state.snapshot().departing().contains(allocation.host());
+            boolean departs = state.snapshot().departing().contains(allocation.machineId());
             if (!departs && !(settled && emptied(record, allocation))) {
                 continue;
             }
-            Optional<MachineRoom> target = target(record, allocation, departs);
+            Optional<MachineCapacity> target = target(record, allocation, departs);
             if (target.isPresent()) {
-                state.take(record.job(), target.get());
+                state.take(record.submission(), target.get());
                 target.get().addReplica();
-                state.move(new MachineRoom.Victim(record, allocation));
+                state.move(new MachineCapacity.Victim(record, allocation));
                 settled = false;
                 mayEmptyNext &= departs;
             } else if (departs) {
@@ -68,10 +68,10 @@
     /** Room for a replica that has to leave and finds none: on a machine that boots, or on one to be rented. */
     private void askForRoom(JobRecord record, Allocation leaving) {
         ZoneRules zones = zoneChooser.rulesWithout(record, leaving);
-        for (MachineRoom machine : state.candidates(record.job())) {
+        for (MachineCapacity machine : state.candidates(record.submission())) {
             boolean boots = !machine.host().up();
-            if (boots && machine.fits(record.job().perTask()) && zones.allows(machine.host())) {
-                state.keep(record.job(), machine);
+            if (boots && machine.fits(record.submission().perTask()) && zones.allows(machine.host())) {
+                state.keep(record.submission(), machine);
                 return;
             }
         }
@@ -80,33 +80,33 @@
 
     /** Whether an allocation is one of a few replicas that alone keep their machine, and has been for a while. */
     private boolean emptied(JobRecord record, Allocation allocation) {
-        Optional<MachineRoom> machine = state.machine(allocation.host());
-        var started = new JobAttempt(record.id(), allocation.base());
+        Optional<MachineCapacity> machine = state.machine(allocation.machineId());
+        var started = new JobAttempt(record.id(), allocation.attemptBase());
         return machine.isPresent()
                 && machine.get().onlyReplicas()
                 && machine.get().replicas() <= FEW_REPLICAS
-                && state.snapshot().progress().apply(started).compareTo(STAYS) > 0;
+                && state.snapshot().elapsed().apply(started).compareTo(STAYS) > 0;
     }
 
     /** The best machine for a replica that leaves another, if any is worth it. */
-    private Optional<MachineRoom> target(JobRecord record, Allocation leaving, boolean departs) {
+    private Optional<MachineCapacity> target(JobRecord record, Allocation leaving, boolean departs) {
         Set<String> taken = placesWithout(record, leaving);
         ZoneRules zones = zoneChooser.rulesWithout(record, leaving);
-        MachineRoom best = null;
+        MachineCapacity best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
-        for (MachineRoom machine : state.candidates(record.job())) {
-            boolean elsewhere = !machine.host().id().equals(leaving.host());
-            boolean room = machine.bookable() && machine.fits(record.job().perTask());
+        for (MachineCapacity machine : state.candidates(record.submission())) {
+            boolean elsewhere = !machine.host().id().equals(leaving.machineId());
+            boolean room = machine.bookable() && machine.fits(record.submission().perTask());
             boolean beside = taken.contains(machine.host().id());
             boolean worth = departs
                     || !beside
                             && keptAnyway(machine)
-                            && machine.hasImage(record.job().image());
+                            && machine.hasImage(record.submission().image());
             if (!elsewhere || !room || !worth || !zones.allows(machine.host())) {
                 continue;
             }
-            double score = PlanState.score(record.job(), machine)
-                    + ServicePlanner.startsSoon(record.job(), machine)
+            double score = PlanState.score(record.submission(), machine)
+                    + ServicePlanner.startsSoon(record.submission(), machine)
                     - (beside ? BESIDE_ANOTHER : 0);
             if (score > bestScore) {
                 best = machine;
@@ -120,14 +120,14 @@
         var places = new HashSet<String>();
         for (Allocation allocation : record.allocations()) {
             if (!allocation.equals(leaving)) {
-                places.add(allocation.host());
+                places.add(allocation.machineId());
             }
         }
         return places;
     }
 
     /** Whether a machine is not kept for a few replicas alone. */
-    private static boolean keptAnyway(MachineRoom machine) {
+    private static boolean keptAnyway(MachineCapacity machine) {
         boolean otherWork = machine.used() && !machine.onlyReplicas();
         return otherWork || machine.replicas() > FEW_REPLICAS;
     }
--- a/src/main/java/org/dunespindle/scheduling/TaskAttempt.java
+++ b/src/main/java/org/dunespindle/scheduling/TaskAttempt.java
@@ -1,4 +1,4 @@
 package org.dunespindle.scheduling;
 
 /** An allocation whose task has ended. */
-public record TaskAttempt(String job, int task, long base) {}
+public record TaskAttempt(String job, int task, long attemptBase) {}
--- a/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
@@ -36,18 +36,18 @@
     /** The rules for a job's zones, with a zone chosen if it needs a single one and is in none yet. */
     ZoneRules rules(JobRecord job) {
         Map<String, Integer> taken = state.zonesTaken(job);
-        boolean choose = job.job().sameZone() && job.job().zone().isEmpty() && taken.isEmpty();
-        return new ZoneRules(job.job(), taken, choose ? best(job, job.unplacedCount()) : Optional.empty());
+        boolean choose = job.submission().sameZone() && job.submission().zone().isEmpty() && taken.isEmpty();
+        return new ZoneRules(job.submission(), taken, choose ? best(job, job.unplacedCount()) : Optional.empty());
     }
 
     /** The rules for a job of which one task leaves its place. */
     ZoneRules rulesWithout(JobRecord job, Allocation leaving) {
         Map<String, Integer> taken = state.zonesTaken(job);
-        MachinePool place = state.snapshot().whereabouts().get(leaving.host());
+        MachinePool place = state.snapshot().pools().get(leaving.machineId());
         if (place != null) {
             taken.computeIfPresent(place.zone(), (zone, count) -> count > 1 ? count - 1 : null);
         }
-        return new ZoneRules(job.job(), taken, Optional.empty());
+        return new ZoneRules(job.submission(), taken, Optional.empty());
     }
 
     /** The zone that serves most of the job now, then by lower work giving way, then soon. */
@@ -65,10 +65,10 @@
     }
 
     private Map<String, Room> rooms(JobRecord job, int missing) {
-        Submission spec = job.job();
+        Submission spec = job.submission();
         int most = Math.min(MOST_COUNTED, missing);
         var rooms = new HashMap<String, Room>();
-        for (MachineRoom machine : state.candidates(spec)) {
+        for (MachineCapacity machine : state.candidates(spec)) {
             int fits = Planner.fitCount(spec.perTask(), machine.free(), most);
             Room room = rooms.computeIfAbsent(machine.host().zone(), z -> new Room());
             if (!machine.host().up()) {
--- a/src/main/java/org/dunespindle/storage/AllocationIndex.java
+++ b/src/main/java/org/dunespindle/storage/AllocationIndex.java
@@ -64,9 +64,9 @@
         if (before.isEmpty() || after.isEmpty()) {
             return before.isPresent() != after.isPresent();
         }
-        return before.get().open() != after.get().open()
-                || before.get().mode() != after.get().mode()
-                || before.get().attempt() != after.get().attempt();
+        return before.get().isOpen() != after.get().isOpen()
+                || before.get().gangPhase() != after.get().gangPhase()
+                || before.get().gangAttempt() != after.get().gangAttempt();
     }
 
     private static Map<String, List<Allocation>> byHost(Optional<JobRecord> job) {
@@ -75,7 +75,7 @@
         }
         var map = new HashMap<String, List<Allocation>>();
         for (Allocation allocation : job.get().allocations()) {
-            map.computeIfAbsent(allocation.host(), host -> new ArrayList<>(2)).add(allocation);
+            map.computeIfAbsent(allocation.machineId(), host -> new ArrayList<>(2)).add(allocation);
         }
         return map;
     }
--- a/src/main/java/org/dunespindle/storage/CutJobs.java
+++ b/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 
 /** The main values and parts of job records that do not fit into one value, as they are stored. */
-final class CutJobs {
+final class ChunkedJobRecords {
     private final Map<String, JsonNode> mains = new HashMap<>();
     private final Map<String, Map<Integer, String>> parts = new HashMap<>();
     private Set<String> changed = new TreeSet<>();
@@ -29,14 +29,14 @@
     }
 
     /** Takes the value of a part, by its key. */
-    void putPart(String key, Optional<JsonNode> value) throws MalformedException {
+    void putPart(String key, Optional<JsonNode> value) throws MalformedMessageException {
         int slash = key.lastIndexOf('/');
         String id = key.substring(Math.min(slash, Keys.PART.length()), slash);
         int index;
         try {
             index = Integer.parseInt(key.substring(slash + 1));
         } catch (NumberFormatException e) {
-            throw new MalformedException("it names no part");
+            throw new MalformedMessageException("it names no part");
         }
         Map<Integer, String> ofJob = parts.computeIfAbsent(id, k -> new HashMap<>());
         if (value.isPresent()) {
@@ -70,11 +70,11 @@
     }
 
     /** Puts a cut record together. */
-    JobRecord assemble(String id) throws MalformedException {
+    JobRecord assemble(String id) throws MalformedMessageException {
         JsonNode main = mains.get(id);
         List<String> texts = parts(id);
         if (texts.size() != JobRecordCodec.partCount(main)) {
-            throw new MalformedException(
+            throw new MalformedMessageException(
                     "it has " + texts.size() + " parts in place of " + JobRecordCodec.partCount(main));
         }
         return JobRecordCodec.parse(id, main, texts);
--- a/src/main/java/org/dunespindle/storage/Visit.java
+++ b/src/main/java/org/dunespindle/storage/InboundDelegation.java
@@ -7,14 +7,14 @@
  * @param transfer the number under which it was given away: a fencing token, higher with every transfer of that cell
  * @param withdrawn whether the home took the job back, or was refused, before any task was booked
  */
-public record Visit(String home, long transfer, boolean withdrawn) implements CellTie {
+public record InboundDelegation(String home, long transfer, boolean withdrawn) implements DelegationLink {
     /** A visit that goes on. */
-    public static Visit of(String home, long transfer) {
-        return new Visit(home, transfer, false);
+    public static InboundDelegation of(String home, long transfer) {
+        return new InboundDelegation(home, transfer, false);
     }
 
     /** The same visit, ended without any task having been booked. */
-    public Visit withdraw() {
-        return new Visit(home, transfer, true);
+    public InboundDelegation withdraw() {
+        return new InboundDelegation(home, transfer, true);
     }
 }
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Submission;
 
 /**
@@ -20,7 +20,7 @@
  *
  * @param spec empty for a finished job without allocations: only its final state is kept
  * @param generation source of attempts; only grows
- * @param attempt a gang's common attempt, while {@link Mode#REAL}
+ * @param attempt a gang's common attempt, while {@link GangPhase#RUNNING}
  * @param order place in the team's queue of gangs: arrival in milliseconds, later after a requeue
  * @param tie how the job is tied to another cell: given away, or taken in
  */
@@ -28,38 +28,38 @@
         String id,
         Optional<Submission> spec,
         Instant arrived,
-        End end,
-        long generation,
-        int next,
-        List<Integer> again,
+        Outcome outcome,
+        long attemptCounter,
+        int nextTaskIndex,
+        List<Integer> requeued,
         List<Allocation> allocations,
-        Mode mode,
-        long attempt,
-        long order,
+        GangPhase gangPhase,
+        long gangAttempt,
+        long queuePosition,
         int failures,
         Optional<Instant> notBefore,
-        Optional<CellTie> tie) {
+        Optional<DelegationLink> delegationLink) {
 
     /** The first value of the source of attempts, which every booking raises. */
     private static final long FIRST_GENERATION = 1;
 
     /** How a job ended, if it did. */
-    public enum End {
+    public enum Outcome {
         OPEN,
         DONE,
         CANCELLED
     }
 
     /** Where a gang stands: queued, placeholders being placed, real tasks, or being stopped as a whole. */
-    public enum Mode {
-        IDLE("IDLE"),
-        HOLD("HOLD"),
-        REAL("REAL"),
-        STOP("STOP");
+    public enum GangPhase {
+        QUEUED("IDLE"),
+        PLACEHOLDERS("HOLD"),
+        RUNNING("REAL"),
+        STOPPING("STOP");
 
         private final String stored;
 
-        Mode(String stored) {
+        GangPhase(String stored) {
             this.stored = stored;
         }
 
@@ -69,13 +69,13 @@
         }
 
         /** Reads the name in the stored record. */
-        static Mode parse(String text) throws MalformedException {
-            for (Mode mode : values()) {
+        static GangPhase parse(String text) throws MalformedMessageException {
+            for (GangPhase mode : values()) {
                 if (mode.stored.equals(text)) {
                     return mode;
                 }
             }
-            throw new MalformedException("unknown gang phase " + text);
+            throw new MalformedMessageException("unknown gang phase " + text);
         }
     }
 
@@ -85,12 +85,12 @@
                 spec.id(),
                 Optional.of(spec),
                 now,
-                End.OPEN,
+                Outcome.OPEN,
                 FIRST_GENERATION,
                 0,
                 List.of(),
                 List.of(),
-                Mode.IDLE,
+                GangPhase.QUEUED,
                 0,
                 now.toEpochMilli(),
                 0,
@@ -99,74 +99,74 @@
     }
 
     /** Whether the job is neither done nor cancelled. */
-    public boolean open() {
-        return end == End.OPEN;
+    public boolean isOpen() {
+        return outcome == Outcome.OPEN;
     }
 
     /** How the job stands between this cell, which accepted it from its user, and others. */
-    public Optional<Delegation> delegation() {
-        return tie.filter(Delegation.class::isInstance).map(Delegation.class::cast);
+    public Optional<OutboundDelegation> outboundDelegation() {
+        return delegationLink.filter(OutboundDelegation.class::isInstance).map(OutboundDelegation.class::cast);
     }
 
     /** Whose job it is, if another cell accepted it from its user. */
-    public Optional<Visit> visit() {
-        return tie.filter(Visit.class::isInstance).map(Visit.class::cast);
+    public Optional<InboundDelegation> inboundDelegation() {
+        return delegationLink.filter(InboundDelegation.class::isInstance).map(InboundDelegation.class::cast);
     }
 
     /** Whether another cell may hold the job, so that nothing of it may be placed here. */
-    public boolean away() {
-        return delegation().filter(Delegation::outstanding).isPresent();
+    public boolean isDelegatedAway() {
+        return outboundDelegation().filter(OutboundDelegation::outstanding).isPresent();
     }
 
     /** Whether no task of it was ever booked, let alone started. */
-    public boolean untouched() {
-        return generation == FIRST_GENERATION && allocations.isEmpty() && failures == 0;
+    public boolean neverPlaced() {
+        return attemptCounter == FIRST_GENERATION && allocations.isEmpty() && failures == 0;
     }
 
     /** What the user submitted; only present while the job is open or holds allocations. */
-    public Submission job() {
+    public Submission submission() {
         return spec.orElseThrow();
     }
 
     /** Tasks done, for display. */
     public int doneCount() {
         if (spec.isEmpty()) {
-            return next;
+            return nextTaskIndex;
         }
-        return job().gang() || end != End.OPEN ? 0 : next - again.size() - allocations.size();
+        return submission().isGang() || outcome != Outcome.OPEN ? 0 : nextTaskIndex - requeued.size() - allocations.size();
     }
 
     /** Tasks running, for display: a gang's placeholders are none. */
     public int runningCount() {
-        boolean placing = spec.isPresent() && job().gang() && mode != Mode.REAL;
-        return open() && !placing ? allocations.size() : 0;
+        boolean placing = spec.isPresent() && submission().isGang() && gangPhase != GangPhase.RUNNING;
+        return isOpen() && !placing ? allocations.size() : 0;
     }
 
     /** Indexes without an allocation and not done, in the order they should start. */
     public IntArrayList unplaced(int most) {
         var list = new IntArrayList();
-        if (!open() || away()) {
+        if (!isOpen() || isDelegatedAway()) {
             return list;
         }
-        if (job().gang()) {
-            if (mode == Mode.REAL || mode == Mode.STOP) {
+        if (submission().isGang()) {
+            if (gangPhase == GangPhase.RUNNING || gangPhase == GangPhase.STOPPING) {
                 return list;
             }
             var placed = new java.util.BitSet();
             allocations.forEach(c -> placed.set(c.task()));
             for (int i = placed.nextClearBit(0);
-                    i < job().tasks() && list.size() < most;
+                    i < submission().tasks() && list.size() < most;
                     i = placed.nextClearBit(i + 1)) {
                 list.add(i);
             }
             return list;
         }
-        for (int i : again) {
+        for (int i : requeued) {
             if (list.size() < most) {
                 list.add(i);
             }
         }
-        for (int i = next; i < job().tasks() && list.size() < most; i++) {
+        for (int i = nextTaskIndex; i < submission().tasks() && list.size() < most; i++) {
             list.add(i);
         }
         return list;
@@ -174,20 +174,20 @@
 
     /** How many tasks still need a machine. */
     public int unplacedCount() {
-        if (!open() || away()) {
+        if (!isOpen() || isDelegatedAway()) {
             return 0;
         }
-        if (job().gang()) {
-            return mode == Mode.REAL || mode == Mode.STOP ? 0 : job().tasks() - allocations.size();
+        if (submission().isGang()) {
+            return gangPhase == GangPhase.RUNNING || gangPhase == GangPhase.STOPPING ? 0 : submission().tasks() - allocations.size();
         }
-        return again.size() + job().tasks() - next;
+        return requeued.size() + submission().tasks() - nextTaskIndex;
     }
 
     /** The attempt under which an allocation's task should be on its machine. */
-    public long wantedAttempt(Allocation c) {
-        return !job().gang()
-                ? c.base()
-                : mode == Mode.REAL || (mode == Mode.STOP && attempt > 0) ? attempt : c.base() + c.task();
+    public long expectedAttempt(Allocation c) {
+        return !submission().isGang()
+                ? c.attemptBase()
+                : gangPhase == GangPhase.RUNNING || (gangPhase == GangPhase.STOPPING && gangAttempt > 0) ? gangAttempt : c.attemptBase() + c.task();
     }
 
     /** The allocation of one task, if it has one. */
@@ -201,176 +201,176 @@
     }
 
     /** Books tasks on machines, each under a fresh attempt. */
-    public JobRecord placed(Map<Integer, String> places) {
+    public JobRecord withPlaced(Map<Integer, String> places) {
         var all = new ArrayList<>(allocations);
-        var waiting = new ArrayList<>(again);
-        int first = next;
+        var waiting = new ArrayList<>(requeued);
+        int first = nextTaskIndex;
         for (var e : places.entrySet()) {
-            all.add(new Allocation(e.getKey(), e.getValue(), generation, false));
-            if (!job().gang()) {
+            all.add(new Allocation(e.getKey(), e.getValue(), attemptCounter, false));
+            if (!submission().isGang()) {
                 waiting.remove(e.getKey());
                 first = Math.max(first, e.getKey() + 1);
             }
         }
-        if (!job().gang()) {
+        if (!submission().isGang()) {
             // Indexes skipped below the new frontier still have to run; without this they would count as done.
-            for (int i = next; i < first; i++) {
+            for (int i = nextTaskIndex; i < first; i++) {
                 if (!places.containsKey(i)) {
                     waiting.add(i);
                 }
             }
         }
-        long used = job().gang() ? job().tasks() : 1;
-        Mode m = job().gang() && mode == Mode.IDLE ? Mode.HOLD : mode;
+        long used = submission().isGang() ? submission().tasks() : 1;
+        GangPhase m = submission().isGang() && gangPhase == GangPhase.QUEUED ? GangPhase.PLACEHOLDERS : gangPhase;
         return new JobRecord(
                 id,
                 spec,
                 arrived,
-                end,
-                generation + used,
+                outcome,
+                attemptCounter + used,
                 first,
                 List.copyOf(waiting),
                 List.copyOf(all),
                 m,
-                attempt,
-                order,
+                gangAttempt,
+                queuePosition,
                 failures,
                 Optional.empty(),
-                tie);
+                delegationLink);
     }
 
     /** Starts the real tasks of a gang whose placeholders all idle: one common new attempt. */
-    public JobRecord real() {
+    public JobRecord withGangRunning() {
         return new JobRecord(
                 id,
                 spec,
                 arrived,
-                end,
-                generation + 1,
-                next,
-                again,
+                outcome,
+                attemptCounter + 1,
+                nextTaskIndex,
+                requeued,
                 allocations,
-                Mode.REAL,
-                generation,
-                order,
+                GangPhase.RUNNING,
+                attemptCounter,
+                queuePosition,
                 failures,
                 notBefore,
-                tie);
+                delegationLink);
     }
 
     /** Books a placeholder again on its machine, after it gave up waiting. */
-    public JobRecord rebooked(int task) {
+    public JobRecord withPlaceholderReplaced(int task) {
         var all = new ArrayList<Allocation>();
         allocations.forEach(
-                c -> all.add(c.task() == task ? new Allocation(task, c.host(), generation, c.stopping()) : c));
-        return with(end, generation + job().tasks(), next, again, all, mode, attempt);
+                c -> all.add(c.task() == task ? new Allocation(task, c.machineId(), attemptCounter, c.stopping()) : c));
+        return withProgress(outcome, attemptCounter + submission().tasks(), nextTaskIndex, requeued, all, gangPhase, gangAttempt);
     }
 
     /** Stops a whole gang: it comes back once every member is released. */
-    public JobRecord stopGang() {
-        return with(
-                end,
-                generation,
-                next,
-                again,
+    public JobRecord withGangStopping() {
+        return withProgress(
+                outcome,
+                attemptCounter,
+                nextTaskIndex,
+                requeued,
                 allocations,
-                Mode.STOP,
-                mode == Mode.REAL ? attempt : mode == Mode.STOP ? attempt : 0);
+                GangPhase.STOPPING,
+                gangPhase == GangPhase.RUNNING ? gangAttempt : gangPhase == GangPhase.STOPPING ? gangAttempt : 0);
     }
 
     /** Marks one task's allocation as being stopped. */
-    public JobRecord stopTask(int task) {
+    public JobRecord withTaskStopping(int task) {
         var all = new ArrayList<Allocation>();
         allocations.forEach(c -> all.add(c.task() == task ? c.stopped() : c));
-        return with(end, generation, next, again, all, mode, attempt);
+        return withProgress(outcome, attemptCounter, nextTaskIndex, requeued, all, gangPhase, gangAttempt);
     }
 
     /** Gives up an allocation whose task is proven gone; an array's task runs again unless it is done. */
-    public JobRecord released(int task, boolean done) {
-        return released(Map.of(task, done));
+    public JobRecord withReleased(int task, boolean done) {
+        return withReleased(Map.of(task, done));
     }
 
     /** The same for several at once, which for a large array is one pass over its allocations instead of one for each. */
-    public JobRecord released(Map<Integer, Boolean> ended) {
+    public JobRecord withReleased(Map<Integer, Boolean> ended) {
         var all = new ArrayList<Allocation>(allocations.size());
         allocations.forEach(c -> {
             if (!ended.containsKey(c.task())) {
                 all.add(c);
             }
         });
-        if (spec.isEmpty() || job().gang()) {
-            Mode m = all.isEmpty() ? Mode.IDLE : mode;
-            return with(end, generation, next, again, all, m, m == Mode.IDLE ? 0 : attempt)
+        if (spec.isEmpty() || submission().isGang()) {
+            GangPhase m = all.isEmpty() ? GangPhase.QUEUED : gangPhase;
+            return withProgress(outcome, attemptCounter, nextTaskIndex, requeued, all, m, m == GangPhase.QUEUED ? 0 : gangAttempt)
                     .compact();
         }
-        var waiting = new ArrayList<>(again);
+        var waiting = new ArrayList<>(requeued);
         ended.forEach((task, done) -> {
-            if (!done || job().service()) {
+            if (!done || submission().isService()) {
                 waiting.add(task); // a service's task that ends is started again: only its user ends a service
             }
         });
-        boolean over = end == End.OPEN && next == job().tasks() && waiting.isEmpty() && all.isEmpty();
-        return with(over ? End.DONE : end, generation, next, waiting, all, mode, attempt)
+        boolean over = outcome == Outcome.OPEN && nextTaskIndex == submission().tasks() && waiting.isEmpty() && all.isEmpty();
+        return withProgress(over ? Outcome.DONE : outcome, attemptCounter, nextTaskIndex, waiting, all, gangPhase, gangAttempt)
                 .compact();
     }
 
     /** A gang is done as one: its members complete together. */
     public JobRecord gangDone() {
-        return with(End.DONE, generation, next, again, List.of(), Mode.IDLE, 0).compact();
+        return withProgress(Outcome.DONE, attemptCounter, nextTaskIndex, requeued, List.of(), GangPhase.QUEUED, 0).compact();
     }
 
     /** Cancelled for good; allocations stay until each task is proven gone. */
     public JobRecord cancelled() {
-        return with(End.CANCELLED, generation, next, List.of(), allocations, mode, attempt)
+        return withProgress(Outcome.CANCELLED, attemptCounter, nextTaskIndex, List.of(), allocations, gangPhase, gangAttempt)
                 .compact();
     }
 
     /** The same job, tied to another cell in another way. */
-    public JobRecord tied(CellTie newTie) {
+    public JobRecord withDelegationLink(DelegationLink newTie) {
         return new JobRecord(
                 id,
                 spec,
                 arrived,
-                end,
-                generation,
-                next,
-                again,
+                outcome,
+                attemptCounter,
+                nextTaskIndex,
+                requeued,
                 allocations,
-                mode,
-                attempt,
-                order,
+                gangPhase,
+                gangAttempt,
+                queuePosition,
                 failures,
                 notBefore,
                 Optional.of(newTie));
     }
 
     /** A job taken in from another cell keeps the time at which it arrived there. */
-    public static JobRecord visiting(Submission spec, Instant arrived, Visit visit) {
-        return accepted(spec, arrived).tied(visit);
+    public static JobRecord acceptedFromOrigin(Submission spec, Instant arrived, InboundDelegation visit) {
+        return accepted(spec, arrived).withDelegationLink(visit);
     }
 
     /** The cell that holds the job told that all of its tasks are done. */
     public JobRecord doneElsewhere() {
-        return with(End.DONE, generation, next, again, List.of(), Mode.IDLE, 0).compact();
+        return withProgress(Outcome.DONE, attemptCounter, nextTaskIndex, requeued, List.of(), GangPhase.QUEUED, 0).compact();
     }
 
     /** Ends a job taken in from another cell before any of its tasks was booked; its own cell may place it again. */
     public JobRecord withdrawn() {
-        return tied(visit().orElseThrow().withdraw()).cancelled();
+        return withDelegationLink(inboundDelegation().orElseThrow().withdraw()).cancelled();
     }
 
     /** Remembers that a transfer is over before its job ever came: an offer of it that is still under way is refused. */
-    public static JobRecord tombstone(String id, Instant now, Visit visit, boolean cancelled) {
+    public static JobRecord tombstone(String id, Instant now, InboundDelegation visit, boolean cancelled) {
         return new JobRecord(
                 id,
                 Optional.empty(),
                 now,
-                End.CANCELLED,
+                Outcome.CANCELLED,
                 0,
                 0,
                 List.of(),
                 List.of(),
-                Mode.IDLE,
+                GangPhase.QUEUED,
                 0,
                 0,
                 0,
@@ -379,68 +379,68 @@
     }
 
     /** Counts failures and delays the next attempt. */
-    public JobRecord failed(int more, Optional<Instant> until) {
+    public JobRecord withFailures(int more, Optional<Instant> until) {
         return new JobRecord(
                 id,
                 spec,
                 arrived,
-                end,
-                generation,
-                next,
-                again,
+                outcome,
+                attemptCounter,
+                nextTaskIndex,
+                requeued,
                 allocations,
-                mode,
-                attempt,
-                order,
+                gangPhase,
+                gangAttempt,
+                queuePosition,
                 failures + more,
                 until,
-                tie);
+                delegationLink);
     }
 
     /** Moves a gang to another place in its team's queue. */
-    public JobRecord requeued(long newOrder) {
+    public JobRecord withQueuePosition(long newOrder) {
         return new JobRecord(
                 id,
                 spec,
                 arrived,
-                end,
-                generation,
-                next,
-                again,
+                outcome,
+                attemptCounter,
+                nextTaskIndex,
+                requeued,
                 allocations,
-                mode,
-                attempt,
+                gangPhase,
+                gangAttempt,
                 newOrder,
                 failures,
                 notBefore,
-                tie);
+                delegationLink);
     }
 
-    private JobRecord with(End e, long g, int n, List<Integer> a, List<Allocation> c, Mode m, long t) {
+    private JobRecord withProgress(Outcome e, long g, int n, List<Integer> a, List<Allocation> c, GangPhase m, long t) {
         return new JobRecord(
-                id, spec, arrived, e, g, n, List.copyOf(a), List.copyOf(c), m, t, order, failures, notBefore, tie);
+                id, spec, arrived, e, g, n, List.copyOf(a), List.copyOf(c), m, t, queuePosition, failures, notBefore, delegationLink);
     }
 
     private JobRecord compact() {
-        if (end == End.OPEN || !allocations.isEmpty()) {
+        if (outcome == Outcome.OPEN || !allocations.isEmpty()) {
             return this;
         }
-        int finished = spec.isEmpty() ? next : end == End.DONE ? job().tasks() : 0;
+        int finished = spec.isEmpty() ? nextTaskIndex : outcome == Outcome.DONE ? submission().tasks() : 0;
         return new JobRecord(
                 id,
                 Optional.empty(),
                 arrived,
-                end,
+                outcome,
                 0,
                 finished,
                 List.of(),
                 List.of(),
-                Mode.IDLE,
+                GangPhase.QUEUED,
                 0,
                 0,
                 0,
                 Optional.empty(),
-                tie.filter(Visit.class::isInstance));
+                delegationLink.filter(InboundDelegation.class::isInstance));
     }
 
     /** The stored form as one value. */
@@ -449,7 +449,7 @@
     }
 
     /** Reads the stored form as one value. */
-    public static JobRecord parse(String id, JsonNode n) throws MalformedException {
+    public static JobRecord parse(String id, JsonNode n) throws MalformedMessageException {
         return JobRecordCodec.parse(id, n);
     }
 }
--- a/src/main/java/org/dunespindle/storage/JobRecordCodec.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordCodec.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Submission;
 
@@ -49,12 +49,12 @@
     /** The record as one value. */
     static ObjectNode whole(JobRecord job) {
         ObjectNode n = MessagePackCodec.map();
-        n.put("at", job.arrived().toEpochMilli()).put("end", job.end().name());
+        n.put("at", job.arrived().toEpochMilli()).put("end", job.outcome().name());
         if (job.spec().isEmpty()) {
-            job.tie().ifPresent(tie -> CellTieCodec.put(n, tie));
-            return n.put("next", job.next());
+            job.delegationLink().ifPresent(tie -> DelegationLinkCodec.put(n, tie));
+            return n.put("next", job.nextTaskIndex());
         }
-        n.set(SUBMISSION, job.job().toNode());
+        n.set(SUBMISSION, job.submission().toNode());
         putProgress(n, job);
         n.put(AGAIN, again(job));
         n.set(ALLOCATIONS, allocationsNode(job.allocations()));
@@ -62,24 +62,24 @@
     }
 
     private static void putProgress(ObjectNode n, JobRecord job) {
-        n.put("gen", job.generation())
-                .put("next", job.next())
-                .put("mode", job.mode().stored())
-                .put("try", job.attempt())
-                .put("order", job.order())
+        n.put("gen", job.attemptCounter())
+                .put("next", job.nextTaskIndex())
+                .put("mode", job.gangPhase().stored())
+                .put("try", job.gangAttempt())
+                .put("order", job.queuePosition())
                 .put("fails", job.failures());
         job.notBefore().ifPresent(t -> n.put("wait", t.toEpochMilli()));
-        job.tie().ifPresent(tie -> CellTieCodec.put(n, tie));
+        job.delegationLink().ifPresent(tie -> DelegationLinkCodec.put(n, tie));
     }
 
     private static String again(JobRecord job) {
-        return TaskSet.format(new IntArrayList(new IntRBTreeSet(job.again())));
+        return TaskIndexSet.format(new IntArrayList(new IntRBTreeSet(job.requeued())));
     }
 
     /** Cuts a record so that no value is longer than a limit. */
     static Cut cut(JobRecord job, int valueBytes) {
         ObjectNode main = MessagePackCodec.map();
-        main.put("at", job.arrived().toEpochMilli()).put("end", job.end().name());
+        main.put("at", job.arrived().toEpochMilli()).put("end", job.outcome().name());
         putProgress(main, job);
         String text = text(job);
         main.put(LENGTH, text.length()).put(PARTS, Integer.MAX_VALUE).put(TEXT, "");
@@ -96,7 +96,7 @@
 
     private static String text(JobRecord job) {
         // The description never changes, and a cancellation only drops what is to start again: what changes comes last.
-        return job.job().toNode() + SECTION + allocationsText(job.allocations()) + SECTION + again(job);
+        return job.submission().toNode() + SECTION + allocationsText(job.allocations()) + SECTION + again(job);
     }
 
     /** Up to where a text, from some place on, takes no more than so many bytes as a JSON string. */
@@ -148,7 +148,7 @@
     }
 
     /** Reads a record that is one value. */
-    static JobRecord parse(String id, JsonNode n) throws MalformedException {
+    static JobRecord parse(String id, JsonNode n) throws MalformedMessageException {
         if (!n.has(SUBMISSION)) {
             return finished(id, n);
         }
@@ -158,21 +158,21 @@
     }
 
     /** Reads a record that was cut; parts that do not belong together are not understood. */
-    static JobRecord parse(String id, JsonNode main, List<String> parts) throws MalformedException {
+    static JobRecord parse(String id, JsonNode main, List<String> parts) throws MalformedMessageException {
         String text = main.path(TEXT).asText() + String.join("", parts);
         String[] sections = text.split(SECTION, -1);
         if (text.length() != main.path(LENGTH).asInt() || sections.length != 3) {
-            throw new MalformedException("its parts do not belong together");
+            throw new MalformedMessageException("its parts do not belong together");
         }
         try {
             Submission spec = Submission.parse(JSON.readTree(sections[0]));
             return open(id, main, spec, sections[2], readAllocations(sections[1]));
         } catch (IOException | NumberFormatException e) {
-            throw new MalformedException("its text cannot be read");
+            throw new MalformedMessageException("its text cannot be read");
         }
     }
 
-    private static JobRecord finished(String id, JsonNode n) throws MalformedException {
+    private static JobRecord finished(String id, JsonNode n) throws MalformedMessageException {
         return new JobRecord(
                 id,
                 Optional.empty(),
@@ -182,16 +182,16 @@
                 n.path("next").intValue(),
                 List.of(),
                 List.of(),
-                JobRecord.Mode.IDLE,
+                JobRecord.GangPhase.QUEUED,
                 0,
                 0,
                 0,
                 Optional.empty(),
-                CellTieCodec.read(n));
+                DelegationLinkCodec.read(n));
     }
 
     private static JobRecord open(String id, JsonNode n, Submission spec, String again, List<Allocation> allocations)
-            throws MalformedException {
+            throws MalformedMessageException {
         Optional<Instant> wait =
                 n.has("wait") ? Optional.of(Instant.ofEpochMilli(n.get("wait").longValue())) : Optional.empty();
         return new JobRecord(
@@ -201,22 +201,22 @@
                 end(n),
                 n.path("gen").longValue(),
                 n.path("next").intValue(),
-                List.copyOf(TaskSet.parse(again)),
+                List.copyOf(TaskIndexSet.parse(again)),
                 List.copyOf(allocations),
-                JobRecord.Mode.parse(n.path("mode").asText("IDLE")),
+                JobRecord.GangPhase.parse(n.path("mode").asText("IDLE")),
                 n.path("try").longValue(),
                 n.path("order").longValue(),
                 n.path("fails").intValue(),
                 wait,
-                CellTieCodec.read(n));
+                DelegationLinkCodec.read(n));
     }
 
     private static Instant arrived(JsonNode n) {
         return Instant.ofEpochMilli(n.path("at").longValue());
     }
 
-    private static JobRecord.End end(JsonNode n) {
-        return JobRecord.End.valueOf(n.path("end").asText("OPEN"));
+    private static JobRecord.Outcome end(JsonNode n) {
+        return JobRecord.Outcome.valueOf(n.path("end").asText("OPEN"));
     }
 
     /** Allocations that were booked together. */
@@ -226,8 +226,8 @@
     private static Map<Booked, Map<String, IntRBTreeSet>> grouped(List<Allocation> allocations) {
         var groups = new LinkedHashMap<Booked, Map<String, IntRBTreeSet>>();
         for (Allocation c : allocations) {
-            groups.computeIfAbsent(new Booked(c.base(), c.stopping()), g -> new TreeMap<>())
-                    .computeIfAbsent(c.host(), h -> new IntRBTreeSet())
+            groups.computeIfAbsent(new Booked(c.attemptBase(), c.stopping()), g -> new TreeMap<>())
+                    .computeIfAbsent(c.machineId(), h -> new IntRBTreeSet())
                     .add(c.task());
         }
         return groups;
@@ -238,9 +238,9 @@
         grouped(allocations).forEach((g, hosts) -> {
             ObjectNode pages = list.addArray().add(g.base).add(g.stopping).addObject();
             hosts.forEach((host, tasks) -> {
-                String page = Keys.page(host);
+                String page = Keys.machinePageName(host);
                 ObjectNode rows = pages.get(page) instanceof ObjectNode o ? o : pages.putObject(page);
-                rows.put(host.substring(page.length()), TaskSet.format(new IntArrayList(tasks)));
+                rows.put(host.substring(page.length()), TaskIndexSet.format(new IntArrayList(tasks)));
             });
         });
         return list;
@@ -249,7 +249,7 @@
     private static void readAllocations(JsonNode group, List<Allocation> into) {
         for (Map.Entry<String, JsonNode> page : group.path(2).properties()) {
             for (Map.Entry<String, JsonNode> row : page.getValue().properties()) {
-                for (int task : TaskSet.parse(row.getValue().textValue())) {
+                for (int task : TaskIndexSet.parse(row.getValue().textValue())) {
                     into.add(new Allocation(
                             task,
                             page.getKey() + row.getKey(),
@@ -266,7 +266,7 @@
      */
     private static String allocationsText(List<Allocation> allocations) {
         for (Allocation c : allocations) {
-            if (!plain(c.host())) {
+            if (!plain(c.machineId())) {
                 return allocationsNode(allocations).toString();
             }
         }
@@ -281,7 +281,7 @@
     private static void appendHosts(StringBuilder text, Map<String, IntRBTreeSet> hosts) {
         String before = null;
         for (Map.Entry<String, IntRBTreeSet> entry : hosts.entrySet()) {
-            String page = Keys.page(entry.getKey());
+            String page = Keys.machinePageName(entry.getKey());
             if (!page.equals(before)) {
                 text.append(before == null ? "" : ";").append(page);
                 before = page;
@@ -289,7 +289,7 @@
             text.append('/')
                     .append(entry.getKey(), page.length(), entry.getKey().length())
                     .append('=')
-                    .append(TaskSet.format(new IntArrayList(entry.getValue())));
+                    .append(TaskIndexSet.format(new IntArrayList(entry.getValue())));
         }
     }
 
@@ -304,7 +304,7 @@
         return !host.isEmpty();
     }
 
-    private static List<Allocation> readAllocations(String text) throws IOException, MalformedException {
+    private static List<Allocation> readAllocations(String text) throws IOException, MalformedMessageException {
         var list = new ArrayList<Allocation>();
         if (text.startsWith("[")) {
             JSON.readTree(text).forEach(group -> readAllocations(group, list));
@@ -316,7 +316,7 @@
         for (String group : text.split("\\|")) {
             int colon = group.indexOf(':');
             if (colon < 1) {
-                throw new MalformedException("its allocations cannot be read");
+                throw new MalformedMessageException("its allocations cannot be read");
             }
             boolean stopping = group.charAt(colon - 1) == '!';
             long base = Long.parseLong(group.substring(0, stopping ? colon - 1 : colon));
@@ -328,14 +328,14 @@
     }
 
     private static void readPage(String[] page, long base, boolean stopping, List<Allocation> into)
-            throws MalformedException {
+            throws MalformedMessageException {
         for (int i = 1; i < page.length; i++) {
             int equals = page[i].indexOf('=');
             if (equals < 0) {
-                throw new MalformedException("its allocations cannot be read");
+                throw new MalformedMessageException("its allocations cannot be read");
             }
             String host = page[0] + page[i].substring(0, equals);
-            for (int task : TaskSet.parse(page[i].substring(equals + 1))) {
+            for (int task : TaskIndexSet.parse(page[i].substring(equals + 1))) {
                 into.add(new Allocation(task, host, base, stopping));
             }
         }
--- a/src/main/java/org/dunespindle/storage/JobRecordWriter.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordWriter.java
@@ -12,21 +12,21 @@
     /** Changes of a transaction that a record being placed leaves: its team's record, and one to spare. */
     private static final int OTHER_CHANGES = 2;
 
-    private final Replica replica;
+    private final StateReplica replica;
     private final Settings.State now;
     private final Settings.State lowest;
 
     /** Creates a writer for the limits that the settings name. */
-    public JobRecordWriter(Replica replica, Settings.State limits) {
+    public JobRecordWriter(StateReplica replica, Settings.State limits) {
         this.replica = replica;
         this.now = limits;
         this.lowest = limits.lowest();
     }
 
     /** Adds a job's new record to a transaction, guarded by the one that it was made from. */
-    public Txn write(Txn txn, JobRecord after) {
+    public Transaction write(Transaction txn, JobRecord after) {
         String key = Keys.job(after.id());
-        txn.guard(key, replica.stamp(key));
+        txn.requireRevision(key, replica.modRevision(key));
         List<String> stored = replica.partsOf(after.id());
         if (!cuts(after)) {
             txn.write(key, after.toNode());
@@ -34,7 +34,7 @@
             return txn;
         }
         JobRecordCodec.Cut cut = JobRecordCodec.cut(after, lowest.valueBytes());
-        txn.guard(Keys.FORMAT, replica.stamp(Keys.FORMAT)).write(key, cut.main());
+        txn.requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT)).write(key, cut.main());
         for (int i = 0; i < cut.parts().size(); i++) {
             String text = cut.parts().get(i);
             if (i >= stored.size() || !stored.get(i).equals(text)) {
@@ -45,7 +45,7 @@
         return txn;
     }
 
-    private static void removeFrom(int first, List<String> stored, Txn txn, String id) {
+    private static void removeFrom(int first, List<String> stored, Transaction txn, String id) {
         for (int i = first; i < stored.size(); i++) {
             txn.remove(Keys.part(id, i));
         }
--- a/src/main/java/org/dunespindle/storage/Keys.java
+++ b/src/main/java/org/dunespindle/storage/Keys.java
@@ -35,12 +35,12 @@
     }
 
     /** The record that a machine is kept in. */
-    public static String host(String id) {
-        return PAGE + page(id);
+    public static String machinePage(String id) {
+        return PAGE + machinePageName(id);
     }
 
     /** Machines whose names differ in the last character only share a page; names are given in rising order. */
-    public static String page(String host) {
+    public static String machinePageName(String host) {
         return host.length() > 1 ? host.substring(0, host.length() - 1) : host;
     }
 
--- a/src/main/java/org/dunespindle/storage/MachineRecord.java
+++ b/src/main/java/org/dunespindle/storage/MachineRecord.java
@@ -23,8 +23,8 @@
         long token,
         Instant rented,
         Instant keepUntil,
-        boolean leaving,
-        String why) {
+        boolean draining,
+        String drainReason) {
 
     /** Reasons for leaving that let present work end first. */
     public static final String IDLE = "it is idle";
@@ -32,41 +32,41 @@
     public static final String DRAINED = "an operator drains it";
 
     /** Whether the machine is given back only once its tasks have ended. */
-    public boolean leavesWhenEmpty() {
-        return why.equals(IDLE) || why.equals(DRAINED);
+    public boolean drainsGracefully() {
+        return drainReason.equals(IDLE) || drainReason.equals(DRAINED);
     }
 
     /** The record under a new owner and a raised fencing token. */
     public MachineRecord ownedBy(String node, long inc, Instant keep) {
-        return new MachineRecord(id, address, type, zone, spot, node, inc, token + 1, rented, keep, leaving, why);
+        return new MachineRecord(id, address, type, zone, spot, node, inc, token + 1, rented, keep, draining, drainReason);
     }
 
     /** The same owner under a higher token: commands still under way with the old one become void. */
-    public MachineRecord fenced() {
+    public MachineRecord withNextToken() {
         return new MachineRecord(
-                id, address, type, zone, spot, owner, incarnation, token + 1, rented, keepUntil, leaving, why);
+                id, address, type, zone, spot, owner, incarnation, token + 1, rented, keepUntil, draining, drainReason);
     }
 
     /** The same under a token that the worker has not seen yet, should it know a higher one than was stored. */
-    public MachineRecord above(long seen) {
+    public MachineRecord withTokenAbove(long seen) {
         return token > seen
                 ? this
                 : new MachineRecord(
-                        id, address, type, zone, spot, owner, incarnation, seen + 1, rented, keepUntil, leaving, why);
+                        id, address, type, zone, spot, owner, incarnation, seen + 1, rented, keepUntil, draining, drainReason);
     }
 
     /** The record of a machine that is being returned, with the reason. */
-    public MachineRecord leaving(String reason) {
+    public MachineRecord draining(String reason) {
         return new MachineRecord(
                 id, address, type, zone, spot, owner, incarnation, token, rented, keepUntil, true, reason);
     }
 
     /** The record with another address, unless that is empty. */
-    public MachineRecord at(String newAddress) {
+    public MachineRecord withAddress(String newAddress) {
         return newAddress.isEmpty() || newAddress.equals(address)
                 ? this
                 : new MachineRecord(
-                        id, newAddress, type, zone, spot, owner, incarnation, token, rented, keepUntil, leaving, why);
+                        id, newAddress, type, zone, spot, owner, incarnation, token, rented, keepUntil, draining, drainReason);
     }
 
     /** A row of the page that the machine is kept on; rows are short, since a page holds several. */
@@ -82,8 +82,8 @@
                 .add(token)
                 .add(rented.toEpochMilli())
                 .add(keepUntil.toEpochMilli())
-                .add(leaving)
-                .add(why);
+                .add(draining)
+                .add(drainReason);
     }
 
     static MachineRecord parse(String id, JsonNode n) {
--- a/src/main/java/org/dunespindle/storage/Delegation.java
+++ b/src/main/java/org/dunespindle/storage/OutboundDelegation.java
@@ -12,8 +12,8 @@
  * @param transfers how often the job has been given away so far
  * @param notBefore when it may be given away again, after it came back
  */
-public record Delegation(String cell, long transfer, Phase phase, int transfers, Optional<Instant> notBefore)
-        implements CellTie {
+public record OutboundDelegation(String cell, long transfer, Phase phase, int transfers, Optional<Instant> notBefore)
+        implements DelegationLink {
 
     /** Where a transfer stands. In all phases but the first the other cell may hold the job. */
     public enum Phase {
@@ -33,19 +33,19 @@
     }
 
     /** The intent to offer a job, which is stored before the offer is sent. */
-    public static Delegation offer(Optional<Delegation> before, String cell, long transfer) {
+    public static OutboundDelegation offer(Optional<OutboundDelegation> before, String cell, long transfer) {
         before.ifPresent(earlier -> {
             earlier.require(Phase.HOME, "offered again");
             if (transfer <= earlier.transfer) {
                 throw new IllegalStateException("transfer " + transfer + " is not above " + earlier.transfer);
             }
         });
-        int transfers = before.map(Delegation::transfers).orElse(0) + 1;
-        return new Delegation(cell, transfer, Phase.OFFERED, transfers, Optional.empty());
+        int transfers = before.map(OutboundDelegation::transfers).orElse(0) + 1;
+        return new OutboundDelegation(cell, transfer, Phase.OFFERED, transfers, Optional.empty());
     }
 
     /** The other cell told that it has stored the job; one that is wanted back stays so. */
-    public Delegation accepted() {
+    public OutboundDelegation accepted() {
         return switch (phase) {
             case OFFERED -> in(Phase.ACCEPTED);
             case ACCEPTED, RECALLED -> this;
@@ -54,7 +54,7 @@
     }
 
     /** The job is wanted back. */
-    public Delegation recalled() {
+    public OutboundDelegation recalled() {
         if (!outstanding()) {
             throw refused("recalled");
         }
@@ -62,21 +62,21 @@
     }
 
     /** The other cell has begun with the job and keeps it. */
-    public Delegation kept() {
+    public OutboundDelegation kept() {
         require(Phase.RECALLED, "kept");
         return in(Phase.ACCEPTED);
     }
 
     /** The other cell told that this transfer has ended there, and that no task was ever booked under it. */
-    public Delegation returned(Instant again) {
+    public OutboundDelegation returned(Instant again) {
         if (!outstanding()) {
             throw refused("returned");
         }
-        return new Delegation(cell, transfer, Phase.HOME, transfers, Optional.of(again));
+        return new OutboundDelegation(cell, transfer, Phase.HOME, transfers, Optional.of(again));
     }
 
-    private Delegation in(Phase next) {
-        return new Delegation(cell, transfer, next, transfers, notBefore);
+    private OutboundDelegation in(Phase next) {
+        return new OutboundDelegation(cell, transfer, next, transfers, notBefore);
     }
 
     private void require(Phase wanted, String change) {
--- a/src/main/java/org/dunespindle/storage/MeteredCaller.java
+++ b/src/main/java/org/dunespindle/storage/RateLimitedHttpClient.java
@@ -4,22 +4,22 @@
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
 import org.dunespindle.protocol.MessagePackCodec;
-import org.dunespindle.time.Timeline;
-import org.dunespindle.transport.Caller;
-import org.dunespindle.transport.HttpAnswer;
+import org.dunespindle.time.TimeSource;
+import org.dunespindle.transport.HttpClient;
+import org.dunespindle.transport.HttpClientResponse;
 
 /** Calls one outside service within a budget and measures how long it takes to answer. */
-public final class MeteredCaller {
+public final class RateLimitedHttpClient {
     private static final long LONGEST_MICROS = 60_000_000L;
-    private final Caller http;
+    private final HttpClient http;
     private final String address;
-    private final Timeline timeline;
-    private final RateBudget budget;
+    private final TimeSource timeline;
+    private final RateLimiter budget;
     private final Duration timeout;
     private final Histogram latency = new Histogram(LONGEST_MICROS, 2);
 
     /** Creates a caller for one address, with a budget and a time limit for each call. */
-    public MeteredCaller(Caller http, String address, Timeline timeline, RateBudget budget, Duration timeout) {
+    public RateLimitedHttpClient(HttpClient http, String address, TimeSource timeline, RateLimiter budget, Duration timeout) {
         this.http = http;
         this.address = address;
         this.timeline = timeline;
@@ -33,8 +33,8 @@
     }
 
     /** Sends a MessagePack request once the budget allows; renewals go first. */
-    public CompletableFuture<HttpAnswer> call(boolean first, String method, String target, byte[] body) {
-        var result = new CompletableFuture<HttpAnswer>();
+    public CompletableFuture<HttpClientResponse> call(boolean first, String method, String target, byte[] body) {
+        var result = new CompletableFuture<HttpClientResponse>();
         budget.submit(first, 1, () -> {
             Duration begun = timeline.now();
             http.send(address, method, target, body, MessagePackCodec.TYPE, timeout)
--- a/src/main/java/org/dunespindle/storage/RateBudget.java
+++ b/src/main/java/org/dunespindle/storage/RateLimiter.java
@@ -2,14 +2,14 @@
 
 import java.time.Duration;
 import java.util.ArrayDeque;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.time.TimeSource;
 
 /**
  * This controller's share of a service's rate. Work waits its turn in order; urgent work (lease
  * renewals) goes first, because a lost lease costs more than any late request.
  */
-public final class RateBudget {
-    private final Timeline timeline;
+public final class RateLimiter {
+    private final TimeSource timeline;
     private final ArrayDeque<Waiting> urgent = new ArrayDeque<>();
     private final ArrayDeque<Waiting> normal = new ArrayDeque<>();
     private double perSecond;
@@ -20,7 +20,7 @@
     private record Waiting(double cost, Runnable work) {}
 
     /** Creates a budget of so many units a second, with a burst of one second. */
-    public RateBudget(Timeline timeline, double perSecond) {
+    public RateLimiter(TimeSource timeline, double perSecond) {
         this.timeline = timeline;
         this.perSecond = perSecond;
         this.tokens = burst();
@@ -51,7 +51,7 @@
     }
 
     /** Whether this much cannot be spent yet; what costs more than a second's worth needs a full budget. */
-    public boolean lacks(double cost) {
+    public boolean isShortOf(double cost) {
         return Math.min(cost, burst()) > available() + 1e-9;
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** How long until this much is available, at least a millisecond. */
-    public Duration until(double cost) {
+    public Duration timeUntil(double cost) {
         refill();
         double missing = Math.min(cost, burst()) - tokens;
         return Duration.ofNanos((long) (Math.max(0, missing) / perSecond * 1e9) + 1_000_000);
@@ -89,7 +89,7 @@
                 return;
             }
             if (Math.min(head.cost, burst()) > tokens + 1e-9) {
-                wake(until(head.cost));
+                wake(timeUntil(head.cost));
                 return;
             }
             queue.pollFirst();
@@ -103,7 +103,7 @@
             return;
         }
         timerSet = true;
-        timeline.after(in, () -> {
+        timeline.schedule(in, () -> {
             timerSet = false;
             drain();
         });
--- a/src/main/java/org/dunespindle/storage/Replica.java
+++ b/src/main/java/org/dunespindle/storage/StateReplica.java
@@ -13,13 +13,13 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.StateMessages;
-import org.dunespindle.time.Timeline;
-import org.dunespindle.transport.AnswerTooLong;
-import org.dunespindle.transport.CallFailure;
-import org.dunespindle.transport.HttpAnswer;
+import org.dunespindle.time.TimeSource;
+import org.dunespindle.transport.ResponseTooLongException;
+import org.dunespindle.transport.HttpCallException;
+import org.dunespindle.transport.HttpClientResponse;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,45 +28,45 @@
  * a question arrived answers that question as the store itself would, and serves all questions that
  * wait for it at once. Own transactions are taken over at once, at the revision they were given.
  */
-public final class Replica {
-    private static final Logger LOG = LoggerFactory.getLogger(Replica.class);
+public final class StateReplica {
+    private static final Logger LOG = LoggerFactory.getLogger(StateReplica.class);
     private static final int PAGE = 500;
     private static final int HTTP_OK = 200;
     private static final int HTTP_TOO_MANY = 429;
     /** So many readings of the log in a row that got no answer: it may be too long to arrive in time, so pages are tried. */
     private static final int LOG_TRIES = 3;
 
-    private final StateClient state;
-    private final Timeline timeline;
+    private final StateStoreClient state;
+    private final TimeSource timeline;
     private final Duration interval;
     private final Runnable changed;
     private final Map<String, JobRecord> jobs = new HashMap<>();
     private final Map<String, JobRecord> openJobs = new LinkedHashMap<>();
     /** Jobs of other cells, ended ones included. */
-    private final Map<String, JobRecord> visitors = new LinkedHashMap<>();
+    private final Map<String, JobRecord> inboundJobs = new LinkedHashMap<>();
 
-    private final Map<String, MachineRecord> hosts = new TreeMap<>();
+    private final Map<String, MachineRecord> machines = new TreeMap<>();
     private final Map<String, JsonNode> members = new TreeMap<>();
     private final Map<String, JsonNode> plain = new HashMap<>();
     /** Stamps of keys; negative for a key that was removed then. */
-    private final Map<String, Long> stamps = new HashMap<>();
+    private final Map<String, Long> modRevisions = new HashMap<>();
 
     private final Map<String, Map<String, MachineRecord>> pages = new HashMap<>();
     /** Machines whose record or allocations changed since they were last asked for. */
-    private Set<String> touched = new LinkedHashSet<>();
+    private Set<String> changedMachines = new LinkedHashSet<>();
 
-    private final AllocationIndex allocations = new AllocationIndex(host -> touched.add(host));
+    private final AllocationIndex allocations = new AllocationIndex(host -> changedMachines.add(host));
 
     private long version;
     private long memberVersion;
     private final Set<String> unreadable = new HashSet<>();
-    private final CutJobs cutJobs = new CutJobs();
+    private final ChunkedJobRecords cutJobs = new ChunkedJobRecords();
     /** Cancelled jobs by the revision at which this copy first showed them so, which is never before they were. */
     private final TreeMap<Long, List<String>> cancelled = new TreeMap<>();
     /** Own changes that were applied while everything is being read again: the pages read before them do not show them. */
     private final List<Own> appliedWhileLoading = new ArrayList<>();
 
-    private long syncedTo = -1;
+    private long appliedRevision = -1;
     private Duration freshAt = Duration.ZERO;
     private boolean reading;
     private int logFailures;
@@ -78,12 +78,12 @@
     private boolean timerSet;
     private List<Waiter> waiting = new ArrayList<>();
 
-    private record Own(Txn txn, long revision) {}
+    private record Own(Transaction txn, long revision) {}
 
     private record Waiter(Runnable served, Runnable failed) {}
 
     /** Creates an empty replica; nothing is read before {@link #start}. */
-    public Replica(StateClient state, Timeline timeline, Duration interval, Runnable changed) {
+    public StateReplica(StateStoreClient state, TimeSource timeline, Duration interval, Runnable changed) {
         this.state = state;
         this.timeline = timeline;
         this.interval = interval;
@@ -97,16 +97,16 @@
 
     /** Whether everything has been read at least once. */
     public boolean loaded() {
-        return syncedTo >= 0;
+        return appliedRevision >= 0;
     }
 
     /** Everything up to this revision is known. */
-    public long syncedTo() {
-        return syncedTo;
+    public long appliedRevision() {
+        return appliedRevision;
     }
 
     /** How old the copy may be at most: the time since the last successful reading began. */
-    public Duration age() {
+    public Duration staleness() {
         return loaded() ? timeline.now().minus(freshAt) : Duration.ofDays(1);
     }
 
@@ -121,18 +121,18 @@
     }
 
     /** Jobs that are open or still have allocations. */
-    public Iterable<JobRecord> livingJobs() {
+    public Iterable<JobRecord> activeJobs() {
         return openJobs.values();
     }
 
     /** Jobs of other cells that were taken in, or refused: also ended ones, until their own cell has noted that. */
-    public Iterable<JobRecord> visitors() {
-        return visitors.values();
+    public Iterable<JobRecord> inboundJobs() {
+        return inboundJobs.values();
     }
 
     /** All machines by id. */
-    public Map<String, MachineRecord> hosts() {
-        return hosts;
+    public Map<String, MachineRecord> machines() {
+        return machines;
     }
 
     /** The live controllers' membership records by name. */
@@ -156,8 +156,8 @@
     }
 
     /** The stamp to guard a key with: 0 while it does not exist. */
-    public long stamp(String key) {
-        return Math.max(0, stamps.getOrDefault(key, 0L));
+    public long modRevision(String key) {
+        return Math.max(0, modRevisions.getOrDefault(key, 0L));
     }
 
     /** Grows with every change taken over. */
@@ -171,9 +171,9 @@
     }
 
     /** Machines whose record or allocations changed since the last call. */
-    public Set<String> takeTouched() {
-        Set<String> taken = touched;
-        touched = new LinkedHashSet<>();
+    public Set<String> drainChangedMachines() {
+        Set<String> taken = changedMachines;
+        changedMachines = new LinkedHashSet<>();
         return taken;
     }
 
@@ -182,10 +182,10 @@
      *
      * @param changes machines' new records, empty for a machine that is gone
      */
-    public Txn rewrite(String pageKey, Map<String, Optional<MachineRecord>> changes) {
+    public Transaction rewrite(String pageKey, Map<String, Optional<MachineRecord>> changes) {
         var rows = new TreeMap<>(pages.getOrDefault(pageKey, Map.of()));
         changes.forEach((id, record) -> record.ifPresentOrElse(r -> rows.put(id, r), () -> rows.remove(id)));
-        var txn = new Txn().guard(pageKey, stamp(pageKey));
+        var txn = new Transaction().requireRevision(pageKey, modRevision(pageKey));
         if (rows.isEmpty()) {
             return txn.remove(pageKey);
         }
@@ -195,7 +195,7 @@
     }
 
     /** Machines that allocations are on, whether or not they have a record. */
-    public Set<String> hostsWithAllocations() {
+    public Set<String> machinesWithAllocations() {
         return allocations.hosts();
     }
 
@@ -220,7 +220,7 @@
     }
 
     /** Takes over an own transaction that was applied. */
-    public void adopt(Txn txn, long revision) {
+    public void applyCommitted(Transaction txn, long revision) {
         if (loading.isPresent()) {
             appliedWhileLoading.add(new Own(txn, revision));
         }
@@ -234,7 +234,7 @@
             return;
         }
         timerSet = true;
-        timeline.after(interval, () -> {
+        timeline.schedule(interval, () -> {
             timerSet = false;
             if (!reading) {
                 read();
@@ -251,7 +251,7 @@
             load(loading.orElseGet(() -> new Loading(begun)), served);
             return;
         }
-        state.changes(Keys.ROOT, syncedTo).whenComplete((answer, failure) -> {
+        state.changes(Keys.ROOT, appliedRevision).whenComplete((answer, failure) -> {
             if (failure != null || answer.status() != 200) {
                 logFailed(answer, failure);
                 finish(served, false);
@@ -261,7 +261,7 @@
                 StateMessages.Entries log = StateMessages.log(answer.body());
                 log.entries().forEach(this::put);
                 assembleCutJobs();
-                syncedTo = Math.max(syncedTo, log.revision());
+                appliedRevision = Math.max(appliedRevision, log.revision());
                 freshAt = begun;
                 logFailures = 0;
                 loading = Optional.empty(); // begun for nothing, and by now too old to go on with
@@ -270,7 +270,7 @@
                     changed.run();
                 }
                 finish(served, true);
-            } catch (MalformedException e) {
+            } catch (MalformedMessageException e) {
                 logLost("cannot be read");
                 finish(served, false);
             }
@@ -282,9 +282,9 @@
      * only grows. Whoever is refused or not answered learns nothing about the log; but when answers keep
      * staying out, it may be because they are so long.
      */
-    private void logFailed(HttpAnswer answer, Throwable failure) {
-        Throwable cause = CallFailure.cause(failure);
-        if (cause instanceof AnswerTooLong) {
+    private void logFailed(HttpClientResponse answer, Throwable failure) {
+        Throwable cause = HttpCallException.cause(failure);
+        if (cause instanceof ResponseTooLongException) {
             logLost("is too long");
         } else if (answer != null && answer.status() >= 400 && answer.status() < 500 && answer.status() != 429) {
             logLost("no longer reaches back so far");
@@ -294,7 +294,7 @@
     }
 
     private void logLost(String why) {
-        LOG.info("the log of changes since revision {} {}; reading everything again", syncedTo, why);
+        LOG.info("the log of changes since revision {} {}; reading everything again", appliedRevision, why);
         logLost = true;
     }
 
@@ -356,7 +356,7 @@
             if (failure != null || answer.status() != HTTP_OK) {
                 boolean refused = answer != null && answer.status() >= 400 && answer.status() < 500;
                 boolean tooOld = refused && answer.status() != HTTP_TOO_MANY;
-                if (tooOld || CallFailure.cause(failure) instanceof AnswerTooLong) {
+                if (tooOld || HttpCallException.cause(failure) instanceof ResponseTooLongException) {
                     loading = Optional.empty();
                 }
                 logFailures = 0;
@@ -366,7 +366,7 @@
             try {
                 install(l, StateMessages.log(answer.body()), asked);
                 finish(served, true);
-            } catch (MalformedException e) {
+            } catch (MalformedMessageException e) {
                 loading = Optional.empty();
                 finish(served, false);
             }
@@ -384,7 +384,7 @@
                 own -> own.txn.changes().forEach((key, change) -> put(key, change.value(), own.revision)));
         appliedWhileLoading.clear();
         assembleCutJobs();
-        syncedTo = Math.max(l.revision, log.revision());
+        appliedRevision = Math.max(l.revision, log.revision());
         freshAt = asked;
         changed.run();
     }
@@ -392,9 +392,9 @@
     private void replaceAll(List<StateMessages.Entry> entries) {
         jobs.clear();
         openJobs.clear();
-        visitors.clear();
-        touched.addAll(hosts.keySet());
-        hosts.clear();
+        inboundJobs.clear();
+        changedMachines.addAll(machines.keySet());
+        machines.clear();
         pages.clear();
         allocations.clear();
         unreadable.clear();
@@ -403,7 +403,7 @@
         members.clear();
         memberVersion++;
         plain.clear();
-        stamps.clear();
+        modRevisions.clear();
         entries.forEach(this::put);
     }
 
@@ -424,11 +424,11 @@
     }
 
     private void put(String key, Optional<JsonNode> value, long stamp) {
-        Long known = stamps.get(key);
+        Long known = modRevisions.get(key);
         if (known != null && Math.abs(known) >= stamp) {
             return; // an own change was taken over before the log told of it
         }
-        stamps.put(key, value.isPresent() ? stamp : -stamp);
+        modRevisions.put(key, value.isPresent() ? stamp : -stamp);
         version++;
         try {
             if (key.startsWith(Keys.JOB)) {
@@ -448,11 +448,11 @@
                 String id = key.substring(Keys.MEMBER.length());
                 value.ifPresentOrElse(v -> members.put(id, v), () -> members.remove(id));
                 memberVersion++;
-                touched.addAll(hosts.keySet());
+                changedMachines.addAll(machines.keySet());
             } else {
                 value.ifPresentOrElse(v -> plain.put(key, v), () -> plain.remove(key));
             }
-        } catch (MalformedException | RuntimeException e) {
+        } catch (MalformedMessageException | RuntimeException e) {
             unreadable(key, e);
         }
     }
@@ -461,7 +461,7 @@
     private void unreadable(String key, Exception cause) {
         LOG.error("the record {} cannot be read: {}", key, cause.toString());
         unreadable.add(key);
-        stamps.remove(key);
+        modRevisions.remove(key);
     }
 
     /** Whether a key's value could not be understood: it must not pass for one that does not exist. */
@@ -476,16 +476,16 @@
                 v.properties().forEach(f -> after.put(f.getKey(), MachineRecord.parse(f.getKey(), f.getValue()))));
         before.keySet().forEach(id -> {
             if (!after.containsKey(id)) {
-                hosts.remove(id);
-                touched.add(id);
+                machines.remove(id);
+                changedMachines.add(id);
             }
         });
         after.forEach((id, record) -> {
             if (!record.equals(before.get(id))) {
-                hosts.put(id, record);
+                machines.put(id, record);
             }
             // The page's stamp is new for all of them, and what is concluded about a machine waits for it.
-            touched.add(id);
+            changedMachines.add(id);
         });
         if (after.isEmpty()) {
             pages.remove(key);
@@ -499,8 +499,8 @@
         for (String id : cutJobs.takeChanged()) {
             String key = Keys.job(id);
             try {
-                putJob(id, Optional.of(cutJobs.assemble(id)), stamp(key));
-            } catch (MalformedException | RuntimeException e) {
+                putJob(id, Optional.of(cutJobs.assemble(id)), modRevision(key));
+            } catch (MalformedMessageException | RuntimeException e) {
                 unreadable(key, e);
             }
         }
@@ -509,8 +509,8 @@
     private void putJob(String id, Optional<JobRecord> job, long stamp) {
         unreadable.remove(Keys.job(id));
         Optional<JobRecord> before = Optional.ofNullable(job.isPresent() ? jobs.put(id, job.get()) : jobs.remove(id));
-        if (job.filter(j -> j.end() == JobRecord.End.CANCELLED).isPresent()
-                && before.filter(j -> j.end() == JobRecord.End.CANCELLED).isEmpty()) {
+        if (job.filter(j -> j.outcome() == JobRecord.Outcome.CANCELLED).isPresent()
+                && before.filter(j -> j.outcome() == JobRecord.Outcome.CANCELLED).isEmpty()) {
             cancelled.computeIfAbsent(stamp, k -> new ArrayList<>(1)).add(id);
         }
         if (job.isPresent() && job.get().spec().isPresent()) {
@@ -518,10 +518,10 @@
         } else {
             openJobs.remove(id);
         }
-        if (job.flatMap(JobRecord::visit).isPresent()) {
-            visitors.put(id, job.get());
-        } else if (!visitors.isEmpty()) {
-            visitors.remove(id);
+        if (job.flatMap(JobRecord::inboundDelegation).isPresent()) {
+            inboundJobs.put(id, job.get());
+        } else if (!inboundJobs.isEmpty()) {
+            inboundJobs.remove(id);
         }
         allocations.update(id, before, job);
     }
--- a/src/main/java/org/dunespindle/storage/TaskSet.java
+++ b/src/main/java/org/dunespindle/storage/TaskIndexSet.java
@@ -4,8 +4,8 @@
 import it.unimi.dsi.fastutil.ints.IntList;
 
 /** Sets of task indexes as text ranges, {@code 0-15,17}, so that a record stays small. */
-public final class TaskSet {
-    private TaskSet() {}
+public final class TaskIndexSet {
+    private TaskIndexSet() {}
 
     /** Writes indexes given in rising order. */
     public static String format(IntList sorted) {
--- a/src/main/java/org/dunespindle/storage/TxnResult.java
+++ b/src/main/java/org/dunespindle/storage/TransactionResult.java
@@ -3,15 +3,15 @@
 import java.util.Set;
 
 /** What became of a transaction. */
-public sealed interface TxnResult {
+public sealed interface TransactionResult {
     /** Applied, at this revision. */
-    record Applied(long revision) implements TxnResult {}
+    record Applied(long revision) implements TransactionResult {}
 
     /** Guards on these keys failed; nothing was changed. */
-    record Conflict(Set<String> failed) implements TxnResult {}
+    record Conflict(Set<String> failed) implements TransactionResult {}
 
     /** Certainly not applied. */
-    record Refused(int status, String why) implements TxnResult {
+    record Refused(int status, String why) implements TransactionResult {
         private static final int TOO_MANY = 429;
         private static final int MALFORMED = 400;
         private static final int TOO_LONG = 413;
@@ -28,5 +28,5 @@
     }
 
     /** It may have been applied, or may yet be. */
-    record Unknown() implements TxnResult {}
+    record Unknown() implements TransactionResult {}
 }
--- a/src/main/java/org/dunespindle/time/Timeline.java
+++ b/src/main/java/org/dunespindle/time/TimeSource.java
@@ -7,7 +7,7 @@
  * The clocks and timers that the service runs on, passed in so that tests decide what time it is.
  * {@link #now} never goes back; {@link #wallTime} is only shown and stored, never compared for safety.
  */
-public interface Timeline {
+public interface TimeSource {
     /** Steady time since some fixed moment of this process. */
     Duration now();
 
@@ -15,5 +15,5 @@
     Instant wallTime();
 
     /** Runs work on the service's one thread after a delay. */
-    void after(Duration delay, Runnable work);
+    void schedule(Duration delay, Runnable work);
 }
--- a/src/main/java/org/dunespindle/transport/Sockets.java
+++ b/src/main/java/org/dunespindle/transport/ConnectionBudget.java
@@ -5,7 +5,7 @@
  * beside users', health checks' and its own calls; past the limit any new connection fails, whoever's it is, so a
  * part is kept free for those who ask rarely. All on one event loop.
  */
-public final class Sockets {
+public final class ConnectionBudget {
     /** Listeners, the loop's own descriptors, files. */
     private static final int OTHER = 24;
     /** The part for users, health checks and the few calls that must always go through. */
@@ -15,7 +15,7 @@
     private int open;
 
     /** Counts against this limit. */
-    public Sockets(int limit) {
+    public ConnectionBudget(int limit) {
         int usable = Math.max(32, limit - OTHER);
         this.most = usable - usable / KEPT_FREE_PART;
     }
--- a/src/main/java/org/dunespindle/transport/CallFailure.java
+++ b/src/main/java/org/dunespindle/transport/HttpCallException.java
@@ -6,12 +6,12 @@
  * A request without an answer. Whether it was {@link #sent} decides what its sender may conclude: an
  * unsent request can never be executed, a sent one may be executed at any later time.
  */
-public class CallFailure extends Exception {
+public class HttpCallException extends Exception {
     private static final long serialVersionUID = 1L;
     private final boolean sent;
 
     /** Creates a failure that tells whether the request may have arrived. */
-    public CallFailure(String message, boolean sent) {
+    public HttpCallException(String message, boolean sent) {
         super(message, null, false, false);
         this.sent = sent;
     }
--- a/src/main/java/org/dunespindle/transport/HttpAnswer.java
+++ b/src/main/java/org/dunespindle/transport/HttpClientResponse.java
@@ -1,4 +1,4 @@
 package org.dunespindle.transport;
 
 /** An answer that arrived whole. */
-public record HttpAnswer(int status, byte[] body) {}
+public record HttpClientResponse(int status, byte[] body) {}
--- a/src/main/java/org/dunespindle/transport/HttpReply.java
+++ b/src/main/java/org/dunespindle/transport/HttpServerResponse.java
@@ -8,14 +8,14 @@
  *
  * @param last whether the connection ends after it
  */
-public record HttpReply(int status, String contentType, byte[] body, Optional<Duration> retryAfter, boolean last) {
+public record HttpServerResponse(int status, String contentType, byte[] body, Optional<Duration> retryAfter, boolean last) {
     /** Creates a reply that leaves the connection open. */
-    public HttpReply(int status, String contentType, byte[] body, Optional<Duration> retryAfter) {
+    public HttpServerResponse(int status, String contentType, byte[] body, Optional<Duration> retryAfter) {
         this(status, contentType, body, retryAfter, false);
     }
 
     /** The same, after which the connection ends. */
-    public HttpReply andClose() {
-        return new HttpReply(status, contentType, body, retryAfter, true);
+    public HttpServerResponse andClose() {
+        return new HttpServerResponse(status, contentType, body, retryAfter, true);
     }
 }
--- a/src/main/java/org/dunespindle/transport/HttpCaller.java
+++ b/src/main/java/org/dunespindle/transport/NettyHttpClient.java
@@ -28,13 +28,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** Outgoing requests over kept connections, one request at a time on each. All on one event loop. */
-public final class HttpCaller implements Caller {
+public final class NettyHttpClient implements HttpClient {
     /** Pages of the state service have 512 KiB at most; only a log of changes may be longer, and it is then read as pages. */
     private static final int ANSWER_LIMIT = 2 << 20;
 
     private static final int KEPT_PER_ADDRESS = 3;
     private final int mostKept;
-    private final Sockets sockets;
+    private final ConnectionBudget sockets;
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     /** Idle connections by address, the longest unused address first. */
@@ -48,7 +48,7 @@
      * @param mostKept idle connections kept at most; there may be more workers than sockets
      * @param sockets counts its connections; while they are scarce, none is kept idle
      */
-    public HttpCaller(EventLoop loop, int mostKept, Sockets sockets) {
+    public NettyHttpClient(EventLoop loop, int mostKept, ConnectionBudget sockets) {
         this.sockets = sockets;
         this.mostKept = mostKept;
         this.loop = loop;
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public CompletableFuture<HttpAnswer> send(
+    public CompletableFuture<HttpClientResponse> send(
             String address, String method, String target, byte[] body, String contentType, Duration timeout) {
         var pending = new Pending(address, request(address, method, target, body, contentType));
         pending.until = System.nanoTime() + timeout.toNanos();
@@ -141,7 +141,7 @@
     private final class Pending {
         final String address;
         final DefaultFullHttpRequest request;
-        final CompletableFuture<HttpAnswer> result = new CompletableFuture<>();
+        final CompletableFuture<HttpClientResponse> result = new CompletableFuture<>();
         ScheduledFuture<?> timer;
         /** In the loop's own time. */
         long until;
@@ -169,10 +169,10 @@
             if (connecting != null) {
                 connecting.close(); // one that hangs in a cut would hold its socket for minutes
             }
-            result.completeExceptionally(tooLong ? new AnswerTooLong() : new CallFailure(why, channel != null));
+            result.completeExceptionally(tooLong ? new ResponseTooLongException() : new HttpCallException(why, channel != null));
         }
 
-        void finish(HttpAnswer answer, boolean keep) {
+        void finish(HttpClientResponse answer, boolean keep) {
             timer.cancel(false);
             ArrayDeque<Channel> idle = kept.computeIfAbsent(address, a -> new ArrayDeque<>());
             if (keep && idle.size() < KEPT_PER_ADDRESS) {
@@ -217,7 +217,7 @@
             } else {
                 byte[] body = new byte[response.content().readableBytes()];
                 response.content().readBytes(body);
-                p.finish(new HttpAnswer(response.status().code(), body), HttpUtil.isKeepAlive(response));
+                p.finish(new HttpClientResponse(response.status().code(), body), HttpUtil.isKeepAlive(response));
             }
         }
 
--- a/src/main/java/org/dunespindle/transport/HttpListener.java
+++ b/src/main/java/org/dunespindle/transport/NettyHttpServer.java
@@ -32,8 +32,8 @@
 import org.slf4j.LoggerFactory;
 
 /** An HTTP/1.1 listener that hands whole requests to a handler, one at a time per connection. */
-public final class HttpListener {
-    private static final Logger LOG = LoggerFactory.getLogger(HttpListener.class);
+public final class NettyHttpServer {
+    private static final Logger LOG = LoggerFactory.getLogger(NettyHttpServer.class);
 
     private static final Duration LINGER = Duration.ofSeconds(2);
     /** All workers come back at once after a cut or a crash; a connection that finds no place waits a second or more for its next try. */
@@ -43,10 +43,10 @@
     @FunctionalInterface
     public interface Handler {
         /** Handles one request; the reply may be given later, on the same thread. */
-        void handle(HttpCall call, Consumer<HttpReply> answer);
+        void handle(HttpServerRequest call, Consumer<HttpServerResponse> answer);
     }
 
-    private HttpListener() {}
+    private NettyHttpServer() {}
 
     /**
      * Binds the listener.
@@ -59,8 +59,8 @@
             InetSocketAddress address,
             int bodyLimit,
             Handler handler,
-            IntFunction<HttpReply> refusal,
-            Sockets sockets)
+            IntFunction<HttpServerResponse> refusal,
+            ConnectionBudget sockets)
             throws InterruptedException {
         return new ServerBootstrap()
                 .group(loop)
@@ -85,7 +85,7 @@
                 .channel();
     }
 
-    private static DefaultFullHttpResponse response(HttpReply reply, boolean keepAlive) {
+    private static DefaultFullHttpResponse response(HttpServerResponse reply, boolean keepAlive) {
         var response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
         var headers = response.headers();
@@ -101,9 +101,9 @@
 
     /** Collects bodies; an over-long one gets an answer in the service's own form, then the connection ends. */
     private static final class Whole extends HttpObjectAggregator {
-        private final IntFunction<HttpReply> refusal;
+        private final IntFunction<HttpServerResponse> refusal;
 
-        Whole(int limit, IntFunction<HttpReply> refusal) {
+        Whole(int limit, IntFunction<HttpServerResponse> refusal) {
             super(limit);
             this.refusal = refusal;
         }
@@ -122,11 +122,11 @@
     private static final class Serial extends ChannelInboundHandlerAdapter {
         private static final int MOST_WAITING = 32;
         private final Handler handler;
-        private final IntFunction<HttpReply> refusal;
+        private final IntFunction<HttpServerResponse> refusal;
         private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
         private boolean busy;
 
-        Serial(Handler handler, IntFunction<HttpReply> refusal) {
+        Serial(Handler handler, IntFunction<HttpServerResponse> refusal) {
             this.handler = handler;
             this.refusal = refusal;
         }
@@ -158,7 +158,7 @@
                 return () -> answer(ctx, refusal.apply(400), false);
             }
             boolean keepAlive = HttpUtil.isKeepAlive(request);
-            HttpCall call = call(request);
+            HttpServerRequest call = call(request);
             return () -> {
                 try {
                     handler.handle(call, reply -> answer(ctx, reply, keepAlive));
@@ -169,19 +169,19 @@
             };
         }
 
-        private static HttpCall call(FullHttpRequest request) {
+        private static HttpServerRequest call(FullHttpRequest request) {
             byte[] body = new byte[request.content().readableBytes()];
             request.content().readBytes(body);
             String uri = ((HttpRequest) request).uri();
             int mark = uri.indexOf('?');
-            return new HttpCall(
+            return new HttpServerRequest(
                     request.method().name(),
                     mark < 0 ? uri : uri.substring(0, mark),
                     mark < 0 ? "" : uri.substring(mark + 1),
                     body);
         }
 
-        private void answer(ChannelHandlerContext ctx, HttpReply reply, boolean wanted) {
+        private void answer(ChannelHandlerContext ctx, HttpServerResponse reply, boolean wanted) {
             boolean keepAlive = wanted && !reply.last();
             var sent = ctx.writeAndFlush(response(reply, keepAlive));
             if (!keepAlive) {
--- a/src/main/java/org/dunespindle/transport/AnswerTooLong.java
+++ b/src/main/java/org/dunespindle/transport/ResponseTooLongException.java
@@ -1,11 +1,11 @@
 package org.dunespindle.transport;
 
 /** An answer longer than this process takes in; the same request would fail the same way again. */
-public final class AnswerTooLong extends CallFailure {
+public final class ResponseTooLongException extends HttpCallException {
     private static final long serialVersionUID = 1L;
 
     /** Creates the failure. */
-    public AnswerTooLong() {
+    public ResponseTooLongException() {
         super("the answer is too long", true);
     }
 }
--- a/src/main/java/org/dunespindle/worker/Cancellations.java
+++ b/src/main/java/org/dunespindle/worker/CancellationTracker.java
@@ -10,8 +10,8 @@
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.PlacedTask;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.time.TimeSource;
 
 /**
  * What this controller knows of cancellations, and how old that knowledge may be at most.
@@ -23,16 +23,16 @@
  * So what is known here is as old as the <em>oldest</em> of the last answers of all others, each counted from when it was
  * asked. One that does not answer may have confirmed anything since, so then age grows, whoever else answers.
  */
-public final class Cancellations {
-    private final Replica replica;
-    private final Timeline timeline;
+public final class CancellationTracker {
+    private final StateReplica replica;
+    private final TimeSource timeline;
     private final List<String> others;
     /** When each other controller was last asked that has answered. */
     private final Map<String, Duration> askedAt = new HashMap<>();
     /** Jobs that others say are cancelled and that the copy here may still show as open. */
     private final Set<String> told = new HashSet<>();
 
-    public Cancellations(Settings settings, Replica replica, Timeline timeline) {
+    public CancellationTracker(Settings settings, StateReplica replica, TimeSource timeline) {
         this.replica = replica;
         this.timeline = timeline;
         this.others = settings.seeds().stream().map(Settings.Seed::name).toList();
@@ -49,7 +49,7 @@
         var news = new ArrayList<String>();
         for (String id : cancelled) {
             // A job that the copy does not have yet has no task that was started from here.
-            if (replica.job(id).filter(j -> !j.open()).isEmpty() && told.add(id)) {
+            if (replica.job(id).filter(j -> !j.isOpen()).isEmpty() && told.add(id)) {
                 news.add(id);
             }
         }
@@ -57,21 +57,21 @@
     }
 
     /** A cancellation confirmed longer ago than this is known here. */
-    Duration age() {
+    Duration staleness() {
         Duration now = timeline.now();
         Duration oldest = Duration.ZERO;
         for (String node : others) {
             Duration asked = askedAt.get(node);
-            Duration since = asked == null ? replica.age() : now.minus(asked);
+            Duration since = asked == null ? replica.staleness() : now.minus(asked);
             oldest = since.compareTo(oldest) > 0 ? since : oldest;
         }
-        Duration read = replica.age();
+        Duration read = replica.staleness();
         return !replica.loaded() || read.compareTo(oldest) < 0 ? read : oldest;
     }
 
     /** Whether a job is known to be cancelled, by the copy or by what others told. */
     boolean cancelled(JobRecord job) {
-        return job.end() == JobRecord.End.CANCELLED || job.open() && told.contains(job.id());
+        return job.outcome() == JobRecord.Outcome.CANCELLED || job.isOpen() && told.contains(job.id());
     }
 
     /** A machine's allocations as they stand with what others told: those of cancelled jobs are to end. */
@@ -80,7 +80,7 @@
             return allocations;
         }
         return allocations.stream()
-                .map(p -> p.job().open() && told.contains(p.job().id())
+                .map(p -> p.job().isOpen() && told.contains(p.job().id())
                         ? new PlacedTask(p.job().cancelled(), p.allocation())
                         : p)
                 .toList();
@@ -88,6 +88,6 @@
 
     /** Forgets what the copy shows by itself. */
     public void prune() {
-        told.removeIf(id -> replica.job(id).filter(j -> !j.open()).isPresent());
+        told.removeIf(id -> replica.job(id).filter(j -> !j.isOpen()).isPresent());
     }
 }
--- a/src/main/java/org/dunespindle/worker/CallSlots.java
+++ b/src/main/java/org/dunespindle/worker/ConcurrentCallLimiter.java
@@ -7,7 +7,7 @@
  * Bounds the calls to machines that are under way, and those to silent ones further: in a cut they hang by the hundred, and each holds a
  * socket. A machine that finds no place waits in line; what it is told is decided when its turn comes.
  */
-final class CallSlots {
+final class ConcurrentCallLimiter {
     /** Calls to machines may take this part of the sockets, those to silent ones half of it. */
     private static final int PART_OF_SOCKETS = 8;
 
@@ -17,7 +17,7 @@
     private int underWay;
     private int underWayToSilent;
 
-    CallSlots(int sockets) {
+    ConcurrentCallLimiter(int sockets) {
         this.most = Math.max(LEAST, sockets / PART_OF_SOCKETS);
     }
 
--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -9,15 +9,15 @@
 import java.util.function.Predicate;
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.control.Membership;
-import org.dunespindle.control.Sessions;
-import org.dunespindle.control.StallDetector;
+import org.dunespindle.control.WorkerRegistry;
+import org.dunespindle.control.PauseDetector;
 import org.dunespindle.control.WorkerState;
-import org.dunespindle.peer.Peers;
+import org.dunespindle.peer.PeerHeartbeats;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateReplica;
 import org.dunespindle.time.Durations;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.time.TimeSource;
 
 /**
  * Whether a machine that nobody hears may be given up. FailureDetector has many causes that are not the machine's: its zone is cut off, its
@@ -30,13 +30,13 @@
     private static final Duration STRAGGLING = Duration.ofSeconds(5);
     private static final Duration OWNER_MUTE = Duration.ofSeconds(25);
     private final Settings settings;
-    private final Replica replica;
+    private final StateReplica replica;
     private final Membership membership;
     private final WorkerClient workerClient;
-    private final Peers peers;
-    private final Sessions sessions;
-    private final Timeline timeline;
-    private final StallDetector stalls;
+    private final PeerHeartbeats peers;
+    private final WorkerRegistry sessions;
+    private final TimeSource timeline;
+    private final PauseDetector stalls;
     /** Zones and owners most of whose machines are silent, and when that was last so: when a cut ends, some are heard later than others. */
     private final Map<String, Duration> cutOff = new HashMap<>();
     /** Where the cloud's list says that a machine is; records of rented machines do not tell until they report. */
@@ -55,14 +55,14 @@
     public FailureDetector(
             ControllerContext context,
             WorkerClient workerClient,
-            Peers peers,
+            PeerHeartbeats peers,
             Function<String, Optional<String>> listedAddress) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.sessions = context.sessions();
-        this.timeline = context.timeline();
-        this.stalls = context.stalls();
+        this.sessions = context.workers();
+        this.timeline = context.timeSource();
+        this.stalls = context.pauseDetector();
         this.workerClient = workerClient;
         this.peers = peers;
         this.listedAddress = listedAddress;
@@ -73,10 +73,10 @@
      * reports: without them their leases run out. Another's may report to their owner alone, so an answer is enough.
      */
     public Optional<Duration> heard(MachineRecord host) {
-        Optional<WorkerState> session = sessions.known(host.id());
+        Optional<WorkerState> session = sessions.find(host.id());
         Optional<Duration> here = Optional.empty();
         if (session.isPresent()) {
-            here = membership.owns(host) ? session.get().heardAt : session.get().aliveAt();
+            here = membership.owns(host) ? session.get().lastHeartbeatAt : session.get().lastSeenAlive();
         }
         return Durations.later(here, peers.aliveAt(host));
     }
@@ -104,9 +104,9 @@
         var all = new HashMap<String, Integer>();
         var silent = new HashMap<String, Integer>();
         Duration limit = Durations.times(settings.workers().report(), 2).plusSeconds(2);
-        for (MachineRecord h : replica.hosts().values()) {
+        for (MachineRecord h : replica.machines().values()) {
             Optional<Duration> heard = heard(h);
-            if (h.leaving() || heard.isEmpty() && !longUp.test(h)) {
+            if (h.draining() || heard.isEmpty() && !longUp.test(h)) {
                 continue;
             }
             boolean isSilent = stalls.silence(heard.orElse(leadingSince)).compareTo(limit) > 0;
--- a/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
@@ -11,22 +11,22 @@
 import java.util.function.Predicate;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.Decisions;
-import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.EventRecorder;
+import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
-import org.dunespindle.control.Reconciler;
-import org.dunespindle.control.Sessions;
+import org.dunespindle.control.HeartbeatReconciler;
+import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.WorkerCommand;
-import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.TxnResult;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.TransactionResult;
 import org.dunespindle.time.Durations;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.time.TimeSource;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -47,41 +47,41 @@
     private static final Duration LEAST_VIEW = Duration.ofSeconds(2);
     private static final int STRAYS_UNSEEN = 4;
     private final Settings settings;
-    private final Replica replica;
+    private final StateReplica replica;
     private final Membership membership;
-    private final MachineWriter machineWriter;
+    private final MachineRecordWriter machineWriter;
     private final WorkerClient workerClient;
-    private final Timeline timeline;
-    private final Sessions sessions;
-    private final Decisions decisions;
-    private final Cancellations cancellations;
-    private final BooleanSupplier cutOff;
-    private final Predicate<String> fellQuiet;
+    private final TimeSource timeline;
+    private final WorkerRegistry sessions;
+    private final EventRecorder decisions;
+    private final CancellationTracker cancellations;
+    private final BooleanSupplier isPartitioned;
+    private final Predicate<String> isSuspected;
     private final Runnable changed;
     /** With older knowledge of cancellations no lease is renewed: one told elsewhere may be unknown here, and must end its tasks in time. */
     private final Duration viewLimit;
 
-    private long reports;
+    private long heartbeatCount;
 
     public HeartbeatHandler(
             ControllerContext context,
-            MachineWriter machineWriter,
+            MachineRecordWriter machineWriter,
             WorkerClient workerClient,
-            Cancellations cancellations,
+            CancellationTracker cancellations,
             BooleanSupplier cutOff,
             Predicate<String> fellQuiet,
             Runnable changed) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.timeline = context.timeline();
-        this.sessions = context.sessions();
-        this.decisions = context.decisions();
+        this.timeline = context.timeSource();
+        this.sessions = context.workers();
+        this.decisions = context.eventRecorder();
         this.machineWriter = machineWriter;
         this.workerClient = workerClient;
         this.cancellations = cancellations;
-        this.cutOff = cutOff;
-        this.fellQuiet = fellQuiet;
+        this.isPartitioned = cutOff;
+        this.isSuspected = fellQuiet;
         this.changed = changed;
         Duration spare =
                 settings.workers().cancel().minus(settings.workers().lease()).minus(MARGIN);
@@ -89,55 +89,55 @@
     }
 
     /** Reports answered so far. */
-    public long reports() {
-        return reports;
+    public long heartbeatCount() {
+        return heartbeatCount;
     }
 
     /** Answers a report: status and body. */
-    public void report(WorkerReport r, BiConsumer<Integer, ObjectNode> answer) {
-        reports++;
-        WorkerState session = sessions.of(r.host());
-        Optional<WorkerReport> before = session.report;
+    public void onHeartbeat(WorkerHeartbeat r, BiConsumer<Integer, ObjectNode> answer) {
+        heartbeatCount++;
+        WorkerState session = sessions.getOrCreate(r.machineId());
+        Optional<WorkerHeartbeat> before = session.lastHeartbeat;
         Duration now = timeline.now();
         boolean wasSilent = workerClient.silent(session);
-        boolean newer = session.reported(r, now);
+        boolean newer = session.acceptHeartbeat(r, now);
         if (r.notice().isPresent()) {
-            workerClient.notice(r.host());
+            workerClient.notice(r.machineId());
         }
         if (newer) {
-            workerClient.attendIfNews(r, before);
+            workerClient.reconcileIfChanged(r, before);
         }
-        if (newer && wasSilent && session.unprovenSince.isPresent()) {
+        if (newer && wasSilent && session.commandsUnconfirmedSince.isPresent()) {
             // After a cut, or when it has just found its way here: that no command arrived before does not show that
             // none does now.
-            session.unprovenSince = Optional.of(now);
-            session.callAgainAt = now;
-            workerClient.attend(r.host());
+            session.commandsUnconfirmedSince = Optional.of(now);
+            session.nextCallAt = now;
+            workerClient.scheduleReconciliation(r.machineId());
             changed.run();
         }
-        MachineRecord record = replica.hosts().get(r.host());
-        if (replica.loaded() && keepsAlive(r, record, answer)) {
+        MachineRecord record = replica.machines().get(r.machineId());
+        if (replica.loaded() && renewOrphanedLease(r, record, answer)) {
             return;
         }
         if (!replica.loaded() || membership.incarnation() == 0 || !mayRenew()) {
             answer.accept(503, error("this controller does not know the present state"));
             return;
         }
-        if (newer && session.unprovenSince.isPresent() && session.callAgainAt.compareTo(timeline.now()) > 0) {
-            session.callAgainAt = timeline.now().plus(WorkerClient.REFUSED_PAUSE);
-            workerClient.attend(r.host());
+        if (newer && session.commandsUnconfirmedSince.isPresent() && session.nextCallAt.compareTo(timeline.now()) > 0) {
+            session.nextCallAt = timeline.now().plus(WorkerClient.REFUSED_PAUSE);
+            workerClient.scheduleReconciliation(r.machineId());
         }
-        if (cutOff.getAsBoolean()) {
-            answerCutOff(r, record, session, answer);
+        if (isPartitioned.getAsBoolean()) {
+            answerWhilePartitioned(r, record, session, answer);
         } else if (record == null) {
-            unknown(r, session, newer, answer);
+            handleUnregistered(r, session, newer, answer);
         } else if (membership.owns(record)) {
             answerOwned(r, record, session, newer, answer);
             if (newer && r.token() == record.token()) {
-                session.heardAt = Optional.of(timeline.now());
+                session.lastHeartbeatAt = Optional.of(timeline.now());
             }
         } else {
-            stray(r, record, session, newer, answer);
+            redirectToOwner(r, record, session, newer, answer);
         }
     }
 
@@ -145,10 +145,10 @@
      * A worker whose controller is gone is answered under the stored token until somebody takes its machine over: after a crash of
      * all, taking over takes longer than is left of its lease. Without commands, an equal token does nothing but renew.
      */
-    private boolean keepsAlive(WorkerReport r, MachineRecord record, BiConsumer<Integer, ObjectNode> answer) {
+    private boolean renewOrphanedLease(WorkerHeartbeat r, MachineRecord record, BiConsumer<Integer, ObjectNode> answer) {
         boolean orphan = record != null
                 && !membership.isAlive(record.owner(), record.incarnation())
-                && replica.age().compareTo(WorkerClient.START_VIEW) < 0
+                && replica.staleness().compareTo(WorkerClient.START_VIEW) < 0
                 && accepts(r, record);
         if (orphan) {
             renew(r, record, answer);
@@ -158,16 +158,16 @@
 
     /** Whether a worker may be answered with 200, as far as cancellations go. */
     private boolean mayRenew() {
-        return cancellations.age().compareTo(viewLimit) <= 0;
+        return cancellations.staleness().compareTo(viewLimit) <= 0;
     }
 
     /** A worker that has seen a higher token than is stored drops what is answered under the stored one, and waits until its lease is over. */
-    private static boolean accepts(WorkerReport r, MachineRecord record) {
+    private static boolean accepts(WorkerHeartbeat r, MachineRecord record) {
         return r.token() <= record.token();
     }
 
     /** Renews a worker's lease and ends what is cancelled, nothing else. */
-    private void renew(WorkerReport r, MachineRecord record, BiConsumer<Integer, ObjectNode> answer) {
+    private void renew(WorkerHeartbeat r, MachineRecord record, BiConsumer<Integer, ObjectNode> answer) {
         answer.accept(
                 200,
                 WorkerCommand.reply(
@@ -182,7 +182,7 @@
     }
 
     private void answerOwned(
-            WorkerReport r,
+            WorkerHeartbeat r,
             MachineRecord record,
             WorkerState session,
             boolean newer,
@@ -195,9 +195,9 @@
         // starts never ride.
         boolean proof = newer
                 && r.token() == record.token()
-                && session.unansweredUnder.isEmpty()
-                && !session.calling
-                && replica.syncedTo() >= replica.stamp(Keys.host(r.host()));
+                && session.unansweredStartToken.isEmpty()
+                && !session.callInFlight
+                && replica.appliedRevision() >= replica.modRevision(Keys.machinePage(r.machineId()));
         if (!proof) {
             renew(r, record, answer);
             return;
@@ -207,7 +207,7 @@
                         .keepExits(
                                 record,
                                 session,
-                                Reconciler.judge(workerClient.allocations(r.host()), r)
+                                HeartbeatReconciler.reconcile(workerClient.allocations(r.machineId()), r)
                                         .commands())
                         .stream()
                         .filter(o -> !(o instanceof WorkerCommand.Run))
@@ -221,8 +221,8 @@
      * act takes its machines over, so its workers are sent to find that one. One that comes back was turned
      * away everywhere: it is better kept alive than left to die, as long as no cancellation can have been missed.
      */
-    private void answerCutOff(
-            WorkerReport r, MachineRecord record, WorkerState session, BiConsumer<Integer, ObjectNode> answer) {
+    private void answerWhilePartitioned(
+            WorkerHeartbeat r, MachineRecord record, WorkerState session, BiConsumer<Integer, ObjectNode> answer) {
         Duration now = timeline.now();
         boolean ours = record != null && membership.owns(record) && accepts(r, record);
         Optional<Duration> away = session.turnedAwayAt.map(now::minus).filter(d -> d.compareTo(TURNED_AWAY_MEMORY) < 0);
@@ -241,9 +241,9 @@
     private boolean hearsOtherZones() {
         Duration recent = Durations.times(settings.workers().report(), 2).plusSeconds(1);
         for (WorkerState s : sessions.all().values()) {
-            if (s.heardAt.isPresent()
-                    && timeline.now().minus(s.heardAt.get()).compareTo(recent) < 0
-                    && s.report.filter(x -> !x.zone().equals(settings.zone())).isPresent()) {
+            if (s.lastHeartbeatAt.isPresent()
+                    && timeline.now().minus(s.lastHeartbeatAt.get()).compareTo(recent) < 0
+                    && s.lastHeartbeat.filter(x -> !x.zone().equals(settings.zone())).isPresent()) {
                 return true;
             }
         }
@@ -251,43 +251,43 @@
     }
 
     /** A machine that no record names. Its report may be a late copy and the machine long gone, so it is asked itself first. */
-    private void unknown(WorkerReport r, WorkerState session, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
-        Optional<String> owner = membership.hashed(r.host());
+    private void handleUnregistered(WorkerHeartbeat r, WorkerState session, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
+        Optional<String> owner = membership.hashed(r.machineId());
         if (!membership.joined() || owner.isEmpty()) {
             answer.accept(503, error("not a member yet"));
         } else if (!owner.get().equals(settings.nodeName())) {
             answer.accept(421, WorkerCommand.redirect(owner.get()));
-        } else if (!newer || session.verifying || machineWriter.busy(r.host())) {
+        } else if (!newer || session.inspectionInFlight || machineWriter.busy(r.machineId())) {
             answer.accept(503, error("machine is being taken up"));
         } else {
             workerClient.verify(r, session, alive -> {
-                if (!alive || replica.hosts().containsKey(r.host())) {
+                if (!alive || replica.machines().containsKey(r.machineId())) {
                     answer.accept(503, error("machine could not be taken up"));
                     return;
                 }
                 var record = new MachineRecord(
-                        r.host(),
+                        r.machineId(),
                         r.address(),
                         r.type(),
                         r.zone(),
                         r.spot(),
                         settings.nodeName(),
                         membership.incarnation(),
-                        session.report.map(WorkerReport::token).orElse(r.token()) + 1,
+                        session.lastHeartbeat.map(WorkerHeartbeat::token).orElse(r.token()) + 1,
                         timeline.wallTime(),
                         Instant.EPOCH,
                         false,
                         "");
-                decisions.tell(LOG, "machine {} reported without having been rented by us; taken up", r.host());
-                machineWriter.change(CommitPriority.PLACING, record, answerAfter(r, answer));
+                decisions.record(LOG, "machine {} reported without having been rented by us; taken up", r.machineId());
+                machineWriter.change(CommitPriority.PLACEMENT, record, answerAfter(r, answer));
             });
         }
     }
 
-    private Consumer<TxnResult> answerAfter(WorkerReport r, BiConsumer<Integer, ObjectNode> answer) {
+    private Consumer<TransactionResult> answerAfter(WorkerHeartbeat r, BiConsumer<Integer, ObjectNode> answer) {
         return result -> {
-            MachineRecord now = replica.hosts().get(r.host());
-            if (result instanceof TxnResult.Applied && now != null && membership.owns(now)) {
+            MachineRecord now = replica.machines().get(r.machineId());
+            if (result instanceof TransactionResult.Applied && now != null && membership.owns(now)) {
                 answer.accept(200, WorkerCommand.reply(now.token(), List.of()));
             } else {
                 answer.accept(503, error("machine could not be taken up"));
@@ -300,31 +300,31 @@
      * back soon, it could not reach the owner (a cut zone, a crash): then the machine changes hands. Late copies of
      * reports count for nothing, and the worker itself is asked before its tasks' token is raised.
      */
-    private void stray(
-            WorkerReport r,
+    private void redirectToOwner(
+            WorkerHeartbeat r,
             MachineRecord record,
             WorkerState session,
             boolean newer,
             BiConsumer<Integer, ObjectNode> answer) {
         Duration now = timeline.now();
         boolean ownerLives = membership.isAlive(record.owner(), record.incarnation());
-        String next = ownerLives ? record.owner() : membership.hashed(r.host()).orElse(record.owner());
+        String next = ownerLives ? record.owner() : membership.hashed(r.machineId()).orElse(record.owner());
         Runnable sendOn = () -> answer.accept(421, WorkerCommand.redirect(next));
         if (!newer) {
             sendOn.run();
             return;
         }
-        long stamp = replica.stamp(Keys.host(r.host()));
-        Duration since = now.minus(session.strayAt);
-        if (session.strayStamp != stamp || since.compareTo(STRAY_MEMORY) > 0) {
-            session.strays = 1;
-            session.strayStamp = stamp;
-            session.strayAt = now;
+        long stamp = replica.modRevision(Keys.machinePage(r.machineId()));
+        Duration since = now.minus(session.lastRedirectAt);
+        if (session.redirectRevision != stamp || since.compareTo(STRAY_MEMORY) > 0) {
+            session.redirects = 1;
+            session.redirectRevision = stamp;
+            session.lastRedirectAt = now;
         } else if (since.compareTo(STRAY_GAP) > 0) {
-            session.strays++;
-            session.strayAt = now;
+            session.redirects++;
+            session.lastRedirectAt = now;
         }
-        if (replica.age().compareTo(WorkerClient.START_VIEW) >= 0 && session.strays >= 2 && accepts(r, record)) {
+        if (replica.staleness().compareTo(WorkerClient.START_VIEW) >= 0 && session.redirects >= 2 && accepts(r, record)) {
             // In an outage that all share nobody can take it over from a controller that has ended; until then it is
             // kept alive.
             renew(r, record, answer);
@@ -333,20 +333,20 @@
         // A controller that has just ended takes all its workers here: its pages are soon taken as a whole, not machine
         // by machine.
         if (!membership.joined()
-                || session.verifying
-                || machineWriter.busy(r.host())
-                || fellQuiet.test(record.owner())) {
+                || session.inspectionInFlight
+                || machineWriter.busy(r.machineId())
+                || isSuspected.test(record.owner())) {
             sendOn.run();
-        } else if (session.strays >= 2) {
+        } else if (session.redirects >= 2) {
             workerClient.verify(r, session, alive -> {
-                MachineRecord present = replica.hosts().get(r.host());
+                MachineRecord present = replica.machines().get(r.machineId());
                 // A worker that reaches only this controller, and that nobody reaches, is taken over once it has
                 // insisted.
-                boolean insists = session.strays >= STRAYS_UNSEEN && r.token() == record.token();
+                boolean insists = session.redirects >= STRAYS_UNSEEN && r.token() == record.token();
                 if (present != null && !membership.owns(present) && (alive || insists)) {
-                    decisions.tell(
-                            LOG, "machine {} cannot reach its controller {}; taken over", r.host(), present.owner());
-                    workerClient.take(present, timeline.wallTime().plus(KEEP), answerAfter(r, answer));
+                    decisions.record(
+                            LOG, "machine {} cannot reach its controller {}; taken over", r.machineId(), present.owner());
+                    workerClient.acquire(present, timeline.wallTime().plus(KEEP), answerAfter(r, answer));
                 } else {
                     sendOn.run();
                 }
--- a/src/main/java/org/dunespindle/worker/WorkerConnectivity.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Optional;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.Decisions;
+import org.dunespindle.control.EventRecorder;
 import org.dunespindle.control.Membership;
-import org.dunespindle.control.Sessions;
-import org.dunespindle.control.StallDetector;
+import org.dunespindle.control.WorkerRegistry;
+import org.dunespindle.control.PauseDetector;
 import org.dunespindle.control.WorkerState;
-import org.dunespindle.peer.Peers;
+import org.dunespindle.peer.PeerHeartbeats;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.time.TimeSource;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,8 +24,8 @@
  * steps aside, before its workers' leases end: the others take its machines, and the lead, as after a crash. Left
  * in place it would hold machines that it cannot command, and take them for dead.
  */
-public final class WorkerConnectivity {
-    private static final Logger LOG = LoggerFactory.getLogger(WorkerConnectivity.class);
+public final class PartitionDetector {
+    private static final Logger LOG = LoggerFactory.getLogger(PartitionDetector.class);
     private static final Duration LATENESS = Duration.ofMillis(800);
     private static final Duration VIEW = Duration.ofSeconds(3);
     private static final Duration ASK_EVERY = Duration.ofSeconds(2);
@@ -33,28 +33,28 @@
     private static final int ASKED = 5;
     private static final double NEARLY_ALL = 0.8;
     private final Settings settings;
-    private final Replica replica;
+    private final StateReplica replica;
     private final Membership membership;
     private final WorkerClient workerClient;
-    private final Peers peers;
-    private final Sessions sessions;
-    private final Timeline timeline;
-    private final StallDetector stalls;
-    private final Decisions decisions;
+    private final PeerHeartbeats peers;
+    private final WorkerRegistry sessions;
+    private final TimeSource timeline;
+    private final PauseDetector stalls;
+    private final EventRecorder decisions;
     /** Reports come at this interval, give or take a quarter. */
     private final Duration overdue;
 
     private Optional<Duration> awaySince = Optional.empty();
     private Duration askAgainAt = Duration.ZERO;
 
-    public WorkerConnectivity(ControllerContext context, WorkerClient workerClient, Peers peers) {
+    public PartitionDetector(ControllerContext context, WorkerClient workerClient, PeerHeartbeats peers) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.sessions = context.sessions();
-        this.timeline = context.timeline();
-        this.stalls = context.stalls();
-        this.decisions = context.decisions();
+        this.sessions = context.workers();
+        this.timeline = context.timeSource();
+        this.stalls = context.pauseDetector();
+        this.decisions = context.eventRecorder();
         this.workerClient = workerClient;
         this.peers = peers;
         this.overdue = settings.workers().report().multipliedBy(5).dividedBy(4).plus(LATENESS);
@@ -69,7 +69,7 @@
         if (awaySince.isPresent()) {
             comeBack(now);
         } else if (membership.joined()
-                && replica.age().compareTo(VIEW) < 0
+                && replica.staleness().compareTo(VIEW) < 0
                 && stalls.awake().compareTo(overdue) > 0
                 && othersServe()) {
             List<MachineRecord> silent = silentOnes();
@@ -84,7 +84,7 @@
         return settings.seeds().stream()
                 .anyMatch(s -> membership.incarnationOf(s.name()).isPresent()
                         && peers.heartbeat(s.name())
-                                .filter(w -> w.viewAge().compareTo(VIEW) < 0)
+                                .filter(w -> w.replicaStaleness().compareTo(VIEW) < 0)
                                 .isPresent());
     }
 
@@ -92,13 +92,13 @@
     private List<MachineRecord> silentOnes() {
         var silent = new ArrayList<MachineRecord>();
         int all = 0;
-        for (MachineRecord h : replica.hosts().values()) {
-            Optional<WorkerState> s = membership.owns(h) && !h.leaving() ? sessions.known(h.id()) : Optional.empty();
+        for (MachineRecord h : replica.machines().values()) {
+            Optional<WorkerState> s = membership.owns(h) && !h.draining() ? sessions.find(h.id()) : Optional.empty();
             if (s.isPresent()
-                    && s.get().heardAt.isPresent()
-                    && s.get().report.filter(r -> r.token() == h.token()).isPresent()) {
+                    && s.get().lastHeartbeatAt.isPresent()
+                    && s.get().lastHeartbeat.filter(r -> r.token() == h.token()).isPresent()) {
                 all++;
-                if (stalls.silence(s.get().heardAt.get()).compareTo(overdue) > 0) {
+                if (stalls.silence(s.get().lastHeartbeatAt.get()).compareTo(overdue) > 0) {
                     silent.add(h);
                 }
             }
@@ -109,9 +109,9 @@
     /** Machines of any controller that have been heard here. */
     private List<MachineRecord> known() {
         var known = new ArrayList<MachineRecord>();
-        replica.hosts().values().stream()
+        replica.machines().values().stream()
                 .filter(h ->
-                        sessions.known(h.id()).filter(s -> s.report.isPresent()).isPresent())
+                        sessions.find(h.id()).filter(s -> s.lastHeartbeat.isPresent()).isPresent())
                 .forEach(known::add);
         return known;
     }
@@ -145,14 +145,14 @@
         if (!membership.joined() || !othersServe()) {
             return;
         }
-        decisions.tell(LOG, "none of {} workers is heard or reached from here; this controller steps aside", silent);
+        decisions.record(LOG, "none of {} workers is heard or reached from here; this controller steps aside", silent);
         awaySince = Optional.of(timeline.now());
-        membership.stepAside();
+        membership.resign();
     }
 
     private void comeBack(Duration now) {
         askAgainAt = now.plus(ASK_EVERY);
-        boolean alone = replica.members().isEmpty() && replica.age().compareTo(VIEW) < 0;
+        boolean alone = replica.members().isEmpty() && replica.staleness().compareTo(VIEW) < 0;
         if (alone || now.minus(awaySince.get()).compareTo(AWAY_AT_MOST) > 0) {
             back("nobody else serves");
             return;
@@ -169,8 +169,8 @@
     private void back(String why) {
         if (awaySince.isPresent()) {
             awaySince = Optional.empty();
-            decisions.tell(LOG, "{}; this controller takes part again", why);
-            membership.comeBack();
+            decisions.record(LOG, "{}; this controller takes part again", why);
+            membership.rejoin();
         }
     }
 }
--- a/src/main/java/org/dunespindle/worker/Preemptions.java
+++ b/src/main/java/org/dunespindle/worker/PendingPreemptions.java
@@ -9,13 +9,13 @@
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.PlacedTask;
-import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateReplica;
 
 /**
  * Tasks that are to give way, decided here and stored nowhere: stopping a task needs no record, only its end does. A
  * decision that is lost with its process is taken anew by the next leader, if it still makes sense.
  */
-public final class Preemptions {
+public final class PendingPreemptions {
     private final Map<String, Set<TaskAttempt>> byHost = new HashMap<>();
     private final Map<String, Set<TaskAttempt>> byJob = new HashMap<>();
 
@@ -33,7 +33,7 @@
                         .map(p -> stops.contains(new TaskAttempt(
                                         p.job().id(),
                                         p.allocation().task(),
-                                        p.allocation().base()))
+                                        p.allocation().attemptBase()))
                                 ? new PlacedTask(p.job(), p.allocation().stopped())
                                 : p)
                         .toList();
@@ -44,18 +44,18 @@
         JobRecord marked = job;
         for (TaskAttempt stop : byJob.getOrDefault(job.id(), Set.of())) {
             if (stands(job, stop)) {
-                marked = marked.stopTask(stop.task());
+                marked = marked.withTaskStopping(stop.task());
             }
         }
         return marked;
     }
 
     private static boolean stands(JobRecord job, TaskAttempt stop) {
-        return job.allocation(stop.task()).filter(c -> c.base() == stop.base()).isPresent();
+        return job.allocation(stop.task()).filter(c -> c.attemptBase() == stop.attemptBase()).isPresent();
     }
 
     /** Forgets what has left its machine. */
-    public void prune(Replica replica) {
+    public void prune(StateReplica replica) {
         byJob.values().removeIf(stops -> {
             stops.removeIf(s -> replica.job(s.job()).filter(j -> stands(j, s)).isEmpty());
             return stops.isEmpty();
@@ -67,6 +67,6 @@
     }
 
     public static TaskAttempt of(JobRecord job, Allocation allocation) {
-        return new TaskAttempt(job.id(), allocation.task(), allocation.base());
+        return new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase());
     }
 }
--- a/src/main/java/org/dunespindle/worker/WorkerClient.java
+++ b/src/main/java/org/dunespindle/worker/WorkerClient.java
@@ -11,31 +11,31 @@
 import java.util.function.Consumer;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.Decisions;
-import org.dunespindle.control.MachineWriter;
+import org.dunespindle.control.EventRecorder;
+import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
-import org.dunespindle.control.Reconciler;
+import org.dunespindle.control.HeartbeatReconciler;
 import org.dunespindle.control.ReconciliationResult;
-import org.dunespindle.control.Sessions;
-import org.dunespindle.control.StallDetector;
+import org.dunespindle.control.WorkerRegistry;
+import org.dunespindle.control.PauseDetector;
 import org.dunespindle.control.TaskTermination;
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.protocol.ExitCause;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.TaskPhase;
 import org.dunespindle.protocol.WorkerCommand;
-import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.PlacedTask;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.TxnResult;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.TransactionResult;
 import org.dunespindle.time.Durations;
-import org.dunespindle.time.Timeline;
-import org.dunespindle.transport.CallFailure;
-import org.dunespindle.transport.Caller;
+import org.dunespindle.time.TimeSource;
+import org.dunespindle.transport.HttpCallException;
+import org.dunespindle.transport.HttpClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -57,45 +57,45 @@
     static final int COMMANDS_AT_ONCE = 200;
     private static final int MOST_KEPT_EXITS = 6;
     private final Settings settings;
-    private final Replica replica;
+    private final StateReplica replica;
     private final Membership membership;
-    private final MachineWriter machineWriter;
-    private final Caller http;
-    private final Timeline timeline;
-    private final Sessions sessions;
-    private final Decisions decisions;
-    private final Preemptions preemptions;
-    private final Cancellations cancellations;
-    private final StallDetector stalls;
+    private final MachineRecordWriter machineWriter;
+    private final HttpClient http;
+    private final TimeSource timeline;
+    private final WorkerRegistry sessions;
+    private final EventRecorder decisions;
+    private final PendingPreemptions preemptions;
+    private final CancellationTracker cancellations;
+    private final PauseDetector stalls;
     private final Runnable changed;
-    private Set<String> due = new LinkedHashSet<>();
-    private final Set<String> noticed = new LinkedHashSet<>();
-    private final Set<String> withEvents = new LinkedHashSet<>();
+    private Set<String> pendingReconciliation = new LinkedHashSet<>();
+    private final Set<String> machinesWithNotice = new LinkedHashSet<>();
+    private final Set<String> machinesWithTerminations = new LinkedHashSet<>();
     private long version;
     private long calls;
-    private final CallSlots slots;
+    private final ConcurrentCallLimiter slots;
 
     /** Creates a client for the workers' direct commands. */
     public WorkerClient(
             ControllerContext context,
-            MachineWriter machineWriter,
-            Caller http,
-            Preemptions preemptions,
-            Cancellations cancellations,
+            MachineRecordWriter machineWriter,
+            HttpClient http,
+            PendingPreemptions preemptions,
+            CancellationTracker cancellations,
             Runnable changed) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.timeline = context.timeline();
-        this.sessions = context.sessions();
-        this.decisions = context.decisions();
-        this.stalls = context.stalls();
+        this.timeline = context.timeSource();
+        this.sessions = context.workers();
+        this.decisions = context.eventRecorder();
+        this.stalls = context.pauseDetector();
         this.machineWriter = machineWriter;
         this.http = http;
         this.preemptions = preemptions;
         this.cancellations = cancellations;
         this.changed = changed;
-        this.slots = new CallSlots(settings.sockets());
+        this.slots = new ConcurrentCallLimiter(settings.sockets());
     }
 
     /** Grows whenever what machines here can take, or what became of their tasks, may have changed. */
@@ -109,43 +109,43 @@
     }
 
     /** Machines with outcomes that are not stored yet. */
-    public Set<String> withEvents() {
-        return withEvents;
+    public Set<String> machinesWithTerminations() {
+        return machinesWithTerminations;
     }
 
     /** Machines that are about to be taken away, as they last reported. */
-    public Set<String> noticed() {
-        noticed.removeIf(h -> sessions.known(h)
-                .flatMap(s -> s.report)
-                .flatMap(WorkerReport::notice)
+    public Set<String> machinesWithNotice() {
+        machinesWithNotice.removeIf(h -> sessions.find(h)
+                .flatMap(s -> s.lastHeartbeat)
+                .flatMap(WorkerHeartbeat::notice)
                 .isEmpty());
-        return noticed;
+        return machinesWithNotice;
     }
 
     /** A machine is about to be taken away. */
     void notice(String host) {
-        noticed.add(host);
+        machinesWithNotice.add(host);
     }
 
     /** Asks for a machine to be looked at in the next pass. */
-    public void attend(String host) {
-        due.add(host);
+    public void scheduleReconciliation(String host) {
+        pendingReconciliation.add(host);
     }
 
     /**
      * Has a machine looked at when a worker says something new, however it said it and whatever it is answered: the next report may
      * say the same again, and would be no news. Without this, what was told in an outage or in answer to a question was never acted on.
      */
-    void attendIfNews(WorkerReport r, Optional<WorkerReport> before) {
+    void reconcileIfChanged(WorkerHeartbeat r, Optional<WorkerHeartbeat> before) {
         if (before.filter(b -> b.sameAs(r)).isEmpty()) {
             version++;
-            due.add(r.host());
+            pendingReconciliation.add(r.machineId());
             changed.run();
         }
     }
 
     /** Tasks that it reports of jobs known to be cancelled: to stop them is right under any token and whatever else is under way. */
-    List<WorkerCommand> cancelledOn(WorkerReport r) {
+    List<WorkerCommand> cancelledOn(WorkerHeartbeat r) {
         var halts = new ArrayList<WorkerCommand>();
         r.tasks().forEach(t -> {
             if (!t.exited()
@@ -160,15 +160,15 @@
 
     /** Looks at the machines of jobs that others say are cancelled. */
     public void cancelledElsewhere(List<String> jobs) {
-        jobs.forEach(id -> replica.job(id).ifPresent(j -> j.allocations().forEach(c -> due.add(c.host()))));
+        jobs.forEach(id -> replica.job(id).ifPresent(j -> j.allocations().forEach(c -> pendingReconciliation.add(c.machineId()))));
         if (!jobs.isEmpty()) {
             changed.run();
         }
     }
 
     /** Asks a worker itself: only an answer shows that it is there, and that commands from here reach it. */
-    void verify(WorkerReport r, WorkerState session, Consumer<Boolean> then) {
-        verify(r.host(), r.address(), session, then);
+    void verify(WorkerHeartbeat r, WorkerState session, Consumer<Boolean> then) {
+        verify(r.machineId(), r.address(), session, then);
     }
 
     private void verify(String host, String address, WorkerState session, Consumer<Boolean> then) {
@@ -176,20 +176,20 @@
             then.accept(false);
             return;
         }
-        session.verifying = true;
+        session.inspectionInFlight = true;
         slots.begin(false);
         http.send(address, "GET", "/inspect", new byte[0], MessagePackCodec.TYPE, INSPECT_TIMEOUT)
                 .whenComplete((a, e) -> {
-                    session.verifying = false;
-                    slots.end(false, due::add);
+                    session.inspectionInFlight = false;
+                    slots.end(false, pendingReconciliation::add);
                     then.accept(a != null && a.status() == 200 && answered(host, session, a.body()));
                 });
     }
 
     /** Asks a machine itself whether it is there; false if it cannot be asked now. */
     boolean ask(MachineRecord record, String address, Consumer<Boolean> then) {
-        WorkerState s = sessions.of(record.id());
-        if (address.isEmpty() || s.verifying || slots.full()) {
+        WorkerState s = sessions.getOrCreate(record.id());
+        if (address.isEmpty() || s.inspectionInFlight || slots.full()) {
             return false;
         }
         verify(record.id(), address, s, then);
@@ -197,88 +197,88 @@
     }
 
     /** Becomes a machine's owner by raising its token. */
-    public void take(MachineRecord record, Instant keep, Consumer<TxnResult> then) {
-        take(record, address(record), keep, then);
+    public void acquire(MachineRecord record, Instant keep, Consumer<TransactionResult> then) {
+        acquire(record, address(record), keep, then);
     }
 
     /** The same for a machine whose address somebody else told: it can be commanded before it finds its way here. */
-    public void take(MachineRecord record, String address, Instant keep, Consumer<TxnResult> then) {
+    public void acquire(MachineRecord record, String address, Instant keep, Consumer<TransactionResult> then) {
         MachineRecord mine = record.ownedBy(settings.nodeName(), membership.incarnation(), keep)
-                .at(address);
-        long seen = sessions.known(record.id())
-                .flatMap(s -> s.report)
-                .map(WorkerReport::token)
+                .withAddress(address);
+        long seen = sessions.find(record.id())
+                .flatMap(s -> s.lastHeartbeat)
+                .map(WorkerHeartbeat::token)
                 .orElse(0L);
-        machineWriter.change(CommitPriority.PLACING, mine.above(seen), then);
+        machineWriter.change(CommitPriority.PLACEMENT, mine.withTokenAbove(seen), then);
     }
 
     /** Where a machine is reached, as far as known here. */
     String address(MachineRecord record) {
-        return sessions.known(record.id())
-                .flatMap(s -> s.report)
-                .map(WorkerReport::address)
+        return sessions.find(record.id())
+                .flatMap(s -> s.lastHeartbeat)
+                .map(WorkerHeartbeat::address)
                 .orElse(record.address());
     }
 
     /** Whether conclusions about this machine may be drawn and commands given here and now. */
     public boolean inCommand(MachineRecord record) {
-        return membership.owns(record) && replica.syncedTo() >= replica.stamp(Keys.host(record.id()));
+        return membership.owns(record) && replica.appliedRevision() >= replica.modRevision(Keys.machinePage(record.id()));
     }
 
     /** A worker under our token whose last report stands and whom commands reach: its machine can take tasks. */
     public boolean ready(MachineRecord record) {
-        Optional<WorkerState> s = sessions.known(record.id());
+        Optional<WorkerState> s = sessions.find(record.id());
         return s.isPresent()
                 && inCommand(record)
-                && !record.leaving()
-                && s.get().report.isPresent()
-                && s.get().report.get().token() == record.token()
-                && s.get().unansweredUnder.isEmpty()
-                && s.get().unprovenSince.isEmpty();
+                && !record.draining()
+                && s.get().lastHeartbeat.isPresent()
+                && s.get().lastHeartbeat.get().token() == record.token()
+                && s.get().unansweredStartToken.isEmpty()
+                && s.get().commandsUnconfirmedSince.isEmpty();
     }
 
     /** How long a machine has reported without taking commands; empty while it takes them. */
     public Optional<Duration> oneWayFor(String host) {
-        return sessions.known(host).flatMap(s -> s.unprovenSince).map(stalls::silence);
+        return sessions.find(host).flatMap(s -> s.commandsUnconfirmedSince).map(stalls::silence);
     }
 
     /** One pass over the machines about which something changed: sends commands, notes what became of allocations. */
     public void pass() {
-        due.addAll(replica.takeTouched());
-        if (due.isEmpty()) {
+        pendingReconciliation.addAll(replica.drainChangedMachines());
+        if (pendingReconciliation.isEmpty()) {
             return;
         }
-        Set<String> now = due;
-        due = new LinkedHashSet<>();
+        Set<String> now = pendingReconciliation;
+        pendingReconciliation = new LinkedHashSet<>();
         now.forEach(this::attendNow);
     }
 
     private void attendNow(String host) {
-        MachineRecord record = replica.hosts().get(host);
-        Optional<WorkerState> known = sessions.known(host);
+        MachineRecord record = replica.machines().get(host);
+        Optional<WorkerState> known = sessions.find(host);
         if (record == null || !membership.owns(record)) {
             known.ifPresent(s -> events(host, s, List.of()));
             return;
         }
         if (!inCommand(record)) {
-            due.add(host); // until everything up to the record that made this controller the owner is read
+            pendingReconciliation.add(host); // until everything up to the record that made this controller the owner is read
             return;
         }
-        WorkerState s = sessions.of(host);
-        if (s.calling) {
+        WorkerState s = sessions.getOrCreate(host);
+        if (s.callInFlight) {
             return; // the answer brings it back
         }
-        if (s.unansweredUnder.isPresent() && !fenced(record, s)) {
+        if (s.unansweredStartToken.isPresent() && !fenced(record, s)) {
             return;
         }
-        if (s.report.isPresent() && s.report.get().token() > record.token()) {
+        if (s.lastHeartbeat.isPresent() && s.lastHeartbeat.get().token() > record.token()) {
             if (!machineWriter.busy(host)) {
                 machineWriter.change(
-                        CommitPriority.PLACING,
-                        record.fenced().above(s.report.get().token()),
-                        r -> due.add(host));
+                        CommitPriority.PLACEMENT,
+                        record.withNextToken().withTokenAbove(s.lastHeartbeat.get().token()),
+                        r -> pendingReconciliation.add(host));
             }
-        } else if (s.proves(record.token())) {
+        } else if (s.isProofUnder(record.token())) {
             conclude(record, s);
         } else {
             events(host, s, List.of());
@@ -293,7 +293,7 @@
 
     /** Whether nothing of any kind has come from a machine for longer than reports take. */
     boolean silent(WorkerState s) {
-        return olderThan(s.aliveAt(), LATE_REPORT);
+        return olderThan(s.lastSeenAlive(), LATE_REPORT);
     }
 
     /**
@@ -301,7 +301,7 @@
      * controller does not answer, or that was taken over, needs some seconds to find the next one.
      */
     public boolean mute(WorkerState s) {
-        return olderThan(s.heardAt, NEXT_CONTROLLER);
+        return olderThan(s.lastHeartbeatAt, NEXT_CONTROLLER);
     }
 
     private boolean olderThan(Optional<Duration> sign, Duration beyondTwoReports) {
@@ -310,19 +310,19 @@
     }
 
     private void conclude(MachineRecord record, WorkerState s) {
-        WorkerReport report = s.report.get();
-        ReconciliationResult v = Reconciler.judge(allocations(record.id()), report);
+        WorkerHeartbeat report = s.lastHeartbeat.get();
+        ReconciliationResult v = HeartbeatReconciler.reconcile(allocations(record.id()), report);
         report.tasks().forEach(t -> {
             if (t.phase() == TaskPhase.RUNNING || t.phase() == TaskPhase.ASSEMBLING) {
                 replica.job(t.task().job()).flatMap(j -> j.spec()).ifPresent(spec -> s.fetched(spec.image()));
             }
         });
         List<WorkerCommand> commands = keepExits(record, s, v.commands());
-        var events = v.events();
+        var events = v.terminations();
         // An old view may miss a cancellation: it stops tasks, but starts none.
-        boolean startsWait = replica.age().compareTo(START_VIEW) >= 0;
+        boolean startsWait = replica.staleness().compareTo(START_VIEW) >= 0;
         boolean mute = mute(s);
-        if (s.unprovenSince.isPresent() || mute) {
+        if (s.commandsUnconfirmedSince.isPresent() || mute) {
             startsWait = true;
             if (mute
                     || oneWayFor(record.id())
@@ -333,12 +333,12 @@
         }
         events(record.id(), s, events);
         if (startsWait && commands.stream().anyMatch(o -> o instanceof WorkerCommand.Run)) {
-            due.add(record.id());
+            pendingReconciliation.add(record.id());
             commands = commands.stream()
                     .filter(o -> !(o instanceof WorkerCommand.Run))
                     .toList();
         }
-        if (s.unprovenSince.isPresent()) {
+        if (s.commandsUnconfirmedSince.isPresent()) {
             call(record, s, List.of()); // nothing is started before a command is known to arrive
         } else if (commands.stream().anyMatch(o -> !(o instanceof WorkerCommand.Forget))) {
             call(record, s, commands);
@@ -346,20 +346,20 @@
     }
 
     private void events(String host, WorkerState s, List<TaskTermination> events) {
-        if (s.events.isEmpty() && events.isEmpty()) {
+        if (s.terminations.isEmpty() && events.isEmpty()) {
             return;
         }
-        if (!s.events.equals(events)) {
+        if (!s.terminations.equals(events)) {
             version++;
-            if (s.events.isEmpty()) {
-                s.eventsSince = timeline.now();
+            if (s.terminations.isEmpty()) {
+                s.terminationsSince = timeline.now();
             }
-            s.events = events;
+            s.terminations = events;
         }
         if (events.isEmpty()) {
-            withEvents.remove(host);
+            machinesWithTerminations.remove(host);
         } else {
-            withEvents.add(host);
+            machinesWithTerminations.add(host);
         }
     }
 
@@ -372,7 +372,7 @@
             return commands;
         }
         var done = new HashSet<WorkerCommand.Run>();
-        s.report.ifPresent(r -> r.tasks().forEach(t -> {
+        s.lastHeartbeat.ifPresent(r -> r.tasks().forEach(t -> {
             if (t.exited() && t.cause().orElse(ExitCause.STOPPED) == ExitCause.DONE) {
                 done.add(new WorkerCommand.Run(t.task(), t.attempt()));
             }
@@ -389,7 +389,7 @@
             }
         }
         if (held > MOST_KEPT_EXITS && !machineWriter.busy(record.id())) {
-            machineWriter.change(CommitPriority.MAINTENANCE, record.fenced(), r -> {});
+            machineWriter.change(CommitPriority.MAINTENANCE, record.withNextToken(), r -> {});
         }
         return kept;
     }
@@ -399,13 +399,13 @@
      * that stays silent needs none: it is returned.
      */
     private boolean fenced(MachineRecord record, WorkerState s) {
-        if (record.token() > s.unansweredUnder.get()) {
-            s.unansweredUnder = Optional.empty();
+        if (record.token() > s.unansweredStartToken.get()) {
+            s.unansweredStartToken = Optional.empty();
             return true;
         }
-        if (s.aliveAt().filter(t -> t.compareTo(s.unansweredAt) > 0).isPresent()) {
+        if (s.lastSeenAlive().filter(t -> t.compareTo(s.unansweredAt) > 0).isPresent()) {
             if (!machineWriter.busy(record.id())) {
-                machineWriter.change(CommitPriority.PLACING, record.fenced(), r -> due.add(record.id()));
+                machineWriter.change(CommitPriority.PLACEMENT, record.withNextToken(), r -> pendingReconciliation.add(record.id()));
             }
         } else {
             call(record, s, List.of());
@@ -415,11 +415,11 @@
 
     private void call(MachineRecord record, WorkerState s, List<WorkerCommand> commands) {
         String address = address(record);
-        if (address.isEmpty() || timeline.now().compareTo(s.callAgainAt) < 0) {
+        if (address.isEmpty() || timeline.now().compareTo(s.nextCallAt) < 0) {
             return; // a timer brings it back
         }
         // A silent machine is asked seldom; its next report ends the pause.
-        boolean silent = s.aliveAt()
+        boolean silent = s.lastSeenAlive()
                 .filter(t -> stalls.silence(t)
                                 .compareTo(Durations.times(settings.workers().report(), 2))
                         < 0)
@@ -429,13 +429,13 @@
             return;
         }
         // Whatever the call is for: what is cancelled ends now.
-        List<WorkerCommand> all = commands.isEmpty() && s.report.isPresent() ? cancelledOn(s.report.get()) : commands;
+        List<WorkerCommand> all = commands.isEmpty() && s.lastHeartbeat.isPresent() ? cancelledOn(s.lastHeartbeat.get()) : commands;
         List<WorkerCommand> some = all.size() > COMMANDS_AT_ONCE ? all.subList(0, COMMANDS_AT_ONCE) : all;
         boolean starts = some.stream().anyMatch(o -> o instanceof WorkerCommand.Run);
-        long session = s.report.map(WorkerReport::session).orElse(1L);
+        long session = s.lastHeartbeat.map(WorkerHeartbeat::agentEpoch).orElse(1L);
         long token = record.token();
         s.starting(token, session, some);
-        s.calling = true;
+        s.callInFlight = true;
         calls++;
         slots.begin(silent);
         http.send(
@@ -446,8 +446,8 @@
                         MessagePackCodec.TYPE,
                         COMMAND_TIMEOUT)
                 .whenComplete((a, e) -> {
-                    s.calling = false;
-                    slots.end(silent, due::add);
+                    s.callInFlight = false;
+                    slots.end(silent, pendingReconciliation::add);
                     version++;
                     if (a != null && (a.status() == 200 || a.status() == 409)) {
                         if (!answered(record.id(), s, a.body()) && starts) {
@@ -455,10 +455,10 @@
                         }
                         pause(record.id(), s, a.status() == 200 ? Duration.ZERO : REFUSED_PAUSE);
                     } else {
-                        if (s.report.isPresent()) {
+                        if (s.lastHeartbeat.isPresent()) {
                             s.unanswered(timeline.now()); // one that never reported may still be booting
                         }
-                        boolean sent = e == null || !(CallFailure.cause(e) instanceof CallFailure f) || f.sent();
+                        boolean sent = e == null || !(HttpCallException.cause(e) instanceof HttpCallException f) || f.sent();
                         if (starts && sent && (a == null || a.status() >= 500)) {
                             unanswered(record, s, token);
                         }
@@ -468,20 +468,20 @@
     }
 
     private void unanswered(MachineRecord record, WorkerState s, long token) {
-        s.unansweredUnder = Optional.of(token);
+        s.unansweredStartToken = Optional.of(token);
         s.unansweredAt = timeline.now();
-        decisions.tell(
+        decisions.record(
                 LOG, "machine {} did not answer a start; it is fenced before anything is concluded", record.id());
     }
 
     private void pause(String host, WorkerState s, Duration pause) {
-        s.callAgainAt = timeline.now().plus(pause);
+        s.nextCallAt = timeline.now().plus(pause);
         if (pause.isZero()) {
-            due.add(host);
+            pendingReconciliation.add(host);
             changed.run();
         } else {
-            timeline.after(pause, () -> {
-                due.add(host);
+            timeline.schedule(pause, () -> {
+                pendingReconciliation.add(host);
                 changed.run();
             });
         }
@@ -489,17 +489,17 @@
 
     private boolean answered(String host, WorkerState s, byte[] body) {
         try {
-            WorkerReport r = WorkerReport.parse(MessagePackCodec.read(body));
-            if (r.host().equals(host)) {
+            WorkerHeartbeat r = WorkerHeartbeat.parse(MessagePackCodec.read(body));
+            if (r.machineId().equals(host)) {
                 if (r.notice().isPresent()) {
-                    noticed.add(host);
+                    machinesWithNotice.add(host);
                 }
-                Optional<WorkerReport> before = s.report;
+                Optional<WorkerHeartbeat> before = s.lastHeartbeat;
                 s.answered(r, timeline.now());
-                attendIfNews(r, before);
+                reconcileIfChanged(r, before);
                 return true;
             }
-        } catch (MalformedException ex) {
+        } catch (MalformedMessageException ex) {
             LOG.debug("machine {} answered unreadably: {}", host, ex.getMessage());
         }
         return false;
--- a/src/test/java/org/dunespindle/FeaturesTest.java
+++ b/src/test/java/org/dunespindle/FeaturesTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.dunespindle.federation.FederationSettings;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Settings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -36,7 +36,7 @@
     }
 
     private static void refused(String text, String complaint) {
-        var failure = assertThrows(MalformedException.class, () -> parse(text));
+        var failure = assertThrows(MalformedMessageException.class, () -> parse(text));
         assertTrue(failure.getMessage().contains(complaint), failure.getMessage());
     }
 
@@ -74,9 +74,9 @@
     void aBrokenFileEndsTheProgramWithOneLine(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("features.toml");
         Files.writeString(file, "[federation\nenabled");
-        var failure = assertThrows(MalformedException.class, () -> Features.load(file));
+        var failure = assertThrows(MalformedMessageException.class, () -> Features.load(file));
         assertEquals(1, failure.getMessage().lines().count());
-        assertThrows(MalformedException.class, () -> Features.load(folder.resolve("none.toml")));
+        assertThrows(MalformedMessageException.class, () -> Features.load(folder.resolve("none.toml")));
     }
 
     /** Classes loaded by a daemon of its own, on the class path of these tests. */
