--- a/src/test/java/org/dunespindle/control/CommitterTest.java
+++ b/src/test/java/org/dunespindle/control/CommitQueueTest.java
@@ -12,31 +12,31 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.dunespindle.TestSettings;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.sim.Sim;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.StateClient;
-import org.dunespindle.storage.Txn;
-import org.dunespindle.storage.TxnResult;
-import org.dunespindle.transport.Caller;
-import org.dunespindle.transport.HttpAnswer;
+import org.dunespindle.sim.VirtualTime;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.StateStoreClient;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.transport.HttpClient;
+import org.dunespindle.transport.HttpClientResponse;
 import org.junit.jupiter.api.Test;
 
 /** Changes that others get in the way of: a transaction that fails is paid for in full. */
-class CommitterTest {
-    private final Sim sim = new Sim(1);
+class CommitQueueTest {
+    private final VirtualTime sim = new VirtualTime(1);
     private final List<Integer> failed = new ArrayList<>();
     private final Map<String, Integer> refusedAlone = new HashMap<>();
     private long epoch = 10;
 
-    private HttpAnswer answer(String target, byte[] body) throws MalformedException {
+    private HttpClientResponse answer(String target, byte[] body) throws MalformedMessageException {
         if (!target.equals("/txn")) {
             ObjectNode n = MessagePackCodec.map().put("epoch", epoch).put("more", false);
             n.putArray("rows");
             n.putArray("log");
-            return new HttpAnswer(200, MessagePackCodec.write(n));
+            return new HttpClientResponse(200, MessagePackCodec.write(n));
         }
         JsonNode txn = MessagePackCodec.read(body);
         for (JsonNode change : txn.path("apply")) {
@@ -44,7 +44,7 @@
                 if (txn.path("apply").size() == 1) {
                     refusedAlone.merge(change.path("write").asText(), 1, Integer::sum);
                 }
-                return new HttpAnswer(
+                return new HttpClientResponse(
                         400, MessagePackCodec.write(MessagePackCodec.map().put("error", "too large")));
             }
         }
@@ -58,68 +58,68 @@
         if (!stale.isEmpty()) {
             failed.add(txn.path("apply").size());
         }
-        return new HttpAnswer(stale.isEmpty() ? 200 : 409, MessagePackCodec.write(n));
+        return new HttpClientResponse(stale.isEmpty() ? 200 : 409, MessagePackCodec.write(n));
     }
 
-    private Committer committer() throws MalformedException {
+    private CommitQueue committer() throws MalformedMessageException {
         var process = sim.new Process();
-        Caller http = (address, method, target, body, type, timeout) -> {
-            var result = new CompletableFuture<HttpAnswer>();
+        HttpClient http = (address, method, target, body, type, timeout) -> {
+            var result = new CompletableFuture<HttpClientResponse>();
             sim.after(10, () -> {
                 try {
                     result.complete(answer(target, body));
-                } catch (MalformedException e) {
+                } catch (MalformedMessageException e) {
                     result.completeExceptionally(e);
                 }
             });
             return result;
         };
-        var state = new StateClient(
+        var state = new StateStoreClient(
                 http,
                 Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", "")),
                 process);
-        var replica = new Replica(state, process, Duration.ofMillis(300), () -> {});
+        var replica = new StateReplica(state, process, Duration.ofMillis(300), () -> {});
         replica.start();
         sim.run(Duration.ofSeconds(1));
-        return new Committer(state, replica, process, 16, () -> {});
+        return new CommitQueue(state, replica, process, 16, () -> {});
     }
 
     @Test
-    void staleChangesSinkFewOthers() throws MalformedException {
-        Committer committer = committer();
-        Map<String, TxnResult> results = new HashMap<>();
+    void staleChangesSinkFewOthers() throws MalformedMessageException {
+        CommitQueue committer = committer();
+        Map<String, TransactionResult> results = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             String key = "ds/x/" + (i % 10 == 5 ? "stale" : "good") + i;
             committer.propose(
-                    CommitPriority.PLACING,
-                    new Txn().guard(key, 0).write(key, MessagePackCodec.map().put("n", i)),
+                    CommitPriority.PLACEMENT,
+                    new Transaction().requireRevision(key, 0).write(key, MessagePackCodec.map().put("n", i)),
                     r -> results.put(key, r));
         }
         sim.run(Duration.ofSeconds(10));
         assertEquals(60, results.size());
         results.forEach((key, r) -> assertEquals(
-                key.contains("stale") ? TxnResult.Conflict.class : TxnResult.Applied.class, r.getClass(), key));
-        assertEquals(failed.stream().mapToInt(Integer::intValue).sum(), committer.wasted());
+                key.contains("stale") ? TransactionResult.Conflict.class : TransactionResult.Applied.class, r.getClass(), key));
+        assertEquals(failed.stream().mapToInt(Integer::intValue).sum(), committer.conflicts());
         assertTrue(
-                committer.wasted() <= 24,
-                committer.wasted() + " changes were paid for in vain, for 6 stale ones: " + failed);
+                committer.conflicts() <= 24,
+                committer.conflicts() + " changes were paid for in vain, for 6 stale ones: " + failed);
     }
 
     /** One change that the service does not take as it is: the others are stored, it is told once and not sent again. */
     @Test
-    void aRefusedChangeSinksNoOtherAndIsNotRepeated() throws MalformedException {
-        Committer committer = committer();
-        Map<String, TxnResult> results = new HashMap<>();
+    void aRefusedChangeSinksNoOtherAndIsNotRepeated() throws MalformedMessageException {
+        CommitQueue committer = committer();
+        Map<String, TransactionResult> results = new HashMap<>();
         for (int i = 0; i < 30; i++) {
             String key = "ds/x/" + (i % 10 == 5 ? "refused" : "good") + i;
             committer.propose(
-                    CommitPriority.PLACING,
-                    new Txn().guard(key, 0).write(key, MessagePackCodec.map().put("n", i)),
+                    CommitPriority.PLACEMENT,
+                    new Transaction().requireRevision(key, 0).write(key, MessagePackCodec.map().put("n", i)),
                     r -> results.put(key, r));
         }
         sim.run(Duration.ofSeconds(10));
         results.forEach((key, r) -> assertEquals(
-                key.contains("refused") ? TxnResult.Refused.class : TxnResult.Applied.class, r.getClass(), key));
+                key.contains("refused") ? TransactionResult.Refused.class : TransactionResult.Applied.class, r.getClass(), key));
         assertEquals(30, results.size());
         assertTrue(refusedAlone.values().stream().allMatch(count -> count == 1), "sent alone " + refusedAlone);
     }
--- a/src/test/java/org/dunespindle/control/ReconcilerTest.java
+++ b/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
@@ -9,26 +9,26 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.dunespindle.job.JobChanges;
+import org.dunespindle.job.JobTransitions;
 import org.dunespindle.protocol.ExitCause;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.TaskPhase;
 import org.dunespindle.protocol.TaskStatus;
 import org.dunespindle.protocol.WorkerCommand;
-import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.PlacedTask;
 import org.junit.jupiter.api.Test;
 
 /** What is ordered and concluded from a report that is proof. */
-class ReconcilerTest {
+class HeartbeatReconcilerTest {
     private static final TaskId FIRST = new TaskId("wk-000001", 0);
 
-    private static JobRecord job(Shape shape, int tasks, Duration saves) {
+    private static JobRecord job(JobKind shape, int tasks, Duration saves) {
         return JobRecord.accepted(
                 new Submission(
                         "wk-000001",
@@ -53,16 +53,16 @@
     }
 
     private static JobRecord held() {
-        return job(Shape.GANG, 2, Duration.ZERO).placed(new TreeMap<>(Map.of(0, "h", 1, "k")));
+        return job(JobKind.GANG, 2, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h", 1, "k")));
     }
 
     private static ReconciliationResult judge(JobRecord j, TaskStatus... tasks) {
         List<PlacedTask> allocations = j.allocations().stream()
-                .filter(c -> c.host().equals("h"))
+                .filter(c -> c.machineId().equals("h"))
                 .map(c -> new PlacedTask(j, c))
                 .toList();
-        return Reconciler.judge(
-                allocations, new WorkerReport("h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(tasks)));
+        return HeartbeatReconciler.reconcile(
+                allocations, new WorkerHeartbeat("h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(tasks)));
     }
 
     private static TaskStatus status(long attempt, TaskPhase phase) {
@@ -74,38 +74,38 @@
     }
 
     private static long placeholder(JobRecord j) {
-        return j.allocation(0).orElseThrow().base();
+        return j.allocation(0).orElseThrow().attemptBase();
     }
 
     @Test
     void aRealTaskWaitsForTheConfirmedReleaseOfItsPlaceholder() {
-        JobRecord real = held().real();
+        JobRecord real = held().withGangRunning();
         assertEquals(
                 List.of(new WorkerCommand.Halt(FIRST, placeholder(real), Duration.ZERO)),
                 judge(real, status(placeholder(real), TaskPhase.ASSEMBLING)).commands());
         var confirmed =
                 judge(real, exited(placeholder(real), ExitCause.STOPPED)).commands();
-        assertTrue(confirmed.contains(new WorkerCommand.Run(FIRST, real.attempt())));
+        assertTrue(confirmed.contains(new WorkerCommand.Run(FIRST, real.gangAttempt())));
         assertTrue(confirmed.contains(new WorkerCommand.Forget(FIRST, placeholder(real))));
     }
 
     @Test
     void aPlaceholderThatWaitedInVainIsBookedAgain() {
         JobRecord j = held();
-        var events = judge(j, exited(placeholder(j), ExitCause.INCOMPLETE)).events();
-        assertEquals(TerminationCause.WAITED_IN_VAIN, events.get(0).fate());
-        JobRecord after = JobChanges.apply(j, events, Instant.EPOCH);
+        var events = judge(j, exited(placeholder(j), ExitCause.INCOMPLETE)).terminations();
+        assertEquals(TerminationCause.ASSEMBLY_TIMEOUT, events.get(0).cause());
+        JobRecord after = JobTransitions.apply(j, events, Instant.EPOCH);
         assertEquals(2, after.allocations().size());
         assertTrue(placeholder(after) > placeholder(j));
     }
 
     @Test
     void anOutcomeIsStoredBeforeItIsForgotten() {
-        JobRecord j = job(Shape.ARRAY, 1, Duration.ZERO).placed(new TreeMap<>(Map.of(0, "h")));
+        JobRecord j = job(JobKind.ARRAY, 1, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h")));
         var verdict = judge(j, exited(placeholder(j), ExitCause.DONE));
         assertEquals(List.of(), verdict.commands());
-        JobRecord done = JobChanges.apply(j, verdict.events(), Instant.EPOCH);
-        assertEquals(JobRecord.End.DONE, done.end());
+        JobRecord done = JobTransitions.apply(j, verdict.terminations(), Instant.EPOCH);
+        assertEquals(JobRecord.Outcome.DONE, done.outcome());
         assertEquals(
                 List.of(new WorkerCommand.Forget(FIRST, placeholder(j))),
                 judge(done, exited(placeholder(j), ExitCause.DONE)).commands());
@@ -113,65 +113,65 @@
 
     @Test
     void aCancelledTaskIsStoppedWithoutGraceEvenWhileSaving() {
-        JobRecord j = job(Shape.ARRAY, 1, Duration.ofSeconds(5))
-                .placed(new TreeMap<>(Map.of(0, "h")))
+        JobRecord j = job(JobKind.ARRAY, 1, Duration.ofSeconds(5))
+                .withPlaced(new TreeMap<>(Map.of(0, "h")))
                 .cancelled();
         assertEquals(
                 List.of(new WorkerCommand.Halt(FIRST, placeholder(j), Duration.ZERO)),
                 judge(j, status(placeholder(j), TaskPhase.SAVING)).commands());
-        assertEquals(TerminationCause.GONE, judge(j).events().get(0).fate());
+        assertEquals(TerminationCause.GONE, judge(j).terminations().get(0).cause());
     }
 
     @Test
     void aTaskThatGivesWayMaySave() {
-        JobRecord j = job(Shape.ARRAY, 1, Duration.ofSeconds(5))
-                .placed(new TreeMap<>(Map.of(0, "h")))
-                .stopTask(0);
+        JobRecord j = job(JobKind.ARRAY, 1, Duration.ofSeconds(5))
+                .withPlaced(new TreeMap<>(Map.of(0, "h")))
+                .withTaskStopping(0);
         WorkerCommand.Halt halt = (WorkerCommand.Halt)
                 judge(j, status(placeholder(j), TaskPhase.RUNNING)).commands().get(0);
-        assertTrue(halt.grace().compareTo(j.job().saveTime()) >= 0);
+        assertTrue(halt.grace().compareTo(j.submission().checkpointTime()) >= 0);
         assertEquals(
                 List.of(), judge(j, status(placeholder(j), TaskPhase.SAVING)).commands());
     }
 
     @Test
     void oneLostMemberSendsTheWholeGangBackToPlacement() {
-        JobRecord real = held().real();
-        var events = judge(real, exited(real.attempt(), ExitCause.PEERS)).events();
-        JobRecord after = JobChanges.apply(real, events, Instant.EPOCH);
-        assertEquals(JobRecord.Mode.STOP, after.mode());
+        JobRecord real = held().withGangRunning();
+        var events = judge(real, exited(real.gangAttempt(), ExitCause.PEERS)).terminations();
+        JobRecord after = JobTransitions.apply(real, events, Instant.EPOCH);
+        assertEquals(JobRecord.GangPhase.STOPPING, after.gangPhase());
         assertEquals(0, after.unplacedCount());
-        JobRecord free = after.released(1, false);
-        assertEquals(JobRecord.Mode.IDLE, free.mode());
+        JobRecord free = after.withReleased(1, false);
+        assertEquals(JobRecord.GangPhase.QUEUED, free.gangPhase());
         assertEquals(2, free.unplacedCount());
     }
 
     /** Outcomes are gathered before they are stored, and by then the task may be under way again on the same machine. */
     @Test
     void anOldOutcomeDoesNotEndALaterStart() {
-        JobRecord first = job(Shape.ARRAY, 1, Duration.ZERO).placed(new TreeMap<>(Map.of(0, "h")));
-        var old = judge(first, exited(placeholder(first), ExitCause.STOPPED)).events();
-        JobRecord again = JobChanges.apply(first, old, Instant.EPOCH).placed(new TreeMap<>(Map.of(0, "h")));
-        assertEquals(again, JobChanges.apply(again, old, Instant.EPOCH));
+        JobRecord first = job(JobKind.ARRAY, 1, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h")));
+        var old = judge(first, exited(placeholder(first), ExitCause.STOPPED)).terminations();
+        JobRecord again = JobTransitions.apply(first, old, Instant.EPOCH).withPlaced(new TreeMap<>(Map.of(0, "h")));
+        assertEquals(again, JobTransitions.apply(again, old, Instant.EPOCH));
     }
 
     @Test
     void aGangIsDoneAsOne() {
-        JobRecord real = held().real();
-        JobRecord after = JobChanges.apply(
-                real, judge(real, exited(real.attempt(), ExitCause.DONE)).events(), Instant.EPOCH);
-        assertEquals(JobRecord.End.DONE, after.end());
+        JobRecord real = held().withGangRunning();
+        JobRecord after = JobTransitions.apply(
+                real, judge(real, exited(real.gangAttempt(), ExitCause.DONE)).terminations(), Instant.EPOCH);
+        assertEquals(JobRecord.Outcome.DONE, after.outcome());
     }
 
     @Test
     void aJobThatFailsEverywhereBacksOff() {
-        JobRecord j = job(Shape.ARRAY, 1, Duration.ZERO);
+        JobRecord j = job(JobKind.ARRAY, 1, Duration.ZERO);
         for (int i = 0; i < 6; i++) {
-            j = j.placed(new TreeMap<>(Map.of(0, "h")));
-            j = JobChanges.apply(
+            j = j.withPlaced(new TreeMap<>(Map.of(0, "h")));
+            j = JobTransitions.apply(
                     j,
                     List.of(new TaskTermination(
-                            j.id(), 0, j.allocation(0).orElseThrow().base(), TerminationCause.ERROR, "error")),
+                            j.id(), 0, j.allocation(0).orElseThrow().attemptBase(), TerminationCause.ERROR, "error")),
                     Instant.EPOCH);
         }
         assertTrue(j.notBefore().orElseThrow().isAfter(Instant.EPOCH.plusSeconds(4)));
@@ -179,9 +179,9 @@
 
     @Test
     void tasksThatNobodyClaimsAreStopped() {
-        var verdict = Reconciler.judge(
+        var verdict = HeartbeatReconciler.reconcile(
                 List.of(),
-                new WorkerReport(
+                new WorkerHeartbeat(
                         "h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(status(3, TaskPhase.RUNNING))));
         assertEquals(List.of(new WorkerCommand.Halt(FIRST, 3, Duration.ZERO)), verdict.commands());
     }
--- a/src/test/java/org/dunespindle/control/StateServiceStub.java
+++ b/src/test/java/org/dunespindle/control/StateServiceStub.java
@@ -11,17 +11,17 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.dunespindle.TestSettings;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.sim.Sim;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.StateClient;
-import org.dunespindle.transport.Caller;
-import org.dunespindle.transport.HttpAnswer;
+import org.dunespindle.sim.VirtualTime;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.StateStoreClient;
+import org.dunespindle.transport.HttpClient;
+import org.dunespindle.transport.HttpClientResponse;
 
 /** A state service that holds given texts, applies every transaction, and remembers what was written, for tests of stored forms. */
-public final class StateServiceStub implements Caller {
+public final class StateServiceStub implements HttpClient {
     /** The revision of the texts that it begins with. */
     static final long REVISION = 5;
 
@@ -35,21 +35,21 @@
     /** The values that were written, as JSON text, by key. */
     final Map<String, String> written = new LinkedHashMap<>();
 
-    final Sim sim = new Sim(1);
-    public final Sim.Process process = sim.new Process();
+    final VirtualTime sim = new VirtualTime(1);
+    public final VirtualTime.Process process = sim.new Process();
     public final Settings settings;
-    final StateClient client;
-    public final Replica replica;
+    final StateStoreClient client;
+    public final StateReplica replica;
     private final Map<String, String> stored;
     private final List<ObjectNode> log = new ArrayList<>();
     private long revision = REVISION;
 
     /** A service that holds these texts, and a copy of them. */
-    public StateServiceStub(Map<String, String> stored) throws MalformedException {
+    public StateServiceStub(Map<String, String> stored) throws MalformedMessageException {
         this.stored = stored;
         settings = Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", SEED));
-        client = new StateClient(this, settings, process);
-        replica = new Replica(client, process, Duration.ofMillis(300), () -> {});
+        client = new StateStoreClient(this, settings, process);
+        replica = new StateReplica(client, process, Duration.ofMillis(300), () -> {});
         replica.start();
         sim.run(Duration.ofSeconds(2));
     }
@@ -63,10 +63,10 @@
     }
 
     @Override
-    public CompletableFuture<HttpAnswer> send(
+    public CompletableFuture<HttpClientResponse> send(
             String address, String method, String target, byte[] body, String type, Duration timeout) {
-        var result = new CompletableFuture<HttpAnswer>();
-        sim.after(5, () -> result.complete(new HttpAnswer(200, MessagePackCodec.write(answer(target, body)))));
+        var result = new CompletableFuture<HttpClientResponse>();
+        sim.after(5, () -> result.complete(new HttpClientResponse(200, MessagePackCodec.write(answer(target, body)))));
         return result;
     }
 
@@ -95,7 +95,7 @@
                 written.put(change.path("write").asText(), change.path("v").toString());
                 log.add(((ObjectNode) change.deepCopy()).put("stamp", revision));
             }
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/org/dunespindle/control/StoredControlFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/control/StoredControlFormsCompatibilityTest.java
@@ -1,6 +1,6 @@
 package org.dunespindle.control;
 
-import org.dunespindle.scheduling.TeamLedger;
+import org.dunespindle.scheduling.QuotaAdmission;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import java.util.Map;
 import java.util.Optional;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.storage.FormatVersion;
 import org.junit.jupiter.api.Test;
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aControllerThatJoinsAndLeads() throws MalformedException {
+    void aControllerThatJoinsAndLeads() throws MalformedMessageException {
         var service = new StateServiceStub(Map.of("ds/incarnation/n0", "{\"n\":4}"));
         Membership membership = membership(service);
         run(service, membership);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void anotherControllerThatLeads() throws MalformedException {
+    void anotherControllerThatLeads() throws MalformedMessageException {
         var service = new StateServiceStub(Map.of(
                 "ds/member/n1", "{\"inc\":3,\"version\":2}",
                 "ds/member/n2", "{\"inc\":8}",
@@ -68,13 +68,13 @@
     @Test
     void teams() {
         JsonNode stored = StateServiceStub.json("{\"cpus\":12.5,\"gpus\":3.0,\"shareCpus\":2.25,\"shareGpus\":1.0}");
-        var entry = new TeamLedger.Entry(new Resources(12.5, 3, 0), new Resources(2.25, 1, 0));
+        var entry = new QuotaAdmission.Reservation(new Resources(12.5, 3, 0), new Resources(2.25, 1, 0));
         assertEquals(stored.toString(), entry.toNode().toString());
-        assertEquals(entry, TeamLedger.Entry.parse(Optional.of(stored)));
+        assertEquals(entry, QuotaAdmission.Reservation.parse(Optional.of(stored)));
         JsonNode without = StateServiceStub.json("{\"cpus\":12.5,\"gpus\":3.0}");
         assertEquals(
-                new TeamLedger.Entry(new Resources(12.5, 3, 0), Resources.NONE),
-                TeamLedger.Entry.parse(Optional.of(without)));
+                new QuotaAdmission.Reservation(new Resources(12.5, 3, 0), Resources.NONE),
+                QuotaAdmission.Reservation.parse(Optional.of(without)));
     }
 
     @Test
--- a/src/test/java/org/dunespindle/federation/AdmissionTest.java
+++ b/src/test/java/org/dunespindle/federation/AdmissionTest.java
@@ -13,7 +13,7 @@
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.scheduling.ClusterSnapshot;
 import org.dunespindle.scheduling.MachinePool;
@@ -21,9 +21,9 @@
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.scheduling.Planner;
 import org.dunespindle.scheduling.ProjectedJobs;
-import org.dunespindle.scheduling.Targets;
+import org.dunespindle.scheduling.ServiceLevelObjectives;
 import org.dunespindle.storage.JobRecord;
-import org.dunespindle.storage.Visit;
+import org.dunespindle.storage.InboundDelegation;
 import org.junit.jupiter.api.Test;
 
 /** What a cell tells of its room, and which jobs of other cells it takes. */
@@ -56,89 +56,89 @@
                 true,
                 Set.of(),
                 List.of(),
-                new Targets(List.of()),
+                new ServiceLevelObjectives(List.of()),
                 started -> Duration.ZERO);
     }
 
-    private static RoomSurvey survey(List<JobRecord> jobs, Set<MachinePool> refused) {
+    private static CapacitySurvey survey(List<JobRecord> jobs, Set<MachinePool> refused) {
         ClusterSnapshot snapshot = snapshot(Instant.EPOCH, jobs, refused, 10);
-        return new RoomSurvey(snapshot, Planner.plan(snapshot), List.of(BOX));
+        return new CapacitySurvey(snapshot, Planner.plan(snapshot), List.of(BOX));
     }
 
-    private static JobRecord running(String id, Shape shape, Priority priority, String host, int tasks) {
+    private static JobRecord running(String id, JobKind shape, Priority priority, String host, int tasks) {
         var places = new java.util.LinkedHashMap<Integer, String>();
         for (int task = 0; task < tasks; task++) {
             places.put(task, host);
         }
         Submission job = TestJobs.of(id, shape, priority, tasks, Optional.empty(), false);
-        return JobRecord.accepted(job, Instant.EPOCH).placed(places);
+        return JobRecord.accepted(job, Instant.EPOCH).withPlaced(places);
     }
 
-    private static Optional<Refusal.Reason> refusal(RoomSurvey survey, Submission job, int visitors) {
+    private static Optional<Rejection.Reason> refusal(CapacitySurvey survey, Submission job, int visitors) {
         return AdmissionPolicy.refusal(job, new AdmissionPolicy.View(survey, Optional.empty(), visitors, 5, List.of()));
     }
 
     @Test
     void roomIsWhatIsFreeOrHeldByLowerWork() {
-        JobRecord low = running("wk-000001", Shape.ARRAY, Priority.LOW, "i-1", 4);
-        JobRecord gang = running("wk-000002", Shape.GANG, Priority.LOW, "i-2", 3);
-        RoomSurvey survey = survey(List.of(low, gang), ALL_REFUSED);
+        JobRecord low = running("wk-000001", JobKind.ARRAY, Priority.LOW, "i-1", 4);
+        JobRecord gang = running("wk-000002", JobKind.GANG, Priority.LOW, "i-2", 3);
+        CapacitySurvey survey = survey(List.of(low, gang), ALL_REFUSED);
         assertEquals(Optional.empty(), refusal(survey, TestJobs.gang("wk-000003", Priority.URGENT, 3, false), 0));
         // The team's limit is 10, seven are in use, and gangs do not give way.
         assertEquals(
-                Optional.of(Refusal.Reason.NO_ROOM),
+                Optional.of(Rejection.Reason.NO_ROOM),
                 refusal(survey, TestJobs.gang("wk-000003", Priority.URGENT, 4, false), 0));
         assertEquals(
-                Optional.of(Refusal.Reason.NO_ROOM),
+                Optional.of(Rejection.Reason.NO_ROOM),
                 refusal(survey, TestJobs.gang("wk-000003", Priority.LOW, 2, false), 0));
         assertEquals(
-                Optional.of(Refusal.Reason.NO_ROOM),
+                Optional.of(Rejection.Reason.NO_ROOM),
                 refusal(survey, TestJobs.gang("wk-000003", Priority.NORMAL, 5, true), 0));
     }
 
     @Test
     void machinesThatMayBeRentedAreRoom() {
-        JobRecord low = running("wk-000001", Shape.ARRAY, Priority.CRITICAL, "i-1", 4);
+        JobRecord low = running("wk-000001", JobKind.ARRAY, Priority.CRITICAL, "i-1", 4);
         Submission job = TestJobs.gang("wk-000003", Priority.URGENT, 6, true);
-        assertEquals(Optional.of(Refusal.Reason.NO_ROOM), refusal(survey(List.of(low), ALL_REFUSED), job, 0));
+        assertEquals(Optional.of(Rejection.Reason.NO_ROOM), refusal(survey(List.of(low), ALL_REFUSED), job, 0));
         assertEquals(Optional.empty(), refusal(survey(List.of(low), Set.of()), job, 0));
     }
 
     @Test
     void ownWorkOfTheSamePriorityThatWaitsGoesFirst() {
-        JobRecord full = running("wk-000001", Shape.GANG, Priority.CRITICAL, "i-1", 4);
+        JobRecord full = running("wk-000001", JobKind.GANG, Priority.CRITICAL, "i-1", 4);
         JobRecord waits = JobRecord.accepted(TestJobs.gang("wk-000002", Priority.URGENT, 6, false), Instant.EPOCH);
-        RoomSurvey survey = survey(List.of(full, waits), ALL_REFUSED);
+        CapacitySurvey survey = survey(List.of(full, waits), ALL_REFUSED);
         assertEquals(
                 List.of("wk-000002"),
                 survey.lacking().stream().map(JobRecord::id).toList());
         assertEquals(
-                Optional.of(Refusal.Reason.NO_ROOM),
+                Optional.of(Rejection.Reason.NO_ROOM),
                 refusal(survey, TestJobs.gang("wk-000003", Priority.URGENT, 1, false), 0));
     }
 
     @Test
     void eachRefusalNamesItsReason() {
-        RoomSurvey survey = survey(List.of(), Set.of());
+        CapacitySurvey survey = survey(List.of(), Set.of());
         Submission job = TestJobs.array("wk-000003", 2);
-        assertEquals(Optional.of(Refusal.Reason.TOO_MANY_VISITORS), refusal(survey, job, 5));
+        assertEquals(Optional.of(Rejection.Reason.TOO_MANY_VISITORS), refusal(survey, job, 5));
         var never = new AdmissionPolicy.View(survey, Optional.of("team red is unknown"), 0, 5, List.of());
-        assertEquals(Optional.of(Refusal.Reason.NEVER_FITS), AdmissionPolicy.refusal(job, never));
-        var gives = new AdmissionPolicy.View(survey, Optional.empty(), 0, 5, List.of(WorkKind.of(job)));
-        assertEquals(Optional.of(Refusal.Reason.GIVES_AWAY), AdmissionPolicy.refusal(job, gives));
+        assertEquals(Optional.of(Rejection.Reason.NEVER_FITS), AdmissionPolicy.refusal(job, never));
+        var gives = new AdmissionPolicy.View(survey, Optional.empty(), 0, 5, List.of(ResourceKind.of(job)));
+        assertEquals(Optional.of(Rejection.Reason.GIVES_AWAY), AdmissionPolicy.refusal(job, gives));
     }
 
     @Test
     void hintsTellRoomByPriority() {
-        JobRecord low = running("wk-000001", Shape.ARRAY, Priority.LOW, "i-1", 3);
-        List<RoomHint> hints = survey(List.of(low), ALL_REFUSED).hints();
+        JobRecord low = running("wk-000001", JobKind.ARRAY, Priority.LOW, "i-1", 3);
+        List<CapacityHint> hints = survey(List.of(low), ALL_REFUSED).hints();
         assertEquals(1, tasks(hints, "east", Priority.LOW));
         assertEquals(4, tasks(hints, "east", Priority.NORMAL));
         assertEquals(4, tasks(hints, "west", Priority.LOW));
     }
 
-    private static int tasks(List<RoomHint> hints, String zone, Priority priority) {
-        Submission job = TestJobs.of("wk-000009", Shape.ARRAY, priority, 50, Optional.empty(), false);
+    private static int tasks(List<CapacityHint> hints, String zone, Priority priority) {
+        Submission job = TestJobs.of("wk-000009", JobKind.ARRAY, priority, 50, Optional.empty(), false);
         return hints.stream()
                 .filter(hint -> hint.zone().equals(zone) && hint.concerns(job))
                 .mapToInt(hint -> hint.tasks(job))
@@ -151,7 +151,7 @@
         Instant early = Instant.EPOCH;
         Instant late = Instant.EPOCH.plusSeconds(60);
         JobRecord visitor =
-                JobRecord.visiting(TestJobs.gang("wk-000001", Priority.URGENT, 8, false), early, Visit.of("a", 1));
+                JobRecord.acceptedFromOrigin(TestJobs.gang("wk-000001", Priority.URGENT, 8, false), early, InboundDelegation.of("a", 1));
         JobRecord own = JobRecord.accepted(TestJobs.gang("wk-000002", Priority.URGENT, 8, false), late);
         JobRecord ownLow = JobRecord.accepted(TestJobs.gang("wk-000003", Priority.LOW, 8, false), early);
         assertEquals(List.of("wk-000002"), placed(List.of(visitor, own)));
@@ -160,7 +160,7 @@
 
     private static List<String> placed(List<JobRecord> jobs) {
         Plan plan = Planner.plan(snapshot(Instant.EPOCH.plusSeconds(70), jobs, ALL_REFUSED, 100));
-        assertTrue(plan.bookings().size() <= 1);
-        return plan.bookings().stream().map(booking -> booking.job().id()).toList();
+        assertTrue(plan.bindings().size() <= 1);
+        return plan.bindings().stream().map(booking -> booking.job().id()).toList();
     }
 }
--- a/src/test/java/org/dunespindle/federation/CellMessageCodecTest.java
+++ b/src/test/java/org/dunespindle/federation/CellMessageCodecTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.junit.jupiter.api.Test;
@@ -60,9 +60,9 @@
                         random.nextBoolean() ? Optional.empty() : Optional.of(hints(random)));
             case 1 -> new CellReply.Reports(reports(random));
             case 2 -> {
-                Refusal.Reason reason = Refusal.Reason.values()[random.nextInt(Refusal.Reason.values().length)];
+                Rejection.Reason reason = Rejection.Reason.values()[random.nextInt(Rejection.Reason.values().length)];
                 yield new CellReply.Declined(
-                        transfer(random), new Refusal(reason, Duration.ofMillis(random.nextInt(100_000))));
+                        transfer(random), new Rejection(reason, Duration.ofMillis(random.nextInt(100_000))));
             }
             default ->
                 new CellReply.NotServed(
@@ -71,10 +71,10 @@
         };
     }
 
-    private static List<RoomHint> hints(Random random) {
-        var hints = new ArrayList<RoomHint>();
+    private static List<CapacityHint> hints(Random random) {
+        var hints = new ArrayList<CapacityHint>();
         for (int i = random.nextInt(5); i > 0; i--) {
-            hints.add(new RoomHint(
+            hints.add(new CapacityHint(
                     "type" + i,
                     "zone",
                     random.nextBoolean(),
@@ -86,12 +86,12 @@
         return hints;
     }
 
-    private static List<VisitReport> reports(Random random) {
-        var reports = new ArrayList<VisitReport>();
+    private static List<InboundJobStatus> reports(Random random) {
+        var reports = new ArrayList<InboundJobStatus>();
         for (int i = random.nextInt(5); i > 0; i--) {
-            reports.add(new VisitReport(
+            reports.add(new InboundJobStatus(
                     transfer(random),
-                    VisitState.values()[random.nextInt(VisitState.values().length)],
+                    InboundJobState.values()[random.nextInt(InboundJobState.values().length)],
                     random.nextInt(100),
                     random.nextInt(100),
                     random.nextInt(3),
@@ -101,7 +101,7 @@
     }
 
     @Property(seed = "41", tries = 500)
-    void messagesSurvive(@ForAll long seed) throws MalformedException {
+    void messagesSurvive(@ForAll long seed) throws MalformedMessageException {
         var random = new Random(seed);
         CellRequest request = request(random);
         assertEquals(request, CellMessageCodec.readRequest(CellMessageCodec.write(request)));
@@ -117,17 +117,17 @@
             body[random.nextInt(body.length)] = (byte) random.nextInt(256);
         }
         byte[] cut = java.util.Arrays.copyOf(body, random.nextInt(body.length));
-        assertThrows(MalformedException.class, () -> CellMessageCodec.readRequest(cut));
+        assertThrows(MalformedMessageException.class, () -> CellMessageCodec.readRequest(cut));
         try {
             CellMessageCodec.readRequest(body);
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             assertTrue(!e.getMessage().isEmpty() && e.getMessage().length() < 200, e.getMessage());
         }
     }
 
     private static void refused(String text, String complaint) {
         var failure = assertThrows(
-                MalformedException.class, () -> CellMessageCodec.readRequest(text.getBytes(StandardCharsets.UTF_8)));
+                MalformedMessageException.class, () -> CellMessageCodec.readRequest(text.getBytes(StandardCharsets.UTF_8)));
         assertTrue(failure.getMessage().contains(complaint), failure.getMessage());
     }
 
--- a/src/test/java/org/dunespindle/federation/CellMessagesCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/federation/CellMessagesCompatibilityTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.junit.jupiter.api.Test;
@@ -31,18 +31,18 @@
     private static final String SELF =
             "\"self\":{\"name\":\"b\",\"identity\":\"id-b\",\"incarnation\":5,\"mark\":\"mark-b\"}";
 
-    private static void assertSent(String text, CellRequest request) throws MalformedException {
+    private static void assertSent(String text, CellRequest request) throws MalformedMessageException {
         assertEquals(text, new String(CellMessageCodec.write(request), StandardCharsets.UTF_8));
         assertEquals(request, CellMessageCodec.readRequest(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static void assertSent(String text, CellReply reply) throws MalformedException {
+    private static void assertSent(String text, CellReply reply) throws MalformedMessageException {
         assertEquals(text, new String(CellMessageCodec.write(reply), StandardCharsets.UTF_8));
         assertEquals(reply, CellMessageCodec.readReply(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void requests() throws MalformedException {
+    void requests() throws MalformedMessageException {
         assertSent(FROM + "\"kind\":\"hello\",\"floor\":9}", new CellRequest.Hello(A, 9));
         String transfer = "\"to\":\"id-b\",\"job\":\"wk-000412\",\"number\":12}";
         assertSent(FROM + "\"kind\":\"recall\"," + transfer, new CellRequest.Recall(A, "id-b", TRANSFER));
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void offers() throws MalformedException {
+    void offers() throws MalformedMessageException {
         assertSent(
                 FROM + "\"kind\":\"offer\",\"arrived\":1700000000123,"
                         + "\"to\":{\"name\":\"b\",\"identity\":\"id-b\",\"incarnation\":5,\"mark\":\"mark-b\"},"
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void greetings() throws MalformedException {
+    void greetings() throws MalformedMessageException {
         assertSent(
                 "{\"kind\":\"greeting\",\"leads\":false," + SELF + "}",
                 new CellReply.Greeting(B, false, Optional.empty(), Optional.empty()));
@@ -79,7 +79,7 @@
                 Priority.CRITICAL, "CRITICAL"));
         assertEquals(Set.of(Priority.values()), priorities.keySet());
         for (Map.Entry<Priority, String> priority : priorities.entrySet()) {
-            var hint = new RoomHint(
+            var hint = new CapacityHint(
                     "gpu-8",
                     "east",
                     true,
@@ -97,17 +97,17 @@
     }
 
     @Test
-    void reportsOfEveryState() throws MalformedException {
+    void reportsOfEveryState() throws MalformedMessageException {
         var states = new EnumMap<>(Map.of(
-                VisitState.UNKNOWN, "UNKNOWN",
-                VisitState.QUEUED, "QUEUED",
-                VisitState.BEGUN, "BEGUN",
-                VisitState.DONE, "DONE",
-                VisitState.CANCELLED, "CANCELLED",
-                VisitState.WITHDRAWN, "WITHDRAWN",
-                VisitState.CLOSED, "CLOSED"));
-        assertEquals(Set.of(VisitState.values()), states.keySet());
-        for (Map.Entry<VisitState, String> state : states.entrySet()) {
+                InboundJobState.UNKNOWN, "UNKNOWN",
+                InboundJobState.QUEUED, "QUEUED",
+                InboundJobState.BEGUN, "BEGUN",
+                InboundJobState.DONE, "DONE",
+                InboundJobState.CANCELLED, "CANCELLED",
+                InboundJobState.WITHDRAWN, "WITHDRAWN",
+                InboundJobState.CLOSED, "CLOSED"));
+        assertEquals(Set.of(InboundJobState.values()), states.keySet());
+        for (Map.Entry<InboundJobState, String> state : states.entrySet()) {
             String head = "{\"kind\":\"reports\",\"reports\":[{\"job\":\"wk-000412\",\"number\":12,\"state\":\""
                     + state.getValue() + "\",\"done\":3,\"running\":2,\"failures\":1";
             assertSent(head + "}]}", reports(state.getKey(), Optional.empty()));
@@ -115,29 +115,29 @@
         }
     }
 
-    private static CellReply reports(VisitState state, Optional<String> waits) {
-        return new CellReply.Reports(List.of(new VisitReport(TRANSFER, state, 3, 2, 1, waits)));
+    private static CellReply reports(InboundJobState state, Optional<String> waits) {
+        return new CellReply.Reports(List.of(new InboundJobStatus(TRANSFER, state, 3, 2, 1, waits)));
     }
 
     @Test
-    void refusalsForEveryReason() throws MalformedException {
+    void refusalsForEveryReason() throws MalformedMessageException {
         var reasons = new EnumMap<>(Map.of(
-                Refusal.Reason.NO_ROOM, "NO_ROOM",
-                Refusal.Reason.NEVER_FITS, "NEVER_FITS",
-                Refusal.Reason.TOO_MANY_VISITORS, "TOO_MANY_VISITORS",
-                Refusal.Reason.GIVES_AWAY, "GIVES_AWAY",
-                Refusal.Reason.ID_TAKEN, "ID_TAKEN"));
-        assertEquals(Set.of(Refusal.Reason.values()), reasons.keySet());
-        for (Map.Entry<Refusal.Reason, String> reason : reasons.entrySet()) {
+                Rejection.Reason.NO_ROOM, "NO_ROOM",
+                Rejection.Reason.NEVER_FITS, "NEVER_FITS",
+                Rejection.Reason.TOO_MANY_VISITORS, "TOO_MANY_VISITORS",
+                Rejection.Reason.GIVES_AWAY, "GIVES_AWAY",
+                Rejection.Reason.ID_TAKEN, "ID_TAKEN"));
+        assertEquals(Set.of(Rejection.Reason.values()), reasons.keySet());
+        for (Map.Entry<Rejection.Reason, String> reason : reasons.entrySet()) {
             assertSent(
                     "{\"kind\":\"declined\",\"job\":\"wk-000412\",\"number\":12,\"reason\":\"" + reason.getValue()
                             + "\",\"retryAfterMs\":20500}",
-                    new CellReply.Declined(TRANSFER, new Refusal(reason.getKey(), Duration.ofMillis(20_500))));
+                    new CellReply.Declined(TRANSFER, new Rejection(reason.getKey(), Duration.ofMillis(20_500))));
         }
     }
 
     @Test
-    void requestsNotServedForEveryReason() throws MalformedException {
+    void requestsNotServedForEveryReason() throws MalformedMessageException {
         var reasons = new EnumMap<>(Map.of(
                 CellReply.Reason.NOT_READY, "NOT_READY",
                 CellReply.Reason.STATE_UNAVAILABLE, "STATE_UNAVAILABLE",
@@ -159,7 +159,7 @@
 
     /** The values of {@code ds/federation} and {@code ds/cell/}. */
     @Test
-    void storedCells() throws MalformedException, IOException {
+    void storedCells() throws MalformedMessageException, IOException {
         String id = "{\"name\":\"a\",\"identity\":\"id-a\",\"incarnation\":4,\"mark\":\"mark-a\"";
         var own = new FederationRecords.OwnCell(A, 77);
         assertEquals(id + ",\"leader\":77}", FederationRecords.write(own).toString());
--- a/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
+++ b/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.dunespindle.storage.Delegation;
+import org.dunespindle.storage.OutboundDelegation;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -34,31 +34,31 @@
 
         record Ask(long number) implements Message {}
 
-        record Told(long number, VisitState state, Delegation.Phase askedIn) implements Message {}
+        record Told(long number, InboundJobState state, OutboundDelegation.Phase askedIn) implements Message {}
     }
 
     /** The other cell, as specified: one record for the job, replaced only by that of a higher transfer. */
     private static final class Receiver {
         long number;
-        VisitState state = VisitState.UNKNOWN;
+        InboundJobState state = InboundJobState.UNKNOWN;
 
-        VisitState told(long asked) {
-            return asked == number ? state : asked < number ? VisitState.CLOSED : VisitState.UNKNOWN;
+        InboundJobState told(long asked) {
+            return asked == number ? state : asked < number ? InboundJobState.CLOSED : InboundJobState.UNKNOWN;
         }
 
-        VisitState offer(long offered, boolean room) {
-            boolean free = state == VisitState.UNKNOWN || state == VisitState.WITHDRAWN;
+        InboundJobState offer(long offered, boolean room) {
+            boolean free = state == InboundJobState.UNKNOWN || state == InboundJobState.WITHDRAWN;
             if (offered > number && free) {
                 number = offered;
-                state = room ? VisitState.QUEUED : VisitState.WITHDRAWN;
+                state = room ? InboundJobState.QUEUED : InboundJobState.WITHDRAWN;
             }
             return told(offered);
         }
 
-        VisitState recall(long recalled) {
-            if (recalled > number || recalled == number && state == VisitState.QUEUED) {
+        InboundJobState recall(long recalled) {
+            if (recalled > number || recalled == number && state == InboundJobState.QUEUED) {
                 number = recalled;
-                state = VisitState.WITHDRAWN;
+                state = InboundJobState.WITHDRAWN;
             }
             return told(recalled);
         }
@@ -69,8 +69,8 @@
         final Random random;
         final Receiver receiver = new Receiver();
         final List<Message> network = new ArrayList<>();
-        Optional<Delegation> home = Optional.empty();
-        VisitState told = VisitState.UNKNOWN;
+        Optional<OutboundDelegation> home = Optional.empty();
+        InboundJobState told = InboundJobState.UNKNOWN;
         long toldOf;
         long numbers;
         boolean placedAtHome;
@@ -92,13 +92,13 @@
         }
 
         private boolean away() {
-            return home.filter(Delegation::outstanding).isPresent();
+            return home.filter(OutboundDelegation::outstanding).isPresent();
         }
 
         private void give() {
-            boolean may = home.map(Delegation::transfers).orElse(0) < MOST_TRANSFERS;
+            boolean may = home.map(OutboundDelegation::transfers).orElse(0) < MOST_TRANSFERS;
             if (!placedAtHome && !overAtHome && !away() && may) {
-                home = Optional.of(Delegation.offer(home, "b", ++numbers));
+                home = Optional.of(OutboundDelegation.offer(home, "b", ++numbers));
             }
         }
 
@@ -106,8 +106,8 @@
             if (!away() && !overAtHome && !placedAtHome && random.nextInt(6) == 0) {
                 placedAtHome = true;
                 runs++;
-                assertNotEquals(VisitState.QUEUED, receiver.state, "placed in both cells");
-                assertNotEquals(VisitState.BEGUN, receiver.state, "placed in both cells");
+                assertNotEquals(InboundJobState.QUEUED, receiver.state, "placed in both cells");
+                assertNotEquals(InboundJobState.BEGUN, receiver.state, "placed in both cells");
             }
         }
 
@@ -115,9 +115,9 @@
             if (!away() || overAtHome) {
                 return;
             }
-            Delegation now = home.orElseThrow();
-            Optional<VisitState> heard =
-                    toldOf == now.transfer() && told != VisitState.UNKNOWN ? Optional.of(told) : Optional.empty();
+            OutboundDelegation now = home.orElseThrow();
+            Optional<InboundJobState> heard =
+                    toldOf == now.transfer() && told != InboundJobState.UNKNOWN ? Optional.of(told) : Optional.empty();
             Duration waited = random.nextInt(4) == 0 ? PATIENCE.multipliedBy(2) : Duration.ZERO;
             var view = new DelegationRules.View(now, heard, waited, PATIENCE, Instant.EPOCH);
             DelegationRules.Step step = DelegationRules.next(view);
@@ -130,7 +130,7 @@
             } else if (step instanceof DelegationRules.Step.Store store) {
                 home = Optional.of(store.delegation());
             } else if (step instanceof DelegationRules.Step.StoreDone) {
-                assertEquals(VisitState.DONE, receiver.state);
+                assertEquals(InboundJobState.DONE, receiver.state);
                 overAtHome = true;
             } else {
                 throw new AssertionError("unexpected " + step);
@@ -144,9 +144,9 @@
             }
             int index = random.nextInt(network.size());
             Message message = random.nextInt(3) == 0 ? network.remove(index) : network.get(index);
-            Delegation.Phase phase = home.map(Delegation::phase).orElse(Delegation.Phase.HOME);
+            OutboundDelegation.Phase phase = home.map(OutboundDelegation::phase).orElse(OutboundDelegation.Phase.HOME);
             if (message instanceof Message.Offer offer) {
-                VisitState state = receiver.offer(offer.number, random.nextInt(3) > 0);
+                InboundJobState state = receiver.offer(offer.number, random.nextInt(3) > 0);
                 network.add(new Message.Told(offer.number, state, phase));
             } else if (message instanceof Message.Recall recall) {
                 network.add(new Message.Told(recall.number, receiver.recall(recall.number), phase));
@@ -158,7 +158,7 @@
         }
 
         private void hear(Message.Told answer) {
-            if (answer.number != home.orElseThrow().transfer() || answer.state == VisitState.UNKNOWN) {
+            if (answer.number != home.orElseThrow().transfer() || answer.state == InboundJobState.UNKNOWN) {
                 return;
             }
             boolean later = toldOf != answer.number || answer.state.compareTo(told) > 0;
@@ -169,12 +169,12 @@
         }
 
         private void work() {
-            if (receiver.state == VisitState.QUEUED && random.nextInt(3) == 0) {
+            if (receiver.state == InboundJobState.QUEUED && random.nextInt(3) == 0) {
                 assertFalse(placedAtHome, "placed in both cells");
-                receiver.state = VisitState.BEGUN;
+                receiver.state = InboundJobState.BEGUN;
                 runs++;
-            } else if (receiver.state == VisitState.BEGUN && random.nextInt(3) == 0) {
-                receiver.state = VisitState.DONE;
+            } else if (receiver.state == InboundJobState.BEGUN && random.nextInt(3) == 0) {
+                receiver.state = InboundJobState.DONE;
             }
         }
     }
@@ -185,7 +185,7 @@
         for (int step = 0; step < STEPS; step++) {
             world.step();
             assertTrue(world.runs <= 1, "ran in both cells");
-            assertTrue(world.home.map(Delegation::transfers).orElse(0) <= MOST_TRANSFERS);
+            assertTrue(world.home.map(OutboundDelegation::transfers).orElse(0) <= MOST_TRANSFERS);
         }
     }
 
@@ -209,9 +209,9 @@
     @Property(seed = "22", tries = 500)
     void phasesChangeOnlyAsStated(@ForAll long seed) {
         var random = new Random(seed);
-        Delegation delegation = Delegation.offer(Optional.empty(), "b", 1);
+        OutboundDelegation delegation = OutboundDelegation.offer(Optional.empty(), "b", 1);
         for (int step = 0; step < 30; step++) {
-            Delegation before = delegation;
+            OutboundDelegation before = delegation;
             int change = random.nextInt(5);
             try {
                 delegation = switch (change) {
@@ -219,42 +219,42 @@
                     case 1 -> before.recalled();
                     case 2 -> before.kept();
                     case 3 -> before.returned(Instant.EPOCH);
-                    default -> Delegation.offer(Optional.of(before), "c", before.transfer() + 1);
+                    default -> OutboundDelegation.offer(Optional.of(before), "c", before.transfer() + 1);
                 };
                 assertTrue(allowed(change).contains(before.phase()), change + " from " + before.phase());
             } catch (IllegalStateException refused) {
                 assertFalse(allowed(change).contains(before.phase()), change + " from " + before.phase());
             }
-            assertEquals(delegation.phase() != Delegation.Phase.HOME, delegation.outstanding());
+            assertEquals(delegation.phase() != OutboundDelegation.Phase.HOME, delegation.outstanding());
             assertTrue(delegation.transfer() >= before.transfer());
         }
     }
 
-    private static EnumSet<Delegation.Phase> allowed(int change) {
-        EnumSet<Delegation.Phase> outstanding =
-                EnumSet.of(Delegation.Phase.OFFERED, Delegation.Phase.ACCEPTED, Delegation.Phase.RECALLED);
+    private static EnumSet<OutboundDelegation.Phase> allowed(int change) {
+        EnumSet<OutboundDelegation.Phase> outstanding =
+                EnumSet.of(OutboundDelegation.Phase.OFFERED, OutboundDelegation.Phase.ACCEPTED, OutboundDelegation.Phase.RECALLED);
         return switch (change) {
-            case 2 -> EnumSet.of(Delegation.Phase.RECALLED);
-            case 4 -> EnumSet.of(Delegation.Phase.HOME);
+            case 2 -> EnumSet.of(OutboundDelegation.Phase.RECALLED);
+            case 4 -> EnumSet.of(OutboundDelegation.Phase.HOME);
             default -> outstanding;
         };
     }
 
     @Test
     void aTransferNumberIsNeverUsedAgain() {
-        Delegation back = Delegation.offer(Optional.empty(), "b", 5).returned(Instant.EPOCH);
-        assertThrows(IllegalStateException.class, () -> Delegation.offer(Optional.of(back), "c", 5));
+        OutboundDelegation back = OutboundDelegation.offer(Optional.empty(), "b", 5).returned(Instant.EPOCH);
+        assertThrows(IllegalStateException.class, () -> OutboundDelegation.offer(Optional.of(back), "c", 5));
     }
 
-    private static DelegationRules.Step next(Delegation delegation, Optional<VisitState> told, Duration waited) {
+    private static DelegationRules.Step next(OutboundDelegation delegation, Optional<InboundJobState> told, Duration waited) {
         return DelegationRules.next(
                 new DelegationRules.View(delegation, told, waited, PATIENCE, Instant.EPOCH.plusSeconds(9)));
     }
 
     @Test
     void silenceNeverBringsAJobHome() {
-        Delegation offered = Delegation.offer(Optional.empty(), "b", 1);
-        for (Delegation delegation : List.of(offered, offered.accepted(), offered.recalled())) {
+        OutboundDelegation offered = OutboundDelegation.offer(Optional.empty(), "b", 1);
+        for (OutboundDelegation delegation : List.of(offered, offered.accepted(), offered.recalled())) {
             for (Duration waited : List.of(Duration.ZERO, PATIENCE.plusMillis(1), Duration.ofDays(30))) {
                 DelegationRules.Step step = next(delegation, Optional.empty(), waited);
                 boolean home = step instanceof DelegationRules.Step.Store store
@@ -266,44 +266,44 @@
 
     @Test
     void whatCannotBeIsNotGuessedAt() {
-        Delegation accepted = Delegation.offer(Optional.empty(), "b", 1).accepted();
+        OutboundDelegation accepted = OutboundDelegation.offer(Optional.empty(), "b", 1).accepted();
         assertTrue(
-                next(accepted, Optional.of(VisitState.UNKNOWN), Duration.ZERO)
+                next(accepted, Optional.of(InboundJobState.UNKNOWN), Duration.ZERO)
                         instanceof DelegationRules.Step.Contradiction);
         assertTrue(
-                next(accepted, Optional.of(VisitState.CLOSED), Duration.ZERO)
+                next(accepted, Optional.of(InboundJobState.CLOSED), Duration.ZERO)
                         instanceof DelegationRules.Step.Contradiction);
     }
 
     @Test
     void aJobThatBeganElsewhereStaysThereHoweverLongItWaits() {
-        Delegation accepted = Delegation.offer(Optional.empty(), "b", 1).accepted();
+        OutboundDelegation accepted = OutboundDelegation.offer(Optional.empty(), "b", 1).accepted();
         assertEquals(
                 new DelegationRules.Step.Ask(),
-                next(accepted, Optional.of(VisitState.BEGUN), PATIENCE.multipliedBy(9)));
+                next(accepted, Optional.of(InboundJobState.BEGUN), PATIENCE.multipliedBy(9)));
         assertEquals(
                 new DelegationRules.Step.Store(accepted),
-                next(accepted.recalled(), Optional.of(VisitState.BEGUN), Duration.ZERO));
+                next(accepted.recalled(), Optional.of(InboundJobState.BEGUN), Duration.ZERO));
     }
 
     @Test
     void reportsThatArriveOutOfOrderChangeNothing() {
-        var reports = new RemoteReports();
+        var reports = new RemoteJobStates();
         var transfer = new Transfer("wk-000001", 7);
         var job = org.dunespindle.storage.JobRecord.accepted(TestJobs.array("wk-000001", 2), Instant.EPOCH)
-                .tied(Delegation.offer(Optional.empty(), "b", 7).accepted());
-        reports.take(VisitReport.of(transfer, VisitState.UNKNOWN), Delegation.Phase.OFFERED, Duration.ofSeconds(9));
+                .withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 7).accepted());
+        reports.take(InboundJobStatus.of(transfer, InboundJobState.UNKNOWN), OutboundDelegation.Phase.OFFERED, Duration.ofSeconds(9));
         assertTrue(reports.of(job).isEmpty(), "it may not have arrived yet");
-        reports.take(VisitReport.of(transfer, VisitState.BEGUN), Delegation.Phase.ACCEPTED, Duration.ofSeconds(5));
-        reports.take(VisitReport.of(transfer, VisitState.QUEUED), Delegation.Phase.ACCEPTED, Duration.ofSeconds(3));
-        assertEquals(VisitState.BEGUN, reports.of(job).orElseThrow().report().state());
-        reports.take(VisitReport.of(transfer, VisitState.DONE), Delegation.Phase.ACCEPTED, Duration.ofSeconds(4));
-        reports.take(VisitReport.of(transfer, VisitState.BEGUN), Delegation.Phase.ACCEPTED, Duration.ofSeconds(8));
-        assertEquals(VisitState.DONE, reports.of(job).orElseThrow().report().state());
+        reports.take(InboundJobStatus.of(transfer, InboundJobState.BEGUN), OutboundDelegation.Phase.ACCEPTED, Duration.ofSeconds(5));
+        reports.take(InboundJobStatus.of(transfer, InboundJobState.QUEUED), OutboundDelegation.Phase.ACCEPTED, Duration.ofSeconds(3));
+        assertEquals(InboundJobState.BEGUN, reports.of(job).orElseThrow().report().state());
+        reports.take(InboundJobStatus.of(transfer, InboundJobState.DONE), OutboundDelegation.Phase.ACCEPTED, Duration.ofSeconds(4));
+        reports.take(InboundJobStatus.of(transfer, InboundJobState.BEGUN), OutboundDelegation.Phase.ACCEPTED, Duration.ofSeconds(8));
+        assertEquals(InboundJobState.DONE, reports.of(job).orElseThrow().report().state());
         reports.take(
-                VisitReport.of(new Transfer("wk-000001", 6), VisitState.WITHDRAWN),
-                Delegation.Phase.ACCEPTED,
+                InboundJobStatus.of(new Transfer("wk-000001", 6), InboundJobState.WITHDRAWN),
+                OutboundDelegation.Phase.ACCEPTED,
                 Duration.ofSeconds(9));
-        assertEquals(VisitState.DONE, reports.of(job).orElseThrow().report().state());
+        assertEquals(InboundJobState.DONE, reports.of(job).orElseThrow().report().state());
     }
 }
--- a/src/test/java/org/dunespindle/federation/SpillPolicyTest.java
+++ b/src/test/java/org/dunespindle/federation/SpillPolicyTest.java
@@ -15,10 +15,10 @@
 import net.jqwik.api.Property;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
-import org.dunespindle.storage.Delegation;
+import org.dunespindle.protocol.JobKind;
+import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
-import org.dunespindle.storage.Visit;
+import org.dunespindle.storage.InboundDelegation;
 import org.junit.jupiter.api.Test;
 
 /** Which jobs are offered to which cells. */
@@ -26,13 +26,13 @@
     private static final Instant NOW = Instant.ofEpochSecond(1000);
     private static final int MOST_TRANSFERS = 3;
 
-    private static RoomHint hint(String zone, Priority priority, int tasks) {
+    private static CapacityHint hint(String zone, Priority priority, int tasks) {
         var free = new Resources(tasks, tasks, tasks);
-        return new RoomHint("box", zone, false, priority, free, tasks > 0 ? new Resources(4, 4, 4) : free, false);
+        return new CapacityHint("box", zone, false, priority, free, tasks > 0 ? new Resources(4, 4, 4) : free, false);
     }
 
     private static SpillPolicy.Target target(String name, int tasks) {
-        var hints = new ArrayList<RoomHint>();
+        var hints = new ArrayList<CapacityHint>();
         for (Priority priority : Priority.values()) {
             hints.add(hint("east", priority, tasks));
         }
@@ -40,7 +40,7 @@
     }
 
     private static List<SpillPolicy.Choice> choose(
-            List<JobRecord> jobs, List<SpillPolicy.Target> targets, List<WorkKind> takesIn) {
+            List<JobRecord> jobs, List<SpillPolicy.Target> targets, List<ResourceKind> takesIn) {
         return SpillPolicy.choose(new SpillPolicy.View(NOW, jobs, targets, takesIn, MOST_TRANSFERS, 4));
     }
 
@@ -73,13 +73,13 @@
     @Test
     void whoTakesInWorkOfAKindGivesNoneAway() {
         JobRecord job = waiting("wk-000001", Priority.URGENT, 1);
-        var other = new WorkKind(Optional.of(List.of("big")));
+        var other = new ResourceKind(Optional.of(List.of("big")));
         assertEquals(
                 0,
-                choose(List.of(job), List.of(target("b", 4)), List.of(WorkKind.of(job.job())))
+                choose(List.of(job), List.of(target("b", 4)), List.of(ResourceKind.of(job.submission())))
                         .size());
         JobRecord boxes = JobRecord.accepted(
-                TestJobs.of("wk-000002", Shape.GANG, Priority.URGENT, 1, Optional.of(List.of("box")), false),
+                TestJobs.of("wk-000002", JobKind.GANG, Priority.URGENT, 1, Optional.of(List.of("box")), false),
                 Instant.EPOCH);
         assertEquals(
                 1,
@@ -88,21 +88,21 @@
 
     @Test
     void whatCameBackIsGivenAgainOnlyLaterAndNotForEver() {
-        Delegation once = Delegation.offer(Optional.empty(), "b", 1).returned(NOW.plusSeconds(5));
-        JobRecord paused = waiting("wk-000001", Priority.URGENT, 1).tied(once);
+        OutboundDelegation once = OutboundDelegation.offer(Optional.empty(), "b", 1).returned(NOW.plusSeconds(5));
+        JobRecord paused = waiting("wk-000001", Priority.URGENT, 1).withDelegationLink(once);
         assertEquals(
                 0, choose(List.of(paused), List.of(target("b", 4)), List.of()).size());
-        Delegation due = Delegation.offer(Optional.empty(), "b", 1).returned(NOW);
-        JobRecord back = paused.tied(due);
+        OutboundDelegation due = OutboundDelegation.offer(Optional.empty(), "b", 1).returned(NOW);
+        JobRecord back = paused.withDelegationLink(due);
         List<SpillPolicy.Choice> choices = choose(List.of(back), List.of(target("b", 9), target("c", 2)), List.of());
         assertEquals("c", choices.get(0).cell(), "not to the one that gave it back, while there is another");
-        Delegation last = due;
+        OutboundDelegation last = due;
         for (int transfer = 2; transfer <= MOST_TRANSFERS; transfer++) {
-            last = Delegation.offer(Optional.of(last), "c", transfer).returned(NOW);
+            last = OutboundDelegation.offer(Optional.of(last), "c", transfer).returned(NOW);
         }
         assertEquals(
                 0,
-                choose(List.of(back.tied(last)), List.of(target("b", 4)), List.of())
+                choose(List.of(back.withDelegationLink(last)), List.of(target("b", 4)), List.of())
                         .size());
     }
 
@@ -110,13 +110,13 @@
     void onlyWholeJobsOfThisCellMove() {
         JobRecord job = waiting("wk-000001", Priority.URGENT, 2);
         assertTrue(SpillPolicy.movable(job));
-        JobRecord placed = job.placed(Map.of(0, "i-1"));
+        JobRecord placed = job.withPlaced(Map.of(0, "i-1"));
         assertFalse(SpillPolicy.movable(placed));
-        assertFalse(SpillPolicy.movable(placed.released(0, false)), "a task of it was booked once");
-        assertFalse(SpillPolicy.movable(job.tied(Visit.of("c", 4))), "visitors are never passed on");
-        assertFalse(SpillPolicy.movable(job.tied(Delegation.offer(Optional.empty(), "b", 1))));
+        assertFalse(SpillPolicy.movable(placed.withReleased(0, false)), "a task of it was booked once");
+        assertFalse(SpillPolicy.movable(job.withDelegationLink(InboundDelegation.of("c", 4))), "visitors are never passed on");
+        assertFalse(SpillPolicy.movable(job.withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 1))));
         JobRecord service = JobRecord.accepted(
-                TestJobs.of("wk-000002", Shape.SERVICE, Priority.CRITICAL, 2, Optional.empty(), false), NOW);
+                TestJobs.of("wk-000002", JobKind.SERVICE, Priority.CRITICAL, 2, Optional.empty(), false), NOW);
         assertFalse(SpillPolicy.movable(service));
     }
 
@@ -140,7 +140,7 @@
     private static int tasks(List<SpillPolicy.Choice> choices, String cell) {
         return choices.stream()
                 .filter(choice -> choice.cell().equals(cell))
-                .mapToInt(choice -> choice.job().job().tasks())
+                .mapToInt(choice -> choice.job().submission().tasks())
                 .sum();
     }
 }
--- a/src/test/java/org/dunespindle/federation/TestJobs.java
+++ b/src/test/java/org/dunespindle/federation/TestJobs.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 
 /** Jobs for tests of the federation's parts. */
@@ -13,15 +13,15 @@
     private TestJobs() {}
 
     static Submission array(String id, int tasks) {
-        return of(id, Shape.ARRAY, Priority.NORMAL, tasks, Optional.empty(), false);
+        return of(id, JobKind.ARRAY, Priority.NORMAL, tasks, Optional.empty(), false);
     }
 
     static Submission gang(String id, Priority priority, int tasks, boolean sameZone) {
-        return of(id, Shape.GANG, priority, tasks, Optional.empty(), sameZone);
+        return of(id, JobKind.GANG, priority, tasks, Optional.empty(), sameZone);
     }
 
     static Submission of(
-            String id, Shape shape, Priority priority, int tasks, Optional<List<String>> types, boolean sameZone) {
+            String id, JobKind shape, Priority priority, int tasks, Optional<List<String>> types, boolean sameZone) {
         return new Submission(
                 id,
                 "class",
--- a/src/test/java/org/dunespindle/federation/grpc/GrpcCellTest.java
+++ b/src/test/java/org/dunespindle/federation/grpc/GrpcCellTest.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
-import org.dunespindle.federation.CellCallFailure;
+import org.dunespindle.federation.CellCallException;
 import org.dunespindle.federation.CellId;
 import org.dunespindle.federation.CellReply;
 import org.dunespindle.federation.CellRequest;
@@ -82,7 +82,7 @@
     void whoeverDoesNotAnswerInTimeFailsTheCall() {
         var recall = new CellRequest.Recall(SELF, "to", new Transfer("wk-000001", 4));
         var failure = assertThrows(CompletionException.class, () -> call(recall, Duration.ofMillis(300)));
-        assertTrue(failure.getCause() instanceof CellCallFailure);
+        assertTrue(failure.getCause() instanceof CellCallException);
         assertEquals("DEADLINE_EXCEEDED", failure.getCause().getMessage());
         assertTrue(call(new CellRequest.Hello(SELF, 5), DEADLINE) instanceof CellReply.NotServed, "others go on");
     }
--- a/src/test/java/org/dunespindle/job/PlacementsTest.java
+++ b/src/test/java/org/dunespindle/job/PlacementWriterTest.java
@@ -18,13 +18,13 @@
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
 /** How much of a large array is placed at once. */
-class PlacementsTest {
+class PlacementWriterTest {
     private static final int VALUE = 8192;
 
     private static JobRecord array(int tasks) {
@@ -33,7 +33,7 @@
                         "wk-000001",
                         "class",
                         "red",
-                        Shape.ARRAY,
+                        JobKind.ARRAY,
                         Priority.LOW,
                         tasks,
                         new Resources(0.25, 0, 1),
@@ -65,10 +65,10 @@
             for (int task : j.unplaced(count)) {
                 places.put(task, "i-%05d".formatted(i++ / perMachine));
             }
-            JobRecord placed = j.placed(places);
+            JobRecord placed = j.withPlaced(places);
             int placedSize = MessagePackCodec.countedSize(placed.toNode());
             if (!places.isEmpty()
-                    && Placements.fits(placedSize, placed.allocations().size(), VALUE)) {
+                    && PlacementWriter.fits(placedSize, placed.allocations().size(), VALUE)) {
                 j = placed;
             }
             most = Math.max(most, j.allocations().size());
@@ -81,7 +81,7 @@
                     ended.put(c.task(), pattern != 1 && random.nextInt(4) > 0);
                 }
             }
-            j = j.released(ended);
+            j = j.withReleased(ended);
             int size = MessagePackCodec.countedSize(j.toNode());
             assertTrue(size <= VALUE, size + " bytes with " + j.allocations().size() + " claims");
         }
@@ -96,22 +96,22 @@
         for (int i = 0; i < 1 + random.nextInt(40); i++) {
             places.put(i, "i-%05d".formatted(i / 8));
         }
-        JobRecord j = array(random.nextBoolean() ? places.size() : 100).placed(places);
+        JobRecord j = array(random.nextBoolean() ? places.size() : 100).withPlaced(places);
         var events = new ArrayList<TaskTermination>();
         for (Allocation c : j.allocations()) {
             if (random.nextInt(3) > 0) {
                 events.add(new TaskTermination(
                         j.id(),
                         c.task(),
-                        random.nextInt(8) == 0 ? 99 : c.base(),
+                        random.nextInt(8) == 0 ? 99 : c.attemptBase(),
                         List.of(TerminationCause.DONE, TerminationCause.GONE).get(random.nextInt(2)),
                         "ended"));
             }
         }
         JobRecord one = j;
         for (TaskTermination e : events) {
-            one = JobChanges.apply(one, List.of(e), Instant.EPOCH);
+            one = JobTransitions.apply(one, List.of(e), Instant.EPOCH);
         }
-        assertEquals(one.toNode(), JobChanges.apply(j, events, Instant.EPOCH).toNode());
+        assertEquals(one.toNode(), JobTransitions.apply(j, events, Instant.EPOCH).toNode());
     }
 }
--- a/src/test/java/org/dunespindle/machine/FailureAttributionTest.java
+++ b/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
@@ -11,20 +11,20 @@
 import java.util.Optional;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
 /** Whether what failed is held against the machine or the job. */
-class FailureAttributionTest {
+class CrashLoopDetectorTest {
     private final Map<String, JobRecord> records = new HashMap<>();
-    private final FailureAttribution failureAttribution =
-            new FailureAttribution(id -> Optional.ofNullable(records.get(id)));
+    private final CrashLoopDetector failureAttribution =
+            new CrashLoopDetector(id -> Optional.ofNullable(records.get(id)));
 
     /** A job's task fails, and its record tells of it. */
     private void failed(String job, String machine) {
-        records.put(job, record(job).failed(1, Optional.empty()));
+        records.put(job, record(job).withFailures(1, Optional.empty()));
         failureAttribution.failed(job, machine);
     }
 
@@ -36,7 +36,7 @@
                                 id,
                                 "class",
                                 "red",
-                                Shape.ARRAY,
+                                JobKind.ARRAY,
                                 Priority.LOW,
                                 9,
                                 new Resources(1, 1, 1),
@@ -61,7 +61,7 @@
                 failed(job, machine);
             }
         }
-        assertTrue(failureAttribution.faultyJob("wk-1"));
+        assertTrue(failureAttribution.isCrashLooping("wk-1"));
         assertEquals(0, failureAttribution.jobsFailedOn("a"));
     }
 
@@ -71,7 +71,7 @@
         failed("wk-1", "a");
         failed("wk-2", "a");
         failed("wk-3", "a");
-        assertFalse(failureAttribution.faultyJob("wk-1"));
+        assertFalse(failureAttribution.isCrashLooping("wk-1"));
         assertEquals(3, failureAttribution.jobsFailedOn("a"));
         failureAttribution.succeeded("wk-4", "a");
         assertEquals(0, failureAttribution.jobsFailedOn("a"));
@@ -83,7 +83,7 @@
         for (String machine : new String[] {"a", "b", "c", "d"}) {
             failed("wk-1", machine);
         }
-        assertFalse(failureAttribution.faultyJob("wk-1"));
+        assertFalse(failureAttribution.isCrashLooping("wk-1"));
         assertEquals(1, failureAttribution.jobsFailedOn("a"));
     }
 
@@ -93,7 +93,7 @@
         failed("wk-1", "a");
         failed("wk-2", "a");
         assertEquals(2, failureAttribution.jobsFailedOn("a"));
-        records.put("wk-1", records.get("wk-1").failed(4, Optional.empty()));
+        records.put("wk-1", records.get("wk-1").withFailures(4, Optional.empty()));
         assertEquals(1, failureAttribution.jobsFailedOn("a"));
     }
 
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
@@ -13,10 +13,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.transport.Caller;
-import org.dunespindle.transport.HttpAnswer;
+import org.dunespindle.transport.HttpClient;
+import org.dunespindle.transport.HttpClientResponse;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -36,19 +36,19 @@
     private final List<String> told = new ArrayList<>();
     private String answer = "{}";
 
-    private final Caller peer = (address, method, target, body, type, timeout) -> {
+    private final HttpClient peer = (address, method, target, body, type, timeout) -> {
         sent.add(String.join(" ", address, method, target, type, new String(body, StandardCharsets.UTF_8)));
-        return CompletableFuture.completedFuture(new HttpAnswer(200, answer.getBytes(StandardCharsets.UTF_8)));
+        return CompletableFuture.completedFuture(new HttpClientResponse(200, answer.getBytes(StandardCharsets.UTF_8)));
     };
 
-    private final Peers peers = new Peers(
+    private final PeerHeartbeats peers = new PeerHeartbeats(
             service.settings,
             peer,
             service.process,
             () -> 6L,
             () -> Optional.of("n1"),
             service.replica,
-            new Peers.Listener() {
+            new PeerHeartbeats.Listener() {
                 @Override
                 public void imageSeen(String host, String image) {
                     told.add(host + " has " + image);
@@ -60,7 +60,7 @@
                 }
             });
 
-    PeerHeartbeatCompatibilityTest() throws MalformedException {}
+    PeerHeartbeatCompatibilityTest() throws MalformedMessageException {}
 
     private static MachineStatus news(String host, long number, String... images) {
         var set = new LinkedHashSet<>(List.of(images));
@@ -73,7 +73,7 @@
     }
 
     private String hear(String heartbeat) {
-        return peers.hear(heartbeat.getBytes(StandardCharsets.UTF_8), VIEW_AGE, NEED)
+        return peers.receive(heartbeat.getBytes(StandardCharsets.UTF_8), VIEW_AGE, NEED)
                 .toString();
     }
 
@@ -84,8 +84,8 @@
         List<MachineStatus> news = List.of(news("i-0023", 8, "image:7", "image:8"), news("i-0024", 9));
         String head = "peer:1 POST /peer/heartbeat application/json "
                 + "{\"node\":\"n0\",\"inc\":6,\"viewAgeMs\":250,\"writes\":12.5,\"waiting\":4,\"readTo\":5,";
-        peers.tell(VIEW_AGE, NEED, news);
-        peers.tell(VIEW_AGE, NEED, news);
+        peers.send(VIEW_AGE, NEED, news);
+        peers.send(VIEW_AGE, NEED, news);
         assertEquals(
                 List.of(
                         head
--- a/src/test/java/org/dunespindle/peer/PeersTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
@@ -10,26 +10,26 @@
 import java.util.Optional;
 import java.util.Set;
 import org.dunespindle.TestSettings;
-import org.dunespindle.api.Admin;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.api.AdminApi;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.sim.Sim;
+import org.dunespindle.sim.VirtualTime;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.Replica;
+import org.dunespindle.storage.StateReplica;
 import org.junit.jupiter.api.Test;
 
 /** What controllers tell one another of machines, and what of it still holds later. */
-class PeersTest {
-    private final Sim sim = new Sim(1);
-    private final Peers peers = new Peers(
+class PeerHeartbeatsTest {
+    private final VirtualTime sim = new VirtualTime(1);
+    private final PeerHeartbeats peers = new PeerHeartbeats(
             settings(),
             (address, method, target, body, type, timeout) -> new java.util.concurrent.CompletableFuture<>(),
             sim.new Process(),
             () -> 1L,
             () -> Optional.of("n0"),
-            new Replica(null, sim.new Process(), Duration.ofSeconds(1), () -> {}),
-            new Peers.Listener() {
+            new StateReplica(null, sim.new Process(), Duration.ofSeconds(1), () -> {}),
+            new PeerHeartbeats.Listener() {
                 @Override
                 public void imageSeen(String host, String image) {}
 
@@ -40,7 +40,7 @@
     private static Settings settings() {
         try {
             return Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", ""));
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -69,7 +69,7 @@
                     .add("a:1")
                     .add("image");
         }
-        return peers.hear(Admin.write(n), Duration.ZERO, new WriteDemand(0, 0));
+        return peers.receive(AdminApi.write(n), Duration.ZERO, new WriteDemand(0, 0));
     }
 
     @Test
@@ -107,20 +107,20 @@
     @Test
     void unreadableWordsCountAsNone() {
         for (String s : List.of("", "nonsense", "[]", "{\"node\":3}")) {
-            peers.hear(s.getBytes(java.nio.charset.StandardCharsets.UTF_8), Duration.ZERO, new WriteDemand(0, 0));
+            peers.receive(s.getBytes(java.nio.charset.StandardCharsets.UTF_8), Duration.ZERO, new WriteDemand(0, 0));
         }
-        assertEquals(Set.of(), Set.copyOf(peers.fresh()));
+        assertEquals(Set.of(), Set.copyOf(peers.livePeers()));
     }
 
     /** Its lease tells within seconds whether it has ended; until then its machines are not taken one by one. */
     @Test
     void whoFellQuietAMomentAgoMayHaveEnded() {
-        assertEquals(false, peers.fellQuiet("n1"));
+        assertEquals(false, peers.isSuspected("n1"));
         heartbeat("n1", 1, 0, 1, true);
-        assertEquals(false, peers.fellQuiet("n1"));
+        assertEquals(false, peers.isSuspected("n1"));
         sim.run(Duration.ofSeconds(3));
-        assertEquals(true, peers.fellQuiet("n1"));
+        assertEquals(true, peers.isSuspected("n1"));
         sim.run(Duration.ofSeconds(9));
-        assertEquals(false, peers.fellQuiet("n1"), "it lives, or its machines have been taken by now");
+        assertEquals(false, peers.isSuspected("n1"), "it lives, or its machines have been taken by now");
     }
 }
--- a/src/test/java/org/dunespindle/protocol/FormatsTest.java
+++ b/src/test/java/org/dunespindle/protocol/FormatsTest.java
@@ -34,8 +34,8 @@
                         names,
                         sizes,
                         seconds,
-                        Arbitraries.integers().between(1, Submission.MOST_TASKS),
-                        Arbitraries.of(Shape.values()),
+                        Arbitraries.integers().between(1, Submission.MAX_TASKS),
+                        Arbitraries.of(JobKind.values()),
                         Arbitraries.of(Priority.values()),
                         flags,
                         Arbitraries.longs().between(0, 999_999))
@@ -61,7 +61,7 @@
     }
 
     @Property(seed = "1", tries = 200)
-    void submissionsSurviveTheWire(@ForAll("submissions") Submission s) throws MalformedException {
+    void submissionsSurviveTheWire(@ForAll("submissions") Submission s) throws MalformedMessageException {
         assertEquals(s, Submission.parse(MessagePackCodec.read(MessagePackCodec.write(s.toNode()))));
     }
 
@@ -81,8 +81,8 @@
         try {
             JsonNode node = MessagePackCodec.read(bytes);
             Submission.parse(node);
-            WorkerReport.parse(node);
-        } catch (MalformedException e) {
+            WorkerHeartbeat.parse(node);
+        } catch (MalformedMessageException e) {
             assertTrue(e.getMessage().length() < 200, e.getMessage());
         }
     }
@@ -110,17 +110,17 @@
                 "flushS");
         String field = required.get(Math.floorMod(which, required.size()));
         node.putObject(field);
-        var complaint = assertThrows(MalformedException.class, () -> Submission.parse(node));
+        var complaint = assertThrows(MalformedMessageException.class, () -> Submission.parse(node));
         assertTrue(complaint.getMessage().contains(field), complaint.getMessage());
         node.remove(field);
-        assertThrows(MalformedException.class, () -> Submission.parse(node));
+        assertThrows(MalformedMessageException.class, () -> Submission.parse(node));
     }
 
     @Test
     void trailingBytesMakeABodyMalformed() {
         byte[] two = {(byte) 0x80, (byte) 0x80};
-        assertThrows(MalformedException.class, () -> MessagePackCodec.read(two));
-        assertThrows(MalformedException.class, () -> MessagePackCodec.read(new byte[0]));
+        assertThrows(MalformedMessageException.class, () -> MessagePackCodec.read(two));
+        assertThrows(MalformedMessageException.class, () -> MessagePackCodec.read(new byte[0]));
     }
 
     @Test
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void reportsCarryPhasesAndCauses() throws MalformedException {
+    void reportsCarryPhasesAndCauses() throws MalformedMessageException {
         ObjectNode n = MessagePackCodec.map()
                 .put("host", "i-1")
                 .put("address", "a:1")
@@ -161,7 +161,7 @@
                 .put("try", 4)
                 .put("phase", "exited")
                 .put("cause", "no_room");
-        WorkerReport r = WorkerReport.parse(MessagePackCodec.read(MessagePackCodec.write(n)));
+        WorkerHeartbeat r = WorkerHeartbeat.parse(MessagePackCodec.read(MessagePackCodec.write(n)));
         assertEquals(Optional.of(Duration.ofMillis(12_500)), r.notice());
         assertEquals(
                 Optional.of(ExitCause.NO_ROOM),
@@ -174,11 +174,11 @@
         Settings s = Settings.parse(good);
         assertEquals(Double.POSITIVE_INFINITY, s.teams().get("red").cpusMax());
         ((ObjectNode) good.at("/deployment/workers")).put("lease_s", "soon");
-        assertTrue(assertThrows(MalformedException.class, () -> Settings.parse(good))
+        assertTrue(assertThrows(MalformedMessageException.class, () -> Settings.parse(good))
                 .getMessage()
                 .contains("deployment.workers.lease_s"));
         ((ObjectNode) good).put("front", "nowhere");
-        assertTrue(assertThrows(MalformedException.class, () -> Settings.parse(good))
+        assertTrue(assertThrows(MalformedMessageException.class, () -> Settings.parse(good))
                         .getMessage()
                         .length()
                 > 5);
@@ -204,7 +204,7 @@
             at = at.path(part);
         }
         ((ObjectNode) at).set(field, new ObjectMapper().readTree(value));
-        String complaint = assertThrows(MalformedException.class, () -> Settings.parse(file))
+        String complaint = assertThrows(MalformedMessageException.class, () -> Settings.parse(file))
                 .getMessage();
         assertTrue(complaint.contains(field) && complaint.lines().count() == 1, complaint);
     }
@@ -253,7 +253,7 @@
         } else {
             next.put(field, Double.parseDouble(value));
         }
-        String complaint = assertThrows(MalformedException.class, () -> Settings.parse(file))
+        String complaint = assertThrows(MalformedMessageException.class, () -> Settings.parse(file))
                 .getMessage();
         assertTrue(complaint.contains("deployment.state.next." + field), complaint);
     }
@@ -262,7 +262,7 @@
     void announcedLimitsThatAreNoTableAreNamed() {
         JsonNode file = settingsFile();
         stateTable(file).put("next", 7);
-        String complaint = assertThrows(MalformedException.class, () -> Settings.parse(file))
+        String complaint = assertThrows(MalformedMessageException.class, () -> Settings.parse(file))
                 .getMessage();
         assertTrue(complaint.contains("deployment.state.next"), complaint);
     }
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -19,7 +19,7 @@
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
@@ -32,7 +32,7 @@
             "blue",
             new Settings.Team("blue", 0, Double.POSITIVE_INFINITY, 2, 9));
 
-    private static final Targets TARGETS = new Targets(List.of(
+    private static final ServiceLevelObjectives TARGETS = new ServiceLevelObjectives(List.of(
             new Settings.Objective("finished", "c", Duration.ofSeconds(900), 0.9, 1),
             new Settings.Objective("finished", "c", Duration.ofSeconds(200), 0.9, 1),
             new Settings.Objective("deadline", "d", Duration.ZERO, 0.9, 1.5),
@@ -43,7 +43,7 @@
 
     private static final Where ANYWHERE = new Where(false, false, true);
 
-    private static JobRecord job(int id, String team, Shape shape, Priority priority, int tasks, Where where) {
+    private static JobRecord job(int id, String team, JobKind shape, Priority priority, int tasks, Where where) {
         return JobRecord.accepted(
                 new Submission(
                         "wk-%06d".formatted(id),
@@ -105,7 +105,7 @@
             jobs.add(job(
                     i,
                     random.nextBoolean() ? "red" : "blue",
-                    Shape.values()[random.nextInt(Shape.values().length)],
+                    JobKind.values()[random.nextInt(JobKind.values().length)],
                     Priority.values()[random.nextInt(4)],
                     1 + random.nextInt(5),
                     new Where(sameZone, !sameZone && random.nextBoolean(), random.nextBoolean())));
@@ -119,11 +119,11 @@
             Plan plan = plan(jobs, hosts);
             var byId = new LinkedHashMap<String, JobRecord>();
             jobs.forEach(j -> byId.put(j.id(), j));
-            plan.bookings().forEach(b -> byId.put(b.job().id(), b.job().placed(b.places())));
+            plan.bindings().forEach(b -> byId.put(b.job().id(), b.job().withPlaced(b.places())));
             plan.evictions()
                     .forEach(e -> byId.computeIfPresent(
                             e.victim().id(),
-                            (id, j) -> j.released(e.allocation().task(), false)));
+                            (id, j) -> j.withReleased(e.allocation().task(), false)));
             jobs.clear();
             jobs.addAll(byId.values());
             check(jobs, hosts);
@@ -139,18 +139,18 @@
             var zones = new HashMap<String, Integer>();
             j.allocations().forEach(c -> {
                 MachineSnapshot h = hosts.stream()
-                        .filter(x -> x.id().equals(c.host()))
+                        .filter(x -> x.id().equals(c.machineId()))
                         .findFirst()
                         .orElseThrow();
                 room.merge(h.id(), 1, Integer::sum);
                 zones.merge(h.zone(), 1, Integer::sum);
-                assertTrue(j.job().spot() || !h.spot(), "spot not allowed");
+                assertTrue(j.submission().spot() || !h.spot(), "spot not allowed");
             });
-            assertTrue(!j.job().sameZone() || zones.size() <= 1, "one zone");
+            assertTrue(!j.submission().sameZone() || zones.size() <= 1, "one zone");
             assertTrue(
-                    !j.job().spread()
+                    !j.submission().spread()
                             || zones.values().stream()
-                                    .allMatch(n -> n <= (j.job().tasks() + 1) / 2),
+                                    .allMatch(n -> n <= (j.submission().tasks() + 1) / 2),
                     "apart");
         }
         hosts.forEach(h -> assertTrue(room.getOrDefault(h.id(), 0) <= h.size().gpus(), "room on " + h.id()));
@@ -158,12 +158,12 @@
 
     @Test
     void noPlaceholderBeforeTheLimitCoversTheWholeGang() {
-        JobRecord running = job(1, "red", Shape.ARRAY, Priority.URGENT, 3, ANYWHERE);
-        running = running.placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
+        JobRecord running = job(1, "red", JobKind.ARRAY, Priority.URGENT, 3, ANYWHERE);
+        running = running.withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
         Plan plan = plan(
-                List.of(running, job(2, "red", Shape.GANG, Priority.URGENT, 4, ANYWHERE)),
+                List.of(running, job(2, "red", JobKind.GANG, Priority.URGENT, 4, ANYWHERE)),
                 List.of(host("a", "east", false, 8)));
-        assertEquals(List.of(), plan.bookings());
+        assertEquals(List.of(), plan.bindings());
         assertTrue(plan.reasons().get("wk-000002").contains("limit"));
     }
 
@@ -171,53 +171,53 @@
     void oneGangPerTeamIsInPlacementAndOthersGoOn() {
         Plan plan = plan(
                 List.of(
-                        job(1, "blue", Shape.GANG, Priority.NORMAL, 4, ANYWHERE),
-                        job(2, "blue", Shape.GANG, Priority.URGENT, 2, ANYWHERE),
-                        job(3, "red", Shape.GANG, Priority.URGENT, 2, ANYWHERE),
-                        job(4, "blue", Shape.ARRAY, Priority.LOW, 1, ANYWHERE)),
+                        job(1, "blue", JobKind.GANG, Priority.NORMAL, 4, ANYWHERE),
+                        job(2, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE),
+                        job(3, "red", JobKind.GANG, Priority.URGENT, 2, ANYWHERE),
+                        job(4, "blue", JobKind.ARRAY, Priority.LOW, 1, ANYWHERE)),
                 List.of(host("a", "east", false, 4)));
         assertTrue(plan.reasons().get("wk-000002").contains("behind gang wk-000001"));
         assertEquals(
                 List.of("wk-000003", "wk-000001"),
-                plan.bookings().stream().map(b -> b.job().id()).toList());
+                plan.bindings().stream().map(b -> b.job().id()).toList());
     }
 
     @Test
     void aFullyBookedGangAndGangsOfOneDoNotHoldUpTheQueue() {
         JobRecord booked =
-                job(1, "blue", Shape.GANG, Priority.URGENT, 2, ANYWHERE).placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
+                job(1, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE).withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a")));
         Plan plan = plan(
                 List.of(
                         booked,
-                        job(2, "blue", Shape.GANG, Priority.URGENT, 2, ANYWHERE),
-                        job(3, "blue", Shape.GANG, Priority.URGENT, 1, ANYWHERE)),
+                        job(2, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE),
+                        job(3, "blue", JobKind.GANG, Priority.URGENT, 1, ANYWHERE)),
                 List.of(host("a", "east", false, 5)));
         assertEquals(
                 List.of("wk-000002", "wk-000003"),
-                plan.bookings().stream().map(b -> b.job().id()).toList());
+                plan.bindings().stream().map(b -> b.job().id()).toList());
     }
 
     @Test
     void lowerWorkGivesWayOnOneMachineOnly() {
-        JobRecord low = job(1, "blue", Shape.ARRAY, Priority.LOW, 4, ANYWHERE)
-                .placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "b", 3, "b")));
+        JobRecord low = job(1, "blue", JobKind.ARRAY, Priority.LOW, 4, ANYWHERE)
+                .withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "b", 3, "b")));
         var hosts = List.of(host("a", "east", false, 2), host("b", "east", false, 2));
-        JobRecord gang = job(2, "red", Shape.GANG, Priority.URGENT, 1, ANYWHERE);
+        JobRecord gang = job(2, "red", JobKind.GANG, Priority.URGENT, 1, ANYWHERE);
         Plan plan = plan(List.of(low, gang), hosts);
         assertEquals(1, plan.evictions().size());
         // While the stopped task has not left, nothing else is emptied for the same gang.
-        JobRecord stopping = low.stopTask(plan.evictions().get(0).allocation().task());
+        JobRecord stopping = low.withTaskStopping(plan.evictions().get(0).allocation().task());
         assertEquals(List.of(), plan(List.of(stopping, gang), hosts).evictions());
     }
 
     private static JobRecord withImage(JobRecord record, String image) {
-        Submission s = record.job();
+        Submission s = record.submission();
         return JobRecord.accepted(
                 new Submission(
                         s.id(),
                         s.jobClass(),
                         s.team(),
-                        s.shape(),
+                        s.kind(),
                         s.priority(),
                         s.tasks(),
                         s.perTask(),
@@ -230,7 +230,7 @@
                         s.imageGb(),
                         s.estimate(),
                         s.checkpointEvery(),
-                        s.saveTime(),
+                        s.checkpointTime(),
                         s.due()),
                 record.arrived());
     }
@@ -238,17 +238,17 @@
     /** Fetches of several images share a machine's rate: without this a gang waited for its image beside others' fetches. */
     @Test
     void aMachineThatFetchesAnotherImageComesLater() {
-        JobRecord fetching = withImage(job(1, "red", Shape.ARRAY, Priority.NORMAL, 1, ANYWHERE), "another")
-                .placed(new TreeMap<>(Map.of(0, "a")));
-        JobRecord alone = job(2, "blue", Shape.GANG, Priority.URGENT, 1, ANYWHERE);
+        JobRecord fetching = withImage(job(1, "red", JobKind.ARRAY, Priority.NORMAL, 1, ANYWHERE), "another")
+                .withPlaced(new TreeMap<>(Map.of(0, "a")));
+        JobRecord alone = job(2, "blue", JobKind.GANG, Priority.URGENT, 1, ANYWHERE);
         List<MachineSnapshot> hosts = List.of(host("a", "east", false, 3), host("b", "east", false, 3));
         assertEquals(
                 Map.of(0, "b"),
-                plan(List.of(fetching, alone), hosts).bookings().get(0).places());
-        JobRecord same = withImage(fetching, alone.job().image()).placed(new TreeMap<>(Map.of(0, "a")));
+                plan(List.of(fetching, alone), hosts).bindings().get(0).places());
+        JobRecord same = withImage(fetching, alone.submission().image()).withPlaced(new TreeMap<>(Map.of(0, "a")));
         assertEquals(
                 Map.of(0, "a"),
-                plan(List.of(same, alone), hosts).bookings().get(0).places(),
+                plan(List.of(same, alone), hosts).bindings().get(0).places(),
                 "one fetch serves both");
     }
 
@@ -256,16 +256,16 @@
     void workThatCanMeetNoTimeAnyMoreLetsTheOthersGoFirst() {
         // The first is within its team's guarantee besides. Now is second 1000: it came at 50 and is past both times,
         // the second can still meet 900 s.
-        JobRecord lost = begun(job(50, "blue", Shape.ARRAY, Priority.LOW, 2, ANYWHERE));
-        JobRecord open = begun(job(600, "blue", Shape.ARRAY, Priority.LOW, 3, ANYWHERE));
+        JobRecord lost = begun(job(50, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE));
+        JobRecord open = begun(job(600, "blue", JobKind.ARRAY, Priority.LOW, 3, ANYWHERE));
         Plan plan = plan(List.of(lost, open), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000600"),
-                plan.bookings().stream().map(b -> b.job().id()).toList());
+                plan.bindings().stream().map(b -> b.job().id()).toList());
     }
 
     private static JobRecord begun(JobRecord j) {
-        return j.placed(new TreeMap<>(Map.of(0, "gone"))).released(0, true);
+        return j.withPlaced(new TreeMap<>(Map.of(0, "gone"))).withReleased(0, true);
     }
 
     @Test
@@ -274,7 +274,7 @@
                 "wk-000001",
                 "d",
                 "red",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Priority.LOW,
                 1,
                 new Resources(1, 1, 1),
@@ -293,27 +293,27 @@
         assertEquals(
                 List.of(Duration.ofSeconds(200), Duration.ofSeconds(900)),
                 TARGETS.all(
-                        job(1, "red", Shape.ARRAY, Priority.LOW, 1, ANYWHERE).job()));
+                        job(1, "red", JobKind.ARRAY, Priority.LOW, 1, ANYWHERE).submission()));
     }
 
     @Test
     void anArrayThatHasWaitedLongBeginsBeforeSmallerOnes() {
-        JobRecord large = job(50, "blue", Shape.ARRAY, Priority.LOW, 9, ANYWHERE);
-        JobRecord small = begun(job(990, "blue", Shape.ARRAY, Priority.LOW, 2, ANYWHERE));
+        JobRecord large = job(50, "blue", JobKind.ARRAY, Priority.LOW, 9, ANYWHERE);
+        JobRecord small = begun(job(990, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE));
         Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000050"),
-                plan.bookings().stream().map(b -> b.job().id()).toList());
+                plan.bindings().stream().map(b -> b.job().id()).toList());
     }
 
     @Test
     void whenNotAllCanMeetTheirTimeTheLeastWorkGoesFirst() {
-        JobRecord large = job(980, "blue", Shape.ARRAY, Priority.LOW, 9, ANYWHERE);
-        JobRecord small = job(990, "blue", Shape.ARRAY, Priority.LOW, 2, ANYWHERE);
+        JobRecord large = job(980, "blue", JobKind.ARRAY, Priority.LOW, 9, ANYWHERE);
+        JobRecord small = job(990, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE);
         Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000990"),
-                plan.bookings().stream().map(b -> b.job().id()).toList());
+                plan.bindings().stream().map(b -> b.job().id()).toList());
     }
 
     /**
@@ -322,11 +322,11 @@
      */
     @Test
     void endedTasksDoNotCountAgainstTheRecord() {
-        JobRecord full = job(1, "red", Shape.ARRAY, Priority.LOW, 9, ANYWHERE)
-                .placed(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
+        JobRecord full = job(1, "red", JobKind.ARRAY, Priority.LOW, 9, ANYWHERE)
+                .withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
         var ended = Set.of(
-                new TaskAttempt(full.id(), 0, full.allocations().get(0).base()),
-                new TaskAttempt(full.id(), 2, full.allocations().get(0).base()));
+                new TaskAttempt(full.id(), 0, full.allocations().get(0).attemptBase()),
+                new TaskAttempt(full.id(), 2, full.allocations().get(0).attemptBase()));
         Plan plan = Planner.plan(new ClusterSnapshot(
                 Instant.ofEpochSecond(1000),
                 ProjectedJobs.ofStored(List.of(full)),
@@ -342,16 +342,16 @@
                 List.of(),
                 TARGETS,
                 p -> Duration.ZERO));
-        assertEquals(Set.of(3, 4), plan.bookings().get(0).places().keySet());
+        assertEquals(Set.of(3, 4), plan.bindings().get(0).places().keySet());
     }
 
     /** Room that urgent jobs will need within seconds is not filled with work that would have to give way again. */
     @Test
     void roomForWhatComesWithinSecondsIsKeptFromLowerWork() {
         var phantom =
-                new Headroom.Phantom(job(1, "red", Shape.GANG, Priority.URGENT, 2, new Where(false, false, false)), 2);
-        JobRecord low = job(990, "blue", Shape.ARRAY, Priority.LOW, 5, ANYWHERE);
-        JobRecord equal = job(991, "blue", Shape.ARRAY, Priority.URGENT, 1, ANYWHERE);
+                new DemandForecast.ForecastJob(job(1, "red", JobKind.GANG, Priority.URGENT, 2, new Where(false, false, false)), 2);
+        JobRecord low = job(990, "blue", JobKind.ARRAY, Priority.LOW, 5, ANYWHERE);
+        JobRecord equal = job(991, "blue", JobKind.ARRAY, Priority.URGENT, 1, ANYWHERE);
         var hosts = List.of(host("a", "east", false, 4));
         Plan plan = Planner.plan(new ClusterSnapshot(
                 Instant.ofEpochSecond(1000),
@@ -370,43 +370,43 @@
                 p -> Duration.ZERO));
         assertEquals(
                 List.of(1, 1),
-                plan.bookings().stream().map(b -> b.places().size()).toList());
+                plan.bindings().stream().map(b -> b.places().size()).toList());
     }
 
     /** A job of which this controller proposed one task, while another stored more of it. */
     private static ProjectedJob overtaken(JobRecord job, Map<Integer, String> stored) {
-        return new ProjectedJob(job.placed(new TreeMap<>(stored)), job.placed(new TreeMap<>(Map.of(0, "b"))));
+        return new ProjectedJob(job.withPlaced(new TreeMap<>(stored)), job.withPlaced(new TreeMap<>(Map.of(0, "b"))));
     }
 
     @Test
     void aGangWaitsForTheLimitThatOthersUsedUnseenByAnOwnProposal() {
-        JobRecord array = job(1, "red", Shape.ARRAY, Priority.LOW, 9, ANYWHERE);
-        JobRecord gang = job(2, "red", Shape.GANG, Priority.URGENT, 3, ANYWHERE);
+        JobRecord array = job(1, "red", JobKind.ARRAY, Priority.LOW, 9, ANYWHERE);
+        JobRecord gang = job(2, "red", JobKind.GANG, Priority.URGENT, 3, ANYWHERE);
         var hosts = List.of(host("a", "east", false, 8), host("b", "east", false, 8));
         ProjectedJob used = overtaken(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
         Plan plan =
                 Planner.plan(snapshot(new ProjectedJobs(List.of(used, ProjectedJob.ofStored(gang))), hosts, Map.of()));
-        assertTrue(plan.bookings().stream().noneMatch(b -> b.job().id().equals(gang.id())));
+        assertTrue(plan.bindings().stream().noneMatch(b -> b.job().id().equals(gang.id())));
     }
 
     @Test
     void roomThatOthersFilledUnseenByAnOwnProposalIsNotFree() {
-        JobRecord array = job(1, "blue", Shape.ARRAY, Priority.LOW, 5, ANYWHERE);
-        JobRecord other = job(2, "red", Shape.ARRAY, Priority.LOW, 1, ANYWHERE);
+        JobRecord array = job(1, "blue", JobKind.ARRAY, Priority.LOW, 5, ANYWHERE);
+        JobRecord other = job(2, "red", JobKind.ARRAY, Priority.LOW, 1, ANYWHERE);
         ProjectedJob full = overtaken(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
         Plan plan = Planner.plan(snapshot(
                 new ProjectedJobs(List.of(full, ProjectedJob.ofStored(other))),
                 List.of(host("a", "east", false, 3)),
                 Map.of()));
-        assertTrue(plan.bookings().stream().noneMatch(b -> b.job().id().equals(other.id())));
+        assertTrue(plan.bindings().stream().noneMatch(b -> b.job().id().equals(other.id())));
     }
 
     @Test
     void equalPriorityNeverGivesWay() {
         JobRecord other =
-                job(1, "blue", Shape.ARRAY, Priority.URGENT, 2, ANYWHERE).placed(new TreeMap<>(Map.of(0, "a", 1, "a")));
+                job(1, "blue", JobKind.ARRAY, Priority.URGENT, 2, ANYWHERE).withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a")));
         Plan plan = plan(
-                List.of(other, job(2, "red", Shape.GANG, Priority.URGENT, 1, ANYWHERE)),
+                List.of(other, job(2, "red", JobKind.GANG, Priority.URGENT, 1, ANYWHERE)),
                 List.of(host("a", "east", false, 2)));
         assertEquals(List.of(), plan.evictions());
         assertEquals(1, plan.shortfalls().size());
@@ -416,9 +416,9 @@
     @Test
     void machinesAreAskedForAheadOfAGangsTurnButNothingIsPlaced() {
         List<JobRecord> gangs = List.of(
-                job(1, "red", Shape.GANG, Priority.URGENT, 2, new Where(false, false, false)),
-                job(2, "red", Shape.GANG, Priority.URGENT, 3, new Where(false, false, false)),
-                job(3, "red", Shape.GANG, Priority.URGENT, 4, new Where(false, false, false)));
+                job(1, "red", JobKind.GANG, Priority.URGENT, 2, new Where(false, false, false)),
+                job(2, "red", JobKind.GANG, Priority.URGENT, 3, new Where(false, false, false)),
+                job(3, "red", JobKind.GANG, Priority.URGENT, 4, new Where(false, false, false)));
         Plan empty = plan(gangs, List.of());
         // The third would be beyond the team's limit of six together with those before it.
         assertEquals(
@@ -429,8 +429,8 @@
         Plan roomy = plan(gangs, List.of(host("h1", "east", false, 4), host("h2", "east", false, 4)));
         assertEquals(
                 List.of("wk-000001"),
-                roomy.bookings().stream().map(b -> b.job().id()).toList());
+                roomy.bindings().stream().map(b -> b.job().id()).toList());
         assertEquals(List.of(), roomy.shortfalls());
-        assertEquals(Set.of("h1", "h2"), roomy.wantedHosts());
+        assertEquals(Set.of("h1", "h2"), roomy.wantedMachines());
     }
 }
--- a/src/test/java/org/dunespindle/scheduling/TeamLedgerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
@@ -20,17 +20,17 @@
 import org.junit.jupiter.api.Test;
 
 /** Several controllers with old views, late transactions and restarts never exceed a team's limit together. */
-class TeamLedgerTest {
+class QuotaAdmissionTest {
     private static final int NAMES = 3;
 
     /** A store with one team's record and its allocations, as a log that views lag behind. */
     private static final class Store {
         final List<double[]> log = new ArrayList<>(); // revision: change of use, 1 if the record changed
-        TeamLedger.Entry entry = TeamLedger.Entry.NONE;
+        QuotaAdmission.Reservation entry = QuotaAdmission.Reservation.NONE;
         long stamp;
         double use;
 
-        boolean commit(long guard, double change, TeamLedger.Entry written) {
+        boolean commit(long guard, double change, QuotaAdmission.Reservation written) {
             if (guard != stamp) {
                 return false;
             }
@@ -50,7 +50,7 @@
         }
     }
 
-    private record Late(long guard, double need, TeamLedger.Entry written) {}
+    private record Late(long guard, double need, QuotaAdmission.Reservation written) {}
 
     private static final class Node {
         long born;
@@ -58,7 +58,7 @@
         long spentUnder = -1;
         double spent;
         double unsure;
-        TeamLedger.Entry entry = TeamLedger.Entry.NONE;
+        QuotaAdmission.Reservation entry = QuotaAdmission.Reservation.NONE;
         long stamp;
 
         void sync(Store s) {
@@ -134,16 +134,16 @@
         if (use + need > team.gpusMax()) {
             return false;
         }
-        var view = new TeamLedger.View(
+        var view = new QuotaAdmission.QuotaView(
                 team, NAMES, n.entry, n.stamp > n.born, gpus(n.spent), gpus(n.unsure), n.seen >= n.stamp, gpus(use));
-        TeamLedger.Way way = TeamLedger.way(view, gpus(need));
-        if (way instanceof TeamLedger.Way.Wait) {
+        QuotaAdmission.Decision way = QuotaAdmission.decide(view, gpus(need));
+        if (way instanceof QuotaAdmission.Decision.Defer) {
             return false;
         }
-        TeamLedger.Entry written = way instanceof TeamLedger.Way.Write w
-                ? w.entry()
-                : way instanceof TeamLedger.Way.Close c ? c.entry() : null;
-        double change = way instanceof TeamLedger.Way.Close ? 0 : need;
+        QuotaAdmission.Reservation written = way instanceof QuotaAdmission.Decision.AdmitWithReservation w
+                ? w.reservation()
+                : way instanceof QuotaAdmission.Decision.RevokeShares c ? c.reservation() : null;
+        double change = way instanceof QuotaAdmission.Decision.RevokeShares ? 0 : need;
         if (random.nextInt(6) == 0) {
             // No answer: it may have been carried out, or may yet be.
             late.add(new Late(n.stamp, change, written));
@@ -171,56 +171,56 @@
     @Test
     void closeToTheLimitEveryPlacementWritesTheRecord() {
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, 100);
-        var view = new TeamLedger.View(
-                team, NAMES, TeamLedger.Entry.NONE, false, Resources.NONE, Resources.NONE, true, gpus(90));
-        var write = assertInstanceOf(TeamLedger.Way.Write.class, TeamLedger.way(view, gpus(8)));
-        assertTrue(write.entry().closed());
-        assertInstanceOf(TeamLedger.Way.Wait.class, TeamLedger.way(view, gpus(11)));
+        var view = new QuotaAdmission.QuotaView(
+                team, NAMES, QuotaAdmission.Reservation.NONE, false, Resources.NONE, Resources.NONE, true, gpus(90));
+        var write = assertInstanceOf(QuotaAdmission.Decision.AdmitWithReservation.class, QuotaAdmission.decide(view, gpus(8)));
+        assertTrue(write.reservation().closed());
+        assertInstanceOf(QuotaAdmission.Decision.Defer.class, QuotaAdmission.decide(view, gpus(11)));
     }
 
     @Test
     void farFromTheLimitASharedRecordIsNotWritten() {
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, 300);
-        var entry = new TeamLedger.Entry(gpus(0), new Resources(1e9, 100, 0));
+        var entry = new QuotaAdmission.Reservation(gpus(0), new Resources(1e9, 100, 0));
         assertEquals(
-                new TeamLedger.Way.Guard(),
-                TeamLedger.way(
-                        new TeamLedger.View(team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(60)),
+                new QuotaAdmission.Decision.Admit(),
+                QuotaAdmission.decide(
+                        new QuotaAdmission.QuotaView(team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(60)),
                         gpus(40)));
         // Used up: the bound allows for all that the two others may have placed.
         var write = assertInstanceOf(
-                TeamLedger.Way.Write.class,
-                TeamLedger.way(
-                        new TeamLedger.View(team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(50)),
+                QuotaAdmission.Decision.AdmitWithReservation.class,
+                QuotaAdmission.decide(
+                        new QuotaAdmission.QuotaView(team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(50)),
                         gpus(41)));
-        assertEquals(291, write.entry().bound().gpus());
+        assertEquals(291, write.reservation().bound().gpus());
         // What the bound cannot allow waits until the shares are closed.
         assertInstanceOf(
-                TeamLedger.Way.Close.class,
-                TeamLedger.way(
-                        new TeamLedger.View(team, NAMES, entry, true, gpus(100), Resources.NONE, true, gpus(70)),
+                QuotaAdmission.Decision.RevokeShares.class,
+                QuotaAdmission.decide(
+                        new QuotaAdmission.QuotaView(team, NAMES, entry, true, gpus(100), Resources.NONE, true, gpus(70)),
                         gpus(60)));
     }
 
     @Test
     void whatGotNoAnswerCountsInANewBound() {
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, 300);
-        var entry = new TeamLedger.Entry(gpus(0), new Resources(1e9, 50, 0));
-        var unanswered = new TeamLedger.View(team, NAMES, entry, true, gpus(40), gpus(40), true, gpus(0));
-        var write = assertInstanceOf(TeamLedger.Way.Write.class, TeamLedger.way(unanswered, gpus(20)));
-        assertEquals(160, write.entry().bound().gpus());
+        var entry = new QuotaAdmission.Reservation(gpus(0), new Resources(1e9, 50, 0));
+        var unanswered = new QuotaAdmission.QuotaView(team, NAMES, entry, true, gpus(40), gpus(40), true, gpus(0));
+        var write = assertInstanceOf(QuotaAdmission.Decision.AdmitWithReservation.class, QuotaAdmission.decide(unanswered, gpus(20)));
+        assertEquals(160, write.reservation().bound().gpus());
     }
 
     /** Records that the version before stored are read and written as the very same bytes. */
     @Test
     void whatTheVersionBeforeStoredIsWrittenTheSame() throws IOException {
         int teams = 0;
-        try (var in = TeamLedgerTest.class.getResourceAsStream("/production-records.jsonl")) {
+        try (var in = QuotaAdmissionTest.class.getResourceAsStream("/production-records.jsonl")) {
             for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
                 JsonNode row = new ObjectMapper().readTree(line);
                 if (row.path("key").asText().startsWith("ds/team/")) {
                     teams++;
-                    TeamLedger.Entry entry = TeamLedger.Entry.parse(Optional.of(row.path("v")));
+                    QuotaAdmission.Reservation entry = QuotaAdmission.Reservation.parse(Optional.of(row.path("v")));
                     assertEquals(row.path("v").toString(), entry.toNode().toString());
                 }
             }
--- a/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
@@ -15,7 +15,7 @@
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
@@ -32,7 +32,7 @@
     private final Set<String> departing = new HashSet<>();
     private Duration progress = Duration.ZERO;
 
-    private static JobRecord job(int id, Shape shape, Priority priority, int tasks, Resources each, boolean apart) {
+    private static JobRecord job(int id, JobKind shape, Priority priority, int tasks, Resources each, boolean apart) {
         return JobRecord.accepted(
                 new Submission(
                         "wk-%06d".formatted(id),
@@ -57,7 +57,7 @@
     }
 
     private static JobRecord service(int id, int replicas) {
-        return job(id, Shape.SERVICE, Priority.CRITICAL, replicas, REPLICA, false);
+        return job(id, JobKind.SERVICE, Priority.CRITICAL, replicas, REPLICA, false);
     }
 
     private void host(String id, String zone, String... images) {
@@ -80,12 +80,12 @@
                 true,
                 departing,
                 List.of(),
-                new Targets(List.of()),
+                new ServiceLevelObjectives(List.of()),
                 started -> progress));
     }
 
     private static List<String> placesOf(Plan plan, JobRecord job) {
-        return plan.bookings().stream()
+        return plan.bindings().stream()
                 .filter(b -> b.job().id().equals(job.id()))
                 .flatMap(b -> b.places().values().stream())
                 .toList();
@@ -117,11 +117,11 @@
     void theZoneLimitHoldsForEachStartGivenWhereTheOthersAre() {
         host("a", "east");
         host("b", "east");
-        JobRecord job = job(1, Shape.SERVICE, Priority.CRITICAL, 5, REPLICA, true);
+        JobRecord job = job(1, JobKind.SERVICE, Priority.CRITICAL, 5, REPLICA, true);
         Plan plan = plan(job);
         assertEquals(3, placesOf(plan, job).size(), "at most half, rounded up, in one zone");
         assertEquals(2, plan.shortfalls().stream().mapToInt(Shortfall::tasks).sum());
-        JobRecord three = job.placed(Map.of(0, "a", 1, "b", 2, "a"));
+        JobRecord three = job.withPlaced(Map.of(0, "a", 1, "b", 2, "a"));
         assertEquals(List.of(), placesOf(plan(three), three));
     }
 
@@ -130,7 +130,7 @@
         for (String id : List.of("a", "b", "c", "d")) {
             host(id, "east", "image");
         }
-        JobRecord running = service(1, 2).placed(Map.of(0, "a", 1, "b"));
+        JobRecord running = service(1, 2).withPlaced(Map.of(0, "a", 1, "b"));
         JobRecord second = service(2, 2);
         assertEquals(Set.of("a", "b"), Set.copyOf(placesOf(plan(running, second), second)));
     }
@@ -139,10 +139,10 @@
     void aReplicaGoesBesideAcceleratorWorkBeforeItTakesRoomFromIt() {
         host("a", "east", "image");
         host("b", "east", "image");
-        JobRecord training = job(1, Shape.GANG, Priority.URGENT, 1, TRAINING, false)
-                .placed(Map.of(0, "a"))
-                .real();
-        JobRecord wide = job(3, Shape.GANG, Priority.URGENT, 1, new Resources(23, 2, 100), false);
+        JobRecord training = job(1, JobKind.GANG, Priority.URGENT, 1, TRAINING, false)
+                .withPlaced(Map.of(0, "a"))
+                .withGangRunning();
+        JobRecord wide = job(3, JobKind.GANG, Priority.URGENT, 1, new Resources(23, 2, 100), false);
         JobRecord replica = service(2, 1);
         Plan plan = plan(training, wide, replica);
         assertEquals(List.of("a"), placesOf(plan, replica));
@@ -152,13 +152,13 @@
     @Test
     void lowerWorkGivesWayAtOnceAndIsNotBookedBefore() {
         host("a", "east", "image");
-        JobRecord low = job(1, Shape.ARRAY, Priority.LOW, 12, REPLICA, false);
+        JobRecord low = job(1, JobKind.ARRAY, Priority.LOW, 12, REPLICA, false);
         var places = new HashMap<Integer, String>();
         for (int i = 0; i < 12; i++) {
             places.put(i, "a");
         }
         JobRecord replica = service(2, 1);
-        Plan plan = plan(low.placed(places), replica);
+        Plan plan = plan(low.withPlaced(places), replica);
         assertEquals(1, plan.evictions().size());
         assertEquals(List.of(), placesOf(plan, replica));
     }
@@ -167,7 +167,7 @@
     void aMachineThatDepartsIsLeftOnlyForRoomElsewhere() {
         host("b", "east", "image");
         departing.add("a");
-        JobRecord replica = service(1, 1).placed(Map.of(0, "a"));
+        JobRecord replica = service(1, 1).withPlaced(Map.of(0, "a"));
         assertEquals(1, plan(replica).moves().size());
         hosts.clear();
         assertEquals(List.of(), plan(replica).moves(), "without room elsewhere it stays while it can");
@@ -177,13 +177,13 @@
     void aMachineThatASingleReplicaKeepsIsEmptiedAfterAWhile() {
         host("a", "east", "image");
         host("b", "east", "image");
-        JobRecord alone = service(1, 1).placed(Map.of(0, "a"));
-        JobRecord others = service(2, 2).placed(Map.of(0, "b", 1, "b"));
+        JobRecord alone = service(1, 1).withPlaced(Map.of(0, "a"));
+        JobRecord others = service(2, 2).withPlaced(Map.of(0, "b", 1, "b"));
         assertEquals(List.of(), plan(alone, others).moves(), "it has only just started");
         progress = Duration.ofMinutes(6);
         List<Eviction> moves = plan(alone, others).moves();
         assertEquals(1, moves.size());
-        assertEquals("a", moves.get(0).allocation().host());
+        assertEquals("a", moves.get(0).allocation().machineId());
     }
 
     @Test
@@ -204,7 +204,7 @@
                 true,
                 Set.of(),
                 List.of(),
-                new Targets(List.of()),
+                new ServiceLevelObjectives(List.of()),
                 started -> Duration.ZERO));
         assertEquals(1, placesOf(plan, faulty).size());
         assertTrue(plan.reasons().containsKey(faulty.id()));
--- a/src/test/java/org/dunespindle/scheduling/TeamUseTest.java
+++ b/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
@@ -17,7 +17,7 @@
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
@@ -26,7 +26,7 @@
  * Several controllers place tasks of a few jobs of one team, each by its own copy of the store and with placements under way that may be
  * overtaken, refused, or left without an answer: the team's limit holds, and its record's bound is never below what is stored.
  */
-class TeamUseTest {
+class TeamUsageTest {
     private static final int MOST_CONTROLLERS = 3;
     private static final int JOBS = 4;
     private static final int STEPS = 500;
@@ -39,7 +39,7 @@
                         "wk-%06d".formatted(id),
                         "class",
                         TEAM,
-                        Shape.ARRAY,
+                        JobKind.ARRAY,
                         Priority.LOW,
                         tasks,
                         new Resources(1, 1, 1),
@@ -60,24 +60,24 @@
     private static JobRecord placed(JobRecord job, int count) {
         var places = new LinkedHashMap<Integer, String>();
         job.unplaced(count).forEach(task -> places.put(task, "i-1"));
-        return job.placed(places);
+        return job.withPlaced(places);
     }
 
     private static JobRecord released(JobRecord job, int count) {
         var ended = new TreeMap<Integer, Boolean>();
         job.allocations().stream().limit(count).forEach(allocation -> ended.put(allocation.task(), false));
-        return job.released(ended);
+        return job.withReleased(ended);
     }
 
     /** A stored value and the revision at which it was written. */
     private record Row<T>(T value, long stamp) {}
 
     /** What a controller knows of the store, which lags behind. */
-    private record Copy(Map<Integer, Row<JobRecord>> jobs, Row<TeamLedger.Entry> ledger, long syncedTo) {}
+    private record Copy(Map<Integer, Row<JobRecord>> jobs, Row<QuotaAdmission.Reservation> ledger, long syncedTo) {}
 
     private static final class Store {
         private final Map<Integer, Row<JobRecord>> jobs = new TreeMap<>();
-        private Row<TeamLedger.Entry> ledger = new Row<>(TeamLedger.Entry.NONE, 0);
+        private Row<QuotaAdmission.Reservation> ledger = new Row<>(QuotaAdmission.Reservation.NONE, 0);
         private long revision;
 
         Store() {
@@ -113,7 +113,7 @@
             long jobStamp,
             Optional<JobRecord> after,
             long ledgerStamp,
-            Optional<TeamLedger.Entry> entry,
+            Optional<QuotaAdmission.Reservation> entry,
             int tasks) {}
 
     private static final class Controller {
@@ -138,14 +138,14 @@
             copy = store.copy();
         }
 
-        TeamUse use() {
+        TeamUsage use() {
             var jobs = new ArrayList<ProjectedJob>();
             copy.jobs.forEach((id, row) -> {
                 Optional<JobRecord> proposed =
                         Optional.ofNullable(underWay.get(id)).flatMap(Proposal::after);
                 jobs.add(new ProjectedJob(row.value, proposed.orElse(row.value)));
             });
-            return TeamUse.counted(jobs);
+            return TeamUsage.counted(jobs);
         }
 
         Optional<Proposal> propose(Settings.Team team, int job, int tasks, int endedTasks) {
@@ -159,7 +159,7 @@
                 unsure = 0;
             }
             Resources used = use().of(TEAM);
-            var view = new TeamLedger.View(
+            var view = new QuotaAdmission.QuotaView(
                     team,
                     names,
                     copy.ledger.value,
@@ -171,15 +171,15 @@
             if (!team.withinLimit(used.plus(gpus(tasks)))) {
                 return Optional.empty();
             }
-            TeamLedger.Way way = TeamLedger.way(view, gpus(tasks));
+            QuotaAdmission.Decision way = QuotaAdmission.decide(view, gpus(tasks));
             Row<JobRecord> stored = copy.jobs.get(job);
             Proposal proposal = null;
-            if (way instanceof TeamLedger.Way.Close close) {
+            if (way instanceof QuotaAdmission.Decision.RevokeShares close) {
                 proposal = new Proposal(
-                        job, stored.stamp, Optional.empty(), copy.ledger.stamp, Optional.of(close.entry()), 0);
-            } else if (!(way instanceof TeamLedger.Way.Wait)) {
-                Optional<TeamLedger.Entry> entry =
-                        way instanceof TeamLedger.Way.Write write ? Optional.of(write.entry()) : Optional.empty();
+                        job, stored.stamp, Optional.empty(), copy.ledger.stamp, Optional.of(close.reservation()), 0);
+            } else if (!(way instanceof QuotaAdmission.Decision.Defer)) {
+                Optional<QuotaAdmission.Reservation> entry =
+                        way instanceof QuotaAdmission.Decision.AdmitWithReservation write ? Optional.of(write.reservation()) : Optional.empty();
                 JobRecord after = placed(released(stored.value, endedTasks), tasks);
                 proposal = new Proposal(job, stored.stamp, Optional.of(after), copy.ledger.stamp, entry, tasks);
                 spent += tasks;
@@ -319,25 +319,25 @@
         JobRecord stored = placed(before, 20);
         assertEquals(
                 20,
-                TeamUse.counted(List.of(new ProjectedJob(stored, own))).of(TEAM).gpus());
+                TeamUsage.counted(List.of(new ProjectedJob(stored, own))).of(TEAM).gpus());
     }
 
     @Test
     void aProposalThatGivesUpDoneTasksFreesNothingYet() {
         JobRecord stored = placed(array(1, 30), 5);
-        JobRecord own = placed(stored.released(Map.of(0, true, 1, true, 2, true)), 4);
+        JobRecord own = placed(stored.withReleased(Map.of(0, true, 1, true, 2, true)), 4);
         assertEquals(
                 9,
-                TeamUse.counted(List.of(new ProjectedJob(stored, own))).of(TEAM).gpus());
+                TeamUsage.counted(List.of(new ProjectedJob(stored, own))).of(TEAM).gpus());
     }
 
     /** Whether it is stored or not, a task is on one machine. */
     @Test
     void aTaskThatIsPlacedAgainCountsOnce() {
         JobRecord stored = placed(array(1, 30), 5);
-        JobRecord own = placed(stored.released(Map.of(0, false, 1, false, 2, false)), 4);
+        JobRecord own = placed(stored.withReleased(Map.of(0, false, 1, false, 2, false)), 4);
         assertEquals(
                 6,
-                TeamUse.counted(List.of(new ProjectedJob(stored, own))).of(TEAM).gpus());
+                TeamUsage.counted(List.of(new ProjectedJob(stored, own))).of(TEAM).gpus());
     }
 }
--- a/src/test/java/org/dunespindle/sim/AdminAnswersCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminAnswersCompatibilityTest.java
@@ -18,10 +18,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import org.dunespindle.api.Admin;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.api.AdminApi;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
@@ -38,9 +38,9 @@
 
     private static SimulatedCluster running() {
         var cluster = new SimulatedCluster(31);
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.ARRAY, 6, false, true));
-        cluster.submit(ClusterTest.job("wk-000002", "red", Shape.GANG, 9, false, true));
-        cluster.submit(ClusterTest.job("wk-000003", "red", Shape.GANG, 9, false, true));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.ARRAY, 6, false, true));
+        cluster.submit(ClusterTest.job("wk-000002", "red", JobKind.GANG, 9, false, true));
+        cluster.submit(ClusterTest.job("wk-000003", "red", JobKind.GANG, 9, false, true));
         cluster.sim.run(Duration.ofSeconds(6));
         return cluster;
     }
@@ -110,11 +110,11 @@
     void jobsInEveryMode() {
         SimulatedCluster cluster = running();
         var modes = new TreeMap<>(Map.of(
-                JobRecord.Mode.IDLE, "queued 0 16 idle",
-                JobRecord.Mode.HOLD, "queued 0 16 hold",
-                JobRecord.Mode.REAL, "running 1 17 real",
-                JobRecord.Mode.STOP, "queued 0 17 stop"));
-        assertEquals(List.of(JobRecord.Mode.values()), new ArrayList<>(modes.keySet()));
+                JobRecord.GangPhase.QUEUED, "queued 0 16 idle",
+                JobRecord.GangPhase.PLACEHOLDERS, "queued 0 16 hold",
+                JobRecord.GangPhase.RUNNING, "running 1 17 real",
+                JobRecord.GangPhase.STOPPING, "queued 0 17 stop"));
+        assertEquals(List.of(JobRecord.GangPhase.values()), new ArrayList<>(modes.keySet()));
         List<String> stored = List.of("IDLE", "HOLD", "REAL", "STOP");
         modes.forEach((mode, shown) -> {
             String id = "wk-00090" + mode.ordinal();
@@ -122,7 +122,7 @@
             ObjectNode answer = get(cluster, "jobs/" + id);
             String[] words = shown.split(" ");
             boolean waits = answer.remove("waits") != null;
-            assertEquals(mode != JobRecord.Mode.REAL, waits);
+            assertEquals(mode != JobRecord.GangPhase.RUNNING, waits);
             assertEquals(
                     "{'id':'" + id + "','phase':'" + words[0] + "','done':0,'running':" + words[1]
                             + ",'failures':3,'class':'train','team':'red','shape':'group','priority':'urgent','tasks':2,"
@@ -250,7 +250,7 @@
     }
 
     @Test
-    void otherCellsAndDelegationsInEveryPhase() throws MalformedException {
+    void otherCellsAndDelegationsInEveryPhase() throws MalformedMessageException {
         var federation = new SimulatedFederation(8, 2, 3, 3);
         federation.sim.run(Duration.ofSeconds(20));
         SimulatedCluster cell = federation.cell("a");
--- a/src/test/java/org/dunespindle/sim/AdminTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminTest.java
@@ -7,16 +7,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.time.Duration;
 import org.dunespindle.api.AdminResponse;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.junit.jupiter.api.Test;
 
 /** The administration API of running controllers. */
 class AdminTest {
     private static SimulatedCluster running() {
         var cluster = new SimulatedCluster(31);
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.ARRAY, 6, false, true));
-        cluster.submit(ClusterTest.job("wk-000002", "red", Shape.GANG, 9, false, true));
-        cluster.submit(ClusterTest.job("wk-000003", "red", Shape.GANG, 9, false, true));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.ARRAY, 6, false, true));
+        cluster.submit(ClusterTest.job("wk-000002", "red", JobKind.GANG, 9, false, true));
+        cluster.submit(ClusterTest.job("wk-000003", "red", JobKind.GANG, 9, false, true));
         cluster.sim.run(Duration.ofSeconds(6));
         return cluster;
     }
--- a/src/test/java/org/dunespindle/sim/CellWatch.java
+++ b/src/test/java/org/dunespindle/sim/CellInvariantChecker.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** Watches tasks of several cells: a job is in one at a time, and each of its tasks completes in one. */
-final class CellWatch implements Surroundings.Watcher {
+final class CellInvariantChecker implements SimulatedEnvironment.Watcher {
     /** What must never happen, and did. */
     final List<String> broken = new ArrayList<>();
 
@@ -15,7 +15,7 @@
     private final Map<String, List<String>> startedIn = new LinkedHashMap<>();
     private final Map<String, String> finishedIn = new HashMap<>();
 
-    CellWatch(List<SimulatedCluster> cells) {
+    CellInvariantChecker(List<SimulatedCluster> cells) {
         this.cells = cells;
     }
 
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void started(SimulatedCluster cluster, WorkerStandIn.Task task) {
+    public void started(SimulatedCluster cluster, FakeWorker.Task task) {
         String job = task.task.job();
         for (SimulatedCluster other : cells) {
             boolean there = other != cluster
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void finished(SimulatedCluster cluster, WorkerStandIn.Task task) {
+    public void finished(SimulatedCluster cluster, FakeWorker.Task task) {
         String before = finishedIn.putIfAbsent(task.task.toString(), name(cluster));
         if (before != null && !before.equals(name(cluster))) {
             broken.add("finished in two cells: " + task.task);
--- a/src/test/java/org/dunespindle/sim/ClusterSettings.java
+++ b/src/test/java/org/dunespindle/sim/ClusterSettings.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.dunespindle.TestSettings;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.FormatVersion;
 
@@ -31,7 +31,7 @@
                         .put("write_rps", rates.writes()));
         try {
             return Settings.parse(file);
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/org/dunespindle/sim/ClusterTest.java
+++ b/src/test/java/org/dunespindle/sim/ClusterTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -16,13 +16,13 @@
 
 /** Whole controllers against stand-ins in virtual time, through failures drawn from fixed seeds. */
 class ClusterTest {
-    static Submission job(String id, String team, Shape shape, int tasks, boolean sameZone, boolean spot) {
+    static Submission job(String id, String team, JobKind shape, int tasks, boolean sameZone, boolean spot) {
         return new Submission(
                 id,
                 "class",
                 team,
                 shape,
-                shape == Shape.GANG ? Priority.URGENT : Priority.LOW,
+                shape == JobKind.GANG ? Priority.URGENT : Priority.LOW,
                 tasks,
                 new Resources(1, 1, 1),
                 Optional.empty(),
@@ -46,7 +46,7 @@
             Submission job = job(
                     id,
                     i % 2 == 0 ? "red" : "blue",
-                    i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
+                    i % 3 == 0 ? JobKind.GANG : JobKind.ARRAY,
                     i % 3 == 0 ? 1 + i % 4 : 2 + i % 5,
                     i % 2 == 0,
                     i % 4 != 0);
@@ -120,7 +120,7 @@
     void controllersThatStartAnewDoNotReturnMachinesTheyHaveNotHeardYet() {
         var cluster = new SimulatedCluster(14);
         // One service keeps a machine in use, far beyond three times its boot time.
-        cluster.submit(job("wk-000001", "red", Shape.SERVICE, 2, false, false));
+        cluster.submit(job("wk-000001", "red", JobKind.SERVICE, 2, false, false));
         cluster.sim.run(Duration.ofSeconds(100));
         int before = cluster.returned;
         for (int n = 0; n < 3; n++) {
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Random;
 import java.util.stream.LongStream;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -28,7 +28,7 @@
                     () -> cluster.submit(ClusterTest.job(
                             id,
                             Integer.parseInt(id.substring(3)) % 2 == 0 ? "red" : "blue",
-                            Shape.ARRAY,
+                            JobKind.ARRAY,
                             2,
                             false,
                             false)));
@@ -64,7 +64,7 @@
         var cluster = new SimulatedCluster(seed);
         List<String> ids = longJobs(cluster, 8);
         int leader = cluster.leader();
-        List<WorkerStandIn> all = cluster.alive();
+        List<FakeWorker> all = cluster.alive();
         cluster.refusedNode = leader;
         cluster.sim.run(cluster.sim.now().plusMillis(300 + 150 * (seed - 301)));
         List<String> gone = ids.subList(0, 4);
@@ -76,14 +76,14 @@
                 List.of(),
                 all.stream()
                         .filter(w -> gone.stream().anyMatch(w::holds))
-                        .map(WorkerStandIn::id)
+                        .map(FakeWorker::id)
                         .toList(),
                 "told by the others, the leader stops them at once");
         cluster.sim.run(begun.plus(SimulatedCluster.CANCEL).plusSeconds(15));
         assertEquals(List.of(), cluster.broken);
         assertEquals(
                 List.of(),
-                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "leases that ran out though every cancellation is known");
         cluster.refusedNode = -1;
         cluster.state.recover();
@@ -168,18 +168,18 @@
         return LongStream.range(from, from + Integer.getInteger("gap.count", 40));
     }
 
-    private static FailureMix day(long seed) {
-        var mix = new FailureMix(seed, FailureMix.StateService.UNLIMITED);
+    private static RandomFaultSchedule day(long seed) {
+        var mix = new RandomFaultSchedule(seed, RandomFaultSchedule.StateService.UNLIMITED);
         mix.submitJobs(14);
         return mix;
     }
 
     /** Moments drawn so that the troubles meet in any order. */
-    private static Duration near(FailureMix mix, int second) {
+    private static Duration near(RandomFaultSchedule mix, int second) {
         return Duration.ofMillis(second * 1000L + mix.cluster().sim.random.nextInt(4000));
     }
 
-    private static void assertKept(FailureMix mix, String... meetings) {
+    private static void assertKept(RandomFaultSchedule mix, String... meetings) {
         assertEquals(List.of(), mix.play(), () -> mix.story().toString());
         for (String meeting : meetings) {
             assertTrue(mix.cluster().met.containsKey(meeting), meeting + " did not take place: " + mix.cluster().met);
@@ -207,7 +207,7 @@
                 List.of(),
                 cluster.alive().stream()
                         .filter(w -> ids.stream().anyMatch(w::holds))
-                        .map(WorkerStandIn::id)
+                        .map(FakeWorker::id)
                         .toList());
     }
 
@@ -255,8 +255,8 @@
     @MethodSource("formerLeaders")
     void placeholdersOfAFormerLeaderAreTakenUp(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10);
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.GANG, 6, false, false));
-        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.GANG, 5, false, false));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.GANG, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.GANG, 5, false, false));
         while (!mode(cluster, "wk-000001").equals("HOLD")
                 || !mode(cluster, "wk-000002").equals("HOLD")) {
             cluster.sim.run(cluster.sim.now().plusMillis(10));
@@ -278,7 +278,7 @@
     }
 
     private static String mode(SimulatedCluster cluster, String id) {
-        StateStandIn.Row row = cluster.state.rows().get("ds/job/" + id);
+        FakeStateStore.Row row = cluster.state.rows().get("ds/job/" + id);
         return row == null ? "" : row.value().path("mode").asText();
     }
 
@@ -294,7 +294,7 @@
         var cluster = new SimulatedCluster(seed);
         List<String> ids = ClusterTest.submitMix(cluster, 12);
         cluster.sim.run(Duration.ofSeconds(8).plusMillis(400 * (seed - 360)));
-        WorkerStandIn mute = cluster.alive().stream()
+        FakeWorker mute = cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
                 .findFirst()
                 .orElseThrow();
@@ -319,7 +319,7 @@
             String id = "wk-%06d".formatted(i);
             ids.add(id);
             cluster.submit(
-                    ClusterTest.job(id, i % 2 == 0 ? "red" : "blue", Shape.ARRAY, i % 2 == 0 ? 3 : 2, false, false));
+                    ClusterTest.job(id, i % 2 == 0 ? "red" : "blue", JobKind.ARRAY, i % 2 == 0 ? 3 : 2, false, false));
         }
         for (int k = 0; k < 4; k++) {
             cluster.sim.after(
@@ -348,9 +348,9 @@
         SimulatedCluster cluster = mix.cluster();
         cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(20 + p.index() % 3 * 8L));
         mix.at(near(mix, 24), () -> {
-            List<WorkerStandIn> all = cluster.alive();
+            List<FakeWorker> all = cluster.alive();
             for (int i = 0; i < all.size(); i++) {
-                WorkerStandIn w = all.get(i);
+                FakeWorker w = all.get(i);
                 if (i % 3 == 0) {
                     cluster.cut(w, Duration.ofSeconds(6 + seed % 5 * 4));
                 } else if (i % 3 == 1) {
@@ -376,7 +376,7 @@
                     () -> cluster.alive()
                             .forEach(w -> w.hang(Duration.ofMillis(1500 + cluster.sim.random.nextInt(7500)))));
         }
-        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 25));
+        mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 25));
         assertKept(mix, "CANCEL_NOW");
     }
 
@@ -396,7 +396,7 @@
     @ParameterizedTest
     @ValueSource(longs = {411, 412})
     void moreWorkThanRoomOverSlowLinks(long seed) {
-        var mix = new FailureMix(seed, FailureMix.StateService.UNLIMITED);
+        var mix = new RandomFaultSchedule(seed, RandomFaultSchedule.StateService.UNLIMITED);
         mix.cluster().slowMillis = 250;
         mix.submitJobs(30);
         mix.at(Duration.ofSeconds(100), () -> mix.cluster().slowMillis = 0);
@@ -414,11 +414,11 @@
         cluster.taskTime = Optional.of(Duration.ofSeconds(40));
         for (int i = 0; i < 4; i++) {
             cluster.submit(ClusterTest.job(
-                    "wk-%06d".formatted(i), "blue", Shape.ARRAY, 4, false, false)); // 16 tasks, 6 allowed at once
+                    "wk-%06d".formatted(i), "blue", JobKind.ARRAY, 4, false, false)); // 16 tasks, 6 allowed at once
         }
         cluster.sim.run(Duration.ofSeconds(20).plusMillis(300 * (seed - 420)));
-        assertEquals(6, cluster.alive().stream().mapToLong(WorkerStandIn::held).sum(), "the team is at its limit");
-        List<WorkerStandIn> some =
+        assertEquals(6, cluster.alive().stream().mapToLong(FakeWorker::held).sum(), "the team is at its limit");
+        List<FakeWorker> some =
                 cluster.alive().stream().filter(w -> w.held() > 0).limit(1).toList();
         String held = some.get(0).tasks().iterator().next().task.job();
         some.forEach(w -> cluster.cut(w, Duration.ofSeconds(9 + seed % 4)));
@@ -457,8 +457,8 @@
         SimulatedCluster cluster = mix.cluster();
         cluster.lateWrites = 0.25;
         mix.at(near(mix, 25), () -> cluster.crash(mix.leader(), Duration.ofMillis(300)));
-        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 30));
-        mix.add(FailureMix.Trouble.ODD_REQUESTS, near(mix, 20));
+        mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 30));
+        mix.add(RandomFaultSchedule.Trouble.ODD_REQUESTS, near(mix, 20));
         mix.at(Duration.ofSeconds(90), () -> cluster.lateWrites = 0);
         assertKept(mix, "late write");
     }
@@ -510,8 +510,8 @@
         SimulatedCluster cluster = mix.cluster();
         cluster.slowStateMillis = 900;
         mix.at(near(mix, 22), () -> cluster.refusedNode = mix.leader());
-        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 23));
-        mix.add(FailureMix.Trouble.CANCEL_NOW, near(mix, 28));
+        mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 23));
+        mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 28));
         mix.at(near(mix, 28), () -> cluster.state.out = true);
         mix.at(Duration.ofSeconds(66), () -> {
             cluster.refusedNode = -1;
@@ -529,7 +529,7 @@
         SimulatedCluster cluster = mix.cluster();
         for (int k = 0; k < 4; k++) {
             mix.at(near(mix, 14 + 8 * k), () -> {
-                WorkerStandIn w = cluster.worker(cluster.sim.random.nextInt(20));
+                FakeWorker w = cluster.worker(cluster.sim.random.nextInt(20));
                 if (w != null) {
                     cluster.met("machine lost");
                     cluster.die(w);
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -31,7 +31,7 @@
         var cluster = new SimulatedCluster(seed);
         List<String> ids = ClusterTest.submitMix(cluster, 14);
         cluster.sim.run(Duration.ofSeconds(9));
-        WorkerStandIn deaf = cluster.worker((int) seed % 3);
+        FakeWorker deaf = cluster.worker((int) seed % 3);
         deaf.oneWay(true);
         cluster.sim.run(Duration.ofSeconds(60));
         assertTrue(deaf.dead(), "its reports alone kept it");
@@ -42,13 +42,13 @@
     @Test
     void nothingIsBookedOnAMachineThatOnlyReports() {
         var cluster = new SimulatedCluster(74);
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 2, false, false));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 2, false, false));
         cluster.sim.run(Duration.ofSeconds(20));
-        WorkerStandIn deaf = cluster.worker(0);
+        FakeWorker deaf = cluster.worker(0);
         deaf.oneWay(true);
         cluster.sim.run(
                 Duration.ofSeconds(33)); // its lease is over by now and its tasks are gone, but its reports go on
-        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.ARRAY, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.ARRAY, 6, false, false));
         cluster.sim.run(Duration.ofSeconds(36));
         assertTrue(
                 cluster
@@ -76,7 +76,7 @@
         cluster.sim.after(20_000, () -> cluster.die(cluster.worker((int) seed % 5)));
         cluster.sim.run(Duration.ofSeconds(300));
         ClusterTest.assertAllDone(cluster, ids);
-        assertEquals(List.of(), cluster.alive().stream().map(WorkerStandIn::id).toList());
+        assertEquals(List.of(), cluster.alive().stream().map(FakeWorker::id).toList());
         assertEquals("[]", hosts(cluster), "copies of reports rebuilt machines that were returned");
     }
 
@@ -85,9 +85,9 @@
         var cluster = new SimulatedCluster(85);
         cluster.lateCopies = 3;
         cluster.latestCopy = Duration.ofSeconds(40);
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 1, false, false));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 1, false, false));
         cluster.sim.run(Duration.ofSeconds(40));
-        WorkerStandIn lost = cluster.alive().stream()
+        FakeWorker lost = cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
                 .findFirst()
                 .orElseThrow();
@@ -105,10 +105,10 @@
         var cluster = new SimulatedCluster(91 + node);
         for (int i = 0; i < 6; i++) {
             cluster.submit(ClusterTest.job(
-                    "wk-%06d".formatted(i), i < 3 ? "red" : "blue", Shape.SERVICE, 1 + i % 2, false, false));
+                    "wk-%06d".formatted(i), i < 3 ? "red" : "blue", JobKind.SERVICE, 1 + i % 2, false, false));
         }
         cluster.sim.run(Duration.ofSeconds(30));
-        List<WorkerStandIn> all = cluster.alive();
+        List<FakeWorker> all = cluster.alive();
         cluster.sim.after(100, () -> cluster.isolatedNode = node);
         cluster.sim.run(Duration.ofSeconds(75));
         cluster.isolatedNode = -1;
@@ -116,7 +116,7 @@
         assertEquals(List.of(), cluster.broken);
         assertEquals(
                 List.of(),
-                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "leases that ran out");
     }
 
@@ -125,22 +125,22 @@
     @ValueSource(longs = {93, 94, 95, 96, 97, 98})
     void workersOutliveACrashOfAllControllers(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10); // a record each, so that they hash to different controllers
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 8, false, false));
-        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.SERVICE, 4, false, false));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 8, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.SERVICE, 4, false, false));
         cluster.sim.run(Duration.ofSeconds(30));
-        List<WorkerStandIn> all = cluster.alive();
+        List<FakeWorker> all = cluster.alive();
         for (int n = 0; n < 3; n++) {
             cluster.crash(n, n == 0 ? Duration.ofMillis(5300) : Duration.ofSeconds(20));
         }
         cluster.sim.run(
                 cluster.sim.now().plusMillis(6300)); // one is back, and has not taken over the others' machines yet
-        for (WorkerStandIn w : all) {
+        for (FakeWorker w : all) {
             assertEquals(200, cluster.answer(0, w), w.id());
         }
         cluster.sim.run(Duration.ofSeconds(60));
         assertEquals(
                 List.of(),
-                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "leases that ran out");
         assertEquals(List.of(), cluster.broken);
     }
@@ -148,16 +148,16 @@
     @Test
     void inAnOutageThatAllShareWorkersAreAnswered() {
         var cluster = new SimulatedCluster(95);
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 8, false, false));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 8, false, false));
         cluster.sim.run(Duration.ofSeconds(30));
-        List<WorkerStandIn> all = cluster.alive();
+        List<FakeWorker> all = cluster.alive();
         cluster.state.out = true;
         cluster.sim.run(Duration.ofSeconds(48));
         cluster.state.recover();
         cluster.sim.run(Duration.ofSeconds(70));
         assertEquals(
                 List.of(),
-                all.stream().filter(w -> w.session() > 1).map(WorkerStandIn::id).toList(),
+                all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "leases that ran out");
         assertEquals(List.of(), cluster.broken);
     }
@@ -190,7 +190,7 @@
                 "wk-000001",
                 "class",
                 "red",
-                Shape.GANG,
+                JobKind.GANG,
                 Priority.URGENT,
                 6,
                 new Resources(1, 1, 1),
@@ -206,13 +206,13 @@
                 Duration.ofSeconds(4),
                 Optional.empty());
         cluster.submit(gang);
-        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.ARRAY, 5, false, true));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.ARRAY, 5, false, true));
         while (!cluster.lastTold("wk-000001").equals("running")
                 && cluster.sim.now().compareTo(Duration.ofSeconds(60)) < 0) {
             cluster.sim.run(cluster.sim.now().plusSeconds(1));
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(3));
-        WorkerStandIn taken = cluster.alive().stream()
+        FakeWorker taken = cluster.alive().stream()
                 .filter(w -> w.holds("wk-000001"))
                 .findFirst()
                 .orElseThrow();
@@ -258,7 +258,7 @@
                 "wk-000001",
                 "class",
                 "red",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Priority.LOW,
                 80,
                 new Resources(4, 0, 1),
@@ -277,7 +277,7 @@
                 "wk-000002",
                 "class",
                 "blue",
-                Shape.GANG,
+                JobKind.GANG,
                 Priority.URGENT,
                 70,
                 new Resources(4, 0, 1),
@@ -306,7 +306,7 @@
                     "wk-%06d".formatted(i + 10),
                     "small",
                     i % 3 == 0 ? "red" : "blue",
-                    Shape.ARRAY,
+                    JobKind.ARRAY,
                     Priority.NORMAL,
                     2,
                     new Resources(1, 1, 1),
@@ -327,7 +327,7 @@
                 "wk-000001",
                 "large",
                 "red",
-                Shape.GANG,
+                JobKind.GANG,
                 Priority.valueOf(priority),
                 9,
                 new Resources(1, 1, 1),
@@ -379,10 +379,10 @@
     @ValueSource(longs = {161, 162, 163, 164})
     void machinesOfACrashedControllerAreKept(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10); // a record each, so that they hash to different controllers
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
-        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 10, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.SERVICE, 6, false, false));
         cluster.sim.run(Duration.ofSeconds(70));
-        List<WorkerStandIn> used = cluster.alive().stream()
+        List<FakeWorker> used = cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
                 .toList();
         assertTrue(!used.isEmpty());
@@ -392,7 +392,7 @@
         cluster.sim.run(Duration.ofSeconds(100));
         assertEquals(
                 List.of(),
-                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "given back");
         assertEquals(List.of(), cluster.broken);
     }
@@ -402,15 +402,15 @@
     @ValueSource(ints = {14, 19, 27})
     void aControllerThatStoodStillReturnsNoMachineForItsSilence(int seconds) {
         var cluster = new SimulatedCluster(151);
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 6, false, false));
         cluster.sim.run(Duration.ofSeconds(60));
         int leader = cluster.leader();
         cluster.crash((leader + 1) % 3, Duration.ofSeconds(200));
         cluster.crash((leader + 2) % 3, Duration.ofSeconds(200));
         cluster.sim.run(Duration.ofSeconds(75));
         // Its workers can't reach it right after it wakes: what it has last heard of them is old by then.
-        List<WorkerStandIn> all = cluster.alive();
-        List<WorkerStandIn> used =
+        List<FakeWorker> all = cluster.alive();
+        List<FakeWorker> used =
                 all.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
         assertTrue(!used.isEmpty());
         cluster.freeze(leader, Duration.ofSeconds(seconds));
@@ -418,7 +418,7 @@
         cluster.sim.run(Duration.ofSeconds(75 + seconds + 8));
         assertEquals(
                 List.of(),
-                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "given back");
         assertEquals(List.of(), cluster.broken);
     }
@@ -428,10 +428,10 @@
     @ValueSource(ints = {0, 1, 2})
     void aControllerThatHasLostItsWorkersStepsAside(int offset) {
         var cluster = new SimulatedCluster(171, 7, 10);
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
-        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 10, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.SERVICE, 6, false, false));
         cluster.sim.run(Duration.ofSeconds(70));
-        List<WorkerStandIn> used = cluster.alive().stream()
+        List<FakeWorker> used = cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
                 .toList();
         assertTrue(!used.isEmpty());
@@ -443,13 +443,13 @@
         }
         assertEquals(
                 List.of(),
-                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "given back");
         assertEquals(
                 List.of(),
                 used.stream()
                         .filter(w -> w.session() > 1)
-                        .map(WorkerStandIn::id)
+                        .map(FakeWorker::id)
                         .toList(),
                 "leases that ran out");
         cluster.deafNode = -1;
@@ -462,7 +462,7 @@
                         .contains("n" + deaf),
                 "it does not take part again");
         List<String> ids = List.of("wk-000003", "wk-000004");
-        ids.forEach(id -> cluster.submit(ClusterTest.job(id, "red", Shape.ARRAY, 2, false, false)));
+        ids.forEach(id -> cluster.submit(ClusterTest.job(id, "red", JobKind.ARRAY, 2, false, false)));
         cluster.sim.run(Duration.ofSeconds(200));
         assertEquals(List.of(), cluster.broken);
     }
@@ -472,32 +472,32 @@
     @ValueSource(longs = {181, 182, 183})
     void machinesOfControllersThatCannotTalkToTheLeaderAreKept(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10);
-        cluster.submit(ClusterTest.job("wk-000001", "red", Shape.SERVICE, 10, false, false));
-        cluster.submit(ClusterTest.job("wk-000002", "blue", Shape.SERVICE, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 10, false, false));
+        cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.SERVICE, 6, false, false));
         cluster.sim.run(Duration.ofSeconds(70));
-        List<WorkerStandIn> used = cluster.alive().stream()
+        List<FakeWorker> used = cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
                 .toList();
         cluster.peersRefuse = true;
         cluster.sim.run(Duration.ofSeconds(150));
         assertEquals(
                 List.of(),
-                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "given back");
         cluster.peersRefuse = false;
-        cluster.submit(ClusterTest.job("wk-000003", "red", Shape.GANG, 3, false, false));
+        cluster.submit(ClusterTest.job("wk-000003", "red", JobKind.GANG, 3, false, false));
         cluster.sim.run(Duration.ofSeconds(200));
         assertEquals(List.of(), cluster.broken);
     }
 
     /** A service that may run in one zone only, wherever machines would be rented otherwise. */
     private static Submission serviceIn(String zone, String id, String team, int replicas) {
-        Submission anywhere = ClusterTest.job(id, team, Shape.SERVICE, replicas, false, false);
+        Submission anywhere = ClusterTest.job(id, team, JobKind.SERVICE, replicas, false, false);
         return new Submission(
                 anywhere.id(),
                 anywhere.jobClass(),
                 anywhere.team(),
-                anywhere.shape(),
+                anywhere.kind(),
                 anywhere.priority(),
                 anywhere.tasks(),
                 anywhere.perTask(),
@@ -510,7 +510,7 @@
                 anywhere.imageGb(),
                 anywhere.estimate(),
                 anywhere.checkpointEvery(),
-                anywhere.saveTime(),
+                anywhere.checkpointTime(),
                 anywhere.due());
     }
 
@@ -523,9 +523,9 @@
         cluster.submit(serviceIn("east", "wk-000001", "red", 10));
         cluster.submit(serviceIn("east", "wk-000002", "blue", 6));
         cluster.sim.run(Duration.ofSeconds(70));
-        List<WorkerStandIn> cut =
+        List<FakeWorker> cut =
                 cluster.alive().stream().filter(w -> w.zone.equals("east")).toList();
-        List<WorkerStandIn> used =
+        List<FakeWorker> used =
                 cut.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
         assertTrue(cut.size() >= 4 && !used.isEmpty());
         cut.forEach(w -> cluster.cut(w, Duration.ofSeconds(seconds)));
@@ -534,7 +534,7 @@
         cluster.sim.run(Duration.ofSeconds(125));
         assertEquals(
                 List.of(),
-                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "given back");
         assertEquals(List.of(), cluster.broken);
     }
@@ -554,7 +554,7 @@
                     id,
                     "class",
                     id.endsWith("1") ? "red" : "blue",
-                    Shape.ARRAY,
+                    JobKind.ARRAY,
                     Priority.NORMAL,
                     20,
                     new Resources(4, 1, 1),
@@ -572,7 +572,7 @@
         }
         cluster.sim.run(Duration.ofSeconds(70));
         cluster.taskTime = Optional.empty();
-        List<WorkerStandIn> used = cluster.alive().stream()
+        List<FakeWorker> used = cluster.alive().stream()
                 .filter(w -> w.zone.equals(zone) && w.tasks().iterator().hasNext())
                 .toList();
         assertTrue(!used.isEmpty());
@@ -584,7 +584,7 @@
         cluster.sim.run(Duration.ofSeconds(101));
         assertEquals(
                 List.of(),
-                used.stream().filter(WorkerStandIn::dead).map(WorkerStandIn::id).toList(),
+                used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "given back");
         cluster.cancel("wk-000101");
         cluster.cancel("wk-000102");
--- a/src/test/java/org/dunespindle/sim/CloudStandIn.java
+++ b/src/test/java/org/dunespindle/sim/FakeCloud.java
@@ -9,16 +9,16 @@
 import org.dunespindle.protocol.MessagePackCodec;
 
 /** The cloud of a simulated cluster: rents, returns and lists machines. */
-final class CloudStandIn {
+final class FakeCloud {
     private final SimulatedCluster cluster;
     private final Map<String, List<String>> rentalRequests = new HashMap<>();
 
-    CloudStandIn(SimulatedCluster cluster) {
+    FakeCloud(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
     /** Answers a request. */
-    StateStandIn.Reply answer(String target, JsonNode body) {
+    FakeStateStore.Reply answer(String target, JsonNode body) {
         ObjectNode n = MessagePackCodec.map();
         if (target.startsWith("/catalog")) {
             ObjectNode h = n.putArray("hulls")
@@ -35,7 +35,7 @@
             SimulatedCluster.ZONES.forEach(h.putArray("dunes")::add);
         } else if (target.startsWith("/rentals/return")) {
             body.path("hosts").forEach(h -> {
-                WorkerStandIn w = cluster.workers.remove(h.asText());
+                FakeWorker w = cluster.workers.remove(h.asText());
                 if (w != null) {
                     cluster.returned += w.dead ? 0 : 1;
                     w.dead = true;
@@ -45,7 +45,7 @@
             var names = rentalRequests.computeIfAbsent(body.path("charter").asText(), c -> rent(body));
             if (names.isEmpty()) {
                 rentalRequests.remove(body.path("charter").asText());
-                return new StateStandIn.Reply(503, n.put("error", "no capacity"));
+                return new FakeStateStore.Reply(503, n.put("error", "no capacity"));
             }
             names.forEach(n.putArray("hosts")::add);
         } else {
@@ -61,7 +61,7 @@
                             .put("phase", "running")
                             .put("ageS", 20.0));
         }
-        return new StateStandIn.Reply(200, n);
+        return new FakeStateStore.Reply(200, n);
     }
 
     private List<String> rent(JsonNode body) {
@@ -74,7 +74,7 @@
             names.add(id);
             cluster.workers.put(
                     id,
-                    new WorkerStandIn(
+                    new FakeWorker(
                             cluster,
                             id,
                             body.path("dune").asText(),
--- a/src/test/java/org/dunespindle/sim/StateStandIn.java
+++ b/src/test/java/org/dunespindle/sim/FakeStateStore.java
@@ -13,7 +13,7 @@
 import org.dunespindle.protocol.MessagePackCodec;
 
 /** The state service as the protocol describes it. Its rates are unlimited until a test sets them. */
-public final class StateStandIn {
+public final class FakeStateStore {
     private static final int MOST_BYTES = 64 << 10;
     private int txnOps = 16;
     private int valueBytes = 8 << 10;
@@ -26,7 +26,7 @@
 
     private Optional<Listener> listener = Optional.empty();
 
-    private final Sim sim;
+    private final VirtualTime sim;
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private final Map<Long, Duration> leases = new HashMap<>();
     private final List<ObjectNode> log = new ArrayList<>();
@@ -49,7 +49,7 @@
     /** An answer of a stand-in. */
     record Reply(int status, JsonNode body) {}
 
-    StateStandIn(Sim sim) {
+    FakeStateStore(VirtualTime sim) {
         this.sim = sim;
     }
 
--- a/src/test/java/org/dunespindle/sim/WorkerStandIn.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -9,13 +9,13 @@
 import org.dunespindle.protocol.TaskId;
 
 /** A worker: tokens, sessions, leases, and tasks that fetch, gather, run and end. */
-public final class WorkerStandIn {
+public final class FakeWorker {
     private static final Duration FETCH = Duration.ofSeconds(2);
     final String id;
     final String zone;
     final boolean spot;
     private final SimulatedCluster cluster;
-    private final Sim sim;
+    private final VirtualTime sim;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private long session = 1;
     private long tick;
@@ -78,7 +78,7 @@
         }
     }
 
-    WorkerStandIn(SimulatedCluster cluster, String id, String zone, boolean spot) {
+    FakeWorker(SimulatedCluster cluster, String id, String zone, boolean spot) {
         this.cluster = cluster;
         this.sim = cluster.sim;
         this.id = id;
@@ -248,13 +248,13 @@
         });
     }
 
-    StateStandIn.Reply commands(JsonNode body) {
+    FakeStateStore.Reply commands(JsonNode body) {
         if (body.path("baton").asLong() < token || body.path("tenure").asLong() != session) {
-            return new StateStandIn.Reply(409, report());
+            return new FakeStateStore.Reply(409, report());
         }
         token = body.path("baton").asLong();
         execute(body.path("orders"));
-        return new StateStandIn.Reply(200, report());
+        return new FakeStateStore.Reply(200, report());
     }
 
     private void execute(JsonNode commands) {
--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -15,7 +15,7 @@
 import org.HdrHistogram.Histogram;
 import org.dunespindle.federation.FederationSettings;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.knowm.xchart.BitmapEncoder;
 import org.knowm.xchart.XYChart;
@@ -81,7 +81,7 @@
             String id = "wk-%06d".formatted(ids.size());
             ids.add(id);
             String team = random.nextBoolean() ? "red" : "blue";
-            Submission job = FederationTest.job(id, team, Shape.ARRAY, Priority.URGENT, 2);
+            Submission job = FederationTest.job(id, team, JobKind.ARRAY, Priority.URGENT, 2);
             federation.sim.after((long) (at * 1000), () -> federation.cell("a").submit(job));
             at += -Math.log(1 - random.nextDouble()) / perSecond;
         }
@@ -224,7 +224,7 @@
             LoopbackCells.Cell a = cells.cells.get(0);
             if (builds > 0) {
                 a.set("spill_after_s", 2);
-                Submission fill = FederationTest.job("fill-000001", "red", Shape.ARRAY, Priority.CRITICAL, 8);
+                Submission fill = FederationTest.job("fill-000001", "red", JobKind.ARRAY, Priority.CRITICAL, 8);
                 cells.on(() -> {
                     a.submit(fill);
                     return null;
@@ -247,7 +247,7 @@
         }
         Duration begun = Duration.ofNanos(System.nanoTime());
         for (int i = 0; i < builds; i++) {
-            Submission build = FederationTest.job("wk-%06d".formatted(i), "blue", Shape.ARRAY, Priority.URGENT, 1);
+            Submission build = FederationTest.job("wk-%06d".formatted(i), "blue", JobKind.ARRAY, Priority.URGENT, 1);
             cells.on(() -> {
                 a.submit(build);
                 return null;
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -18,11 +18,11 @@
 import org.dunespindle.federation.CellReply;
 import org.dunespindle.federation.CellRequest;
 import org.dunespindle.federation.Transfer;
-import org.dunespindle.federation.VisitReport;
-import org.dunespindle.federation.VisitState;
+import org.dunespindle.federation.InboundJobStatus;
+import org.dunespindle.federation.InboundJobState;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.FormatVersion;
 import org.junit.jupiter.api.Test;
@@ -35,7 +35,7 @@
     static final Duration LONG = Duration.ofMinutes(8);
     private static final String BUILD = "wk-000007";
 
-    static Submission job(String id, String team, Shape shape, Priority priority, int tasks) {
+    static Submission job(String id, String team, JobKind shape, Priority priority, int tasks) {
         return new Submission(
                 id,
                 "class",
@@ -64,7 +64,7 @@
         federation.cells.forEach(cell -> cell.lengthOf =
                 task -> task.job().startsWith("fill-") ? Optional.of(LONG) : Optional.of(Duration.ofSeconds(20)));
         for (int i = 0; i < 2; i++) {
-            Submission fill = job("fill-00000" + i, "red", Shape.ARRAY, Priority.CRITICAL, 4);
+            Submission fill = job("fill-00000" + i, "red", JobKind.ARRAY, Priority.CRITICAL, 4);
             federation.sim.after(2000, () -> a.submit(fill));
         }
         return federation;
@@ -74,7 +74,7 @@
         var ids = new ArrayList<String>();
         for (int i = 0; i < count; i++) {
             Submission build = job(
-                    "wk-%06d".formatted(i), "blue", i % 2 == 0 ? Shape.GANG : Shape.ARRAY, Priority.URGENT, 1 + i % 3);
+                    "wk-%06d".formatted(i), "blue", i % 2 == 0 ? JobKind.GANG : JobKind.ARRAY, Priority.URGENT, 1 + i % 3);
             ids.add(build.id());
             federation.sim.after(20_000 + 1000L * i, () -> federation.cell("a").submit(build));
         }
@@ -97,12 +97,12 @@
         }
     }
 
-    private static StateStandIn.Row record(SimulatedCluster cell, String job) {
+    private static FakeStateStore.Row record(SimulatedCluster cell, String job) {
         return cell.state.rows().get("ds/job/" + job);
     }
 
     private static String phase(SimulatedCluster cell, String job) {
-        StateStandIn.Row row = record(cell, job);
+        FakeStateStore.Row row = record(cell, job);
         return row == null ? "" : row.value().path("away").path(2).asText();
     }
 
@@ -119,7 +119,7 @@
         SimulatedFederation federation = filled(seed, 2, 3, 3);
         federation.cells.forEach(
                 cell -> cell.lengthOf = task -> Optional.of(task.job().startsWith("fill-") ? LONG : length));
-        Submission build = job(BUILD, "blue", Shape.ARRAY, Priority.URGENT, 2);
+        Submission build = job(BUILD, "blue", JobKind.ARRAY, Priority.URGENT, 2);
         federation.sim.after(15_000, () -> federation.cell("a").submit(build));
         return federation;
     }
@@ -132,12 +132,12 @@
             SimulatedCluster cell = federation.cell(name);
             cell.lengthOf = task -> Optional.of(task.job().startsWith("wk-") ? Duration.ofSeconds(5) : LONG);
             Priority own = name.equals("b") ? Priority.LOW : Priority.URGENT;
-            Submission experiments = job("exp-00000" + name.charAt(0) % 10, "red", Shape.ARRAY, own, 8);
+            Submission experiments = job("exp-00000" + name.charAt(0) % 10, "red", JobKind.ARRAY, own, 8);
             federation.sim.after(2000, () -> cell.submit(experiments));
         }
         var builds = new ArrayList<String>();
         for (int i = 0; i < 3; i++) {
-            Submission build = job("wk-00000" + i, "blue", Shape.GANG, Priority.URGENT, 2);
+            Submission build = job("wk-00000" + i, "blue", JobKind.GANG, Priority.URGENT, 2);
             builds.add(build.id());
             federation.sim.after(25_000 + 1000L * i, () -> federation.cell("a").submit(build));
         }
@@ -168,7 +168,7 @@
                 List.of("b", "c").contains(own.body().path("cell").asText()),
                 own.body().toString());
         // The id is in use there, so a job of the same name waits to be taken, and is never mistaken for the visitor.
-        Submission same = job(BUILD, "red", Shape.ARRAY, Priority.LOW, 1);
+        Submission same = job(BUILD, "red", JobKind.ARRAY, Priority.LOW, 1);
         CompletableFuture<UserApi.Answer> refused = receiver.offer(2, same.toNode());
         run(federation, 2);
         assertEquals(503, refused.join().status());
@@ -212,15 +212,15 @@
             @Override
             public CellReply reply(int from, CellReply reply) {
                 boolean accepted = reply instanceof CellReply.Reports reports
-                        && reports.reports().stream().anyMatch(r -> r.state() == VisitState.QUEUED);
+                        && reports.reports().stream().anyMatch(r -> r.state() == InboundJobState.QUEUED);
                 SimulatedCluster cell = federation.cells.get(from);
                 if (accepted && !cell.told.containsKey("fill-00010" + from)) {
-                    cell.submit(job("fill-00010" + from, "red", Shape.ARRAY, Priority.CRITICAL, 8));
+                    cell.submit(job("fill-00010" + from, "red", JobKind.ARRAY, Priority.CRITICAL, 8));
                 }
                 return reply;
             }
         };
-        Submission build = job(BUILD, "blue", Shape.GANG, Priority.URGENT, 4);
+        Submission build = job(BUILD, "blue", JobKind.GANG, Priority.URGENT, 4);
         federation.sim.after(15_000, () -> federation.cell("a").submit(build));
         run(federation, 900);
         assertEquals(List.of(), federation.violations());
@@ -399,7 +399,7 @@
                     return reply;
                 }
                 Transfer transfer = reports.reports().get(0).transfer();
-                return new CellReply.Reports(List.of(VisitReport.of(transfer, VisitState.WITHDRAWN)));
+                return new CellReply.Reports(List.of(InboundJobStatus.of(transfer, InboundJobState.WITHDRAWN)));
             }
         };
         run(federation, 300);
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -12,7 +12,7 @@
 import org.dunespindle.api.UserApi;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
@@ -34,7 +34,7 @@
                     "wk-%06d".formatted(i),
                     "class",
                     i % 2 == 0 ? "red" : "blue",
-                    Shape.ARRAY,
+                    JobKind.ARRAY,
                     Priority.NORMAL,
                     TASKS,
                     new Resources(4, 1, 1),
@@ -66,7 +66,7 @@
         assertEquals(machines, busyMachines(cluster));
         assertEquals(
                 sessions,
-                cluster.alive().stream().mapToLong(WorkerStandIn::session).sum(),
+                cluster.alive().stream().mapToLong(FakeWorker::session).sum(),
                 "leases ran out");
         assertEquals(0, cluster.broken.size(), cluster.broken.toString());
         assertTrue(cluster.mostOpen <= MOST_CALLS, cluster.mostOpen + " calls at once");
@@ -78,7 +78,7 @@
         assertEquals(machines, busyMachines(cluster));
         var before = new TreeMap<>(cluster.counts);
         long sessions =
-                cluster.alive().stream().mapToLong(WorkerStandIn::session).sum();
+                cluster.alive().stream().mapToLong(FakeWorker::session).sum();
         for (int n = 0; n < 3; n++) {
             cluster.crash(n, Duration.ofMillis(1500 + 700L * n));
         }
@@ -112,7 +112,7 @@
         var cluster = busy(LARGEST);
         assertEquals(LARGEST, busyMachines(cluster));
         long sessions =
-                cluster.alive().stream().mapToLong(WorkerStandIn::session).sum();
+                cluster.alive().stream().mapToLong(FakeWorker::session).sum();
         int first = cluster.leader();
         cluster.crash(first, Duration.ofSeconds(8));
         cluster.sim.run(Duration.ofSeconds(80));
@@ -149,7 +149,7 @@
         var answers = new ArrayList<CompletableFuture<UserApi.Answer>>();
         for (int i = 0; i < 2000; i++) {
             answers.add(
-                    cluster.offerTo(0, ClusterTest.job("wk-%06d".formatted(i), "red", Shape.ARRAY, 1, false, false)));
+                    cluster.offerTo(0, ClusterTest.job("wk-%06d".formatted(i), "red", JobKind.ARRAY, 1, false, false)));
         }
         var refused = answers.stream()
                 .filter(CompletableFuture::isDone)
--- a/src/test/java/org/dunespindle/sim/ClusterRules.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -11,7 +11,7 @@
 import org.dunespindle.protocol.Submission;
 
 /** Watches over the protocol's rules as the workers of a simulated cluster see them, and over what fails a day. */
-final class ClusterRules {
+final class InvariantChecker {
     private static final Duration LONGEST_WAIT = Duration.ofSeconds(90);
     private static final Duration LARGEST_BEGIN = Duration.ofMinutes(4);
     private final SimulatedCluster cluster;
@@ -29,15 +29,15 @@
      */
     record LateStart(String task, boolean commandedLater, Duration after, boolean ownerPauses) {}
 
-    ClusterRules(SimulatedCluster cluster) {
+    InvariantChecker(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
     // The rules, seen from the cluster.workers
 
     /** All tasks that are on a machine. */
-    List<WorkerStandIn.Task> live() {
-        var list = new ArrayList<WorkerStandIn.Task>();
+    List<FakeWorker.Task> live() {
+        var list = new ArrayList<FakeWorker.Task>();
         cluster.workers.values().stream()
                 .filter(w -> !w.dead)
                 .forEach(w -> w.tasks().forEach(t -> {
@@ -51,7 +51,7 @@
     /** Checks teams' limits and cancelled tasks now. */
     void quota() {
         var use = new HashMap<String, Integer>();
-        for (WorkerStandIn.Task t : live()) {
+        for (FakeWorker.Task t : live()) {
             use.merge(cluster.jobs.get(t.task.job()).team(), 1, Integer::sum);
             Duration c = cluster.cancelled.get(t.task.job());
             if (c != null && cluster.sim.now().minus(c).compareTo(SimulatedCluster.CANCEL) > 0) {
@@ -71,7 +71,7 @@
             return;
         }
         var use = new HashMap<String, Double>();
-        for (WorkerStandIn.Task t : live()) {
+        for (FakeWorker.Task t : live()) {
             Submission job = cluster.jobs.get(t.task.job());
             use.merge(job.team(), job.perTask().gpus(), Double::sum);
         }
@@ -82,10 +82,10 @@
     }
 
     /** A task starts: checks that it is nowhere else and in a place that its job allows. */
-    void started(WorkerStandIn worker, WorkerStandIn.Task started) {
+    void started(FakeWorker worker, FakeWorker.Task started) {
         Submission job = cluster.jobs.get(started.task.job());
         var zones = new HashSet<String>();
-        for (WorkerStandIn.Task t : live()) {
+        for (FakeWorker.Task t : live()) {
             if (t != started && t.task.equals(started.task)) {
                 cluster.broken.add("ran_twice: " + t.task + " on " + t.host() + " and " + started.host());
             }
@@ -121,18 +121,18 @@
         if (!cluster.calm || cluster.mostMachines != 7) {
             return;
         }
-        List<WorkerStandIn.Task> live = live();
+        List<FakeWorker.Task> live = live();
         for (Submission job : cluster.jobs.values()) {
             boolean isOver = cluster.over(job.id())
                     || cluster.wantedGone.contains(job.id())
                     || !cluster.told.containsKey(job.id());
             int ended = cluster.done.getOrDefault(job.id(), Set.of()).size();
             long here = live.stream().filter(t -> t.task.job().equals(job.id())).count();
-            boolean missing = job.gang() ? here < job.tasks() : here + ended < job.tasks();
+            boolean missing = job.isGang() ? here < job.tasks() : here + ended < job.tasks();
             long used = live.stream()
                     .filter(t -> cluster.jobs.get(t.task.job()).team().equals(job.team()))
                     .count();
-            long needs = job.gang() ? job.tasks() - here : 1;
+            long needs = job.isGang() ? job.tasks() - here : 1;
             boolean underLimit =
                     used + needs <= cluster.shape.limits().getOrDefault(job.team(), SimulatedCluster.QUOTA_BLUE);
             if (isOver || !missing || !underLimit || room(job) < needs) {
@@ -151,7 +151,7 @@
     /** Tasks of a job that would find room now, in one zone if they must be together. */
     private int room(Submission job) {
         var perZone = new HashMap<String, Integer>();
-        for (WorkerStandIn w : cluster.workers.values()) {
+        for (FakeWorker w : cluster.workers.values()) {
             boolean fits = !w.dead
                     && !w.mute
                     && !w.oneWay
@@ -186,18 +186,18 @@
                 .toList();
         var groups = new TreeMap<String, List<Submission>>();
         for (Submission j : kept) {
-            groups.computeIfAbsent("class " + j.jobClass() + (j.gang() ? " of gangs" : ""), k -> new ArrayList<>())
+            groups.computeIfAbsent("class " + j.jobClass() + (j.isGang() ? " of gangs" : ""), k -> new ArrayList<>())
                     .add(j);
             groups.computeIfAbsent("team " + j.team(), k -> new ArrayList<>()).add(j);
         }
         for (boolean gang : new boolean[] {true, false}) {
             int largest = kept.stream()
-                    .filter(j -> j.gang() == gang)
+                    .filter(j -> j.isGang() == gang)
                     .mapToInt(Submission::tasks)
                     .max()
                     .orElse(0);
             kept.stream()
-                    .filter(j -> j.gang() == gang && j.tasks() == largest)
+                    .filter(j -> j.isGang() == gang && j.tasks() == largest)
                     .forEach(j -> groups.computeIfAbsent(
                                     "largest " + (gang ? "gangs" : "arrays"), k -> new ArrayList<>())
                             .add(j));
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -27,17 +27,17 @@
 import org.dunespindle.FederationExtension;
 import org.dunespindle.TestSettings;
 import org.dunespindle.federation.FederationSettings;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.FormatVersion;
-import org.dunespindle.transport.HttpAnswer;
-import org.dunespindle.transport.HttpCall;
-import org.dunespindle.transport.HttpCaller;
-import org.dunespindle.transport.HttpListener;
-import org.dunespindle.transport.HttpReply;
-import org.dunespindle.transport.Sockets;
+import org.dunespindle.transport.HttpClientResponse;
+import org.dunespindle.transport.HttpServerRequest;
+import org.dunespindle.transport.NettyHttpClient;
+import org.dunespindle.transport.NettyHttpServer;
+import org.dunespindle.transport.HttpServerResponse;
+import org.dunespindle.transport.ConnectionBudget;
 
 /**
  * Three cells of three real controllers each on loopback, with real sockets between all parts. State services, clouds and workers are
@@ -60,19 +60,19 @@
     private static final String JSON = "application/json";
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final Sockets sockets = new Sockets(4000);
-    private final HttpCaller http;
-    private final Sim sim = new Sim(1);
+    private final ConnectionBudget sockets = new ConnectionBudget(4000);
+    private final NettyHttpClient http;
+    private final VirtualTime sim = new VirtualTime(1);
     private final long origin = System.nanoTime();
     final List<Cell> cells = new ArrayList<>();
-    final CellWatch watch;
+    final CellInvariantChecker watch;
     private final Starter starter;
     private final List<Waiting> waiting = new ArrayList<>();
 
     private record Waiting(BooleanSupplier condition, CompletableFuture<Void> met) {}
 
     /** One cell: its stand-ins and its controllers. */
-    final class Cell implements Surroundings.Outside {
+    final class Cell implements SimulatedEnvironment.Outside {
         final String name;
         SimulatedCluster standIns;
         final Running[] controllers = new Running[CONTROLLERS];
@@ -96,7 +96,7 @@
         }
 
         @Override
-        public String addressOf(WorkerStandIn worker) {
+        public String addressOf(FakeWorker worker) {
             return HOST + ":" + workerPorts.computeIfAbsent(worker.id(), id -> freePorts.remove(0));
         }
 
@@ -128,16 +128,16 @@
             }
         }
 
-        private HttpReply worker(int port, HttpCall call) {
-            for (WorkerStandIn worker : standIns.alive()) {
+        private HttpServerResponse worker(int port, HttpServerRequest call) {
+            for (FakeWorker worker : standIns.alive()) {
                 if (workerPorts.getOrDefault(worker.id(), -1) == port) {
                     return reply(
                             call.path().equals("/inspect")
-                                    ? new StateStandIn.Reply(200, worker.report())
+                                    ? new FakeStateStore.Reply(200, worker.report())
                                     : worker.commands(body(call)));
                 }
             }
-            return reply(new StateStandIn.Reply(404, MessagePackCodec.map()));
+            return reply(new FakeStateStore.Reply(404, MessagePackCodec.map()));
         }
 
         void start(int node) throws Exception {
@@ -210,18 +210,18 @@
 
         /** Changes one of the operators' settings. */
         void set(String option, double value) throws Exception {
-            HttpAnswer now = await(admin(0, "GET", "/v1/options", MessagePackCodec.map()));
+            HttpClientResponse now = await(admin(0, "GET", "/v1/options", MessagePackCodec.map()));
             ObjectNode change =
                     MessagePackCodec.map().put("stamp", json(now).path("stamp").asLong());
             change.putObject("values").put(option, value);
-            HttpAnswer set = await(admin(0, "PUT", "/v1/options", change));
+            HttpClientResponse set = await(admin(0, "PUT", "/v1/options", change));
             if (set.status() != 200) {
                 throw new IllegalStateException(option + " is not taken: " + json(set));
             }
         }
 
         /** Asks a controller's administration API. */
-        CompletableFuture<HttpAnswer> admin(int node, String method, String path, ObjectNode body) {
+        CompletableFuture<HttpClientResponse> admin(int node, String method, String path, ObjectNode body) {
             byte[] bytes = method.equals("GET")
                     ? new byte[0]
                     : body.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
@@ -250,16 +250,16 @@
 
     LoopbackCells(Starter starter, int... machines) throws Exception {
         this.starter = starter;
-        http = new HttpCaller(group.next(), 200, sockets);
+        http = new NettyHttpClient(group.next(), 200, sockets);
         var standIns = new ArrayList<SimulatedCluster>();
-        watch = new CellWatch(standIns);
-        var shared = Surroundings.none(sim);
+        watch = new CellInvariantChecker(standIns);
+        var shared = SimulatedEnvironment.none(sim);
         for (String name : SimulatedFederation.NAMES) {
             cells.add(new Cell(name));
         }
         for (int index = 0; index < cells.size(); index++) {
             Cell cell = cells.get(index);
-            var surroundings = new Surroundings(
+            var surroundings = new SimulatedEnvironment(
                     sim,
                     shared.jobs(),
                     shared.done(),
@@ -311,19 +311,19 @@
         }
     }
 
-    private int listen(int port, HttpListener.Handler handler) throws InterruptedException {
-        var channel = HttpListener.open(
+    private int listen(int port, NettyHttpServer.Handler handler) throws InterruptedException {
+        var channel = NettyHttpServer.open(
                 group,
                 new InetSocketAddress(HOST, port),
                 BODY_LIMIT,
                 handler,
-                status -> reply(new StateStandIn.Reply(status, MessagePackCodec.map())),
+                status -> reply(new FakeStateStore.Reply(status, MessagePackCodec.map())),
                 sockets);
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    private CompletableFuture<HttpAnswer> call(int port, String method, String path, byte[] body, String type) {
-        var result = new CompletableFuture<HttpAnswer>();
+    private CompletableFuture<HttpClientResponse> call(int port, String method, String path, byte[] body, String type) {
+        var result = new CompletableFuture<HttpClientResponse>();
         group.next()
                 .execute(() -> http.send(HOST + ":" + port, method, path, body, type, CALL_TIMEOUT)
                         .whenComplete((reply, failure) -> {
@@ -336,33 +336,33 @@
         return result;
     }
 
-    private static HttpReply reply(StateStandIn.Reply reply) {
-        return new HttpReply(
+    private static HttpServerResponse reply(FakeStateStore.Reply reply) {
+        return new HttpServerResponse(
                 reply.status(), MessagePackCodec.TYPE, MessagePackCodec.write(reply.body()), Optional.empty());
     }
 
-    private static String target(HttpCall call) {
+    private static String target(HttpServerRequest call) {
         return call.query() == null || call.query().isEmpty() ? call.path() : call.path() + "?" + call.query();
     }
 
-    private static JsonNode body(HttpCall call) {
+    private static JsonNode body(HttpServerRequest call) {
         try {
             return call.body().length == 0 ? MessagePackCodec.map() : MessagePackCodec.read(call.body());
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static JsonNode parsed(HttpAnswer answer) {
+    private static JsonNode parsed(HttpClientResponse answer) {
         try {
             return MessagePackCodec.read(answer.body());
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             return MessagePackCodec.map();
         }
     }
 
     /** A JSON answer of the administration API. */
-    static JsonNode json(HttpAnswer answer) throws IOException {
+    static JsonNode json(HttpClientResponse answer) throws IOException {
         return new ObjectMapper().readTree(answer.body());
     }
 
--- a/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -57,7 +57,7 @@
                     () -> cell.standIns.state.rows().containsKey("ds/federation"));
         }
         a.set("spill_after_s", 2);
-        Submission fill = FederationTest.job("fill-000001", "red", Shape.ARRAY, Priority.CRITICAL, 8);
+        Submission fill = FederationTest.job("fill-000001", "red", JobKind.ARRAY, Priority.CRITICAL, 8);
         cells.on(() -> {
             a.submit(fill);
             return null;
@@ -71,7 +71,7 @@
     private static List<String> submitBuilds(LoopbackCells cells, LoopbackCells.Cell a) throws Exception {
         var builds = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
-            Shape shape = i % 2 == 0 ? Shape.GANG : Shape.ARRAY;
+            JobKind shape = i % 2 == 0 ? JobKind.GANG : JobKind.ARRAY;
             Submission build = FederationTest.job("wk-%06d".formatted(i), "blue", shape, Priority.URGENT, 1 + i % 3);
             builds.add(build.id());
             cells.on(() -> {
