--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -12,7 +12,7 @@
 import org.dunespindle.api.UserApi;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,7 +26,7 @@
                 id,
                 "class",
                 team,
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 priority,
                 tasks,
                 new Resources(1, 1, 1),
@@ -57,7 +57,7 @@
         cluster.faultyJobs.addAll(faulty);
         cluster.sim.after(2000, () -> {
             faulty.subList(0, 2).forEach(id -> cluster.submit(array(id, "red", Priority.NORMAL, 8)));
-            cluster.submit(ClusterTest.job(faulty.get(2), "blue", Shape.GANG, 3, false, true));
+            cluster.submit(ClusterTest.job(faulty.get(2), "blue", JobKind.GANG, 3, false, true));
         });
         List<String> ids = ClusterTest.submitMix(cluster, 12);
         cluster.sim.run(Duration.ofSeconds(150));
@@ -89,7 +89,7 @@
         var cluster = new SimulatedCluster(seed);
         List<String> ids = ClusterTest.submitMix(cluster, 16);
         cluster.sim.run(Duration.ofSeconds(5));
-        WorkerStandIn sick = cluster.worker(0);
+        FakeWorker sick = cluster.worker(0);
         sick.sick(true);
         cluster.sim.run(Duration.ofSeconds(300));
         assertTrue(sick.dead(), "it is kept");
@@ -104,10 +104,10 @@
     @ValueSource(longs = {621, 622, 623, 624})
     void aControllerSilentForLongComesBackAsIfNothingHadBeen(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10);
-        cluster.submit(ClusterTest.job("wk-000101", "red", Shape.SERVICE, 6, false, false));
-        cluster.submit(ClusterTest.job("wk-000102", "blue", Shape.SERVICE, 4, false, false));
+        cluster.submit(ClusterTest.job("wk-000101", "red", JobKind.SERVICE, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000102", "blue", JobKind.SERVICE, 4, false, false));
         cluster.sim.run(Duration.ofSeconds(60));
-        List<WorkerStandIn> used =
+        List<FakeWorker> used =
                 cluster.alive().stream().filter(w -> w.held() > 0).toList();
         int leader = cluster.leader();
         int silent = seed % 2 == 0 ? leader : (leader + 1) % 3;
@@ -134,7 +134,7 @@
                 List.of(),
                 used.stream()
                         .filter(w -> w.session() > 1)
-                        .map(WorkerStandIn::id)
+                        .map(FakeWorker::id)
                         .toList(),
                 "leases that ran out");
         assertEquals(List.of(), cluster.broken);
@@ -171,7 +171,7 @@
                 "wk-000100",
                 "guest",
                 "green",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Priority.LOW,
                 120,
                 new Resources(1, 1, 1),
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import java.util.stream.LongStream;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
@@ -50,15 +50,15 @@
     @MethodSource("seeds")
     void oneControllerServesWhileTwoAreSilent(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10);
-        cluster.submit(ClusterTest.job("wk-000101", "red", Shape.SERVICE, 6, false, false));
-        cluster.submit(ClusterTest.job("wk-000102", "blue", Shape.SERVICE, 4, false, false));
+        cluster.submit(ClusterTest.job("wk-000101", "red", JobKind.SERVICE, 6, false, false));
+        cluster.submit(ClusterTest.job("wk-000102", "blue", JobKind.SERVICE, 4, false, false));
         cluster.sim.run(Duration.ofSeconds(60));
-        List<WorkerStandIn> used =
+        List<FakeWorker> used =
                 cluster.alive().stream().filter(w -> w.held() > 0).toList();
         int left = (int) (seed % 3);
         // A worker gives each silent controller 4 s and pauses 1 s before the next: only one that tries both first is
         // beyond its lease.
-        List<WorkerStandIn> inTime =
+        List<FakeWorker> inTime =
                 used.stream().filter(w -> w.reportsTo() != (left + 1) % 3).toList();
         pause(cluster, (left + 1) % 3, pauseOf(seed), A_MINUTE_AND_A_HALF);
         pause(cluster, (left + 2) % 3, pauseOf(seed / 2), A_MINUTE_AND_A_HALF);
@@ -77,7 +77,7 @@
                 List.of(),
                 inTime.stream()
                         .filter(w -> w.session() > 1)
-                        .map(WorkerStandIn::id)
+                        .map(FakeWorker::id)
                         .toList());
         // A machine that lost its tasks with its lease may be returned as idle, but none for a silence that was its
         // controllers'.
--- a/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
@@ -25,17 +25,17 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void whateverMeets(long seed) {
-        play(seed, FailureMix.StateService.UNLIMITED);
+        play(seed, RandomFaultSchedule.StateService.UNLIMITED);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
     void whateverMeetsWhileWritesAreScarce(long seed) {
-        play(seed, FailureMix.StateService.SCARCE_AND_SLOW);
+        play(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
     }
 
-    private static void play(long seed, FailureMix.StateService stateService) {
-        var mix = new FailureMix(seed, stateService);
+    private static void play(long seed, RandomFaultSchedule.StateService stateService) {
+        var mix = new RandomFaultSchedule(seed, stateService);
         mix.submitJobs(JOBS);
         mix.addAny(2 + (int) (seed % 5));
         assertEquals(List.of(), mix.play(), () -> seed + ": " + mix.story());
--- a/src/test/java/org/dunespindle/sim/FailureMix.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -7,11 +7,11 @@
 import java.util.Random;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 
 /** A day of a few troubles that meet, drawn from a seed: the same seed is the same day. */
-final class FailureMix {
+final class RandomFaultSchedule {
     /** All troubles are over by then, and nothing that was held back is left soon after. */
     static final Duration OVER = Duration.ofSeconds(130);
 
@@ -66,7 +66,7 @@
     private final List<String> ids = new ArrayList<>();
     private final List<String> story = new ArrayList<>();
 
-    FailureMix(long seed, StateService stateService) {
+    RandomFaultSchedule(long seed, StateService stateService) {
         // Some days a record for each machine, else most share one.
         ClusterShape shape = ClusterShape.of(7, seed % 4 == 1 ? 10 : 1);
         cluster = new SimulatedCluster(seed, stateService.of(shape));
@@ -103,7 +103,7 @@
                     id,
                     gang ? "gang" : "array",
                     i % 2 == 0 ? "red" : "blue",
-                    gang ? Shape.GANG : Shape.ARRAY,
+                    gang ? JobKind.GANG : JobKind.ARRAY,
                     gang ? Priority.URGENT : Priority.LOW,
                     tasks,
                     new Resources(1, 1, 1),
@@ -171,10 +171,10 @@
         cluster.sim.after(length, end);
     }
 
-    private List<WorkerStandIn> someMachines() {
-        var some = new ArrayList<WorkerStandIn>();
+    private List<FakeWorker> someMachines() {
+        var some = new ArrayList<FakeWorker>();
         for (int i = 0; i < 1 + random.nextInt(MACHINES_ASKED); i++) {
-            WorkerStandIn w = cluster.worker(random.nextInt(50));
+            FakeWorker w = cluster.worker(random.nextInt(50));
             if (w != null) {
                 some.add(w);
             }
@@ -252,7 +252,7 @@
                     until(millis(3000, 15_000), () -> w.holdReports(Duration.ZERO));
                 });
             case BLOCKED -> {
-                List<WorkerStandIn> some = someMachines();
+                List<FakeWorker> some = someMachines();
                 int node = random.nextInt(3);
                 some.forEach(w -> cluster.block(node, w));
                 until(millis(10_000, 60_000), () -> some.forEach(w -> cluster.unblock(node, w)));
--- a/src/test/java/org/dunespindle/sim/FederationMix.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -7,11 +7,11 @@
 import java.util.Optional;
 import java.util.Random;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 
 /** A day of three cells on which one is filled, its builds move, and troubles drawn from a seed meet. */
-final class FederationMix {
+final class RandomFederationFaults {
     private static final int FILLED_AT_LEAST_MILLIS = 50_000;
     private static final int FILLED_AT_MOST_MILLIS = 240_000;
     private static final Duration TROUBLES_FROM = Duration.ofSeconds(18);
@@ -43,7 +43,7 @@
     private final List<String> fills = new ArrayList<>();
     private final List<String> story = new ArrayList<>();
 
-    FederationMix(long seed, FailureMix.StateService stateService) {
+    RandomFederationFaults(long seed, RandomFaultSchedule.StateService stateService) {
         federation = new SimulatedFederation(seed, stateService, 2, 3, 3);
         random = new Random(seed * 37 + 11);
         // On some days room comes back while jobs are on their way.
@@ -78,7 +78,7 @@
     private void fill(int cell, int atMillis) {
         String id = "fill-%06d".formatted(fills.size());
         fills.add(id);
-        Submission fill = FederationTest.job(id, "red", Shape.ARRAY, Priority.CRITICAL, 8);
+        Submission fill = FederationTest.job(id, "red", JobKind.ARRAY, Priority.CRITICAL, 8);
         federation.sim.after(atMillis, () -> federation.cells.get(cell).submit(fill));
     }
 
@@ -86,7 +86,7 @@
         for (int i = 0; i < 8; i++) {
             String id = "wk-%06d".formatted(i);
             builds.add(id);
-            Shape shape = random.nextBoolean() ? Shape.GANG : Shape.ARRAY;
+            JobKind shape = random.nextBoolean() ? JobKind.GANG : JobKind.ARRAY;
             Priority priority = random.nextBoolean() ? Priority.URGENT : Priority.NORMAL;
             Submission build = FederationTest.job(id, "blue", shape, priority, 1 + random.nextInt(4));
             federation.sim.after(
--- a/src/test/java/org/dunespindle/sim/FederationMixTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
@@ -9,9 +9,9 @@
 
 /**
  * Troubles of all kinds between and within three cells, at moments drawn from seeds. More seeds than the usual few are played with
- * {@code mvn test -Dtest=FederationMixTest -Dcells.from=1000 -Dcells.count=500}.
+ * {@code mvn test -Dtest=RandomFederationFaultsTest -Dcells.from=1000 -Dcells.count=500}.
  */
-class FederationMixTest {
+class RandomFederationFaultsTest {
     static LongStream seeds() {
         long from = Long.getLong("cells.from", 0);
         return LongStream.range(from, from + Integer.getInteger("cells.count", 24));
@@ -20,17 +20,17 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void whateverMeets(long seed) {
-        play(seed, FailureMix.StateService.UNLIMITED);
+        play(seed, RandomFaultSchedule.StateService.UNLIMITED);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
     void whateverMeetsWhileWritesAreScarce(long seed) {
-        play(seed, FailureMix.StateService.SCARCE_AND_SLOW);
+        play(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
     }
 
-    private static void play(long seed, FailureMix.StateService stateService) {
-        var mix = new FederationMix(seed, stateService);
+    private static void play(long seed, RandomFaultSchedule.StateService stateService) {
+        var mix = new RandomFederationFaults(seed, stateService);
         mix.addAny(2 + (int) (seed % 4));
         assertEquals(List.of(), mix.play(), () -> seed + ": " + mix.story());
     }
--- a/src/test/java/org/dunespindle/sim/RateLimit.java
+++ b/src/test/java/org/dunespindle/sim/RateLimit.java
@@ -4,12 +4,12 @@
 
 /** A service's rate limit, with bursts of one second's worth. */
 final class RateLimit {
-    private final Sim sim;
+    private final VirtualTime sim;
     private final double perSecond;
     private double left;
     private Duration filledAt;
 
-    RateLimit(Sim sim, double perSecond) {
+    RateLimit(VirtualTime sim, double perSecond) {
         this.sim = sim;
         this.perSecond = perSecond;
         this.left = perSecond;
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -18,7 +18,7 @@
 import org.dunespindle.api.UserApi;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -64,7 +64,7 @@
     }
 
     private static Submission good(int number) {
-        return ClusterTest.job("wk-%06d".formatted(number), "red", Shape.ARRAY, 2, false, true);
+        return ClusterTest.job("wk-%06d".formatted(number), "red", JobKind.ARRAY, 2, false, true);
     }
 
     /** Every required field missing, null, of another type, negative, not finite or huge. */
@@ -107,7 +107,7 @@
         "blue, GANG, 7, 1, '', '', ''"
     })
     void whatCanNeverRunIsRefused(
-            String team, Shape shape, int tasks, double gpus, String type, String zone, String zoneRules) {
+            String team, JobKind shape, int tasks, double gpus, String type, String zone, String zoneRules) {
         SimulatedCluster cluster = ready();
         var job = new Submission(
                 "wk-000001",
@@ -139,7 +139,7 @@
         var cluster = new SimulatedCluster(502);
         cluster.cloudSilent = true;
         cluster.sim.run(Duration.ofSeconds(6));
-        for (Submission s : List.of(good(1), ClusterTest.job("wk-000002", "red", Shape.GANG, 50, false, true))) {
+        for (Submission s : List.of(good(1), ClusterTest.job("wk-000002", "red", JobKind.GANG, 50, false, true))) {
             var answer = submit(cluster, s.toNode());
             assertEquals(503, answer.status());
             assertTrue(answer.retryAfter().isPresent());
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,7 +26,7 @@
                 id,
                 "service",
                 "blue",
-                Shape.SERVICE,
+                JobKind.SERVICE,
                 Priority.CRITICAL,
                 replicas,
                 new Resources(1, 0, 1),
@@ -43,14 +43,14 @@
                 Optional.empty());
     }
 
-    private static List<WorkerStandIn.Task> replicas(SimulatedCluster cluster) {
+    private static List<FakeWorker.Task> replicas(SimulatedCluster cluster) {
         return cluster.rules.live().stream()
                 .filter(t -> t.task.job().equals(ID) && t.phase.equals("running"))
                 .toList();
     }
 
     private static Set<String> machines(SimulatedCluster cluster) {
-        return replicas(cluster).stream().map(WorkerStandIn.Task::host).collect(Collectors.toSet());
+        return replicas(cluster).stream().map(FakeWorker.Task::host).collect(Collectors.toSet());
     }
 
     /** Replicas run until they are stopped. */
@@ -100,7 +100,7 @@
     void oneThatNeedsMoreThanItsTeamMayUseIsRefused() {
         var cluster = new SimulatedCluster(902);
         cluster.sim.run(Duration.ofSeconds(5));
-        Submission large = ClusterTest.job(ID, "blue", Shape.SERVICE, SimulatedCluster.QUOTA_BLUE + 1, false, false);
+        Submission large = ClusterTest.job(ID, "blue", JobKind.SERVICE, SimulatedCluster.QUOTA_BLUE + 1, false, false);
         var answer = cluster.offerTo(0, large);
         cluster.sim.run(cluster.sim.now().plusSeconds(2));
         assertEquals(422, answer.join().status());
@@ -121,7 +121,7 @@
     @ValueSource(longs = {906, 907, 908})
     void replicasMoveAheadOfANotice(long seed) {
         SimulatedCluster cluster = running(seed, false, true);
-        WorkerStandIn noticed = cluster.workers.get(machines(cluster).iterator().next());
+        FakeWorker noticed = cluster.workers.get(machines(cluster).iterator().next());
         cluster.take(noticed, Duration.ofSeconds(20));
         cluster.sim.run(cluster.sim.now().plusSeconds(18));
         assertTrue(!noticed.dead && !machines(cluster).contains(noticed.id()), "still on the machine");
@@ -167,7 +167,7 @@
     @ValueSource(longs = {912, 913})
     void replicasLeaveFaultyMachines(long seed) {
         SimulatedCluster cluster = running(seed, false, false);
-        WorkerStandIn sick = cluster.workers.get(machines(cluster).iterator().next());
+        FakeWorker sick = cluster.workers.get(machines(cluster).iterator().next());
         sick.sick = true;
         sick.tasks().forEach(t -> t.exit("error"));
         cluster.changed();
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -16,19 +16,19 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.dunespindle.api.Admin;
+import org.dunespindle.api.AdminApi;
 import org.dunespindle.api.AdminResponse;
 import org.dunespindle.api.UserApi;
 import org.dunespindle.controller.Controller;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.protocol.TaskId;
-import org.dunespindle.protocol.WorkerReport;
+import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.storage.FormatVersion;
-import org.dunespindle.transport.CallFailure;
-import org.dunespindle.transport.Caller;
-import org.dunespindle.transport.HttpAnswer;
+import org.dunespindle.transport.HttpCallException;
+import org.dunespindle.transport.HttpClient;
+import org.dunespindle.transport.HttpClientResponse;
 
 /**
  * Three real controllers in virtual time with stand-ins for state service, cloud and workers, over a
@@ -48,19 +48,19 @@
     private static final Duration ANSWER_WITHIN = Duration.ofSeconds(4);
     static final Duration CANCEL = Duration.ofSeconds(30);
     static final List<String> ZONES = List.of("east", "west");
-    public final Sim sim;
-    public final StateStandIn state;
-    final ClusterRules rules = new ClusterRules(this);
+    public final VirtualTime sim;
+    public final FakeStateStore state;
+    final InvariantChecker rules = new InvariantChecker(this);
     final TaskRuns runs = new TaskRuns(this);
-    final CloudStandIn cloud = new CloudStandIn(this);
+    final FakeCloud cloud = new FakeCloud(this);
     final List<String> broken = new ArrayList<>();
     private final Controller[] nodes = new Controller[3];
-    final Sim.Process[] processes = new Sim.Process[3];
-    final Map<String, WorkerStandIn> workers = new TreeMap<>();
+    final VirtualTime.Process[] processes = new VirtualTime.Process[3];
+    final Map<String, FakeWorker> workers = new TreeMap<>();
     final Map<String, Submission> jobs;
     final Map<String, Set<Integer>> done;
     final Map<String, Duration> cancelled;
-    final Surroundings surroundings;
+    final SimulatedEnvironment surroundings;
     private final SimulatedUsers users = new SimulatedUsers(this);
     final Map<String, String> told = new HashMap<>();
     /** The one controller that the state service refuses, or -1. */
@@ -138,7 +138,7 @@
 
     /** A cluster of any shape on its own. */
     SimulatedCluster(long seed, ClusterShape shape) {
-        this(Surroundings.none(new Sim(seed)), shape);
+        this(SimulatedEnvironment.none(new VirtualTime(seed)), shape);
     }
 
     /** The same with controllers that begin with an older stored format. */
@@ -147,7 +147,7 @@
     }
 
     /** A cluster that shares time, and knowledge of jobs, with others. */
-    SimulatedCluster(Surroundings surroundings, ClusterShape shape) {
+    SimulatedCluster(SimulatedEnvironment surroundings, ClusterShape shape) {
         Arrays.fill(formats, shape.format());
         this.shape = shape;
         this.mostMachines = shape.mostMachines();
@@ -158,7 +158,7 @@
         completed = surroundings.completed();
         cancelled = surroundings.cancelled();
         sim = surroundings.sim();
-        state = new StateStandIn(sim);
+        state = new FakeStateStore(sim);
         shape.stateRates().ifPresent(rates -> {
             state.limitRates(rates.requests(), rates.writes());
             slowStateMillis = SLOW_STATE_MILLIS;
@@ -204,13 +204,13 @@
         for (int i = 0; i < count; i++) {
             String id = "i-%04d".formatted(nextMachine);
             nextMachine += nameStep;
-            workers.put(id, new WorkerStandIn(this, id, ZONES.get(i % ZONES.size()), false));
+            workers.put(id, new FakeWorker(this, id, ZONES.get(i % ZONES.size()), false));
         }
     }
 
     /** A machine of a given name that is up from the start. */
     void provide(String id, String zone, boolean spot) {
-        workers.put(id, new WorkerStandIn(this, id, zone, spot));
+        workers.put(id, new FakeWorker(this, id, zone, spot));
     }
 
     /** How much longer every message takes, and the state service's answers. */
@@ -245,13 +245,13 @@
     /** Most calls to machines that one controller had under way at once. */
     public int mostOpen;
 
-    private void count(int from, String address, String target, byte[] body, CompletableFuture<HttpAnswer> result) {
+    private void count(int from, String address, String target, byte[] body, CompletableFuture<HttpClientResponse> result) {
         String kind = address.substring(0, address.indexOf(':'));
         counts.merge(kind, 1, Integer::sum);
         if (target.equals("/txn")) {
             try {
                 counts.merge("writes", MessagePackCodec.read(body).path("apply").size(), Integer::sum);
-            } catch (MalformedException e) {
+            } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
         }
@@ -291,13 +291,13 @@
     }
 
     /** The controller that commands a machine, as stored, or -1. */
-    int owner(WorkerStandIn w) {
-        StateStandIn.Row page = state.rows().get("ds/page/" + w.id.substring(0, w.id.length() - 1));
+    int owner(FakeWorker w) {
+        FakeStateStore.Row page = state.rows().get("ds/page/" + w.id.substring(0, w.id.length() - 1));
         return page == null ? -1 : nodeIndex(page.value().path(w.id).path(4).asText());
     }
 
     /** Whether the controller that commands a machine, as stored, stands still. */
-    boolean ownerPauses(WorkerStandIn w) {
+    boolean ownerPauses(FakeWorker w) {
         int owner = owner(w);
         return owner >= 0 && processes[owner].frozen();
     }
@@ -305,12 +305,12 @@
     /** Machines returned to the cloud so far that were alive. */
     public int returned;
 
-    WorkerStandIn worker(int index) {
-        List<WorkerStandIn> all = workers.values().stream().filter(w -> !w.dead).toList();
+    FakeWorker worker(int index) {
+        List<FakeWorker> all = workers.values().stream().filter(w -> !w.dead).toList();
         return all.isEmpty() ? null : all.get(index % all.size());
     }
 
-    void die(WorkerStandIn w) {
+    void die(FakeWorker w) {
         w.dead = true;
     }
 
@@ -318,11 +318,11 @@
     public int saves;
 
     Duration saveTime(TaskId task) {
-        return jobs.get(task.job()).saveTime();
+        return jobs.get(task.job()).checkpointTime();
     }
 
     /** The cloud takes a machine away after a notice. */
-    void take(WorkerStandIn w, Duration notice) {
+    void take(FakeWorker w, Duration notice) {
         w.takenAt = sim.now().plus(notice);
         sim.after(notice, () -> {
             w.dead = true;
@@ -331,17 +331,17 @@
     }
 
     /** A machine without network for a while; it is told nothing and heard by nobody, and what was sent arrives late. */
-    void cut(WorkerStandIn w, Duration length) {
+    void cut(FakeWorker w, Duration length) {
         w.cut = true;
         sim.after(length, () -> w.cut = false);
     }
 
     /** From now on a controller and a machine cannot reach each other. */
-    void block(int node, WorkerStandIn w) {
+    void block(int node, FakeWorker w) {
         blocked.add(node + w.id);
     }
 
-    void unblock(int node, WorkerStandIn w) {
+    void unblock(int node, FakeWorker w) {
         blocked.remove(node + w.id);
     }
 
@@ -349,11 +349,11 @@
         return 2 + slowMillis + sim.random.nextInt(15) + (sim.random.nextInt(50) == 0 ? 300 : 0);
     }
 
-    private Caller caller(Sim.Process owner, int from) {
+    private HttpClient caller(VirtualTime.Process owner, int from) {
         return (address, method, target, body, type, timeout) -> {
-            var result = new CompletableFuture<HttpAnswer>();
+            var result = new CompletableFuture<HttpClientResponse>();
             count(from, address, target, body, result);
-            owner.after(timeout, () -> result.completeExceptionally(new CallFailure("no answer in time", true)));
+            owner.schedule(timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
             boolean twice = sim.random.nextDouble() < repeat && address.startsWith("worker");
             if (lateWrites > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWrites) {
                 met("late write");
@@ -384,14 +384,14 @@
     }
 
     private void deliver(
-            Sim.Process owner,
+            VirtualTime.Process owner,
             int from,
             String address,
             String method,
             String target,
             byte[] body,
-            CompletableFuture<HttpAnswer> result) {
-        WorkerStandIn w = address.startsWith("worker") ? workers.get("i-" + address.substring(7)) : null;
+            CompletableFuture<HttpClientResponse> result) {
+        FakeWorker w = address.startsWith("worker") ? workers.get("i-" + address.substring(7)) : null;
         if (apart(areas[from], w != null ? w.zone : address.startsWith("node") ? areas[address.charAt(5) - '0'] : "")) {
             if (w != null && !w.dead) {
                 sim.after(
@@ -424,10 +424,10 @@
             sim.after(30_000, () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
             return;
         }
-        StateStandIn.Reply reply;
+        FakeStateStore.Reply reply;
         try {
             reply = from == refusedNode && address.startsWith("state")
-                    ? new StateStandIn.Reply(503, MessagePackCodec.map())
+                    ? new FakeStateStore.Reply(503, MessagePackCodec.map())
                     : reply(
                             from,
                             address,
@@ -438,29 +438,29 @@
                                     : body.length == 0 ? MessagePackCodec.map() : MessagePackCodec.read(body),
                             body,
                             w);
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
         noteConflict(from, reply);
         if (reply == null || sim.random.nextDouble() < loss) {
             return; // executed, or not there; either way no answer comes
         }
-        byte[] bytes = address.startsWith("node") ? Admin.write(reply.body()) : MessagePackCodec.write(reply.body());
+        byte[] bytes = address.startsWith("node") ? AdminApi.write(reply.body()) : MessagePackCodec.write(reply.body());
         int slow = slowStateMillis > 0 && address.startsWith("state") ? sim.random.nextInt(slowStateMillis) : 0;
-        sim.after(delay() + slow, () -> owner.arrive(() -> result.complete(new HttpAnswer(reply.status(), bytes))));
+        sim.after(delay() + slow, () -> owner.arrive(() -> result.complete(new HttpClientResponse(reply.status(), bytes))));
     }
 
-    private void noteConflict(int from, StateStandIn.Reply reply) {
+    private void noteConflict(int from, FakeStateStore.Reply reply) {
         if (reply != null && reply.status() == CONFLICT) {
             reply.body().path("failed").forEach(key -> met("conflict of n" + from + " about " + key.asText()));
         }
     }
 
-    private StateStandIn.Reply reply(
-            int from, String address, String method, String target, JsonNode body, byte[] raw, WorkerStandIn w) {
+    private FakeStateStore.Reply reply(
+            int from, String address, String method, String target, JsonNode body, byte[] raw, FakeWorker w) {
         if (address.startsWith("state")) {
             return from == writesRefusedNode && target.equals("/txn")
-                    ? StateStandIn.tooMany()
+                    ? FakeStateStore.tooMany()
                     : state.answer(method, target, body);
         }
         if (address.startsWith("cloud")) {
@@ -475,14 +475,14 @@
                 processes[address.charAt(5) - '0'].arrive(() -> c.heard(raw)); // its asker has given up by then
                 return null;
             }
-            return new StateStandIn.Reply(200, c.heard(raw));
+            return new FakeStateStore.Reply(200, c.heard(raw));
         }
         return w == null || w.dead
                 ? null
-                : target.equals("/inspect") ? new StateStandIn.Reply(200, w.report()) : w.commands(body);
+                : target.equals("/inspect") ? new FakeStateStore.Reply(200, w.report()) : w.commands(body);
     }
 
-    void toNode(int node, WorkerStandIn from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
+    void toNode(int node, FakeWorker from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
         if (surroundings.outside().isPresent()) {
             surroundings.outside().get().report(node, report, answer);
             return;
@@ -508,7 +508,7 @@
             });
             return;
         }
-        Sim.Process target = processes[node];
+        VirtualTime.Process target = processes[node];
         Controller c = nodes[node];
         sim.after(delay(), () -> {
             if (from.cut
@@ -542,27 +542,27 @@
     private static void receive(Controller c, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
         try {
             c.heartbeatHandler()
-                    .report(WorkerReport.parse(MessagePackCodec.read(MessagePackCodec.write(report))), answer::accept);
-        } catch (MalformedException e) {
+                    .onHeartbeat(WorkerHeartbeat.parse(MessagePackCodec.read(MessagePackCodec.write(report))), answer::accept);
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** What a controller answers a worker's report at once, or 0. */
-    int answer(int node, WorkerStandIn w) {
+    int answer(int node, FakeWorker w) {
         var status = new int[1];
         receive(nodes[node], w.report(), (code, body) -> status[0] = code);
         return status[0];
     }
 
     /** All machines that live. */
-    List<WorkerStandIn> alive() {
+    List<FakeWorker> alive() {
         return workers.values().stream().filter(w -> !w.dead).toList();
     }
 
     /** The controller that leads as stored, or -1. */
     int leader() {
-        StateStandIn.Row r = state.rows().get("ds/leader");
+        FakeStateStore.Row r = state.rows().get("ds/leader");
         return r == null ? -1 : nodeIndex(r.value().path("node").asText());
     }
 
@@ -668,7 +668,7 @@
         ObjectNode change = MessagePackCodec.map().put("stamp", 0);
         ObjectNode list = change.putObject("values");
         values.forEach(list::put);
-        nodes[node].admin().handle("PUT", "/v1/options", Admin.write(change), answer -> {
+        nodes[node].admin().handle("PUT", "/v1/options", AdminApi.write(change), answer -> {
             if (answer.status() != 200) {
                 broken.add("options are not taken: " + answer.body());
             }
--- a/src/test/java/org/dunespindle/sim/Surroundings.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.BiConsumer;
-import org.dunespindle.api.ExchangeContext;
-import org.dunespindle.api.JobExchange;
+import org.dunespindle.api.DelegationContext;
+import org.dunespindle.api.JobDelegation;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.FormatSupport;
 import org.dunespindle.storage.FormatVersion;
@@ -23,8 +23,8 @@
  * @param watcher told of every task that starts or completes
  * @param outside how workers reach controllers that are processes of their own; empty if controllers are part of the simulation
  */
-record Surroundings(
-        Sim sim,
+record SimulatedEnvironment(
+        VirtualTime sim,
         Map<String, Submission> jobs,
         Map<String, Set<Integer>> done,
         Map<String, Duration> completed,
@@ -39,36 +39,36 @@
         void report(int node, ObjectNode report, BiConsumer<Integer, JsonNode> answer);
 
         /** Where controllers reach a worker. */
-        String addressOf(WorkerStandIn worker);
+        String addressOf(FakeWorker worker);
     }
 
     /** Links a controller to other cells. */
     interface Connector {
-        JobExchange connect(int node, Sim.Process process, ExchangeContext context);
+        JobDelegation connect(int node, VirtualTime.Process process, DelegationContext context);
     }
 
     /** Watches tasks of all clusters. */
     interface Watcher {
-        void started(SimulatedCluster cluster, WorkerStandIn.Task task);
+        void started(SimulatedCluster cluster, FakeWorker.Task task);
 
-        void finished(SimulatedCluster cluster, WorkerStandIn.Task task);
+        void finished(SimulatedCluster cluster, FakeWorker.Task task);
     }
 
     /** A cluster on its own. */
-    static Surroundings none(Sim sim) {
-        return new Surroundings(
+    static SimulatedEnvironment none(VirtualTime sim) {
+        return new SimulatedEnvironment(
                 sim,
                 new LinkedHashMap<>(),
                 new HashMap<>(),
                 new HashMap<>(),
                 new HashMap<>(),
-                (node, process, context) -> JobExchange.NONE,
+                (node, process, context) -> JobDelegation.NONE,
                 new Watcher() {
                     @Override
-                    public void started(SimulatedCluster cluster, WorkerStandIn.Task task) {}
+                    public void started(SimulatedCluster cluster, FakeWorker.Task task) {}
 
                     @Override
-                    public void finished(SimulatedCluster cluster, WorkerStandIn.Task task) {}
+                    public void finished(SimulatedCluster cluster, FakeWorker.Task task) {}
                 },
                 Optional.empty());
     }
--- a/src/test/java/org/dunespindle/sim/SimulatedFederation.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedFederation.java
@@ -11,16 +11,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
-import org.dunespindle.api.ExchangeContext;
-import org.dunespindle.api.JobExchange;
-import org.dunespindle.federation.CellCallFailure;
+import org.dunespindle.api.DelegationContext;
+import org.dunespindle.api.JobDelegation;
+import org.dunespindle.federation.CellCallException;
 import org.dunespindle.federation.CellMessageCodec;
 import org.dunespindle.federation.CellReply;
 import org.dunespindle.federation.CellRequest;
 import org.dunespindle.federation.CellTransport;
 import org.dunespindle.federation.Federation;
 import org.dunespindle.federation.FederationSettings;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.FormatVersion;
 
@@ -31,12 +31,12 @@
 final class SimulatedFederation {
     static final List<String> NAMES = List.of("a", "b", "c");
     private static final int CONTROLLERS = 3;
-    final Sim sim;
+    final VirtualTime sim;
     final List<SimulatedCluster> cells = new ArrayList<>();
     /** What must never happen, and did. */
     private final List<String> broken;
 
-    private final CellWatch watch;
+    private final CellInvariantChecker watch;
     /** Calls between cells by kind. */
     final Map<String, Integer> calls = new TreeMap<>();
 
@@ -73,23 +73,23 @@
     }
 
     SimulatedFederation(long seed, int... machines) {
-        this(seed, FailureMix.StateService.UNLIMITED, machines);
+        this(seed, RandomFaultSchedule.StateService.UNLIMITED, machines);
     }
 
     /** Cells whose state services all serve in one way. */
-    SimulatedFederation(long seed, FailureMix.StateService stateService, int... machines) {
-        sim = new Sim(seed);
+    SimulatedFederation(long seed, RandomFaultSchedule.StateService stateService, int... machines) {
+        sim = new VirtualTime(seed);
         network = new Random(seed ^ 0x5eedL);
         var jobs = new LinkedHashMap<String, Submission>();
         var done = new HashMap<String, Set<Integer>>();
         var completed = new HashMap<String, Duration>();
         var cancelled = new HashMap<String, Duration>();
-        var watch = new CellWatch(cells);
+        var watch = new CellInvariantChecker(cells);
         broken = watch.broken;
         this.watch = watch;
         for (int cell = 0; cell < NAMES.size(); cell++) {
             int index = cell;
-            var surroundings = new Surroundings(
+            var surroundings = new SimulatedEnvironment(
                     sim,
                     jobs,
                     done,
@@ -104,7 +104,7 @@
         sim.after(500, this::watch);
     }
 
-    private JobExchange connect(int cell, int node, Sim.Process process, ExchangeContext context) {
+    private JobDelegation connect(int cell, int node, VirtualTime.Process process, DelegationContext context) {
         var random = new Random(sim.random.nextLong());
         federations[cell][node] = new Federation(context, settings(cell), transport(cell, process), random);
         return federations[cell][node];
@@ -124,13 +124,13 @@
         return new FederationSettings(NAMES.get(self), 0, others);
     }
 
-    private CellTransport transport(int from, Sim.Process process) {
+    private CellTransport transport(int from, VirtualTime.Process process) {
         return (address, request, deadline) -> {
             var result = new CompletableFuture<CellReply>();
             calls.merge(request.getClass().getSimpleName(), 1, Integer::sum);
             int to = address.charAt(0) - '0';
             int node = address.charAt(2) - '0';
-            process.after(deadline, () -> result.completeExceptionally(new CellCallFailure("no answer in time")));
+            process.schedule(deadline, () -> result.completeExceptionally(new CellCallException("no answer in time")));
             byte[] body = CellMessageCodec.write(request);
             int copies = network.nextDouble() < repeated ? 2 : 1;
             for (int copy = 0; copy < copies; copy++) {
@@ -147,7 +147,7 @@
     }
 
     private void arrive(
-            int from, int to, int node, byte[] body, Sim.Process asker, CompletableFuture<CellReply> result) {
+            int from, int to, int node, byte[] body, VirtualTime.Process asker, CompletableFuture<CellReply> result) {
         SimulatedCluster target = cells.get(to);
         Duration until = heldUntil[from * NAMES.size() + to];
         if (until != null && sim.now().compareTo(until) < 0) {
@@ -165,7 +165,7 @@
         }
     }
 
-    private void answer(int from, int to, CellReply reply, Sim.Process asker, CompletableFuture<CellReply> result) {
+    private void answer(int from, int to, CellReply reply, VirtualTime.Process asker, CompletableFuture<CellReply> result) {
         CellReply sent = tamper.reply(to, reply);
         if (sent == null) {
             return;
@@ -181,7 +181,7 @@
     private static CellRequest read(byte[] body) {
         try {
             return CellMessageCodec.readRequest(body);
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -189,7 +189,7 @@
     private static CellReply readReply(byte[] body) {
         try {
             return CellMessageCodec.readReply(body);
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -220,7 +220,7 @@
 
     /** How often a job's own cell has given it away, as stored; 0 once it has ended. */
     int transfers(SimulatedCluster home, String job) {
-        StateStandIn.Row row = home.state.rows().get("ds/job/" + job);
+        FakeStateStore.Row row = home.state.rows().get("ds/job/" + job);
         return row == null ? 0 : row.value().path("away").path(3).asInt();
     }
 
--- a/src/test/java/org/dunespindle/sim/StoredAllocations.java
+++ b/src/test/java/org/dunespindle/sim/StoredAllocations.java
@@ -7,17 +7,17 @@
 import java.util.TreeMap;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
 
 /**
  * What is allocated to each team at every revision of the store: a limit broken there is a fault even where the tasks
  * never reach a machine, and so is a team's record whose bound is below the use that is stored when it is written.
  */
-final class StoredAllocations implements StateStandIn.Listener {
+final class StoredAllocations implements FakeStateStore.Listener {
     private static final double ROUNDING = 1e-6;
     private final SimulatedCluster cluster;
-    private Replica copy;
+    private StateReplica copy;
     /** What was the most of each team so far that was beyond its limit. */
     private final Map<String, Double> excess = new TreeMap<>();
 
@@ -26,19 +26,19 @@
         this.copy = empty();
     }
 
-    private Replica empty() {
-        return new Replica(null, cluster.sim.new Process(), Duration.ZERO, () -> {});
+    private StateReplica empty() {
+        return new StateReplica(null, cluster.sim.new Process(), Duration.ZERO, () -> {});
     }
 
     @Override
     public void applied(long revision, Map<String, Optional<JsonNode>> changes) {
-        var txn = new Txn();
+        var txn = new Transaction();
         boolean ofJobs = false;
         for (var change : changes.entrySet()) {
             change.getValue().ifPresentOrElse(v -> txn.write(change.getKey(), v), () -> txn.remove(change.getKey()));
             ofJobs |= change.getKey().startsWith(Keys.JOB) || change.getKey().startsWith(Keys.PART);
         }
-        copy.adopt(txn, revision);
+        copy.applyCommitted(txn, revision);
         if (ofJobs) {
             checkLimits(revision);
         }
@@ -50,9 +50,9 @@
     }
 
     @Override
-    public void putBack(Map<String, StateStandIn.Row> rows) {
+    public void putBack(Map<String, FakeStateStore.Row> rows) {
         copy = empty();
-        rows.forEach((key, row) -> copy.adopt(new Txn().write(key, row.value()), row.stamp()));
+        rows.forEach((key, row) -> copy.applyCommitted(new Transaction().write(key, row.value()), row.stamp()));
     }
 
     private void checkBound(String team, JsonNode ledger, long revision) {
@@ -78,10 +78,10 @@
 
     private Map<String, Double> gpus() {
         var sums = new TreeMap<String, Double>();
-        for (JobRecord job : copy.livingJobs()) {
+        for (JobRecord job : copy.activeJobs()) {
             sums.merge(
-                    job.job().team(),
-                    job.job().perTask().gpus() * job.allocations().size(),
+                    job.submission().team(),
+                    job.submission().perTask().gpus() * job.allocations().size(),
                     Double::sum);
         }
         return sums;
--- a/src/test/java/org/dunespindle/sim/TaskRuns.java
+++ b/src/test/java/org/dunespindle/sim/TaskRuns.java
@@ -15,28 +15,28 @@
 
     /** Whether a task belongs to a gang. */
     boolean isGang(TaskId task) {
-        return cluster.jobs.get(task.job()).gang();
+        return cluster.jobs.get(task.job()).isGang();
     }
 
-    private List<WorkerStandIn.Task> members(WorkerStandIn.Task one) {
+    private List<FakeWorker.Task> members(FakeWorker.Task one) {
         return cluster.rules.live().stream()
                 .filter(t -> t.task.job().equals(one.task.job()) && t.attempt == one.attempt)
                 .toList();
     }
 
-    boolean gangComplete(WorkerStandIn.Task one) {
+    boolean gangComplete(FakeWorker.Task one) {
         return members(one).stream().map(t -> t.task.index()).distinct().count()
                 == cluster.jobs.get(one.task.job()).tasks();
     }
 
-    boolean gangIntact(WorkerStandIn.Task one) {
+    boolean gangIntact(FakeWorker.Task one) {
         return gangComplete(one)
                 && members(one).stream()
                         .noneMatch(t -> cluster.workers.containsKey(t.host())
                                 && cluster.workers.get(t.host()).hangNoticed());
     }
 
-    void startGang(WorkerStandIn.Task one) {
+    void startGang(FakeWorker.Task one) {
         Duration end = cluster.sim.now().plusSeconds(cluster.saveTime(one.task).isZero() ? 5 : 25);
         members(one).forEach(t -> {
             t.phase = "running";
@@ -44,8 +44,8 @@
         });
     }
 
-    void finished(WorkerStandIn.Task one) {
-        List<WorkerStandIn.Task> all = isGang(one.task) ? members(one) : List.of(one);
+    void finished(FakeWorker.Task one) {
+        List<FakeWorker.Task> all = isGang(one.task) ? members(one) : List.of(one);
         if (all.stream()
                 .anyMatch(t -> cluster.workers.containsKey(t.host())
                         && cluster.workers.get(t.host()).hung())) {
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -11,17 +11,17 @@
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
 import org.dunespindle.control.Membership;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.FormatVersion;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
-import org.dunespindle.storage.Replica;
-import org.dunespindle.storage.Txn;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.Transaction;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -63,10 +63,10 @@
 
     /** Says which controller machines and jobs belong to while all three live; that follows from their names alone. */
     private static Membership threeControllers() {
-        var clock = new Sim(0).new Process();
-        var replica = new Replica(null, clock, Duration.ZERO, () -> {});
+        var clock = new VirtualTime(0).new Process();
+        var replica = new StateReplica(null, clock, Duration.ZERO, () -> {});
         for (int node = 0; node < 3; node++) {
-            replica.adopt(new Txn().write(Keys.member("n" + node), MessagePackCodec.map()), node + 1);
+            replica.applyCommitted(new Transaction().write(Keys.member("n" + node), MessagePackCodec.map()), node + 1);
         }
         return new Membership("n0", FormatVersion.WITHOUT_FEATURES, null, replica, clock);
     }
@@ -97,7 +97,7 @@
                 id,
                 "array",
                 "red",
-                Shape.ARRAY,
+                JobKind.ARRAY,
                 Priority.LOW,
                 tasks,
                 new Resources(1, 1, 1),
@@ -115,12 +115,12 @@
     }
 
     private static int allocated(SimulatedCluster cluster, String job) {
-        StateStandIn.Row row = cluster.state.rows().get(Keys.job(job));
+        FakeStateStore.Row row = cluster.state.rows().get(Keys.job(job));
         try {
             return row == null
                     ? 0
                     : JobRecord.parse(job, row.value()).allocations().size();
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 
 /**
@@ -97,7 +97,7 @@
                 id,
                 gang ? "gang" : "array",
                 random.nextInt(3) > 0 ? "red" : "blue",
-                gang ? Shape.GANG : Shape.ARRAY,
+                gang ? JobKind.GANG : JobKind.ARRAY,
                 random.nextBoolean() ? Priority.LOW : Priority.NORMAL,
                 gang ? 2 + random.nextInt(5) : drawTasks(),
                 new Resources(1, 1, 1),
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import java.util.stream.LongStream;
 import org.dunespindle.protocol.MessagePackCodec;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.storage.FormatVersion;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -89,7 +89,7 @@
         var cluster = older(seed);
         cluster.lateWrites = seed % 2 == 0 ? 0.02 : 0;
         List<String> ids = ClusterTest.submitMix(cluster, 14);
-        cluster.submit(ClusterTest.job("wk-000900", "blue", Shape.SERVICE, 3, false, false));
+        cluster.submit(ClusterTest.job("wk-000900", "blue", JobKind.SERVICE, 3, false, false));
         var order = new ArrayList<>(List.of(0, 1, 2));
         java.util.Collections.shuffle(order, random);
         int early = order.get(2);
@@ -108,7 +108,7 @@
         // Work that certainly comes after the upgrade.
         ids.add("wk-000950");
         cluster.sim.after(
-                62_000, () -> cluster.submit(ClusterTest.job("wk-000950", "red", Shape.ARRAY, 9, false, true)));
+                62_000, () -> cluster.submit(ClusterTest.job("wk-000950", "red", JobKind.ARRAY, 9, false, true)));
         for (int second = 1; second <= 150; second++) {
             cluster.sim.run(Duration.ofSeconds(second));
             if (partsStored(cluster)) {
--- a/src/test/java/org/dunespindle/sim/Sim.java
+++ b/src/test/java/org/dunespindle/sim/VirtualTime.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Random;
-import org.dunespindle.time.Timeline;
+import org.dunespindle.time.TimeSource;
 
 /** Virtual time: events in order, nothing waits for real. */
-public final class Sim {
+public final class VirtualTime {
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
     private Duration now = Duration.ZERO;
     private long sequence;
@@ -25,7 +25,7 @@
     }
 
     /** Creates a simulation whose random choices follow from the seed. */
-    public Sim(long seed) {
+    public VirtualTime(long seed) {
         this.random = new Random(seed);
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** A process's timers: they die with it. */
-    public final class Process implements Timeline {
+    public final class Process implements TimeSource {
         private boolean dead;
         private Duration frozenUntil = Duration.ZERO;
         /** How much its steady clock has lost by being suspended. */
@@ -88,7 +88,7 @@
          */
         public void suspend(Duration length) {
             freeze(length);
-            Sim.this.after(length, () -> behind = behind.plus(length));
+            VirtualTime.this.after(length, () -> behind = behind.plus(length));
         }
 
         /** Whether it stands still. */
@@ -102,7 +102,7 @@
                 return;
             }
             if (frozen()) {
-                Sim.this.after(frozenUntil.minus(now), () -> arrive(work));
+                VirtualTime.this.after(frozenUntil.minus(now), () -> arrive(work));
             } else {
                 work.run();
             }
@@ -113,9 +113,9 @@
                 return;
             }
             if (frozen()) {
-                Sim.this.after(frozenUntil.minus(now).plusMillis(1), () -> fire(due, work));
+                VirtualTime.this.after(frozenUntil.minus(now).plusMillis(1), () -> fire(due, work));
             } else if (now().compareTo(due) < 0) {
-                Sim.this.after(due.minus(now()), () -> fire(due, work));
+                VirtualTime.this.after(due.minus(now()), () -> fire(due, work));
             } else {
                 work.run();
             }
@@ -132,9 +132,9 @@
         }
 
         @Override
-        public void after(Duration delay, Runnable work) {
+        public void schedule(Duration delay, Runnable work) {
             Duration due = now().plus(delay);
-            Sim.this.after(delay, () -> fire(due, work));
+            VirtualTime.this.after(delay, () -> fire(due, work));
         }
     }
 }
--- a/src/test/java/org/dunespindle/storage/CellTieTest.java
+++ b/src/test/java/org/dunespindle/storage/CellTieTest.java
@@ -14,10 +14,10 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
@@ -31,7 +31,7 @@
                         "wk-000001",
                         "class",
                         "red",
-                        Shape.ARRAY,
+                        JobKind.ARRAY,
                         Priority.LOW,
                         tasks,
                         new Resources(1, 1, 1),
@@ -49,20 +49,20 @@
                 NOW);
     }
 
-    private static CellTie tie(Random random) {
+    private static DelegationLink tie(Random random) {
         if (random.nextBoolean()) {
-            return new Visit("cell-" + random.nextInt(9), random.nextLong() >>> 1, random.nextBoolean());
+            return new InboundDelegation("cell-" + random.nextInt(9), random.nextLong() >>> 1, random.nextBoolean());
         }
-        Delegation.Phase phase = Delegation.Phase.values()[random.nextInt(4)];
+        OutboundDelegation.Phase phase = OutboundDelegation.Phase.values()[random.nextInt(4)];
         Optional<Instant> again =
                 random.nextBoolean() ? Optional.empty() : Optional.of(Instant.ofEpochMilli(random.nextLong() >>> 20));
-        return new Delegation("b", random.nextLong() >>> 1, phase, random.nextInt(20), again);
+        return new OutboundDelegation("b", random.nextLong() >>> 1, phase, random.nextInt(20), again);
     }
 
     @Property(seed = "51", tries = 300)
-    void tiesSurviveInWholeAndInCutRecords(@ForAll long seed) throws MalformedException {
+    void tiesSurviveInWholeAndInCutRecords(@ForAll long seed) throws MalformedMessageException {
         var random = new Random(seed);
-        JobRecord tied = job(1 + random.nextInt(50)).tied(tie(random));
+        JobRecord tied = job(1 + random.nextInt(50)).withDelegationLink(tie(random));
         assertEquals(tied, JobRecord.parse(tied.id(), tied.toNode()));
         JobRecordCodec.Cut cut = JobRecordCodec.cut(tied, 500);
         assertEquals(tied, JobRecordCodec.parse(tied.id(), cut.main(), cut.parts()));
@@ -74,7 +74,7 @@
         assertFalse(stored.has("away") || stored.has("visit"));
         JsonNode before = new ObjectMapper()
                 .readTree("{\"at\":1700000000123,\"end\":\"DONE\",\"next\":3}"); // as the version before stored it
-        assertEquals(Optional.empty(), JobRecord.parse("wk-000001", before).tie());
+        assertEquals(Optional.empty(), JobRecord.parse("wk-000001", before).delegationLink());
         assertEquals(
                 before.toString(), JobRecord.parse("wk-000001", before).toNode().toString());
     }
@@ -87,36 +87,36 @@
             "{\"at\":1,\"end\":\"DONE\",\"away\":7}"
         }) {
             JsonNode node = new ObjectMapper().readTree(bad);
-            assertThrows(MalformedException.class, () -> JobRecord.parse("wk-000001", node), bad);
+            assertThrows(MalformedMessageException.class, () -> JobRecord.parse("wk-000001", node), bad);
         }
     }
 
     @Test
     void nothingOfAJobThatIsAwayIsPlaced() {
-        Delegation offered = Delegation.offer(Optional.empty(), "b", 1);
-        for (Delegation delegation : new Delegation[] {offered, offered.accepted(), offered.recalled()}) {
-            JobRecord away = job(3).tied(delegation);
+        OutboundDelegation offered = OutboundDelegation.offer(Optional.empty(), "b", 1);
+        for (OutboundDelegation delegation : new OutboundDelegation[] {offered, offered.accepted(), offered.recalled()}) {
+            JobRecord away = job(3).withDelegationLink(delegation);
             assertEquals(0, away.unplacedCount());
             assertTrue(away.unplaced(9).isEmpty());
         }
-        JobRecord home = job(3).tied(offered.returned(NOW));
+        JobRecord home = job(3).withDelegationLink(offered.returned(NOW));
         assertEquals(3, home.unplacedCount());
         assertEquals(3, home.unplaced(9).size());
     }
 
     @Test
     void endsForgetTheDelegationAndKeepTheVisit() {
-        JobRecord away = job(3).tied(Delegation.offer(Optional.empty(), "b", 1));
-        assertEquals(Optional.empty(), away.doneElsewhere().tie());
+        JobRecord away = job(3).withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 1));
+        assertEquals(Optional.empty(), away.doneElsewhere().delegationLink());
         assertEquals(3, away.doneElsewhere().doneCount());
-        assertEquals(Optional.empty(), away.cancelled().tie());
-        Visit visit = Visit.of("a", 7);
-        JobRecord visitor = JobRecord.visiting(job(1).job(), NOW, visit);
-        JobRecord done = visitor.placed(Map.of(0, "i-1")).released(0, true);
-        assertEquals(JobRecord.End.DONE, done.end());
-        assertEquals(Optional.of(visit), done.visit());
-        assertEquals(Optional.of(visit), visitor.cancelled().visit());
-        assertTrue(visitor.withdrawn().visit().orElseThrow().withdrawn());
-        assertFalse(visitor.placed(Map.of(0, "i-1")).released(0, false).untouched());
+        assertEquals(Optional.empty(), away.cancelled().delegationLink());
+        InboundDelegation visit = InboundDelegation.of("a", 7);
+        JobRecord visitor = JobRecord.acceptedFromOrigin(job(1).submission(), NOW, visit);
+        JobRecord done = visitor.withPlaced(Map.of(0, "i-1")).withReleased(0, true);
+        assertEquals(JobRecord.Outcome.DONE, done.outcome());
+        assertEquals(Optional.of(visit), done.inboundDelegation());
+        assertEquals(Optional.of(visit), visitor.cancelled().inboundDelegation());
+        assertTrue(visitor.withdrawn().inboundDelegation().orElseThrow().withdrawn());
+        assertFalse(visitor.withPlaced(Map.of(0, "i-1")).withReleased(0, false).neverPlaced());
     }
 }
--- a/src/test/java/org/dunespindle/storage/JobRecordCutTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordCutTest.java
@@ -18,11 +18,11 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
@@ -41,7 +41,7 @@
                 "wk-000001",
                 "class \uD83D\uDE00 " + "c".repeat(random.nextInt(100)),
                 "t",
-                random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY,
+                random.nextInt(3) == 0 ? JobKind.GANG : JobKind.ARRAY,
                 Priority.LOW,
                 100_000,
                 new Resources(1, 1, 1),
@@ -70,16 +70,16 @@
             for (int task : job.unplaced(1 + random.nextInt(60))) {
                 places.put(task, prefix + "%06d".formatted(random.nextInt(3) + step + i++ / perMachine));
             }
-            job = job.placed(places);
+            job = job.withPlaced(places);
             var ended = new TreeMap<Integer, Boolean>();
             for (Allocation allocation : job.allocations()) {
                 if (random.nextInt(4) == 0) {
                     ended.put(allocation.task(), random.nextBoolean());
                 }
             }
-            job = job.job().gang() ? job : job.released(ended);
+            job = job.submission().isGang() ? job : job.withReleased(ended);
             if (!job.allocations().isEmpty() && random.nextInt(5) == 0) {
-                job = job.stopTask(job.allocations().get(0).task());
+                job = job.withTaskStopping(job.allocations().get(0).task());
             }
             if (MessagePackCodec.countedSize(job.toNode()) > bytes) {
                 return fitting;
@@ -89,12 +89,12 @@
         return fitting;
     }
 
-    private static JobRecord readBack(JobRecordCodec.Cut cut) throws MalformedException {
+    private static JobRecord readBack(JobRecordCodec.Cut cut) throws MalformedMessageException {
         return JobRecordCodec.parse("wk-000001", cut.main(), cut.parts());
     }
 
     @Property(seed = "91", tries = 200)
-    void whateverWasStoredInOneValueFitsIntoOneTransactionOfSmallOnes(@ForAll long seed) throws MalformedException {
+    void whateverWasStoredInOneValueFitsIntoOneTransactionOfSmallOnes(@ForAll long seed) throws MalformedMessageException {
         JobRecord job = upTo(VALUE_BEFORE, new Random(seed));
         JobRecordCodec.Cut cut = JobRecordCodec.cut(job, VALUE);
         assertTrue(1 + cut.parts().size() <= CHANGES, cut.parts().size() + " parts");
@@ -123,15 +123,15 @@
         JobRecord job = upTo(VALUE_BEFORE, new Random(3));
         JobRecordCodec.Cut cut = JobRecordCodec.cut(job, VALUE);
         var fewer = cut.parts().subList(0, cut.parts().size() - 1);
-        assertThrows(MalformedException.class, () -> JobRecordCodec.parse("wk-000001", cut.main(), fewer));
+        assertThrows(MalformedMessageException.class, () -> JobRecordCodec.parse("wk-000001", cut.main(), fewer));
         var torn = new ArrayList<>(cut.parts());
         torn.set(0, "|" + torn.get(0).substring(1) + ":");
-        assertThrows(MalformedException.class, () -> JobRecordCodec.parse("wk-000001", cut.main(), torn));
+        assertThrows(MalformedMessageException.class, () -> JobRecordCodec.parse("wk-000001", cut.main(), torn));
     }
 
     /** Values that the version before stored, of each kind and mode: they are read, and written again as the very same bytes. */
     @Test
-    void whatTheVersionBeforeStoredIsWrittenTheSame() throws IOException, MalformedException {
+    void whatTheVersionBeforeStoredIsWrittenTheSame() throws IOException, MalformedMessageException {
         int jobs = 0;
         int pages = 0;
         for (String line : recorded()) {
--- a/src/test/java/org/dunespindle/storage/JobRecordTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordTest.java
@@ -16,17 +16,17 @@
 import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
 /** Job records under generated commands of placement, release and failure. */
 class JobRecordTest {
-    private static JobRecord job(Shape shape, int tasks) {
+    private static JobRecord job(JobKind shape, int tasks) {
         return JobRecord.accepted(
                 new Submission(
                         "wk-000001",
@@ -51,13 +51,13 @@
     }
 
     @Property(seed = "11", tries = 150)
-    void everyArrayTaskEndsDoneExactlyOnce(@ForAll long seed) throws MalformedException {
+    void everyArrayTaskEndsDoneExactlyOnce(@ForAll long seed) throws MalformedMessageException {
         var random = new Random(seed);
         int tasks = 1 + random.nextInt(40);
-        JobRecord j = job(Shape.ARRAY, tasks);
+        JobRecord j = job(JobKind.ARRAY, tasks);
         Set<Integer> done = new HashSet<>();
         var attempts = new HashMap<Integer, Set<Long>>();
-        for (int step = 0; step < 5000 && j.open(); step++) {
+        for (int step = 0; step < 5000 && j.isOpen(); step++) {
             if (random.nextBoolean() && j.unplacedCount() > 0) {
                 var places = new LinkedHashMap<Integer, String>();
                 for (int t : j.unplaced(1 + random.nextInt(5))) {
@@ -66,13 +66,13 @@
                     }
                 }
                 if (!places.isEmpty()) {
-                    j = j.placed(places);
+                    j = j.withPlaced(places);
                 }
                 for (Allocation c : j.allocations()) {
                     if (places.containsKey(c.task())) {
                         assertTrue(
                                 attempts.computeIfAbsent(c.task(), t -> new HashSet<>())
-                                        .add(c.base()),
+                                        .add(c.attemptBase()),
                                 "an attempt was used twice");
                     }
                 }
@@ -83,90 +83,90 @@
                 if (good) {
                     assertTrue(done.add(c.task()), "done twice");
                 }
-                j = j.released(c.task(), good);
+                j = j.withReleased(c.task(), good);
             }
             j = JobRecord.parse(j.id(), MessagePackCodec.read(MessagePackCodec.write(j.toNode())));
             assertEquals(done.size(), j.doneCount());
         }
-        assertEquals(JobRecord.End.DONE, j.end());
+        assertEquals(JobRecord.Outcome.DONE, j.outcome());
         assertEquals(tasks, done.size());
         assertTrue(j.spec().isEmpty(), "a finished job keeps only its end");
     }
 
     @Test
     void tasksPassedOverAreNotCountedAsDone() {
-        JobRecord j = job(Shape.ARRAY, 5).placed(new java.util.TreeMap<>(java.util.Map.of(3, "h")));
+        JobRecord j = job(JobKind.ARRAY, 5).withPlaced(new java.util.TreeMap<>(java.util.Map.of(3, "h")));
         assertEquals(0, j.doneCount());
         assertEquals(List.of(0, 1, 2, 4), new IntArrayList(new IntRBTreeSet(j.unplaced(10))));
     }
 
     @Test
     void placeholdersOfAGangNeverShareAnAttempt() {
-        JobRecord j = job(Shape.GANG, 3).placed(new java.util.TreeMap<>(java.util.Map.of(0, "a", 1, "b", 2, "c")));
+        JobRecord j = job(JobKind.GANG, 3).withPlaced(new java.util.TreeMap<>(java.util.Map.of(0, "a", 1, "b", 2, "c")));
         var attempts = new HashSet<Long>();
-        j.allocations().forEach(c -> attempts.add(c.base() + c.task()));
+        j.allocations().forEach(c -> attempts.add(c.attemptBase() + c.task()));
         assertEquals(3, attempts.size());
-        JobRecord again = j.rebooked(1);
+        JobRecord again = j.withPlaceholderReplaced(1);
         assertEquals(
                 List.of("a", "b", "c"),
-                again.allocations().stream().map(Allocation::host).toList());
-        long before = j.wantedAttempt(j.allocation(1).orElseThrow());
-        long after = again.wantedAttempt(again.allocation(1).orElseThrow());
+                again.allocations().stream().map(Allocation::machineId).toList());
+        long before = j.expectedAttempt(j.allocation(1).orElseThrow());
+        long after = again.expectedAttempt(again.allocation(1).orElseThrow());
         assertTrue(after > before && !attempts.contains(after));
-        JobRecord real = again.real();
+        JobRecord real = again.withGangRunning();
         assertEquals(
                 1,
-                real.allocations().stream().map(real::wantedAttempt).distinct().count());
-        assertTrue(real.attempt() > after, "the common attempt is new");
+                real.allocations().stream().map(real::expectedAttempt).distinct().count());
+        assertTrue(real.gangAttempt() > after, "the common attempt is new");
     }
 
     @Test
     void aServiceNeverCompletesByItself() {
-        JobRecord j = job(Shape.SERVICE, 1)
-                .placed(new java.util.TreeMap<>(java.util.Map.of(0, "h")))
-                .released(0, true);
-        assertTrue(j.open());
+        JobRecord j = job(JobKind.SERVICE, 1)
+                .withPlaced(new java.util.TreeMap<>(java.util.Map.of(0, "h")))
+                .withReleased(0, true);
+        assertTrue(j.isOpen());
         assertEquals(1, j.unplacedCount());
     }
 
     @Test
     void aCancelledJobKeepsItsClaimsUntilTheyAreReleased() {
-        JobRecord j = job(Shape.ARRAY, 2)
-                .placed(new java.util.TreeMap<>(java.util.Map.of(0, "h", 1, "h")))
+        JobRecord j = job(JobKind.ARRAY, 2)
+                .withPlaced(new java.util.TreeMap<>(java.util.Map.of(0, "h", 1, "h")))
                 .cancelled();
         assertEquals(2, j.allocations().size());
         assertEquals(0, j.unplacedCount());
-        j = j.released(0, false).released(1, true);
-        assertEquals(JobRecord.End.CANCELLED, j.end());
+        j = j.withReleased(0, false).withReleased(1, true);
+        assertEquals(JobRecord.Outcome.CANCELLED, j.outcome());
         assertTrue(j.spec().isEmpty());
     }
 
     @Test
     void recordsOfHugeArraysStaySmall() {
-        JobRecord j = job(Shape.ARRAY, Submission.MOST_TASKS);
+        JobRecord j = job(JobKind.ARRAY, Submission.MAX_TASKS);
         var places = new LinkedHashMap<Integer, String>();
         for (int i = 0; i < 250; i++) {
             places.put(i, "i-%06d".formatted(i % 30));
         }
-        assertTrue(MessagePackCodec.countedSize(j.placed(places).toNode()) < 8 << 10);
+        assertTrue(MessagePackCodec.countedSize(j.withPlaced(places).toNode()) < 8 << 10);
     }
 
     /** A gang as large as a team's limit: 800 accelerators on 400 machines, booked as room came and half of it being stopped. */
     @Property(seed = "13", tries = 30)
-    void recordsOfTheLargestGangsFitOneValue(@ForAll long seed) throws MalformedException {
+    void recordsOfTheLargestGangsFitOneValue(@ForAll long seed) throws MalformedMessageException {
         var random = new Random(seed);
         int tasks = 800;
-        JobRecord j = job(Shape.GANG, tasks);
+        JobRecord j = job(JobKind.GANG, tasks);
         int next = 0;
         while (next < tasks) {
             var places = new LinkedHashMap<Integer, String>();
             for (int most = Math.min(tasks, next + 2 + 2 * random.nextInt(100)); next < most; next++) {
                 places.put(next, "i-%06d".formatted(200 + next / 2));
             }
-            j = j.placed(places);
+            j = j.withPlaced(places);
         }
         for (int t = 0; t < tasks; t += 2) {
-            j = random.nextBoolean() && t < 100 ? j.stopTask(t) : j;
+            j = random.nextBoolean() && t < 100 ? j.withTaskStopping(t) : j;
         }
         assertTrue(
                 MessagePackCodec.countedSize(j.toNode()) < 8 << 10,
@@ -181,7 +181,7 @@
     @Property(seed = "14", tries = 12)
     void recordsStayWritableInAnyOrderOfEvents(@ForAll long seed) {
         var random = new Random(seed);
-        JobRecord j = job(Shape.ARRAY, Submission.MOST_TASKS);
+        JobRecord j = job(JobKind.ARRAY, Submission.MAX_TASKS);
         int written = 0;
         for (int step = 0; step < 300; step++) {
             JobRecord after = j;
@@ -190,7 +190,7 @@
                 for (int t : j.unplaced(1 + random.nextInt(6))) {
                     places.put(t, "i-%06d".formatted(random.nextInt(1300)));
                 }
-                after = j.placed(places);
+                after = j.withPlaced(places);
                 if (MessagePackCodec.countedSize(after.toNode()) > (8 << 10) * 0.7) {
                     after = j; // as placing does
                 } else {
@@ -199,7 +199,7 @@
             } else if (!j.allocations().isEmpty()) {
                 Allocation c =
                         j.allocations().get(random.nextInt(j.allocations().size()));
-                after = random.nextInt(3) == 0 ? j.stopTask(c.task()) : j.released(c.task(), random.nextBoolean());
+                after = random.nextInt(3) == 0 ? j.withTaskStopping(c.task()) : j.withReleased(c.task(), random.nextBoolean());
             }
             j = after;
             assertTrue(
@@ -217,6 +217,6 @@
             set.add(random.nextInt(100));
         }
         var sorted = new IntArrayList(set);
-        assertEquals(sorted, TaskSet.parse(TaskSet.format(sorted)));
+        assertEquals(sorted, TaskIndexSet.parse(TaskIndexSet.format(sorted)));
     }
 }
--- a/src/test/java/org/dunespindle/storage/ReplicaTest.java
+++ b/src/test/java/org/dunespindle/storage/ReplicaTest.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.dunespindle.TestSettings;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.sim.Sim;
-import org.dunespindle.transport.AnswerTooLong;
-import org.dunespindle.transport.CallFailure;
-import org.dunespindle.transport.Caller;
-import org.dunespindle.transport.HttpAnswer;
+import org.dunespindle.sim.VirtualTime;
+import org.dunespindle.transport.ResponseTooLongException;
+import org.dunespindle.transport.HttpCallException;
+import org.dunespindle.transport.HttpClient;
+import org.dunespindle.transport.HttpClientResponse;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -34,7 +34,7 @@
         REFUSED
     }
 
-    private final Sim sim = new Sim(1);
+    private final VirtualTime sim = new VirtualTime(1);
     private final List<String> asked = new ArrayList<>();
     private long epoch = 100;
     /** Logs that reach back before this cannot be had. */
@@ -44,45 +44,45 @@
     private int failPages;
     private boolean out;
 
-    private Replica replica() throws MalformedException {
+    private StateReplica replica() throws MalformedMessageException {
         var process = sim.new Process();
-        Caller http = (address, method, target, body, type, timeout) -> {
-            var result = new CompletableFuture<HttpAnswer>();
+        HttpClient http = (address, method, target, body, type, timeout) -> {
+            var result = new CompletableFuture<HttpClientResponse>();
             asked.add(target);
             sim.after(20, () -> answer(target, result));
-            sim.after(timeout, () -> result.completeExceptionally(new CallFailure("no answer in time", true)));
+            sim.after(timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
             return result;
         };
-        var state = new StateClient(
+        var state = new StateStoreClient(
                 http,
                 Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", "")),
                 process);
-        var replica = new Replica(state, process, Duration.ofMillis(300), () -> {});
+        var replica = new StateReplica(state, process, Duration.ofMillis(300), () -> {});
         replica.start();
         return replica;
     }
 
-    private void answer(String target, CompletableFuture<HttpAnswer> result) {
+    private void answer(String target, CompletableFuture<HttpClientResponse> result) {
         if (out) {
-            result.complete(new HttpAnswer(503, MessagePackCodec.write(MessagePackCodec.map())));
+            result.complete(new HttpClientResponse(503, MessagePackCodec.write(MessagePackCodec.map())));
         } else if (target.startsWith("/watch")) {
             long since = Long.parseLong(target.replaceAll(".*since=(\\d+).*", "$1"));
             if (since >= logFrom) {
                 ObjectNode n = MessagePackCodec.map().put("epoch", epoch);
                 n.putArray("log");
-                result.complete(new HttpAnswer(200, MessagePackCodec.write(n)));
+                result.complete(new HttpClientResponse(200, MessagePackCodec.write(n)));
                 return;
             }
             switch (trouble) {
-                case TOO_LONG -> result.completeExceptionally(new AnswerTooLong());
+                case TOO_LONG -> result.completeExceptionally(new ResponseTooLongException());
                 case NEVER_ARRIVES -> {}
-                case UNREADABLE -> result.complete(new HttpAnswer(200, new byte[] {(byte) 0xc1}));
-                case TOO_OLD -> result.complete(new HttpAnswer(410, MessagePackCodec.write(MessagePackCodec.map())));
-                default -> result.complete(new HttpAnswer(503, MessagePackCodec.write(MessagePackCodec.map())));
+                case UNREADABLE -> result.complete(new HttpClientResponse(200, new byte[] {(byte) 0xc1}));
+                case TOO_OLD -> result.complete(new HttpClientResponse(410, MessagePackCodec.write(MessagePackCodec.map())));
+                default -> result.complete(new HttpClientResponse(503, MessagePackCodec.write(MessagePackCodec.map())));
             }
         } else if (failPages > 0) {
             failPages--;
-            result.complete(new HttpAnswer(503, MessagePackCodec.write(MessagePackCodec.map())));
+            result.complete(new HttpClientResponse(503, MessagePackCodec.write(MessagePackCodec.map())));
         } else {
             String since = target.contains("since=") ? target.replaceAll(".*since=([^&]+).*", "$1") : "";
             ObjectNode n = MessagePackCodec.map().put("epoch", epoch);
@@ -95,27 +95,27 @@
                         .set("v", MessagePackCodec.map().put("at", epoch));
             }
             epoch++; // others go on writing while pages are read
-            result.complete(new HttpAnswer(200, MessagePackCodec.write(n.put("more", from + PER_PAGE < ROWS))));
+            result.complete(new HttpClientResponse(200, MessagePackCodec.write(n.put("more", from + PER_PAGE < ROWS))));
         }
     }
 
     @ParameterizedTest
     @EnumSource(value = Trouble.class, names = "REFUSED", mode = EnumSource.Mode.EXCLUDE)
-    void aLogThatCannotBeTakenInIsReplacedByPages(Trouble kind) throws MalformedException {
-        Replica replica = replica();
+    void aLogThatCannotBeTakenInIsReplacedByPages(Trouble kind) throws MalformedMessageException {
+        StateReplica replica = replica();
         sim.run(Duration.ofSeconds(3));
         assertTrue(replica.loaded());
         trouble = kind;
         epoch = 50_000;
         logFrom = 49_000;
         sim.run(Duration.ofSeconds(20));
-        assertTrue(replica.age().compareTo(Duration.ofSeconds(1)) < 0, "its view is " + replica.age());
+        assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0, "its view is " + replica.staleness());
         assertTrue(replica.value("ds/x/039").orElseThrow().path("at").asLong() >= 50_000, "the copy is the old one");
     }
 
     @Test
-    void pagesThatFailAreAskedForAgainFromWhereItStopped() throws MalformedException {
-        Replica replica = replica();
+    void pagesThatFailAreAskedForAgainFromWhereItStopped() throws MalformedMessageException {
+        StateReplica replica = replica();
         sim.run(Duration.ofSeconds(3));
         epoch = 50_000;
         logFrom = 49_000;
@@ -123,7 +123,7 @@
         asked.clear();
         failPages = 6;
         sim.run(Duration.ofSeconds(12));
-        assertTrue(replica.age().compareTo(Duration.ofSeconds(1)) < 0, "its view is " + replica.age());
+        assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0, "its view is " + replica.staleness());
         long first = asked.stream()
                 .filter(t -> t.startsWith("/keys") && !t.contains("since="))
                 .count();
@@ -132,8 +132,8 @@
     }
 
     @Test
-    void anOutageKeepsTheCopyAndTheLogIsEnoughAfterwards() throws MalformedException {
-        Replica replica = replica();
+    void anOutageKeepsTheCopyAndTheLogIsEnoughAfterwards() throws MalformedMessageException {
+        StateReplica replica = replica();
         sim.run(Duration.ofSeconds(3));
         out = true;
         sim.run(Duration.ofSeconds(20));
@@ -141,7 +141,7 @@
         out = false;
         asked.clear();
         sim.run(Duration.ofSeconds(24));
-        assertTrue(replica.age().compareTo(Duration.ofSeconds(1)) < 0);
+        assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0);
         assertTrue(
                 asked.stream().noneMatch(t -> t.startsWith("/keys")), "everything was read again after a mere outage");
     }
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -13,13 +13,13 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.dunespindle.protocol.MalformedException;
+import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Shape;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
-import org.dunespindle.sim.Sim;
+import org.dunespindle.sim.VirtualTime;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -35,7 +35,7 @@
              "samePlace":true,"apart":false,"driftwood":true,"bundle":"image:7","imageGb":2.5,
              "guessS":300.0,"snapshotS":30.0,"flushS":2.0,"dueS":3600.0}""";
 
-    private static Submission description(Shape shape) {
+    private static Submission description(JobKind shape) {
         return new Submission(
                 ID,
                 "train",
@@ -57,12 +57,12 @@
                 Optional.of(Duration.ofHours(1)));
     }
 
-    private static JobRecord open(Shape shape, JobRecord.Mode mode, List<Allocation> allocations) {
+    private static JobRecord open(JobKind shape, JobRecord.GangPhase mode, List<Allocation> allocations) {
         return new JobRecord(
                 ID,
                 Optional.of(description(shape)),
                 ARRIVED,
-                JobRecord.End.OPEN,
+                JobRecord.Outcome.OPEN,
                 21,
                 7,
                 List.of(0, 1, 2, 5),
@@ -75,7 +75,7 @@
                 Optional.empty());
     }
 
-    private static JobRecord finished(JobRecord.End end, int next, Optional<CellTie> tie) {
+    private static JobRecord finished(JobRecord.Outcome end, int next, Optional<DelegationLink> tie) {
         return new JobRecord(
                 ID,
                 Optional.empty(),
@@ -85,7 +85,7 @@
                 next,
                 List.of(),
                 List.of(),
-                JobRecord.Mode.IDLE,
+                JobRecord.GangPhase.QUEUED,
                 0,
                 0,
                 0,
@@ -101,17 +101,17 @@
         }
     }
 
-    private static void assertStored(String text, JobRecord record) throws MalformedException {
+    private static void assertStored(String text, JobRecord record) throws MalformedMessageException {
         assertEquals(json(text).toString(), record.toNode().toString());
         assertEquals(record, JobRecord.parse(ID, json(text)));
     }
 
     /** A copy that has read some keys, as another controller wrote them. */
-    private static Replica copyOf(Map<String, String> stored) {
-        var replica = new Replica(null, new Sim(1).new Process(), Duration.ofSeconds(1), () -> {});
-        var txn = new Txn();
+    private static StateReplica copyOf(Map<String, String> stored) {
+        var replica = new StateReplica(null, new VirtualTime(1).new Process(), Duration.ofSeconds(1), () -> {});
+        var txn = new Transaction();
         stored.forEach((key, text) -> txn.write(key, json(text)));
-        replica.adopt(txn, 5);
+        replica.applyCommitted(txn, 5);
         return replica;
     }
 
@@ -120,7 +120,7 @@
         assertEquals("ds/", Keys.ROOT);
         assertEquals("ds/job/wk-000412", Keys.job(ID));
         assertEquals("ds/part/wk-000412/3", Keys.part(ID, 3));
-        assertEquals("ds/page/i-002", Keys.host("i-0023"));
+        assertEquals("ds/page/i-002", Keys.machinePage("i-0023"));
         assertEquals("ds/team/red", Keys.team("red"));
         assertEquals("ds/member/n0", Keys.member("n0"));
         assertEquals("ds/incarnation/", Keys.INCARNATION);
@@ -132,8 +132,8 @@
     }
 
     @Test
-    void acceptedJobs() throws MalformedException {
-        for (Shape shape : Shape.values()) {
+    void acceptedJobs() throws MalformedMessageException {
+        for (JobKind shape : JobKind.values()) {
             String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted(shape.wire())
                     + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
                     + "\"again\":\"\",\"claims\":[]}";
@@ -142,41 +142,41 @@
     }
 
     @Test
-    void placedJobsInEveryMode() throws MalformedException {
+    void placedJobsInEveryMode() throws MalformedMessageException {
         var allocations = List.of(
                 new Allocation(3, "i-0023", 17, false),
                 new Allocation(4, "i-0023", 17, false),
                 new Allocation(6, "i-0031", 17, false),
                 new Allocation(7, "i-0024", 18, true));
         var modes = Map.of(
-                JobRecord.Mode.IDLE, "IDLE",
-                JobRecord.Mode.HOLD, "HOLD",
-                JobRecord.Mode.REAL, "REAL",
-                JobRecord.Mode.STOP, "STOP");
-        assertEquals(Set.of(JobRecord.Mode.values()), modes.keySet());
-        for (Map.Entry<JobRecord.Mode, String> mode : modes.entrySet()) {
+                JobRecord.GangPhase.QUEUED, "IDLE",
+                JobRecord.GangPhase.PLACEHOLDERS, "HOLD",
+                JobRecord.GangPhase.RUNNING, "REAL",
+                JobRecord.GangPhase.STOPPING, "STOP");
+        assertEquals(Set.of(JobRecord.GangPhase.values()), modes.keySet());
+        for (Map.Entry<JobRecord.GangPhase, String> mode : modes.entrySet()) {
             String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted("group")
                     + ",\"gen\":21,\"next\":7,\"mode\":\"" + mode.getValue()
                     + "\",\"try\":17,\"order\":1700000000456,\"fails\":3,\"wait\":1700000009000,"
                     + "\"again\":\"0-2,5\",\"claims\":[[17,false,{\"i-002\":{\"3\":\"3-4\"},\"i-003\":{\"1\":\"6\"}}],"
                     + "[18,true,{\"i-002\":{\"4\":\"7\"}}]]}";
-            assertStored(text, open(Shape.GANG, mode.getKey(), allocations));
+            assertStored(text, open(JobKind.GANG, mode.getKey(), allocations));
         }
     }
 
     @Test
-    void endedJobsInEveryWay() throws MalformedException {
-        var ends = Map.of(JobRecord.End.OPEN, "OPEN", JobRecord.End.DONE, "DONE", JobRecord.End.CANCELLED, "CANCELLED");
-        assertEquals(Set.of(JobRecord.End.values()), ends.keySet());
-        for (Map.Entry<JobRecord.End, String> end : ends.entrySet()) {
+    void endedJobsInEveryWay() throws MalformedMessageException {
+        var ends = Map.of(JobRecord.Outcome.OPEN, "OPEN", JobRecord.Outcome.DONE, "DONE", JobRecord.Outcome.CANCELLED, "CANCELLED");
+        assertEquals(Set.of(JobRecord.Outcome.values()), ends.keySet());
+        for (Map.Entry<JobRecord.Outcome, String> end : ends.entrySet()) {
             String text = "{\"at\":1700000000123,\"end\":\"" + end.getValue() + "\",\"next\":9}";
             assertStored(text, finished(end.getKey(), 9, Optional.empty()));
         }
     }
 
     @Test
-    void aCancelledJobThatStillRuns() throws MalformedException {
-        JobRecord running = open(Shape.ARRAY, JobRecord.Mode.IDLE, List.of(new Allocation(6, "i-0023", 17, false)));
+    void aCancelledJobThatStillRuns() throws MalformedMessageException {
+        JobRecord running = open(JobKind.ARRAY, JobRecord.GangPhase.QUEUED, List.of(new Allocation(6, "i-0023", 17, false)));
         String text = "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"job\":" + DESCRIPTION.formatted("array")
                 + ",\"gen\":21,\"next\":7,\"mode\":\"IDLE\",\"try\":17,\"order\":1700000000456,\"fails\":3,"
                 + "\"wait\":1700000009000,\"again\":\"\",\"claims\":[[17,false,{\"i-002\":{\"3\":\"6\"}}]]}";
@@ -184,48 +184,48 @@
     }
 
     @Test
-    void delegationsInEveryPhase() throws MalformedException {
+    void delegationsInEveryPhase() throws MalformedMessageException {
         var phases = Map.of(
-                Delegation.Phase.HOME, "HOME",
-                Delegation.Phase.OFFERED, "OFFERED",
-                Delegation.Phase.ACCEPTED, "ACCEPTED",
-                Delegation.Phase.RECALLED, "RECALLED");
-        assertEquals(Set.of(Delegation.Phase.values()), phases.keySet());
-        for (Map.Entry<Delegation.Phase, String> phase : phases.entrySet()) {
+                OutboundDelegation.Phase.HOME, "HOME",
+                OutboundDelegation.Phase.OFFERED, "OFFERED",
+                OutboundDelegation.Phase.ACCEPTED, "ACCEPTED",
+                OutboundDelegation.Phase.RECALLED, "RECALLED");
+        assertEquals(Set.of(OutboundDelegation.Phase.values()), phases.keySet());
+        for (Map.Entry<OutboundDelegation.Phase, String> phase : phases.entrySet()) {
             String head = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted("array")
                     + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
                     + "\"away\":[\"b\",12,\"" + phase.getValue() + "\",2";
-            JobRecord job = JobRecord.accepted(description(Shape.ARRAY), ARRIVED);
+            JobRecord job = JobRecord.accepted(description(JobKind.ARRAY), ARRIVED);
             assertStored(
                     head + "],\"again\":\"\",\"claims\":[]}",
-                    job.tied(new Delegation("b", 12, phase.getKey(), 2, Optional.empty())));
+                    job.withDelegationLink(new OutboundDelegation("b", 12, phase.getKey(), 2, Optional.empty())));
             var notBefore = Optional.of(Instant.ofEpochMilli(1_700_000_030_000L));
             assertStored(
                     head + ",1700000030000],\"again\":\"\",\"claims\":[]}",
-                    job.tied(new Delegation("b", 12, phase.getKey(), 2, notBefore)));
+                    job.withDelegationLink(new OutboundDelegation("b", 12, phase.getKey(), 2, notBefore)));
         }
     }
 
     @Test
-    void jobsOfOtherCells() throws MalformedException {
+    void jobsOfOtherCells() throws MalformedMessageException {
         assertStored(
                 "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted("daemon")
                         + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
                         + "\"visit\":[\"a\",12,false],\"again\":\"\",\"claims\":[]}",
-                JobRecord.visiting(description(Shape.SERVICE), ARRIVED, Visit.of("a", 12)));
+                JobRecord.acceptedFromOrigin(description(JobKind.SERVICE), ARRIVED, InboundDelegation.of("a", 12)));
         assertStored(
                 "{\"at\":1700000000123,\"end\":\"DONE\",\"visit\":[\"a\",12,false],\"next\":9}",
-                finished(JobRecord.End.DONE, 9, Optional.of(Visit.of("a", 12))));
+                finished(JobRecord.Outcome.DONE, 9, Optional.of(InboundDelegation.of("a", 12))));
     }
 
     @Test
-    void tombstonesOfTransfersThatNeverCame() throws MalformedException {
+    void tombstonesOfTransfersThatNeverCame() throws MalformedMessageException {
         assertStored(
                 "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"visit\":[\"a\",12,false],\"next\":0}",
-                JobRecord.tombstone(ID, ARRIVED, Visit.of("a", 12), true));
+                JobRecord.tombstone(ID, ARRIVED, InboundDelegation.of("a", 12), true));
         assertStored(
                 "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"visit\":[\"a\",12,true],\"next\":0}",
-                JobRecord.tombstone(ID, ARRIVED, Visit.of("a", 12), false));
+                JobRecord.tombstone(ID, ARRIVED, InboundDelegation.of("a", 12), false));
     }
 
     /** Values are MessagePack there; this one stands for all. */
@@ -234,7 +234,7 @@
         assertEquals(
                 "83a26174cf0000018bcfe5687ba3656e64a4444f4e45a46e65787409",
                 HexFormat.of()
-                        .formatHex(MessagePackCodec.write(finished(JobRecord.End.DONE, 9, Optional.empty())
+                        .formatHex(MessagePackCodec.write(finished(JobRecord.Outcome.DONE, 9, Optional.empty())
                                 .toNode())));
     }
 
@@ -261,7 +261,7 @@
                 new Allocation(6, "i-0031", 17, false),
                 new Allocation(7, "i-0024", 18, true));
         assertCut(
-                open(Shape.GANG, JobRecord.Mode.STOP, allocations),
+                open(JobKind.GANG, JobRecord.GangPhase.STOPPING, allocations),
                 "{\"at\":1700000000123,\"end\":\"OPEN\",\"gen\":21,\"next\":7,\"mode\":\"STOP\",\"try\":17,\"order\":1700000000"
                         + "456,\"fails\":3,\"wait\":1700000009000,\"length\":363,\"parts\":2,\"text\":\"{\\\"id\\\":\\\"wk-000412\\\",\\"
                         + "\"jobclass\\\":\\\"train\\\",\\\"owner\\\":\\\"red\\\",\\\"shape\\\":\\\"group\\\",\\\"rank\\\":\\\"urgent\\\""
@@ -275,8 +275,8 @@
 
     @Test
     void recordsCutIntoPartsWithNamesOfMachinesThatNeedQuotes() {
-        JobRecord job = open(Shape.ARRAY, JobRecord.Mode.IDLE, List.of(new Allocation(6, "rack:1/a", 17, false)))
-                .tied(new Delegation("b", 12, Delegation.Phase.HOME, 2, Optional.empty()));
+        JobRecord job = open(JobKind.ARRAY, JobRecord.GangPhase.QUEUED, List.of(new Allocation(6, "rack:1/a", 17, false)))
+                .withDelegationLink(new OutboundDelegation("b", 12, OutboundDelegation.Phase.HOME, 2, Optional.empty()));
         assertCut(
                 job,
                 "{\"at\":1700000000123,\"end\":\"OPEN\",\"gen\":21,\"next\":7,\"mode\":\"IDLE\",\"try\":17,\"order\":1700000000"
@@ -313,8 +313,8 @@
                 {"i-0023":["10.0.0.7:7000","gpu-8","east",false,"n0",4,11,1700000000000,1700000040000,false,""],
                  "i-0024":["","gpu-4","west",true,"n1",5,12,1700000000123,0,true,"it is idle"],
                  "i-0025":["","gpu-4","west",true,"n1",5,12,1700000000123,0,true,"an operator drains it"]}""";
-        Replica replica = copyOf(Map.of("ds/page/i-002", page));
-        assertEquals(Map.of("i-0023", ordinary, "i-0024", idle, "i-0025", drained), replica.hosts());
+        StateReplica replica = copyOf(Map.of("ds/page/i-002", page));
+        assertEquals(Map.of("i-0023", ordinary, "i-0024", idle, "i-0025", drained), replica.machines());
         JsonNode written = replica.rewrite("ds/page/i-002", Map.of())
                 .changes()
                 .get("ds/page/i-002")
@@ -340,7 +340,7 @@
 
     @Test
     void controllersAreKnownByTheirKeys() {
-        Replica replica = copyOf(Map.of("ds/member/n1", "{\"inc\":3,\"version\":2}"));
+        StateReplica replica = copyOf(Map.of("ds/member/n1", "{\"inc\":3,\"version\":2}"));
         assertEquals(Set.of("n1"), replica.members().keySet());
     }
 }
--- a/src/test/java/org/dunespindle/transport/HttpCallerTest.java
+++ b/src/test/java/org/dunespindle/transport/NettyHttpClientTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Limits of what is taken in and kept open, over real sockets. */
-class HttpCallerTest {
+class NettyHttpClientTest {
     private static final Duration PATIENCE = Duration.ofSeconds(20);
     private static final NioEventLoopGroup GROUP = new NioEventLoopGroup(1);
     private static final AtomicInteger ASKED = new AtomicInteger();
@@ -28,22 +28,22 @@
 
     @BeforeAll
     static void start() throws Exception {
-        server = HttpListener.open(
+        server = NettyHttpServer.open(
                 GROUP,
                 new InetSocketAddress("127.0.0.1", 0),
                 1 << 16,
                 (call, answer) -> {
                     ASKED.incrementAndGet();
                     int length = Integer.parseInt(call.path().substring(1));
-                    answer.accept(new HttpReply(
+                    answer.accept(new HttpServerResponse(
                             200,
                             "text/plain",
                             new byte[length],
                             Optional.empty(),
                             call.query().equals("last")));
                 },
-                status -> new HttpReply(status, "text/plain", new byte[0], Optional.empty()),
-                new Sockets(100));
+                status -> new HttpServerResponse(status, "text/plain", new byte[0], Optional.empty()),
+                new ConnectionBudget(100));
         address = "127.0.0.1:" + ((InetSocketAddress) server.localAddress()).getPort();
     }
 
@@ -53,7 +53,7 @@
         GROUP.shutdownGracefully();
     }
 
-    private static HttpAnswer get(HttpCaller http, int length) throws Exception {
+    private static HttpClientResponse get(NettyHttpClient http, int length) throws Exception {
         return GROUP.next()
                 .submit(() -> http.send(address, "GET", "/" + length, new byte[0], "text/plain", PATIENCE))
                 .get()
@@ -62,17 +62,17 @@
 
     @Test
     void anAnswerThatIsTooLongIsToldApartAndTheNextOneIsRead() throws Exception {
-        var http = new HttpCaller(GROUP.next(), 4, new Sockets(100));
+        var http = new NettyHttpClient(GROUP.next(), 4, new ConnectionBudget(100));
         assertEquals(1 << 20, get(http, 1 << 20).body().length);
         var failure = assertThrows(ExecutionException.class, () -> get(http, 5 << 20));
-        assertInstanceOf(AnswerTooLong.class, failure.getCause());
+        assertInstanceOf(ResponseTooLongException.class, failure.getCause());
         assertEquals(5, get(http, 5).body().length);
     }
 
     /** A process that stood still finds connects that completed meanwhile before its timers: what it meant to send is out of date. */
     @Test
     void aConnectThatCompletesAfterItsTimeSendsNothing() throws Exception {
-        var http = new HttpCaller(GROUP.next(), 4, new Sockets(100));
+        var http = new NettyHttpClient(GROUP.next(), 4, new ConnectionBudget(100));
         int before = ASKED.get();
         var call = GROUP.next()
                 .submit(() -> {
@@ -82,15 +82,15 @@
                 })
                 .get();
         var failure = assertThrows(ExecutionException.class, call::get);
-        assertEquals(false, ((CallFailure) failure.getCause()).sent());
+        assertEquals(false, ((HttpCallException) failure.getCause()).sent());
         assertEquals(3, get(http, 3).body().length);
         assertEquals(before + 1, ASKED.get());
     }
 
     @Test
     void whileSocketsAreScarceNoneIsKeptIdle() throws Exception {
-        var sockets = new Sockets(60);
-        var http = new HttpCaller(GROUP.next(), 4, sockets);
+        var sockets = new ConnectionBudget(60);
+        var http = new NettyHttpClient(GROUP.next(), 4, sockets);
         get(http, 1);
         assertEquals(false, sockets.scarce());
         for (int i = 0; i < 40; i++) {
