--- a/src/main/java/org/dunespindle/AdminCommands.java
+++ b/src/main/java/org/dunespindle/AdminCommands.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import org.dunespindle.api.AdminApi;
 import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.transport.ConnectionBudget;
 import org.dunespindle.transport.HttpClientResponse;
 import org.dunespindle.transport.NettyHttpClient;
-import org.dunespindle.transport.ConnectionBudget;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Model.OptionSpec;
 import picocli.CommandLine.Model.PositionalParamSpec;
@@ -151,13 +151,13 @@
         return print(call(http, at, "PUT", "/v1/options", AdminApi.write(change)));
     }
 
-    private static int print(HttpClientResponse answer) throws IOException {
-        JsonNode body = JSON.readTree(answer.body());
-        if (answer.status() == 200) {
+    private static int print(HttpClientResponse response) throws IOException {
+        JsonNode body = JSON.readTree(response.body());
+        if (response.status() == 200) {
             System.out.println(JSON.writerWithDefaultPrettyPrinter().writeValueAsString(body));
             return 0;
         }
-        System.err.println("dunespindle: refused (" + answer.status() + "): "
+        System.err.println("dunespindle: refused (" + response.status() + "): "
                 + body.path("error").asText("no reason given"));
         for (String count : List.of("jobsThere", "itsJobsHere")) {
             if (body.has(count)) {
--- a/src/main/java/org/dunespindle/ClassArchiveTraining.java
+++ b/src/main/java/org/dunespindle/ClassArchiveTraining.java
@@ -10,16 +10,16 @@
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.SampleMessages;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.JobKind;
+import org.dunespindle.transport.ConnectionBudget;
 import org.dunespindle.transport.HttpServerRequest;
+import org.dunespindle.transport.HttpServerResponse;
 import org.dunespindle.transport.NettyHttpClient;
 import org.dunespindle.transport.NettyHttpServer;
-import org.dunespindle.transport.HttpServerResponse;
-import org.dunespindle.transport.ConnectionBudget;
 
 /**
  * A short life on loopback, so that the build can archive the classes that a real start loads: starting a
@@ -84,14 +84,14 @@
 
     private void play() throws IOException, MalformedMessageException, InterruptedException {
         var group = new NioEventLoopGroup(1);
-        var sockets = new ConnectionBudget(SOCKETS);
-        Channel outside = listen(group, sockets);
+        var connections = new ConnectionBudget(SOCKETS);
+        Channel outside = listen(group, connections);
         String there = HOST + ":" + port(outside);
         String text = SETTINGS.formatted(HOST, HOST, there, there, there);
         Path settings = Files.writeString(Files.createTempFile("class-archive-training", ".toml"), text);
         try (Daemon daemon = new Daemon(Settings.load(settings))) {
             ask(
-                    new NettyHttpClient(group.next(), 4, sockets),
+                    new NettyHttpClient(group.next(), 4, connections),
                     HOST + ":" + daemon.frontAddress().getPort(),
                     there);
         } finally {
@@ -101,10 +101,10 @@
         }
     }
 
-    private Channel listen(NioEventLoopGroup group, ConnectionBudget sockets) throws InterruptedException {
+    private Channel listen(NioEventLoopGroup group, ConnectionBudget connections) throws InterruptedException {
         var address = new InetSocketAddress(HOST, 0);
         return NettyHttpServer.open(
-                group, address, BODY_LIMIT, this::answer, status -> reply(status, MessagePackCodec.map()), sockets);
+                group, address, BODY_LIMIT, this::answer, status -> reply(status, MessagePackCodec.map()), connections);
     }
 
     /** One request of each kind, with time between them for the controller to join and to act. */
--- a/src/main/java/org/dunespindle/Daemon.java
+++ b/src/main/java/org/dunespindle/Daemon.java
@@ -22,11 +22,11 @@
 import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.storage.FormatSupport;
 import org.dunespindle.time.TimeSource;
+import org.dunespindle.transport.ConnectionBudget;
 import org.dunespindle.transport.HttpServerRequest;
+import org.dunespindle.transport.HttpServerResponse;
 import org.dunespindle.transport.NettyHttpClient;
 import org.dunespindle.transport.NettyHttpServer;
-import org.dunespindle.transport.HttpServerResponse;
-import org.dunespindle.transport.ConnectionBudget;
 
 /** Ties a controller to its listeners. One event loop does everything, so nothing needs a lock. */
 public final class Daemon implements AutoCloseable {
@@ -37,7 +37,7 @@
 
     private static final String JSON = "application/json";
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final ConnectionBudget sockets;
+    private final ConnectionBudget connections;
     private final Controller controller;
     private final Optional<Extension> extension;
     private final Channel front;
@@ -65,12 +65,12 @@
     /** Binds the listeners and starts the controller. */
     public Daemon(Settings settings, Optional<Extension> extension) throws InterruptedException {
         this.extension = extension;
-        sockets = new ConnectionBudget(settings.sockets());
+        connections = new ConnectionBudget(settings.sockets());
         EventLoop loop = group.next();
         var timeline = new LoopTimeline(loop);
         controller = new Controller(
                 settings,
-                new NettyHttpClient(loop, settings.sockets() / KEPT_PART, sockets),
+                new NettyHttpClient(loop, settings.sockets() / KEPT_PART, connections),
                 timeline,
                 extension.map(Extension::formats).orElse(FormatSupport.STANDARD),
                 this::end,
@@ -81,14 +81,14 @@
                 BODY_LIMIT,
                 this::front,
                 status -> packed(status, MessagePackCodec.map().put("error", refusal(status)), Optional.empty()),
-                sockets);
+                connections);
         peer = NettyHttpServer.open(
                 group,
                 settings.peerListen(),
                 PEER_BODY_LIMIT,
                 this::peer,
                 status -> json(status, MessagePackCodec.map().put("error", refusal(status))),
-                sockets);
+                connections);
         loop.execute(controller::start);
     }
 
@@ -212,10 +212,10 @@
 
     private void beat(HttpServerRequest call, Consumer<HttpServerResponse> reply) {
         try {
-            WorkerHeartbeat report = WorkerHeartbeat.parse(MessagePackCodec.read(call.body()));
-            controller.heartbeatHandler().onHeartbeat(report, (status, body) -> {
+            WorkerHeartbeat heartbeat = WorkerHeartbeat.parse(MessagePackCodec.read(call.body()));
+            controller.heartbeatHandler().onHeartbeat(heartbeat, (status, body) -> {
                 HttpServerResponse whole = packed(status, body, Optional.empty());
-                reply.accept(sockets.scarce() ? whole.andClose() : whole);
+                reply.accept(connections.scarce() ? whole.andClose() : whole);
             });
         } catch (MalformedMessageException e) {
             reply.accept(packed(400, MessagePackCodec.map().put("error", e.getMessage()), Optional.empty()));
--- a/src/main/java/org/dunespindle/api/AdminApi.java
+++ b/src/main/java/org/dunespindle/api/AdminApi.java
@@ -37,31 +37,31 @@
     private final Settings settings;
     private final StateReplica replica;
     private final Membership membership;
-    private final CommitQueue committer;
+    private final CommitQueue commitQueue;
     private final MachineRecordWriter machineWriter;
     private final TeamQuotas teamAccounts;
-    private final EventRecorder decisions;
+    private final EventRecorder eventRecorder;
     private final Controller controller;
-    private final JobDelegation exchange;
+    private final JobDelegation jobDelegation;
     private final Map<String, Histogram> latencies;
 
     public AdminApi(
             ControllerContext context,
-            CommitQueue committer,
+            CommitQueue commitQueue,
             MachineRecordWriter machineWriter,
-            TeamQuotas teamAccounts,
+            TeamQuotas teamQuotas,
             Controller controller,
-            JobDelegation exchange,
+            JobDelegation jobDelegation,
             Map<String, Histogram> latencies) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.decisions = context.eventRecorder();
-        this.committer = committer;
+        this.eventRecorder = context.eventRecorder();
+        this.commitQueue = commitQueue;
         this.machineWriter = machineWriter;
-        this.teamAccounts = teamAccounts;
+        this.teamAccounts = teamQuotas;
         this.controller = controller;
-        this.exchange = exchange;
+        this.jobDelegation = jobDelegation;
         this.latencies = latencies;
     }
 
@@ -71,7 +71,7 @@
             answer.accept(error(404, "no such path"));
         } else if (!replica.loaded()) {
             answer.accept(error(503, "this controller is still reading the stored state"));
-        } else if (exchange.administer(method, path.substring(PREFIX.length()), body, answer)) {
+        } else if (jobDelegation.administer(method, path.substring(PREFIX.length()), body, answer)) {
             return;
         } else if (method.equals("GET")) {
             replica.refresh(
@@ -104,11 +104,13 @@
                 replica.activeJobs().forEach(j -> list.add(show(j, false)));
                 n.put(
                         "finished",
-                        replica.jobs().values().stream().filter(j -> !j.isOpen()).count());
+                        replica.jobs().values().stream()
+                                .filter(j -> !j.isOpen())
+                                .count());
             }
             case "hosts" -> {
                 var list = n.putArray("hosts");
-                replica.machines().values().forEach(h -> list.add(show(h)));
+                replica.machines().values().forEach(machine -> list.add(show(machine)));
             }
             case "teams" -> teams(n);
             case "controllers" -> {
@@ -121,13 +123,14 @@
                                 .put(
                                         "machines",
                                         replica.machines().values().stream()
-                                                .filter(h -> h.owner().equals(name))
+                                                .filter(machine ->
+                                                        machine.owner().equals(name))
                                                 .count()));
             }
             case "options" ->
                 n.put("stamp", replica.modRevision(Keys.OPTIONS))
                         .set("options", controller.options().describe());
-            case "decisions" -> decisions.toNode(n.put("controller", settings.nodeName()));
+            case "decisions" -> eventRecorder.toNode(n.put("controller", settings.nodeName()));
             case "latency" ->
                 latencies.forEach((name, h) -> n.putObject(name)
                         .put("count", h.getTotalCount())
@@ -144,78 +147,82 @@
     }
 
     /** How many replicas there should be, are, and are being started again. */
-    private static void showReplicas(ObjectNode n, JobRecord j) {
-        long stopping = j.allocations().stream().filter(Allocation::stopping).count();
-        long running = j.allocations().size() - stopping;
-        n.put("replicasWanted", j.submission().tasks())
+    private static void showReplicas(ObjectNode n, JobRecord job) {
+        long stopping = job.allocations().stream().filter(Allocation::stopping).count();
+        long running = job.allocations().size() - stopping;
+        n.put("replicasWanted", job.submission().tasks())
                 .put("replicasRunning", running)
-                .put("replicasRestarting", j.submission().tasks() - running);
+                .put("replicasRestarting", job.submission().tasks() - running);
     }
 
-    private ObjectNode show(JobRecord j, boolean whole) {
-        ObjectNode n = UserApi.show(j, exchange).body();
-        j.inboundDelegation().ifPresent(visit -> n.put("visitorOf", visit.home()));
-        j.spec()
-                .ifPresent(s -> n.put("class", s.jobClass())
-                        .put("team", s.team())
-                        .put("shape", s.kind().wire())
-                        .put("priority", s.priority().wire())
-                        .put("tasks", s.tasks()));
-        n.put("accepted", j.arrived().toString());
-        if (j.isOpen() && j.submission().isService()) {
-            showReplicas(n, j);
+    private ObjectNode show(JobRecord job, boolean whole) {
+        ObjectNode n = UserApi.show(job, jobDelegation).body();
+        job.inboundDelegation().ifPresent(visit -> n.put("visitorOf", visit.home()));
+        job.spec()
+                .ifPresent(submission -> n.put("class", submission.jobClass())
+                        .put("team", submission.team())
+                        .put("shape", submission.kind().wire())
+                        .put("priority", submission.priority().wire())
+                        .put("tasks", submission.tasks()));
+        n.put("accepted", job.arrived().toString());
+        if (job.isOpen() && job.submission().isService()) {
+            showReplicas(n, job);
         }
-        boolean placing = j.isOpen() && j.submission().isGang() && j.gangPhase() != JobRecord.GangPhase.RUNNING;
-        if (placing || j.unplacedCount() > 0 || j.isDelegatedAway()) {
-            n.put("waits", controller.whyWaits(j));
+        boolean placing = job.isOpen() && job.submission().isGang() && job.gangPhase() != JobRecord.GangPhase.RUNNING;
+        if (placing || job.unplacedCount() > 0 || job.isDelegatedAway()) {
+            n.put("waits", controller.whyWaits(job));
         }
-        if (whole && j.spec().isPresent()) {
-            n.put("mode", j.gangPhase().name().toLowerCase(java.util.Locale.ROOT)).put("failures", j.failures());
+        if (whole && job.spec().isPresent()) {
+            n.put("mode", job.gangPhase().name().toLowerCase(java.util.Locale.ROOT))
+                    .put("failures", job.failures());
             var list = n.putArray("places");
-            for (Allocation c : j.allocations()) {
+            for (Allocation allocation : job.allocations()) {
                 list.addObject()
-                        .put("task", c.task())
-                        .put("host", c.machineId())
-                        .put("attempt", j.expectedAttempt(c))
-                        .put("stopping", c.stopping());
+                        .put("task", allocation.task())
+                        .put("host", allocation.machineId())
+                        .put("attempt", job.expectedAttempt(allocation))
+                        .put("stopping", allocation.stopping());
             }
         }
         return n;
     }
 
-    private ObjectNode show(MachineRecord h) {
+    private ObjectNode show(MachineRecord machine) {
         ObjectNode n = MessagePackCodec.map()
-                .put("id", h.id())
-                .put("type", h.type())
-                .put("zone", h.zone())
-                .put("spot", h.spot())
-                .put("owner", h.owner())
-                .put("token", h.token())
-                .put("rented", h.rented().toString())
-                .put("tasks", replica.allocationsOn(h.id()).size())
-                .put("leaving", h.draining());
-        membership.hashed(h.id()).filter(home -> !home.equals(h.owner())).ifPresent(home -> n.put("lentBy", home));
-        return h.draining() ? n.put("why", h.drainReason()) : n;
+                .put("id", machine.id())
+                .put("type", machine.type())
+                .put("zone", machine.zone())
+                .put("spot", machine.spot())
+                .put("owner", machine.owner())
+                .put("token", machine.token())
+                .put("rented", machine.rented().toString())
+                .put("tasks", replica.allocationsOn(machine.id()).size())
+                .put("leaving", machine.draining());
+        membership
+                .hashed(machine.id())
+                .filter(home -> !home.equals(machine.owner()))
+                .ifPresent(home -> n.put("lentBy", home));
+        return machine.draining() ? n.put("why", machine.drainReason()) : n;
     }
 
     private void teams(ObjectNode n) {
         TeamUsage use = TeamUsage.stored(replica);
         var list = n.putArray("teams");
-        settings.teams().values().forEach(t -> {
-            Resources r = use.of(t.name());
+        settings.teams().values().forEach(team -> {
+            Resources resources = use.of(team.name());
             ObjectNode o = list.addObject()
-                    .put("name", t.name())
-                    .put("cpusUsed", r.cpus())
-                    .put("gpusUsed", r.gpus())
-                    .put("cpusGuaranteed", t.cpus())
-                    .put("gpusGuaranteed", t.gpus());
-            if (Double.isFinite(t.cpusMax())) {
-                o.put("cpusMost", t.cpusMax());
+                    .put("name", team.name())
+                    .put("cpusUsed", resources.cpus())
+                    .put("gpusUsed", resources.gpus())
+                    .put("cpusGuaranteed", team.cpus())
+                    .put("gpusGuaranteed", team.gpus());
+            if (Double.isFinite(team.cpusMax())) {
+                o.put("cpusMost", team.cpusMax());
             }
-            if (Double.isFinite(t.gpusMax())) {
-                o.put("gpusMost", t.gpusMax());
+            if (Double.isFinite(team.gpusMax())) {
+                o.put("gpusMost", team.gpusMax());
             }
-            teamAccounts.show(t.name(), o.putObject("ledger"));
+            teamAccounts.show(team.name(), o.putObject("ledger"));
         });
     }
 
@@ -247,7 +254,9 @@
             merged.set(e.getKey(), e.getValue());
         }
         commit(
-                new Transaction().requireRevision(Keys.OPTIONS, n.get("stamp").longValue()).write(Keys.OPTIONS, merged),
+                new Transaction()
+                        .requireRevision(Keys.OPTIONS, n.get("stamp").longValue())
+                        .write(Keys.OPTIONS, merged),
                 Keys.OPTIONS,
                 answer,
                 () -> new AdminResponse(200, MessagePackCodec.map().put("stamp", replica.modRevision(Keys.OPTIONS))));
@@ -266,26 +275,29 @@
         machineWriter.change(
                 CommitPriority.USERS,
                 h.draining(MachineRecord.DRAINED),
-                r -> answer.accept(after(
-                        r,
+                result -> answer.accept(after(
+                        result,
                         () -> new AdminResponse(
                                 200, MessagePackCodec.map().put("id", id).put("leaving", true)))));
     }
 
     private void commit(
-            Transaction txn, String key, Consumer<AdminResponse> answer, java.util.function.Supplier<AdminResponse> good) {
-        if (committer.isLocked(key)) {
+            Transaction transaction,
+            String key,
+            Consumer<AdminResponse> answer,
+            java.util.function.Supplier<AdminResponse> good) {
+        if (commitQueue.isLocked(key)) {
             answer.accept(error(409, "another change is under way; read again and repeat"));
             return;
         }
-        committer.propose(CommitPriority.USERS, txn, r -> answer.accept(after(r, good)));
+        commitQueue.propose(CommitPriority.USERS, transaction, result -> answer.accept(after(result, good)));
     }
 
-    private static AdminResponse after(TransactionResult r, java.util.function.Supplier<AdminResponse> good) {
-        if (r instanceof TransactionResult.Applied) {
+    private static AdminResponse after(TransactionResult result, java.util.function.Supplier<AdminResponse> good) {
+        if (result instanceof TransactionResult.Applied) {
             return good.get();
         }
-        return r instanceof TransactionResult.Conflict
+        return result instanceof TransactionResult.Conflict
                 ? error(409, "changed by somebody else meanwhile; read again and repeat")
                 : error(503, "the state service does not answer");
     }
--- a/src/main/java/org/dunespindle/api/DelegationContext.java
+++ b/src/main/java/org/dunespindle/api/DelegationContext.java
@@ -25,12 +25,12 @@
  */
 public record DelegationContext(
         Settings settings,
-        TimeSource timeline,
+        TimeSource timeSource,
         StateReplica replica,
         JobRecordWriter jobWriter,
         Membership membership,
-        CommitQueue committer,
-        EventRecorder decisions,
+        CommitQueue commitQueue,
+        EventRecorder eventRecorder,
         Supplier<Options> options,
         Function<Submission, Optional<NeverVerdict>> whyNever,
         Function<JobRecord, String> whyWaits,
--- a/src/main/java/org/dunespindle/api/UserApi.java
+++ b/src/main/java/org/dunespindle/api/UserApi.java
@@ -36,13 +36,13 @@
     private static final Duration PATIENCE = Duration.ofMillis(1800);
     private final Settings settings;
     private final StateReplica replica;
-    private final StateStoreClient state;
+    private final StateStoreClient stateStore;
     private final JobRecordWriter jobWriter;
-    private final CommitQueue committer;
-    private final TimeSource timeline;
+    private final CommitQueue commitQueue;
+    private final TimeSource timeSource;
     private final Supplier<Optional<List<MachineType>>> catalog;
     private final Histogram accepts;
-    private final JobDelegation exchange;
+    private final JobDelegation jobDelegation;
     /** What waits longer than its user does is of no use; cancellations may still wait when submissions may not. */
     private final int mostWaiting;
 
@@ -64,18 +64,18 @@
     /** Creates the API; the catalog is empty until the cloud has answered. */
     public UserApi(
             ControllerContext context,
-            StateStoreClient state,
-            CommitQueue committer,
+            StateStoreClient stateStore,
+            CommitQueue commitQueue,
             Supplier<Optional<List<MachineType>>> catalog,
             Histogram accepts,
-            JobDelegation exchange) {
-        this.exchange = exchange;
+            JobDelegation jobDelegation) {
+        this.jobDelegation = jobDelegation;
         this.settings = context.settings();
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
-        this.state = state;
-        this.committer = committer;
-        this.timeline = context.timeSource();
+        this.stateStore = stateStore;
+        this.commitQueue = commitQueue;
+        this.timeSource = context.timeSource();
         this.catalog = catalog;
         this.accepts = accepts;
         this.mostWaiting =
@@ -112,7 +112,7 @@
         Optional<String> never = whyNever(job, types.get(), settings);
         if (never.isPresent()) {
             refuse(job.id(), never.get(), answer);
-        } else if (state.failing()) {
+        } else if (stateStore.failing()) {
             answer.accept(out());
         } else {
             store(job, answer);
@@ -128,18 +128,18 @@
 
     private void store(Submission job, Consumer<Answer> answer) {
         String key = Keys.job(job.id());
-        JobRecord record = JobRecord.accepted(job, timeline.wallTime());
+        JobRecord record = JobRecord.accepted(job, timeSource.wallTime());
         if (MessagePackCodec.countedSize(record.toNode()) > jobWriter.longestDescription()) {
             answer.accept(Answer.error(400, "the job's description is too long"));
-        } else if (committer.isLocked(key)) {
+        } else if (commitQueue.isLocked(key)) {
             answer.accept(Answer.later("the same submission is being stored", SOON));
-        } else if (committer.waiting(CommitPriority.USERS) >= mostWaiting) {
+        } else if (commitQueue.waiting(CommitPriority.USERS) >= mostWaiting) {
             answer.accept(Answer.later("more submissions wait than can be stored in time", LATER));
         } else {
-            Duration begun = timeline.now();
-            Transaction txn = jobWriter.write(new Transaction(), record);
-            committer.propose(CommitPriority.USERS, txn, result -> {
-                long micros = timeline.now().minus(begun).toNanos() / 1000;
+            Duration begun = timeSource.now();
+            Transaction transaction = jobWriter.write(new Transaction(), record);
+            commitQueue.propose(CommitPriority.USERS, transaction, result -> {
+                long micros = timeSource.now().minus(begun).toNanos() / 1000;
                 accepts.recordValue(Math.min(accepts.getHighestTrackableValue(), micros));
                 stored(job.id(), result, answer);
             });
@@ -162,7 +162,10 @@
     }
 
     private Answer idTaken(String id) {
-        String home = replica.job(id).flatMap(JobRecord::inboundDelegation).orElseThrow().home();
+        String home = replica.job(id)
+                .flatMap(JobRecord::inboundDelegation)
+                .orElseThrow()
+                .home();
         return Answer.later("the id is in use by a job of cell " + home, LATER);
     }
 
@@ -193,10 +196,10 @@
     /** Zones in which a machine of an allowed type that fits a task can be had. */
     private static Set<String> zonesFor(Submission job, List<MachineType> types) {
         var zones = new TreeSet<String>();
-        for (MachineType t : types) {
-            if (job.types().map(a -> a.contains(t.name())).orElse(true)
-                    && job.perTask().fitsIn(t.size())) {
-                t.zones().stream()
+        for (MachineType type : types) {
+            if (job.types().map(a -> a.contains(type.name())).orElse(true)
+                    && job.perTask().fitsIn(type.size())) {
+                type.zones().stream()
                         .filter(z -> job.zone().map(z::equals).orElse(true))
                         .forEach(zones::add);
             }
@@ -222,7 +225,7 @@
         Optional<JobRecord> known = own(id);
         if (known.isPresent() && !known.get().isOpen()) {
             answer.accept(show(known.get()));
-        } else if (state.failing()) {
+        } else if (stateStore.failing()) {
             answer.accept(out());
         } else {
             replica.refresh(
@@ -240,11 +243,11 @@
 
     /** Cancels a job and answers once that is stored. */
     public void cancel(String id, Consumer<Answer> answer) {
-        cancel(id, timeline.now().plus(PATIENCE), answer);
+        cancel(id, timeSource.now().plus(PATIENCE), answer);
     }
 
     private void cancel(String id, Duration until, Consumer<Answer> answer) {
-        if (!replica.loaded() || state.failing()) {
+        if (!replica.loaded() || stateStore.failing()) {
             answer.accept(out());
             return;
         }
@@ -256,19 +259,19 @@
                         answer.accept(absent(id));
                     } else if (!known.get().isOpen()) {
                         answer.accept(show(known.get()));
-                    } else if (committer.isLocked(key)) {
+                    } else if (commitQueue.isLocked(key)) {
                         again(id, until, answer);
                     } else if (known.get().isDelegatedAway()) {
-                        exchange.cancel(
+                        jobDelegation.cancel(
                                 known.get(), outcome -> cancelledElsewhere(known.get(), outcome, until, answer));
-                    } else if (committer.waiting(CommitPriority.USERS) >= 2 * mostWaiting) {
+                    } else if (commitQueue.waiting(CommitPriority.USERS) >= 2 * mostWaiting) {
                         answer.accept(Answer.later("more requests wait than can be stored in time", LATER));
                     } else {
-                        committer.propose(
+                        commitQueue.propose(
                                 CommitPriority.USERS,
                                 jobWriter.write(new Transaction(), known.get().cancelled()),
-                                r -> {
-                                    if (r instanceof TransactionResult.Applied) {
+                                result -> {
+                                    if (result instanceof TransactionResult.Applied) {
                                         answer.accept(Answer.of(
                                                 200,
                                                 MessagePackCodec.map()
@@ -294,21 +297,23 @@
                     LATER));
             return;
         }
-        boolean sameTransfer =
-                replica.job(id).filter(now -> now.delegationLink().equals(asked.delegationLink())).isPresent();
-        if (!sameTransfer || committer.isLocked(Keys.job(id))) {
+        boolean sameTransfer = replica.job(id)
+                .filter(now -> now.delegationLink().equals(asked.delegationLink()))
+                .isPresent();
+        if (!sameTransfer || commitQueue.isLocked(Keys.job(id))) {
             again(id, until, answer);
             return;
         }
         JobRecord ended = outcome == JobDelegation.Cancellation.DONE ? asked.doneElsewhere() : asked.cancelled();
-        committer.propose(CommitPriority.USERS, jobWriter.write(new Transaction(), ended), result -> again(id, until, answer));
+        commitQueue.propose(
+                CommitPriority.USERS, jobWriter.write(new Transaction(), ended), result -> again(id, until, answer));
     }
 
     private void again(String id, Duration until, Consumer<Answer> answer) {
-        if (timeline.now().compareTo(until) > 0) {
+        if (timeSource.now().compareTo(until) > 0) {
             answer.accept(out());
         } else {
-            timeline.schedule(LOCK_WAIT, () -> cancel(id, until, answer));
+            timeSource.schedule(LOCK_WAIT, () -> cancel(id, until, answer));
         }
     }
 
@@ -318,18 +323,19 @@
     }
 
     private Answer show(JobRecord job) {
-        return show(job, exchange);
+        return show(job, jobDelegation);
     }
 
     /** A job's state for its user; what another cell told of it comes with its age. */
-    static Answer show(JobRecord j, JobDelegation exchange) {
-        Optional<JobDelegation.RemoteProgress> remote = j.isDelegatedAway() ? exchange.progress(j) : Optional.empty();
-        return remote.map(progress -> show(j, progress)).orElseGet(() -> showLocal(j));
+    static Answer show(JobRecord job, JobDelegation jobDelegation) {
+        Optional<JobDelegation.RemoteProgress> remote =
+                job.isDelegatedAway() ? jobDelegation.progress(job) : Optional.empty();
+        return remote.map(progress -> show(job, progress)).orElseGet(() -> showLocal(job));
     }
 
-    private static Answer show(JobRecord j, JobDelegation.RemoteProgress remote) {
+    private static Answer show(JobRecord job, JobDelegation.RemoteProgress remote) {
         ObjectNode body = MessagePackCodec.map()
-                .put("id", j.id())
+                .put("id", job.id())
                 .put("phase", remote.begun() ? "running" : "queued")
                 .put("done", remote.done())
                 .put("running", remote.running())
@@ -338,17 +344,17 @@
         return Answer.of(200, remote.failures() > 0 ? body.put("failures", remote.failures()) : body);
     }
 
-    private static Answer showLocal(JobRecord j) {
-        String phase = switch (j.outcome()) {
+    private static Answer showLocal(JobRecord job) {
+        String phase = switch (job.outcome()) {
             case DONE -> "done";
             case CANCELLED -> "cancelled";
-            case OPEN -> j.runningCount() > 0 ? "running" : "queued";
+            case OPEN -> job.runningCount() > 0 ? "running" : "queued";
         };
         ObjectNode body = MessagePackCodec.map()
-                .put("id", j.id())
+                .put("id", job.id())
                 .put("phase", phase)
-                .put("done", j.doneCount())
-                .put("running", j.runningCount());
-        return Answer.of(200, j.failures() > 0 ? body.put("failures", j.failures()) : body);
+                .put("done", job.doneCount())
+                .put("running", job.runningCount());
+        return Answer.of(200, job.failures() > 0 ? body.put("failures", job.failures()) : body);
     }
 }
--- a/src/main/java/org/dunespindle/control/CommitQueue.java
+++ b/src/main/java/org/dunespindle/control/CommitQueue.java
@@ -36,9 +36,9 @@
     private static final int WIDEN = 10;
     private static final Duration CAUTIOUS_FOR = Duration.ofSeconds(2);
     private static final Duration RATE_PAUSE = Duration.ofMillis(150);
-    private final StateStoreClient state;
+    private final StateStoreClient stateStore;
     private final StateReplica replica;
-    private final TimeSource timeline;
+    private final TimeSource timeSource;
     private final int txnOps;
     private final Map<CommitPriority, ArrayDeque<Proposal>> lanes = new EnumMap<>(CommitPriority.class);
     private final Set<String> locked = new HashSet<>();
@@ -52,17 +52,19 @@
     private final Map<String, Integer> kinds = new TreeMap<>();
 
     /** A change that waits for its turn; one that was refused together with others is sent alone. */
-    private record Proposal(CommitPriority lane, Set<String> locks, Transaction txn, Consumer<TransactionResult> then, boolean alone) {
+    private record Proposal(
+            CommitPriority lane, Set<String> locks, Transaction txn, Consumer<TransactionResult> then, boolean alone) {
         Proposal sentAlone() {
             return new Proposal(lane, locks, txn, then, true);
         }
     }
 
     /** Creates a committer for transactions of at most so many changes. */
-    public CommitQueue(StateStoreClient state, StateReplica replica, TimeSource timeline, int txnOps, Runnable settled) {
-        this.state = state;
+    public CommitQueue(
+            StateStoreClient stateStore, StateReplica replica, TimeSource timeSource, int txnOps, Runnable settled) {
+        this.stateStore = stateStore;
         this.replica = replica;
-        this.timeline = timeline;
+        this.timeSource = timeSource;
         this.txnOps = txnOps;
         this.settled = settled;
         for (CommitPriority lane : CommitPriority.values()) {
@@ -96,10 +98,10 @@
     }
 
     /** Proposes a change; the keys it writes are locked until {@code then} has run. */
-    public void propose(CommitPriority lane, Transaction txn, Consumer<TransactionResult> then) {
-        var locks = Set.copyOf(txn.changes().keySet());
+    public void propose(CommitPriority lane, Transaction transaction, Consumer<TransactionResult> then) {
+        var locks = Set.copyOf(transaction.changes().keySet());
         locked.addAll(locks);
-        lanes.get(lane).addLast(new Proposal(lane, locks, txn, then, false));
+        lanes.get(lane).addLast(new Proposal(lane, locks, transaction, then, false));
         flush();
     }
 
@@ -126,15 +128,15 @@
     private void flush() {
         Proposal head;
         while (inFlight < MOST_IN_FLIGHT && (head = head()) != null) {
-            Duration pause = notBefore.minus(timeline.now());
+            Duration pause = notBefore.minus(timeSource.now());
             int cost = head.txn.changeCount();
             // What users wait for may be paid off afterwards; the rest waits until it is paid for, maintenance until
             // some is left over.
             double wanted = head.lane == CommitPriority.USERS
                     ? -USERS_AHEAD
                     : cost + (head.lane == CommitPriority.MAINTENANCE ? KEPT_BACK : 0);
-            if (pause.isNegative() && state.writes().isShortOf(wanted)) {
-                pause = state.writes().timeUntil(wanted);
+            if (pause.isNegative() && stateStore.writes().isShortOf(wanted)) {
+                pause = stateStore.writes().timeUntil(wanted);
             }
             if (!pause.isNegative() && !pause.isZero()) {
                 later(pause);
@@ -150,24 +152,25 @@
                 finish(List.of(head), new TransactionResult.Refused(0, "more than a transaction takes"));
                 continue;
             }
-            send(batch((int) Math.max(cost, Math.min(width(), state.writes().available()))));
+            send(batch(
+                    (int) Math.max(cost, Math.min(width(), stateStore.writes().available()))));
         }
     }
 
     /** Batches widen with the load, but not while others change the same records. */
     private int width() {
-        return timeline.now().compareTo(cautiousUntil) < 0 ? CAUTIOUS : Math.max(FEW, waiting() / WIDEN);
+        return timeSource.now().compareTo(cautiousUntil) < 0 ? CAUTIOUS : Math.max(FEW, waiting() / WIDEN);
     }
 
     private List<Proposal> batch(int mostWrites) {
         var batch = new ArrayList<Proposal>();
-        var txn = new Transaction();
+        var transaction = new Transaction();
         for (ArrayDeque<Proposal> lane : lanes.values()) {
             while (!lane.isEmpty()
                     && (batch.isEmpty() || !batch.get(0).alone && !lane.peekFirst().alone)
                     && (batch.isEmpty()
-                            || txn.changeCount() + lane.peekFirst().txn.changeCount() <= mostWrites)
-                    && txn.tryMerge(lane.peekFirst().txn, txnOps)) {
+                            || transaction.changeCount() + lane.peekFirst().txn.changeCount() <= mostWrites)
+                    && transaction.tryMerge(lane.peekFirst().txn, txnOps)) {
                 batch.add(lane.pollFirst());
             }
         }
@@ -175,34 +178,34 @@
     }
 
     private void send(List<Proposal> batch) {
-        var txn = new Transaction();
-        batch.forEach(p -> txn.tryMerge(p.txn, txnOps));
+        var transaction = new Transaction();
+        batch.forEach(p -> transaction.tryMerge(p.txn, txnOps));
         inFlight++;
-        committed += txn.changeCount();
+        committed += transaction.changeCount();
         if (LOG.isDebugEnabled()) {
-            txn.changes().keySet().forEach(k -> kinds.merge(kind(k), 1, Integer::sum));
+            transaction.changes().keySet().forEach(k -> kinds.merge(kind(k), 1, Integer::sum));
         }
-        state.commit(txn).thenAccept(result -> settle(batch, txn, result));
+        stateStore.commit(transaction).thenAccept(result -> settle(batch, transaction, result));
     }
 
     private void later(Duration pause) {
         if (!timerSet) {
             timerSet = true;
-            timeline.schedule(pause, () -> {
+            timeSource.schedule(pause, () -> {
                 timerSet = false;
                 flush();
             });
         }
     }
 
-    private void settle(List<Proposal> batch, Transaction txn, TransactionResult result) {
+    private void settle(List<Proposal> batch, Transaction transaction, TransactionResult result) {
         inFlight--;
         if (result instanceof TransactionResult.Applied applied) {
-            replica.applyCommitted(txn, applied.revision());
+            replica.applyCommitted(transaction, applied.revision());
             finish(batch, result);
         } else if (result instanceof TransactionResult.Conflict conflict) {
-            conflicts += txn.changeCount();
-            cautiousUntil = timeline.now().plus(CAUTIOUS_FOR);
+            conflicts += transaction.changeCount();
+            cautiousUntil = timeSource.now().plus(CAUTIOUS_FOR);
             if (LOG.isDebugEnabled()) {
                 conflict.failed().forEach(k -> kinds.merge("conflict " + kind(k), 1, Integer::sum));
             }
@@ -227,7 +230,7 @@
                 lanes.get(batch.get(i).lane).addFirst(batch.get(i).sentAlone());
             }
         } else if (result instanceof TransactionResult.Refused refused && refused.tooMany()) {
-            notBefore = timeline.now().plus(RATE_PAUSE);
+            notBefore = timeSource.now().plus(RATE_PAUSE);
             for (int i = batch.size() - 1; i >= 0; i--) {
                 lanes.get(batch.get(i).lane).addFirst(batch.get(i));
             }
--- a/src/main/java/org/dunespindle/control/ControllerContext.java
+++ b/src/main/java/org/dunespindle/control/ControllerContext.java
@@ -11,9 +11,9 @@
  * @param replica the copy of what is stored
  * @param jobWriter adds job records to transactions
  * @param membership this controller's place among the others
- * @param sessions what is known of each worker
- * @param decisions where decisions are told to operators
- * @param stalls whether this process has listened all along
+ * @param workers what is known of each worker
+ * @param eventRecorder where decisions are recorded for to operators
+ * @param pauseDetector whether this process has listened all along
  */
 public record ControllerContext(
         Settings settings,
--- a/src/main/java/org/dunespindle/control/EventRecorder.java
+++ b/src/main/java/org/dunespindle/control/EventRecorder.java
@@ -11,21 +11,21 @@
 /** Tells each decision in one log line and remembers the latest for the administration API. */
 public final class EventRecorder {
     private static final int REMEMBERED = 200;
-    private final TimeSource timeline;
+    private final TimeSource timeSource;
     private final ArrayDeque<Entry> latest = new ArrayDeque<>();
 
     private record Entry(Instant at, String text) {}
 
     /** Creates an empty list. */
-    public EventRecorder(TimeSource timeline) {
-        this.timeline = timeline;
+    public EventRecorder(TimeSource timeSource) {
+        this.timeSource = timeSource;
     }
 
     /** Logs a decision and keeps it for the administration API. */
     public void record(Logger log, String pattern, Object... parts) {
         String text = MessageFormatter.arrayFormat(pattern, parts).getMessage();
         log.info(text);
-        latest.addLast(new Entry(timeline.wallTime(), text));
+        latest.addLast(new Entry(timeSource.wallTime(), text));
         if (latest.size() > REMEMBERED) {
             latest.removeFirst();
         }
--- a/src/main/java/org/dunespindle/control/FormatUpgrade.java
+++ b/src/main/java/org/dunespindle/control/FormatUpgrade.java
@@ -18,18 +18,18 @@
     private static final Logger LOG = LoggerFactory.getLogger(FormatUpgrade.class);
     private final StateReplica replica;
     private final Membership membership;
-    private final CommitQueue committer;
-    private final EventRecorder decisions;
+    private final CommitQueue commitQueue;
+    private final EventRecorder eventRecorder;
     private final FormatSupport formats;
     private final List<String> controllers = new ArrayList<>();
 
     /** Creates the upgrade for a program that announces and understands the given versions. */
-    public FormatUpgrade(ControllerContext context, CommitQueue committer, FormatSupport formats) {
+    public FormatUpgrade(ControllerContext context, CommitQueue commitQueue, FormatSupport formats) {
         this.formats = formats;
         this.replica = context.replica();
         this.membership = context.membership();
-        this.decisions = context.eventRecorder();
-        this.committer = committer;
+        this.eventRecorder = context.eventRecorder();
+        this.commitQueue = commitQueue;
         controllers.add(context.settings().nodeName());
         context.settings().seeds().forEach(seed -> controllers.add(seed.name()));
     }
@@ -48,15 +48,17 @@
     public void tick() {
         int announced = formats.announced();
         boolean raised = replica.formatVersion() >= announced;
-        if (raised || committer.isLocked(Keys.FORMAT) || !allAnnounce()) {
+        if (raised || commitQueue.isLocked(Keys.FORMAT) || !allAnnounce()) {
             return;
         }
-        var txn =
-                new Transaction().requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT)).requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
-        controllers.forEach(name -> txn.requireRevision(Keys.member(name), replica.modRevision(Keys.member(name))));
-        txn.write(Keys.FORMAT, FormatVersion.record(announced));
-        decisions.record(LOG, "all controllers read format version {}; it is used from now on", announced);
-        committer.propose(CommitPriority.PLACEMENT, txn, r -> {});
+        var transaction = new Transaction()
+                .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT))
+                .requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
+        controllers.forEach(
+                name -> transaction.requireRevision(Keys.member(name), replica.modRevision(Keys.member(name))));
+        transaction.write(Keys.FORMAT, FormatVersion.record(announced));
+        eventRecorder.record(LOG, "all controllers read format version {}; it is used from now on", announced);
+        commitQueue.propose(CommitPriority.PLACEMENT, transaction, result -> {});
     }
 
     private boolean allAnnounce() {
--- a/src/main/java/org/dunespindle/control/HeartbeatReconciler.java
+++ b/src/main/java/org/dunespindle/control/HeartbeatReconciler.java
@@ -27,58 +27,60 @@
     private HeartbeatReconciler() {}
 
     /** Compares a machine's allocations with what its worker reports. */
-    public static ReconciliationResult reconcile(List<PlacedTask> allocations, WorkerHeartbeat report) {
+    public static ReconciliationResult reconcile(List<PlacedTask> allocations, WorkerHeartbeat heartbeat) {
         var commands = new ArrayList<WorkerCommand>();
-        var events = new ArrayList<TaskTermination>();
+        var terminations = new ArrayList<TaskTermination>();
         var byTask = new HashMap<TaskId, List<TaskStatus>>();
-        report.tasks()
-                .forEach(t -> byTask.computeIfAbsent(t.task(), k -> new ArrayList<>(2))
-                        .add(t));
+        heartbeat
+                .tasks()
+                .forEach(task -> byTask.computeIfAbsent(task.task(), k -> new ArrayList<>(2))
+                        .add(task));
         Set<TaskId> allocated = new HashSet<>();
-        for (PlacedTask p : allocations) {
-            TaskId id = new TaskId(p.job().id(), p.allocation().task());
+        for (PlacedTask placed : allocations) {
+            TaskId id = new TaskId(placed.job().id(), placed.allocation().task());
             allocated.add(id);
-            judgeClaim(p, id, byTask.getOrDefault(id, List.of()), commands, events);
+            judgeClaim(placed, id, byTask.getOrDefault(id, List.of()), commands, terminations);
         }
         for (Map.Entry<TaskId, List<TaskStatus>> e : byTask.entrySet()) {
             if (!allocated.contains(e.getKey())) {
                 e.getValue()
-                        .forEach(t -> commands.add(
-                                t.exited()
-                                        ? new WorkerCommand.Forget(t.task(), t.attempt())
-                                        : new WorkerCommand.Halt(t.task(), t.attempt(), Duration.ZERO)));
+                        .forEach(task -> commands.add(
+                                task.exited()
+                                        ? new WorkerCommand.Forget(task.task(), task.attempt())
+                                        : new WorkerCommand.Halt(task.task(), task.attempt(), Duration.ZERO)));
             }
         }
-        return new ReconciliationResult(commands, events);
+        return new ReconciliationResult(commands, terminations);
     }
 
     private static void judgeClaim(
-            PlacedTask p,
+            PlacedTask placed,
             TaskId id,
             List<TaskStatus> present,
             List<WorkerCommand> commands,
-            List<TaskTermination> events) {
-        JobRecord job = p.job();
-        long wanted = job.expectedAttempt(p.allocation());
-        boolean stop = !job.isOpen() || p.allocation().stopping() || job.gangPhase() == JobRecord.GangPhase.STOPPING;
+            List<TaskTermination> terminations) {
+        JobRecord job = placed.job();
+        long wanted = job.expectedAttempt(placed.allocation());
+        boolean stop =
+                !job.isOpen() || placed.allocation().stopping() || job.gangPhase() == JobRecord.GangPhase.STOPPING;
         boolean othersLive = false;
         TaskStatus own = null;
-        for (TaskStatus t : present) {
-            if (t.attempt() == wanted) {
-                own = t;
-            } else if (t.exited()) {
-                commands.add(new WorkerCommand.Forget(id, t.attempt()));
+        for (TaskStatus task : present) {
+            if (task.attempt() == wanted) {
+                own = task;
+            } else if (task.exited()) {
+                commands.add(new WorkerCommand.Forget(id, task.attempt()));
             } else {
                 othersLive = true;
                 // Another attempt: a placeholder to be replaced, or a leftover. Its release is confirmed by the next
                 // report.
-                commands.add(new WorkerCommand.Halt(id, t.attempt(), Duration.ZERO));
+                commands.add(new WorkerCommand.Halt(id, task.attempt(), Duration.ZERO));
             }
         }
         if (own != null && own.exited()) {
             if (!othersLive) {
-                events.add(
-                        new TaskTermination(job.id(), id.index(), p.allocation().attemptBase(), fate(own, job, p), why(own)));
+                terminations.add(new TaskTermination(
+                        job.id(), id.index(), placed.allocation().attemptBase(), fate(own, job, placed), why(own)));
             }
         } else if (own != null) {
             if (stop && own.phase() != TaskPhase.SAVING) {
@@ -88,8 +90,8 @@
             }
         } else if (!othersLive) {
             if (stop) {
-                events.add(new TaskTermination(
-                        job.id(), id.index(), p.allocation().attemptBase(), TerminationCause.GONE, "released"));
+                terminations.add(new TaskTermination(
+                        job.id(), id.index(), placed.allocation().attemptBase(), TerminationCause.GONE, "released"));
             } else {
                 commands.add(new WorkerCommand.Run(id, wanted));
             }
@@ -98,25 +100,27 @@
 
     /** A cancelled job's progress is of no use to anybody; others may save. */
     private static Duration grace(JobRecord job) {
-        return job.isOpen() && job.submission().checkpoints() ? job.submission().checkpointTime().plus(EXTRA_GRACE) : Duration.ZERO;
+        return job.isOpen() && job.submission().checkpoints()
+                ? job.submission().checkpointTime().plus(EXTRA_GRACE)
+                : Duration.ZERO;
     }
 
-    private static TerminationCause fate(TaskStatus t, JobRecord job, PlacedTask p) {
-        return switch (t.cause().orElse(ExitCause.STOPPED)) {
+    private static TerminationCause fate(TaskStatus task, JobRecord job, PlacedTask placed) {
+        return switch (task.cause().orElse(ExitCause.STOPPED)) {
             case DONE -> TerminationCause.DONE;
             case ERROR -> TerminationCause.ERROR;
             case NO_ROOM, BUSY, UNKNOWN -> TerminationCause.REJECTED;
             case INCOMPLETE ->
                 job.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS
                                 && job.isOpen()
-                                && !p.allocation().stopping()
+                                && !placed.allocation().stopping()
                         ? TerminationCause.ASSEMBLY_TIMEOUT
                         : TerminationCause.GONE;
             default -> TerminationCause.GONE;
         };
     }
 
-    private static String why(TaskStatus t) {
-        return t.cause().map(ExitCause::wire).orElse("ended") + (t.saved() ? ", saved" : "");
+    private static String why(TaskStatus task) {
+        return task.cause().map(ExitCause::wire).orElse("ended") + (task.saved() ? ", saved" : "");
     }
 }
--- a/src/main/java/org/dunespindle/control/MachineRecordWriter.java
+++ b/src/main/java/org/dunespindle/control/MachineRecordWriter.java
@@ -25,8 +25,8 @@
     private static final int MOST_WAITING = 6;
     private static final Duration GATHER = Duration.ofMillis(2);
     private final StateReplica replica;
-    private final CommitQueue committer;
-    private final TimeSource timeline;
+    private final CommitQueue commitQueue;
+    private final TimeSource timeSource;
     private final Map<String, Edit> open = new LinkedHashMap<>();
     private boolean timerSet;
 
@@ -42,22 +42,22 @@
     }
 
     /** Creates a writer of machine records. */
-    public MachineRecordWriter(StateReplica replica, CommitQueue committer, TimeSource timeline) {
+    public MachineRecordWriter(StateReplica replica, CommitQueue commitQueue, TimeSource timeSource) {
         this.replica = replica;
-        this.committer = committer;
-        this.timeline = timeline;
+        this.commitQueue = commitQueue;
+        this.timeSource = timeSource;
     }
 
     /** Whether a change to this machine is under way, or to one that shares its page. */
     public boolean busy(String host) {
         String key = Keys.machinePage(host);
-        return committer.isLocked(key)
+        return commitQueue.isLocked(key)
                 || open.containsKey(key) && open.get(key).changes.containsKey(host);
     }
 
     /** Whether what can wait would only queue now, and lock pages meanwhile. */
     public boolean crowded() {
-        return committer.waiting() >= MOST_WAITING;
+        return commitQueue.waiting() >= MOST_WAITING;
     }
 
     /** Writes a machine's new record. */
@@ -72,7 +72,7 @@
 
     private void edit(CommitPriority lane, String host, Optional<MachineRecord> to, Consumer<TransactionResult> then) {
         String key = Keys.machinePage(host);
-        if (committer.isLocked(key)) {
+        if (commitQueue.isLocked(key)) {
             then.accept(new TransactionResult.Refused(0, "another change is under way"));
             return;
         }
@@ -91,7 +91,7 @@
         edit.lane = lane.compareTo(edit.lane) < 0 ? lane : edit.lane;
         if (!timerSet) {
             timerSet = true;
-            timeline.schedule(GATHER, this::flush);
+            timeSource.schedule(GATHER, this::flush);
         }
     }
 
@@ -100,12 +100,12 @@
         var machineWriter = new LinkedHashMap<>(open);
         open.clear();
         machineWriter.forEach((key, edit) -> {
-            Consumer<TransactionResult> all = r -> edit.then.forEach(t -> t.accept(r));
-            if (replica.modRevision(key) != edit.stamp || committer.isLocked(key)) {
+            Consumer<TransactionResult> all = result -> edit.then.forEach(t -> t.accept(result));
+            if (replica.modRevision(key) != edit.stamp || commitQueue.isLocked(key)) {
                 all.accept(new TransactionResult.Conflict(Set.of(key)));
             } else {
-                Transaction txn = replica.rewrite(key, edit.changes);
-                committer.propose(edit.lane, txn, all);
+                Transaction transaction = replica.rewrite(key, edit.changes);
+                commitQueue.propose(edit.lane, transaction, all);
             }
         });
     }
--- a/src/main/java/org/dunespindle/control/Membership.java
+++ b/src/main/java/org/dunespindle/control/Membership.java
@@ -31,9 +31,9 @@
     private static final Duration RETRY = Duration.ofMillis(400);
     private final String node;
     private final int newestFormat;
-    private final StateStoreClient state;
+    private final StateStoreClient stateStore;
     private final StateReplica replica;
-    private final TimeSource timeline;
+    private final TimeSource timeSource;
     private final Map<String, Optional<String>> hashes = new HashMap<>();
     private long hashedFor = -1;
     private long incarnation;
@@ -43,12 +43,13 @@
     private boolean electing;
 
     /** Creates a membership that has not joined yet. */
-    public Membership(String node, int newestFormat, StateStoreClient state, StateReplica replica, TimeSource timeline) {
+    public Membership(
+            String node, int newestFormat, StateStoreClient stateStore, StateReplica replica, TimeSource timeSource) {
         this.newestFormat = newestFormat;
         this.node = node;
-        this.state = state;
+        this.stateStore = stateStore;
         this.replica = replica;
-        this.timeline = timeline;
+        this.timeSource = timeSource;
     }
 
     /** This process's incarnation; 0 until it is stored. */
@@ -80,8 +81,8 @@
     }
 
     /** Whether this incarnation owns a machine. */
-    public boolean owns(MachineRecord host) {
-        return host.owner().equals(node) && host.incarnation() == incarnation;
+    public boolean owns(MachineRecord machine) {
+        return machine.owner().equals(node) && machine.incarnation() == incarnation;
     }
 
     /** The leading controller's name. */
@@ -159,7 +160,7 @@
     /** Gives up the lease, and all that hangs on it, until it is asked back; an answer that stays out changes nothing: the lease ends by itself. */
     public void resign() {
         resigned = true;
-        lease.ifPresent(state::endLease);
+        lease.ifPresent(stateStore::endLease);
         lease = OptionalLong.empty();
     }
 
@@ -172,12 +173,12 @@
         if (incarnation == 0) {
             String key = Keys.INCARNATION + node;
             long next = replica.value(key).map(v -> v.path("n").longValue()).orElse(0L) + 1;
-            var txn = new Transaction()
+            var transaction = new Transaction()
                     .requireRevision(key, replica.modRevision(key))
                     .write(key, MessagePackCodec.map().put("n", next));
-            state.commit(txn).thenAccept(r -> {
-                if (r instanceof TransactionResult.Applied a) {
-                    replica.applyCommitted(txn, a.revision());
+            stateStore.commit(transaction).thenAccept(result -> {
+                if (result instanceof TransactionResult.Applied a) {
+                    replica.applyCommitted(transaction, a.revision());
                     incarnation = next;
                     openLease();
                 } else {
@@ -191,22 +192,22 @@
     }
 
     private void retryJoin() {
-        timeline.schedule(RETRY, () -> joining = false);
+        timeSource.schedule(RETRY, () -> joining = false);
     }
 
     private void openLease() {
-        state.openLease(TTL).whenComplete((opened, failure) -> {
+        stateStore.openLease(TTL).whenComplete((opened, failure) -> {
             if (failure != null || opened.isEmpty()) {
                 retryJoin();
                 return;
             }
             long id = opened.getAsLong();
-            var txn = new Transaction()
+            var transaction = new Transaction()
                     .writeWithLease(Keys.member(node), memberRecord(), id)
                     .requireRevision(Keys.member(node), replica.modRevision(Keys.member(node)));
-            state.commit(txn).thenAccept(r -> {
-                if (r instanceof TransactionResult.Applied a) {
-                    replica.applyCommitted(txn, a.revision());
+            stateStore.commit(transaction).thenAccept(result -> {
+                if (result instanceof TransactionResult.Applied a) {
+                    replica.applyCommitted(transaction, a.revision());
                     lease = OptionalLong.of(id);
                     joining = false;
                     LOG.info("{} joined as incarnation {}", node, incarnation);
@@ -224,16 +225,16 @@
     }
 
     private void scheduleRenewal(long id) {
-        timeline.schedule(RENEW_EVERY, () -> renew(id));
+        timeSource.schedule(RENEW_EVERY, () -> renew(id));
     }
 
     private void renew(long id) {
         if (lease.isEmpty() || lease.getAsLong() != id) {
             return; // given up
         }
-        state.renewLease(id).whenComplete((alive, failure) -> {
+        stateStore.renewLease(id).whenComplete((alive, failure) -> {
             if (failure != null) {
-                timeline.schedule(RETRY, () -> renew(id));
+                timeSource.schedule(RETRY, () -> renew(id));
             } else if (alive) {
                 scheduleRenewal(id);
             } else if (lease.isPresent() && lease.getAsLong() == id) {
@@ -252,15 +253,15 @@
             return;
         }
         electing = true;
-        var txn = new Transaction()
+        var transaction = new Transaction()
                 .requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER))
                 .writeWithLease(
                         Keys.LEADER,
                         MessagePackCodec.map().put("node", node).put("inc", incarnation),
                         lease.orElseThrow());
-        state.commit(txn).thenAccept(r -> {
-            if (r instanceof TransactionResult.Applied a) {
-                replica.applyCommitted(txn, a.revision());
+        stateStore.commit(transaction).thenAccept(result -> {
+            if (result instanceof TransactionResult.Applied a) {
+                replica.applyCommitted(transaction, a.revision());
                 LOG.info("{} leads now", node);
             }
             replica.refresh(() -> electing = false, () -> electing = false);
--- a/src/main/java/org/dunespindle/control/OversizeRecordSplitter.java
+++ b/src/main/java/org/dunespindle/control/OversizeRecordSplitter.java
@@ -20,26 +20,26 @@
 
     private final StateReplica replica;
     private final JobRecordWriter jobWriter;
-    private final CommitQueue committer;
-    private final StateStoreClient state;
-    private final TimeSource timeline;
+    private final CommitQueue commitQueue;
+    private final StateStoreClient stateStore;
+    private final TimeSource timeSource;
     /** Stamps of records that were looked at: measuring one costs as much as writing it out. */
     private final Map<String, Long> checked = new HashMap<>();
 
     private Duration lookAgainAt = Duration.ZERO;
 
-    public OversizeRecordSplitter(ControllerContext context, CommitQueue committer, StateStoreClient state) {
+    public OversizeRecordSplitter(ControllerContext context, CommitQueue commitQueue, StateStoreClient stateStore) {
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
-        this.timeline = context.timeSource();
-        this.committer = committer;
-        this.state = state;
+        this.timeSource = context.timeSource();
+        this.commitQueue = commitQueue;
+        this.stateStore = stateStore;
     }
 
     /** The leader's part. */
     public void tick() {
-        Duration now = timeline.now();
-        if (now.compareTo(lookAgainAt) < 0 || committer.waiting() > 0) {
+        Duration now = timeSource.now();
+        if (now.compareTo(lookAgainAt) < 0 || commitQueue.waiting() > 0) {
             return;
         }
         lookAgainAt = now.plus(LOOK_EVERY);
@@ -47,16 +47,16 @@
         for (JobRecord job : replica.activeJobs()) {
             String key = Keys.job(job.id());
             Long stamp = replica.modRevision(key);
-            if (stamp.equals(checked.get(job.id())) || committer.isLocked(key)) {
+            if (stamp.equals(checked.get(job.id())) || commitQueue.isLocked(key)) {
                 continue;
             }
             if (!jobWriter.isOversize(job)) {
                 checked.put(job.id(), stamp);
                 continue;
             }
-            Transaction txn = jobWriter.write(new Transaction(), job);
-            if (!state.writes().isShortOf(txn.changeCount())) {
-                committer.propose(CommitPriority.MAINTENANCE, txn, r -> {});
+            Transaction transaction = jobWriter.write(new Transaction(), job);
+            if (!stateStore.writes().isShortOf(transaction.changeCount())) {
+                commitQueue.propose(CommitPriority.MAINTENANCE, transaction, result -> {});
             }
             return;
         }
--- a/src/main/java/org/dunespindle/control/PauseDetector.java
+++ b/src/main/java/org/dunespindle/control/PauseDetector.java
@@ -13,19 +13,19 @@
 public final class PauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
     private static final Duration STOOD_STILL = Duration.ofSeconds(2);
-    private final TimeSource timeline;
+    private final TimeSource timeSource;
     private Duration lastBeat;
     private Duration listeningSince;
 
-    public PauseDetector(TimeSource timeline) {
-        this.timeline = timeline;
-        this.lastBeat = timeline.now();
+    public PauseDetector(TimeSource timeSource) {
+        this.timeSource = timeSource;
+        this.lastBeat = timeSource.now();
         this.listeningSince = lastBeat;
     }
 
     /** Called at least twice a second, and before anything is concluded from silence. */
     public void tick() {
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         Duration gap = now.minus(lastBeat);
         lastBeat = now;
         if (gap.compareTo(STOOD_STILL) > 0) {
@@ -36,12 +36,12 @@
 
     /** How long this process has listened without a break. */
     public Duration awake() {
-        return timeline.now().minus(listeningSince);
+        return timeSource.now().minus(listeningSince);
     }
 
     /** How long something has been silent that was last heard then, as far as it was listened to. */
     public Duration silence(Duration heardAt) {
-        Duration silent = timeline.now().minus(heardAt);
+        Duration silent = timeSource.now().minus(heardAt);
         Duration awake = awake();
         return silent.compareTo(awake) < 0 ? silent : awake;
     }
--- a/src/main/java/org/dunespindle/control/WorkerState.java
+++ b/src/main/java/org/dunespindle/control/WorkerState.java
@@ -57,9 +57,9 @@
     public long lastPublishedSequence;
 
     /** Takes a report that came by itself; late copies change nothing, and the first of all may be one: it proves no life. */
-    public boolean acceptHeartbeat(WorkerHeartbeat r, Duration now) {
+    public boolean acceptHeartbeat(WorkerHeartbeat heartbeat, Duration now) {
         boolean first = lastHeartbeat.isEmpty();
-        boolean newer = accept(r, now);
+        boolean newer = accept(heartbeat, now);
         if (newer && !first) {
             lastHeartbeatAt = Optional.of(now);
         }
@@ -67,27 +67,27 @@
     }
 
     /** Takes what a worker says unless something newer is known. */
-    private boolean accept(WorkerHeartbeat r, Duration now) {
+    private boolean accept(WorkerHeartbeat heartbeat, Duration now) {
         if (lastHeartbeat.isPresent()) {
-            if (!r.newerThan(lastHeartbeat.get())) {
+            if (!heartbeat.newerThan(lastHeartbeat.get())) {
                 return false;
             }
-            if (r.agentEpoch() > lastHeartbeat.get().agentEpoch()) {
+            if (heartbeat.agentEpoch() > lastHeartbeat.get().agentEpoch()) {
                 // Its lease ran out although it is up: it may be that our answers do not arrive.
                 commandsUnconfirmedSince = Optional.of(commandsUnconfirmedSince.orElse(now));
             }
         }
         seenAt = now;
-        lastHeartbeat = Optional.of(r);
+        lastHeartbeat = Optional.of(heartbeat);
         return true;
     }
 
     /** Takes a worker's answer to a question or command. */
-    public void answered(WorkerHeartbeat r, Duration now) {
-        accept(r, now);
-        if (lastHeartbeatAt.isEmpty() || r.token() > answeredUnder) {
+    public void answered(WorkerHeartbeat heartbeat, Duration now) {
+        accept(heartbeat, now);
+        if (lastHeartbeatAt.isEmpty() || heartbeat.token() > answeredUnder) {
             lastHeartbeatAt = Optional.of(now);
-            answeredUnder = r.token();
+            answeredUnder = heartbeat.token();
         }
         lastAnswerAt = Optional.of(now);
         commandsUnconfirmedSince = Optional.empty();
--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -21,26 +21,26 @@
 import org.dunespindle.control.Membership;
 import org.dunespindle.control.Options;
 import org.dunespindle.control.OversizeRecordSplitter;
-import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.PauseDetector;
 import org.dunespindle.control.TaskTermination;
 import org.dunespindle.control.TerminationCause;
+import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.job.GangLifecycle;
-import org.dunespindle.job.TerminationWriter;
 import org.dunespindle.job.PlacementPacing;
 import org.dunespindle.job.PlacementWriter;
+import org.dunespindle.job.TerminationWriter;
 import org.dunespindle.machine.CloudClient;
 import org.dunespindle.machine.CloudInventory;
 import org.dunespindle.machine.CrashLoopDetector;
 import org.dunespindle.machine.FleetManager;
 import org.dunespindle.machine.MachineCatalog;
-import org.dunespindle.machine.MachineStatusReporter;
 import org.dunespindle.machine.MachineProvisioner;
+import org.dunespindle.machine.MachineStatusReporter;
 import org.dunespindle.machine.MachineTerminator;
-import org.dunespindle.machine.ShardOwnership;
 import org.dunespindle.machine.Quarantine;
-import org.dunespindle.peer.PeerState;
+import org.dunespindle.machine.ShardOwnership;
 import org.dunespindle.peer.PeerHeartbeats;
+import org.dunespindle.peer.PeerState;
 import org.dunespindle.peer.WriteRateAllocator;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.scheduling.ClusterSnapshot;
@@ -58,9 +58,9 @@
 import org.dunespindle.transport.HttpClient;
 import org.dunespindle.worker.CancellationTracker;
 import org.dunespindle.worker.HeartbeatHandler;
+import org.dunespindle.worker.PartitionDetector;
 import org.dunespindle.worker.PendingPreemptions;
 import org.dunespindle.worker.WorkerClient;
-import org.dunespindle.worker.PartitionDetector;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -87,42 +87,42 @@
     private static final int PLAN_SHARE = 10;
     private static final long LONGEST_MICROS = 60_000_000L;
     private final Settings settings;
-    private final TimeSource timeline;
-    private final StateStoreClient state;
+    private final TimeSource timeSource;
+    private final StateStoreClient stateStore;
     private final StateReplica replica;
     private final Membership membership;
-    private final CommitQueue committer;
-    private final WorkerRegistry sessions = new WorkerRegistry();
-    private final PauseDetector stalls;
-    private final PendingPreemptions preemptions = new PendingPreemptions();
-    private final CancellationTracker cancellations;
-    private final CrashLoopDetector failureAttribution;
+    private final CommitQueue commitQueue;
+    private final WorkerRegistry workers = new WorkerRegistry();
+    private final PauseDetector pauseDetector;
+    private final PendingPreemptions pendingPreemptions = new PendingPreemptions();
+    private final CancellationTracker cancellationTracker;
+    private final CrashLoopDetector crashLoopDetector;
     private final MachineRecordWriter machineWriter;
     private final WorkerClient workerClient;
     private final HeartbeatHandler heartbeatHandler;
-    private final PeerHeartbeats peers;
+    private final PeerHeartbeats peerHeartbeats;
     private final CloudClient cloud;
     private final MachineCatalog catalog;
-    private final FleetManager fleet;
-    private final MachineTerminator returner;
-    private final MachineStatusReporter machineNews;
-    private final ShardOwnership ownership;
-    private final TerminationWriter outcomes;
-    private final PlacementWriter placements;
-    private final GangLifecycle gangs;
+    private final FleetManager fleetManager;
+    private final MachineTerminator terminator;
+    private final MachineStatusReporter statusReporter;
+    private final ShardOwnership shardOwnership;
+    private final TerminationWriter terminationWriter;
+    private final PlacementWriter placementWriter;
+    private final GangLifecycle gangLifecycle;
     private final UserApi userApi;
-    private final EventRecorder decisions;
-    private final WriteRateAllocator writeShare;
-    private final SnapshotBuilder snapshots;
-    private final LoadReporter loadLog;
+    private final EventRecorder eventRecorder;
+    private final WriteRateAllocator writeRateAllocator;
+    private final SnapshotBuilder snapshotBuilder;
+    private final LoadReporter loadReporter;
     private final FormatUpgrade formatUpgrade;
     private final OversizeRecordSplitter oversizeRecords;
     private final Consumer<String> cannotGoOn;
-    private final JobDelegation exchange;
+    private final JobDelegation jobDelegation;
     private Options options;
     private long optionsStamp;
     private final AdminApi admin;
-    private final PartitionDetector connectivity;
+    private final PartitionDetector partitionDetector;
     private final Histogram accepts = new Histogram(LONGEST_MICROS, 2);
     private final Histogram rounds = new Histogram(LONGEST_MICROS, 2);
     private final Histogram plans = new Histogram(LONGEST_MICROS, 2);
@@ -144,73 +144,90 @@
      */
     public Controller(
             Settings settings,
-            HttpClient http,
-            TimeSource timeline,
+            HttpClient httpClient,
+            TimeSource timeSource,
             FormatSupport formats,
             Consumer<String> cannotGoOn,
             Function<DelegationContext, JobDelegation> connector) {
         this.cannotGoOn = cannotGoOn;
         this.settings = settings;
-        this.timeline = timeline;
-        this.stalls = new PauseDetector(timeline);
-        this.decisions = new EventRecorder(timeline);
+        this.timeSource = timeSource;
+        this.pauseDetector = new PauseDetector(timeSource);
+        this.eventRecorder = new EventRecorder(timeSource);
         this.options = Options.defaults(settings.workers().lease());
-        var targets = new ServiceLevelObjectives(settings.objectives());
-        this.state = new StateStoreClient(http, settings, timeline);
-        this.replica = new StateReplica(state, timeline, SYNC_EVERY, this::wake);
-        this.membership = new Membership(settings.nodeName(), formats.announced(), state, replica, timeline);
-        this.committer = new CommitQueue(
-                state, replica, timeline, settings.state().lowest().txnOps(), this::wake);
+        var objectives = new ServiceLevelObjectives(settings.objectives());
+        this.stateStore = new StateStoreClient(httpClient, settings, timeSource);
+        this.replica = new StateReplica(stateStore, timeSource, SYNC_EVERY, this::wake);
+        this.membership = new Membership(settings.nodeName(), formats.announced(), stateStore, replica, timeSource);
+        this.commitQueue = new CommitQueue(
+                stateStore, replica, timeSource, settings.state().lowest().txnOps(), this::wake);
         var context = context();
-        this.formatUpgrade = new FormatUpgrade(context, committer, formats);
-        this.oversizeRecords = new OversizeRecordSplitter(context, committer, state);
-        this.machineWriter = new MachineRecordWriter(replica, committer, timeline);
-        this.failureAttribution = new CrashLoopDetector(replica::job);
-        this.cancellations = new CancellationTracker(settings, replica, timeline);
-        this.workerClient = new WorkerClient(context, machineWriter, http, preemptions, cancellations, this::wake);
+        this.formatUpgrade = new FormatUpgrade(context, commitQueue, formats);
+        this.oversizeRecords = new OversizeRecordSplitter(context, commitQueue, stateStore);
+        this.machineWriter = new MachineRecordWriter(replica, commitQueue, timeSource);
+        this.crashLoopDetector = new CrashLoopDetector(replica::job);
+        this.cancellationTracker = new CancellationTracker(settings, replica, timeSource);
+        this.workerClient = new WorkerClient(
+                context, machineWriter, httpClient, pendingPreemptions, cancellationTracker, this::wake);
         this.heartbeatHandler = new HeartbeatHandler(
-                context, machineWriter, workerClient, cancellations, this::cutOff, this::fellQuiet, this::wake);
-        this.peers = new PeerHeartbeats(
-                settings, http, timeline, membership::incarnation, membership::leader, replica, new PeerListener());
-        this.writeShare = new WriteRateAllocator(settings, peers, membership, committer, state, timeline);
-        this.cloud = new CloudClient(http, settings, timeline);
-        this.catalog = new MachineCatalog(cloud, timeline, this::wake);
-        this.returner = new MachineTerminator(context, machineWriter, cloud);
-        var renter = new MachineProvisioner(context, machineWriter, cloud, catalog, targets, returner::isGone);
-        var inventory = new CloudInventory(context, machineWriter, cloud, renter, returner);
-        var quarantine = new Quarantine(failureAttribution, peers, timeline, this::options);
-        this.fleet = new FleetManager(
+                context, machineWriter, workerClient, cancellationTracker, this::cutOff, this::fellQuiet, this::wake);
+        this.peerHeartbeats = new PeerHeartbeats(
+                settings,
+                httpClient,
+                timeSource,
+                membership::incarnation,
+                membership::leader,
+                replica,
+                new PeerListener());
+        this.writeRateAllocator =
+                new WriteRateAllocator(settings, peerHeartbeats, membership, commitQueue, stateStore, timeSource);
+        this.cloud = new CloudClient(httpClient, settings, timeSource);
+        this.catalog = new MachineCatalog(cloud, timeSource, this::wake);
+        this.terminator = new MachineTerminator(context, machineWriter, cloud);
+        var provisioner =
+                new MachineProvisioner(context, machineWriter, cloud, catalog, objectives, terminator::isGone);
+        var inventory = new CloudInventory(context, machineWriter, cloud, provisioner, terminator);
+        var quarantine = new Quarantine(crashLoopDetector, peerHeartbeats, timeSource, this::options);
+        this.fleetManager = new FleetManager(
                 context,
                 machineWriter,
                 workerClient,
-                peers,
+                peerHeartbeats,
                 quarantine,
                 this::options,
-                new FleetManager.Cloud(inventory, catalog, renter, returner));
-        this.machineNews = new MachineStatusReporter(context, workerClient, quarantine, returner);
-        this.ownership = new ShardOwnership(context, workerClient, machineWriter, peers, this::options);
-        this.outcomes = new TerminationWriter(context, committer, workerClient, failureAttribution);
-        this.placements = new PlacementWriter(
-                context, committer, machineWriter, outcomes, preemptions, workerClient, machineNews::takesTasks);
-        this.gangs = new GangLifecycle(context, committer, workerClient, this::options);
-        this.snapshots = new SnapshotBuilder(context, planSources(context, renter), targets, this::options);
-        this.loadLog = new LoadReporter(context, heartbeatHandler, workerClient, committer, state, rounds, plans);
-        this.connectivity = new PartitionDetector(context, workerClient, peers);
-        this.exchange = connector.apply(exchangeContext(context));
-        this.admin =
-                new AdminApi(context, committer, machineWriter, placements.teamAccounts(), this, exchange, latencies());
-        this.userApi = new UserApi(context, state, committer, catalog::types, accepts, exchange);
+                new FleetManager.Cloud(inventory, catalog, provisioner, terminator));
+        this.statusReporter = new MachineStatusReporter(context, workerClient, quarantine, terminator);
+        this.shardOwnership = new ShardOwnership(context, workerClient, machineWriter, peerHeartbeats, this::options);
+        this.terminationWriter = new TerminationWriter(context, commitQueue, workerClient, crashLoopDetector);
+        this.placementWriter = new PlacementWriter(
+                context,
+                commitQueue,
+                machineWriter,
+                terminationWriter,
+                pendingPreemptions,
+                workerClient,
+                statusReporter::takesTasks);
+        this.gangLifecycle = new GangLifecycle(context, commitQueue, workerClient, this::options);
+        this.snapshotBuilder =
+                new SnapshotBuilder(context, planSources(context, provisioner), objectives, this::options);
+        this.loadReporter =
+                new LoadReporter(context, heartbeatHandler, workerClient, commitQueue, stateStore, rounds, plans);
+        this.partitionDetector = new PartitionDetector(context, workerClient, peerHeartbeats);
+        this.jobDelegation = connector.apply(exchangeContext(context));
+        this.admin = new AdminApi(
+                context, commitQueue, machineWriter, placementWriter.teamAccounts(), this, jobDelegation, latencies());
+        this.userApi = new UserApi(context, stateStore, commitQueue, catalog::types, accepts, jobDelegation);
     }
 
     private DelegationContext exchangeContext(ControllerContext context) {
         return new DelegationContext(
                 settings,
-                timeline,
+                timeSource,
                 replica,
                 context.jobWriter(),
                 membership,
-                committer,
-                decisions,
+                commitQueue,
+                eventRecorder,
                 this::options,
                 job -> catalog.types()
                         .map(types -> new DelegationContext.NeverVerdict(UserApi.whyNever(job, types, settings))),
@@ -218,33 +235,34 @@
                 () -> catalog.types().orElse(List.of()));
     }
 
-    private SnapshotBuilder.Sources planSources(ControllerContext context, MachineProvisioner renter) {
+    private SnapshotBuilder.Sources planSources(ControllerContext context, MachineProvisioner provisioner) {
         return new SnapshotBuilder.Sources(
                 catalog,
-                fleet,
-                renter,
-                returner,
-                machineNews,
-                peers,
-                placements,
-                outcomes,
-                new PlacementPacing(context, committer),
-                failureAttribution);
+                fleetManager,
+                provisioner,
+                terminator,
+                statusReporter,
+                peerHeartbeats,
+                placementWriter,
+                terminationWriter,
+                new PlacementPacing(context, commitQueue),
+                crashLoopDetector);
     }
 
     private ControllerContext context() {
         var jobWriter = new JobRecordWriter(replica, settings.state());
-        return new ControllerContext(settings, timeline, replica, jobWriter, membership, sessions, decisions, stalls);
+        return new ControllerContext(
+                settings, timeSource, replica, jobWriter, membership, workers, eventRecorder, pauseDetector);
     }
 
     private Map<String, Histogram> latencies() {
         var byName = new TreeMap<String, Histogram>();
         byName.put("decisionRound", rounds);
         byName.put("plan", plans);
-        byName.put("stateCall", state.latency());
+        byName.put("stateCall", stateStore.latency());
         byName.put("cloudCall", cloud.latency());
-        byName.put("holdPlacement", gangs.holdPlacement());
-        byName.put("replacement", gangs.replacement());
+        byName.put("holdPlacement", gangLifecycle.holdPlacement());
+        byName.put("replacement", gangLifecycle.replacement());
         byName.put("accept", accepts);
         return byName;
     }
@@ -265,32 +283,32 @@
     }
 
     /** Why an unfinished job waits, in words for its user. */
-    public String whyWaits(JobRecord j) {
-        return exchange.whyWaits(j).orElseGet(() -> whyWaitsHere(j));
+    public String whyWaits(JobRecord job) {
+        return jobDelegation.whyWaits(job).orElseGet(() -> whyWaitsHere(job));
     }
 
-    private String whyWaitsHere(JobRecord j) {
+    private String whyWaitsHere(JobRecord job) {
         if (replica.staleness().compareTo(PLACING_VIEW) > 0) {
             return "the state service does not answer; nothing new is placed";
         }
-        if (j.spec().isPresent() && j.submission().isGang() && j.gangPhase() == JobRecord.GangPhase.STOPPING) {
+        if (job.spec().isPresent() && job.submission().isGang() && job.gangPhase() == JobRecord.GangPhase.STOPPING) {
             return "its members are being stopped before it is placed again";
         }
-        if (failureAttribution.isCrashLooping(j.id())) {
-            return "its tasks have failed " + j.failures() + " times, on "
-                    + failureAttribution.machinesOf(j.id()).size()
+        if (crashLoopDetector.isCrashLooping(job.id())) {
+            return "its tasks have failed " + job.failures() + " times, on "
+                    + crashLoopDetector.machinesOf(job.id()).size()
                     + " machines seen from here, and none ended well; one is tried at a time, with growing pauses";
         }
-        if (j.isDelegatedAway()) {
-            return "cell " + j.outboundDelegation().orElseThrow().cell() + " may hold it";
+        if (job.isDelegatedAway()) {
+            return "cell " + job.outboundDelegation().orElseThrow().cell() + " may hold it";
         }
-        if (j.unplacedCount() == 0) {
+        if (job.unplacedCount() == 0) {
             return "its placeholders fetch the image";
         }
         return plan.reasons()
                 .getOrDefault(
-                        j.id(),
-                        j.submission().isGang() && !membership.leads()
+                        job.id(),
+                        job.submission().isGang() && !membership.leads()
                                 ? "the leading controller places gangs; ask "
                                         + membership.leader().orElse("it")
                                 : "it is about to be placed");
@@ -310,7 +328,7 @@
     public void start() {
         replica.start();
         catalog.start();
-        exchange.start();
+        jobDelegation.start();
         tick();
         sendHeartbeat();
     }
@@ -318,7 +336,7 @@
     /** Whether users' requests can be served here. In an outage that all share, staying in is better than all leaving. */
     public boolean healthy() {
         // Polls need no catalog, so a cloud that stays silent must not keep users out for good.
-        boolean catalogAwaited = catalog.types().isEmpty() && timeline.now().compareTo(CATALOG_PATIENCE) < 0;
+        boolean catalogAwaited = catalog.types().isEmpty() && timeSource.now().compareTo(CATALOG_PATIENCE) < 0;
         return replica.loaded()
                 && !formatUpgrade.tooNew()
                 && !catalogAwaited
@@ -334,38 +352,41 @@
         if (replica.staleness().compareTo(CUT_OFF_VIEW) < 0) {
             return false;
         }
-        List<PeerState> heartbeats = peers.livePeers();
+        List<PeerState> heartbeats = peerHeartbeats.livePeers();
         return heartbeats.isEmpty()
                 ? !settings.seeds().isEmpty()
-                : heartbeats.stream().anyMatch(w -> w.replicaStaleness().compareTo(PLACING_VIEW) < 0);
+                : heartbeats.stream().anyMatch(peer -> peer.replicaStaleness().compareTo(PLACING_VIEW) < 0);
     }
 
     private boolean fellQuiet(String owner) {
-        return peers.isSuspected(owner);
+        return peerHeartbeats.isSuspected(owner);
     }
 
     private void tick() {
-        stalls.tick();
-        connectivity.tick();
+        pauseDetector.tick();
+        partitionDetector.tick();
         wake();
-        timeline.schedule(ROUND_AT_LEAST_EVERY, this::tick);
+        timeSource.schedule(ROUND_AT_LEAST_EVERY, this::tick);
     }
 
     private void sendHeartbeat() {
         if (replica.loaded()) {
-            writeShare.adjust();
-            peers.send(replica.staleness(), writeShare.need(), peers.leaderListens() ? machineNews.all() : List.of());
-            peers.keepOnly(replica.machines().keySet());
-            cancellations.prune();
-            failureAttribution.prune(replica.machines()::containsKey);
-            sessions.evictGone(replica.machines().keySet(), timeline.now());
+            writeRateAllocator.adjust();
+            peerHeartbeats.send(
+                    replica.staleness(),
+                    writeRateAllocator.need(),
+                    peerHeartbeats.leaderListens() ? statusReporter.all() : List.of());
+            peerHeartbeats.keepOnly(replica.machines().keySet());
+            cancellationTracker.prune();
+            crashLoopDetector.prune(replica.machines()::containsKey);
+            workers.evictGone(replica.machines().keySet(), timeSource.now());
         }
-        timeline.schedule(HEARTBEAT_EVERY, this::sendHeartbeat);
+        timeSource.schedule(HEARTBEAT_EVERY, this::sendHeartbeat);
     }
 
     /** Takes in another controller's heartbeat and answers it. */
     public ObjectNode heard(byte[] heartbeat) {
-        return peers.receive(heartbeat, replica.staleness(), writeShare.need());
+        return peerHeartbeats.receive(heartbeat, replica.staleness(), writeRateAllocator.need());
     }
 
     /** Asks for a round soon. A dear round is followed by a longer pause, so that answers to users and workers keep their turn. */
@@ -377,19 +398,19 @@
         Duration gap = Duration.ofNanos(lastCost.toNanos() * ROUND_SHARE);
         Duration next = lastRound
                 .plus(gap.compareTo(ROUND_AT_MOST_EVERY) > 0 ? gap : ROUND_AT_MOST_EVERY)
-                .minus(timeline.now());
-        timeline.schedule(next.compareTo(Duration.ofMillis(2)) < 0 ? Duration.ofMillis(2) : next, () -> {
+                .minus(timeSource.now());
+        timeSource.schedule(next.compareTo(Duration.ofMillis(2)) < 0 ? Duration.ofMillis(2) : next, () -> {
             roundSet = false;
-            Duration begun = timeline.now();
+            Duration begun = timeSource.now();
             lastRound = begun;
-            stalls.tick();
+            pauseDetector.tick();
             try {
                 round();
             } catch (RuntimeException e) {
                 LOG.error("a decision round failed and is repeated", e);
             }
             // Planning has a pace of its own; what it costs must not keep commands to machines waiting.
-            lastCost = timeline.now().minus(begun).minus(lastPlan.compareTo(begun) > 0 ? planCost : Duration.ZERO);
+            lastCost = timeSource.now().minus(begun).minus(lastPlan.compareTo(begun) > 0 ? planCost : Duration.ZERO);
             rounds.recordValue(Math.min(LONGEST_MICROS, lastCost.toNanos() / 1000));
         });
     }
@@ -403,61 +424,61 @@
         // In every round, not only on the timer: after a crash of all controllers the workers' leases are about to end.
         membership.tick();
         if (!membership.leads()) {
-            fleet.standDown(); // also when it leads again by the next plan: it did not watch meanwhile
+            fleetManager.standDown(); // also when it leads again by the next plan: it did not watch meanwhile
         }
         if (!replica.loaded() || membership.incarnation() == 0) {
             return;
         }
         workerClient.pass();
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         boolean look = now.minus(lastLook).compareTo(LOOK_EVERY) >= 0;
         if (look) {
             lastLook = now;
-            outcomes.store(membership.leads() ? onGoneMachines() : List.of());
+            terminationWriter.store(membership.leads() ? onGoneMachines() : List.of());
         }
         if (!membership.joined()) {
             return;
         }
-        ownership.tick(plan);
+        shardOwnership.tick(plan);
         if (replica.staleness().compareTo(PLACING_VIEW) > 0 || catalog.types().isEmpty()) {
             return; // an outage: what runs goes on, nothing new is placed
         }
         if (membership.leads()) {
-            gangs.tick();
+            gangLifecycle.tick();
             formatUpgrade.tick();
             oversizeRecords.tick();
         }
         if (look) {
-            gangs.drainNoticed();
+            gangLifecycle.drainNoticed();
         }
         if (planDue()) {
             plan();
         }
-        loadLog.tell();
+        loadReporter.tell();
     }
 
     /** Claims on machines that the cloud confirmed as gone, or that have no record any more, which comes later still. */
     private List<TaskTermination> onGoneMachines() {
-        var events = new ArrayList<TaskTermination>();
-        var hosts = new ArrayList<>(returner.gone());
+        var terminations = new ArrayList<TaskTermination>();
+        var hosts = new ArrayList<>(terminator.gone());
         replica.machinesWithAllocations().stream()
-                .filter(h -> !replica.machines().containsKey(h) && !returner.isGone(h))
+                .filter(h -> !replica.machines().containsKey(h) && !terminator.isGone(h))
                 .forEach(hosts::add);
         for (String host : hosts) {
-            for (PlacedTask p : replica.allocationsOn(host)) {
-                events.add(new TaskTermination(
-                        p.job().id(),
-                        p.allocation().task(),
-                        p.allocation().attemptBase(),
+            for (PlacedTask placed : replica.allocationsOn(host)) {
+                terminations.add(new TaskTermination(
+                        placed.job().id(),
+                        placed.allocation().task(),
+                        placed.allocation().attemptBase(),
                         TerminationCause.GONE,
                         "its machine " + host + " is gone"));
             }
         }
-        return events;
+        return terminations;
     }
 
     private boolean planDue() {
-        Duration since = timeline.now().minus(lastPlan);
+        Duration since = timeSource.now().minus(lastPlan);
         Duration gap = Duration.ofNanos(planCost.toNanos() * PLAN_SHARE);
         boolean may = since.compareTo(gap.compareTo(PLAN_AT_MOST_EVERY) > 0 ? gap : PLAN_AT_MOST_EVERY) >= 0;
         return may
@@ -466,10 +487,10 @@
     }
 
     private void plan() {
-        Duration begun = timeline.now();
+        Duration begun = timeSource.now();
         plannedFor = replica.version() + workerClient.version();
         Plan before = plan;
-        ClusterSnapshot snapshot = snapshots.now();
+        ClusterSnapshot snapshot = snapshotBuilder.now();
         plan = Planner.plan(snapshot);
         if (LOG.isDebugEnabled() && membership.leads()) {
             plan.reasons().forEach((job, why) -> {
@@ -478,16 +499,16 @@
                 }
             });
         }
-        preemptions.prune(replica);
+        pendingPreemptions.prune(replica);
         if (membership.leads()) {
-            ownership.borrow(plan);
+            shardOwnership.borrow(plan);
         }
-        exchange.planned(snapshot, plan);
-        placements.evict(plan);
-        placements.move(plan);
-        placements.place(plan);
-        fleet.tick(plan);
-        lastPlan = timeline.now();
+        jobDelegation.planned(snapshot, plan);
+        placementWriter.evict(plan);
+        placementWriter.move(plan);
+        placementWriter.place(plan);
+        fleetManager.tick(plan);
+        lastPlan = timeSource.now();
         planCost = lastPlan.minus(begun);
         plans.recordValue(Math.min(LONGEST_MICROS, planCost.toNanos() / 1000));
     }
@@ -496,12 +517,12 @@
     private final class PeerListener implements PeerHeartbeats.Listener {
         @Override
         public void imageSeen(String host, String image) {
-            sessions.getOrCreate(host).fetched(image); // what a machine has fetched outlives the change of its owner
+            workers.getOrCreate(host).fetched(image); // what a machine has fetched outlives the change of its owner
         }
 
         @Override
         public void cancelled(String node, Duration asked, List<String> jobs) {
-            workerClient.cancelledElsewhere(cancellations.answered(node, asked, jobs));
+            workerClient.cancelledElsewhere(cancellationTracker.answered(node, asked, jobs));
         }
     }
 }
--- a/src/main/java/org/dunespindle/controller/LoadReporter.java
+++ b/src/main/java/org/dunespindle/controller/LoadReporter.java
@@ -23,8 +23,8 @@
     private final ControllerContext context;
     private final HeartbeatHandler heartbeatHandler;
     private final WorkerClient workerClient;
-    private final CommitQueue committer;
-    private final StateStoreClient state;
+    private final CommitQueue commitQueue;
+    private final StateStoreClient stateStore;
     private final Histogram rounds;
     private final Histogram plans;
     private Duration toldAt = Duration.ZERO;
@@ -33,15 +33,15 @@
             ControllerContext context,
             HeartbeatHandler heartbeatHandler,
             WorkerClient workerClient,
-            CommitQueue committer,
-            StateStoreClient state,
+            CommitQueue commitQueue,
+            StateStoreClient stateStore,
             Histogram rounds,
             Histogram plans) {
         this.context = context;
         this.heartbeatHandler = heartbeatHandler;
         this.workerClient = workerClient;
-        this.committer = committer;
-        this.state = state;
+        this.commitQueue = commitQueue;
+        this.stateStore = stateStore;
         this.rounds = rounds;
         this.plans = plans;
     }
@@ -58,11 +58,11 @@
                 "load: {} reports, {} calls, {} writes ({} wait, {} in vain), may write {}/s, {}",
                 heartbeatHandler.heartbeatCount(),
                 workerClient.calls(),
-                committer.committed(),
-                committer.waiting(),
-                committer.conflicts(),
-                Math.round(state.writes().perSecond()),
-                committer.kinds());
+                commitQueue.committed(),
+                commitQueue.waiting(),
+                commitQueue.conflicts(),
+                Math.round(stateStore.writes().perSecond()),
+                commitQueue.kinds());
         LOG.debug(
                 "pace: rounds {} (p90 {} ms), plans {} (p50 {} ms, p90 {} ms), state calls {} (p90 {} ms), own {} of {} machines",
                 rounds.getTotalCount(),
@@ -70,8 +70,8 @@
                 plans.getTotalCount(),
                 millis(plans, 50),
                 millis(plans, MOST),
-                state.latency().getTotalCount(),
-                millis(state.latency(), MOST),
+                stateStore.latency().getTotalCount(),
+                millis(stateStore.latency(), MOST),
                 ownMachines(),
                 context.replica().machines().size());
     }
@@ -92,8 +92,8 @@
             if (context.membership().owns(machine)) {
                 context.workers()
                         .find(machine.id())
-                        .flatMap(session -> session.lastHeartbeat)
-                        .ifPresent(report -> report.tasks().forEach(task -> add(byPhase, task)));
+                        .flatMap(worker -> worker.lastHeartbeat)
+                        .ifPresent(heartbeat -> heartbeat.tasks().forEach(task -> add(byPhase, task)));
             }
         }
         return byPhase;
--- a/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
+++ b/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
@@ -14,14 +14,14 @@
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.control.Options;
 import org.dunespindle.control.WorkerState;
-import org.dunespindle.job.TerminationWriter;
 import org.dunespindle.job.PlacementPacing;
 import org.dunespindle.job.PlacementWriter;
+import org.dunespindle.job.TerminationWriter;
 import org.dunespindle.machine.CrashLoopDetector;
 import org.dunespindle.machine.FleetManager;
 import org.dunespindle.machine.MachineCatalog;
-import org.dunespindle.machine.MachineStatusReporter;
 import org.dunespindle.machine.MachineProvisioner;
+import org.dunespindle.machine.MachineStatusReporter;
 import org.dunespindle.machine.MachineTerminator;
 import org.dunespindle.peer.PeerHeartbeats;
 import org.dunespindle.peer.ReportedMachine;
@@ -47,17 +47,17 @@
     private static final int LEAST_TASKS = 8;
     private final ControllerContext context;
     private final MachineCatalog catalog;
-    private final FleetManager fleet;
-    private final MachineProvisioner renter;
-    private final MachineTerminator returner;
-    private final MachineStatusReporter machineNews;
-    private final PeerHeartbeats peers;
-    private final PlacementWriter placements;
-    private final TerminationWriter outcomes;
+    private final FleetManager fleetManager;
+    private final MachineProvisioner provisioner;
+    private final MachineTerminator terminator;
+    private final MachineStatusReporter statusReporter;
+    private final PeerHeartbeats peerHeartbeats;
+    private final PlacementWriter placementWriter;
+    private final TerminationWriter terminationWriter;
     private final PlacementPacing pacing;
-    private final CrashLoopDetector failureAttribution;
-    private final ServiceLevelObjectives targets;
-    private final DemandForecast headroom;
+    private final CrashLoopDetector crashLoopDetector;
+    private final ServiceLevelObjectives objectives;
+    private final DemandForecast demandForecast;
     private final Supplier<Options> options;
     private final Map<String, MachinePool> places = new HashMap<>();
     private final Map<JobAttempt, Duration> startedAt = new HashMap<>();
@@ -75,46 +75,47 @@
             PlacementPacing pacing,
             CrashLoopDetector failureAttribution) {}
 
-    SnapshotBuilder(ControllerContext context, Sources sources, ServiceLevelObjectives targets, Supplier<Options> options) {
+    SnapshotBuilder(
+            ControllerContext context, Sources sources, ServiceLevelObjectives objectives, Supplier<Options> options) {
         this.context = context;
         this.catalog = sources.catalog;
-        this.fleet = sources.fleet;
-        this.renter = sources.renter;
-        this.returner = sources.returner;
-        this.machineNews = sources.machineNews;
-        this.peers = sources.peers;
-        this.placements = sources.placements;
-        this.outcomes = sources.outcomes;
+        this.fleetManager = sources.fleet;
+        this.provisioner = sources.renter;
+        this.terminator = sources.returner;
+        this.statusReporter = sources.machineNews;
+        this.peerHeartbeats = sources.peers;
+        this.placementWriter = sources.placements;
+        this.terminationWriter = sources.outcomes;
         this.pacing = sources.pacing;
-        this.failureAttribution = sources.failureAttribution;
-        this.targets = targets;
-        this.headroom = new DemandForecast(context.settings().objectives());
+        this.crashLoopDetector = sources.failureAttribution;
+        this.objectives = objectives;
+        this.demandForecast = new DemandForecast(context.settings().objectives());
         this.options = options;
     }
 
     /** The state as it is known now. */
     ClusterSnapshot now() {
         boolean leads = context.membership().leads();
-        ProjectedJobs projection = placements.projection();
+        ProjectedJobs projection = placementWriter.projection();
         List<JobRecord> jobs = projection.expected();
-        headroom.observe(jobs);
+        demandForecast.observe(jobs);
         return new ClusterSnapshot(
                 context.timeSource().wallTime(),
                 projection,
                 hosts(leads),
                 context.settings().teams(),
                 places,
-                renter.refused(),
+                provisioner.refused(),
                 mostTasks(),
-                outcomes.ended(),
+                terminationWriter.ended(),
                 pacing.leftAlone(jobs),
                 leads,
                 departing(leads),
                 leads
-                        ? headroom.forecastJobs(
+                        ? demandForecast.forecastJobs(
                                 options.get().spareJobs(), context.timeSource().wallTime())
                         : List.of(),
-                targets,
+                objectives,
                 progress(jobs, leads));
     }
 
@@ -122,7 +123,7 @@
     private ToIntFunction<JobRecord> mostTasks() {
         int room = context.jobWriter().capacity() - RECORD_BYTES_RESERVED;
         int most = Math.max(LEAST_TASKS, room / RECORD_BYTES_PER_TASK);
-        return job -> failureAttribution.isCrashLooping(job.id()) ? 1 : most;
+        return job -> crashLoopDetector.isCrashLooping(job.id()) ? 1 : most;
     }
 
     private List<MachineSnapshot> hosts(boolean leads) {
@@ -137,7 +138,7 @@
                 places.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot()));
             }
             boolean mine = context.membership().owns(machine);
-            if ((mine || leads) && !returner.leaves(machine)) {
+            if ((mine || leads) && !terminator.leaves(machine)) {
                 Optional<MachineType> type = catalog.type(machine.type());
                 if (type.isPresent()) {
                     add(hosts, machine, type.get(), mine, trusted);
@@ -153,7 +154,7 @@
         for (MachineRecord machine : context.replica().machines().values()) {
             if (!context.replica().allocationsOn(machine.id()).isEmpty()) {
                 boolean mine = context.membership().owns(machine);
-                if (mine ? machineNews.departs(machine) : leads && departsElsewhere(machine)) {
+                if (mine ? statusReporter.departs(machine) : leads && departsElsewhere(machine)) {
                     departing.add(machine.id());
                 }
             }
@@ -164,7 +165,7 @@
     /** A machine that its owner hears but gives nothing new, as after a notice. */
     private boolean departsElsewhere(MachineRecord machine) {
         Duration lately = context.settings().workers().report().multipliedBy(2);
-        Optional<ReportedMachine> told = peers.machine(machine);
+        Optional<ReportedMachine> told = peerHeartbeats.machine(machine);
         boolean closed =
                 told.isPresent() && !told.get().up() && told.get().silentFor().compareTo(lately) < 0;
         return machine.draining() || closed;
@@ -176,8 +177,8 @@
             MachineType type,
             boolean mine,
             Map<String, Boolean> trusted) {
-        boolean up = mine ? machineNews.takesTasks(machine) : upElsewhere(machine, trusted);
-        if (!up && !(fleet.booting(machine) && fleet.bootsInTime(machine))) {
+        boolean up = mine ? statusReporter.takesTasks(machine) : upElsewhere(machine, trusted);
+        if (!up && !(fleetManager.booting(machine) && fleetManager.bootsInTime(machine))) {
             return;
         }
         Set<String> images =
@@ -193,13 +194,13 @@
     private boolean upElsewhere(MachineRecord machine, Map<String, Boolean> trusted) {
         Boolean talks = trusted.get(machine.owner());
         if (talks == null) {
-            talks = peers.heartbeat(machine.owner()).isPresent();
+            talks = peerHeartbeats.heartbeat(machine.owner()).isPresent();
             trusted.put(machine.owner(), talks);
         }
         if (!talks && !context.membership().isAlive(machine.owner(), machine.incarnation())) {
             return false;
         }
-        Optional<ReportedMachine> told = peers.lastTold(machine);
+        Optional<ReportedMachine> told = peerHeartbeats.lastTold(machine);
         return told.isPresent() && told.get().up() && !told.get().quarantined();
     }
 
--- a/src/main/java/org/dunespindle/federation/AdmissionPolicy.java
+++ b/src/main/java/org/dunespindle/federation/AdmissionPolicy.java
@@ -16,7 +16,11 @@
      * @param givesAway kinds of work that this cell gives away
      */
     public record View(
-            CapacitySurvey room, Optional<String> never, int visitors, int mostVisitors, Collection<ResourceKind> givesAway) {}
+            CapacitySurvey room,
+            Optional<String> never,
+            int visitors,
+            int mostVisitors,
+            Collection<ResourceKind> givesAway) {}
 
     /** Why the job is not taken; empty if it is. */
     public static Optional<Rejection.Reason> refusal(Submission job, View view) {
--- a/src/main/java/org/dunespindle/federation/CancellationCall.java
+++ b/src/main/java/org/dunespindle/federation/CancellationCall.java
@@ -40,7 +40,8 @@
             JobRecord job,
             Consumer<InboundJobStatus> heard,
             Consumer<JobDelegation.Cancellation> then) {
-        var transfer = new Transfer(job.id(), job.outboundDelegation().orElseThrow().transfer());
+        var transfer =
+                new Transfer(job.id(), job.outboundDelegation().orElseThrow().transfer());
         var request = new CellRequest.Cancel(self, identity, transfer);
         new CancellationCall(contact, request, transfer, heard, then).ask();
     }
--- a/src/main/java/org/dunespindle/federation/CapacitySurvey.java
+++ b/src/main/java/org/dunespindle/federation/CapacitySurvey.java
@@ -41,9 +41,9 @@
         Resources free;
         final Map<Priority, Resources> heldBy = new HashMap<>();
 
-        Machine(MachineSnapshot host) {
-            this.host = host;
-            this.free = host.size();
+        Machine(MachineSnapshot machine) {
+            this.host = machine;
+            this.free = machine.size();
         }
 
         /** Preemption goes by priority alone, and only tasks of gangs are exempt. */
@@ -83,9 +83,9 @@
     private void addMarkets(MachineType type) {
         for (String zone : type.zones()) {
             for (boolean spot : new boolean[] {false, true}) {
-                var market = new MachinePool(type.name(), zone, spot);
-                if (!snapshot.refused().contains(market)) {
-                    rentable.put(market, type);
+                var pool = new MachinePool(type.name(), zone, spot);
+                if (!snapshot.refused().contains(pool)) {
+                    rentable.put(pool, type);
                 }
             }
         }
@@ -94,7 +94,8 @@
     private void occupy(JobRecord job, List<Allocation> allocations, Map<String, Machine> byId) {
         for (Allocation allocation : allocations) {
             Machine machine = byId.get(allocation.machineId());
-            boolean ended = snapshot.ended().contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
+            boolean ended =
+                    snapshot.ended().contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
             if (machine != null && !ended) {
                 take(machine, job, !job.submission().isGang());
             }
@@ -157,18 +158,18 @@
                 byZone.merge(host.zone(), fit(job, machine.freeFor(job.priority())), Integer::sum);
             }
         }
-        rentable.forEach((market, type) -> {
-            if (mayUse(job, market) && job.perTask().fitsIn(type.size())) {
-                byZone.put(market.zone(), job.tasks());
+        rentable.forEach((pool, type) -> {
+            if (mayUse(job, pool) && job.perTask().fitsIn(type.size())) {
+                byZone.put(pool.zone(), job.tasks());
             }
         });
         return byZone;
     }
 
-    private static boolean mayUse(Submission job, MachinePool market) {
-        boolean kind = job.spot() || !market.spot();
-        boolean type = job.types().map(list -> list.contains(market.type())).orElse(true);
-        return kind && type && job.zone().map(market.zone()::equals).orElse(true);
+    private static boolean mayUse(Submission job, MachinePool pool) {
+        boolean kind = job.spot() || !pool.spot();
+        boolean type = job.types().map(list -> list.contains(pool.type())).orElse(true);
+        return kind && type && job.zone().map(pool.zone()::equals).orElse(true);
     }
 
     private static int fit(Submission job, Resources room) {
@@ -182,23 +183,23 @@
     /** What other cells are told. */
     public List<CapacityHint> hints() {
         var byMarket = new LinkedHashMap<MachinePool, List<Machine>>();
-        rentable.keySet().forEach(market -> byMarket.put(market, new ArrayList<>()));
+        rentable.keySet().forEach(pool -> byMarket.put(pool, new ArrayList<>()));
         for (Machine machine : machines) {
             MachineSnapshot host = machine.host;
-            var market = new MachinePool(host.type(), host.zone(), host.spot());
-            byMarket.computeIfAbsent(market, key -> new ArrayList<>()).add(machine);
+            var pool = new MachinePool(host.type(), host.zone(), host.spot());
+            byMarket.computeIfAbsent(pool, key -> new ArrayList<>()).add(machine);
         }
         var hints = new ArrayList<CapacityHint>();
-        byMarket.forEach((market, alike) -> {
+        byMarket.forEach((pool, alike) -> {
             for (Priority priority : Priority.values()) {
-                hints.add(hint(market, alike, priority));
+                hints.add(hint(pool, alike, priority));
             }
         });
         return hints;
     }
 
-    private CapacityHint hint(MachinePool market, List<Machine> alike, Priority priority) {
-        MachineType more = rentable.get(market);
+    private CapacityHint hint(MachinePool pool, List<Machine> alike, Priority priority) {
+        MachineType more = rentable.get(pool);
         Resources sum = Resources.NONE;
         Resources largest = more == null ? Resources.NONE : more.size();
         for (Machine machine : alike) {
@@ -208,6 +209,6 @@
                     room.gpus() > largest.gpus() || room.gpus() == largest.gpus() && room.cpus() > largest.cpus();
             largest = larger ? room : largest;
         }
-        return new CapacityHint(market.type(), market.zone(), market.spot(), priority, sum, largest, more != null);
+        return new CapacityHint(pool.type(), pool.zone(), pool.spot(), priority, sum, largest, more != null);
     }
 }
--- a/src/main/java/org/dunespindle/federation/CellAbandonment.java
+++ b/src/main/java/org/dunespindle/federation/CellAbandonment.java
@@ -42,10 +42,12 @@
         changes.stream().limit(MOST_AT_ONCE).forEach(job -> store(cell, job));
         String key = Keys.cell(cell);
         boolean over = changes.isEmpty() && visitorsOf(cell).isEmpty();
-        if (over && !context.committer().isLocked(key)) {
-            context.decisions().record(LOG, "cell {} is abandoned and forgotten", cell);
-            Transaction txn = self.guarded(new Transaction()).requireRevision(key, replica.modRevision(key)).remove(key);
-            context.committer().propose(CommitPriority.MAINTENANCE, txn, result -> {});
+        if (over && !context.commitQueue().isLocked(key)) {
+            context.eventRecorder().record(LOG, "cell {} is abandoned and forgotten", cell);
+            Transaction transaction = self.guarded(new Transaction())
+                    .requireRevision(key, replica.modRevision(key))
+                    .remove(key);
+            context.commitQueue().propose(CommitPriority.MAINTENANCE, transaction, result -> {});
         }
     }
 
@@ -53,8 +55,9 @@
         var changes = new ArrayList<JobRecord>();
         for (JobRecord job : away) {
             if (job.outboundDelegation().orElseThrow().cell().equals(cell)) {
-                changes.add(job.withDelegationLink(
-                        job.outboundDelegation().get().returned(context.timeline().wallTime())));
+                changes.add(job.withDelegationLink(job.outboundDelegation()
+                        .get()
+                        .returned(context.timeSource().wallTime())));
             }
         }
         for (JobRecord job : visitorsOf(cell)) {
@@ -78,10 +81,11 @@
 
     private void store(String cell, JobRecord after) {
         String key = Keys.job(after.id());
-        if (!context.committer().isLocked(key)) {
+        if (!context.commitQueue().isLocked(key)) {
             String cellKey = Keys.cell(cell);
-            Transaction txn = self.guarded(context.jobWriter().write(new Transaction(), after)).requireRevision(cellKey, replica.modRevision(cellKey));
-            context.committer().propose(CommitPriority.PLACEMENT, txn, result -> {});
+            Transaction transaction = self.guarded(context.jobWriter().write(new Transaction(), after))
+                    .requireRevision(cellKey, replica.modRevision(cellKey));
+            context.commitQueue().propose(CommitPriority.PLACEMENT, transaction, result -> {});
         }
     }
 }
--- a/src/main/java/org/dunespindle/federation/CellConnection.java
+++ b/src/main/java/org/dunespindle/federation/CellConnection.java
@@ -22,7 +22,7 @@
     private final FederationSettings.RemoteCell cell;
     private final List<String> controllers;
     private final CellTransport transport;
-    private final TimeSource timeline;
+    private final TimeSource timeSource;
     private int preferred;
     private int underWay;
     private Optional<CellReply.Greeting> greeting = Optional.empty();
@@ -35,11 +35,11 @@
     /** A refusal that was told, and until when the cell is not asked again. */
     record Refused(Rejection.Reason reason, Duration until) {}
 
-    CellConnection(FederationSettings.RemoteCell cell, CellTransport transport, TimeSource timeline) {
+    CellConnection(FederationSettings.RemoteCell cell, CellTransport transport, TimeSource timeSource) {
         this.cell = cell;
         this.controllers = new ArrayList<>(cell.controllers().keySet());
         this.transport = transport;
-        this.timeline = timeline;
+        this.timeSource = timeSource;
     }
 
     String name() {
@@ -68,7 +68,7 @@
                         turnFrom(asked);
                         silent.run();
                     } else {
-                        answeredAt = Optional.of(timeline.now());
+                        answeredAt = Optional.of(timeSource.now());
                         redirect(reply, asked);
                         answered.accept(reply);
                     }
@@ -116,12 +116,12 @@
 
     /** How old what was told last is. */
     Duration age() {
-        return timeline.now().minus(greetedAt);
+        return timeSource.now().minus(greetedAt);
     }
 
     /** How long no controller of the cell has answered; empty if none ever did. */
     Optional<Duration> silentFor() {
-        return answeredAt.map(at -> timeline.now().minus(at));
+        return answeredAt.map(at -> timeSource.now().minus(at));
     }
 
     /** Why nothing is offered to the cell, if only an operator can tell what is true. */
@@ -149,12 +149,12 @@
     }
 
     void refused(ResourceKind kind, Rejection refusal) {
-        refusals.put(kind, new Refused(refusal.reason(), timeline.now().plus(refusal.retryAfter())));
+        refusals.put(kind, new Refused(refusal.reason(), timeSource.now().plus(refusal.retryAfter())));
     }
 
     /** A refusal of work of some kind that still holds. */
     Optional<Refused> refusal(ResourceKind kind) {
-        refusals.values().removeIf(refused -> refused.until.compareTo(timeline.now()) <= 0);
+        refusals.values().removeIf(refused -> refused.until.compareTo(timeSource.now()) <= 0);
         return Optional.ofNullable(refusals.get(kind));
     }
 }
--- a/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
+++ b/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
@@ -84,7 +84,7 @@
                 stored().isPresent() || replica.value(Keys.FEDERATION).isEmpty();
         boolean written = stored().filter(cell -> cell.leaderStamp() == replica.modRevision(Keys.LEADER))
                 .isPresent();
-        if (due && readable && !written && !context.committer().isLocked(Keys.FEDERATION)) {
+        if (due && readable && !written && !context.commitQueue().isLocked(Keys.FEDERATION)) {
             raise();
         }
     }
@@ -94,17 +94,18 @@
         long incarnation = id().map(CellId::incarnation).orElse(0L) + 1;
         var next = new FederationRecords.OwnCell(
                 new CellId(name, identity, incarnation, draw()), replica.modRevision(Keys.LEADER));
-        Transaction txn = guarded(new Transaction()).write(Keys.FEDERATION, FederationRecords.write(next));
-        context.committer().propose(CommitPriority.PLACEMENT, txn, result -> {
+        Transaction transaction = guarded(new Transaction()).write(Keys.FEDERATION, FederationRecords.write(next));
+        context.commitQueue().propose(CommitPriority.PLACEMENT, transaction, result -> {
             if (result instanceof TransactionResult.Applied) {
-                context.decisions().record(LOG, "cell {} is in incarnation {}", name, incarnation);
+                context.eventRecorder().record(LOG, "cell {} is in incarnation {}", name, incarnation);
             }
         });
     }
 
     /** Guards a change by the leadership and the incarnation under which it was decided. */
-    Transaction guarded(Transaction txn) {
-        return txn.requireRevision(Keys.FEDERATION, replica.modRevision(Keys.FEDERATION))
+    Transaction guarded(Transaction transaction) {
+        return transaction
+                .requireRevision(Keys.FEDERATION, replica.modRevision(Keys.FEDERATION))
                 .requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER))
                 .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT));
     }
--- a/src/main/java/org/dunespindle/federation/DelegationRules.java
+++ b/src/main/java/org/dunespindle/federation/DelegationRules.java
@@ -21,7 +21,11 @@
      * @param again when the job may be given away again, should it come home now
      */
     public record View(
-            OutboundDelegation delegation, Optional<InboundJobState> told, Duration waited, Duration patience, Instant again) {
+            OutboundDelegation delegation,
+            Optional<InboundJobState> told,
+            Duration waited,
+            Duration patience,
+            Instant again) {
         private boolean overdue() {
             return waited.compareTo(patience) > 0;
         }
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -18,9 +18,9 @@
 import org.dunespindle.scheduling.ClusterSnapshot;
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.scheduling.Shortfall;
-import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.Transaction;
 import org.slf4j.Logger;
@@ -84,7 +84,7 @@
         this.self = new CellIdentityKeeper(context, settings.cell(), random);
         this.known = new KnownCells(replica);
         settings.cells()
-                .forEach(cell -> contacts.put(cell.name(), new CellConnection(cell, transport, context.timeline())));
+                .forEach(cell -> contacts.put(cell.name(), new CellConnection(cell, transport, context.timeSource())));
         this.delegations = new OutboundDelegationService(context, self, known, contacts);
         this.visitors = new InboundDelegationService(context, settings, self, known, this::admission, this::room);
         this.abandonment = new CellAbandonment(context, self, known);
@@ -103,7 +103,7 @@
         } catch (RuntimeException e) {
             LOG.error("a round of the federation failed and is repeated", e);
         }
-        context.timeline().schedule(TICK, this::start);
+        context.timeSource().schedule(TICK, this::start);
     }
 
     private void tick() {
@@ -125,7 +125,7 @@
     }
 
     private Duration now() {
-        return context.timeline().now();
+        return context.timeSource().now();
     }
 
     private void sayHello(CellConnection contact) {
@@ -160,7 +160,7 @@
         if (contact.greetingTrouble(trouble)) {
             String what = trouble.map(text -> text + "; nothing more is offered to it")
                     .orElse("all is well again");
-            context.decisions().record(LOG, "cell {}: {}", contact.name(), what);
+            context.eventRecorder().record(LOG, "cell {}: {}", contact.name(), what);
         }
     }
 
@@ -183,11 +183,11 @@
     /** Stores a cell's identity when it is met first; nothing is offered before. */
     private void remember(CellId cell) {
         String key = Keys.cell(cell.name());
-        if (!context.committer().isLocked(key)) {
-            Transaction txn = self.guarded(new Transaction())
+        if (!context.commitQueue().isLocked(key)) {
+            Transaction transaction = self.guarded(new Transaction())
                     .requireRevision(key, replica.modRevision(key))
                     .write(key, FederationRecords.write(new FederationRecords.KnownCell(cell, 0, false)));
-            context.committer().propose(CommitPriority.MAINTENANCE, txn, result -> {});
+            context.commitQueue().propose(CommitPriority.MAINTENANCE, transaction, result -> {});
         }
     }
 
@@ -281,12 +281,12 @@
     }
 
     private void giveAway() {
-        if (survey().isEmpty() || context.committer().waiting() > MOST_COMMITS_WAITING) {
+        if (survey().isEmpty() || context.commitQueue().waiting() > MOST_COMMITS_WAITING) {
             return;
         }
         Options options = context.options().get();
         var view = new SpillPolicy.View(
-                context.timeline().wallTime(),
+                context.timeSource().wallTime(),
                 waitedLong(),
                 targets(),
                 List.copyOf(tookIn.keySet()),
--- a/src/main/java/org/dunespindle/federation/FederationAdmin.java
+++ b/src/main/java/org/dunespindle/federation/FederationAdmin.java
@@ -12,9 +12,9 @@
 import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.protocol.MessagePackCodec;
-import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.Transaction;
 import org.dunespindle.storage.TransactionResult;
@@ -125,7 +125,8 @@
     private int countVisitors(String cell) {
         int count = 0;
         for (JobRecord job : replica.inboundJobs()) {
-            count += job.isOpen() && job.inboundDelegation().orElseThrow().home().equals(cell) ? 1 : 0;
+            count +=
+                    job.isOpen() && job.inboundDelegation().orElseThrow().home().equals(cell) ? 1 : 0;
         }
         return count;
     }
@@ -163,7 +164,7 @@
                 .ifPresent(told -> node.put("told", told.report().state().name())
                         .put(
                                 "toldMsAgo",
-                                context.timeline().now().minus(told.asked()).toMillis()));
+                                context.timeSource().now().minus(told.asked()).toMillis()));
         delegations.contradiction(job.id()).ifPresent(what -> node.put("contradiction", what));
         whyWaits(job).ifPresent(why -> node.put("waits", why));
     }
@@ -200,7 +201,7 @@
                 .map(told -> "in " + cell + ": "
                         + told.report().waits().orElse("all of its tasks are under way there")
                         + " (told "
-                        + context.timeline().now().minus(told.asked()).toSeconds() + " s ago)")
+                        + context.timeSource().now().minus(told.asked()).toSeconds() + " s ago)")
                 .orElse("in " + cell + ", which has not told yet how it stands");
     }
 
@@ -217,16 +218,16 @@
                             .put("error", "not confirmed: send {\"confirm\": \"" + name + "\"}. " + RISK)
                             .put("jobsThere", countAway(name))
                             .put("itsJobsHere", countVisitors(name))));
-        } else if (context.committer().isLocked(key)) {
+        } else if (context.commitQueue().isLocked(key)) {
             answer.accept(AdminApi.error(CONFLICT, "another change is under way; read again and repeat"));
         } else {
-            Transaction txn = new Transaction()
+            Transaction transaction = new Transaction()
                     .requireRevision(key, replica.modRevision(key))
                     .write(key, FederationRecords.write(cell.get().abandon()));
-            context.committer()
+            context.commitQueue()
                     .propose(
                             CommitPriority.USERS,
-                            txn,
+                            transaction,
                             result -> answer.accept(
                                     result instanceof TransactionResult.Applied
                                             ? new AdminResponse(
--- a/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
@@ -8,11 +8,11 @@
 import java.util.Optional;
 import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
+import org.dunespindle.storage.InboundDelegation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.Transaction;
-import org.dunespindle.storage.InboundDelegation;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -84,7 +84,7 @@
     void heard(CellRequest.Hello hello) {
         CellId from = hello.from();
         String key = Keys.cell(from.name());
-        if (context.committer().isLocked(key)) {
+        if (context.commitQueue().isLocked(key)) {
             return;
         }
         Optional<FederationRecords.KnownCell> stored = known.cell(from.name());
@@ -93,25 +93,25 @@
         if (!news && (ended.isEmpty() || cleanedLately(from.name()))) {
             return;
         }
-        cleanedAt.put(from.name(), context.timeline().now());
-        Transaction txn = self.guarded(new Transaction())
+        cleanedAt.put(from.name(), context.timeSource().now());
+        Transaction transaction = self.guarded(new Transaction())
                 .requireRevision(key, replica.modRevision(key))
                 .write(key, FederationRecords.write(new FederationRecords.KnownCell(from, hello.floor(), false)));
-        ended.forEach(job -> remove(txn, job));
+        ended.forEach(job -> remove(transaction, job));
         if (news) {
-            context.decisions().record(LOG, "cell {} is known in incarnation {}", from.name(), from.incarnation());
+            context.eventRecorder().record(LOG, "cell {} is known in incarnation {}", from.name(), from.incarnation());
         }
-        context.committer().propose(CommitPriority.MAINTENANCE, txn, result -> {});
+        context.commitQueue().propose(CommitPriority.MAINTENANCE, transaction, result -> {});
     }
 
-    private void remove(Transaction txn, JobRecord job) {
+    private void remove(Transaction transaction, JobRecord job) {
         String key = Keys.job(job.id());
-        txn.requireRevision(key, replica.modRevision(key)).remove(key);
+        transaction.requireRevision(key, replica.modRevision(key)).remove(key);
     }
 
     private boolean cleanedLately(String cell) {
         Duration last = cleanedAt.get(cell);
-        return last != null && context.timeline().now().minus(last).compareTo(EVERY) < 0;
+        return last != null && context.timeSource().now().minus(last).compareTo(EVERY) < 0;
     }
 
     /** As many ended visitors as one transaction takes beside the cell's own record. */
@@ -120,7 +120,7 @@
         var ended = new ArrayList<JobRecord>();
         for (JobRecord job : replica.inboundJobs()) {
             boolean over = !job.isOpen() && job.spec().isEmpty();
-            boolean free = !context.committer().isLocked(Keys.job(job.id()));
+            boolean free = !context.commitQueue().isLocked(Keys.job(job.id()));
             if (ended.size() < most && over && free && below(job, home, floor)) {
                 ended.add(job);
             }
--- a/src/main/java/org/dunespindle/federation/InboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationService.java
@@ -10,12 +10,12 @@
 import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.InboundDelegation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.Transaction;
 import org.dunespindle.storage.TransactionResult;
-import org.dunespindle.storage.InboundDelegation;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -49,8 +49,8 @@
             return new Verdict(Optional.empty(), Optional.of(reply));
         }
 
-        static Verdict store(JobRecord record, CellReply reply) {
-            return new Verdict(Optional.of(new Change(record, reply)), Optional.empty());
+        static Verdict store(JobRecord job, CellReply reply) {
+            return new Verdict(Optional.of(new Change(job, reply)), Optional.empty());
         }
     }
 
@@ -83,7 +83,7 @@
             reply.accept(CellReply.NotServed.of(CellReply.Reason.NOT_READY));
             return;
         }
-        handle(request, context.timeline().now().plus(PATIENCE), reply);
+        handle(request, context.timeSource().now().plus(PATIENCE), reply);
     }
 
     private void handle(CellRequest request, Duration until, Consumer<CellReply> reply) {
@@ -166,18 +166,20 @@
         return report(transfer, record.get());
     }
 
-    private InboundJobStatus report(Transfer transfer, JobRecord record) {
+    private InboundJobStatus report(Transfer transfer, JobRecord job) {
         Optional<String> waits =
-                record.unplacedCount() > 0 ? Optional.of(context.whyWaits().apply(record)) : Optional.empty();
-        return new InboundJobStatus(
-                transfer, state(record), record.doneCount(), record.runningCount(), record.failures(), waits);
+                job.unplacedCount() > 0 ? Optional.of(context.whyWaits().apply(job)) : Optional.empty();
+        return new InboundJobStatus(transfer, state(job), job.doneCount(), job.runningCount(), job.failures(), waits);
     }
 
-    private static InboundJobState state(JobRecord record) {
-        return switch (record.outcome()) {
+    private static InboundJobState state(JobRecord job) {
+        return switch (job.outcome()) {
             case DONE -> InboundJobState.DONE;
-            case CANCELLED -> record.inboundDelegation().orElseThrow().withdrawn() ? InboundJobState.WITHDRAWN : InboundJobState.CANCELLED;
-            case OPEN -> record.neverPlaced() ? InboundJobState.QUEUED : InboundJobState.BEGUN;
+            case CANCELLED ->
+                job.inboundDelegation().orElseThrow().withdrawn()
+                        ? InboundJobState.WITHDRAWN
+                        : InboundJobState.CANCELLED;
+            case OPEN -> job.neverPlaced() ? InboundJobState.QUEUED : InboundJobState.BEGUN;
         };
     }
 
@@ -227,7 +229,8 @@
                     new CellReply.Declined(transfer, Rejection.of(refusal.get())));
         }
         JobRecord taken = JobRecord.acceptedFromOrigin(offer.job(), offer.arrived(), visit);
-        return Verdict.store(taken, new CellReply.Reports(List.of(InboundJobStatus.of(transfer, InboundJobState.QUEUED))));
+        return Verdict.store(
+                taken, new CellReply.Reports(List.of(InboundJobStatus.of(transfer, InboundJobState.QUEUED))));
     }
 
     /** The key may hold a job of this cell's own users, for good, or a visitor from elsewhere, for a while. */
@@ -240,7 +243,8 @@
             return Optional.empty();
         }
         if (present.get().inboundDelegation().isEmpty()) {
-            return Optional.of(Verdict.answer(new CellReply.Declined(transfer, Rejection.of(Rejection.Reason.ID_TAKEN))));
+            return Optional.of(
+                    Verdict.answer(new CellReply.Declined(transfer, Rejection.of(Rejection.Reason.ID_TAKEN))));
         }
         boolean sameHome = present.get().inboundDelegation().get().home().equals(from.name());
         boolean over = present.get().inboundDelegation().get().withdrawn();
@@ -292,7 +296,7 @@
     }
 
     private Instant now() {
-        return context.timeline().wallTime();
+        return context.timeSource().wallTime();
     }
 
     private static Verdict answer(InboundJobStatus report) {
@@ -314,17 +318,17 @@
             return;
         }
         String key = Keys.job(transfer.job());
-        if (context.committer().isLocked(key)) {
+        if (context.commitQueue().isLocked(key)) {
             again(request, until, reply);
             return;
         }
         Change change = verdict.change.orElseThrow();
         String cellKey = Keys.cell(request.from().name());
-        Transaction txn = context.jobWriter()
+        Transaction transaction = context.jobWriter()
                 .write(new Transaction(), change.record)
                 .requireRevision(cellKey, replica.modRevision(cellKey))
                 .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT));
-        context.committer().propose(CommitPriority.USERS, txn, result -> {
+        context.commitQueue().propose(CommitPriority.USERS, transaction, result -> {
             if (result instanceof TransactionResult.Applied) {
                 tell(request, change);
                 reply.accept(change.reply);
@@ -338,7 +342,7 @@
         String job = change.record.id();
         String cell = request.from().name();
         if (change.record.isOpen()) {
-            context.decisions().record(LOG, "job {} of cell {} is taken in", job, cell);
+            context.eventRecorder().record(LOG, "job {} of cell {} is taken in", job, cell);
         } else if (change.reply instanceof CellReply.Declined declined) {
             LOG.debug(
                     "job {} of cell {} is not taken: {}",
@@ -346,7 +350,7 @@
                     cell,
                     declined.refusal().reason());
         } else {
-            context.decisions()
+            context.eventRecorder()
                     .record(
                             LOG,
                             "job {} of cell {} is {} again",
@@ -359,10 +363,10 @@
     }
 
     private void again(CellRequest request, Duration until, Consumer<CellReply> reply) {
-        if (context.timeline().now().compareTo(until) > 0) {
+        if (context.timeSource().now().compareTo(until) > 0) {
             reply.accept(CellReply.NotServed.of(CellReply.Reason.STATE_UNAVAILABLE));
         } else {
-            context.timeline().schedule(LOCK_WAIT, () -> handle(request, until, reply));
+            context.timeSource().schedule(LOCK_WAIT, () -> handle(request, until, reply));
         }
     }
 }
--- a/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
@@ -14,9 +14,9 @@
 import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.Options;
-import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.Transaction;
 import org.dunespindle.storage.TransactionResult;
@@ -69,7 +69,10 @@
     }
 
     OutboundDelegationService(
-            DelegationContext context, CellIdentityKeeper self, KnownCells known, Map<String, CellConnection> contacts) {
+            DelegationContext context,
+            CellIdentityKeeper self,
+            KnownCells known,
+            Map<String, CellConnection> contacts) {
         this.context = context;
         this.replica = context.replica();
         this.self = self;
@@ -78,7 +81,7 @@
     }
 
     private Duration now() {
-        return context.timeline().now();
+        return context.timeSource().now();
     }
 
     private boolean leads() {
@@ -116,7 +119,8 @@
         var toAsk = new LinkedHashMap<String, List<JobRecord>>();
         for (JobRecord job : away) {
             ids.add(job.id());
-            CellConnection contact = contacts.get(job.outboundDelegation().orElseThrow().cell());
+            CellConnection contact =
+                    contacts.get(job.outboundDelegation().orElseThrow().cell());
             if (contact != null) {
                 follow(job, contact, toAsk);
             }
@@ -164,7 +168,7 @@
     /** When a job may be given away again: the pause doubles with every transfer. */
     private Instant again(OutboundDelegation delegation, Options options) {
         int doublings = Math.min(MOST_PAUSE_DOUBLINGS, delegation.transfers() - 1);
-        return context.timeline().wallTime().plus(options.spillPause().multipliedBy(1L << doublings));
+        return context.timeSource().wallTime().plus(options.spillPause().multipliedBy(1L << doublings));
     }
 
     /** Tells which cells contradict what is stored here; nothing is offered to them while they do. */
@@ -178,7 +182,7 @@
             if (contact.contradiction(what)) {
                 String told = what.map(text -> text + " (job " + job.get().id() + "); nothing more is offered to it")
                         .orElse("what it tells agrees again with what is stored here");
-                context.decisions().record(LOG, "cell {}: {}", contact.name(), told);
+                context.eventRecorder().record(LOG, "cell {}: {}", contact.name(), told);
             }
         }
     }
@@ -194,7 +198,11 @@
                             contact,
                             state,
                             new CellRequest.Offer(
-                                    self.id().orElseThrow(), told.self(), transfer(job), job.arrived(), job.submission())));
+                                    self.id().orElseThrow(),
+                                    told.self(),
+                                    transfer(job),
+                                    job.arrived(),
+                                    job.submission())));
         } else if (step instanceof DelegationRules.Step.SendRecall) {
             known.cell(contact.name())
                     .ifPresent(cell -> send(
@@ -234,7 +242,7 @@
         } else if (reply instanceof CellReply.Declined declined) {
             contact.refused(ResourceKind.of(job.submission()), declined.refusal());
             reports.take(InboundJobStatus.of(declined.transfer(), InboundJobState.WITHDRAWN), phase, asked);
-            context.decisions()
+            context.eventRecorder()
                     .record(
                             LOG,
                             "job {}: cell {} {}",
@@ -273,8 +281,8 @@
 
     private void ask(CellConnection contact, String identity, List<JobRecord> jobs) {
         var phases = new HashMap<Transfer, OutboundDelegation.Phase>();
-        jobs.forEach(
-                job -> phases.put(transfer(job), job.outboundDelegation().orElseThrow().phase()));
+        jobs.forEach(job ->
+                phases.put(transfer(job), job.outboundDelegation().orElseThrow().phase()));
         Duration asked = now();
         var request = new CellRequest.Progress(self.id().orElseThrow(), identity, List.copyOf(phases.keySet()));
         contact.call(
@@ -302,8 +310,8 @@
 
     private void store(JobRecord before, JobRecord after) {
         String key = Keys.job(before.id());
-        if (!context.committer().isLocked(key)) {
-            context.committer()
+        if (!context.commitQueue().isLocked(key)) {
+            context.commitQueue()
                     .propose(CommitPriority.PLACEMENT, context.jobWriter().write(new Transaction(), after), result -> {
                         if (result instanceof TransactionResult.Applied) {
                             tell(before, after);
@@ -315,9 +323,10 @@
     private void tell(JobRecord before, JobRecord after) {
         OutboundDelegation transfer = before.outboundDelegation().orElseThrow();
         if (!after.isOpen()) {
-            context.decisions().record(LOG, "job {} ended in cell {}: {}", before.id(), transfer.cell(), after.outcome());
+            context.eventRecorder()
+                    .record(LOG, "job {} ended in cell {}: {}", before.id(), transfer.cell(), after.outcome());
         } else if (!after.isDelegatedAway()) {
-            context.decisions()
+            context.eventRecorder()
                     .record(
                             LOG,
                             "job {} is back from cell {}, transfer {}",
@@ -337,20 +346,22 @@
     void give(SpillPolicy.Choice choice) {
         JobRecord job = choice.job();
         String key = Keys.job(job.id());
-        OptionalLong number = context.committer().isLocked(key) ? OptionalLong.empty() : self.nextTransfer();
+        OptionalLong number = context.commitQueue().isLocked(key) ? OptionalLong.empty() : self.nextTransfer();
         if (number.isEmpty() || known.cell(choice.cell()).isEmpty()) {
             return;
         }
-        OutboundDelegation intent = OutboundDelegation.offer(job.outboundDelegation(), choice.cell(), number.getAsLong());
+        OutboundDelegation intent =
+                OutboundDelegation.offer(job.outboundDelegation(), choice.cell(), number.getAsLong());
         long stamp = replica.modRevision(key);
         unsettled.put(job.id(), new Unsettled(number.getAsLong(), stamp));
-        Transaction txn = self.guarded(context.jobWriter().write(new Transaction(), job.withDelegationLink(intent)));
-        context.committer().propose(CommitPriority.PLACEMENT, txn, result -> {
+        Transaction transaction =
+                self.guarded(context.jobWriter().write(new Transaction(), job.withDelegationLink(intent)));
+        context.commitQueue().propose(CommitPriority.PLACEMENT, transaction, result -> {
             if (!(result instanceof TransactionResult.Unknown)) {
                 unsettled.remove(job.id());
             }
             if (result instanceof TransactionResult.Applied) {
-                context.decisions()
+                context.eventRecorder()
                         .record(LOG, "job {} found no room here and is offered to cell {}", job.id(), choice.cell());
             }
         });
--- a/src/main/java/org/dunespindle/federation/RemoteJobStates.java
+++ b/src/main/java/org/dunespindle/federation/RemoteJobStates.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.OutboundDelegation;
 
 /**
  * What other cells told of this cell's jobs. Answers may arrive out of order, so what was told once of a transfer is never replaced by
@@ -54,7 +54,8 @@
 
     /** What was told of a job's present transfer. */
     Optional<Told> of(JobRecord job) {
-        long transfer = job.outboundDelegation().map(OutboundDelegation::transfer).orElse(-1L);
+        long transfer =
+                job.outboundDelegation().map(OutboundDelegation::transfer).orElse(-1L);
         return Optional.ofNullable(told.get(job.id()))
                 .filter(known -> known.report.transfer().number() == transfer);
     }
--- a/src/main/java/org/dunespindle/federation/SpillPolicy.java
+++ b/src/main/java/org/dunespindle/federation/SpillPolicy.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import org.dunespindle.protocol.Submission;
-import org.dunespindle.storage.OutboundDelegation;
 import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.OutboundDelegation;
 
 /** Which waiting jobs are offered to which cells. Pure. */
 public final class SpillPolicy {
--- a/src/main/java/org/dunespindle/job/GangLifecycle.java
+++ b/src/main/java/org/dunespindle/job/GangLifecycle.java
@@ -37,26 +37,27 @@
     private static final long LONGEST_MICROS = 3_600_000_000L;
     private final Settings settings;
     private final StateReplica replica;
-    private final CommitQueue committer;
+    private final CommitQueue commitQueue;
     private final WorkerClient workerClient;
     private final JobRecordWriter jobWriter;
-    private final WorkerRegistry sessions;
-    private final TimeSource timeline;
-    private final EventRecorder decisions;
+    private final WorkerRegistry workers;
+    private final TimeSource timeSource;
+    private final EventRecorder eventRecorder;
     private final Supplier<Options> options;
     private final Histogram holdPlacement = new Histogram(LONGEST_MICROS, 2);
     private final Histogram replacement = new Histogram(LONGEST_MICROS, 2);
     private final Map<String, Duration> replacingSince = new HashMap<>();
     private final Map<String, Duration> firstHold = new HashMap<>();
 
-    public GangLifecycle(ControllerContext context, CommitQueue committer, WorkerClient workerClient, Supplier<Options> options) {
+    public GangLifecycle(
+            ControllerContext context, CommitQueue commitQueue, WorkerClient workerClient, Supplier<Options> options) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
-        this.sessions = context.workers();
-        this.timeline = context.timeSource();
-        this.decisions = context.eventRecorder();
-        this.committer = committer;
+        this.workers = context.workers();
+        this.timeSource = context.timeSource();
+        this.eventRecorder = context.eventRecorder();
+        this.commitQueue = commitQueue;
         this.workerClient = workerClient;
         this.options = options;
     }
@@ -71,21 +72,24 @@
 
     /** The leader's part. */
     public void tick() {
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         var holding = new HashSet<String>();
-        for (JobRecord j : replica.activeJobs()) {
-            if (!j.isOpen() || !j.submission().isGang()) {
+        for (JobRecord job : replica.activeJobs()) {
+            if (!job.isOpen() || !job.submission().isGang()) {
                 continue;
             }
-            if (replacingSince.containsKey(j.id()) && j.gangPhase() == JobRecord.GangPhase.RUNNING && allIn(j, TaskPhase.RUNNING)) {
+            if (replacingSince.containsKey(job.id())
+                    && job.gangPhase() == JobRecord.GangPhase.RUNNING
+                    && allIn(job, TaskPhase.RUNNING)) {
                 replacement.recordValue(Math.min(
-                        LONGEST_MICROS, now.minus(replacingSince.remove(j.id())).toNanos() / 1000));
+                        LONGEST_MICROS,
+                        now.minus(replacingSince.remove(job.id())).toNanos() / 1000));
             }
-            if (j.gangPhase() != JobRecord.GangPhase.PLACEHOLDERS) {
+            if (job.gangPhase() != JobRecord.GangPhase.PLACEHOLDERS) {
                 continue;
             }
-            holding.add(j.id());
-            moveOn(j, now.minus(firstHold.computeIfAbsent(j.id(), k -> now)));
+            holding.add(job.id());
+            moveOn(job, now.minus(firstHold.computeIfAbsent(job.id(), k -> now)));
         }
         firstHold.keySet().retainAll(holding);
         replacingSince
@@ -93,52 +97,55 @@
                 .removeIf(id -> replica.job(id).filter(JobRecord::isOpen).isEmpty());
     }
 
-    private void moveOn(JobRecord j, Duration since) {
-        if (committer.isLocked(Keys.job(j.id()))) {
+    private void moveOn(JobRecord job, Duration since) {
+        if (commitQueue.isLocked(Keys.job(job.id()))) {
             return;
         }
-        boolean all = j.allocations().size() == j.submission().tasks();
+        boolean all = job.allocations().size() == job.submission().tasks();
         Duration limit = all
                 ? options.get()
                         .firstHoldTimer()
                         .plus(settings.workers().gangWait())
                         .plus(FETCH_ALLOWANCE)
                 : options.get().firstHoldTimer();
-        if (all && allIn(j, TaskPhase.ASSEMBLING)) {
+        if (all && allIn(job, TaskPhase.ASSEMBLING)) {
             holdPlacement.recordValue(Math.min(LONGEST_MICROS, since.toNanos() / 1000));
-            decisions.record(
+            eventRecorder.record(
                     LOG,
                     "gang {}: all {} placeholders are placed; real tasks replace them",
-                    j.id(),
-                    j.submission().tasks());
-            replacingSince.put(j.id(), timeline.now());
-            change(j.withGangRunning());
+                    job.id(),
+                    job.submission().tasks());
+            replacingSince.put(job.id(), timeSource.now());
+            change(job.withGangRunning());
         } else if (since.compareTo(limit) > 0) {
-            decisions.record(
+            eventRecorder.record(
                     LOG,
                     "gang {}: its placement ended after {} s with {} of {} placeholders; queued again",
-                    j.id(),
+                    job.id(),
                     since.toSeconds(),
-                    j.allocations().size(),
-                    j.submission().tasks());
-            change(j.withGangStopping().withQueuePosition(timeline.wallTime().toEpochMilli()));
+                    job.allocations().size(),
+                    job.submission().tasks());
+            change(job.withGangStopping()
+                    .withQueuePosition(timeSource.wallTime().toEpochMilli()));
         }
     }
 
     private void change(JobRecord to) {
-        var txn = new Transaction().requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
-        committer.propose(CommitPriority.PLACEMENT, jobWriter.write(txn, to), r -> {});
+        var transaction = new Transaction().requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
+        commitQueue.propose(CommitPriority.PLACEMENT, jobWriter.write(transaction, to), result -> {});
     }
 
     /** Whether every member is reported in a phase, by machines commanded here. */
-    private boolean allIn(JobRecord j, TaskPhase phase) {
-        for (Allocation c : j.allocations()) {
-            MachineRecord h = replica.machines().get(c.machineId());
-            if (h == null || !workerClient.ready(h) || sessions.getOrCreate(h.id()).callInFlight) {
+    private boolean allIn(JobRecord job, TaskPhase phase) {
+        for (Allocation allocation : job.allocations()) {
+            MachineRecord machine = replica.machines().get(allocation.machineId());
+            if (machine == null || !workerClient.ready(machine) || workers.getOrCreate(machine.id()).callInFlight) {
                 return false;
             }
-            Optional<TaskStatus> t =
-                    sessions.getOrCreate(h.id()).lastHeartbeat.get().find(new TaskId(j.id(), c.task()), j.expectedAttempt(c));
+            Optional<TaskStatus> t = workers.getOrCreate(machine.id())
+                    .lastHeartbeat
+                    .get()
+                    .find(new TaskId(job.id(), allocation.task()), job.expectedAttempt(allocation));
             if (t.filter(x -> x.phase() == phase).isEmpty()) {
                 return false;
             }
@@ -149,38 +156,40 @@
     /** On every controller: from a machine about to be taken away, work that can save is stopped in time, gangs as a whole. */
     public void drainNoticed() {
         for (String host : workerClient.machinesWithNotice()) {
-            MachineRecord h = replica.machines().get(host);
-            if (h == null || !workerClient.inCommand(h)) {
+            MachineRecord machine = replica.machines().get(host);
+            if (machine == null || !workerClient.inCommand(machine)) {
                 continue;
             }
-            for (PlacedTask p : replica.allocationsOn(h.id())) {
-                JobRecord j = p.job();
-                if (committer.isLocked(Keys.job(j.id()))
-                        || !j.isOpen()
-                        || p.allocation().stopping()
-                        || j.gangPhase() == JobRecord.GangPhase.STOPPING
-                        || !(j.submission().checkpoints() || j.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS)) {
+            for (PlacedTask placed : replica.allocationsOn(machine.id())) {
+                JobRecord job = placed.job();
+                if (commitQueue.isLocked(Keys.job(job.id()))
+                        || !job.isOpen()
+                        || placed.allocation().stopping()
+                        || job.gangPhase() == JobRecord.GangPhase.STOPPING
+                        || !(job.submission().checkpoints() || job.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS)) {
                     continue;
                 }
-                decisions.record(
+                eventRecorder.record(
                         LOG,
                         "machine {} is about to be taken away; {} stops there",
-                        h.id(),
-                        j.submission().isGang()
-                                ? "gang " + j.id()
-                                : "task " + j.id() + "/" + p.allocation().task());
-                var txn = new Transaction().requireRevision(Keys.machinePage(h.id()), replica.modRevision(Keys.machinePage(h.id())));
-                JobRecord stopped = j.submission().isGang() ? j.withGangStopping() : stopAllOn(j, h.id());
-                committer.propose(CommitPriority.PLACEMENT, jobWriter.write(txn, stopped), r -> {});
+                        machine.id(),
+                        job.submission().isGang()
+                                ? "gang " + job.id()
+                                : "task " + job.id() + "/" + placed.allocation().task());
+                var transaction = new Transaction()
+                        .requireRevision(
+                                Keys.machinePage(machine.id()), replica.modRevision(Keys.machinePage(machine.id())));
+                JobRecord stopped = job.submission().isGang() ? job.withGangStopping() : stopAllOn(job, machine.id());
+                commitQueue.propose(CommitPriority.PLACEMENT, jobWriter.write(transaction, stopped), result -> {});
             }
         }
     }
 
-    private static JobRecord stopAllOn(JobRecord j, String host) {
-        JobRecord changed = j;
-        for (Allocation c : j.allocations()) {
-            if (c.machineId().equals(host)) {
-                changed = changed.withTaskStopping(c.task());
+    private static JobRecord stopAllOn(JobRecord job, String host) {
+        JobRecord changed = job;
+        for (Allocation allocation : job.allocations()) {
+            if (allocation.machineId().equals(host)) {
+                changed = changed.withTaskStopping(allocation.task());
             }
         }
         return changed;
--- a/src/main/java/org/dunespindle/job/JobTransitions.java
+++ b/src/main/java/org/dunespindle/job/JobTransitions.java
@@ -19,46 +19,50 @@
     private JobTransitions() {}
 
     /** The record after some outcomes. */
-    public static JobRecord apply(JobRecord job, List<TaskTermination> events, Instant now) {
+    public static JobRecord apply(JobRecord job, List<TaskTermination> terminations, Instant now) {
         JobRecord j = job;
         var ended = new TreeMap<Integer, Boolean>();
         boolean plain = job.isOpen() && !job.submission().isGang();
         var bases = new HashMap<Integer, Long>();
-        job.allocations().forEach(c -> bases.put(c.task(), c.attemptBase()));
-        for (TaskTermination e : events) {
-            if (bases.getOrDefault(e.task(), -1L) != e.attemptBase() || ended.containsKey(e.task())) {
+        job.allocations().forEach(allocation -> bases.put(allocation.task(), allocation.attemptBase()));
+        for (TaskTermination termination : terminations) {
+            if (bases.getOrDefault(termination.task(), -1L) != termination.attemptBase()
+                    || ended.containsKey(termination.task())) {
                 continue;
             }
-            if (plain && (e.cause() == TerminationCause.DONE || e.cause() == TerminationCause.GONE)) {
-                ended.put(e.task(), e.cause() == TerminationCause.DONE);
-            } else if (j.allocation(e.task()).filter(c -> c.attemptBase() == e.attemptBase()).isPresent()) {
-                j = one(j, e, now);
+            if (plain
+                    && (termination.cause() == TerminationCause.DONE || termination.cause() == TerminationCause.GONE)) {
+                ended.put(termination.task(), termination.cause() == TerminationCause.DONE);
+            } else if (j.allocation(termination.task())
+                    .filter(allocation -> allocation.attemptBase() == termination.attemptBase())
+                    .isPresent()) {
+                j = one(j, termination, now);
             }
         }
         return ended.isEmpty() ? j : j.withReleased(ended);
     }
 
-    private static JobRecord one(JobRecord j, TaskTermination e, Instant now) {
-        boolean gang = j.spec().isPresent() && j.submission().isGang();
-        if (gang && e.cause() == TerminationCause.DONE && j.isOpen()) {
-            return j.gangDone();
+    private static JobRecord one(JobRecord job, TaskTermination termination, Instant now) {
+        boolean gang = job.spec().isPresent() && job.submission().isGang();
+        if (gang && termination.cause() == TerminationCause.DONE && job.isOpen()) {
+            return job.gangDone();
         }
-        if (e.cause() == TerminationCause.ASSEMBLY_TIMEOUT) {
-            return j.withPlaceholderReplaced(e.task());
+        if (termination.cause() == TerminationCause.ASSEMBLY_TIMEOUT) {
+            return job.withPlaceholderReplaced(termination.task());
         }
-        JobRecord after = j;
-        if (gang && j.isOpen() && j.gangPhase() == JobRecord.GangPhase.RUNNING) {
+        JobRecord after = job;
+        if (gang && job.isOpen() && job.gangPhase() == JobRecord.GangPhase.RUNNING) {
             // One member gone breaks the attempt: the others exit with peers or wait in vain, so all are stopped.
             after = after.withGangStopping();
         }
-        after = after.withReleased(e.task(), e.cause() == TerminationCause.DONE);
-        if (e.cause() == TerminationCause.ERROR && after.isOpen()) {
+        after = after.withReleased(termination.task(), termination.cause() == TerminationCause.DONE);
+        if (termination.cause() == TerminationCause.ERROR && after.isOpen()) {
             after = after.withFailures(1, pause(after.failures() + 1, freeFailures(after), now));
             if (gang && after.failures() > FREE_FAILURES) {
                 after = after.withQueuePosition(
                         now.toEpochMilli()); // it lets the gangs of its team go first, one of which may not fail
             }
-        } else if (e.cause() == TerminationCause.REJECTED && after.isOpen()) {
+        } else if (termination.cause() == TerminationCause.REJECTED && after.isOpen()) {
             after = after.withFailures(0, Optional.of(now.plus(FIRST_PAUSE)));
         }
         return after;
--- a/src/main/java/org/dunespindle/job/PlacementPacing.java
+++ b/src/main/java/org/dunespindle/job/PlacementPacing.java
@@ -34,15 +34,15 @@
 
     private static final Duration GATHER_MANY = Duration.ofMillis(900);
     private final ControllerContext context;
-    private final CommitQueue committer;
+    private final CommitQueue commitQueue;
     private final Map<String, Unchanged> unchanged = new HashMap<>();
 
     /** A job's record as it has been for a while, as seen here. */
     private record Unchanged(long stamp, Duration since) {}
 
-    public PlacementPacing(ControllerContext context, CommitQueue committer) {
+    public PlacementPacing(ControllerContext context, CommitQueue commitQueue) {
         this.context = context;
-        this.committer = committer;
+        this.commitQueue = commitQueue;
     }
 
     /** The arrays, of those given, that are left alone now. */
@@ -63,7 +63,7 @@
     }
 
     private Duration gatherTime() {
-        Duration gather = Durations.times(GATHER_PER_WAITING, committer.waiting());
+        Duration gather = Durations.times(GATHER_PER_WAITING, commitQueue.waiting());
         return gather.compareTo(GATHER_AT_MOST) > 0 ? GATHER_AT_MOST : gather;
     }
 
--- a/src/main/java/org/dunespindle/job/PlacementWriter.java
+++ b/src/main/java/org/dunespindle/job/PlacementWriter.java
@@ -52,13 +52,13 @@
     private final Settings settings;
     private final StateReplica replica;
     private final Membership membership;
-    private final CommitQueue committer;
+    private final CommitQueue commitQueue;
     private final MachineRecordWriter machineWriter;
-    private final TerminationWriter outcomes;
-    private final TimeSource timeline;
-    private final EventRecorder decisions;
+    private final TerminationWriter terminationWriter;
+    private final TimeSource timeSource;
+    private final EventRecorder eventRecorder;
     private final Predicate<MachineRecord> takesTasks;
-    private final PendingPreemptions preemptions;
+    private final PendingPreemptions pendingPreemptions;
     private final WorkerClient workerClient;
     private final JobRecordWriter jobWriter;
     private final TeamQuotas teamAccounts;
@@ -67,24 +67,24 @@
 
     public PlacementWriter(
             ControllerContext context,
-            CommitQueue committer,
+            CommitQueue commitQueue,
             MachineRecordWriter machineWriter,
-            TerminationWriter outcomes,
-            PendingPreemptions preemptions,
+            TerminationWriter terminationWriter,
+            PendingPreemptions pendingPreemptions,
             WorkerClient workerClient,
             Predicate<MachineRecord> takesTasks) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
         this.membership = context.membership();
-        this.timeline = context.timeSource();
-        this.decisions = context.eventRecorder();
-        this.committer = committer;
+        this.timeSource = context.timeSource();
+        this.eventRecorder = context.eventRecorder();
+        this.commitQueue = commitQueue;
         this.machineWriter = machineWriter;
-        this.outcomes = outcomes;
-        this.preemptions = preemptions;
+        this.terminationWriter = terminationWriter;
+        this.pendingPreemptions = pendingPreemptions;
         this.workerClient = workerClient;
-        this.teamAccounts = new TeamQuotas(context, committer);
+        this.teamAccounts = new TeamQuotas(context, commitQueue);
         this.takesTasks = takesTasks;
     }
 
@@ -101,45 +101,45 @@
     }
 
     private ProjectedJob projected(JobRecord stored) {
-        return new ProjectedJob(stored, preemptions.marked(proposed.getOrDefault(stored.id(), stored)));
+        return new ProjectedJob(stored, pendingPreemptions.marked(proposed.getOrDefault(stored.id(), stored)));
     }
 
     /** One transaction per booking, guarded by the job, its machines and its team's ledger. */
     public void place(Plan plan) {
         TeamUsage use = null;
-        for (Binding b : plan.bindings()) {
+        for (Binding binding : plan.bindings()) {
             // What would only queue is decided anew later, for more tasks at once: so batches widen with the load.
-            if (committer.waiting() >= (b.job().submission().isGang() ? MOST_WAITING_GANGS : MOST_WAITING)) {
+            if (commitQueue.waiting() >= (binding.job().submission().isGang() ? MOST_WAITING_GANGS : MOST_WAITING)) {
                 return;
             }
-            if (committer.isLocked(Keys.job(b.job().id()))
-                    || committer.isLocked(Keys.team(b.job().submission().team()))) {
+            if (commitQueue.isLocked(Keys.job(binding.job().id()))
+                    || commitQueue.isLocked(Keys.team(binding.job().submission().team()))) {
                 continue;
             }
-            Map<Integer, String> places = ownPart(b);
+            Map<Integer, String> places = ownPart(binding);
             if (!places.isEmpty()) {
                 // Others may have stored more of a job, and a new record of its team, since its placement was proposed
                 // here:
                 // where the limit is at stake a proposed record must not stand in for the stored one.
                 use = use == null ? projection().use() : use;
-                place(b.job(), places, use);
+                place(binding.job(), places, use);
             }
         }
     }
 
     /** The places on machines commanded here, as many as one transaction's guards allow: the others follow in the next. */
-    private Map<Integer, String> ownPart(Binding b) {
+    private Map<Integer, String> ownPart(Binding binding) {
         int room = Transaction.maxPreconditions(settings.state().lowest().txnOps()) / 2 - OTHER_GUARDS;
-        boolean may = !b.job().submission().isGang() || membership.leads();
+        boolean may = !binding.job().submission().isGang() || membership.leads();
         var pages = new HashSet<String>();
         var places = new LinkedHashMap<Integer, String>();
-        b.places().forEach((task, host) -> {
-            MachineRecord h = replica.machines().get(host);
+        binding.places().forEach((task, host) -> {
+            MachineRecord machine = replica.machines().get(host);
             if (may
-                    && h != null
-                    && membership.owns(h)
+                    && machine != null
+                    && membership.owns(machine)
                     && !machineWriter.busy(host)
-                    && takesTasks.test(h)
+                    && takesTasks.test(machine)
                     && (pages.contains(Keys.machinePage(host)) || pages.size() < room)) {
                 pages.add(Keys.machinePage(host));
                 places.put(task, host);
@@ -149,49 +149,52 @@
     }
 
     private void place(JobRecord job, Map<Integer, String> wanted, TeamUsage use) {
-        var txn = new Transaction();
+        var transaction = new Transaction();
         List<TaskTermination> told = new ArrayList<>();
-        JobRecord folded = outcomes.fold(job, txn, told);
+        JobRecord folded = terminationWriter.fold(job, transaction, told);
         Map<Integer, String> places = asManyAsFit(folded, wanted);
         if (places.isEmpty()) {
             return; // some of its tasks must end first
         }
         Resources need = job.submission().perTask().times(places.size());
-        Optional<TeamQuotas.Grant> grant = teamAccounts.ask(txn, job, use, need);
+        Optional<TeamQuotas.Grant> grant = teamAccounts.ask(transaction, job, use, need);
         if (grant.isEmpty()) {
             return;
         }
-        JobRecord placed = addPlacement(txn, job, folded, places);
-        if (!txn.fits(settings.state().lowest().txnOps())) {
+        JobRecord placed = addPlacement(transaction, job, folded, places);
+        if (!transaction.fits(settings.state().lowest().txnOps())) {
             return;
         }
         use.add(job.submission(), places.size());
         grant.get().proposed();
         tell(job, places.size());
-        propose(txn, job.id(), placed, result -> {
+        propose(transaction, job.id(), placed, result -> {
             grant.get().settled(result);
             if (result instanceof TransactionResult.Applied) {
-                told.forEach(event -> outcomes.tell(job, event));
+                told.forEach(event -> terminationWriter.tell(job, event));
             }
         });
     }
 
-    private JobRecord addPlacement(Transaction txn, JobRecord job, JobRecord folded, Map<Integer, String> places) {
+    private JobRecord addPlacement(
+            Transaction transaction, JobRecord job, JobRecord folded, Map<Integer, String> places) {
         JobRecord placed = folded.withPlaced(places);
         if (job.submission().isGang() && job.submission().tasks() == 1) {
             placed = placed.withGangRunning(); // its placeholder would be the whole gang and start, so it runs directly
         }
-        jobWriter.write(txn, placed);
-        places.values().forEach(host -> txn.requireRevision(Keys.machinePage(host), replica.modRevision(Keys.machinePage(host))));
+        jobWriter.write(transaction, placed);
+        places.values()
+                .forEach(host -> transaction.requireRevision(
+                        Keys.machinePage(host), replica.modRevision(Keys.machinePage(host))));
         if (job.submission().isGang()) {
-            txn.requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
+            transaction.requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
         }
         return placed;
     }
 
     private void tell(JobRecord job, int tasks) {
         if (LOG.isDebugEnabled()) {
-            long age = Duration.between(job.arrived(), timeline.wallTime()).toMillis();
+            long age = Duration.between(job.arrived(), timeSource.wallTime()).toMillis();
             LOG.debug(
                     "{} ({}): {} placed {} ms after it came",
                     job.id(),
@@ -222,34 +225,42 @@
                 && size + BROKEN_UP_PER_TASK * allocations <= capacity * FILLED_WHEN_BROKEN_UP;
     }
 
-    private void propose(Transaction txn, String id, JobRecord record, java.util.function.Consumer<TransactionResult> then) {
-        proposed.put(id, record);
-        committer.propose(CommitPriority.PLACEMENT, txn, r -> {
+    private void propose(
+            Transaction transaction, String id, JobRecord job, java.util.function.Consumer<TransactionResult> then) {
+        proposed.put(id, job);
+        commitQueue.propose(CommitPriority.PLACEMENT, transaction, result -> {
             proposed.remove(id);
-            then.accept(r);
+            then.accept(result);
         });
     }
 
     /** Stops replicas that are to run elsewhere, where room was found for them. */
     public void move(Plan plan) {
-        plan.moves().forEach(e -> stop(e, "moves to another machine"));
+        plan.moves().forEach(eviction -> stop(eviction, "moves to another machine"));
     }
 
     /** Stops the tasks that give way, once their machine is borrowed: its owner would fill the room with other work at once. */
     public void evict(Plan plan) {
-        plan.evictions().forEach(e -> stop(e, "gives way to " + e.forJob()));
+        plan.evictions().forEach(eviction -> stop(eviction, "gives way to " + eviction.forJob()));
     }
 
     /** Has a task end that runs on a machine commanded here, unless it was told already. */
-    private void stop(Eviction e, String why) {
-        String host = e.allocation().machineId();
-        MachineRecord h = replica.machines().get(host);
-        if (h == null || !membership.owns(h) || e.allocation().stopping()) {
+    private void stop(Eviction eviction, String why) {
+        String host = eviction.allocation().machineId();
+        MachineRecord machine = replica.machines().get(host);
+        if (machine == null
+                || !membership.owns(machine)
+                || eviction.allocation().stopping()) {
             return;
         }
-        preemptions.add(PendingPreemptions.of(e.victim(), e.allocation()), host);
+        pendingPreemptions.add(PendingPreemptions.of(eviction.victim(), eviction.allocation()), host);
         workerClient.scheduleReconciliation(host);
-        decisions.record(
-                LOG, "task {}/{} on {} {}", e.victim().id(), e.allocation().task(), host, why);
+        eventRecorder.record(
+                LOG,
+                "task {}/{} on {} {}",
+                eviction.victim().id(),
+                eviction.allocation().task(),
+                host,
+                why);
     }
 }
--- a/src/main/java/org/dunespindle/job/TeamQuotas.java
+++ b/src/main/java/org/dunespindle/job/TeamQuotas.java
@@ -27,7 +27,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(TeamQuotas.class);
     private final Settings settings;
     private final StateReplica replica;
-    private final CommitQueue committer;
+    private final CommitQueue commitQueue;
     private final Map<String, Account> accounts = new HashMap<>();
     private final Map<String, Counts> counts = new HashMap<>();
 
@@ -109,20 +109,22 @@
         public String toString() {
             return "team " + team.name() + ": " + amount(need) + " for " + job + " under its record of revision "
                     + stamp
-                    + " (" + describe(view.reservation()) + "); counted " + amount(view.use()) + " up to revision " + syncedTo
-                    + ", placed under the record " + amount(view.usedUnderReservation()) + ", unsure " + amount(view.unacknowledged())
+                    + " (" + describe(view.reservation()) + "); counted " + amount(view.use()) + " up to revision "
+                    + syncedTo
+                    + ", placed under the record " + amount(view.usedUnderReservation()) + ", unsure "
+                    + amount(view.unacknowledged())
                     + (view.entitled() ? "" : ", no share of its own");
         }
     }
 
-    TeamQuotas(ControllerContext context, CommitQueue committer) {
+    TeamQuotas(ControllerContext context, CommitQueue commitQueue) {
         this.settings = context.settings();
         this.replica = context.replica();
-        this.committer = committer;
+        this.commitQueue = commitQueue;
     }
 
     /** Adds to a transaction what the team's record asks for; empty if nothing may be placed now. */
-    Optional<Grant> ask(Transaction txn, JobRecord job, TeamUsage use, Resources need) {
+    Optional<Grant> ask(Transaction transaction, JobRecord job, TeamUsage use, Resources need) {
         String name = job.submission().team();
         String key = Keys.team(name);
         Settings.Team team = settings.teams().get(name);
@@ -148,9 +150,9 @@
         if (way instanceof QuotaAdmission.Decision.Defer wait) {
             return waits(name, wait.reason().text());
         }
-        txn.requireRevision(key, account.stamp);
+        transaction.requireRevision(key, account.stamp);
         if (way instanceof QuotaAdmission.Decision.AdmitWithReservation write) {
-            txn.write(key, write.reservation().toNode());
+            transaction.write(key, write.reservation().toNode());
             return Optional.of(new Grant(basis, account, Optional.of(write.reservation())));
         }
         return Optional.of(new Grant(basis, account, Optional.empty()));
@@ -168,7 +170,7 @@
 
     private void close(Basis basis, String key, QuotaAdmission.Reservation entry) {
         var closing = new Transaction().requireRevision(key, basis.stamp).write(key, entry.toNode());
-        committer.propose(CommitPriority.PLACEMENT, closing, result -> {
+        commitQueue.propose(CommitPriority.PLACEMENT, closing, result -> {
             if (result instanceof TransactionResult.Applied) {
                 countsOf(basis.team.name()).closed++;
                 LOG.info("{}; closes the shares: {}", basis, basis.describe(entry));
--- a/src/main/java/org/dunespindle/job/TerminationWriter.java
+++ b/src/main/java/org/dunespindle/job/TerminationWriter.java
@@ -13,9 +13,9 @@
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.control.EventRecorder;
 import org.dunespindle.control.Membership;
-import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.TaskTermination;
 import org.dunespindle.control.TerminationCause;
+import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.machine.CrashLoopDetector;
 import org.dunespindle.protocol.Settings;
@@ -52,12 +52,12 @@
     private static final double TIGHT = 0.75;
     private static final int OTHER_GUARDS = 6;
     private final StateReplica replica;
-    private final CommitQueue committer;
+    private final CommitQueue commitQueue;
     private final WorkerClient workerClient;
-    private final WorkerRegistry sessions;
-    private final TimeSource timeline;
-    private final EventRecorder decisions;
-    private final CrashLoopDetector failureAttribution;
+    private final WorkerRegistry workers;
+    private final TimeSource timeSource;
+    private final EventRecorder eventRecorder;
+    private final CrashLoopDetector crashLoopDetector;
     private final Membership membership;
     private final Settings settings;
     private final JobRecordWriter jobWriter;
@@ -70,20 +70,21 @@
 
     public TerminationWriter(
             ControllerContext context,
-            CommitQueue committer,
+            CommitQueue commitQueue,
             WorkerClient workerClient,
-            CrashLoopDetector failureAttribution) {
+            CrashLoopDetector crashLoopDetector) {
         this.settings = context.settings();
         this.jobWriter = context.jobWriter();
         this.membership = context.membership();
         this.replica = context.replica();
-        this.sessions = context.workers();
-        this.timeline = context.timeSource();
-        this.decisions = context.eventRecorder();
-        this.failureAttribution = failureAttribution;
-        this.committer = committer;
+        this.workers = context.workers();
+        this.timeSource = context.timeSource();
+        this.eventRecorder = context.eventRecorder();
+        this.crashLoopDetector = crashLoopDetector;
+        this.commitQueue = commitQueue;
         this.workerClient = workerClient;
-        this.mostHosts = Math.max(1, Transaction.maxPreconditions(settings.state().lowest().txnOps()) / 2 - OTHER_GUARDS);
+        this.mostHosts = Math.max(
+                1, Transaction.maxPreconditions(settings.state().lowest().txnOps()) / 2 - OTHER_GUARDS);
     }
 
     /** Claims whose end is reported but not stored: their room is free already. */
@@ -91,9 +92,10 @@
         var set = new HashSet<TaskAttempt>();
         for (String host : workerClient.machinesWithTerminations()) {
             // A placeholder that waited in vain is booked again where it was, so its room is not free.
-            sessions.getOrCreate(host).terminations.stream()
-                    .filter(e -> e.cause() != TerminationCause.ASSEMBLY_TIMEOUT)
-                    .forEach(e -> set.add(new TaskAttempt(e.job(), e.task(), e.attemptBase())));
+            workers.getOrCreate(host).terminations.stream()
+                    .filter(termination -> termination.cause() != TerminationCause.ASSEMBLY_TIMEOUT)
+                    .forEach(termination ->
+                            set.add(new TaskAttempt(termination.job(), termination.task(), termination.attemptBase())));
         }
         return set;
     }
@@ -103,21 +105,22 @@
         lookAtTeams();
         byJob = new LinkedHashMap<>();
         for (String host : workerClient.machinesWithTerminations()) {
-            WorkerState s = sessions.getOrCreate(host);
-            s.terminations.forEach(
-                    e -> byJob.computeIfAbsent(e.job(), k -> new ArrayList<>()).add(new Seen(e, s.terminationsSince)));
+            WorkerState worker = workers.getOrCreate(host);
+            worker.terminations.forEach(termination -> byJob.computeIfAbsent(termination.job(), k -> new ArrayList<>())
+                    .add(new Seen(termination, worker.terminationsSince)));
         }
-        gone.forEach(e -> byJob.computeIfAbsent(e.job(), k -> new ArrayList<>()).add(new Seen(e, Duration.ZERO)));
+        gone.forEach(termination -> byJob.computeIfAbsent(termination.job(), k -> new ArrayList<>())
+                .add(new Seen(termination, Duration.ZERO)));
         byJob.forEach((id, seen) -> replica.job(id)
-                .filter(j -> !committer.isLocked(Keys.job(id)) && due(j, seen))
+                .filter(job -> !commitQueue.isLocked(Keys.job(id)) && due(job, seen))
                 .ifPresent(this::store));
     }
 
     private void lookAtTeams() {
-        if (timeline.now().compareTo(lookAgainAt) < 0) {
+        if (timeSource.now().compareTo(lookAgainAt) < 0) {
             return;
         }
-        lookAgainAt = timeline.now().plus(LOOK_AT_TEAMS_EVERY);
+        lookAgainAt = timeSource.now().plus(LOOK_AT_TEAMS_EVERY);
         tightTeams.clear();
         TeamUsage.stored(replica).forEach((name, use) -> {
             Settings.Team team = settings.teams().get(name);
@@ -127,46 +130,49 @@
         });
     }
 
-    private boolean due(JobRecord j, List<Seen> seen) {
-        if (j.spec().isEmpty()
-                || !j.isOpen()
-                || j.submission().runsAsWhole()
+    private boolean due(JobRecord job, List<Seen> seen) {
+        if (job.spec().isEmpty()
+                || !job.isOpen()
+                || job.submission().runsAsWhole()
                 || seen.stream()
                         .anyMatch(s -> s.event.cause() != TerminationCause.DONE
-                                && timeline.now().minus(s.since).compareTo(GATHER_LAST) >= 0)) {
+                                && timeSource.now().minus(s.since).compareTo(GATHER_LAST) >= 0)) {
             return true;
         }
         boolean last = false;
-        if (j.unplacedCount() == 0) {
-            if (j.allocations().size() <= seen.size()) {
+        if (job.unplacedCount() == 0) {
+            if (job.allocations().size() <= seen.size()) {
                 return true;
             }
-            long here = j.allocations().stream()
-                    .filter(c -> Optional.ofNullable(replica.machines().get(c.machineId()))
+            long here = job.allocations().stream()
+                    .filter(allocation -> Optional.ofNullable(replica.machines().get(allocation.machineId()))
                             .filter(membership::owns)
                             .isPresent())
                     .count();
             last = here <= seen.size();
         }
-        Duration patience = last ? GATHER_LAST : tightTeams.contains(j.submission().team()) ? GATHER_TIGHT : GATHER;
-        return seen.stream().anyMatch(s -> timeline.now().minus(s.since).compareTo(patience) >= 0);
+        Duration patience =
+                last ? GATHER_LAST : tightTeams.contains(job.submission().team()) ? GATHER_TIGHT : GATHER;
+        return seen.stream().anyMatch(s -> timeSource.now().minus(s.since).compareTo(patience) >= 0);
     }
 
     private void store(JobRecord j) {
-        var txn = new Transaction();
-        var events = new ArrayList<TaskTermination>();
-        JobRecord after = fold(j, txn, events);
+        var transaction = new Transaction();
+        var terminations = new ArrayList<TaskTermination>();
+        JobRecord after = fold(j, transaction, terminations);
         if (after == j) {
             return;
         }
         boolean hurry = !after.isOpen() || after.submission().runsAsWhole();
-        if (!hurry && committer.waiting() >= MOST_WAITING) {
+        if (!hurry && commitQueue.waiting() >= MOST_WAITING) {
             return; // it would lock the record for long; the job's next placement takes it along
         }
-        committer.propose(
-                hurry ? CommitPriority.PLACEMENT : CommitPriority.MAINTENANCE, jobWriter.write(txn, after), r -> {
-                    if (r instanceof TransactionResult.Applied) {
-                        events.forEach(e -> tell(j, e));
+        commitQueue.propose(
+                hurry ? CommitPriority.PLACEMENT : CommitPriority.MAINTENANCE,
+                jobWriter.write(transaction, after),
+                result -> {
+                    if (result instanceof TransactionResult.Applied) {
+                        terminations.forEach(termination -> tell(j, termination));
                     }
                 });
     }
@@ -175,45 +181,48 @@
      * Takes what is known of a job's tasks into its record, which is written anyway. As many outcomes as half of a
      * transaction's guards allow; the others follow once it is stored.
      */
-    JobRecord fold(JobRecord j, Transaction txn, List<TaskTermination> taken) {
+    JobRecord fold(JobRecord job, Transaction transaction, List<TaskTermination> taken) {
         var pages = new HashSet<String>();
-        for (Seen s : byJob.getOrDefault(j.id(), List.of())) {
-            Optional<Allocation> allocation = j.allocation(s.event.task()).filter(c -> c.attemptBase() == s.event.attemptBase());
+        for (Seen s : byJob.getOrDefault(job.id(), List.of())) {
+            Optional<Allocation> allocation =
+                    job.allocation(s.event.task()).filter(c -> c.attemptBase() == s.event.attemptBase());
             if (allocation.isEmpty()) {
                 continue; // booked again since
             }
             String page = Keys.machinePage(allocation.get().machineId());
             if (pages.contains(page) || pages.size() < mostHosts) {
                 pages.add(page);
-                txn.requireRevision(page, replica.modRevision(page));
+                transaction.requireRevision(page, replica.modRevision(page));
                 taken.add(s.event);
             }
         }
-        return JobTransitions.apply(j, taken, timeline.wallTime());
+        return JobTransitions.apply(job, taken, timeSource.wallTime());
     }
 
-    void tell(JobRecord job, TaskTermination e) {
-        String host = job.allocation(e.task()).map(Allocation::machineId).orElse("?");
-        if (e.cause() == TerminationCause.ERROR) {
-            decisions.record(
+    void tell(JobRecord job, TaskTermination termination) {
+        String host =
+                job.allocation(termination.task()).map(Allocation::machineId).orElse("?");
+        if (termination.cause() == TerminationCause.ERROR) {
+            eventRecorder.record(
                     LOG,
                     "task {}/{} failed on machine {}; it is started again elsewhere or later",
                     job.id(),
-                    e.task(),
+                    termination.task(),
                     host);
-            boolean known = failureAttribution.isCrashLooping(job.id());
-            failureAttribution.failed(job.id(), host);
-            if (!known && failureAttribution.isCrashLooping(job.id())) {
-                decisions.record(
+            boolean known = crashLoopDetector.isCrashLooping(job.id());
+            crashLoopDetector.failed(job.id(), host);
+            if (!known && crashLoopDetector.isCrashLooping(job.id())) {
+                eventRecorder.record(
                         LOG,
                         "job {} fails on every machine: on {} so far; it is taken for faulty and tried ever more seldom until its user cancels it",
                         job.id(),
-                        failureAttribution.machinesOf(job.id()));
+                        crashLoopDetector.machinesOf(job.id()));
             }
-        } else if (e.cause() == TerminationCause.DONE) {
-            failureAttribution.succeeded(job.id(), host);
+        } else if (termination.cause() == TerminationCause.DONE) {
+            crashLoopDetector.succeeded(job.id(), host);
         } else if (job.isOpen()) {
-            decisions.record(LOG, "task {}/{} left machine {}: {}", job.id(), e.task(), host, e.detail());
+            eventRecorder.record(
+                    LOG, "task {}/{} left machine {}: {}", job.id(), termination.task(), host, termination.detail());
         }
     }
 }
--- a/src/main/java/org/dunespindle/machine/CloudClient.java
+++ b/src/main/java/org/dunespindle/machine/CloudClient.java
@@ -34,10 +34,10 @@
     public record Rented(List<String> hosts, boolean noCapacity) {}
 
     /** Creates a client for the cloud that the settings name. */
-    public CloudClient(HttpClient http, Settings settings, TimeSource timeline) {
+    public CloudClient(HttpClient httpClient, Settings settings, TimeSource timeSource) {
         double rate = LEADERS_PART * settings.cloud().rps();
-        this.service =
-                new RateLimitedHttpClient(http, settings.cloudAddress(), timeline, new RateLimiter(timeline, rate), TIMEOUT);
+        this.service = new RateLimitedHttpClient(
+                httpClient, settings.cloudAddress(), timeSource, new RateLimiter(timeSource, rate), TIMEOUT);
     }
 
     /** How long calls took, in microseconds. */
@@ -47,7 +47,8 @@
 
     /** The machine types on offer. */
     public CompletableFuture<List<MachineType>> catalog() {
-        return call("GET", "/catalog", new byte[0]).thenCompose(a -> parsed(a, MachineType::parseCatalog));
+        return call("GET", "/catalog", new byte[0])
+                .thenCompose(response -> parsed(response, MachineType::parseCatalog));
     }
 
     /** The whole machine list, page by page. */
@@ -57,14 +58,14 @@
 
     private CompletableFuture<List<ListedMachine>> page(String since, List<ListedMachine> got) {
         return call("GET", "/rentals?since=" + since + "&limit=" + PAGE, new byte[0])
-                .thenCompose(a -> parsed(a, n -> n))
+                .thenCompose(response -> parsed(response, n -> n))
                 .thenCompose(body -> {
                     String last = since;
                     for (JsonNode row : body.path("hosts")) {
                         try {
-                            ListedMachine m = ListedMachine.parse(row);
-                            got.add(m);
-                            last = m.id();
+                            ListedMachine listed = ListedMachine.parse(row);
+                            got.add(listed);
+                            last = listed.id();
                         } catch (MalformedMessageException e) {
                             return CompletableFuture.failedFuture(new HttpCallException("unreadable list", true));
                         }
@@ -76,23 +77,24 @@
     }
 
     /** Rents machines; repeating it with the same request id is safe until it was answered with 200. */
-    public CompletableFuture<Rented> rent(String requestId, MachinePool market, int count) {
-        var request = new RentalRequest(requestId, market.type(), market.zone(), market.spot(), count);
+    public CompletableFuture<Rented> rent(String requestId, MachinePool pool, int count) {
+        var request = new RentalRequest(requestId, pool.type(), pool.zone(), pool.spot(), count);
         return call("POST", "/rentals", MessagePackCodec.write(request.toNode()))
-                .thenCompose(a -> {
-                    if (a.status() == 200) {
-                        return parsed(a, n -> {
+                .thenCompose(response -> {
+                    if (response.status() == 200) {
+                        return parsed(response, n -> {
                             var hosts = new ArrayList<String>();
                             n.path("hosts").forEach(h -> hosts.add(h.asText()));
                             return new Rented(hosts, false);
                         });
                     }
-                    boolean none = a.status() == 503
-                            && new String(a.body(), java.nio.charset.StandardCharsets.ISO_8859_1)
+                    boolean none = response.status() == 503
+                            && new String(response.body(), java.nio.charset.StandardCharsets.ISO_8859_1)
                                     .contains("no capacity");
                     return none
                             ? CompletableFuture.completedFuture(new Rented(List.of(), true))
-                            : CompletableFuture.failedFuture(new HttpCallException("status " + a.status(), true));
+                            : CompletableFuture.failedFuture(
+                                    new HttpCallException("status " + response.status(), true));
                 });
     }
 
@@ -101,9 +103,9 @@
         ObjectNode body = MessagePackCodec.map();
         hosts.forEach(body.withArray("/hosts")::add);
         return call("POST", "/rentals/return", MessagePackCodec.write(body))
-                .thenCompose(a -> a.status() == 200
+                .thenCompose(response -> response.status() == 200
                         ? CompletableFuture.completedFuture(null)
-                        : CompletableFuture.failedFuture(new HttpCallException("status " + a.status(), true)));
+                        : CompletableFuture.failedFuture(new HttpCallException("status " + response.status(), true)));
     }
 
     @FunctionalInterface
@@ -111,12 +113,12 @@
         T parse(JsonNode node) throws MalformedMessageException;
     }
 
-    private static <T> CompletableFuture<T> parsed(HttpClientResponse a, Parser<T> parser) {
-        if (a.status() != 200) {
-            return CompletableFuture.failedFuture(new HttpCallException("status " + a.status(), true));
+    private static <T> CompletableFuture<T> parsed(HttpClientResponse response, Parser<T> parser) {
+        if (response.status() != 200) {
+            return CompletableFuture.failedFuture(new HttpCallException("status " + response.status(), true));
         }
         try {
-            return CompletableFuture.completedFuture(parser.parse(MessagePackCodec.read(a.body())));
+            return CompletableFuture.completedFuture(parser.parse(MessagePackCodec.read(response.body())));
         } catch (MalformedMessageException e) {
             return CompletableFuture.failedFuture(new HttpCallException("unreadable answer", true));
         }
