--- a/src/main/java/org/dunespindle/machine/CloudInventory.java
+++ b/src/main/java/org/dunespindle/machine/CloudInventory.java
@@ -19,8 +19,8 @@
     private final ControllerContext context;
     private final MachineRecordWriter machineWriter;
     private final CloudClient cloud;
-    private final MachineProvisioner renter;
-    private final MachineTerminator returner;
+    private final MachineProvisioner provisioner;
+    private final MachineTerminator terminator;
     private Map<String, ListedMachine> listed = Map.of();
     /** Since when this controller leads; empty while it does not, or has not begun to. */
     private Optional<Duration> leading = Optional.empty();
@@ -33,13 +33,13 @@
             ControllerContext context,
             MachineRecordWriter machineWriter,
             CloudClient cloud,
-            MachineProvisioner renter,
-            MachineTerminator returner) {
+            MachineProvisioner provisioner,
+            MachineTerminator terminator) {
         this.context = context;
         this.machineWriter = machineWriter;
         this.cloud = cloud;
-        this.renter = renter;
-        this.returner = returner;
+        this.provisioner = provisioner;
+        this.terminator = terminator;
     }
 
     /** A machine's row in the list. */
@@ -108,15 +108,15 @@
     private boolean unknown(ListedMachine machine) {
         String id = machine.id();
         boolean recorded = context.replica().machines().containsKey(id) || machineWriter.busy(id);
-        return !machine.failed() && !recorded && !returner.isGone(id);
+        return !machine.failed() && !recorded && !terminator.isGone(id);
     }
 
     private void adopt(ListedMachine machine) {
-        var market = new MachinePool(machine.type(), machine.zone(), machine.spot());
-        renter.record(
+        var pool = new MachinePool(machine.type(), machine.zone(), machine.spot());
+        provisioner.record(
                 machine.id(),
                 machine.address(),
-                market,
+                pool,
                 context.timeSource().wallTime().minus(machine.age()),
                 false);
     }
--- a/src/main/java/org/dunespindle/machine/FleetManager.java
+++ b/src/main/java/org/dunespindle/machine/FleetManager.java
@@ -50,15 +50,15 @@
     private final Membership membership;
     private final MachineRecordWriter machineWriter;
     private final WorkerClient workerClient;
-    private final TimeSource timeline;
-    private final PauseDetector stalls;
+    private final TimeSource timeSource;
+    private final PauseDetector pauseDetector;
     private final FailureDetector failures;
     private final Supplier<Options> options;
     private final Quarantine quarantine;
     private final CloudInventory inventory;
     private final MachineCatalog catalog;
-    private final MachineProvisioner renter;
-    private final MachineTerminator returner;
+    private final MachineProvisioner provisioner;
+    private final MachineTerminator terminator;
     private final Map<String, Duration> idleSince = new HashMap<>();
     private final Map<String, Duration> firstSeen = new HashMap<>();
     private Optional<Duration> leadingSince = Optional.empty();
@@ -67,20 +67,23 @@
 
     /** What the leader does with the cloud. */
     public record Cloud(
-            CloudInventory inventory, MachineCatalog catalog, MachineProvisioner renter, MachineTerminator returner) {}
+            CloudInventory inventory,
+            MachineCatalog catalog,
+            MachineProvisioner provisioner,
+            MachineTerminator terminator) {}
 
     public FleetManager(
             ControllerContext context,
             MachineRecordWriter machineWriter,
             WorkerClient workerClient,
-            PeerHeartbeats peers,
+            PeerHeartbeats peerHeartbeats,
             Quarantine quarantine,
             Supplier<Options> options,
             Cloud cloud) {
         this.replica = context.replica();
         this.membership = context.membership();
-        this.timeline = context.timeSource();
-        this.stalls = context.pauseDetector();
+        this.timeSource = context.timeSource();
+        this.pauseDetector = context.pauseDetector();
         this.settings = context.settings();
         this.machineWriter = machineWriter;
         this.workerClient = workerClient;
@@ -88,39 +91,39 @@
         this.options = options;
         this.inventory = cloud.inventory;
         this.catalog = cloud.catalog;
-        this.renter = cloud.renter;
-        this.returner = cloud.returner;
-        this.failures = new FailureDetector(context, workerClient, peers, inventory::address);
+        this.provisioner = cloud.provisioner;
+        this.terminator = cloud.terminator;
+        this.failures = new FailureDetector(context, workerClient, peerHeartbeats, inventory::address);
     }
 
     /** Whether a machine that has not reported yet is still worth waiting for. */
-    public boolean bootsInTime(MachineRecord h) {
+    public boolean bootsInTime(MachineRecord machine) {
         // A controller that has just started has heard nobody yet: that says nothing about the machines.
-        return timeline.now().compareTo(EARLY) < 0
-                || age(h).compareTo(Durations.part(bootTime(h), LATE_BOOT_TENTHS, 10)) < 0;
+        return timeSource.now().compareTo(EARLY) < 0
+                || age(machine).compareTo(Durations.part(bootTime(machine), LATE_BOOT_TENTHS, 10)) < 0;
     }
 
-    private Duration age(MachineRecord h) {
-        return Duration.between(h.rented(), timeline.wallTime());
+    private Duration age(MachineRecord machine) {
+        return Duration.between(machine.rented(), timeSource.wallTime());
     }
 
-    private Duration bootTime(MachineRecord h) {
-        return catalog.type(h.type()).map(MachineType::boot).orElse(Duration.ofSeconds(60));
+    private Duration bootTime(MachineRecord machine) {
+        return catalog.type(machine.type()).map(MachineType::boot).orElse(Duration.ofSeconds(60));
     }
 
     /** When any controller last had a sign of life from a machine that could not be an old copy. */
-    public Optional<Duration> heard(MachineRecord host) {
-        return failures.heard(host);
+    public Optional<Duration> heard(MachineRecord machine) {
+        return failures.heard(machine);
     }
 
     /** Whether a machine may take its time: it was rented but nobody has heard it yet. */
-    public boolean booting(MachineRecord h) {
-        return heard(h).isEmpty();
+    public boolean booting(MachineRecord machine) {
+        return heard(machine).isEmpty();
     }
 
     /** Called with every plan on every controller; only the leader acts. */
     public void tick(Plan plan) {
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         if (!membership.leads()) {
             standDown();
             return;
@@ -129,29 +132,29 @@
             leadingSince = Optional.of(now);
             inventory.beginToLead();
         }
-        returner.prune();
+        terminator.prune();
         inventory.tick();
         if (now.compareTo(judgeAgainAt) >= 0) {
             judgeAgainAt = now.plus(JUDGE_EVERY);
             tellSize(now);
             removeGone();
             judge(now, plan);
-            returner.giveBack();
+            terminator.giveBack();
         }
-        renter.rent(plan);
+        provisioner.rent(plan);
     }
 
     /** This controller does not lead now. What it knew as a leader says nothing once it leads again. */
     public void standDown() {
         if (leadingSince.isPresent()) {
             leadingSince = Optional.empty();
-            renter.standDown();
+            provisioner.standDown();
             inventory.standDown();
             firstSeen.clear();
             quarantine.clear();
             idleSince.clear();
             failures.reset();
-            returner.standDown();
+            terminator.standDown();
         }
     }
 
@@ -161,23 +164,26 @@
         }
         tellAgainAt = now.plus(TELL_EVERY);
         var counts = new java.util.TreeMap<String, Integer>();
-        for (MachineRecord h : replica.machines().values()) {
-            int allocations = replica.allocationsOn(h.id()).size();
-            String use = heard(h).isEmpty() ? "booting" : h.draining() ? "leaving" : allocations == 0 ? "idle" : "used";
-            counts.merge((h.spot() ? "spot " : "ordinary ") + use, 1, Integer::sum);
+        for (MachineRecord machine : replica.machines().values()) {
+            int allocations = replica.allocationsOn(machine.id()).size();
+            String use = heard(machine).isEmpty()
+                    ? "booting"
+                    : machine.draining() ? "leaving" : allocations == 0 ? "idle" : "used";
+            counts.merge((machine.spot() ? "spot " : "ordinary ") + use, 1, Integer::sum);
             counts.merge("tasks", allocations, Integer::sum);
         }
         double allocated = 0;
         double holding = 0;
-        for (JobRecord j : replica.activeJobs()) {
-            allocated += j.submission().perTask().gpus() * j.allocations().size();
-            holding += j.submission().isGang() && j.gangPhase() != JobRecord.GangPhase.RUNNING
-                    ? j.submission().perTask().gpus() * j.allocations().size()
+        for (JobRecord job : replica.activeJobs()) {
+            allocated += job.submission().perTask().gpus() * job.allocations().size();
+            holding += job.submission().isGang() && job.gangPhase() != JobRecord.GangPhase.RUNNING
+                    ? job.submission().perTask().gpus() * job.allocations().size()
                     : 0;
         }
         double all = replica.machines().values().stream()
-                .mapToDouble(
-                        h -> catalog.type(h.type()).map(t -> t.size().gpus()).orElse(0.0))
+                .mapToDouble(machine -> catalog.type(machine.type())
+                        .map(type -> type.size().gpus())
+                        .orElse(0.0))
                 .sum();
         LOG.debug(
                 "fleet: {}, accelerators {} claimed ({} by placeholders) of {}",
@@ -188,18 +194,18 @@
     }
 
     private void removeGone() {
-        for (MachineRecord h : List.copyOf(replica.machines().values())) {
-            if (returner.isGone(h.id())
-                    && replica.allocationsOn(h.id()).isEmpty()
-                    && !machineWriter.busy(h.id())
+        for (MachineRecord machine : List.copyOf(replica.machines().values())) {
+            if (terminator.isGone(machine.id())
+                    && replica.allocationsOn(machine.id()).isEmpty()
+                    && !machineWriter.busy(machine.id())
                     && !machineWriter.crowded()) {
-                machineWriter.remove(h.id(), r -> {
-                    if (r instanceof TransactionResult.Applied) {
-                        firstSeen.remove(h.id());
-                        quarantine.forget(h.id());
-                        failures.forget(h.id());
-                        returner.forget(h.id());
-                        idleSince.remove(h.id());
+                machineWriter.remove(machine.id(), result -> {
+                    if (result instanceof TransactionResult.Applied) {
+                        firstSeen.remove(machine.id());
+                        quarantine.forget(machine.id());
+                        failures.forget(machine.id());
+                        terminator.forget(machine.id());
+                        idleSince.remove(machine.id());
                     }
                 });
             }
@@ -208,83 +214,87 @@
 
     private void judge(Duration now, Plan plan) {
         failures.look(
-                leadingSince.orElse(now), h -> age(h).compareTo(Durations.part(bootTime(h), LATE_BOOT_TENTHS, 10)) > 0);
-        for (MachineRecord h : List.copyOf(replica.machines().values())) {
-            if (returner.leaves(h) || machineWriter.busy(h.id())) {
+                leadingSince.orElse(now),
+                machine -> age(machine).compareTo(Durations.part(bootTime(machine), LATE_BOOT_TENTHS, 10)) > 0);
+        for (MachineRecord machine : List.copyOf(replica.machines().values())) {
+            if (terminator.leaves(machine) || machineWriter.busy(machine.id())) {
                 continue;
             }
-            boolean idle = replica.allocationsOn(h.id()).isEmpty()
-                    && !plan.wantedMachines().contains(h.id());
+            boolean idle = replica.allocationsOn(machine.id()).isEmpty()
+                    && !plan.wantedMachines().contains(machine.id());
             if (!idle) {
-                idleSince.remove(h.id());
+                idleSince.remove(machine.id());
             } else {
-                idleSince.putIfAbsent(h.id(), now);
+                idleSince.putIfAbsent(machine.id(), now);
             }
-            Optional<String> why = whyLeave(h, now);
+            Optional<String> why = whyLeave(machine, now);
             if (why.isPresent()) {
-                giveUp(h, why.get());
+                giveUp(machine, why.get());
             }
         }
     }
 
-    private void giveUp(MachineRecord h, String why) {
+    private void giveUp(MachineRecord machine, String why) {
         if (why.equals(MachineRecord.IDLE)) {
             if (!machineWriter.crowded()) {
-                returner.leave(h, why);
+                terminator.leave(machine, why);
             }
         } else if (why.equals(FAILS)) {
-            returner.leave(h, why);
+            terminator.leave(machine, why);
         } else {
-            returner.drop(h, why);
+            terminator.drop(machine, why);
         }
     }
 
-    private Optional<String> whyLeave(MachineRecord h, Duration now) {
-        Optional<ListedMachine> row = inventory.row(h.id());
+    private Optional<String> whyLeave(MachineRecord machine, Duration now) {
+        Optional<ListedMachine> row = inventory.row(machine.id());
         if (row.filter(ListedMachine::failed).isPresent()) {
             return Optional.of("it failed");
         }
-        if (quarantine.over(h)) {
+        if (quarantine.over(machine)) {
             return Optional.of(FAILS);
         }
         Duration silentLimit = options.get().silentBeforeReturn();
-        Duration leading = stalls.silence(leadingSince.orElse(now));
-        if (heard(h).isEmpty()) {
-            Duration seen = now.minus(firstSeen.computeIfAbsent(h.id(), k -> now));
-            boolean sure = leading.compareTo(silentLimit.plus(EARLY)) > 0 && !failures.spares(h, leading);
+        Duration leading = pauseDetector.silence(leadingSince.orElse(now));
+        if (heard(machine).isEmpty()) {
+            Duration seen = now.minus(firstSeen.computeIfAbsent(machine.id(), k -> now));
+            boolean sure = leading.compareTo(silentLimit.plus(EARLY)) > 0 && !failures.spares(machine, leading);
             boolean runs = row.filter(r -> r.phase().equals("running")).isPresent()
                     && seen.compareTo(silentLimit.plus(RUNS_UNHEARD)) > 0;
-            boolean late =
-                    age(h).compareTo(Durations.times(bootTime(h), options.get().bootPatience())) > 0;
-            return !sure || !runs && !late || failures.answersWhenAsked(h)
+            boolean late = age(machine)
+                            .compareTo(Durations.times(
+                                    bootTime(machine), options.get().bootPatience()))
+                    > 0;
+            return !sure || !runs && !late || failures.answersWhenAsked(machine)
                     ? Optional.empty()
                     : Optional.of(runs ? "it runs but no controller hears it" : "it did not come up in time");
         }
-        Duration silent = failures.of(h, leadingSince.orElse(now));
-        if (failures.proven(h, silent, patienceWith(h, silentLimit))) {
+        Duration silent = failures.of(machine, leadingSince.orElse(now));
+        if (failures.proven(machine, silent, patienceWith(machine, silentLimit))) {
             return Optional.of("it has been silent for " + silent.toSeconds() + " s");
         }
         boolean reports = silent.compareTo(Durations.times(settings.workers().report(), 2)) < 0;
-        if (membership.owns(h)
+        if (membership.owns(machine)
                 && reports
                 && leading.compareTo(silentLimit) > 0
                 && workerClient
-                        .oneWayFor(h.id())
+                        .oneWayFor(machine.id())
                         .filter(d -> d.compareTo(silentLimit) > 0)
                         .isPresent()) {
             return Optional.of("it reports but takes no commands");
         }
-        Duration idle = now.minus(idleSince.getOrDefault(h.id(), now));
-        return idle.compareTo(idleLimit(h.spot())) > 0 ? Optional.of(MachineRecord.IDLE) : Optional.empty();
+        Duration idle = now.minus(idleSince.getOrDefault(machine.id(), now));
+        return idle.compareTo(idleLimit(machine.spot())) > 0 ? Optional.of(MachineRecord.IDLE) : Optional.empty();
     }
 
     /**
      * How long a machine's silence is borne with. Replicas of services are missed every moment, so machines that hold some are
      * asked, and given back, sooner; but not for a few late reports.
      */
-    private Duration patienceWith(MachineRecord h, Duration limit) {
-        boolean holdsReplicas = replica.allocationsOn(h.id()).stream()
-                .anyMatch(p -> p.job().spec().isPresent() && p.job().submission().isService());
+    private Duration patienceWith(MachineRecord machine, Duration limit) {
+        boolean holdsReplicas = replica.allocationsOn(machine.id()).stream()
+                .anyMatch(placed -> placed.job().spec().isPresent()
+                        && placed.job().submission().isService());
         if (!holdsReplicas) {
             return limit;
         }
--- a/src/main/java/org/dunespindle/machine/MachineCatalog.java
+++ b/src/main/java/org/dunespindle/machine/MachineCatalog.java
@@ -13,14 +13,14 @@
     private static final Duration REFRESH_EVERY = Duration.ofSeconds(60);
     private static final Duration RETRY = Duration.ofMillis(800);
     private final CloudClient cloud;
-    private final TimeSource timeline;
+    private final TimeSource timeSource;
     private final Runnable changed;
     private Optional<List<MachineType>> types = Optional.empty();
     private Map<String, MachineType> byName = Map.of();
 
-    public MachineCatalog(CloudClient cloud, TimeSource timeline, Runnable changed) {
+    public MachineCatalog(CloudClient cloud, TimeSource timeSource, Runnable changed) {
         this.cloud = cloud;
-        this.timeline = timeline;
+        this.timeSource = timeSource;
         this.changed = changed;
     }
 
@@ -30,7 +30,7 @@
             if (failure == null) {
                 take(list);
             }
-            timeline.schedule(types.isPresent() ? REFRESH_EVERY : RETRY, this::start);
+            timeSource.schedule(types.isPresent() ? REFRESH_EVERY : RETRY, this::start);
         });
     }
 
--- a/src/main/java/org/dunespindle/machine/MachineProvisioner.java
+++ b/src/main/java/org/dunespindle/machine/MachineProvisioner.java
@@ -40,7 +40,7 @@
     private final MachineRecordWriter machineWriter;
     private final CloudClient cloud;
     private final MachineCatalog catalog;
-    private final ServiceLevelObjectives targets;
+    private final ServiceLevelObjectives objectives;
     private final Predicate<String> gone;
     private final Map<MachinePool, Refusal> refusals = new HashMap<>();
     /** Machines rented here whose records are not stored yet; nothing more is rented until they count as room. */
@@ -61,23 +61,23 @@
             MachineRecordWriter machineWriter,
             CloudClient cloud,
             MachineCatalog catalog,
-            ServiceLevelObjectives targets,
+            ServiceLevelObjectives objectives,
             Predicate<String> gone) {
         this.context = context;
         this.replica = context.replica();
         this.machineWriter = machineWriter;
         this.cloud = cloud;
         this.catalog = catalog;
-        this.targets = targets;
+        this.objectives = objectives;
         this.gone = gone;
     }
 
     /** Markets that had no capacity a moment ago. */
     public Set<MachinePool> refused() {
         var set = new HashSet<MachinePool>();
-        refusals.forEach((market, refusal) -> {
+        refusals.forEach((pool, refusal) -> {
             if (refusal.until.compareTo(context.timeSource().now()) > 0) {
-                set.add(market);
+                set.add(pool);
             }
         });
         return set;
@@ -95,7 +95,8 @@
         if (!unrecorded.isEmpty() || renting || catalog.types().isEmpty() || !fresh) {
             return;
         }
-        List<ScaleOutPlanner.Rental> rentals = new ScaleOutPlanner(context, catalog, targets, refused()).of(plan.shortfalls());
+        List<ScaleOutPlanner.Rental> rentals =
+                new ScaleOutPlanner(context, catalog, objectives, refused()).of(plan.shortfalls());
         if (!rentals.isEmpty()) {
             renting = true;
             request(nextRequestId(), rentals.get(0), TRIES);
@@ -128,46 +129,40 @@
     }
 
     private void answered(ScaleOutPlanner.Rental rental, int count, CloudClient.Rented rented) {
-        MachinePool market = rental.market();
+        MachinePool pool = rental.market();
         if (rented.noCapacity() || rented.hosts().size() < count) {
-            refuse(market);
+            refuse(pool);
         } else {
-            refusals.remove(market);
+            refusals.remove(pool);
         }
         if (rented.hosts().isEmpty()) {
             return;
         }
         context.eventRecorder()
-                .record(
-                        LOG,
-                        "rented {} of {} in {} ({})",
-                        rented.hosts().size(),
-                        market.type(),
-                        market.zone(),
-                        kind(market));
+                .record(LOG, "rented {} of {} in {} ({})", rented.hosts().size(), pool.type(), pool.zone(), kind(pool));
         Instant at = context.timeSource().wallTime();
-        rented.hosts().forEach(id -> unrecorded.put(id, () -> record(id, "", market, at, rental.forGang())));
+        rented.hosts().forEach(id -> unrecorded.put(id, () -> record(id, "", pool, at, rental.forGang())));
         recordRented();
     }
 
-    private static String kind(MachinePool market) {
-        return market.spot() ? "spot" : "ordinary";
+    private static String kind(MachinePool pool) {
+        return pool.spot() ? "spot" : "ordinary";
     }
 
-    private void refuse(MachinePool market) {
-        Refusal before = refusals.get(market);
+    private void refuse(MachinePool pool) {
+        Refusal before = refusals.get(pool);
         Duration pause = before == null ? NO_CAPACITY_PAUSE : before.pause.multipliedBy(2);
         if (pause.compareTo(LONGEST_PAUSE) > 0) {
             pause = LONGEST_PAUSE;
         }
-        refusals.put(market, new Refusal(context.timeSource().now().plus(pause), pause));
+        refusals.put(pool, new Refusal(context.timeSource().now().plus(pause), pause));
         context.eventRecorder()
                 .record(
                         LOG,
                         "no more {} in {} ({}); asked again in {} s",
-                        market.type(),
-                        market.zone(),
-                        kind(market),
+                        pool.type(),
+                        pool.zone(),
+                        kind(pool),
                         pause.toSeconds());
     }
 
@@ -181,19 +176,21 @@
     }
 
     /** Records a machine. One that is rented for a gang is the leader's from the start: borrowing it would cost a write more. */
-    void record(String id, String address, MachinePool market, Instant rented, boolean forGang) {
+    void record(String id, String address, MachinePool pool, Instant rented, boolean forGang) {
         Membership membership = context.membership();
         String here = context.settings().nodeName();
         String owner = forGang ? here : membership.hashed(id).orElse(here);
         long incarnation = membership.incarnationOf(owner).orElse(membership.incarnation());
-        Optional<Long> seen =
-                context.workers().find(id).flatMap(s -> s.lastHeartbeat).map(report -> report.token());
+        Optional<Long> seen = context.workers()
+                .find(id)
+                .flatMap(worker -> worker.lastHeartbeat)
+                .map(heartbeat -> heartbeat.token());
         var machine = new MachineRecord(
                 id,
                 address,
-                market.type(),
-                market.zone(),
-                market.spot(),
+                pool.type(),
+                pool.zone(),
+                pool.spot(),
                 owner,
                 incarnation,
                 seen.orElse(0L) + 1,
@@ -201,6 +198,6 @@
                 Instant.EPOCH,
                 false,
                 "");
-        machineWriter.change(CommitPriority.PLACEMENT, machine, r -> {});
+        machineWriter.change(CommitPriority.PLACEMENT, machine, result -> {});
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -19,18 +19,18 @@
     private final ControllerContext context;
     private final WorkerClient workerClient;
     private final Quarantine quarantine;
-    private final MachineTerminator returner;
+    private final MachineTerminator terminator;
     /** A machine that takes tasks has been heard this lately. */
     private final Duration heardLately;
 
     private long lastNumber;
 
     public MachineStatusReporter(
-            ControllerContext context, WorkerClient workerClient, Quarantine quarantine, MachineTerminator returner) {
+            ControllerContext context, WorkerClient workerClient, Quarantine quarantine, MachineTerminator terminator) {
         this.context = context;
         this.workerClient = workerClient;
         this.quarantine = quarantine;
-        this.returner = returner;
+        this.terminator = terminator;
         this.heardLately = context.settings().workers().report().multipliedBy(3).plusSeconds(1);
     }
 
@@ -41,57 +41,59 @@
             if (context.membership().owns(machine)) {
                 context.workers()
                         .find(machine.id())
-                        .filter(session -> session.lastHeartbeatAt.isPresent())
-                        .ifPresent(session -> list.add(news(machine, session)));
+                        .filter(worker -> worker.lastHeartbeatAt.isPresent())
+                        .ifPresent(worker -> list.add(news(machine, worker)));
             }
         }
         list.sort(Comparator.comparingLong(MachineStatus::sequence));
         return list;
     }
 
-    private MachineStatus news(MachineRecord machine, WorkerState session) {
+    private MachineStatus news(MachineRecord machine, WorkerState worker) {
         boolean up = takesTasks(machine);
         boolean bad = quarantine.holds(machine.id());
-        Duration silent = up ? Duration.ZERO : silence(session);
+        Duration silent = up ? Duration.ZERO : silence(worker);
         String state = up ? "u" : "d" + silent.toSeconds() / SILENCE_STEP;
-        String told = machine.token() + state + bad + session.images().hashCode();
-        if (!told.equals(session.lastPublished)) {
-            session.lastPublished = told;
-            session.lastPublishedSequence = ++lastNumber;
+        String told = machine.token() + state + bad + worker.images().hashCode();
+        if (!told.equals(worker.lastPublished)) {
+            worker.lastPublished = told;
+            worker.lastPublishedSequence = ++lastNumber;
         }
-        String address = session.lastHeartbeat.map(report -> report.address()).orElse(machine.address());
+        String address =
+                worker.lastHeartbeat.map(heartbeat -> heartbeat.address()).orElse(machine.address());
         return new MachineStatus(
-                machine.id(), session.lastPublishedSequence, machine.token(), up, bad, silent, address, session.images());
+                machine.id(), worker.lastPublishedSequence, machine.token(), up, bad, silent, address, worker.images());
     }
 
-    private Duration silence(WorkerState session) {
-        Duration heard = session.lastHeartbeatAt.orElseThrow();
-        Optional<Duration> unproven = session.commandsUnconfirmedSince.filter(since -> since.compareTo(heard) < 0);
+    private Duration silence(WorkerState worker) {
+        Duration heard = worker.lastHeartbeatAt.orElseThrow();
+        Optional<Duration> unproven = worker.commandsUnconfirmedSince.filter(since -> since.compareTo(heard) < 0);
         return context.pauseDetector().silence(unproven.orElse(heard));
     }
 
     /** Whether new tasks may go to a machine commanded here. */
     public boolean takesTasks(MachineRecord machine) {
-        if (!workerClient.ready(machine) || quarantine.holds(machine.id()) || returner.leaves(machine)) {
+        if (!workerClient.ready(machine) || quarantine.holds(machine.id()) || terminator.leaves(machine)) {
             return false;
         }
-        WorkerState session = context.workers().getOrCreate(machine.id());
-        boolean noticed = session.lastHeartbeat.flatMap(report -> report.notice()).isPresent();
-        return !noticed && !workerClient.mute(session) && alive(session);
+        WorkerState worker = context.workers().getOrCreate(machine.id());
+        boolean noticed =
+                worker.lastHeartbeat.flatMap(heartbeat -> heartbeat.notice()).isPresent();
+        return !noticed && !workerClient.mute(worker) && alive(worker);
     }
 
     /** Whether a machine commanded here will be gone soon, though what runs there may still run. */
     public boolean departs(MachineRecord machine) {
         boolean noticed = context.workers()
                 .find(machine.id())
-                .flatMap(session -> session.lastHeartbeat)
-                .flatMap(report -> report.notice())
+                .flatMap(worker -> worker.lastHeartbeat)
+                .flatMap(heartbeat -> heartbeat.notice())
                 .isPresent();
         return noticed || machine.draining() || quarantine.holds(machine.id());
     }
 
-    private boolean alive(WorkerState session) {
-        Optional<Duration> at = session.lastSeenAlive();
+    private boolean alive(WorkerState worker) {
+        Optional<Duration> at = worker.lastSeenAlive();
         return at.isPresent() && context.timeSource().now().minus(at.get()).compareTo(heardLately) < 0;
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineTerminator.java
+++ b/src/main/java/org/dunespindle/machine/MachineTerminator.java
@@ -59,7 +59,7 @@
     /** Stores that a machine leaves; it is returned once that is settled and, where the reason allows, its tasks have ended. */
     void leave(MachineRecord machine, String why) {
         tell(machine, why);
-        machineWriter.change(CommitPriority.MAINTENANCE, machine.draining(why), r -> {});
+        machineWriter.change(CommitPriority.MAINTENANCE, machine.draining(why), result -> {});
     }
 
     /**
@@ -130,6 +130,7 @@
     }
 
     private boolean unused(MachineRecord machine) {
-        return !machine.drainsGracefully() || replica.allocationsOn(machine.id()).isEmpty();
+        return !machine.drainsGracefully()
+                || replica.allocationsOn(machine.id()).isEmpty();
     }
 }
--- a/src/main/java/org/dunespindle/machine/Quarantine.java
+++ b/src/main/java/org/dunespindle/machine/Quarantine.java
@@ -15,34 +15,41 @@
     /** In quarantine first: jobs that failed there may turn out to fail elsewhere too. */
     private static final Duration LENGTH = Duration.ofSeconds(15);
 
-    private final CrashLoopDetector failureAttribution;
-    private final PeerHeartbeats peers;
-    private final TimeSource timeline;
+    private final CrashLoopDetector crashLoopDetector;
+    private final PeerHeartbeats peerHeartbeats;
+    private final TimeSource timeSource;
     private final Supplier<Options> options;
     private final Map<String, Duration> since = new HashMap<>();
 
     public Quarantine(
-            CrashLoopDetector failureAttribution, PeerHeartbeats peers, TimeSource timeline, Supplier<Options> options) {
-        this.failureAttribution = failureAttribution;
-        this.peers = peers;
-        this.timeline = timeline;
+            CrashLoopDetector crashLoopDetector,
+            PeerHeartbeats peerHeartbeats,
+            TimeSource timeSource,
+            Supplier<Options> options) {
+        this.crashLoopDetector = crashLoopDetector;
+        this.peerHeartbeats = peerHeartbeats;
+        this.timeSource = timeSource;
         this.options = options;
     }
 
     /** Whether tasks of different jobs failed on a machine, as far as is known here. */
     boolean holds(String host) {
-        return failureAttribution.jobsFailedOn(host) >= options.get().quarantineAfter();
+        return crashLoopDetector.jobsFailedOn(host) >= options.get().quarantineAfter();
     }
 
     /** Whether a machine has been in quarantine, here or as its owner tells, for long enough to be given back. */
     boolean over(MachineRecord machine) {
-        boolean fails = peers.machine(machine).filter(ReportedMachine::quarantined).isPresent() || holds(machine.id());
+        boolean fails = peerHeartbeats
+                        .machine(machine)
+                        .filter(ReportedMachine::quarantined)
+                        .isPresent()
+                || holds(machine.id());
         if (!fails) {
             since.remove(machine.id());
             return false;
         }
-        Duration begun = since.computeIfAbsent(machine.id(), id -> timeline.now());
-        return timeline.now().minus(begun).compareTo(LENGTH) > 0;
+        Duration begun = since.computeIfAbsent(machine.id(), id -> timeSource.now());
+        return timeSource.now().minus(begun).compareTo(LENGTH) > 0;
     }
 
     void forget(String host) {
--- a/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
+++ b/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
@@ -15,8 +15,8 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.scheduling.MachinePool;
 import org.dunespindle.scheduling.Planner;
-import org.dunespindle.scheduling.Shortfall;
 import org.dunespindle.scheduling.ServiceLevelObjectives;
+import org.dunespindle.scheduling.Shortfall;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.time.Durations;
@@ -30,7 +30,7 @@
 
     private final ControllerContext context;
     private final MachineCatalog catalog;
-    private final ServiceLevelObjectives targets;
+    private final ServiceLevelObjectives objectives;
     private final Set<MachinePool> refused;
     private final Map<String, Integer> machinesPerZone = new HashMap<>();
     private final Map<Ask, Integer> slots = new HashMap<>();
@@ -49,12 +49,19 @@
     /** What jobs alike ask of a machine. */
     private record Ask(boolean spot, Resources perTask, Optional<List<String>> types) {}
 
-    ScaleOutPlanner(ControllerContext context, MachineCatalog catalog, ServiceLevelObjectives targets, Set<MachinePool> refused) {
+    ScaleOutPlanner(
+            ControllerContext context,
+            MachineCatalog catalog,
+            ServiceLevelObjectives objectives,
+            Set<MachinePool> refused) {
         this.context = context;
         this.catalog = catalog;
-        this.targets = targets;
+        this.objectives = objectives;
         this.refused = refused;
-        context.replica().machines().values().forEach(m -> machinesPerZone.merge(m.zone(), 1, Integer::sum));
+        context.replica()
+                .machines()
+                .values()
+                .forEach(machine -> machinesPerZone.merge(machine.zone(), 1, Integer::sum));
     }
 
     /** Packs what found no room into machines of the cheapest kinds that may serve it. */
@@ -68,32 +75,32 @@
                 keepCheapestIfInTime(shortfall, markets, queued);
             }
             markets.stream()
-                    .filter(m -> shortfall.zone().map(m.zone()::equals).orElse(true))
+                    .filter(pool -> shortfall.zone().map(pool.zone()::equals).orElse(true))
                     .findFirst()
-                    .ifPresent(market -> add(market, shortfall));
+                    .ifPresent(pool -> add(pool, shortfall));
         }
         var rentals = new ArrayList<Rental>();
-        needs.forEach((market, need) -> {
+        needs.forEach((pool, need) -> {
             if (need.count > 0) {
-                rentals.add(new Rental(market, need.count, need.forGang));
+                rentals.add(new Rental(pool, need.count, need.forGang));
             }
         });
         return rentals;
     }
 
-    private void add(MachinePool market, Shortfall shortfall) {
+    private void add(MachinePool pool, Shortfall shortfall) {
         Submission job = shortfall.job().submission();
-        Need need = needs.computeIfAbsent(market, m -> new Need());
+        Need need = needs.computeIfAbsent(pool, key -> new Need());
         need.forGang |= need.count == 0 && job.isGang() && job.tasks() > 1;
         int fitting = Planner.fitCount(job.perTask(), need.rest, shortfall.tasks());
         need.rest = need.rest.minus(job.perTask().times(fitting));
         int left = shortfall.tasks() - fitting;
         if (left > 0) {
-            int each = Math.max(1, tasksPerMachine(job.perTask(), market.type()));
+            int each = Math.max(1, tasksPerMachine(job.perTask(), pool.type()));
             int machines = (left + each - 1) / each;
             need.count += machines;
             int onLast = left - (machines - 1) * each;
-            need.rest = catalog.type(market.type())
+            need.rest = catalog.type(pool.type())
                     .orElseThrow()
                     .size()
                     .minus(job.perTask().times(onLast));
@@ -115,7 +122,7 @@
     /** Work that ends in time even if it queues for the cheapest kind is not worth a dear machine. */
     private void keepCheapestIfInTime(Shortfall shortfall, List<MachinePool> markets, Duration queued) {
         Submission job = shortfall.job().submission();
-        Optional<Duration> target = targets.nearest(job);
+        Optional<Duration> target = objectives.nearest(job);
         int running = slots.computeIfAbsent(new Ask(job.spot(), job.perTask(), job.types()), this::slots);
         if (target.isEmpty() || running == 0) {
             return;
@@ -127,7 +134,7 @@
                 .plus(FETCH_ALLOWANCE);
         if (end.compareTo(Durations.part(target.get(), 4, 5)) < 0) {
             double limit = cheapest(job) * ABOUT_THE_CHEAPEST;
-            markets.removeIf(market -> price(market) > limit);
+            markets.removeIf(pool -> price(pool) > limit);
         }
     }
 
@@ -165,8 +172,8 @@
         return job.types().map(allowed -> allowed.contains(type.name())).orElse(true);
     }
 
-    private double price(MachinePool market) {
-        return catalog.type(market.type()).orElseThrow().price(market.spot());
+    private double price(MachinePool pool) {
+        return catalog.type(pool.type()).orElseThrow().price(pool.spot());
     }
 
     /** Allowed markets that were not refused lately, cheapest first, then the zone with fewest machines. */
@@ -178,7 +185,7 @@
             }
         }
         list.sort(Comparator.comparingDouble(this::price)
-                .thenComparing(market -> machinesPerZone.getOrDefault(market.zone(), 0)));
+                .thenComparing(pool -> machinesPerZone.getOrDefault(pool.zone(), 0)));
         return list;
     }
 
@@ -186,9 +193,9 @@
         for (String zone : type.zones()) {
             if (job.zone().map(zone::equals).orElse(true)) {
                 for (boolean spot : job.spot() ? new boolean[] {true, false} : new boolean[] {false}) {
-                    var market = new MachinePool(type.name(), zone, spot);
-                    if (!refused.contains(market)) {
-                        into.add(market);
+                    var pool = new MachinePool(type.name(), zone, spot);
+                    if (!refused.contains(pool)) {
+                        into.add(pool);
                     }
                 }
             }
--- a/src/main/java/org/dunespindle/machine/ShardOwnership.java
+++ b/src/main/java/org/dunespindle/machine/ShardOwnership.java
@@ -46,9 +46,9 @@
     private final Membership membership;
     private final WorkerClient workerClient;
     private final MachineRecordWriter machineWriter;
-    private final PeerHeartbeats peers;
-    private final WorkerRegistry sessions;
-    private final TimeSource timeline;
+    private final PeerHeartbeats peerHeartbeats;
+    private final WorkerRegistry workers;
+    private final TimeSource timeSource;
     private final Supplier<Options> options;
     private final Map<String, Duration> gangAt = new HashMap<>();
     private final Set<String> handedOn = new HashSet<>();
@@ -62,16 +62,16 @@
             ControllerContext context,
             WorkerClient workerClient,
             MachineRecordWriter machineWriter,
-            PeerHeartbeats peers,
+            PeerHeartbeats peerHeartbeats,
             Supplier<Options> options) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.sessions = context.workers();
-        this.timeline = context.timeSource();
+        this.workers = context.workers();
+        this.timeSource = context.timeSource();
         this.workerClient = workerClient;
         this.machineWriter = machineWriter;
-        this.peers = peers;
+        this.peerHeartbeats = peerHeartbeats;
         this.options = options;
         all.add(settings.nodeName());
         settings.seeds().forEach(seed -> all.add(seed.name()));
@@ -86,9 +86,9 @@
      */
     private Set<String> placeholdersElsewhere() {
         var hosts = new TreeSet<String>();
-        for (JobRecord j : replica.activeJobs()) {
-            if (j.isOpen() && j.submission().isGang() && j.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS) {
-                j.allocations().forEach(c -> hosts.add(c.machineId()));
+        for (JobRecord job : replica.activeJobs()) {
+            if (job.isOpen() && job.submission().isGang() && job.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS) {
+                job.allocations().forEach(allocation -> hosts.add(allocation.machineId()));
             }
         }
         return hosts;
@@ -96,7 +96,7 @@
 
     /** Takes over machines whose controller is gone, and hands back or on those that hash elsewhere. */
     public void tick(Plan plan) {
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         if (now.compareTo(lookAgainAt) < 0) {
             return;
         }
@@ -108,14 +108,14 @@
         }
         takeOver();
         handedOn.clear();
-        for (MachineRecord h : replica.machines().values()) {
-            if (!membership.owns(h)) {
+        for (MachineRecord machine : replica.machines().values()) {
+            if (!membership.owns(machine)) {
                 continue;
             }
-            if (hasGang(h) || plan.gangMachines().contains(h.id())) {
-                gangAt.put(h.id(), now);
+            if (hasGang(machine) || plan.gangMachines().contains(machine.id())) {
+                gangAt.put(machine.id(), now);
             } else if (returning) {
-                handOver(h, now);
+                handOver(machine, now);
             }
         }
     }
@@ -126,9 +126,9 @@
      */
     private void takeOver() {
         if (joinedAt.isEmpty()) {
-            joinedAt = Optional.of(timeline.now());
+            joinedAt = Optional.of(timeSource.now());
         }
-        boolean early = timeline.now().minus(joinedAt.get()).compareTo(othersFirst) < 0;
+        boolean early = timeSource.now().minus(joinedAt.get()).compareTo(othersFirst) < 0;
         var orphans = new ArrayList<MachineRecord>();
         for (MachineRecord h : replica.machines().values()) {
             if (!membership.isAlive(h.owner(), h.incarnation())) {
@@ -147,45 +147,50 @@
                     && !comesBack
                     && home.filter(settings.nodeName()::equals).isPresent()) {
                 // A rented machine's record may not tell its address; its owner did.
-                peers.address(h)
+                peerHeartbeats
+                        .address(h)
                         .ifPresentOrElse(
-                                a -> workerClient.acquire(h, a, Instant.EPOCH, r -> {}),
-                                () -> workerClient.acquire(h, Instant.EPOCH, r -> {}));
+                                a -> workerClient.acquire(h, a, Instant.EPOCH, result -> {}),
+                                () -> workerClient.acquire(h, Instant.EPOCH, result -> {}));
             }
         }
     }
 
-    private boolean hasGang(MachineRecord h) {
-        List<PlacedTask> allocations = replica.allocationsOn(h.id());
-        for (PlacedTask p : allocations) {
-            if (p.job().spec().isPresent() && p.job().submission().isGang()) {
+    private boolean hasGang(MachineRecord machine) {
+        List<PlacedTask> allocations = replica.allocationsOn(machine.id());
+        for (PlacedTask placed : allocations) {
+            if (placed.job().spec().isPresent() && placed.job().submission().isGang()) {
                 return true;
             }
         }
         return false;
     }
 
-    private void handOver(MachineRecord h, Duration now) {
-        Optional<String> home = membership.hashed(h.id());
+    private void handOver(MachineRecord machine, Duration now) {
+        Optional<String> home = membership.hashed(machine.id());
         if (home.isEmpty()
                 || home.get().equals(settings.nodeName())
-                || machineWriter.busy(h.id())
+                || machineWriter.busy(machine.id())
                 || machineWriter.crowded()) {
             return;
         }
         Duration kept = membership.leads() ? options.get().borrowedAtLeast() : Duration.ZERO;
-        Optional<WorkerState> s = sessions.find(h.id());
-        boolean calm = h.keepUntil().isBefore(timeline.wallTime())
-                && now.minus(gangAt.getOrDefault(h.id(), Duration.ZERO)).compareTo(kept) > 0
+        Optional<WorkerState> s = workers.find(machine.id());
+        boolean calm = machine.keepUntil().isBefore(timeSource.wallTime())
+                && now.minus(gangAt.getOrDefault(machine.id(), Duration.ZERO)).compareTo(kept) > 0
                 && s.filter(x -> x.callInFlight || x.unansweredStartToken.isPresent() || !x.terminations.isEmpty())
                         .isEmpty();
         Optional<Long> inc = membership.incarnationOf(home.get());
         // A few pages at a time: after a controller came back there are many, and even load is less urgent than all
         // else that is written.
-        boolean turn = handedOn.contains(Keys.machinePage(h.id())) || handedOn.size() < MOST_PAGES_HANDED_ON;
-        if (calm && turn && inc.isPresent() && peers.heartbeat(home.get()).isPresent()) {
-            handedOn.add(Keys.machinePage(h.id()));
-            machineWriter.change(CommitPriority.MAINTENANCE, h.ownedBy(home.get(), inc.get(), Instant.EPOCH), r -> {});
+        boolean turn = handedOn.contains(Keys.machinePage(machine.id())) || handedOn.size() < MOST_PAGES_HANDED_ON;
+        if (calm
+                && turn
+                && inc.isPresent()
+                && peerHeartbeats.heartbeat(home.get()).isPresent()) {
+            handedOn.add(Keys.machinePage(machine.id()));
+            machineWriter.change(
+                    CommitPriority.MAINTENANCE, machine.ownedBy(home.get(), inc.get(), Instant.EPOCH), result -> {});
         }
     }
 
@@ -195,12 +200,12 @@
         var wanted = new LinkedHashSet<>(plan.gangMachines());
         wanted.addAll(placeholdersElsewhere());
         for (String host : wanted) {
-            MachineRecord h = replica.machines().get(host);
-            if (h == null
-                    || membership.owns(h)
-                    || h.draining()
+            MachineRecord machine = replica.machines().get(host);
+            if (machine == null
+                    || membership.owns(machine)
+                    || machine.draining()
                     || machineWriter.busy(host)
-                    || !h.keepUntil().isBefore(timeline.wallTime())) {
+                    || !machine.keepUntil().isBefore(timeSource.wallTime())) {
                 continue;
             }
             if (borrowed < 0) {
@@ -215,9 +220,9 @@
             if (borrowed++ >= options.get().borrowedMachines()) {
                 return;
             }
-            gangAt.put(host, timeline.now());
-            String address = peers.address(h).orElse(h.address());
-            workerClient.acquire(h, address, Instant.EPOCH, r -> {});
+            gangAt.put(host, timeSource.now());
+            String address = peerHeartbeats.address(machine).orElse(machine.address());
+            workerClient.acquire(machine, address, Instant.EPOCH, result -> {});
         }
     }
 }
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
@@ -42,8 +42,8 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Settings settings;
-    private final HttpClient http;
-    private final TimeSource timeline;
+    private final HttpClient httpClient;
+    private final TimeSource timeSource;
     private final LongSupplier incarnation;
     private final Supplier<Optional<String>> leader;
     private final StateReplica replica;
@@ -71,8 +71,8 @@
     /** Creates the link to the other controllers. */
     public PeerHeartbeats(
             Settings settings,
-            HttpClient http,
-            TimeSource timeline,
+            HttpClient httpClient,
+            TimeSource timeSource,
             LongSupplier incarnation,
             Supplier<Optional<String>> leader,
             StateReplica replica,
@@ -80,8 +80,8 @@
         this.replica = replica;
         this.listener = listener;
         this.settings = settings;
-        this.http = http;
-        this.timeline = timeline;
+        this.httpClient = httpClient;
+        this.timeSource = timeSource;
         this.incarnation = incarnation;
         this.leader = leader;
     }
@@ -89,7 +89,7 @@
     /** A controller's last heartbeat while it is fresh. */
     public Optional<PeerState> heartbeat(String node) {
         return Optional.ofNullable(heartbeats.get(node))
-                .filter(w -> timeline.now().minus(w.at()).compareTo(FRESH) < 0);
+                .filter(peer -> timeSource.now().minus(peer.at()).compareTo(FRESH) < 0);
     }
 
     /**
@@ -97,8 +97,8 @@
      * that has been quiet for longer than that lives.
      */
     public boolean isSuspected(String node) {
-        PeerState w = heartbeats.get(node);
-        Duration quiet = w == null ? Duration.ZERO : timeline.now().minus(w.at());
+        PeerState peer = heartbeats.get(node);
+        Duration quiet = peer == null ? Duration.ZERO : timeSource.now().minus(peer.at());
         return quiet.compareTo(QUIET) > 0 && quiet.compareTo(LEASE_TELLS) < 0;
     }
 
@@ -110,14 +110,14 @@
     }
 
     /** What a machine's owner told of it under its present token, while the owner's heartbeat is fresh. */
-    public Optional<ReportedMachine> machine(MachineRecord host) {
-        return heartbeat(host.owner()).isEmpty() ? Optional.empty() : lastTold(host);
+    public Optional<ReportedMachine> machine(MachineRecord machine) {
+        return heartbeat(machine.owner()).isEmpty() ? Optional.empty() : lastTold(machine);
     }
 
     /** The same however old it is: for an owner that lives but cannot talk to this controller. */
-    public Optional<ReportedMachine> lastTold(MachineRecord host) {
-        Optional<ReportedMachine> told = told(host.owner(), host.id());
-        return told.isPresent() && told.get().token() == host.token() ? told : Optional.empty();
+    public Optional<ReportedMachine> lastTold(MachineRecord machine) {
+        Optional<ReportedMachine> told = told(machine.owner(), machine.id());
+        return told.isPresent() && told.get().token() == machine.token() ? told : Optional.empty();
     }
 
     private Optional<ReportedMachine> told(String node, String host) {
@@ -126,25 +126,26 @@
     }
 
     /** Where a machine is reached, as anybody told. */
-    public Optional<String> address(MachineRecord host) {
-        return told(host.owner(), host.id()).map(ReportedMachine::address).filter(a -> !a.isEmpty());
+    public Optional<String> address(MachineRecord machine) {
+        return told(machine.owner(), machine.id()).map(ReportedMachine::address).filter(a -> !a.isEmpty());
     }
 
     /**
      * When a machine was last alive as far as any other controller told. One that is up is told once and counts as alive as long
      * as its owner keeps talking; but only while it is the owner: what an earlier owner told last says nothing about later.
      */
-    public Optional<Duration> aliveAt(MachineRecord host) {
+    public Optional<Duration> aliveAt(MachineRecord machine) {
         Optional<Duration> last = Optional.empty();
         for (Map.Entry<String, Heard> e : heard.entrySet()) {
-            ReportedMachine m = e.getValue().machines.get(host.id());
-            if (m != null) {
-                boolean present = m.up()
-                        && e.getKey().equals(host.owner())
-                        && m.token() == host.token()
+            ReportedMachine reported = e.getValue().machines.get(machine.id());
+            if (reported != null) {
+                boolean present = reported.up()
+                        && e.getKey().equals(machine.owner())
+                        && reported.token() == machine.token()
                         && heartbeats.containsKey(e.getKey());
-                Duration at =
-                        present ? heartbeats.get(e.getKey()).at() : m.reportedAt().minus(m.silentFor());
+                Duration at = present
+                        ? heartbeats.get(e.getKey()).at()
+                        : reported.reportedAt().minus(reported.silentFor());
                 last = Durations.later(last, Optional.of(at));
             }
         }
@@ -169,14 +170,15 @@
     public void send(Duration viewAge, WriteDemand need, List<MachineStatus> news) {
         for (Settings.Seed seed : settings.seeds()) {
             ObjectNode n = head(viewAge, need).put("readTo", replica.appliedRevision());
-            Duration asked = timeline.now();
+            Duration asked = timeSource.now();
             if (leader.get().filter(seed.name()::equals).isPresent()) {
                 add(n, news, taken.getOrDefault(seed.name(), 0L));
             }
-            http.send(seed.address(), "POST", "/peer/heartbeat", AdminApi.write(n), "application/json", TIMEOUT)
-                    .whenComplete((a, e) -> {
-                        if (a != null && a.status() == 200) {
-                            answered(seed.name(), asked, a.body());
+            httpClient
+                    .send(seed.address(), "POST", "/peer/heartbeat", AdminApi.write(n), "application/json", TIMEOUT)
+                    .whenComplete((response, e) -> {
+                        if (response != null && response.status() == 200) {
+                            answered(seed.name(), asked, response.body());
                         }
                     });
         }
@@ -195,18 +197,18 @@
         ArrayNode list = n.put("from", from).putArray("news");
         long upTo = from;
         int characters = 0;
-        for (MachineStatus m : news) {
-            if (m.sequence() > from && list.size() < MOST_MACHINES && characters < MOST_NEWS_CHARACTERS) {
-                upTo = m.sequence();
-                characters += m.characters();
+        for (MachineStatus status : news) {
+            if (status.sequence() > from && list.size() < MOST_MACHINES && characters < MOST_NEWS_CHARACTERS) {
+                upTo = status.sequence();
+                characters += status.characters();
                 ArrayNode row = list.addArray()
-                        .add(m.machineId())
-                        .add(m.token())
-                        .add(m.up())
-                        .add(m.quarantined())
-                        .add(m.silentFor().toMillis())
-                        .add(m.address());
-                m.images().forEach(row::add);
+                        .add(status.machineId())
+                        .add(status.token())
+                        .add(status.up())
+                        .add(status.quarantined())
+                        .add(status.silentFor().toMillis())
+                        .add(status.address());
+                status.images().forEach(row::add);
             }
         }
         n.put("upTo", upTo);
@@ -257,7 +259,7 @@
                         row.path(2).asBoolean(),
                         row.path(3).asBoolean(),
                         Duration.ofMillis(row.path(4).asLong()),
-                        timeline.now(),
+                        timeSource.now(),
                         row.path(5).asText(),
                         row.path(1).asLong()));
         for (int i = 6; i < row.size(); i++) {
@@ -290,7 +292,7 @@
         heartbeats.put(
                 node,
                 new PeerState(
-                        timeline.now(),
+                        timeSource.now(),
                         n.path("inc").asLong(),
                         Duration.ofMillis(n.path("viewAgeMs").asLong()),
                         n.path("writes").asDouble(),
--- a/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
+++ b/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
@@ -18,32 +18,32 @@
 
     private static final double LEAST_PART = 0.08;
     private final Settings settings;
-    private final PeerHeartbeats peers;
+    private final PeerHeartbeats peerHeartbeats;
     private final Membership membership;
-    private final CommitQueue committer;
-    private final StateStoreClient state;
-    private final TimeSource timeline;
+    private final CommitQueue commitQueue;
+    private final StateStoreClient stateStore;
+    private final TimeSource timeSource;
     private long writtenBefore;
     private Duration at = Duration.ZERO;
     private double rate;
 
     public WriteRateAllocator(
             Settings settings,
-            PeerHeartbeats peers,
+            PeerHeartbeats peerHeartbeats,
             Membership membership,
-            CommitQueue committer,
-            StateStoreClient state,
-            TimeSource timeline) {
+            CommitQueue commitQueue,
+            StateStoreClient stateStore,
+            TimeSource timeSource) {
         this.settings = settings;
-        this.peers = peers;
+        this.peerHeartbeats = peerHeartbeats;
         this.membership = membership;
-        this.committer = committer;
-        this.state = state;
-        this.timeline = timeline;
+        this.commitQueue = commitQueue;
+        this.stateStore = stateStore;
+        this.timeSource = timeSource;
     }
 
     public WriteDemand need() {
-        return new WriteDemand(rate, committer.waiting());
+        return new WriteDemand(rate, commitQueue.waiting());
     }
 
     /** What a controller would write if it could: what it does, and some of what waits. */
@@ -53,20 +53,20 @@
 
     /** Called about once a second. */
     public void adjust() {
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         double seconds = now.minus(at).toNanos() / 1e9;
         if (seconds > 0.1) {
-            rate = 0.5 * rate + 0.5 * (committer.committed() - writtenBefore) / seconds;
-            writtenBefore = committer.committed();
+            rate = 0.5 * rate + 0.5 * (commitQueue.committed() - writtenBefore) / seconds;
+            writtenBefore = commitQueue.committed();
             at = now;
         }
         double all = SAFE_PART * settings.state().lowest().writeRps();
         double least = all * LEAST_PART;
         double left = all;
-        double own = want(rate, committer.waiting());
+        double own = want(rate, commitQueue.waiting());
         double wanted = own;
         for (Settings.Seed seed : settings.seeds()) {
-            var heartbeat = peers.heartbeat(seed.name());
+            var heartbeat = peerHeartbeats.heartbeat(seed.name());
             if (heartbeat.isPresent()) {
                 wanted += want(heartbeat.get().writes(), heartbeat.get().waiting());
             } else if (membership.incarnationOf(seed.name()).isPresent()) {
@@ -75,6 +75,6 @@
                 left -= least;
             }
         }
-        state.writes().rate(Math.max(least, left * own / wanted));
+        stateStore.writes().rate(Math.max(least, left * own / wanted));
     }
 }
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -272,7 +272,8 @@
         return v.doubleValue();
     }
 
-    private static double optional(JsonNode n, String at, String name, double otherwise) throws MalformedMessageException {
+    private static double optional(JsonNode n, String at, String name, double otherwise)
+            throws MalformedMessageException {
         return n.path(name).isMissingNode() ? otherwise : amount(n, at, name);
     }
 
--- a/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
@@ -78,8 +78,8 @@
         var f = new Submission.Fields(p);
         TaskId id = TaskId.parse(f.text("piece", 200))
                 .orElseThrow(() -> new MalformedMessageException("piece must be a task's name"));
-        TaskPhase phase =
-                TaskPhase.parse(f.text("phase", 32)).orElseThrow(() -> new MalformedMessageException("phase is unknown"));
+        TaskPhase phase = TaskPhase.parse(f.text("phase", 32))
+                .orElseThrow(() -> new MalformedMessageException("phase is unknown"));
         Optional<ExitCause> cause = phase == TaskPhase.EXITED
                 ? Optional.of(ExitCause.parse(p.path("cause").asText("")))
                 : Optional.empty();
--- a/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -66,7 +66,8 @@
         if (left == 0 || full(array.job)) {
             return;
         }
-        List<MachineCapacity> candidates = withImage ? state.candidatesWithImage(array.job) : state.candidates(array.job);
+        List<MachineCapacity> candidates =
+                withImage ? state.candidatesWithImage(array.job) : state.candidates(array.job);
         for (MachineCapacity machine : state.roomy(array.job, candidates, array.zones, withImage)) {
             while (left > 0 && machine.fits(array.job.perTask()) && array.zones.allows(machine.host())) {
                 take(array, machine);
--- a/src/main/java/org/dunespindle/scheduling/ClusterSnapshot.java
+++ b/src/main/java/org/dunespindle/scheduling/ClusterSnapshot.java
@@ -19,7 +19,7 @@
  * @param leftAlone jobs that another controller is placing, or that wait for more: not booked here now
  * @param gangs whether gangs are planned here
  * @param departing machines that are about to be taken away, returned or closed
- * @param progress how long tasks have been under way, as far as known here
+ * @param elapsed how long tasks have been under way, as far as known here
  */
 public record ClusterSnapshot(
         Instant now,
--- a/src/main/java/org/dunespindle/scheduling/DemandForecast.java
+++ b/src/main/java/org/dunespindle/scheduling/DemandForecast.java
@@ -35,22 +35,25 @@
 
     /** Takes the classes that have an objective for waiting. */
     public DemandForecast(List<Settings.Objective> objectives) {
-        objectives.stream().filter(o -> o.kind().equals("wait")).forEach(o -> classes.add(o.jobClass()));
+        objectives.stream()
+                .filter(objective -> objective.kind().equals("wait"))
+                .forEach(objective -> classes.add(objective.jobClass()));
     }
 
     /** Takes note of jobs that came. */
     public void observe(List<JobRecord> jobs) {
         var present = new HashSet<String>();
-        for (JobRecord j : jobs) {
-            present.add(j.id());
-            if (seen.add(j.id()) && classes.contains(j.submission().jobClass())) {
-                ArrayDeque<Submission> list = recent.computeIfAbsent(j.submission().jobClass(), c -> new ArrayDeque<>());
-                list.addLast(j.submission());
+        for (JobRecord job : jobs) {
+            present.add(job.id());
+            if (seen.add(job.id()) && classes.contains(job.submission().jobClass())) {
+                ArrayDeque<Submission> list =
+                        recent.computeIfAbsent(job.submission().jobClass(), c -> new ArrayDeque<>());
+                list.addLast(job.submission());
                 if (list.size() > REMEMBERED) {
                     list.removeFirst();
                 }
-                came.computeIfAbsent(j.submission().jobClass(), c -> new ArrayDeque<>())
-                        .addLast(new Arrival(j.arrived(), j.submission().tasks()));
+                came.computeIfAbsent(job.submission().jobClass(), c -> new ArrayDeque<>())
+                        .addLast(new Arrival(job.arrived(), job.submission().tasks()));
             }
         }
         seen.retainAll(present);
@@ -81,23 +84,23 @@
         var list = new ArrayList<ForecastJob>();
         recent.forEach((name, jobs) -> {
             int[] sizes = jobs.stream().mapToInt(Submission::tasks).sorted().toArray();
-            Submission s = jobs.getLast();
+            Submission submission = jobs.getLast();
             var typical = new Submission(
                     "~" + name,
                     name,
-                    s.team(),
-                    s.kind(),
-                    s.priority(),
+                    submission.team(),
+                    submission.kind(),
+                    submission.priority(),
                     perClass * sizes[sizes.length / 2],
-                    s.perTask(),
-                    s.types(),
+                    submission.perTask(),
+                    submission.types(),
                     Optional.empty(),
-                    s.sameZone(),
-                    s.spread(),
-                    s.spot(),
+                    submission.sameZone(),
+                    submission.spread(),
+                    submission.spot(),
                     common(jobs),
                     0,
-                    s.estimate(),
+                    submission.estimate(),
                     Duration.ZERO,
                     Duration.ZERO,
                     Optional.empty());
--- a/src/main/java/org/dunespindle/scheduling/GangPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/GangPlanner.java
@@ -66,7 +66,8 @@
      * A gang starts with its last member, so one fetch delays them all: where machines that have the image can take all of
      * it, if need be by lower work giving way, only those are looked at; otherwise it makes no difference who fetches.
      */
-    private List<MachineCapacity> withImages(JobRecord gang, List<MachineCapacity> candidates, ZoneRules zones, int missing) {
+    private List<MachineCapacity> withImages(
+            JobRecord gang, List<MachineCapacity> candidates, ZoneRules zones, int missing) {
         Submission job = gang.submission();
         var fetched = new ArrayList<MachineCapacity>();
         int room = 0;
--- a/src/main/java/org/dunespindle/scheduling/GangQueues.java
+++ b/src/main/java/org/dunespindle/scheduling/GangQueues.java
@@ -51,14 +51,20 @@
                 && job.notBefore()
                         .filter(t -> t.isAfter(state.snapshot().now()))
                         .isPresent();
-        return job.isOpen() && job.submission().isGang() && job.submission().tasks() > 1 && job.unplacedCount() > 0 && !pauses;
+        return job.isOpen()
+                && job.submission().isGang()
+                && job.submission().tasks() > 1
+                && job.unplacedCount() > 0
+                && !pauses;
     }
 
     private void keepLimitFree(JobRecord head) {
         Duration waited = Duration.between(head.arrived(), state.snapshot().now());
         boolean waitedLong = waited.compareTo(OVERTAKEN_AT_MOST) > 0;
         boolean unplaced = head.gangPhase() == JobRecord.GangPhase.QUEUED;
-        if (waitedLong && unplaced && !state.teamAllows(head.submission(), head.submission().tasks())) {
+        if (waitedLong
+                && unplaced
+                && !state.teamAllows(head.submission(), head.submission().tasks())) {
             state.reserve(head.submission().team(), head.submission().totalResources());
         }
     }
@@ -67,7 +73,8 @@
     private static JobRecord ownOrHigher(JobRecord own, JobRecord visitor) {
         boolean placingOwn = own.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
         boolean placingVisitor = visitor.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
-        boolean higher = visitor.submission().priority().compareTo(own.submission().priority()) > 0;
+        boolean higher =
+                visitor.submission().priority().compareTo(own.submission().priority()) > 0;
         return placingOwn != placingVisitor ? placingOwn ? own : visitor : higher ? visitor : own;
     }
 
--- a/src/main/java/org/dunespindle/scheduling/JobOrder.java
+++ b/src/main/java/org/dunespindle/scheduling/JobOrder.java
@@ -58,14 +58,16 @@
     }
 
     private boolean plannedHere(JobRecord job) {
-        return snapshot.gangs() || !job.submission().isGang() && !snapshot.leftAlone().contains(job.id());
+        return snapshot.gangs()
+                || !job.submission().isGang() && !snapshot.leftAlone().contains(job.id());
     }
 
     /** Whether two ordered jobs are alike but for the work that is left. */
     boolean equalStanding(JobRecord one, JobRecord other) {
         return one.submission().isGang() == other.submission().isGang()
                 && one.submission().priority() == other.submission().priority()
-                && one.inboundDelegation().isPresent() == other.inboundDelegation().isPresent()
+                && one.inboundDelegation().isPresent()
+                        == other.inboundDelegation().isPresent()
                 && guaranteed.contains(one.id()) == guaranteed.contains(other.id())
                 && ranks.get(one.id()).tier() == ranks.get(other.id()).tier();
     }
--- a/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
@@ -37,9 +37,9 @@
         }
     }
 
-    MachineCapacity(MachineSnapshot host) {
-        this.host = host;
-        this.free = host.size();
+    MachineCapacity(MachineSnapshot machine) {
+        this.host = machine;
+        this.free = machine.size();
     }
 
     MachineSnapshot host() {
--- a/src/main/java/org/dunespindle/scheduling/Plan.java
+++ b/src/main/java/org/dunespindle/scheduling/Plan.java
@@ -8,8 +8,8 @@
  * The outcome.
  *
  * @param reasons why a job waits
- * @param wantedHosts machines that something is planned on
- * @param gangHosts those of them that gangs are planned on
+ * @param wantedMachines machines that something is planned on
+ * @param gangMachines those of them that gangs are planned on
  * @param moves replicas that are to run elsewhere
  */
 public record Plan(
--- a/src/main/java/org/dunespindle/scheduling/PlanState.java
+++ b/src/main/java/org/dunespindle/scheduling/PlanState.java
@@ -56,10 +56,10 @@
 
     /** Which machines a job may use. */
     private record Eligibility(boolean spot, Optional<String> zone, Optional<List<String>> types) {
-        boolean includes(MachineSnapshot host) {
-            boolean kind = spot || !host.spot();
-            boolean place = zone.isEmpty() || zone.get().equals(host.zone());
-            return kind && place && (types.isEmpty() || types.get().contains(host.type()));
+        boolean includes(MachineSnapshot machine) {
+            boolean kind = spot || !machine.spot();
+            boolean place = zone.isEmpty() || zone.get().equals(machine.zone());
+            return kind && place && (types.isEmpty() || types.get().contains(machine.type()));
         }
     }
 
@@ -259,7 +259,8 @@
     }
 
     /** Of some machines those with room, the best first. */
-    List<MachineCapacity> roomy(Submission job, Collection<MachineCapacity> candidates, ZoneRules zones, boolean upOnly) {
+    List<MachineCapacity> roomy(
+            Submission job, Collection<MachineCapacity> candidates, ZoneRules zones, boolean upOnly) {
         var list = new ArrayList<MachineCapacity>();
         for (MachineCapacity machine : candidates) {
             boolean ready = !upOnly || machine.host().up();
@@ -298,9 +299,9 @@
     Map<String, Integer> zonesTaken(JobRecord job) {
         var taken = new HashMap<String, Integer>();
         for (Allocation allocation : job.allocations()) {
-            MachinePool place = snapshot.pools().get(allocation.machineId());
-            if (place != null) {
-                taken.merge(place.zone(), 1, Integer::sum);
+            MachinePool pool = snapshot.pools().get(allocation.machineId());
+            if (pool != null) {
+                taken.merge(pool.zone(), 1, Integer::sum);
             }
         }
         return taken;
--- a/src/main/java/org/dunespindle/scheduling/Planner.java
+++ b/src/main/java/org/dunespindle/scheduling/Planner.java
@@ -24,8 +24,8 @@
     private Planner() {}
 
     /** Works out a plan. */
-    public static Plan plan(ClusterSnapshot s) {
-        return new Work(s).run();
+    public static Plan plan(ClusterSnapshot snapshot) {
+        return new Work(snapshot).run();
     }
 
     /** Jobs that fit within their team's guarantee together with the team's earlier unfinished jobs. */
@@ -35,11 +35,12 @@
         jobs.stream()
                 .filter(JobRecord::isOpen)
                 .sorted(Comparator.comparing(JobRecord::arrived).thenComparing(JobRecord::id))
-                .forEach(j -> {
-                    Resources sum = sums.merge(j.submission().team(), j.submission().totalResources(), Resources::plus);
-                    Settings.Team team = teams.get(j.submission().team());
+                .forEach(job -> {
+                    Resources sum =
+                            sums.merge(job.submission().team(), job.submission().totalResources(), Resources::plus);
+                    Settings.Team team = teams.get(job.submission().team());
                     if (team != null && team.withinGuarantee(sum)) {
-                        within.add(j.id());
+                        within.add(job.id());
                     }
                 });
         return within;
@@ -111,7 +112,8 @@
             } else if (queues.mayPlace(job)) {
                 gangs.place(job);
             } else {
-                String head = queues.head(job.submission().team()).map(JobRecord::id).orElse("another");
+                String head =
+                        queues.head(job.submission().team()).map(JobRecord::id).orElse("another");
                 state.waitsForNow(job, "behind gang " + head + " of its team");
                 queued.add(job);
             }
--- a/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
+++ b/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
@@ -86,10 +86,10 @@
     /**
      * What one controller sees.
      *
-     * @param names how many controllers there may be
+     * @param controllers how many controllers there may be
      * @param entitled whether this process may use its share: it was running when the record was written, so nobody of its name used any before
-     * @param spent what it has added under this record
-     * @param unsure what of that may or may not have been stored
+     * @param usedUnderReservation what it has added under this record
+     * @param unacknowledged what of that may or may not have been stored
      * @param upToDate whether the view reaches up to the record
      * @param use all allocations as stored, with what this controller has proposed beside them; never less than is stored at the record
      */
--- a/src/main/java/org/dunespindle/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceLevelObjectives.java
@@ -16,11 +16,14 @@
 
     /** Takes the completion objectives from the settings. */
     public ServiceLevelObjectives(List<Settings.Objective> objectives) {
-        for (Settings.Objective o : objectives) {
-            if (o.kind().equals("finished")) {
-                finished.computeIfAbsent(o.jobClass(), c -> new TreeSet<>()).add(o.within());
-            } else if (o.kind().equals("deadline") && o.times() > 0) {
-                deadlines.computeIfAbsent(o.jobClass(), c -> new TreeSet<>()).add(o.times());
+        for (Settings.Objective objective : objectives) {
+            if (objective.kind().equals("finished")) {
+                finished.computeIfAbsent(objective.jobClass(), c -> new TreeSet<>())
+                        .add(objective.within());
+            } else if (objective.kind().equals("deadline") && objective.times() > 0) {
+                deadlines
+                        .computeIfAbsent(objective.jobClass(), c -> new TreeSet<>())
+                        .add(objective.times());
             }
         }
     }
--- a/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
@@ -97,36 +97,36 @@
     }
 
     /** Places what can be placed of a service; lower work gives way where there is no room, and machines are asked for. */
-    void place(JobRecord record) {
-        var service = new Progress(record);
-        int missing = record.unplacedCount();
+    void place(JobRecord job) {
+        var service = new Progress(job);
+        int missing = job.unplacedCount();
         if (service.left < missing) {
-            state.waits(record, "its team's limit is used up, or its replicas fail and are tried one at a time");
+            state.waits(job, "its team's limit is used up, or its replicas fail and are tried one at a time");
         }
         List<MachineCapacity> candidates = state.candidates(service.job);
         List<MachineCapacity> commanded =
                 candidates.stream().filter(machine -> machine.host().owned()).toList();
-        boolean others = state.snapshot().leftAlone().contains(record.id());
+        boolean others = state.snapshot().leftAlone().contains(job.id());
         // Only what is commanded here can be booked here; the rest is looked at for what is missing in all.
         fill(service, commanded, true);
         fill(service, candidates, true);
         if (service.left > 0 && !others) {
             int before = service.left;
-            service.left = preemption.makeRoom(record, commanded, service.zones, service.left);
+            service.left = preemption.makeRoom(job, commanded, service.zones, service.left);
             if (service.left < before) {
-                state.waits(record, "waits for lower work to give way");
+                state.waits(job, "waits for lower work to give way");
             }
         }
         if (service.left > 0) {
             fill(service, candidates, false);
         }
         if (service.left > 0) {
-            state.waits(record, "no room for " + service.left + " of its replicas on machines they may use");
-            state.lacks(record, service.left, service.zones.only());
+            state.waits(job, "no room for " + service.left + " of its replicas on machines they may use");
+            state.lacks(job, service.left, service.zones.only());
             state.addPending(service.job.team(), service.job.perTask().times(service.left));
         }
         if (!others) {
-            state.book(record, service.places);
+            state.book(job, service.places);
         }
     }
 
--- a/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
@@ -30,58 +30,58 @@
     /** Chooses the replicas that move now. */
     void plan() {
         boolean mayEmpty = true;
-        for (JobRecord record : state.snapshot().jobs()) {
-            if (record.isOpen() && record.submission().isService()) {
-                mayEmpty = move(record, mayEmpty);
+        for (JobRecord job : state.snapshot().jobs()) {
+            if (job.isOpen() && job.submission().isService()) {
+                mayEmpty = move(job, mayEmpty);
             }
         }
     }
 
     /** Tells whether, after this job, a machine may still be emptied: one replica at a time. */
-    private boolean move(JobRecord record, boolean mayEmpty) {
+    private boolean move(JobRecord job, boolean mayEmpty) {
         boolean settled = mayEmpty
-                && record.unplacedCount() == 0
-                && record.allocations().stream().noneMatch(Allocation::stopping);
+                && job.unplacedCount() == 0
+                && job.allocations().stream().noneMatch(Allocation::stopping);
         boolean mayEmptyNext = mayEmpty;
-        for (Allocation allocation : record.allocations()) {
+        for (Allocation allocation : job.allocations()) {
             if (allocation.stopping()) {
                 continue;
             }
             boolean departs = state.snapshot().departing().contains(allocation.machineId());
-            if (!departs && !(settled && emptied(record, allocation))) {
+            if (!departs && !(settled && emptied(job, allocation))) {
                 continue;
             }
-            Optional<MachineCapacity> target = target(record, allocation, departs);
+            Optional<MachineCapacity> target = target(job, allocation, departs);
             if (target.isPresent()) {
-                state.take(record.submission(), target.get());
+                state.take(job.submission(), target.get());
                 target.get().addReplica();
-                state.move(new MachineCapacity.Victim(record, allocation));
+                state.move(new MachineCapacity.Victim(job, allocation));
                 settled = false;
                 mayEmptyNext &= departs;
             } else if (departs) {
-                askForRoom(record, allocation);
+                askForRoom(job, allocation);
             }
         }
         return mayEmptyNext;
     }
 
     /** Room for a replica that has to leave and finds none: on a machine that boots, or on one to be rented. */
-    private void askForRoom(JobRecord record, Allocation leaving) {
-        ZoneRules zones = zoneChooser.rulesWithout(record, leaving);
-        for (MachineCapacity machine : state.candidates(record.submission())) {
+    private void askForRoom(JobRecord job, Allocation leaving) {
+        ZoneRules zones = zoneChooser.rulesWithout(job, leaving);
+        for (MachineCapacity machine : state.candidates(job.submission())) {
             boolean boots = !machine.host().up();
-            if (boots && machine.fits(record.submission().perTask()) && zones.allows(machine.host())) {
-                state.keep(record.submission(), machine);
+            if (boots && machine.fits(job.submission().perTask()) && zones.allows(machine.host())) {
+                state.keep(job.submission(), machine);
                 return;
             }
         }
-        state.lacks(record, 1, zones.only());
+        state.lacks(job, 1, zones.only());
     }
 
     /** Whether an allocation is one of a few replicas that alone keep their machine, and has been for a while. */
-    private boolean emptied(JobRecord record, Allocation allocation) {
+    private boolean emptied(JobRecord job, Allocation allocation) {
         Optional<MachineCapacity> machine = state.machine(allocation.machineId());
-        var started = new JobAttempt(record.id(), allocation.attemptBase());
+        var started = new JobAttempt(job.id(), allocation.attemptBase());
         return machine.isPresent()
                 && machine.get().onlyReplicas()
                 && machine.get().replicas() <= FEW_REPLICAS
@@ -89,24 +89,24 @@
     }
 
     /** The best machine for a replica that leaves another, if any is worth it. */
-    private Optional<MachineCapacity> target(JobRecord record, Allocation leaving, boolean departs) {
-        Set<String> taken = placesWithout(record, leaving);
-        ZoneRules zones = zoneChooser.rulesWithout(record, leaving);
+    private Optional<MachineCapacity> target(JobRecord job, Allocation leaving, boolean departs) {
+        Set<String> taken = placesWithout(job, leaving);
+        ZoneRules zones = zoneChooser.rulesWithout(job, leaving);
         MachineCapacity best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
-        for (MachineCapacity machine : state.candidates(record.submission())) {
+        for (MachineCapacity machine : state.candidates(job.submission())) {
             boolean elsewhere = !machine.host().id().equals(leaving.machineId());
-            boolean room = machine.bookable() && machine.fits(record.submission().perTask());
+            boolean room = machine.bookable() && machine.fits(job.submission().perTask());
             boolean beside = taken.contains(machine.host().id());
             boolean worth = departs
                     || !beside
                             && keptAnyway(machine)
-                            && machine.hasImage(record.submission().image());
+                            && machine.hasImage(job.submission().image());
             if (!elsewhere || !room || !worth || !zones.allows(machine.host())) {
                 continue;
             }
-            double score = PlanState.score(record.submission(), machine)
-                    + ServicePlanner.startsSoon(record.submission(), machine)
+            double score = PlanState.score(job.submission(), machine)
+                    + ServicePlanner.startsSoon(job.submission(), machine)
                     - (beside ? BESIDE_ANOTHER : 0);
             if (score > bestScore) {
                 best = machine;
@@ -116,9 +116,9 @@
         return Optional.ofNullable(best);
     }
 
-    private static Set<String> placesWithout(JobRecord record, Allocation leaving) {
+    private static Set<String> placesWithout(JobRecord job, Allocation leaving) {
         var places = new HashSet<String>();
-        for (Allocation allocation : record.allocations()) {
+        for (Allocation allocation : job.allocations()) {
             if (!allocation.equals(leaving)) {
                 places.add(allocation.machineId());
             }
--- a/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
@@ -43,9 +43,9 @@
     /** The rules for a job of which one task leaves its place. */
     ZoneRules rulesWithout(JobRecord job, Allocation leaving) {
         Map<String, Integer> taken = state.zonesTaken(job);
-        MachinePool place = state.snapshot().pools().get(leaving.machineId());
-        if (place != null) {
-            taken.computeIfPresent(place.zone(), (zone, count) -> count > 1 ? count - 1 : null);
+        MachinePool pool = state.snapshot().pools().get(leaving.machineId());
+        if (pool != null) {
+            taken.computeIfPresent(pool.zone(), (zone, count) -> count > 1 ? count - 1 : null);
         }
         return new ZoneRules(job.submission(), taken, Optional.empty());
     }
@@ -89,8 +89,8 @@
         int soon = Math.min(missing - now - freed, room.booting);
         double perImage = room.withImage >= missing ? IMAGE_FOR_ALL : IMAGE_FOR_SOME;
         double score = FREE_NOW * now + FREED * freed + soon + perImage * Math.min(missing, room.withImage);
-        for (MachinePool market : state.snapshot().refused()) {
-            if (market.zone().equals(zone) && !market.spot()) {
+        for (MachinePool pool : state.snapshot().refused()) {
+            if (pool.zone().equals(zone) && !pool.spot()) {
                 score -= REFUSED_TASK * (missing - now - freed - soon) + REFUSED;
             }
         }
--- a/src/main/java/org/dunespindle/scheduling/ZoneRules.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneRules.java
@@ -41,9 +41,9 @@
         return only;
     }
 
-    boolean allows(MachineSnapshot host) {
-        boolean rightZone = only.isEmpty() || only.get().equals(host.zone());
-        return rightZone && (mostPerZone == Integer.MAX_VALUE || taken.getOrDefault(host.zone(), 0) < mostPerZone);
+    boolean allows(MachineSnapshot machine) {
+        boolean rightZone = only.isEmpty() || only.get().equals(machine.zone());
+        return rightZone && (mostPerZone == Integer.MAX_VALUE || taken.getOrDefault(machine.zone(), 0) < mostPerZone);
     }
 
     /** Notes that one more task goes to a zone. */
--- a/src/main/java/org/dunespindle/storage/AllocationIndex.java
+++ b/src/main/java/org/dunespindle/storage/AllocationIndex.java
@@ -75,7 +75,8 @@
         }
         var map = new HashMap<String, List<Allocation>>();
         for (Allocation allocation : job.get().allocations()) {
-            map.computeIfAbsent(allocation.machineId(), host -> new ArrayList<>(2)).add(allocation);
+            map.computeIfAbsent(allocation.machineId(), host -> new ArrayList<>(2))
+                    .add(allocation);
         }
         return map;
     }
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -19,10 +19,10 @@
  * follows what is under way, never the number of tasks.
  *
  * @param spec empty for a finished job without allocations: only its final state is kept
- * @param generation source of attempts; only grows
- * @param attempt a gang's common attempt, while {@link GangPhase#RUNNING}
- * @param order place in the team's queue of gangs: arrival in milliseconds, later after a requeue
- * @param tie how the job is tied to another cell: given away, or taken in
+ * @param attemptCounter source of attempts; only grows
+ * @param gangAttempt a gang's common attempt, while {@link GangPhase#RUNNING}
+ * @param queuePosition place in the team's queue of gangs: arrival in milliseconds, later after a requeue
+ * @param delegationLink how the job is linked to another cell: delegated to it, or accepted from it
  */
 public record JobRecord(
         String id,
@@ -133,7 +133,9 @@
         if (spec.isEmpty()) {
             return nextTaskIndex;
         }
-        return submission().isGang() || outcome != Outcome.OPEN ? 0 : nextTaskIndex - requeued.size() - allocations.size();
+        return submission().isGang() || outcome != Outcome.OPEN
+                ? 0
+                : nextTaskIndex - requeued.size() - allocations.size();
     }
 
     /** Tasks running, for display: a gang's placeholders are none. */
@@ -153,7 +155,7 @@
                 return list;
             }
             var placed = new java.util.BitSet();
-            allocations.forEach(c -> placed.set(c.task()));
+            allocations.forEach(allocation -> placed.set(allocation.task()));
             for (int i = placed.nextClearBit(0);
                     i < submission().tasks() && list.size() < most;
                     i = placed.nextClearBit(i + 1)) {
@@ -178,23 +180,27 @@
             return 0;
         }
         if (submission().isGang()) {
-            return gangPhase == GangPhase.RUNNING || gangPhase == GangPhase.STOPPING ? 0 : submission().tasks() - allocations.size();
+            return gangPhase == GangPhase.RUNNING || gangPhase == GangPhase.STOPPING
+                    ? 0
+                    : submission().tasks() - allocations.size();
         }
         return requeued.size() + submission().tasks() - nextTaskIndex;
     }
 
     /** The attempt under which an allocation's task should be on its machine. */
-    public long expectedAttempt(Allocation c) {
+    public long expectedAttempt(Allocation allocation) {
         return !submission().isGang()
-                ? c.attemptBase()
-                : gangPhase == GangPhase.RUNNING || (gangPhase == GangPhase.STOPPING && gangAttempt > 0) ? gangAttempt : c.attemptBase() + c.task();
+                ? allocation.attemptBase()
+                : gangPhase == GangPhase.RUNNING || (gangPhase == GangPhase.STOPPING && gangAttempt > 0)
+                        ? gangAttempt
+                        : allocation.attemptBase() + allocation.task();
     }
 
     /** The allocation of one task, if it has one. */
     public Optional<Allocation> allocation(int task) {
-        for (Allocation c : allocations) {
-            if (c.task() == task) {
-                return Optional.of(c);
+        for (Allocation allocation : allocations) {
+            if (allocation.task() == task) {
+                return Optional.of(allocation);
             }
         }
         return Optional.empty();
@@ -261,9 +267,12 @@
     /** Books a placeholder again on its machine, after it gave up waiting. */
     public JobRecord withPlaceholderReplaced(int task) {
         var all = new ArrayList<Allocation>();
-        allocations.forEach(
-                c -> all.add(c.task() == task ? new Allocation(task, c.machineId(), attemptCounter, c.stopping()) : c));
-        return withProgress(outcome, attemptCounter + submission().tasks(), nextTaskIndex, requeued, all, gangPhase, gangAttempt);
+        allocations.forEach(allocation -> all.add(
+                allocation.task() == task
+                        ? new Allocation(task, allocation.machineId(), attemptCounter, allocation.stopping())
+                        : allocation));
+        return withProgress(
+                outcome, attemptCounter + submission().tasks(), nextTaskIndex, requeued, all, gangPhase, gangAttempt);
     }
 
     /** Stops a whole gang: it comes back once every member is released. */
@@ -281,7 +290,7 @@
     /** Marks one task's allocation as being stopped. */
     public JobRecord withTaskStopping(int task) {
         var all = new ArrayList<Allocation>();
-        allocations.forEach(c -> all.add(c.task() == task ? c.stopped() : c));
+        allocations.forEach(allocation -> all.add(allocation.task() == task ? allocation.stopped() : allocation));
         return withProgress(outcome, attemptCounter, nextTaskIndex, requeued, all, gangPhase, gangAttempt);
     }
 
@@ -293,14 +302,21 @@
     /** The same for several at once, which for a large array is one pass over its allocations instead of one for each. */
     public JobRecord withReleased(Map<Integer, Boolean> ended) {
         var all = new ArrayList<Allocation>(allocations.size());
-        allocations.forEach(c -> {
-            if (!ended.containsKey(c.task())) {
-                all.add(c);
+        allocations.forEach(allocation -> {
+            if (!ended.containsKey(allocation.task())) {
+                all.add(allocation);
             }
         });
         if (spec.isEmpty() || submission().isGang()) {
             GangPhase m = all.isEmpty() ? GangPhase.QUEUED : gangPhase;
-            return withProgress(outcome, attemptCounter, nextTaskIndex, requeued, all, m, m == GangPhase.QUEUED ? 0 : gangAttempt)
+            return withProgress(
+                            outcome,
+                            attemptCounter,
+                            nextTaskIndex,
+                            requeued,
+                            all,
+                            m,
+                            m == GangPhase.QUEUED ? 0 : gangAttempt)
                     .compact();
         }
         var waiting = new ArrayList<>(requeued);
@@ -309,19 +325,35 @@
                 waiting.add(task); // a service's task that ends is started again: only its user ends a service
             }
         });
-        boolean over = outcome == Outcome.OPEN && nextTaskIndex == submission().tasks() && waiting.isEmpty() && all.isEmpty();
-        return withProgress(over ? Outcome.DONE : outcome, attemptCounter, nextTaskIndex, waiting, all, gangPhase, gangAttempt)
+        boolean over =
+                outcome == Outcome.OPEN && nextTaskIndex == submission().tasks() && waiting.isEmpty() && all.isEmpty();
+        return withProgress(
+                        over ? Outcome.DONE : outcome,
+                        attemptCounter,
+                        nextTaskIndex,
+                        waiting,
+                        all,
+                        gangPhase,
+                        gangAttempt)
                 .compact();
     }
 
     /** A gang is done as one: its members complete together. */
     public JobRecord gangDone() {
-        return withProgress(Outcome.DONE, attemptCounter, nextTaskIndex, requeued, List.of(), GangPhase.QUEUED, 0).compact();
+        return withProgress(Outcome.DONE, attemptCounter, nextTaskIndex, requeued, List.of(), GangPhase.QUEUED, 0)
+                .compact();
     }
 
     /** Cancelled for good; allocations stay until each task is proven gone. */
     public JobRecord cancelled() {
-        return withProgress(Outcome.CANCELLED, attemptCounter, nextTaskIndex, List.of(), allocations, gangPhase, gangAttempt)
+        return withProgress(
+                        Outcome.CANCELLED,
+                        attemptCounter,
+                        nextTaskIndex,
+                        List.of(),
+                        allocations,
+                        gangPhase,
+                        gangAttempt)
                 .compact();
     }
 
@@ -351,7 +383,8 @@
 
     /** The cell that holds the job told that all of its tasks are done. */
     public JobRecord doneElsewhere() {
-        return withProgress(Outcome.DONE, attemptCounter, nextTaskIndex, requeued, List.of(), GangPhase.QUEUED, 0).compact();
+        return withProgress(Outcome.DONE, attemptCounter, nextTaskIndex, requeued, List.of(), GangPhase.QUEUED, 0)
+                .compact();
     }
 
     /** Ends a job taken in from another cell before any of its tasks was booked; its own cell may place it again. */
@@ -418,14 +451,29 @@
 
     private JobRecord withProgress(Outcome e, long g, int n, List<Integer> a, List<Allocation> c, GangPhase m, long t) {
         return new JobRecord(
-                id, spec, arrived, e, g, n, List.copyOf(a), List.copyOf(c), m, t, queuePosition, failures, notBefore, delegationLink);
+                id,
+                spec,
+                arrived,
+                e,
+                g,
+                n,
+                List.copyOf(a),
+                List.copyOf(c),
+                m,
+                t,
+                queuePosition,
+                failures,
+                notBefore,
+                delegationLink);
     }
 
     private JobRecord compact() {
         if (outcome == Outcome.OPEN || !allocations.isEmpty()) {
             return this;
         }
-        int finished = spec.isEmpty() ? nextTaskIndex : outcome == Outcome.DONE ? submission().tasks() : 0;
+        int finished = spec.isEmpty()
+                ? nextTaskIndex
+                : outcome == Outcome.DONE ? submission().tasks() : 0;
         return new JobRecord(
                 id,
                 Optional.empty(),
--- a/src/main/java/org/dunespindle/storage/JobRecordCodec.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordCodec.java
@@ -225,10 +225,10 @@
     /** Allocations by booking, then by machine: a gang as large as its team's limit still has to fit one value. */
     private static Map<Booked, Map<String, IntRBTreeSet>> grouped(List<Allocation> allocations) {
         var groups = new LinkedHashMap<Booked, Map<String, IntRBTreeSet>>();
-        for (Allocation c : allocations) {
-            groups.computeIfAbsent(new Booked(c.attemptBase(), c.stopping()), g -> new TreeMap<>())
-                    .computeIfAbsent(c.machineId(), h -> new IntRBTreeSet())
-                    .add(c.task());
+        for (Allocation allocation : allocations) {
+            groups.computeIfAbsent(new Booked(allocation.attemptBase(), allocation.stopping()), g -> new TreeMap<>())
+                    .computeIfAbsent(allocation.machineId(), h -> new IntRBTreeSet())
+                    .add(allocation.task());
         }
         return groups;
     }
@@ -265,8 +265,8 @@
      * where they are being stopped), page and machine. Names that hold one of these signs leave the JSON form.
      */
     private static String allocationsText(List<Allocation> allocations) {
-        for (Allocation c : allocations) {
-            if (!plain(c.machineId())) {
+        for (Allocation allocation : allocations) {
+            if (!plain(allocation.machineId())) {
                 return allocationsNode(allocations).toString();
             }
         }
--- a/src/main/java/org/dunespindle/storage/JobRecordWriter.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordWriter.java
@@ -24,30 +24,32 @@
     }
 
     /** Adds a job's new record to a transaction, guarded by the one that it was made from. */
-    public Transaction write(Transaction txn, JobRecord after) {
+    public Transaction write(Transaction transaction, JobRecord after) {
         String key = Keys.job(after.id());
-        txn.requireRevision(key, replica.modRevision(key));
+        transaction.requireRevision(key, replica.modRevision(key));
         List<String> stored = replica.partsOf(after.id());
         if (!cuts(after)) {
-            txn.write(key, after.toNode());
-            removeFrom(0, stored, txn, after.id());
-            return txn;
+            transaction.write(key, after.toNode());
+            removeFrom(0, stored, transaction, after.id());
+            return transaction;
         }
         JobRecordCodec.Cut cut = JobRecordCodec.cut(after, lowest.valueBytes());
-        txn.requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT)).write(key, cut.main());
+        transaction
+                .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT))
+                .write(key, cut.main());
         for (int i = 0; i < cut.parts().size(); i++) {
             String text = cut.parts().get(i);
             if (i >= stored.size() || !stored.get(i).equals(text)) {
-                txn.write(Keys.part(after.id(), i), JobRecordCodec.part(text));
+                transaction.write(Keys.part(after.id(), i), JobRecordCodec.part(text));
             }
         }
-        removeFrom(cut.parts().size(), stored, txn, after.id());
-        return txn;
+        removeFrom(cut.parts().size(), stored, transaction, after.id());
+        return transaction;
     }
 
-    private static void removeFrom(int first, List<String> stored, Transaction txn, String id) {
+    private static void removeFrom(int first, List<String> stored, Transaction transaction, String id) {
         for (int i = first; i < stored.size(); i++) {
-            txn.remove(Keys.part(id, i));
+            transaction.remove(Keys.part(id, i));
         }
     }
 
--- a/src/main/java/org/dunespindle/storage/MachineRecord.java
+++ b/src/main/java/org/dunespindle/storage/MachineRecord.java
@@ -10,7 +10,7 @@
  * token, so that a transaction guarded by the record's stamp can only come from the present owner.
  *
  * @param keepUntil no rebalancing before then: the owner took the machine because its worker could not reach the other
- * @param leaving being returned; nothing may be placed on it any more
+ * @param draining being returned; nothing may be placed on it any more
  */
 public record MachineRecord(
         String id,
@@ -38,7 +38,8 @@
 
     /** The record under a new owner and a raised fencing token. */
     public MachineRecord ownedBy(String node, long inc, Instant keep) {
-        return new MachineRecord(id, address, type, zone, spot, node, inc, token + 1, rented, keep, draining, drainReason);
+        return new MachineRecord(
+                id, address, type, zone, spot, node, inc, token + 1, rented, keep, draining, drainReason);
     }
 
     /** The same owner under a higher token: commands still under way with the old one become void. */
@@ -52,7 +53,18 @@
         return token > seen
                 ? this
                 : new MachineRecord(
-                        id, address, type, zone, spot, owner, incarnation, seen + 1, rented, keepUntil, draining, drainReason);
+                        id,
+                        address,
+                        type,
+                        zone,
+                        spot,
+                        owner,
+                        incarnation,
+                        seen + 1,
+                        rented,
+                        keepUntil,
+                        draining,
+                        drainReason);
     }
 
     /** The record of a machine that is being returned, with the reason. */
@@ -66,7 +78,18 @@
         return newAddress.isEmpty() || newAddress.equals(address)
                 ? this
                 : new MachineRecord(
-                        id, newAddress, type, zone, spot, owner, incarnation, token, rented, keepUntil, draining, drainReason);
+                        id,
+                        newAddress,
+                        type,
+                        zone,
+                        spot,
+                        owner,
+                        incarnation,
+                        token,
+                        rented,
+                        keepUntil,
+                        draining,
+                        drainReason);
     }
 
     /** A row of the page that the machine is kept on; rows are short, since a page holds several. */
--- a/src/main/java/org/dunespindle/storage/RateLimiter.java
+++ b/src/main/java/org/dunespindle/storage/RateLimiter.java
@@ -9,7 +9,7 @@
  * renewals) goes first, because a lost lease costs more than any late request.
  */
 public final class RateLimiter {
-    private final TimeSource timeline;
+    private final TimeSource timeSource;
     private final ArrayDeque<Waiting> urgent = new ArrayDeque<>();
     private final ArrayDeque<Waiting> normal = new ArrayDeque<>();
     private double perSecond;
@@ -20,11 +20,11 @@
     private record Waiting(double cost, Runnable work) {}
 
     /** Creates a budget of so many units a second, with a burst of one second. */
-    public RateLimiter(TimeSource timeline, double perSecond) {
-        this.timeline = timeline;
+    public RateLimiter(TimeSource timeSource, double perSecond) {
+        this.timeSource = timeSource;
         this.perSecond = perSecond;
         this.tokens = burst();
-        this.filledAt = timeline.now();
+        this.filledAt = timeSource.now();
     }
 
     /** A second's worth, as the services allow. */
@@ -75,7 +75,7 @@
     }
 
     private void refill() {
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         tokens = Math.min(burst(), tokens + now.minus(filledAt).toNanos() / 1e9 * perSecond);
         filledAt = now;
     }
@@ -103,7 +103,7 @@
             return;
         }
         timerSet = true;
-        timeline.schedule(in, () -> {
+        timeSource.schedule(in, () -> {
             timerSet = false;
             drain();
         });
--- a/src/main/java/org/dunespindle/storage/StateReplica.java
+++ b/src/main/java/org/dunespindle/storage/StateReplica.java
@@ -17,9 +17,9 @@
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.StateMessages;
 import org.dunespindle.time.TimeSource;
-import org.dunespindle.transport.ResponseTooLongException;
 import org.dunespindle.transport.HttpCallException;
 import org.dunespindle.transport.HttpClientResponse;
+import org.dunespindle.transport.ResponseTooLongException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -36,8 +36,8 @@
     /** So many readings of the log in a row that got no answer: it may be too long to arrive in time, so pages are tried. */
     private static final int LOG_TRIES = 3;
 
-    private final StateStoreClient state;
-    private final TimeSource timeline;
+    private final StateStoreClient stateStore;
+    private final TimeSource timeSource;
     private final Duration interval;
     private final Runnable changed;
     private final Map<String, JobRecord> jobs = new HashMap<>();
@@ -83,9 +83,9 @@
     private record Waiter(Runnable served, Runnable failed) {}
 
     /** Creates an empty replica; nothing is read before {@link #start}. */
-    public StateReplica(StateStoreClient state, TimeSource timeline, Duration interval, Runnable changed) {
-        this.state = state;
-        this.timeline = timeline;
+    public StateReplica(StateStoreClient stateStore, TimeSource timeSource, Duration interval, Runnable changed) {
+        this.stateStore = stateStore;
+        this.timeSource = timeSource;
         this.interval = interval;
         this.changed = changed;
     }
@@ -107,7 +107,7 @@
 
     /** How old the copy may be at most: the time since the last successful reading began. */
     public Duration staleness() {
-        return loaded() ? timeline.now().minus(freshAt) : Duration.ofDays(1);
+        return loaded() ? timeSource.now().minus(freshAt) : Duration.ofDays(1);
     }
 
     /** A job's record. */
@@ -185,13 +185,13 @@
     public Transaction rewrite(String pageKey, Map<String, Optional<MachineRecord>> changes) {
         var rows = new TreeMap<>(pages.getOrDefault(pageKey, Map.of()));
         changes.forEach((id, record) -> record.ifPresentOrElse(r -> rows.put(id, r), () -> rows.remove(id)));
-        var txn = new Transaction().requireRevision(pageKey, modRevision(pageKey));
+        var transaction = new Transaction().requireRevision(pageKey, modRevision(pageKey));
         if (rows.isEmpty()) {
-            return txn.remove(pageKey);
+            return transaction.remove(pageKey);
         }
         ObjectNode node = MessagePackCodec.map();
         rows.forEach((id, r) -> node.set(id, r.toRow()));
-        return txn.write(pageKey, node);
+        return transaction.write(pageKey, node);
     }
 
     /** Machines that allocations are on, whether or not they have a record. */
@@ -220,11 +220,11 @@
     }
 
     /** Takes over an own transaction that was applied. */
-    public void applyCommitted(Transaction txn, long revision) {
+    public void applyCommitted(Transaction transaction, long revision) {
         if (loading.isPresent()) {
-            appliedWhileLoading.add(new Own(txn, revision));
+            appliedWhileLoading.add(new Own(transaction, revision));
         }
-        txn.changes().forEach((key, change) -> put(key, change.value(), revision));
+        transaction.changes().forEach((key, change) -> put(key, change.value(), revision));
         assembleCutJobs();
         changed.run();
     }
@@ -234,7 +234,7 @@
             return;
         }
         timerSet = true;
-        timeline.schedule(interval, () -> {
+        timeSource.schedule(interval, () -> {
             timerSet = false;
             if (!reading) {
                 read();
@@ -246,19 +246,19 @@
         reading = true;
         List<Waiter> served = waiting;
         waiting = new ArrayList<>();
-        Duration begun = timeline.now();
+        Duration begun = timeSource.now();
         if (!loaded() || logLost || logFailures >= LOG_TRIES) {
             load(loading.orElseGet(() -> new Loading(begun)), served);
             return;
         }
-        state.changes(Keys.ROOT, appliedRevision).whenComplete((answer, failure) -> {
-            if (failure != null || answer.status() != 200) {
-                logFailed(answer, failure);
+        stateStore.changes(Keys.ROOT, appliedRevision).whenComplete((response, failure) -> {
+            if (failure != null || response.status() != 200) {
+                logFailed(response, failure);
                 finish(served, false);
                 return;
             }
             try {
-                StateMessages.Entries log = StateMessages.log(answer.body());
+                StateMessages.Entries log = StateMessages.log(response.body());
                 log.entries().forEach(this::put);
                 assembleCutJobs();
                 appliedRevision = Math.max(appliedRevision, log.revision());
@@ -282,11 +282,14 @@
      * only grows. Whoever is refused or not answered learns nothing about the log; but when answers keep
      * staying out, it may be because they are so long.
      */
-    private void logFailed(HttpClientResponse answer, Throwable failure) {
+    private void logFailed(HttpClientResponse response, Throwable failure) {
         Throwable cause = HttpCallException.cause(failure);
         if (cause instanceof ResponseTooLongException) {
             logLost("is too long");
-        } else if (answer != null && answer.status() >= 400 && answer.status() < 500 && answer.status() != 429) {
+        } else if (response != null
+                && response.status() >= 400
+                && response.status() < 500
+                && response.status() != 429) {
             logLost("no longer reaches back so far");
         } else if (failure != null) {
             logFailures++;
@@ -322,7 +325,7 @@
             catchUp(l, served);
             return;
         }
-        state.list(Keys.ROOT, l.since, PAGE).whenComplete((body, failure) -> {
+        stateStore.list(Keys.ROOT, l.since, PAGE).whenComplete((body, failure) -> {
             if (failure != null) {
                 logFailures =
                         0; // an outage looks the same from here: the log is tried again in turn, if it may still do
@@ -351,11 +354,11 @@
      * older part was on an earlier page.
      */
     private void catchUp(Loading l, List<Waiter> served) {
-        Duration asked = timeline.now();
-        state.changes(Keys.ROOT, l.revision).whenComplete((answer, failure) -> {
-            if (failure != null || answer.status() != HTTP_OK) {
-                boolean refused = answer != null && answer.status() >= 400 && answer.status() < 500;
-                boolean tooOld = refused && answer.status() != HTTP_TOO_MANY;
+        Duration asked = timeSource.now();
+        stateStore.changes(Keys.ROOT, l.revision).whenComplete((response, failure) -> {
+            if (failure != null || response.status() != HTTP_OK) {
+                boolean refused = response != null && response.status() >= 400 && response.status() < 500;
+                boolean tooOld = refused && response.status() != HTTP_TOO_MANY;
                 if (tooOld || HttpCallException.cause(failure) instanceof ResponseTooLongException) {
                     loading = Optional.empty();
                 }
@@ -364,7 +367,7 @@
                 return;
             }
             try {
-                install(l, StateMessages.log(answer.body()), asked);
+                install(l, StateMessages.log(response.body()), asked);
                 finish(served, true);
             } catch (MalformedMessageException e) {
                 loading = Optional.empty();
@@ -510,7 +513,8 @@
         unreadable.remove(Keys.job(id));
         Optional<JobRecord> before = Optional.ofNullable(job.isPresent() ? jobs.put(id, job.get()) : jobs.remove(id));
         if (job.filter(j -> j.outcome() == JobRecord.Outcome.CANCELLED).isPresent()
-                && before.filter(j -> j.outcome() == JobRecord.Outcome.CANCELLED).isEmpty()) {
+                && before.filter(j -> j.outcome() == JobRecord.Outcome.CANCELLED)
+                        .isEmpty()) {
             cancelled.computeIfAbsent(stamp, k -> new ArrayList<>(1)).add(id);
         }
         if (job.isPresent() && job.get().spec().isPresent()) {
--- a/src/main/java/org/dunespindle/storage/StateStoreClient.java
+++ b/src/main/java/org/dunespindle/storage/StateStoreClient.java
@@ -29,14 +29,14 @@
     private int failuresInARow;
 
     /** Creates a client for the state service that the settings name. */
-    public StateStoreClient(HttpClient http, Settings settings, TimeSource timeline) {
+    public StateStoreClient(HttpClient httpClient, Settings settings, TimeSource timeSource) {
         Settings.State limits = settings.state().lowest();
         int sharers = settings.seeds().size() + 1;
         double requestShare = SAFE_PART * limits.rps() / sharers;
         double writeShare = SAFE_PART * limits.writeRps() / sharers;
         this.service = new RateLimitedHttpClient(
-                http, settings.stateAddress(), timeline, new RateLimiter(timeline, requestShare), TIMEOUT);
-        this.writes = new RateLimiter(timeline, writeShare);
+                httpClient, settings.stateAddress(), timeSource, new RateLimiter(timeSource, requestShare), TIMEOUT);
+        this.writes = new RateLimiter(timeSource, writeShare);
     }
 
     /** What this controller may write; changes are paid for as they are committed. */
@@ -78,10 +78,11 @@
     /** Renews; false when the lease has ended. */
     public CompletableFuture<Boolean> renewLease(long lease) {
         return call(true, "POST", "/holds/" + lease + "/renew", MessagePackCodec.write(MessagePackCodec.map()))
-                .thenCompose(a -> switch (a.status()) {
+                .thenCompose(response -> switch (response.status()) {
                     case 200 -> CompletableFuture.completedFuture(true);
                     case 404 -> CompletableFuture.completedFuture(false);
-                    default -> CompletableFuture.failedFuture(new HttpCallException("status " + a.status(), true));
+                    default ->
+                        CompletableFuture.failedFuture(new HttpCallException("status " + response.status(), true));
                 });
     }
 
@@ -91,37 +92,37 @@
     }
 
     /** Commits a transaction at once and charges its changes; whoever has many paces them. Never fails, see the result. */
-    public CompletableFuture<TransactionResult> commit(Transaction txn) {
+    public CompletableFuture<TransactionResult> commit(Transaction transaction) {
         var result = new CompletableFuture<TransactionResult>();
-        writes.charge(txn.changeCount());
-        call(false, "POST", "/txn", MessagePackCodec.write(txn.toNode()))
-                .whenComplete((a, e) -> result.complete(judge(a, e)));
+        writes.charge(transaction.changeCount());
+        call(false, "POST", "/txn", MessagePackCodec.write(transaction.toNode()))
+                .whenComplete((response, e) -> result.complete(judge(response, e)));
         return result;
     }
 
-    private static TransactionResult judge(HttpClientResponse answer, Throwable failure) {
+    private static TransactionResult judge(HttpClientResponse response, Throwable failure) {
         if (failure != null) {
             return sent(failure) ? new TransactionResult.Unknown() : new TransactionResult.Refused(0, "no connection");
         }
-        return switch (answer.status()) {
+        return switch (response.status()) {
             case 200 -> {
                 try {
-                    yield new TransactionResult.Applied(StateMessages.revision(answer.body()));
+                    yield new TransactionResult.Applied(StateMessages.revision(response.body()));
                 } catch (MalformedMessageException e) {
                     yield new TransactionResult.Unknown();
                 }
             }
-            case 409 -> new TransactionResult.Conflict(failedKeys(answer));
+            case 409 -> new TransactionResult.Conflict(failedKeys(response));
             case 400, 413, 429, 503 ->
                 new TransactionResult.Refused(
-                        answer.status(), new String(answer.body(), java.nio.charset.StandardCharsets.ISO_8859_1));
+                        response.status(), new String(response.body(), java.nio.charset.StandardCharsets.ISO_8859_1));
             default -> new TransactionResult.Unknown();
         };
     }
 
-    private static Set<String> failedKeys(HttpClientResponse answer) {
+    private static Set<String> failedKeys(HttpClientResponse response) {
         try {
-            return StateMessages.failedKeys(answer.body());
+            return StateMessages.failedKeys(response.body());
         } catch (MalformedMessageException e) {
             LOG.debug("a conflict without a readable reason");
             return Set.of();
@@ -134,12 +135,12 @@
     }
 
     private static CompletableFuture<JsonNode> ok(CompletableFuture<HttpClientResponse> answer) {
-        return answer.thenCompose(a -> {
-            if (a.status() != 200) {
-                return CompletableFuture.failedFuture(new HttpCallException("status " + a.status(), true));
+        return answer.thenCompose(response -> {
+            if (response.status() != 200) {
+                return CompletableFuture.failedFuture(new HttpCallException("status " + response.status(), true));
             }
             try {
-                return CompletableFuture.completedFuture(MessagePackCodec.read(a.body()));
+                return CompletableFuture.completedFuture(MessagePackCodec.read(response.body()));
             } catch (MalformedMessageException e) {
                 return CompletableFuture.failedFuture(new HttpCallException("unreadable answer", true));
             }
@@ -147,9 +148,9 @@
     }
 
     private CompletableFuture<HttpClientResponse> call(boolean first, String method, String target, byte[] body) {
-        return service.call(first, method, target, body).whenComplete((a, e) -> {
+        return service.call(first, method, target, body).whenComplete((response, e) -> {
             // A refusal for the rate alone says that the service is there.
-            boolean served = a != null && a.status() != 503;
+            boolean served = response != null && response.status() != 503;
             failuresInARow = served ? 0 : failuresInARow + 1;
         });
     }
--- a/src/main/java/org/dunespindle/storage/Transaction.java
+++ b/src/main/java/org/dunespindle/storage/Transaction.java
@@ -75,7 +75,9 @@
 
     /** Whether the state service takes it; what does not fit must be split by whoever proposes it, or it would never be stored. */
     public boolean fits(int mostChanges) {
-        return changes.size() <= mostChanges && preconditions.size() <= maxPreconditions(mostChanges) && bytes <= MOST_BYTES;
+        return changes.size() <= mostChanges
+                && preconditions.size() <= maxPreconditions(mostChanges)
+                && bytes <= MOST_BYTES;
     }
 
     /** Takes in another change; false, and nothing done, if the two disagree about a key or exceed a limit together. */
--- a/src/main/java/org/dunespindle/transport/HttpServerResponse.java
+++ b/src/main/java/org/dunespindle/transport/HttpServerResponse.java
@@ -8,7 +8,8 @@
  *
  * @param last whether the connection ends after it
  */
-public record HttpServerResponse(int status, String contentType, byte[] body, Optional<Duration> retryAfter, boolean last) {
+public record HttpServerResponse(
+        int status, String contentType, byte[] body, Optional<Duration> retryAfter, boolean last) {
     /** Creates a reply that leaves the connection open. */
     public HttpServerResponse(int status, String contentType, byte[] body, Optional<Duration> retryAfter) {
         this(status, contentType, body, retryAfter, false);
--- a/src/main/java/org/dunespindle/transport/NettyHttpClient.java
+++ b/src/main/java/org/dunespindle/transport/NettyHttpClient.java
@@ -34,7 +34,7 @@
 
     private static final int KEPT_PER_ADDRESS = 3;
     private final int mostKept;
-    private final ConnectionBudget sockets;
+    private final ConnectionBudget connections;
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     /** Idle connections by address, the longest unused address first. */
@@ -46,10 +46,10 @@
      * A caller on one event loop.
      *
      * @param mostKept idle connections kept at most; there may be more workers than sockets
-     * @param sockets counts its connections; while they are scarce, none is kept idle
+     * @param connections counts its connections; while they are scarce, none is kept idle
      */
-    public NettyHttpClient(EventLoop loop, int mostKept, ConnectionBudget sockets) {
-        this.sockets = sockets;
+    public NettyHttpClient(EventLoop loop, int mostKept, ConnectionBudget connections) {
+        this.connections = connections;
         this.mostKept = mostKept;
         this.loop = loop;
         this.bootstrap = new Bootstrap()
@@ -90,8 +90,8 @@
             return pending.result;
         }
         var connecting = bootstrap.connect(target4);
-        sockets.opened();
-        connecting.channel().closeFuture().addListener(closed -> sockets.closed());
+        connections.opened();
+        connecting.channel().closeFuture().addListener(closed -> connections.closed());
         pending.connecting = connecting.channel();
         connecting.addListener((io.netty.channel.ChannelFuture f) -> {
             if (!f.isSuccess()) {
@@ -113,7 +113,7 @@
     /** Closes what has not been used for longest. */
     private void trim() {
         var oldest = kept.values().iterator();
-        int most = sockets.scarce() ? 0 : mostKept;
+        int most = connections.scarce() ? 0 : mostKept;
         while (idleCount > most && oldest.hasNext()) {
             ArrayDeque<Channel> idle = oldest.next();
             while (!idle.isEmpty() && idleCount > most) {
@@ -169,10 +169,11 @@
             if (connecting != null) {
                 connecting.close(); // one that hangs in a cut would hold its socket for minutes
             }
-            result.completeExceptionally(tooLong ? new ResponseTooLongException() : new HttpCallException(why, channel != null));
+            result.completeExceptionally(
+                    tooLong ? new ResponseTooLongException() : new HttpCallException(why, channel != null));
         }
 
-        void finish(HttpClientResponse answer, boolean keep) {
+        void finish(HttpClientResponse response, boolean keep) {
             timer.cancel(false);
             ArrayDeque<Channel> idle = kept.computeIfAbsent(address, a -> new ArrayDeque<>());
             if (keep && idle.size() < KEPT_PER_ADDRESS) {
@@ -182,7 +183,7 @@
             } else {
                 channel.close();
             }
-            result.complete(answer);
+            result.complete(response);
         }
     }
 
--- a/src/main/java/org/dunespindle/transport/NettyHttpServer.java
+++ b/src/main/java/org/dunespindle/transport/NettyHttpServer.java
@@ -51,7 +51,7 @@
     /**
      * Binds the listener.
      *
-     * @param sockets counts its connections
+     * @param connections counts its connections
      * @param refusal builds the answer to a request that cannot be read, from its status code
      */
     public static Channel open(
@@ -60,7 +60,7 @@
             int bodyLimit,
             Handler handler,
             IntFunction<HttpServerResponse> refusal,
-            ConnectionBudget sockets)
+            ConnectionBudget connections)
             throws InterruptedException {
         return new ServerBootstrap()
                 .group(loop)
@@ -71,8 +71,8 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        sockets.opened();
-                        channel.closeFuture().addListener(closed -> sockets.closed());
+                        connections.opened();
+                        channel.closeFuture().addListener(closed -> connections.closed());
                         channel.pipeline()
                                 .addLast(
                                         new HttpServerCodec(4096, 8192, 8192),
--- a/src/main/java/org/dunespindle/worker/CancellationTracker.java
+++ b/src/main/java/org/dunespindle/worker/CancellationTracker.java
@@ -25,16 +25,16 @@
  */
 public final class CancellationTracker {
     private final StateReplica replica;
-    private final TimeSource timeline;
+    private final TimeSource timeSource;
     private final List<String> others;
     /** When each other controller was last asked that has answered. */
     private final Map<String, Duration> askedAt = new HashMap<>();
     /** Jobs that others say are cancelled and that the copy here may still show as open. */
     private final Set<String> told = new HashSet<>();
 
-    public CancellationTracker(Settings settings, StateReplica replica, TimeSource timeline) {
+    public CancellationTracker(Settings settings, StateReplica replica, TimeSource timeSource) {
         this.replica = replica;
-        this.timeline = timeline;
+        this.timeSource = timeSource;
         this.others = settings.seeds().stream().map(Settings.Seed::name).toList();
     }
 
@@ -58,7 +58,7 @@
 
     /** A cancellation confirmed longer ago than this is known here. */
     Duration staleness() {
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         Duration oldest = Duration.ZERO;
         for (String node : others) {
             Duration asked = askedAt.get(node);
@@ -80,14 +80,15 @@
             return allocations;
         }
         return allocations.stream()
-                .map(p -> p.job().isOpen() && told.contains(p.job().id())
-                        ? new PlacedTask(p.job().cancelled(), p.allocation())
-                        : p)
+                .map(placed ->
+                        placed.job().isOpen() && told.contains(placed.job().id())
+                                ? new PlacedTask(placed.job().cancelled(), placed.allocation())
+                                : placed)
                 .toList();
     }
 
     /** Forgets what the copy shows by itself. */
     public void prune() {
-        told.removeIf(id -> replica.job(id).filter(j -> !j.isOpen()).isPresent());
+        told.removeIf(id -> replica.job(id).filter(job -> !job.isOpen()).isPresent());
     }
 }
--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.control.Membership;
-import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.PauseDetector;
+import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.peer.PeerHeartbeats;
 import org.dunespindle.protocol.Settings;
@@ -33,10 +33,10 @@
     private final StateReplica replica;
     private final Membership membership;
     private final WorkerClient workerClient;
-    private final PeerHeartbeats peers;
-    private final WorkerRegistry sessions;
-    private final TimeSource timeline;
-    private final PauseDetector stalls;
+    private final PeerHeartbeats peerHeartbeats;
+    private final WorkerRegistry workers;
+    private final TimeSource timeSource;
+    private final PauseDetector pauseDetector;
     /** Zones and owners most of whose machines are silent, and when that was last so: when a cut ends, some are heard later than others. */
     private final Map<String, Duration> cutOff = new HashMap<>();
     /** Where the cloud's list says that a machine is; records of rented machines do not tell until they report. */
@@ -55,16 +55,16 @@
     public FailureDetector(
             ControllerContext context,
             WorkerClient workerClient,
-            PeerHeartbeats peers,
+            PeerHeartbeats peerHeartbeats,
             Function<String, Optional<String>> listedAddress) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.sessions = context.workers();
-        this.timeline = context.timeSource();
-        this.stalls = context.pauseDetector();
+        this.workers = context.workers();
+        this.timeSource = context.timeSource();
+        this.pauseDetector = context.pauseDetector();
         this.workerClient = workerClient;
-        this.peers = peers;
+        this.peerHeartbeats = peerHeartbeats;
         this.listedAddress = listedAddress;
     }
 
@@ -72,13 +72,15 @@
      * When any controller last had a sign of life from a machine that could not be an old copy. Of its own machines a controller expects
      * reports: without them their leases run out. Another's may report to their owner alone, so an answer is enough.
      */
-    public Optional<Duration> heard(MachineRecord host) {
-        Optional<WorkerState> session = sessions.find(host.id());
+    public Optional<Duration> heard(MachineRecord machine) {
+        Optional<WorkerState> session = workers.find(machine.id());
         Optional<Duration> here = Optional.empty();
         if (session.isPresent()) {
-            here = membership.owns(host) ? session.get().lastHeartbeatAt : session.get().lastSeenAlive();
+            here = membership.owns(machine)
+                    ? session.get().lastHeartbeatAt
+                    : session.get().lastSeenAlive();
         }
-        return Durations.later(here, peers.aliveAt(host));
+        return Durations.later(here, peerHeartbeats.aliveAt(machine));
     }
 
     /** Forgets everything: what was seen as an earlier leader says nothing. */
@@ -104,18 +106,18 @@
         var all = new HashMap<String, Integer>();
         var silent = new HashMap<String, Integer>();
         Duration limit = Durations.times(settings.workers().report(), 2).plusSeconds(2);
-        for (MachineRecord h : replica.machines().values()) {
-            Optional<Duration> heard = heard(h);
-            if (h.draining() || heard.isEmpty() && !longUp.test(h)) {
+        for (MachineRecord machine : replica.machines().values()) {
+            Optional<Duration> heard = heard(machine);
+            if (machine.draining() || heard.isEmpty() && !longUp.test(machine)) {
                 continue;
             }
-            boolean isSilent = stalls.silence(heard.orElse(leadingSince)).compareTo(limit) > 0;
-            for (String group : List.of(h.zone(), ownerKey(h))) {
+            boolean isSilent = pauseDetector.silence(heard.orElse(leadingSince)).compareTo(limit) > 0;
+            for (String group : List.of(machine.zone(), ownerKey(machine))) {
                 all.merge(group, 1, Integer::sum);
                 silent.merge(group, isSilent ? 1 : 0, Integer::sum);
             }
         }
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         cutOff.values().removeIf(last -> now.minus(last).compareTo(limit.plus(STRAGGLING)) > 0);
         all.forEach((group, n) -> {
             if (n >= FEWEST_FOR_CUT && silent.get(group) * 2 > n) {
@@ -124,19 +126,19 @@
         });
     }
 
-    private static String ownerKey(MachineRecord h) {
-        return "by " + h.owner();
+    private static String ownerKey(MachineRecord machine) {
+        return "by " + machine.owner();
     }
 
     /** How long a machine has been silent. Whoever takes one over has not heard it yet, and what its earlier owner told last may be minutes old. */
-    public Duration of(MachineRecord h, Duration leadingSince) {
-        Duration now = timeline.now();
-        Command command = commands.get(h.id());
-        if (command == null || command.token != h.token()) {
-            command = new Command(h.token(), now);
-            commands.put(h.id(), command);
+    public Duration of(MachineRecord machine, Duration leadingSince) {
+        Duration now = timeSource.now();
+        Command command = commands.get(machine.id());
+        if (command == null || command.token != machine.token()) {
+            command = new Command(machine.token(), now);
+            commands.put(machine.id(), command);
         }
-        return stalls.silence(later(heard(h).orElse(leadingSince), later(command.since, leadingSince)));
+        return pauseDetector.silence(later(heard(machine).orElse(leadingSince), later(command.since, leadingSince)));
     }
 
     private static Duration later(Duration a, Duration b) {
@@ -144,16 +146,17 @@
     }
 
     /** Whether a machine silent for so long is given up. */
-    public boolean proven(MachineRecord h, Duration silent, Duration most) {
-        Duration now = timeline.now();
-        boolean ownerTalks = membership.owns(h) || peers.heartbeat(h.owner()).isPresent();
+    public boolean proven(MachineRecord machine, Duration silent, Duration most) {
+        Duration now = timeSource.now();
+        boolean ownerTalks = membership.owns(machine)
+                || peerHeartbeats.heartbeat(machine.owner()).isPresent();
         Duration limit = most.plus(ownerTalks ? Duration.ZERO : OWNER_MUTE);
-        Spared answered = spared.get(h.id());
+        Spared answered = spared.get(machine.id());
         boolean heardAgain = silent.compareTo(Durations.part(limit, 1, 2)) < 0;
         if (answered != null && heardAgain && now.minus(answered.at).compareTo(limit) > 0) {
-            spared.remove(h.id());
+            spared.remove(machine.id());
         }
-        return silent.compareTo(limit) > 0 && !spares(h, silent) && !answersWhenAsked(h);
+        return silent.compareTo(limit) > 0 && !spares(machine, silent) && !answersWhenAsked(machine);
     }
 
     /**
@@ -161,12 +164,13 @@
      * What runs there goes on as long as a controller in it may answer the workers, and their leases after that;
      * replacing it all earlier would only lose the work.
      */
-    public boolean spares(MachineRecord h, Duration silent) {
+    public boolean spares(MachineRecord machine, Duration silent) {
         var w = settings.workers();
         Duration patience = w.cancel().compareTo(w.lease()) > 0
                 ? w.cancel().plus(w.lease().dividedBy(2))
                 : w.lease().multipliedBy(3).dividedBy(2);
-        return (cutOff.containsKey(h.zone()) || cutOff.containsKey(ownerKey(h))) && silent.compareTo(patience) <= 0;
+        return (cutOff.containsKey(machine.zone()) || cutOff.containsKey(ownerKey(machine)))
+                && silent.compareTo(patience) <= 0;
     }
 
     /**
@@ -174,24 +178,24 @@
      * this controller, or may not reach the machine; then others will be found to command it. One that answers again and again but
      * whose reports reach nobody is of no use. While the answer is out, it may.
      */
-    public boolean answersWhenAsked(MachineRecord h) {
-        Duration now = timeline.now();
-        Duration vain = askedInVain.get(h.id());
+    public boolean answersWhenAsked(MachineRecord machine) {
+        Duration now = timeSource.now();
+        Duration vain = askedInVain.get(machine.id());
         if (vain != null && now.minus(vain).compareTo(ASKED_LATELY) < 0
-                || spared.getOrDefault(h.id(), new Spared(0, now)).times >= MOST_SPARED) {
+                || spared.getOrDefault(machine.id(), new Spared(0, now)).times >= MOST_SPARED) {
             return false;
         }
-        String known = peers.address(h).orElse(workerClient.address(h));
-        String address = known.isEmpty() ? listedAddress.apply(h.id()).orElse("") : known;
+        String known = peerHeartbeats.address(machine).orElse(workerClient.address(machine));
+        String address = known.isEmpty() ? listedAddress.apply(machine.id()).orElse("") : known;
         if (address.isEmpty()) {
             return false;
         }
-        workerClient.ask(h, address, yes -> {
+        workerClient.ask(machine, address, yes -> {
             if (yes) {
-                askedInVain.remove(h.id());
-                spared.merge(h.id(), new Spared(1, timeline.now()), (a, b) -> new Spared(a.times + 1, b.at));
+                askedInVain.remove(machine.id());
+                spared.merge(machine.id(), new Spared(1, timeSource.now()), (a, b) -> new Spared(a.times + 1, b.at));
             } else {
-                askedInVain.put(h.id(), timeline.now());
+                askedInVain.put(machine.id(), timeSource.now());
             }
         });
         return true;
--- a/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
@@ -12,9 +12,9 @@
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.control.EventRecorder;
+import org.dunespindle.control.HeartbeatReconciler;
 import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
-import org.dunespindle.control.HeartbeatReconciler;
 import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.protocol.MessagePackCodec;
@@ -51,10 +51,10 @@
     private final Membership membership;
     private final MachineRecordWriter machineWriter;
     private final WorkerClient workerClient;
-    private final TimeSource timeline;
-    private final WorkerRegistry sessions;
-    private final EventRecorder decisions;
-    private final CancellationTracker cancellations;
+    private final TimeSource timeSource;
+    private final WorkerRegistry workers;
+    private final EventRecorder eventRecorder;
+    private final CancellationTracker cancellationTracker;
     private final BooleanSupplier isPartitioned;
     private final Predicate<String> isSuspected;
     private final Runnable changed;
@@ -67,19 +67,19 @@
             ControllerContext context,
             MachineRecordWriter machineWriter,
             WorkerClient workerClient,
-            CancellationTracker cancellations,
+            CancellationTracker cancellationTracker,
             BooleanSupplier cutOff,
             Predicate<String> fellQuiet,
             Runnable changed) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.timeline = context.timeSource();
-        this.sessions = context.workers();
-        this.decisions = context.eventRecorder();
+        this.timeSource = context.timeSource();
+        this.workers = context.workers();
+        this.eventRecorder = context.eventRecorder();
         this.machineWriter = machineWriter;
         this.workerClient = workerClient;
-        this.cancellations = cancellations;
+        this.cancellationTracker = cancellationTracker;
         this.isPartitioned = cutOff;
         this.isSuspected = fellQuiet;
         this.changed = changed;
@@ -94,50 +94,50 @@
     }
 
     /** Answers a report: status and body. */
-    public void onHeartbeat(WorkerHeartbeat r, BiConsumer<Integer, ObjectNode> answer) {
+    public void onHeartbeat(WorkerHeartbeat heartbeat, BiConsumer<Integer, ObjectNode> answer) {
         heartbeatCount++;
-        WorkerState session = sessions.getOrCreate(r.machineId());
-        Optional<WorkerHeartbeat> before = session.lastHeartbeat;
-        Duration now = timeline.now();
-        boolean wasSilent = workerClient.silent(session);
-        boolean newer = session.acceptHeartbeat(r, now);
-        if (r.notice().isPresent()) {
-            workerClient.notice(r.machineId());
+        WorkerState worker = workers.getOrCreate(heartbeat.machineId());
+        Optional<WorkerHeartbeat> before = worker.lastHeartbeat;
+        Duration now = timeSource.now();
+        boolean wasSilent = workerClient.silent(worker);
+        boolean newer = worker.acceptHeartbeat(heartbeat, now);
+        if (heartbeat.notice().isPresent()) {
+            workerClient.notice(heartbeat.machineId());
         }
         if (newer) {
-            workerClient.reconcileIfChanged(r, before);
+            workerClient.reconcileIfChanged(heartbeat, before);
         }
-        if (newer && wasSilent && session.commandsUnconfirmedSince.isPresent()) {
+        if (newer && wasSilent && worker.commandsUnconfirmedSince.isPresent()) {
             // After a cut, or when it has just found its way here: that no command arrived before does not show that
             // none does now.
-            session.commandsUnconfirmedSince = Optional.of(now);
-            session.nextCallAt = now;
-            workerClient.scheduleReconciliation(r.machineId());
+            worker.commandsUnconfirmedSince = Optional.of(now);
+            worker.nextCallAt = now;
+            workerClient.scheduleReconciliation(heartbeat.machineId());
             changed.run();
         }
-        MachineRecord record = replica.machines().get(r.machineId());
-        if (replica.loaded() && renewOrphanedLease(r, record, answer)) {
+        MachineRecord machine = replica.machines().get(heartbeat.machineId());
+        if (replica.loaded() && renewOrphanedLease(heartbeat, machine, answer)) {
             return;
         }
         if (!replica.loaded() || membership.incarnation() == 0 || !mayRenew()) {
             answer.accept(503, error("this controller does not know the present state"));
             return;
         }
-        if (newer && session.commandsUnconfirmedSince.isPresent() && session.nextCallAt.compareTo(timeline.now()) > 0) {
-            session.nextCallAt = timeline.now().plus(WorkerClient.REFUSED_PAUSE);
-            workerClient.scheduleReconciliation(r.machineId());
+        if (newer && worker.commandsUnconfirmedSince.isPresent() && worker.nextCallAt.compareTo(timeSource.now()) > 0) {
+            worker.nextCallAt = timeSource.now().plus(WorkerClient.REFUSED_PAUSE);
+            workerClient.scheduleReconciliation(heartbeat.machineId());
         }
         if (isPartitioned.getAsBoolean()) {
-            answerWhilePartitioned(r, record, session, answer);
-        } else if (record == null) {
-            handleUnregistered(r, session, newer, answer);
-        } else if (membership.owns(record)) {
-            answerOwned(r, record, session, newer, answer);
-            if (newer && r.token() == record.token()) {
-                session.lastHeartbeatAt = Optional.of(timeline.now());
+            answerWhilePartitioned(heartbeat, machine, worker, answer);
+        } else if (machine == null) {
+            handleUnregistered(heartbeat, worker, newer, answer);
+        } else if (membership.owns(machine)) {
+            answerOwned(heartbeat, machine, worker, newer, answer);
+            if (newer && heartbeat.token() == machine.token()) {
+                worker.lastHeartbeatAt = Optional.of(timeSource.now());
             }
         } else {
-            redirectToOwner(r, record, session, newer, answer);
+            redirectToOwner(heartbeat, machine, worker, newer, answer);
         }
     }
 
@@ -145,34 +145,35 @@
      * A worker whose controller is gone is answered under the stored token until somebody takes its machine over: after a crash of
      * all, taking over takes longer than is left of its lease. Without commands, an equal token does nothing but renew.
      */
-    private boolean renewOrphanedLease(WorkerHeartbeat r, MachineRecord record, BiConsumer<Integer, ObjectNode> answer) {
-        boolean orphan = record != null
-                && !membership.isAlive(record.owner(), record.incarnation())
+    private boolean renewOrphanedLease(
+            WorkerHeartbeat heartbeat, MachineRecord machine, BiConsumer<Integer, ObjectNode> answer) {
+        boolean orphan = machine != null
+                && !membership.isAlive(machine.owner(), machine.incarnation())
                 && replica.staleness().compareTo(WorkerClient.START_VIEW) < 0
-                && accepts(r, record);
+                && accepts(heartbeat, machine);
         if (orphan) {
-            renew(r, record, answer);
+            renew(heartbeat, machine, answer);
         }
         return orphan;
     }
 
     /** Whether a worker may be answered with 200, as far as cancellations go. */
     private boolean mayRenew() {
-        return cancellations.staleness().compareTo(viewLimit) <= 0;
+        return cancellationTracker.staleness().compareTo(viewLimit) <= 0;
     }
 
     /** A worker that has seen a higher token than is stored drops what is answered under the stored one, and waits until its lease is over. */
-    private static boolean accepts(WorkerHeartbeat r, MachineRecord record) {
-        return r.token() <= record.token();
+    private static boolean accepts(WorkerHeartbeat heartbeat, MachineRecord machine) {
+        return heartbeat.token() <= machine.token();
     }
 
     /** Renews a worker's lease and ends what is cancelled, nothing else. */
-    private void renew(WorkerHeartbeat r, MachineRecord record, BiConsumer<Integer, ObjectNode> answer) {
+    private void renew(WorkerHeartbeat heartbeat, MachineRecord machine, BiConsumer<Integer, ObjectNode> answer) {
         answer.accept(
                 200,
                 WorkerCommand.reply(
-                        record.token(),
-                        workerClient.cancelledOn(r).stream()
+                        machine.token(),
+                        workerClient.cancelledOn(heartbeat).stream()
                                 .limit(WorkerClient.COMMANDS_AT_ONCE)
                                 .toList()));
     }
@@ -182,38 +183,37 @@
     }
 
     private void answerOwned(
-            WorkerHeartbeat r,
-            MachineRecord record,
+            WorkerHeartbeat heartbeat,
+            MachineRecord machine,
             WorkerState session,
             boolean newer,
             BiConsumer<Integer, ObjectNode> answer) {
-        if (!accepts(r, record)) {
+        if (!accepts(heartbeat, machine)) {
             answer.accept(503, error("its token is being raised"));
             return;
         }
         // Halts ride along for a worker that reaches this controller but cannot be reached, and forgetting has time;
         // starts never ride.
         boolean proof = newer
-                && r.token() == record.token()
+                && heartbeat.token() == machine.token()
                 && session.unansweredStartToken.isEmpty()
                 && !session.callInFlight
-                && replica.appliedRevision() >= replica.modRevision(Keys.machinePage(r.machineId()));
+                && replica.appliedRevision() >= replica.modRevision(Keys.machinePage(heartbeat.machineId()));
         if (!proof) {
-            renew(r, record, answer);
+            renew(heartbeat, machine, answer);
             return;
         }
-        List<WorkerCommand> commands =
-                workerClient
-                        .keepExits(
-                                record,
-                                session,
-                                HeartbeatReconciler.reconcile(workerClient.allocations(r.machineId()), r)
-                                        .commands())
-                        .stream()
-                        .filter(o -> !(o instanceof WorkerCommand.Run))
-                        .limit(WorkerClient.COMMANDS_AT_ONCE)
-                        .toList();
-        answer.accept(200, WorkerCommand.reply(record.token(), commands));
+        List<WorkerCommand> commands = workerClient
+                .keepExits(
+                        machine,
+                        session,
+                        HeartbeatReconciler.reconcile(workerClient.allocations(heartbeat.machineId()), heartbeat)
+                                .commands())
+                .stream()
+                .filter(o -> !(o instanceof WorkerCommand.Run))
+                .limit(WorkerClient.COMMANDS_AT_ONCE)
+                .toList();
+        answer.accept(200, WorkerCommand.reply(machine.token(), commands));
     }
 
     /**
@@ -222,17 +222,20 @@
      * away everywhere: it is better kept alive than left to die, as long as no cancellation can have been missed.
      */
     private void answerWhilePartitioned(
-            WorkerHeartbeat r, MachineRecord record, WorkerState session, BiConsumer<Integer, ObjectNode> answer) {
-        Duration now = timeline.now();
-        boolean ours = record != null && membership.owns(record) && accepts(r, record);
-        Optional<Duration> away = session.turnedAwayAt.map(now::minus).filter(d -> d.compareTo(TURNED_AWAY_MEMORY) < 0);
+            WorkerHeartbeat heartbeat,
+            MachineRecord machine,
+            WorkerState worker,
+            BiConsumer<Integer, ObjectNode> answer) {
+        Duration now = timeSource.now();
+        boolean ours = machine != null && membership.owns(machine) && accepts(heartbeat, machine);
+        Optional<Duration> away = worker.turnedAwayAt.map(now::minus).filter(d -> d.compareTo(TURNED_AWAY_MEMORY) < 0);
         boolean cameBack = away.filter(d -> d.compareTo(TURNED_AWAY_GAP) > 0).isPresent();
         if (ours && (cameBack || !hearsOtherZones())) {
-            renew(r, record, answer);
+            renew(heartbeat, machine, answer);
             return;
         }
         if (away.isEmpty()) {
-            session.turnedAwayAt = Optional.of(now);
+            worker.turnedAwayAt = Optional.of(now);
         }
         answer.accept(503, error("this controller is cut off from the state service and the others"));
     }
@@ -240,10 +243,12 @@
     /** In a cut between zones only the own zone's workers are heard, and nobody else can answer them. */
     private boolean hearsOtherZones() {
         Duration recent = Durations.times(settings.workers().report(), 2).plusSeconds(1);
-        for (WorkerState s : sessions.all().values()) {
-            if (s.lastHeartbeatAt.isPresent()
-                    && timeline.now().minus(s.lastHeartbeatAt.get()).compareTo(recent) < 0
-                    && s.lastHeartbeat.filter(x -> !x.zone().equals(settings.zone())).isPresent()) {
+        for (WorkerState worker : workers.all().values()) {
+            if (worker.lastHeartbeatAt.isPresent()
+                    && timeSource.now().minus(worker.lastHeartbeatAt.get()).compareTo(recent) < 0
+                    && worker.lastHeartbeat
+                            .filter(x -> !x.zone().equals(settings.zone()))
+                            .isPresent()) {
                 return true;
             }
         }
@@ -251,42 +256,44 @@
     }
 
     /** A machine that no record names. Its report may be a late copy and the machine long gone, so it is asked itself first. */
-    private void handleUnregistered(WorkerHeartbeat r, WorkerState session, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
-        Optional<String> owner = membership.hashed(r.machineId());
+    private void handleUnregistered(
+            WorkerHeartbeat heartbeat, WorkerState worker, boolean newer, BiConsumer<Integer, ObjectNode> answer) {
+        Optional<String> owner = membership.hashed(heartbeat.machineId());
         if (!membership.joined() || owner.isEmpty()) {
             answer.accept(503, error("not a member yet"));
         } else if (!owner.get().equals(settings.nodeName())) {
             answer.accept(421, WorkerCommand.redirect(owner.get()));
-        } else if (!newer || session.inspectionInFlight || machineWriter.busy(r.machineId())) {
+        } else if (!newer || worker.inspectionInFlight || machineWriter.busy(heartbeat.machineId())) {
             answer.accept(503, error("machine is being taken up"));
         } else {
-            workerClient.verify(r, session, alive -> {
-                if (!alive || replica.machines().containsKey(r.machineId())) {
+            workerClient.verify(heartbeat, worker, alive -> {
+                if (!alive || replica.machines().containsKey(heartbeat.machineId())) {
                     answer.accept(503, error("machine could not be taken up"));
                     return;
                 }
-                var record = new MachineRecord(
-                        r.machineId(),
-                        r.address(),
-                        r.type(),
-                        r.zone(),
-                        r.spot(),
+                var machine = new MachineRecord(
+                        heartbeat.machineId(),
+                        heartbeat.address(),
+                        heartbeat.type(),
+                        heartbeat.zone(),
+                        heartbeat.spot(),
                         settings.nodeName(),
                         membership.incarnation(),
-                        session.lastHeartbeat.map(WorkerHeartbeat::token).orElse(r.token()) + 1,
-                        timeline.wallTime(),
+                        worker.lastHeartbeat.map(WorkerHeartbeat::token).orElse(heartbeat.token()) + 1,
+                        timeSource.wallTime(),
                         Instant.EPOCH,
                         false,
                         "");
-                decisions.record(LOG, "machine {} reported without having been rented by us; taken up", r.machineId());
-                machineWriter.change(CommitPriority.PLACEMENT, record, answerAfter(r, answer));
+                eventRecorder.record(
+                        LOG, "machine {} reported without having been rented by us; taken up", heartbeat.machineId());
+                machineWriter.change(CommitPriority.PLACEMENT, machine, answerAfter(heartbeat, answer));
             });
         }
     }
 
-    private Consumer<TransactionResult> answerAfter(WorkerHeartbeat r, BiConsumer<Integer, ObjectNode> answer) {
+    private Consumer<TransactionResult> answerAfter(WorkerHeartbeat heartbeat, BiConsumer<Integer, ObjectNode> answer) {
         return result -> {
-            MachineRecord now = replica.machines().get(r.machineId());
+            MachineRecord now = replica.machines().get(heartbeat.machineId());
             if (result instanceof TransactionResult.Applied && now != null && membership.owns(now)) {
                 answer.accept(200, WorkerCommand.reply(now.token(), List.of()));
             } else {
@@ -301,20 +308,22 @@
      * reports count for nothing, and the worker itself is asked before its tasks' token is raised.
      */
     private void redirectToOwner(
-            WorkerHeartbeat r,
+            WorkerHeartbeat heartbeat,
             MachineRecord record,
             WorkerState session,
             boolean newer,
             BiConsumer<Integer, ObjectNode> answer) {
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         boolean ownerLives = membership.isAlive(record.owner(), record.incarnation());
-        String next = ownerLives ? record.owner() : membership.hashed(r.machineId()).orElse(record.owner());
+        String next = ownerLives
+                ? record.owner()
+                : membership.hashed(heartbeat.machineId()).orElse(record.owner());
         Runnable sendOn = () -> answer.accept(421, WorkerCommand.redirect(next));
         if (!newer) {
             sendOn.run();
             return;
         }
-        long stamp = replica.modRevision(Keys.machinePage(r.machineId()));
+        long stamp = replica.modRevision(Keys.machinePage(heartbeat.machineId()));
         Duration since = now.minus(session.lastRedirectAt);
         if (session.redirectRevision != stamp || since.compareTo(STRAY_MEMORY) > 0) {
             session.redirects = 1;
@@ -324,29 +333,34 @@
             session.redirects++;
             session.lastRedirectAt = now;
         }
-        if (replica.staleness().compareTo(WorkerClient.START_VIEW) >= 0 && session.redirects >= 2 && accepts(r, record)) {
+        if (replica.staleness().compareTo(WorkerClient.START_VIEW) >= 0
+                && session.redirects >= 2
+                && accepts(heartbeat, record)) {
             // In an outage that all share nobody can take it over from a controller that has ended; until then it is
             // kept alive.
-            renew(r, record, answer);
+            renew(heartbeat, record, answer);
             return;
         }
         // A controller that has just ended takes all its workers here: its pages are soon taken as a whole, not machine
         // by machine.
         if (!membership.joined()
                 || session.inspectionInFlight
-                || machineWriter.busy(r.machineId())
+                || machineWriter.busy(heartbeat.machineId())
                 || isSuspected.test(record.owner())) {
             sendOn.run();
         } else if (session.redirects >= 2) {
-            workerClient.verify(r, session, alive -> {
-                MachineRecord present = replica.machines().get(r.machineId());
+            workerClient.verify(heartbeat, session, alive -> {
+                MachineRecord present = replica.machines().get(heartbeat.machineId());
                 // A worker that reaches only this controller, and that nobody reaches, is taken over once it has
                 // insisted.
-                boolean insists = session.redirects >= STRAYS_UNSEEN && r.token() == record.token();
+                boolean insists = session.redirects >= STRAYS_UNSEEN && heartbeat.token() == record.token();
                 if (present != null && !membership.owns(present) && (alive || insists)) {
-                    decisions.record(
-                            LOG, "machine {} cannot reach its controller {}; taken over", r.machineId(), present.owner());
-                    workerClient.acquire(present, timeline.wallTime().plus(KEEP), answerAfter(r, answer));
+                    eventRecorder.record(
+                            LOG,
+                            "machine {} cannot reach its controller {}; taken over",
+                            heartbeat.machineId(),
+                            present.owner());
+                    workerClient.acquire(present, timeSource.wallTime().plus(KEEP), answerAfter(heartbeat, answer));
                 } else {
                     sendOn.run();
                 }
--- a/src/main/java/org/dunespindle/worker/PartitionDetector.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -8,8 +8,8 @@
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.control.EventRecorder;
 import org.dunespindle.control.Membership;
-import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.PauseDetector;
+import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.peer.PeerHeartbeats;
 import org.dunespindle.protocol.Settings;
@@ -36,33 +36,33 @@
     private final StateReplica replica;
     private final Membership membership;
     private final WorkerClient workerClient;
-    private final PeerHeartbeats peers;
-    private final WorkerRegistry sessions;
-    private final TimeSource timeline;
-    private final PauseDetector stalls;
-    private final EventRecorder decisions;
+    private final PeerHeartbeats peerHeartbeats;
+    private final WorkerRegistry workers;
+    private final TimeSource timeSource;
+    private final PauseDetector pauseDetector;
+    private final EventRecorder eventRecorder;
     /** Reports come at this interval, give or take a quarter. */
     private final Duration overdue;
 
     private Optional<Duration> awaySince = Optional.empty();
     private Duration askAgainAt = Duration.ZERO;
 
-    public PartitionDetector(ControllerContext context, WorkerClient workerClient, PeerHeartbeats peers) {
+    public PartitionDetector(ControllerContext context, WorkerClient workerClient, PeerHeartbeats peerHeartbeats) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.sessions = context.workers();
-        this.timeline = context.timeSource();
-        this.stalls = context.pauseDetector();
-        this.decisions = context.eventRecorder();
+        this.workers = context.workers();
+        this.timeSource = context.timeSource();
+        this.pauseDetector = context.pauseDetector();
+        this.eventRecorder = context.eventRecorder();
         this.workerClient = workerClient;
-        this.peers = peers;
+        this.peerHeartbeats = peerHeartbeats;
         this.overdue = settings.workers().report().multipliedBy(5).dividedBy(4).plus(LATENESS);
     }
 
     /** Called about twice a second. */
     public void tick() {
-        Duration now = timeline.now();
+        Duration now = timeSource.now();
         if (now.compareTo(askAgainAt) < 0) {
             return;
         }
@@ -70,7 +70,7 @@
             comeBack(now);
         } else if (membership.joined()
                 && replica.staleness().compareTo(VIEW) < 0
-                && stalls.awake().compareTo(overdue) > 0
+                && pauseDetector.awake().compareTo(overdue) > 0
                 && othersServe()) {
             List<MachineRecord> silent = silentOnes();
             if (!silent.isEmpty()) {
@@ -82,9 +82,10 @@
 
     private boolean othersServe() {
         return settings.seeds().stream()
-                .anyMatch(s -> membership.incarnationOf(s.name()).isPresent()
-                        && peers.heartbeat(s.name())
-                                .filter(w -> w.replicaStaleness().compareTo(VIEW) < 0)
+                .anyMatch(seed -> membership.incarnationOf(seed.name()).isPresent()
+                        && peerHeartbeats
+                                .heartbeat(seed.name())
+                                .filter(peer -> peer.replicaStaleness().compareTo(VIEW) < 0)
                                 .isPresent());
     }
 
@@ -92,14 +93,18 @@
     private List<MachineRecord> silentOnes() {
         var silent = new ArrayList<MachineRecord>();
         int all = 0;
-        for (MachineRecord h : replica.machines().values()) {
-            Optional<WorkerState> s = membership.owns(h) && !h.draining() ? sessions.find(h.id()) : Optional.empty();
+        for (MachineRecord machine : replica.machines().values()) {
+            Optional<WorkerState> s =
+                    membership.owns(machine) && !machine.draining() ? workers.find(machine.id()) : Optional.empty();
             if (s.isPresent()
                     && s.get().lastHeartbeatAt.isPresent()
-                    && s.get().lastHeartbeat.filter(r -> r.token() == h.token()).isPresent()) {
+                    && s.get()
+                            .lastHeartbeat
+                            .filter(heartbeat -> heartbeat.token() == machine.token())
+                            .isPresent()) {
                 all++;
-                if (stalls.silence(s.get().lastHeartbeatAt.get()).compareTo(overdue) > 0) {
-                    silent.add(h);
+                if (pauseDetector.silence(s.get().lastHeartbeatAt.get()).compareTo(overdue) > 0) {
+                    silent.add(machine);
                 }
             }
         }
@@ -110,8 +115,9 @@
     private List<MachineRecord> known() {
         var known = new ArrayList<MachineRecord>();
         replica.machines().values().stream()
-                .filter(h ->
-                        sessions.find(h.id()).filter(s -> s.lastHeartbeat.isPresent()).isPresent())
+                .filter(machine -> workers.find(machine.id())
+                        .filter(worker -> worker.lastHeartbeat.isPresent())
+                        .isPresent())
                 .forEach(known::add);
         return known;
     }
@@ -131,8 +137,8 @@
         hosts.addAll(any);
         var open = new int[] {hosts.size()};
         var answered = new boolean[1];
-        for (MachineRecord h : hosts) {
-            workerClient.ask(h, workerClient.address(h), yes -> {
+        for (MachineRecord machine : hosts) {
+            workerClient.ask(machine, workerClient.address(machine), yes -> {
                 answered[0] |= yes;
                 if (--open[0] == 0 && !answered[0]) {
                     noneAnswered.run();
@@ -145,8 +151,9 @@
         if (!membership.joined() || !othersServe()) {
             return;
         }
-        decisions.record(LOG, "none of {} workers is heard or reached from here; this controller steps aside", silent);
-        awaySince = Optional.of(timeline.now());
+        eventRecorder.record(
+                LOG, "none of {} workers is heard or reached from here; this controller steps aside", silent);
+        awaySince = Optional.of(timeSource.now());
         membership.resign();
     }
 
@@ -157,8 +164,8 @@
             back("nobody else serves");
             return;
         }
-        for (MachineRecord h : spread(known())) {
-            workerClient.ask(h, workerClient.address(h), yes -> {
+        for (MachineRecord machine : spread(known())) {
+            workerClient.ask(machine, workerClient.address(machine), yes -> {
                 if (yes) {
                     back("workers answer again");
                 }
@@ -169,7 +176,7 @@
     private void back(String why) {
         if (awaySince.isPresent()) {
             awaySince = Optional.empty();
-            decisions.record(LOG, "{}; this controller takes part again", why);
+            eventRecorder.record(LOG, "{}; this controller takes part again", why);
             membership.rejoin();
         }
     }
--- a/src/main/java/org/dunespindle/worker/PendingPreemptions.java
+++ b/src/main/java/org/dunespindle/worker/PendingPreemptions.java
@@ -30,12 +30,13 @@
         return stops == null
                 ? allocations
                 : allocations.stream()
-                        .map(p -> stops.contains(new TaskAttempt(
-                                        p.job().id(),
-                                        p.allocation().task(),
-                                        p.allocation().attemptBase()))
-                                ? new PlacedTask(p.job(), p.allocation().stopped())
-                                : p)
+                        .map(placed -> stops.contains(new TaskAttempt(
+                                        placed.job().id(),
+                                        placed.allocation().task(),
+                                        placed.allocation().attemptBase()))
+                                ? new PlacedTask(
+                                        placed.job(), placed.allocation().stopped())
+                                : placed)
                         .toList();
     }
 
@@ -51,13 +52,16 @@
     }
 
     private static boolean stands(JobRecord job, TaskAttempt stop) {
-        return job.allocation(stop.task()).filter(c -> c.attemptBase() == stop.attemptBase()).isPresent();
+        return job.allocation(stop.task())
+                .filter(allocation -> allocation.attemptBase() == stop.attemptBase())
+                .isPresent();
     }
 
     /** Forgets what has left its machine. */
     public void prune(StateReplica replica) {
         byJob.values().removeIf(stops -> {
-            stops.removeIf(s -> replica.job(s.job()).filter(j -> stands(j, s)).isEmpty());
+            stops.removeIf(
+                    s -> replica.job(s.job()).filter(job -> stands(job, s)).isEmpty());
             return stops.isEmpty();
         });
         byHost.values().removeIf(stops -> {
