--- a/src/main/java/org/dunespindle/worker/WorkerClient.java
+++ b/src/main/java/org/dunespindle/worker/WorkerClient.java
@@ -12,13 +12,13 @@
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.control.EventRecorder;
+import org.dunespindle.control.HeartbeatReconciler;
 import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
-import org.dunespindle.control.HeartbeatReconciler;
-import org.dunespindle.control.ReconciliationResult;
-import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.PauseDetector;
+import org.dunespindle.control.ReconciliationResult;
 import org.dunespindle.control.TaskTermination;
+import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.protocol.ExitCause;
 import org.dunespindle.protocol.MalformedMessageException;
@@ -60,42 +60,42 @@
     private final StateReplica replica;
     private final Membership membership;
     private final MachineRecordWriter machineWriter;
-    private final HttpClient http;
-    private final TimeSource timeline;
-    private final WorkerRegistry sessions;
-    private final EventRecorder decisions;
-    private final PendingPreemptions preemptions;
-    private final CancellationTracker cancellations;
-    private final PauseDetector stalls;
+    private final HttpClient httpClient;
+    private final TimeSource timeSource;
+    private final WorkerRegistry workers;
+    private final EventRecorder eventRecorder;
+    private final PendingPreemptions pendingPreemptions;
+    private final CancellationTracker cancellationTracker;
+    private final PauseDetector pauseDetector;
     private final Runnable changed;
     private Set<String> pendingReconciliation = new LinkedHashSet<>();
     private final Set<String> machinesWithNotice = new LinkedHashSet<>();
     private final Set<String> machinesWithTerminations = new LinkedHashSet<>();
     private long version;
     private long calls;
-    private final ConcurrentCallLimiter slots;
+    private final ConcurrentCallLimiter callLimiter;
 
     /** Creates a client for the workers' direct commands. */
     public WorkerClient(
             ControllerContext context,
             MachineRecordWriter machineWriter,
-            HttpClient http,
-            PendingPreemptions preemptions,
-            CancellationTracker cancellations,
+            HttpClient httpClient,
+            PendingPreemptions pendingPreemptions,
+            CancellationTracker cancellationTracker,
             Runnable changed) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.membership = context.membership();
-        this.timeline = context.timeSource();
-        this.sessions = context.workers();
-        this.decisions = context.eventRecorder();
-        this.stalls = context.pauseDetector();
+        this.timeSource = context.timeSource();
+        this.workers = context.workers();
+        this.eventRecorder = context.eventRecorder();
+        this.pauseDetector = context.pauseDetector();
         this.machineWriter = machineWriter;
-        this.http = http;
-        this.preemptions = preemptions;
-        this.cancellations = cancellations;
+        this.httpClient = httpClient;
+        this.pendingPreemptions = pendingPreemptions;
+        this.cancellationTracker = cancellationTracker;
         this.changed = changed;
-        this.slots = new ConcurrentCallLimiter(settings.sockets());
+        this.callLimiter = new ConcurrentCallLimiter(settings.sockets());
     }
 
     /** Grows whenever what machines here can take, or what became of their tasks, may have changed. */
@@ -115,8 +115,8 @@
 
     /** Machines that are about to be taken away, as they last reported. */
     public Set<String> machinesWithNotice() {
-        machinesWithNotice.removeIf(h -> sessions.find(h)
-                .flatMap(s -> s.lastHeartbeat)
+        machinesWithNotice.removeIf(h -> workers.find(h)
+                .flatMap(worker -> worker.lastHeartbeat)
                 .flatMap(WorkerHeartbeat::notice)
                 .isEmpty());
         return machinesWithNotice;
@@ -136,23 +136,23 @@
      * Has a machine looked at when a worker says something new, however it said it and whatever it is answered: the next report may
      * say the same again, and would be no news. Without this, what was told in an outage or in answer to a question was never acted on.
      */
-    void reconcileIfChanged(WorkerHeartbeat r, Optional<WorkerHeartbeat> before) {
-        if (before.filter(b -> b.sameAs(r)).isEmpty()) {
+    void reconcileIfChanged(WorkerHeartbeat heartbeat, Optional<WorkerHeartbeat> before) {
+        if (before.filter(b -> b.sameAs(heartbeat)).isEmpty()) {
             version++;
-            pendingReconciliation.add(r.machineId());
+            pendingReconciliation.add(heartbeat.machineId());
             changed.run();
         }
     }
 
     /** Tasks that it reports of jobs known to be cancelled: to stop them is right under any token and whatever else is under way. */
-    List<WorkerCommand> cancelledOn(WorkerHeartbeat r) {
+    List<WorkerCommand> cancelledOn(WorkerHeartbeat heartbeat) {
         var halts = new ArrayList<WorkerCommand>();
-        r.tasks().forEach(t -> {
-            if (!t.exited()
-                    && replica.job(t.task().job())
-                            .filter(cancellations::cancelled)
+        heartbeat.tasks().forEach(task -> {
+            if (!task.exited()
+                    && replica.job(task.task().job())
+                            .filter(cancellationTracker::cancelled)
                             .isPresent()) {
-                halts.add(new WorkerCommand.Halt(t.task(), t.attempt(), Duration.ZERO));
+                halts.add(new WorkerCommand.Halt(task.task(), task.attempt(), Duration.ZERO));
             }
         });
         return halts;
@@ -160,86 +160,93 @@
 
     /** Looks at the machines of jobs that others say are cancelled. */
     public void cancelledElsewhere(List<String> jobs) {
-        jobs.forEach(id -> replica.job(id).ifPresent(j -> j.allocations().forEach(c -> pendingReconciliation.add(c.machineId()))));
+        jobs.forEach(id -> replica.job(id)
+                .ifPresent(job ->
+                        job.allocations().forEach(allocation -> pendingReconciliation.add(allocation.machineId()))));
         if (!jobs.isEmpty()) {
             changed.run();
         }
     }
 
     /** Asks a worker itself: only an answer shows that it is there, and that commands from here reach it. */
-    void verify(WorkerHeartbeat r, WorkerState session, Consumer<Boolean> then) {
-        verify(r.machineId(), r.address(), session, then);
+    void verify(WorkerHeartbeat heartbeat, WorkerState worker, Consumer<Boolean> then) {
+        verify(heartbeat.machineId(), heartbeat.address(), worker, then);
     }
 
-    private void verify(String host, String address, WorkerState session, Consumer<Boolean> then) {
-        if (slots.full()) {
+    private void verify(String host, String address, WorkerState worker, Consumer<Boolean> then) {
+        if (callLimiter.full()) {
             then.accept(false);
             return;
         }
-        session.inspectionInFlight = true;
-        slots.begin(false);
-        http.send(address, "GET", "/inspect", new byte[0], MessagePackCodec.TYPE, INSPECT_TIMEOUT)
-                .whenComplete((a, e) -> {
-                    session.inspectionInFlight = false;
-                    slots.end(false, pendingReconciliation::add);
-                    then.accept(a != null && a.status() == 200 && answered(host, session, a.body()));
+        worker.inspectionInFlight = true;
+        callLimiter.begin(false);
+        httpClient
+                .send(address, "GET", "/inspect", new byte[0], MessagePackCodec.TYPE, INSPECT_TIMEOUT)
+                .whenComplete((response, e) -> {
+                    worker.inspectionInFlight = false;
+                    callLimiter.end(false, pendingReconciliation::add);
+                    then.accept(
+                            response != null && response.status() == 200 && answered(host, worker, response.body()));
                 });
     }
 
     /** Asks a machine itself whether it is there; false if it cannot be asked now. */
-    boolean ask(MachineRecord record, String address, Consumer<Boolean> then) {
-        WorkerState s = sessions.getOrCreate(record.id());
-        if (address.isEmpty() || s.inspectionInFlight || slots.full()) {
+    boolean ask(MachineRecord machine, String address, Consumer<Boolean> then) {
+        WorkerState worker = workers.getOrCreate(machine.id());
+        if (address.isEmpty() || worker.inspectionInFlight || callLimiter.full()) {
             return false;
         }
-        verify(record.id(), address, s, then);
+        verify(machine.id(), address, worker, then);
         return true;
     }
 
     /** Becomes a machine's owner by raising its token. */
-    public void acquire(MachineRecord record, Instant keep, Consumer<TransactionResult> then) {
-        acquire(record, address(record), keep, then);
+    public void acquire(MachineRecord machine, Instant keep, Consumer<TransactionResult> then) {
+        acquire(machine, address(machine), keep, then);
     }
 
     /** The same for a machine whose address somebody else told: it can be commanded before it finds its way here. */
-    public void acquire(MachineRecord record, String address, Instant keep, Consumer<TransactionResult> then) {
-        MachineRecord mine = record.ownedBy(settings.nodeName(), membership.incarnation(), keep)
+    public void acquire(MachineRecord machine, String address, Instant keep, Consumer<TransactionResult> then) {
+        MachineRecord mine = machine.ownedBy(settings.nodeName(), membership.incarnation(), keep)
                 .withAddress(address);
-        long seen = sessions.find(record.id())
-                .flatMap(s -> s.lastHeartbeat)
+        long seen = workers.find(machine.id())
+                .flatMap(worker -> worker.lastHeartbeat)
                 .map(WorkerHeartbeat::token)
                 .orElse(0L);
         machineWriter.change(CommitPriority.PLACEMENT, mine.withTokenAbove(seen), then);
     }
 
     /** Where a machine is reached, as far as known here. */
-    String address(MachineRecord record) {
-        return sessions.find(record.id())
-                .flatMap(s -> s.lastHeartbeat)
+    String address(MachineRecord machine) {
+        return workers.find(machine.id())
+                .flatMap(worker -> worker.lastHeartbeat)
                 .map(WorkerHeartbeat::address)
-                .orElse(record.address());
+                .orElse(machine.address());
     }
 
     /** Whether conclusions about this machine may be drawn and commands given here and now. */
-    public boolean inCommand(MachineRecord record) {
-        return membership.owns(record) && replica.appliedRevision() >= replica.modRevision(Keys.machinePage(record.id()));
+    public boolean inCommand(MachineRecord machine) {
+        return membership.owns(machine)
+                && replica.appliedRevision() >= replica.modRevision(Keys.machinePage(machine.id()));
     }
 
     /** A worker under our token whose last report stands and whom commands reach: its machine can take tasks. */
-    public boolean ready(MachineRecord record) {
-        Optional<WorkerState> s = sessions.find(record.id());
+    public boolean ready(MachineRecord machine) {
+        Optional<WorkerState> s = workers.find(machine.id());
         return s.isPresent()
-                && inCommand(record)
-                && !record.draining()
+                && inCommand(machine)
+                && !machine.draining()
                 && s.get().lastHeartbeat.isPresent()
-                && s.get().lastHeartbeat.get().token() == record.token()
+                && s.get().lastHeartbeat.get().token() == machine.token()
                 && s.get().unansweredStartToken.isEmpty()
                 && s.get().commandsUnconfirmedSince.isEmpty();
     }
 
     /** How long a machine has reported without taking commands; empty while it takes them. */
     public Optional<Duration> oneWayFor(String host) {
-        return sessions.find(host).flatMap(s -> s.commandsUnconfirmedSince).map(stalls::silence);
+        return workers.find(host)
+                .flatMap(worker -> worker.commandsUnconfirmedSince)
+                .map(pauseDetector::silence);
     }
 
     /** One pass over the machines about which something changed: sends commands, notes what became of allocations. */
@@ -254,109 +261,113 @@
     }
 
     private void attendNow(String host) {
-        MachineRecord record = replica.machines().get(host);
-        Optional<WorkerState> known = sessions.find(host);
-        if (record == null || !membership.owns(record)) {
-            known.ifPresent(s -> events(host, s, List.of()));
+        MachineRecord machine = replica.machines().get(host);
+        Optional<WorkerState> known = workers.find(host);
+        if (machine == null || !membership.owns(machine)) {
+            known.ifPresent(worker -> events(host, worker, List.of()));
             return;
         }
-        if (!inCommand(record)) {
-            pendingReconciliation.add(host); // until everything up to the record that made this controller the owner is read
+        if (!inCommand(machine)) {
+            pendingReconciliation.add(
+                    host); // until everything up to the record that made this controller the owner is read
             return;
         }
-        WorkerState s = sessions.getOrCreate(host);
-        if (s.callInFlight) {
+        WorkerState worker = workers.getOrCreate(host);
+        if (worker.callInFlight) {
             return; // the answer brings it back
         }
-        if (s.unansweredStartToken.isPresent() && !fenced(record, s)) {
+        if (worker.unansweredStartToken.isPresent() && !fenced(machine, worker)) {
             return;
         }
-        if (s.lastHeartbeat.isPresent() && s.lastHeartbeat.get().token() > record.token()) {
+        if (worker.lastHeartbeat.isPresent() && worker.lastHeartbeat.get().token() > machine.token()) {
             if (!machineWriter.busy(host)) {
                 machineWriter.change(
                         CommitPriority.PLACEMENT,
-                        record.withNextToken().withTokenAbove(s.lastHeartbeat.get().token()),
-                        r -> pendingReconciliation.add(host));
+                        machine.withNextToken()
+                                .withTokenAbove(worker.lastHeartbeat.get().token()),
+                        result -> pendingReconciliation.add(host));
             }
-        } else if (s.isProofUnder(record.token())) {
-            conclude(record, s);
+        } else if (worker.isProofUnder(machine.token())) {
+            conclude(machine, worker);
         } else {
-            events(host, s, List.of());
-            call(record, s, List.of());
+            events(host, worker, List.of());
+            call(machine, worker, List.of());
         }
     }
 
     /** A machine's allocations, with those marked that are to end though their record does not say so. */
     List<PlacedTask> allocations(String host) {
-        return preemptions.marked(host, cancellations.marked(replica.allocationsOn(host)));
+        return pendingPreemptions.marked(host, cancellationTracker.marked(replica.allocationsOn(host)));
     }
 
     /** Whether nothing of any kind has come from a machine for longer than reports take. */
-    boolean silent(WorkerState s) {
-        return olderThan(s.lastSeenAlive(), LATE_REPORT);
+    boolean silent(WorkerState worker) {
+        return olderThan(worker.lastSeenAlive(), LATE_REPORT);
     }
 
     /**
      * Whether a machine's reports no longer arrive, though it may answer when it is asked: then its lease is running out. A worker whose
      * controller does not answer, or that was taken over, needs some seconds to find the next one.
      */
-    public boolean mute(WorkerState s) {
-        return olderThan(s.lastHeartbeatAt, NEXT_CONTROLLER);
+    public boolean mute(WorkerState worker) {
+        return olderThan(worker.lastHeartbeatAt, NEXT_CONTROLLER);
     }
 
     private boolean olderThan(Optional<Duration> sign, Duration beyondTwoReports) {
         Duration limit = Durations.times(settings.workers().report(), 2).plus(beyondTwoReports);
-        return sign.isEmpty() || stalls.silence(sign.get()).compareTo(limit) >= 0;
+        return sign.isEmpty() || pauseDetector.silence(sign.get()).compareTo(limit) >= 0;
     }
 
-    private void conclude(MachineRecord record, WorkerState s) {
-        WorkerHeartbeat report = s.lastHeartbeat.get();
-        ReconciliationResult v = HeartbeatReconciler.reconcile(allocations(record.id()), report);
-        report.tasks().forEach(t -> {
-            if (t.phase() == TaskPhase.RUNNING || t.phase() == TaskPhase.ASSEMBLING) {
-                replica.job(t.task().job()).flatMap(j -> j.spec()).ifPresent(spec -> s.fetched(spec.image()));
+    private void conclude(MachineRecord machine, WorkerState worker) {
+        WorkerHeartbeat heartbeat = worker.lastHeartbeat.get();
+        ReconciliationResult result = HeartbeatReconciler.reconcile(allocations(machine.id()), heartbeat);
+        heartbeat.tasks().forEach(task -> {
+            if (task.phase() == TaskPhase.RUNNING || task.phase() == TaskPhase.ASSEMBLING) {
+                replica.job(task.task().job())
+                        .flatMap(job -> job.spec())
+                        .ifPresent(spec -> worker.fetched(spec.image()));
             }
         });
-        List<WorkerCommand> commands = keepExits(record, s, v.commands());
-        var events = v.terminations();
+        List<WorkerCommand> commands = keepExits(machine, worker, result.commands());
+        var terminations = result.terminations();
         // An old view may miss a cancellation: it stops tasks, but starts none.
         boolean startsWait = replica.staleness().compareTo(START_VIEW) >= 0;
-        boolean mute = mute(s);
-        if (s.commandsUnconfirmedSince.isPresent() || mute) {
+        boolean mute = mute(worker);
+        if (worker.commandsUnconfirmedSince.isPresent() || mute) {
             startsWait = true;
             if (mute
-                    || oneWayFor(record.id())
+                    || oneWayFor(machine.id())
                             .filter(d -> d.compareTo(ONE_WAY_AFTER) > 0)
                             .isPresent()) {
-                events = v.withoutStarts(replica.allocationsOn(record.id()));
+                terminations = result.withoutStarts(replica.allocationsOn(machine.id()));
             }
         }
-        events(record.id(), s, events);
+        events(machine.id(), worker, terminations);
         if (startsWait && commands.stream().anyMatch(o -> o instanceof WorkerCommand.Run)) {
-            pendingReconciliation.add(record.id());
+            pendingReconciliation.add(machine.id());
             commands = commands.stream()
                     .filter(o -> !(o instanceof WorkerCommand.Run))
                     .toList();
         }
-        if (s.commandsUnconfirmedSince.isPresent()) {
-            call(record, s, List.of()); // nothing is started before a command is known to arrive
+        if (worker.commandsUnconfirmedSince.isPresent()) {
+            call(machine, worker, List.of()); // nothing is started before a command is known to arrive
         } else if (commands.stream().anyMatch(o -> !(o instanceof WorkerCommand.Forget))) {
-            call(record, s, commands);
+            call(machine, worker, commands);
         }
     }
 
-    private void events(String host, WorkerState s, List<TaskTermination> events) {
-        if (s.terminations.isEmpty() && events.isEmpty()) {
+    private void events(String host, WorkerState worker, List<TaskTermination> terminations) {
+        if (worker.terminations.isEmpty() && terminations.isEmpty()) {
             return;
         }
-        if (!s.terminations.equals(events)) {
+        if (!worker.terminations.equals(terminations)) {
             version++;
-            if (s.terminations.isEmpty()) {
-                s.terminationsSince = timeline.now();
+            if (worker.terminations.isEmpty()) {
+                worker.terminationsSince = timeSource.now();
             }
-            s.terminations = events;
+            worker.terminations = terminations;
         }
-        if (events.isEmpty()) {
+        if (terminations.isEmpty()) {
             machinesWithTerminations.remove(host);
         } else {
             machinesWithTerminations.add(host);
@@ -367,29 +378,29 @@
      * A worker that has forgotten an attempt would start it again on a late copy of the command. So one that ended without
      * being done is kept in its reports until a higher token has voided all copies; when several are, the token is raised.
      */
-    List<WorkerCommand> keepExits(MachineRecord record, WorkerState s, List<WorkerCommand> commands) {
-        if (s.starts.isEmpty() || s.startsToken != record.token() || commands.isEmpty()) {
+    List<WorkerCommand> keepExits(MachineRecord machine, WorkerState worker, List<WorkerCommand> commands) {
+        if (worker.starts.isEmpty() || worker.startsToken != machine.token() || commands.isEmpty()) {
             return commands;
         }
         var done = new HashSet<WorkerCommand.Run>();
-        s.lastHeartbeat.ifPresent(r -> r.tasks().forEach(t -> {
-            if (t.exited() && t.cause().orElse(ExitCause.STOPPED) == ExitCause.DONE) {
-                done.add(new WorkerCommand.Run(t.task(), t.attempt()));
+        worker.lastHeartbeat.ifPresent(heartbeat -> heartbeat.tasks().forEach(task -> {
+            if (task.exited() && task.cause().orElse(ExitCause.STOPPED) == ExitCause.DONE) {
+                done.add(new WorkerCommand.Run(task.task(), task.attempt()));
             }
         }));
         var kept = new ArrayList<WorkerCommand>();
         int held = 0;
         for (WorkerCommand o : commands) {
             if (o instanceof WorkerCommand.Forget f
-                    && s.mayStartAgain(f, record.token())
+                    && worker.mayStartAgain(f, machine.token())
                     && !done.contains(new WorkerCommand.Run(f.task(), f.attempt()))) {
                 held++;
             } else {
                 kept.add(o);
             }
         }
-        if (held > MOST_KEPT_EXITS && !machineWriter.busy(record.id())) {
-            machineWriter.change(CommitPriority.MAINTENANCE, record.withNextToken(), r -> {});
+        if (held > MOST_KEPT_EXITS && !machineWriter.busy(machine.id())) {
+            machineWriter.change(CommitPriority.MAINTENANCE, machine.withNextToken(), result -> {});
         }
         return kept;
     }
@@ -398,105 +409,115 @@
      * A start that went unanswered may still land: a higher token, once the worker has seen it, rules that out. A machine
      * that stays silent needs none: it is returned.
      */
-    private boolean fenced(MachineRecord record, WorkerState s) {
-        if (record.token() > s.unansweredStartToken.get()) {
-            s.unansweredStartToken = Optional.empty();
+    private boolean fenced(MachineRecord machine, WorkerState worker) {
+        if (machine.token() > worker.unansweredStartToken.get()) {
+            worker.unansweredStartToken = Optional.empty();
             return true;
         }
-        if (s.lastSeenAlive().filter(t -> t.compareTo(s.unansweredAt) > 0).isPresent()) {
-            if (!machineWriter.busy(record.id())) {
-                machineWriter.change(CommitPriority.PLACEMENT, record.withNextToken(), r -> pendingReconciliation.add(record.id()));
+        if (worker.lastSeenAlive()
+                .filter(t -> t.compareTo(worker.unansweredAt) > 0)
+                .isPresent()) {
+            if (!machineWriter.busy(machine.id())) {
+                machineWriter.change(
+                        CommitPriority.PLACEMENT,
+                        machine.withNextToken(),
+                        result -> pendingReconciliation.add(machine.id()));
             }
         } else {
-            call(record, s, List.of());
+            call(machine, worker, List.of());
         }
         return false;
     }
 
-    private void call(MachineRecord record, WorkerState s, List<WorkerCommand> commands) {
+    private void call(MachineRecord record, WorkerState worker, List<WorkerCommand> commands) {
         String address = address(record);
-        if (address.isEmpty() || timeline.now().compareTo(s.nextCallAt) < 0) {
+        if (address.isEmpty() || timeSource.now().compareTo(worker.nextCallAt) < 0) {
             return; // a timer brings it back
         }
         // A silent machine is asked seldom; its next report ends the pause.
-        boolean silent = s.lastSeenAlive()
-                .filter(t -> stalls.silence(t)
+        boolean silent = worker.lastSeenAlive()
+                .filter(t -> pauseDetector
+                                .silence(t)
                                 .compareTo(Durations.times(settings.workers().report(), 2))
                         < 0)
                 .isEmpty();
-        if (slots.full(silent)) {
-            slots.queue(record.id());
+        if (callLimiter.full(silent)) {
+            callLimiter.queue(record.id());
             return;
         }
         // Whatever the call is for: what is cancelled ends now.
-        List<WorkerCommand> all = commands.isEmpty() && s.lastHeartbeat.isPresent() ? cancelledOn(s.lastHeartbeat.get()) : commands;
+        List<WorkerCommand> all = commands.isEmpty() && worker.lastHeartbeat.isPresent()
+                ? cancelledOn(worker.lastHeartbeat.get())
+                : commands;
         List<WorkerCommand> some = all.size() > COMMANDS_AT_ONCE ? all.subList(0, COMMANDS_AT_ONCE) : all;
         boolean starts = some.stream().anyMatch(o -> o instanceof WorkerCommand.Run);
-        long session = s.lastHeartbeat.map(WorkerHeartbeat::agentEpoch).orElse(1L);
+        long session = worker.lastHeartbeat.map(WorkerHeartbeat::agentEpoch).orElse(1L);
         long token = record.token();
-        s.starting(token, session, some);
-        s.callInFlight = true;
+        worker.starting(token, session, some);
+        worker.callInFlight = true;
         calls++;
-        slots.begin(silent);
-        http.send(
+        callLimiter.begin(silent);
+        httpClient
+                .send(
                         address,
                         "POST",
                         "/orders",
                         MessagePackCodec.write(WorkerCommand.command(token, session, some)),
                         MessagePackCodec.TYPE,
                         COMMAND_TIMEOUT)
-                .whenComplete((a, e) -> {
-                    s.callInFlight = false;
-                    slots.end(silent, pendingReconciliation::add);
+                .whenComplete((response, e) -> {
+                    worker.callInFlight = false;
+                    callLimiter.end(silent, pendingReconciliation::add);
                     version++;
-                    if (a != null && (a.status() == 200 || a.status() == 409)) {
-                        if (!answered(record.id(), s, a.body()) && starts) {
-                            unanswered(record, s, token);
+                    if (response != null && (response.status() == 200 || response.status() == 409)) {
+                        if (!answered(record.id(), worker, response.body()) && starts) {
+                            unanswered(record, worker, token);
                         }
-                        pause(record.id(), s, a.status() == 200 ? Duration.ZERO : REFUSED_PAUSE);
+                        pause(record.id(), worker, response.status() == 200 ? Duration.ZERO : REFUSED_PAUSE);
                     } else {
-                        if (s.lastHeartbeat.isPresent()) {
-                            s.unanswered(timeline.now()); // one that never reported may still be booting
+                        if (worker.lastHeartbeat.isPresent()) {
+                            worker.unanswered(timeSource.now()); // one that never reported may still be booting
                         }
-                        boolean sent = e == null || !(HttpCallException.cause(e) instanceof HttpCallException f) || f.sent();
-                        if (starts && sent && (a == null || a.status() >= 500)) {
-                            unanswered(record, s, token);
+                        boolean sent =
+                                e == null || !(HttpCallException.cause(e) instanceof HttpCallException f) || f.sent();
+                        if (starts && sent && (response == null || response.status() >= 500)) {
+                            unanswered(record, worker, token);
                         }
-                        pause(record.id(), s, silent ? SILENT_PAUSE : CALL_PAUSE);
+                        pause(record.id(), worker, silent ? SILENT_PAUSE : CALL_PAUSE);
                     }
                 });
     }
 
-    private void unanswered(MachineRecord record, WorkerState s, long token) {
-        s.unansweredStartToken = Optional.of(token);
-        s.unansweredAt = timeline.now();
-        decisions.record(
-                LOG, "machine {} did not answer a start; it is fenced before anything is concluded", record.id());
+    private void unanswered(MachineRecord machine, WorkerState worker, long token) {
+        worker.unansweredStartToken = Optional.of(token);
+        worker.unansweredAt = timeSource.now();
+        eventRecorder.record(
+                LOG, "machine {} did not answer a start; it is fenced before anything is concluded", machine.id());
     }
 
-    private void pause(String host, WorkerState s, Duration pause) {
-        s.nextCallAt = timeline.now().plus(pause);
+    private void pause(String host, WorkerState worker, Duration pause) {
+        worker.nextCallAt = timeSource.now().plus(pause);
         if (pause.isZero()) {
             pendingReconciliation.add(host);
             changed.run();
         } else {
-            timeline.schedule(pause, () -> {
+            timeSource.schedule(pause, () -> {
                 pendingReconciliation.add(host);
                 changed.run();
             });
         }
     }
 
-    private boolean answered(String host, WorkerState s, byte[] body) {
+    private boolean answered(String host, WorkerState worker, byte[] body) {
         try {
-            WorkerHeartbeat r = WorkerHeartbeat.parse(MessagePackCodec.read(body));
-            if (r.machineId().equals(host)) {
-                if (r.notice().isPresent()) {
+            WorkerHeartbeat heartbeat = WorkerHeartbeat.parse(MessagePackCodec.read(body));
+            if (heartbeat.machineId().equals(host)) {
+                if (heartbeat.notice().isPresent()) {
                     machinesWithNotice.add(host);
                 }
-                Optional<WorkerHeartbeat> before = s.lastHeartbeat;
-                s.answered(r, timeline.now());
-                reconcileIfChanged(r, before);
+                Optional<WorkerHeartbeat> before = worker.lastHeartbeat;
+                worker.answered(heartbeat, timeSource.now());
+                reconcileIfChanged(heartbeat, before);
                 return true;
             }
         } catch (MalformedMessageException ex) {
--- a/src/test/java/org/dunespindle/control/CommitQueueTest.java
+++ b/src/test/java/org/dunespindle/control/CommitQueueTest.java
@@ -63,7 +63,7 @@
 
     private CommitQueue committer() throws MalformedMessageException {
         var process = sim.new Process();
-        HttpClient http = (address, method, target, body, type, timeout) -> {
+        HttpClient httpClient = (address, method, target, body, type, timeout) -> {
             var result = new CompletableFuture<HttpClientResponse>();
             sim.after(10, () -> {
                 try {
@@ -74,52 +74,60 @@
             });
             return result;
         };
-        var state = new StateStoreClient(
-                http,
+        var stateStore = new StateStoreClient(
+                httpClient,
                 Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", "")),
                 process);
-        var replica = new StateReplica(state, process, Duration.ofMillis(300), () -> {});
+        var replica = new StateReplica(stateStore, process, Duration.ofMillis(300), () -> {});
         replica.start();
         sim.run(Duration.ofSeconds(1));
-        return new CommitQueue(state, replica, process, 16, () -> {});
+        return new CommitQueue(stateStore, replica, process, 16, () -> {});
     }
 
     @Test
     void staleChangesSinkFewOthers() throws MalformedMessageException {
-        CommitQueue committer = committer();
+        CommitQueue commitQueue = committer();
         Map<String, TransactionResult> results = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             String key = "ds/x/" + (i % 10 == 5 ? "stale" : "good") + i;
-            committer.propose(
+            commitQueue.propose(
                     CommitPriority.PLACEMENT,
-                    new Transaction().requireRevision(key, 0).write(key, MessagePackCodec.map().put("n", i)),
-                    r -> results.put(key, r));
+                    new Transaction()
+                            .requireRevision(key, 0)
+                            .write(key, MessagePackCodec.map().put("n", i)),
+                    result -> results.put(key, result));
         }
         sim.run(Duration.ofSeconds(10));
         assertEquals(60, results.size());
-        results.forEach((key, r) -> assertEquals(
-                key.contains("stale") ? TransactionResult.Conflict.class : TransactionResult.Applied.class, r.getClass(), key));
-        assertEquals(failed.stream().mapToInt(Integer::intValue).sum(), committer.conflicts());
+        results.forEach((key, result) -> assertEquals(
+                key.contains("stale") ? TransactionResult.Conflict.class : TransactionResult.Applied.class,
+                result.getClass(),
+                key));
+        assertEquals(failed.stream().mapToInt(Integer::intValue).sum(), commitQueue.conflicts());
         assertTrue(
-                committer.conflicts() <= 24,
-                committer.conflicts() + " changes were paid for in vain, for 6 stale ones: " + failed);
+                commitQueue.conflicts() <= 24,
+                commitQueue.conflicts() + " changes were paid for in vain, for 6 stale ones: " + failed);
     }
 
     /** One change that the service does not take as it is: the others are stored, it is told once and not sent again. */
     @Test
     void aRefusedChangeSinksNoOtherAndIsNotRepeated() throws MalformedMessageException {
-        CommitQueue committer = committer();
+        CommitQueue commitQueue = committer();
         Map<String, TransactionResult> results = new HashMap<>();
         for (int i = 0; i < 30; i++) {
             String key = "ds/x/" + (i % 10 == 5 ? "refused" : "good") + i;
-            committer.propose(
+            commitQueue.propose(
                     CommitPriority.PLACEMENT,
-                    new Transaction().requireRevision(key, 0).write(key, MessagePackCodec.map().put("n", i)),
-                    r -> results.put(key, r));
+                    new Transaction()
+                            .requireRevision(key, 0)
+                            .write(key, MessagePackCodec.map().put("n", i)),
+                    result -> results.put(key, result));
         }
         sim.run(Duration.ofSeconds(10));
-        results.forEach((key, r) -> assertEquals(
-                key.contains("refused") ? TransactionResult.Refused.class : TransactionResult.Applied.class, r.getClass(), key));
+        results.forEach((key, result) -> assertEquals(
+                key.contains("refused") ? TransactionResult.Refused.class : TransactionResult.Applied.class,
+                result.getClass(),
+                key));
         assertEquals(30, results.size());
         assertTrue(refusedAlone.values().stream().allMatch(count -> count == 1), "sent alone " + refusedAlone);
     }
--- a/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
@@ -11,9 +11,9 @@
 import java.util.TreeMap;
 import org.dunespindle.job.JobTransitions;
 import org.dunespindle.protocol.ExitCause;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.TaskPhase;
@@ -56,13 +56,14 @@
         return job(JobKind.GANG, 2, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h", 1, "k")));
     }
 
-    private static ReconciliationResult judge(JobRecord j, TaskStatus... tasks) {
-        List<PlacedTask> allocations = j.allocations().stream()
-                .filter(c -> c.machineId().equals("h"))
-                .map(c -> new PlacedTask(j, c))
+    private static ReconciliationResult judge(JobRecord job, TaskStatus... tasks) {
+        List<PlacedTask> allocations = job.allocations().stream()
+                .filter(allocation -> allocation.machineId().equals("h"))
+                .map(allocation -> new PlacedTask(job, allocation))
                 .toList();
         return HeartbeatReconciler.reconcile(
-                allocations, new WorkerHeartbeat("h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(tasks)));
+                allocations,
+                new WorkerHeartbeat("h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(tasks)));
     }
 
     private static TaskStatus status(long attempt, TaskPhase phase) {
@@ -73,8 +74,8 @@
         return new TaskStatus(FIRST, attempt, TaskPhase.EXITED, Optional.of(cause), false);
     }
 
-    private static long placeholder(JobRecord j) {
-        return j.allocation(0).orElseThrow().attemptBase();
+    private static long placeholder(JobRecord job) {
+        return job.allocation(0).orElseThrow().attemptBase();
     }
 
     @Test
@@ -91,54 +92,58 @@
 
     @Test
     void aPlaceholderThatWaitedInVainIsBookedAgain() {
-        JobRecord j = held();
-        var events = judge(j, exited(placeholder(j), ExitCause.INCOMPLETE)).terminations();
-        assertEquals(TerminationCause.ASSEMBLY_TIMEOUT, events.get(0).cause());
-        JobRecord after = JobTransitions.apply(j, events, Instant.EPOCH);
+        JobRecord job = held();
+        var terminations =
+                judge(job, exited(placeholder(job), ExitCause.INCOMPLETE)).terminations();
+        assertEquals(TerminationCause.ASSEMBLY_TIMEOUT, terminations.get(0).cause());
+        JobRecord after = JobTransitions.apply(job, terminations, Instant.EPOCH);
         assertEquals(2, after.allocations().size());
-        assertTrue(placeholder(after) > placeholder(j));
+        assertTrue(placeholder(after) > placeholder(job));
     }
 
     @Test
     void anOutcomeIsStoredBeforeItIsForgotten() {
-        JobRecord j = job(JobKind.ARRAY, 1, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h")));
-        var verdict = judge(j, exited(placeholder(j), ExitCause.DONE));
-        assertEquals(List.of(), verdict.commands());
-        JobRecord done = JobTransitions.apply(j, verdict.terminations(), Instant.EPOCH);
+        JobRecord job = job(JobKind.ARRAY, 1, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h")));
+        var result = judge(job, exited(placeholder(job), ExitCause.DONE));
+        assertEquals(List.of(), result.commands());
+        JobRecord done = JobTransitions.apply(job, result.terminations(), Instant.EPOCH);
         assertEquals(JobRecord.Outcome.DONE, done.outcome());
         assertEquals(
-                List.of(new WorkerCommand.Forget(FIRST, placeholder(j))),
-                judge(done, exited(placeholder(j), ExitCause.DONE)).commands());
+                List.of(new WorkerCommand.Forget(FIRST, placeholder(job))),
+                judge(done, exited(placeholder(job), ExitCause.DONE)).commands());
     }
 
     @Test
     void aCancelledTaskIsStoppedWithoutGraceEvenWhileSaving() {
-        JobRecord j = job(JobKind.ARRAY, 1, Duration.ofSeconds(5))
+        JobRecord job = job(JobKind.ARRAY, 1, Duration.ofSeconds(5))
                 .withPlaced(new TreeMap<>(Map.of(0, "h")))
                 .cancelled();
         assertEquals(
-                List.of(new WorkerCommand.Halt(FIRST, placeholder(j), Duration.ZERO)),
-                judge(j, status(placeholder(j), TaskPhase.SAVING)).commands());
-        assertEquals(TerminationCause.GONE, judge(j).terminations().get(0).cause());
+                List.of(new WorkerCommand.Halt(FIRST, placeholder(job), Duration.ZERO)),
+                judge(job, status(placeholder(job), TaskPhase.SAVING)).commands());
+        assertEquals(TerminationCause.GONE, judge(job).terminations().get(0).cause());
     }
 
     @Test
     void aTaskThatGivesWayMaySave() {
-        JobRecord j = job(JobKind.ARRAY, 1, Duration.ofSeconds(5))
+        JobRecord job = job(JobKind.ARRAY, 1, Duration.ofSeconds(5))
                 .withPlaced(new TreeMap<>(Map.of(0, "h")))
                 .withTaskStopping(0);
-        WorkerCommand.Halt halt = (WorkerCommand.Halt)
-                judge(j, status(placeholder(j), TaskPhase.RUNNING)).commands().get(0);
-        assertTrue(halt.grace().compareTo(j.submission().checkpointTime()) >= 0);
+        WorkerCommand.Halt halt = (WorkerCommand.Halt) judge(job, status(placeholder(job), TaskPhase.RUNNING))
+                .commands()
+                .get(0);
+        assertTrue(halt.grace().compareTo(job.submission().checkpointTime()) >= 0);
         assertEquals(
-                List.of(), judge(j, status(placeholder(j), TaskPhase.SAVING)).commands());
+                List.of(),
+                judge(job, status(placeholder(job), TaskPhase.SAVING)).commands());
     }
 
     @Test
     void oneLostMemberSendsTheWholeGangBackToPlacement() {
         JobRecord real = held().withGangRunning();
-        var events = judge(real, exited(real.gangAttempt(), ExitCause.PEERS)).terminations();
-        JobRecord after = JobTransitions.apply(real, events, Instant.EPOCH);
+        var terminations =
+                judge(real, exited(real.gangAttempt(), ExitCause.PEERS)).terminations();
+        JobRecord after = JobTransitions.apply(real, terminations, Instant.EPOCH);
         assertEquals(JobRecord.GangPhase.STOPPING, after.gangPhase());
         assertEquals(0, after.unplacedCount());
         JobRecord free = after.withReleased(1, false);
@@ -165,24 +170,28 @@
 
     @Test
     void aJobThatFailsEverywhereBacksOff() {
-        JobRecord j = job(JobKind.ARRAY, 1, Duration.ZERO);
+        JobRecord job = job(JobKind.ARRAY, 1, Duration.ZERO);
         for (int i = 0; i < 6; i++) {
-            j = j.withPlaced(new TreeMap<>(Map.of(0, "h")));
-            j = JobTransitions.apply(
-                    j,
+            job = job.withPlaced(new TreeMap<>(Map.of(0, "h")));
+            job = JobTransitions.apply(
+                    job,
                     List.of(new TaskTermination(
-                            j.id(), 0, j.allocation(0).orElseThrow().attemptBase(), TerminationCause.ERROR, "error")),
+                            job.id(),
+                            0,
+                            job.allocation(0).orElseThrow().attemptBase(),
+                            TerminationCause.ERROR,
+                            "error")),
                     Instant.EPOCH);
         }
-        assertTrue(j.notBefore().orElseThrow().isAfter(Instant.EPOCH.plusSeconds(4)));
+        assertTrue(job.notBefore().orElseThrow().isAfter(Instant.EPOCH.plusSeconds(4)));
     }
 
     @Test
     void tasksThatNobodyClaimsAreStopped() {
-        var verdict = HeartbeatReconciler.reconcile(
+        var result = HeartbeatReconciler.reconcile(
                 List.of(),
                 new WorkerHeartbeat(
                         "h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(status(3, TaskPhase.RUNNING))));
-        assertEquals(List.of(new WorkerCommand.Halt(FIRST, 3, Duration.ZERO)), verdict.commands());
+        assertEquals(List.of(new WorkerCommand.Halt(FIRST, 3, Duration.ZERO)), result.commands());
     }
 }
--- a/src/test/java/org/dunespindle/control/StoredControlFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/control/StoredControlFormsCompatibilityTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.control;
 
-import org.dunespindle.scheduling.QuotaAdmission;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,6 +9,7 @@
 import java.util.Optional;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Resources;
+import org.dunespindle.scheduling.QuotaAdmission;
 import org.dunespindle.storage.FormatVersion;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/org/dunespindle/federation/AdmissionTest.java
+++ b/src/test/java/org/dunespindle/federation/AdmissionTest.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.scheduling.ClusterSnapshot;
 import org.dunespindle.scheduling.MachinePool;
@@ -22,8 +22,8 @@
 import org.dunespindle.scheduling.Planner;
 import org.dunespindle.scheduling.ProjectedJobs;
 import org.dunespindle.scheduling.ServiceLevelObjectives;
-import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.InboundDelegation;
+import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
 /** What a cell tells of its room, and which jobs of other cells it takes. */
@@ -150,8 +150,8 @@
     void visitorsKeepTheirPriorityButOwnWorkOfTheSameGoesFirst() {
         Instant early = Instant.EPOCH;
         Instant late = Instant.EPOCH.plusSeconds(60);
-        JobRecord visitor =
-                JobRecord.acceptedFromOrigin(TestJobs.gang("wk-000001", Priority.URGENT, 8, false), early, InboundDelegation.of("a", 1));
+        JobRecord visitor = JobRecord.acceptedFromOrigin(
+                TestJobs.gang("wk-000001", Priority.URGENT, 8, false), early, InboundDelegation.of("a", 1));
         JobRecord own = JobRecord.accepted(TestJobs.gang("wk-000002", Priority.URGENT, 8, false), late);
         JobRecord ownLow = JobRecord.accepted(TestJobs.gang("wk-000003", Priority.LOW, 8, false), early);
         assertEquals(List.of("wk-000002"), placed(List.of(visitor, own)));
--- a/src/test/java/org/dunespindle/federation/CellMessageCodecTest.java
+++ b/src/test/java/org/dunespindle/federation/CellMessageCodecTest.java
@@ -127,7 +127,8 @@
 
     private static void refused(String text, String complaint) {
         var failure = assertThrows(
-                MalformedMessageException.class, () -> CellMessageCodec.readRequest(text.getBytes(StandardCharsets.UTF_8)));
+                MalformedMessageException.class,
+                () -> CellMessageCodec.readRequest(text.getBytes(StandardCharsets.UTF_8)));
         assertTrue(failure.getMessage().contains(complaint), failure.getMessage());
     }
 
--- a/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
+++ b/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
@@ -231,8 +231,8 @@
     }
 
     private static EnumSet<OutboundDelegation.Phase> allowed(int change) {
-        EnumSet<OutboundDelegation.Phase> outstanding =
-                EnumSet.of(OutboundDelegation.Phase.OFFERED, OutboundDelegation.Phase.ACCEPTED, OutboundDelegation.Phase.RECALLED);
+        EnumSet<OutboundDelegation.Phase> outstanding = EnumSet.of(
+                OutboundDelegation.Phase.OFFERED, OutboundDelegation.Phase.ACCEPTED, OutboundDelegation.Phase.RECALLED);
         return switch (change) {
             case 2 -> EnumSet.of(OutboundDelegation.Phase.RECALLED);
             case 4 -> EnumSet.of(OutboundDelegation.Phase.HOME);
@@ -242,11 +242,13 @@
 
     @Test
     void aTransferNumberIsNeverUsedAgain() {
-        OutboundDelegation back = OutboundDelegation.offer(Optional.empty(), "b", 5).returned(Instant.EPOCH);
+        OutboundDelegation back =
+                OutboundDelegation.offer(Optional.empty(), "b", 5).returned(Instant.EPOCH);
         assertThrows(IllegalStateException.class, () -> OutboundDelegation.offer(Optional.of(back), "c", 5));
     }
 
-    private static DelegationRules.Step next(OutboundDelegation delegation, Optional<InboundJobState> told, Duration waited) {
+    private static DelegationRules.Step next(
+            OutboundDelegation delegation, Optional<InboundJobState> told, Duration waited) {
         return DelegationRules.next(
                 new DelegationRules.View(delegation, told, waited, PATIENCE, Instant.EPOCH.plusSeconds(9)));
     }
@@ -266,7 +268,8 @@
 
     @Test
     void whatCannotBeIsNotGuessedAt() {
-        OutboundDelegation accepted = OutboundDelegation.offer(Optional.empty(), "b", 1).accepted();
+        OutboundDelegation accepted =
+                OutboundDelegation.offer(Optional.empty(), "b", 1).accepted();
         assertTrue(
                 next(accepted, Optional.of(InboundJobState.UNKNOWN), Duration.ZERO)
                         instanceof DelegationRules.Step.Contradiction);
@@ -277,7 +280,8 @@
 
     @Test
     void aJobThatBeganElsewhereStaysThereHoweverLongItWaits() {
-        OutboundDelegation accepted = OutboundDelegation.offer(Optional.empty(), "b", 1).accepted();
+        OutboundDelegation accepted =
+                OutboundDelegation.offer(Optional.empty(), "b", 1).accepted();
         assertEquals(
                 new DelegationRules.Step.Ask(),
                 next(accepted, Optional.of(InboundJobState.BEGUN), PATIENCE.multipliedBy(9)));
@@ -291,19 +295,38 @@
         var reports = new RemoteJobStates();
         var transfer = new Transfer("wk-000001", 7);
         var job = org.dunespindle.storage.JobRecord.accepted(TestJobs.array("wk-000001", 2), Instant.EPOCH)
-                .withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 7).accepted());
-        reports.take(InboundJobStatus.of(transfer, InboundJobState.UNKNOWN), OutboundDelegation.Phase.OFFERED, Duration.ofSeconds(9));
+                .withDelegationLink(
+                        OutboundDelegation.offer(Optional.empty(), "b", 7).accepted());
+        reports.take(
+                InboundJobStatus.of(transfer, InboundJobState.UNKNOWN),
+                OutboundDelegation.Phase.OFFERED,
+                Duration.ofSeconds(9));
         assertTrue(reports.of(job).isEmpty(), "it may not have arrived yet");
-        reports.take(InboundJobStatus.of(transfer, InboundJobState.BEGUN), OutboundDelegation.Phase.ACCEPTED, Duration.ofSeconds(5));
-        reports.take(InboundJobStatus.of(transfer, InboundJobState.QUEUED), OutboundDelegation.Phase.ACCEPTED, Duration.ofSeconds(3));
-        assertEquals(InboundJobState.BEGUN, reports.of(job).orElseThrow().report().state());
-        reports.take(InboundJobStatus.of(transfer, InboundJobState.DONE), OutboundDelegation.Phase.ACCEPTED, Duration.ofSeconds(4));
-        reports.take(InboundJobStatus.of(transfer, InboundJobState.BEGUN), OutboundDelegation.Phase.ACCEPTED, Duration.ofSeconds(8));
-        assertEquals(InboundJobState.DONE, reports.of(job).orElseThrow().report().state());
+        reports.take(
+                InboundJobStatus.of(transfer, InboundJobState.BEGUN),
+                OutboundDelegation.Phase.ACCEPTED,
+                Duration.ofSeconds(5));
+        reports.take(
+                InboundJobStatus.of(transfer, InboundJobState.QUEUED),
+                OutboundDelegation.Phase.ACCEPTED,
+                Duration.ofSeconds(3));
+        assertEquals(
+                InboundJobState.BEGUN, reports.of(job).orElseThrow().report().state());
+        reports.take(
+                InboundJobStatus.of(transfer, InboundJobState.DONE),
+                OutboundDelegation.Phase.ACCEPTED,
+                Duration.ofSeconds(4));
+        reports.take(
+                InboundJobStatus.of(transfer, InboundJobState.BEGUN),
+                OutboundDelegation.Phase.ACCEPTED,
+                Duration.ofSeconds(8));
+        assertEquals(
+                InboundJobState.DONE, reports.of(job).orElseThrow().report().state());
         reports.take(
                 InboundJobStatus.of(new Transfer("wk-000001", 6), InboundJobState.WITHDRAWN),
                 OutboundDelegation.Phase.ACCEPTED,
                 Duration.ofSeconds(9));
-        assertEquals(InboundJobState.DONE, reports.of(job).orElseThrow().report().state());
+        assertEquals(
+                InboundJobState.DONE, reports.of(job).orElseThrow().report().state());
     }
 }
--- a/src/test/java/org/dunespindle/federation/SpillPolicyTest.java
+++ b/src/test/java/org/dunespindle/federation/SpillPolicyTest.java
@@ -13,12 +13,12 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
-import org.dunespindle.storage.OutboundDelegation;
-import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.InboundDelegation;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.OutboundDelegation;
 import org.junit.jupiter.api.Test;
 
 /** Which jobs are offered to which cells. */
@@ -88,11 +88,13 @@
 
     @Test
     void whatCameBackIsGivenAgainOnlyLaterAndNotForEver() {
-        OutboundDelegation once = OutboundDelegation.offer(Optional.empty(), "b", 1).returned(NOW.plusSeconds(5));
+        OutboundDelegation once =
+                OutboundDelegation.offer(Optional.empty(), "b", 1).returned(NOW.plusSeconds(5));
         JobRecord paused = waiting("wk-000001", Priority.URGENT, 1).withDelegationLink(once);
         assertEquals(
                 0, choose(List.of(paused), List.of(target("b", 4)), List.of()).size());
-        OutboundDelegation due = OutboundDelegation.offer(Optional.empty(), "b", 1).returned(NOW);
+        OutboundDelegation due =
+                OutboundDelegation.offer(Optional.empty(), "b", 1).returned(NOW);
         JobRecord back = paused.withDelegationLink(due);
         List<SpillPolicy.Choice> choices = choose(List.of(back), List.of(target("b", 9), target("c", 2)), List.of());
         assertEquals("c", choices.get(0).cell(), "not to the one that gave it back, while there is another");
@@ -113,7 +115,9 @@
         JobRecord placed = job.withPlaced(Map.of(0, "i-1"));
         assertFalse(SpillPolicy.movable(placed));
         assertFalse(SpillPolicy.movable(placed.withReleased(0, false)), "a task of it was booked once");
-        assertFalse(SpillPolicy.movable(job.withDelegationLink(InboundDelegation.of("c", 4))), "visitors are never passed on");
+        assertFalse(
+                SpillPolicy.movable(job.withDelegationLink(InboundDelegation.of("c", 4))),
+                "visitors are never passed on");
         assertFalse(SpillPolicy.movable(job.withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 1))));
         JobRecord service = JobRecord.accepted(
                 TestJobs.of("wk-000002", JobKind.SERVICE, Priority.CRITICAL, 2, Optional.empty(), false), NOW);
--- a/src/test/java/org/dunespindle/federation/TestJobs.java
+++ b/src/test/java/org/dunespindle/federation/TestJobs.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 
 /** Jobs for tests of the federation's parts. */
--- a/src/test/java/org/dunespindle/job/PlacementWriterTest.java
+++ b/src/test/java/org/dunespindle/job/PlacementWriterTest.java
@@ -15,10 +15,10 @@
 import net.jqwik.api.Property;
 import org.dunespindle.control.TaskTermination;
 import org.dunespindle.control.TerminationCause;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
@@ -56,34 +56,34 @@
     void aRecordNeverOutgrowsItsValue(@ForAll long seed) {
         var random = new Random(seed);
         int perMachine = 1 + random.nextInt(96);
-        JobRecord j = array(25_000);
+        JobRecord job = array(25_000);
         int most = 0;
         for (int step = 0; step < 60; step++) {
             var places = new LinkedHashMap<Integer, String>();
             int count = 1 + random.nextInt(random.nextBoolean() ? 400 : 3000);
             int i = 0;
-            for (int task : j.unplaced(count)) {
+            for (int task : job.unplaced(count)) {
                 places.put(task, "i-%05d".formatted(i++ / perMachine));
             }
-            JobRecord placed = j.withPlaced(places);
+            JobRecord placed = job.withPlaced(places);
             int placedSize = MessagePackCodec.countedSize(placed.toNode());
             if (!places.isEmpty()
                     && PlacementWriter.fits(placedSize, placed.allocations().size(), VALUE)) {
-                j = placed;
+                job = placed;
             }
-            most = Math.max(most, j.allocations().size());
+            most = Math.max(most, job.allocations().size());
             int pattern = random.nextInt(3);
             var ended = new TreeMap<Integer, Boolean>();
-            for (Allocation c : j.allocations()) {
+            for (Allocation allocation : job.allocations()) {
                 if (pattern == 0
                         ? random.nextInt(3) == 0
-                        : pattern == 1 ? c.task() % 2 == 0 : random.nextInt(10) == 0) {
-                    ended.put(c.task(), pattern != 1 && random.nextInt(4) > 0);
+                        : pattern == 1 ? allocation.task() % 2 == 0 : random.nextInt(10) == 0) {
+                    ended.put(allocation.task(), pattern != 1 && random.nextInt(4) > 0);
                 }
             }
-            j = j.withReleased(ended);
-            int size = MessagePackCodec.countedSize(j.toNode());
-            assertTrue(size <= VALUE, size + " bytes with " + j.allocations().size() + " claims");
+            job = job.withReleased(ended);
+            int size = MessagePackCodec.countedSize(job.toNode());
+            assertTrue(size <= VALUE, size + " bytes with " + job.allocations().size() + " claims");
         }
         assertTrue(perMachine < 48 || most > 300, "no more than " + most + " under way");
     }
@@ -96,22 +96,24 @@
         for (int i = 0; i < 1 + random.nextInt(40); i++) {
             places.put(i, "i-%05d".formatted(i / 8));
         }
-        JobRecord j = array(random.nextBoolean() ? places.size() : 100).withPlaced(places);
-        var events = new ArrayList<TaskTermination>();
-        for (Allocation c : j.allocations()) {
+        JobRecord job = array(random.nextBoolean() ? places.size() : 100).withPlaced(places);
+        var terminations = new ArrayList<TaskTermination>();
+        for (Allocation allocation : job.allocations()) {
             if (random.nextInt(3) > 0) {
-                events.add(new TaskTermination(
-                        j.id(),
-                        c.task(),
-                        random.nextInt(8) == 0 ? 99 : c.attemptBase(),
+                terminations.add(new TaskTermination(
+                        job.id(),
+                        allocation.task(),
+                        random.nextInt(8) == 0 ? 99 : allocation.attemptBase(),
                         List.of(TerminationCause.DONE, TerminationCause.GONE).get(random.nextInt(2)),
                         "ended"));
             }
         }
-        JobRecord one = j;
-        for (TaskTermination e : events) {
-            one = JobTransitions.apply(one, List.of(e), Instant.EPOCH);
+        JobRecord one = job;
+        for (TaskTermination termination : terminations) {
+            one = JobTransitions.apply(one, List.of(termination), Instant.EPOCH);
         }
-        assertEquals(one.toNode(), JobTransitions.apply(j, events, Instant.EPOCH).toNode());
+        assertEquals(
+                one.toNode(),
+                JobTransitions.apply(job, terminations, Instant.EPOCH).toNode());
     }
 }
--- a/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
+++ b/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
@@ -9,9 +9,9 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
@@ -19,13 +19,13 @@
 /** Whether what failed is held against the machine or the job. */
 class CrashLoopDetectorTest {
     private final Map<String, JobRecord> records = new HashMap<>();
-    private final CrashLoopDetector failureAttribution =
+    private final CrashLoopDetector crashLoopDetector =
             new CrashLoopDetector(id -> Optional.ofNullable(records.get(id)));
 
     /** A job's task fails, and its record tells of it. */
     private void failed(String job, String machine) {
         records.put(job, record(job).withFailures(1, Optional.empty()));
-        failureAttribution.failed(job, machine);
+        crashLoopDetector.failed(job, machine);
     }
 
     private JobRecord record(String job) {
@@ -61,8 +61,8 @@
                 failed(job, machine);
             }
         }
-        assertTrue(failureAttribution.isCrashLooping("wk-1"));
-        assertEquals(0, failureAttribution.jobsFailedOn("a"));
+        assertTrue(crashLoopDetector.isCrashLooping("wk-1"));
+        assertEquals(0, crashLoopDetector.jobsFailedOn("a"));
     }
 
     @Test
@@ -71,20 +71,20 @@
         failed("wk-1", "a");
         failed("wk-2", "a");
         failed("wk-3", "a");
-        assertFalse(failureAttribution.isCrashLooping("wk-1"));
-        assertEquals(3, failureAttribution.jobsFailedOn("a"));
-        failureAttribution.succeeded("wk-4", "a");
-        assertEquals(0, failureAttribution.jobsFailedOn("a"));
+        assertFalse(crashLoopDetector.isCrashLooping("wk-1"));
+        assertEquals(3, crashLoopDetector.jobsFailedOn("a"));
+        crashLoopDetector.succeeded("wk-4", "a");
+        assertEquals(0, crashLoopDetector.jobsFailedOn("a"));
     }
 
     @Test
     void oneThatEndedWellSomewhereIsNotFaultyHoweverManyMachinesAre() {
-        failureAttribution.succeeded("wk-1", "z");
+        crashLoopDetector.succeeded("wk-1", "z");
         for (String machine : new String[] {"a", "b", "c", "d"}) {
             failed("wk-1", machine);
         }
-        assertFalse(failureAttribution.isCrashLooping("wk-1"));
-        assertEquals(1, failureAttribution.jobsFailedOn("a"));
+        assertFalse(crashLoopDetector.isCrashLooping("wk-1"));
+        assertEquals(1, crashLoopDetector.jobsFailedOn("a"));
     }
 
     /** Two faulty jobs that met on one machine first: the other controllers' machines saw them fail too, and the records tell. */
@@ -92,9 +92,9 @@
     void whatFailsElsewhereTooSaysNothingAboutOneMachine() {
         failed("wk-1", "a");
         failed("wk-2", "a");
-        assertEquals(2, failureAttribution.jobsFailedOn("a"));
+        assertEquals(2, crashLoopDetector.jobsFailedOn("a"));
         records.put("wk-1", records.get("wk-1").withFailures(4, Optional.empty()));
-        assertEquals(1, failureAttribution.jobsFailedOn("a"));
+        assertEquals(1, crashLoopDetector.jobsFailedOn("a"));
     }
 
     @Test
@@ -102,9 +102,9 @@
         failed("wk-1", "a");
         failed("wk-2", "a");
         records.put("wk-1", records.get("wk-1").cancelled());
-        failureAttribution.prune("a"::equals);
-        assertEquals(1, failureAttribution.jobsFailedOn("a"));
-        failureAttribution.prune("b"::equals);
-        assertEquals(0, failureAttribution.jobsFailedOn("a"));
+        crashLoopDetector.prune("a"::equals);
+        assertEquals(1, crashLoopDetector.jobsFailedOn("a"));
+        crashLoopDetector.prune("b"::equals);
+        assertEquals(0, crashLoopDetector.jobsFailedOn("a"));
     }
 }
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.peer;
 
-import org.dunespindle.control.StateServiceStub;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.nio.charset.StandardCharsets;
@@ -13,6 +11,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
+import org.dunespindle.control.StateServiceStub;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.transport.HttpClient;
@@ -41,7 +40,7 @@
         return CompletableFuture.completedFuture(new HttpClientResponse(200, answer.getBytes(StandardCharsets.UTF_8)));
     };
 
-    private final PeerHeartbeats peers = new PeerHeartbeats(
+    private final PeerHeartbeats peerHeartbeats = new PeerHeartbeats(
             service.settings,
             peer,
             service.process,
@@ -73,7 +72,8 @@
     }
 
     private String hear(String heartbeat) {
-        return peers.receive(heartbeat.getBytes(StandardCharsets.UTF_8), VIEW_AGE, NEED)
+        return peerHeartbeats
+                .receive(heartbeat.getBytes(StandardCharsets.UTF_8), VIEW_AGE, NEED)
                 .toString();
     }
 
@@ -84,8 +84,8 @@
         List<MachineStatus> news = List.of(news("i-0023", 8, "image:7", "image:8"), news("i-0024", 9));
         String head = "peer:1 POST /peer/heartbeat application/json "
                 + "{\"node\":\"n0\",\"inc\":6,\"viewAgeMs\":250,\"writes\":12.5,\"waiting\":4,\"readTo\":5,";
-        peers.send(VIEW_AGE, NEED, news);
-        peers.send(VIEW_AGE, NEED, news);
+        peerHeartbeats.send(VIEW_AGE, NEED, news);
+        peerHeartbeats.send(VIEW_AGE, NEED, news);
         assertEquals(
                 List.of(
                         head
@@ -96,7 +96,7 @@
         assertEquals("n1 knows of [wk-000001, wk-000002]", told.get(0));
         assertEquals(
                 Optional.of(new PeerState(service.process.now(), 3, Duration.ofMillis(70), 1.5, 2)),
-                peers.heartbeat("n1"));
+                peerHeartbeats.heartbeat("n1"));
     }
 
     @Test
@@ -108,13 +108,13 @@
                         + "\"news\":[[\"i-0023\",11,true,false,40,\"10.0.0.7:7000\",\"image:7\"],"
                         + "[\"i-0024\",12,false,true,50,\"\"]],\"upTo\":9}"));
         Duration now = service.process.now();
-        assertEquals(Optional.of(new PeerState(now, 3, Duration.ofMillis(70), 1.5, 2)), peers.heartbeat("n1"));
+        assertEquals(Optional.of(new PeerState(now, 3, Duration.ofMillis(70), 1.5, 2)), peerHeartbeats.heartbeat("n1"));
         assertEquals(
                 Optional.of(new ReportedMachine(true, false, Duration.ofMillis(40), now, "10.0.0.7:7000", 11)),
-                peers.machine(machine("i-0023", 11)));
+                peerHeartbeats.machine(machine("i-0023", 11)));
         assertEquals(
                 Optional.of(new ReportedMachine(false, true, Duration.ofMillis(50), now, "", 12)),
-                peers.machine(machine("i-0024", 12)));
+                peerHeartbeats.machine(machine("i-0024", 12)));
         assertEquals(List.of("i-0023 has image:7"), told);
     }
 
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
@@ -22,7 +22,7 @@
 /** What controllers tell one another of machines, and what of it still holds later. */
 class PeerHeartbeatsTest {
     private final VirtualTime sim = new VirtualTime(1);
-    private final PeerHeartbeats peers = new PeerHeartbeats(
+    private final PeerHeartbeats peerHeartbeats = new PeerHeartbeats(
             settings(),
             (address, method, target, body, type, timeout) -> new java.util.concurrent.CompletableFuture<>(),
             sim.new Process(),
@@ -69,7 +69,7 @@
                     .add("a:1")
                     .add("image");
         }
-        return peers.receive(AdminApi.write(n), Duration.ZERO, new WriteDemand(0, 0));
+        return peerHeartbeats.receive(AdminApi.write(n), Duration.ZERO, new WriteDemand(0, 0));
     }
 
     @Test
@@ -77,10 +77,10 @@
         heartbeat("n1", 1, 0, 1, true);
         sim.run(Duration.ofSeconds(3));
         heartbeat("n1", 1, 1, 1, false);
-        assertEquals(Optional.of(Duration.ofSeconds(3)), peers.aliveAt(host("n1", 3)));
-        assertTrue(peers.machine(host("n1", 3)).orElseThrow().up());
+        assertEquals(Optional.of(Duration.ofSeconds(3)), peerHeartbeats.aliveAt(host("n1", 3)));
+        assertTrue(peerHeartbeats.machine(host("n1", 3)).orElseThrow().up());
         sim.run(Duration.ofSeconds(30));
-        assertEquals(Optional.empty(), peers.machine(host("n1", 3)));
+        assertEquals(Optional.empty(), peerHeartbeats.machine(host("n1", 3)));
     }
 
     /** A machine that died under its new owner counted as alive for ever, because the earlier one went on talking. */
@@ -89,38 +89,41 @@
         heartbeat("n1", 1, 0, 1, true);
         sim.run(Duration.ofSeconds(20));
         heartbeat("n1", 1, 1, 1, false);
-        assertEquals(Optional.of(Duration.ZERO), peers.aliveAt(host("n0", 4)));
+        assertEquals(Optional.of(Duration.ZERO), peerHeartbeats.aliveAt(host("n0", 4)));
         assertEquals(
-                Optional.of(Duration.ZERO), peers.aliveAt(host("n1", 5)), "back under a new token, not proven yet");
-        assertEquals(Optional.empty(), peers.machine(host("n1", 5)));
+                Optional.of(Duration.ZERO),
+                peerHeartbeats.aliveAt(host("n1", 5)),
+                "back under a new token, not proven yet");
+        assertEquals(Optional.empty(), peerHeartbeats.machine(host("n1", 5)));
     }
 
     @Test
     void newsThatDoNotContinueWhatIsKnownAreAskedForAgain() {
         assertEquals(0, heartbeat("n1", 1, 7, 9, true).path("took").asLong());
-        assertEquals(Optional.empty(), peers.machine(host("n1", 3)));
+        assertEquals(Optional.empty(), peerHeartbeats.machine(host("n1", 3)));
         assertEquals(9, heartbeat("n1", 1, 0, 9, true).path("took").asLong());
         assertEquals(0, heartbeat("n1", 2, 9, 9, false).path("took").asLong(), "a new process starts counting anew");
-        assertEquals(Optional.empty(), peers.machine(host("n1", 3)));
+        assertEquals(Optional.empty(), peerHeartbeats.machine(host("n1", 3)));
     }
 
     @Test
     void unreadableWordsCountAsNone() {
         for (String s : List.of("", "nonsense", "[]", "{\"node\":3}")) {
-            peers.receive(s.getBytes(java.nio.charset.StandardCharsets.UTF_8), Duration.ZERO, new WriteDemand(0, 0));
+            peerHeartbeats.receive(
+                    s.getBytes(java.nio.charset.StandardCharsets.UTF_8), Duration.ZERO, new WriteDemand(0, 0));
         }
-        assertEquals(Set.of(), Set.copyOf(peers.livePeers()));
+        assertEquals(Set.of(), Set.copyOf(peerHeartbeats.livePeers()));
     }
 
     /** Its lease tells within seconds whether it has ended; until then its machines are not taken one by one. */
     @Test
     void whoFellQuietAMomentAgoMayHaveEnded() {
-        assertEquals(false, peers.isSuspected("n1"));
+        assertEquals(false, peerHeartbeats.isSuspected("n1"));
         heartbeat("n1", 1, 0, 1, true);
-        assertEquals(false, peers.isSuspected("n1"));
+        assertEquals(false, peerHeartbeats.isSuspected("n1"));
         sim.run(Duration.ofSeconds(3));
-        assertEquals(true, peers.isSuspected("n1"));
+        assertEquals(true, peerHeartbeats.isSuspected("n1"));
         sim.run(Duration.ofSeconds(9));
-        assertEquals(false, peers.isSuspected("n1"), "it lives, or its machines have been taken by now");
+        assertEquals(false, peerHeartbeats.isSuspected("n1"), "it lives, or its machines have been taken by now");
     }
 }
--- a/src/test/java/org/dunespindle/protocol/FormatsTest.java
+++ b/src/test/java/org/dunespindle/protocol/FormatsTest.java
@@ -61,8 +61,8 @@
     }
 
     @Property(seed = "1", tries = 200)
-    void submissionsSurviveTheWire(@ForAll("submissions") Submission s) throws MalformedMessageException {
-        assertEquals(s, Submission.parse(MessagePackCodec.read(MessagePackCodec.write(s.toNode()))));
+    void submissionsSurviveTheWire(@ForAll("submissions") Submission submission) throws MalformedMessageException {
+        assertEquals(submission, Submission.parse(MessagePackCodec.read(MessagePackCodec.write(submission.toNode()))));
     }
 
     @Property(seed = "2", tries = 500)
@@ -71,8 +71,9 @@
     }
 
     @Property(seed = "3", tries = 300)
-    void damagedSubmissionsAreReadOrRefused(@ForAll("submissions") Submission s, @ForAll int where, @ForAll byte what) {
-        byte[] bytes = MessagePackCodec.write(s.toNode());
+    void damagedSubmissionsAreReadOrRefused(
+            @ForAll("submissions") Submission submission, @ForAll int where, @ForAll byte what) {
+        byte[] bytes = MessagePackCodec.write(submission.toNode());
         bytes[Math.floorMod(where, bytes.length)] = what;
         refusedOrRead(bytes);
     }
@@ -88,8 +89,8 @@
     }
 
     @Property(seed = "4", tries = 200)
-    void everyFieldOfASubmissionIsChecked(@ForAll("submissions") Submission s, @ForAll int which) {
-        ObjectNode node = s.toNode();
+    void everyFieldOfASubmissionIsChecked(@ForAll("submissions") Submission submission, @ForAll int which) {
+        ObjectNode node = submission.toNode();
         List<String> required = List.of(
                 "id",
                 "jobclass",
@@ -161,11 +162,11 @@
                 .put("try", 4)
                 .put("phase", "exited")
                 .put("cause", "no_room");
-        WorkerHeartbeat r = WorkerHeartbeat.parse(MessagePackCodec.read(MessagePackCodec.write(n)));
-        assertEquals(Optional.of(Duration.ofMillis(12_500)), r.notice());
+        WorkerHeartbeat heartbeat = WorkerHeartbeat.parse(MessagePackCodec.read(MessagePackCodec.write(n)));
+        assertEquals(Optional.of(Duration.ofMillis(12_500)), heartbeat.notice());
         assertEquals(
                 Optional.of(ExitCause.NO_ROOM),
-                r.find(new TaskId("wk-1", 3), 4).orElseThrow().cause());
+                heartbeat.find(new TaskId("wk-1", 3), 4).orElseThrow().cause());
     }
 
     @Test
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -16,10 +16,10 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
@@ -73,7 +73,8 @@
 
     private static Plan plan(List<JobRecord> jobs, List<MachineSnapshot> hosts) {
         var places = new HashMap<String, MachinePool>();
-        hosts.forEach(h -> places.put(h.id(), new MachinePool(h.type(), h.zone(), h.spot())));
+        hosts.forEach(
+                machine -> places.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot())));
         return Planner.plan(snapshot(ProjectedJobs.ofStored(jobs), hosts, places));
     }
 
@@ -86,7 +87,7 @@
                 TEAMS,
                 places,
                 Set.of(),
-                j -> 100,
+                job -> 100,
                 Set.of(),
                 Set.of(),
                 true,
@@ -118,12 +119,14 @@
         for (int round = 0; round < 4; round++) {
             Plan plan = plan(jobs, hosts);
             var byId = new LinkedHashMap<String, JobRecord>();
-            jobs.forEach(j -> byId.put(j.id(), j));
-            plan.bindings().forEach(b -> byId.put(b.job().id(), b.job().withPlaced(b.places())));
+            jobs.forEach(job -> byId.put(job.id(), job));
+            plan.bindings()
+                    .forEach(binding ->
+                            byId.put(binding.job().id(), binding.job().withPlaced(binding.places())));
             plan.evictions()
-                    .forEach(e -> byId.computeIfPresent(
-                            e.victim().id(),
-                            (id, j) -> j.withReleased(e.allocation().task(), false)));
+                    .forEach(eviction -> byId.computeIfPresent(
+                            eviction.victim().id(),
+                            (id, job) -> job.withReleased(eviction.allocation().task(), false)));
             jobs.clear();
             jobs.addAll(byId.values());
             check(jobs, hosts);
@@ -135,25 +138,26 @@
                 .use()
                 .forEach((team, use) -> assertTrue(TEAMS.get(team).withinLimit(use), team + " uses " + use));
         var room = new HashMap<String, Integer>();
-        for (JobRecord j : jobs) {
+        for (JobRecord job : jobs) {
             var zones = new HashMap<String, Integer>();
-            j.allocations().forEach(c -> {
-                MachineSnapshot h = hosts.stream()
-                        .filter(x -> x.id().equals(c.machineId()))
+            job.allocations().forEach(allocation -> {
+                MachineSnapshot machine = hosts.stream()
+                        .filter(x -> x.id().equals(allocation.machineId()))
                         .findFirst()
                         .orElseThrow();
-                room.merge(h.id(), 1, Integer::sum);
-                zones.merge(h.zone(), 1, Integer::sum);
-                assertTrue(j.submission().spot() || !h.spot(), "spot not allowed");
+                room.merge(machine.id(), 1, Integer::sum);
+                zones.merge(machine.zone(), 1, Integer::sum);
+                assertTrue(job.submission().spot() || !machine.spot(), "spot not allowed");
             });
-            assertTrue(!j.submission().sameZone() || zones.size() <= 1, "one zone");
+            assertTrue(!job.submission().sameZone() || zones.size() <= 1, "one zone");
             assertTrue(
-                    !j.submission().spread()
+                    !job.submission().spread()
                             || zones.values().stream()
-                                    .allMatch(n -> n <= (j.submission().tasks() + 1) / 2),
+                                    .allMatch(n -> n <= (job.submission().tasks() + 1) / 2),
                     "apart");
         }
-        hosts.forEach(h -> assertTrue(room.getOrDefault(h.id(), 0) <= h.size().gpus(), "room on " + h.id()));
+        hosts.forEach(machine ->
+                assertTrue(room.getOrDefault(machine.id(), 0) <= machine.size().gpus(), "room on " + machine.id()));
     }
 
     @Test
@@ -179,13 +183,13 @@
         assertTrue(plan.reasons().get("wk-000002").contains("behind gang wk-000001"));
         assertEquals(
                 List.of("wk-000003", "wk-000001"),
-                plan.bindings().stream().map(b -> b.job().id()).toList());
+                plan.bindings().stream().map(binding -> binding.job().id()).toList());
     }
 
     @Test
     void aFullyBookedGangAndGangsOfOneDoNotHoldUpTheQueue() {
-        JobRecord booked =
-                job(1, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE).withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a")));
+        JobRecord booked = job(1, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE)
+                .withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a")));
         Plan plan = plan(
                 List.of(
                         booked,
@@ -194,7 +198,7 @@
                 List.of(host("a", "east", false, 5)));
         assertEquals(
                 List.of("wk-000002", "wk-000003"),
-                plan.bindings().stream().map(b -> b.job().id()).toList());
+                plan.bindings().stream().map(binding -> binding.job().id()).toList());
     }
 
     @Test
@@ -206,33 +210,34 @@
         Plan plan = plan(List.of(low, gang), hosts);
         assertEquals(1, plan.evictions().size());
         // While the stopped task has not left, nothing else is emptied for the same gang.
-        JobRecord stopping = low.withTaskStopping(plan.evictions().get(0).allocation().task());
+        JobRecord stopping =
+                low.withTaskStopping(plan.evictions().get(0).allocation().task());
         assertEquals(List.of(), plan(List.of(stopping, gang), hosts).evictions());
     }
 
-    private static JobRecord withImage(JobRecord record, String image) {
-        Submission s = record.submission();
+    private static JobRecord withImage(JobRecord job, String image) {
+        Submission submission = job.submission();
         return JobRecord.accepted(
                 new Submission(
-                        s.id(),
-                        s.jobClass(),
-                        s.team(),
-                        s.kind(),
-                        s.priority(),
-                        s.tasks(),
-                        s.perTask(),
-                        s.types(),
-                        s.zone(),
-                        s.sameZone(),
-                        s.spread(),
-                        s.spot(),
+                        submission.id(),
+                        submission.jobClass(),
+                        submission.team(),
+                        submission.kind(),
+                        submission.priority(),
+                        submission.tasks(),
+                        submission.perTask(),
+                        submission.types(),
+                        submission.zone(),
+                        submission.sameZone(),
+                        submission.spread(),
+                        submission.spot(),
                         image,
-                        s.imageGb(),
-                        s.estimate(),
-                        s.checkpointEvery(),
-                        s.checkpointTime(),
-                        s.due()),
-                record.arrived());
+                        submission.imageGb(),
+                        submission.estimate(),
+                        submission.checkpointEvery(),
+                        submission.checkpointTime(),
+                        submission.due()),
+                job.arrived());
     }
 
     /** Fetches of several images share a machine's rate: without this a gang waited for its image beside others' fetches. */
@@ -261,11 +266,11 @@
         Plan plan = plan(List.of(lost, open), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000600"),
-                plan.bindings().stream().map(b -> b.job().id()).toList());
+                plan.bindings().stream().map(binding -> binding.job().id()).toList());
     }
 
-    private static JobRecord begun(JobRecord j) {
-        return j.withPlaced(new TreeMap<>(Map.of(0, "gone"))).withReleased(0, true);
+    private static JobRecord begun(JobRecord job) {
+        return job.withPlaced(new TreeMap<>(Map.of(0, "gone"))).withReleased(0, true);
     }
 
     @Test
@@ -303,7 +308,7 @@
         Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000050"),
-                plan.bindings().stream().map(b -> b.job().id()).toList());
+                plan.bindings().stream().map(binding -> binding.job().id()).toList());
     }
 
     @Test
@@ -313,7 +318,7 @@
         Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000990"),
-                plan.bindings().stream().map(b -> b.job().id()).toList());
+                plan.bindings().stream().map(binding -> binding.job().id()).toList());
     }
 
     /**
@@ -334,7 +339,7 @@
                 TEAMS,
                 Map.of(),
                 Set.of(),
-                j -> 3,
+                job -> 3,
                 ended,
                 Set.of(),
                 true,
@@ -348,8 +353,8 @@
     /** Room that urgent jobs will need within seconds is not filled with work that would have to give way again. */
     @Test
     void roomForWhatComesWithinSecondsIsKeptFromLowerWork() {
-        var phantom =
-                new DemandForecast.ForecastJob(job(1, "red", JobKind.GANG, Priority.URGENT, 2, new Where(false, false, false)), 2);
+        var phantom = new DemandForecast.ForecastJob(
+                job(1, "red", JobKind.GANG, Priority.URGENT, 2, new Where(false, false, false)), 2);
         JobRecord low = job(990, "blue", JobKind.ARRAY, Priority.LOW, 5, ANYWHERE);
         JobRecord equal = job(991, "blue", JobKind.ARRAY, Priority.URGENT, 1, ANYWHERE);
         var hosts = List.of(host("a", "east", false, 4));
@@ -360,7 +365,7 @@
                 TEAMS,
                 Map.of(),
                 Set.of(),
-                j -> 100,
+                job -> 100,
                 Set.of(),
                 Set.of(),
                 true,
@@ -370,7 +375,7 @@
                 p -> Duration.ZERO));
         assertEquals(
                 List.of(1, 1),
-                plan.bindings().stream().map(b -> b.places().size()).toList());
+                plan.bindings().stream().map(binding -> binding.places().size()).toList());
     }
 
     /** A job of which this controller proposed one task, while another stored more of it. */
@@ -386,7 +391,8 @@
         ProjectedJob used = overtaken(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
         Plan plan =
                 Planner.plan(snapshot(new ProjectedJobs(List.of(used, ProjectedJob.ofStored(gang))), hosts, Map.of()));
-        assertTrue(plan.bindings().stream().noneMatch(b -> b.job().id().equals(gang.id())));
+        assertTrue(
+                plan.bindings().stream().noneMatch(binding -> binding.job().id().equals(gang.id())));
     }
 
     @Test
@@ -398,13 +404,14 @@
                 new ProjectedJobs(List.of(full, ProjectedJob.ofStored(other))),
                 List.of(host("a", "east", false, 3)),
                 Map.of()));
-        assertTrue(plan.bindings().stream().noneMatch(b -> b.job().id().equals(other.id())));
+        assertTrue(
+                plan.bindings().stream().noneMatch(binding -> binding.job().id().equals(other.id())));
     }
 
     @Test
     void equalPriorityNeverGivesWay() {
-        JobRecord other =
-                job(1, "blue", JobKind.ARRAY, Priority.URGENT, 2, ANYWHERE).withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a")));
+        JobRecord other = job(1, "blue", JobKind.ARRAY, Priority.URGENT, 2, ANYWHERE)
+                .withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a")));
         Plan plan = plan(
                 List.of(other, job(2, "red", JobKind.GANG, Priority.URGENT, 1, ANYWHERE)),
                 List.of(host("a", "east", false, 2)));
@@ -429,7 +436,7 @@
         Plan roomy = plan(gangs, List.of(host("h1", "east", false, 4), host("h2", "east", false, 4)));
         assertEquals(
                 List.of("wk-000001"),
-                roomy.bindings().stream().map(b -> b.job().id()).toList());
+                roomy.bindings().stream().map(binding -> binding.job().id()).toList());
         assertEquals(List.of(), roomy.shortfalls());
         assertEquals(Set.of("h1", "h2"), roomy.wantedMachines());
     }
--- a/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
+++ b/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
@@ -173,7 +173,8 @@
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, 100);
         var view = new QuotaAdmission.QuotaView(
                 team, NAMES, QuotaAdmission.Reservation.NONE, false, Resources.NONE, Resources.NONE, true, gpus(90));
-        var write = assertInstanceOf(QuotaAdmission.Decision.AdmitWithReservation.class, QuotaAdmission.decide(view, gpus(8)));
+        var write = assertInstanceOf(
+                QuotaAdmission.Decision.AdmitWithReservation.class, QuotaAdmission.decide(view, gpus(8)));
         assertTrue(write.reservation().closed());
         assertInstanceOf(QuotaAdmission.Decision.Defer.class, QuotaAdmission.decide(view, gpus(11)));
     }
@@ -185,20 +186,23 @@
         assertEquals(
                 new QuotaAdmission.Decision.Admit(),
                 QuotaAdmission.decide(
-                        new QuotaAdmission.QuotaView(team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(60)),
+                        new QuotaAdmission.QuotaView(
+                                team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(60)),
                         gpus(40)));
         // Used up: the bound allows for all that the two others may have placed.
         var write = assertInstanceOf(
                 QuotaAdmission.Decision.AdmitWithReservation.class,
                 QuotaAdmission.decide(
-                        new QuotaAdmission.QuotaView(team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(50)),
+                        new QuotaAdmission.QuotaView(
+                                team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(50)),
                         gpus(41)));
         assertEquals(291, write.reservation().bound().gpus());
         // What the bound cannot allow waits until the shares are closed.
         assertInstanceOf(
                 QuotaAdmission.Decision.RevokeShares.class,
                 QuotaAdmission.decide(
-                        new QuotaAdmission.QuotaView(team, NAMES, entry, true, gpus(100), Resources.NONE, true, gpus(70)),
+                        new QuotaAdmission.QuotaView(
+                                team, NAMES, entry, true, gpus(100), Resources.NONE, true, gpus(70)),
                         gpus(60)));
     }
 
@@ -207,7 +211,8 @@
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, 300);
         var entry = new QuotaAdmission.Reservation(gpus(0), new Resources(1e9, 50, 0));
         var unanswered = new QuotaAdmission.QuotaView(team, NAMES, entry, true, gpus(40), gpus(40), true, gpus(0));
-        var write = assertInstanceOf(QuotaAdmission.Decision.AdmitWithReservation.class, QuotaAdmission.decide(unanswered, gpus(20)));
+        var write = assertInstanceOf(
+                QuotaAdmission.Decision.AdmitWithReservation.class, QuotaAdmission.decide(unanswered, gpus(20)));
         assertEquals(160, write.reservation().bound().gpus());
     }
 
--- a/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
@@ -66,7 +66,8 @@
 
     private Plan plan(JobRecord... jobs) {
         var places = new HashMap<String, MachinePool>();
-        hosts.forEach(h -> places.put(h.id(), new MachinePool(h.type(), h.zone(), h.spot())));
+        hosts.forEach(
+                machine -> places.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot())));
         return Planner.plan(new ClusterSnapshot(
                 Instant.ofEpochSecond(1000),
                 ProjectedJobs.ofStored(List.of(jobs)),
@@ -74,7 +75,7 @@
                 TEAMS,
                 places,
                 Set.of(),
-                j -> 100,
+                job -> 100,
                 Set.of(),
                 Set.of(),
                 true,
@@ -86,8 +87,8 @@
 
     private static List<String> placesOf(Plan plan, JobRecord job) {
         return plan.bindings().stream()
-                .filter(b -> b.job().id().equals(job.id()))
-                .flatMap(b -> b.places().values().stream())
+                .filter(binding -> binding.job().id().equals(job.id()))
+                .flatMap(binding -> binding.places().values().stream())
                 .toList();
     }
 
@@ -198,7 +199,7 @@
                 TEAMS,
                 Map.of(),
                 Set.of(),
-                j -> snapshotMost[0],
+                job -> snapshotMost[0],
                 Set.of(),
                 Set.of(),
                 true,
--- a/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
+++ b/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
@@ -14,10 +14,10 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
@@ -179,7 +179,9 @@
                         job, stored.stamp, Optional.empty(), copy.ledger.stamp, Optional.of(close.reservation()), 0);
             } else if (!(way instanceof QuotaAdmission.Decision.Defer)) {
                 Optional<QuotaAdmission.Reservation> entry =
-                        way instanceof QuotaAdmission.Decision.AdmitWithReservation write ? Optional.of(write.reservation()) : Optional.empty();
+                        way instanceof QuotaAdmission.Decision.AdmitWithReservation write
+                                ? Optional.of(write.reservation())
+                                : Optional.empty();
                 JobRecord after = placed(released(stored.value, endedTasks), tasks);
                 proposal = new Proposal(job, stored.stamp, Optional.of(after), copy.ledger.stamp, entry, tasks);
                 spent += tasks;
@@ -319,7 +321,9 @@
         JobRecord stored = placed(before, 20);
         assertEquals(
                 20,
-                TeamUsage.counted(List.of(new ProjectedJob(stored, own))).of(TEAM).gpus());
+                TeamUsage.counted(List.of(new ProjectedJob(stored, own)))
+                        .of(TEAM)
+                        .gpus());
     }
 
     @Test
@@ -328,7 +332,9 @@
         JobRecord own = placed(stored.withReleased(Map.of(0, true, 1, true, 2, true)), 4);
         assertEquals(
                 9,
-                TeamUsage.counted(List.of(new ProjectedJob(stored, own))).of(TEAM).gpus());
+                TeamUsage.counted(List.of(new ProjectedJob(stored, own)))
+                        .of(TEAM)
+                        .gpus());
     }
 
     /** Whether it is stored or not, a task is on one machine. */
@@ -338,6 +344,8 @@
         JobRecord own = placed(stored.withReleased(Map.of(0, false, 1, false, 2, false)), 4);
         assertEquals(
                 6,
-                TeamUsage.counted(List.of(new ProjectedJob(stored, own))).of(TEAM).gpus());
+                TeamUsage.counted(List.of(new ProjectedJob(stored, own)))
+                        .of(TEAM)
+                        .gpus());
     }
 }
--- a/src/test/java/org/dunespindle/sim/AdminAnswersCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminAnswersCompatibilityTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.api.AdminResponse;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
@@ -18,10 +16,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import org.dunespindle.api.AdminApi;
+import org.dunespindle.api.AdminResponse;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -6,9 +6,9 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -447,10 +447,7 @@
                 "given back");
         assertEquals(
                 List.of(),
-                used.stream()
-                        .filter(w -> w.session() > 1)
-                        .map(FakeWorker::id)
-                        .toList(),
+                used.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "leases that ran out");
         cluster.deafNode = -1;
         cluster.sim.run(Duration.ofSeconds(125));
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -17,12 +17,12 @@
 import org.dunespindle.federation.CellId;
 import org.dunespindle.federation.CellReply;
 import org.dunespindle.federation.CellRequest;
-import org.dunespindle.federation.Transfer;
-import org.dunespindle.federation.InboundJobStatus;
 import org.dunespindle.federation.InboundJobState;
+import org.dunespindle.federation.InboundJobStatus;
+import org.dunespindle.federation.Transfer;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.FormatVersion;
 import org.junit.jupiter.api.Test;
@@ -74,7 +74,11 @@
         var ids = new ArrayList<String>();
         for (int i = 0; i < count; i++) {
             Submission build = job(
-                    "wk-%06d".formatted(i), "blue", i % 2 == 0 ? JobKind.GANG : JobKind.ARRAY, Priority.URGENT, 1 + i % 3);
+                    "wk-%06d".formatted(i),
+                    "blue",
+                    i % 2 == 0 ? JobKind.GANG : JobKind.ARRAY,
+                    Priority.URGENT,
+                    1 + i % 3);
             ids.add(build.id());
             federation.sim.after(20_000 + 1000L * i, () -> federation.cell("a").submit(build));
         }
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import org.dunespindle.api.UserApi;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
@@ -30,7 +30,7 @@
         cluster.provide(machines);
         cluster.taskTime = Optional.of(Duration.ofMinutes(10));
         for (int i = 0; i < machines / TASKS; i++) {
-            Submission s = new Submission(
+            Submission submission = new Submission(
                     "wk-%06d".formatted(i),
                     "class",
                     i % 2 == 0 ? "red" : "blue",
@@ -49,7 +49,7 @@
                     Duration.ZERO,
                     Duration.ZERO,
                     Optional.empty());
-            cluster.sim.after(3000L + 20L * i, () -> cluster.submit(s));
+            cluster.sim.after(3000L + 20L * i, () -> cluster.submit(submission));
         }
         cluster.sim.run(Duration.ofSeconds(60));
         return cluster;
@@ -77,8 +77,7 @@
         SimulatedCluster cluster = busy(machines);
         assertEquals(machines, busyMachines(cluster));
         var before = new TreeMap<>(cluster.counts);
-        long sessions =
-                cluster.alive().stream().mapToLong(FakeWorker::session).sum();
+        long sessions = cluster.alive().stream().mapToLong(FakeWorker::session).sum();
         for (int n = 0; n < 3; n++) {
             cluster.crash(n, Duration.ofMillis(1500 + 700L * n));
         }
@@ -111,8 +110,7 @@
     void fourThousandMachinesOutliveACrashOfTheLeaderAndOfAll() {
         var cluster = busy(LARGEST);
         assertEquals(LARGEST, busyMachines(cluster));
-        long sessions =
-                cluster.alive().stream().mapToLong(FakeWorker::session).sum();
+        long sessions = cluster.alive().stream().mapToLong(FakeWorker::session).sum();
         int first = cluster.leader();
         cluster.crash(first, Duration.ofSeconds(8));
         cluster.sim.run(Duration.ofSeconds(80));
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -32,12 +32,12 @@
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.FormatVersion;
+import org.dunespindle.transport.ConnectionBudget;
 import org.dunespindle.transport.HttpClientResponse;
 import org.dunespindle.transport.HttpServerRequest;
+import org.dunespindle.transport.HttpServerResponse;
 import org.dunespindle.transport.NettyHttpClient;
 import org.dunespindle.transport.NettyHttpServer;
-import org.dunespindle.transport.HttpServerResponse;
-import org.dunespindle.transport.ConnectionBudget;
 
 /**
  * Three cells of three real controllers each on loopback, with real sockets between all parts. State services, clouds and workers are
@@ -60,7 +60,7 @@
     private static final String JSON = "application/json";
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final ConnectionBudget sockets = new ConnectionBudget(4000);
+    private final ConnectionBudget connections = new ConnectionBudget(4000);
     private final NettyHttpClient http;
     private final VirtualTime sim = new VirtualTime(1);
     private final long origin = System.nanoTime();
@@ -250,7 +250,7 @@
 
     LoopbackCells(Starter starter, int... machines) throws Exception {
         this.starter = starter;
-        http = new NettyHttpClient(group.next(), 200, sockets);
+        http = new NettyHttpClient(group.next(), 200, connections);
         var standIns = new ArrayList<SimulatedCluster>();
         watch = new CellInvariantChecker(standIns);
         var shared = SimulatedEnvironment.none(sim);
@@ -318,7 +318,7 @@
                 BODY_LIMIT,
                 handler,
                 status -> reply(new FakeStateStore.Reply(status, MessagePackCodec.map())),
-                sockets);
+                connections);
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
@@ -353,17 +353,17 @@
         }
     }
 
-    private static JsonNode parsed(HttpClientResponse answer) {
+    private static JsonNode parsed(HttpClientResponse response) {
         try {
-            return MessagePackCodec.read(answer.body());
+            return MessagePackCodec.read(response.body());
         } catch (MalformedMessageException e) {
             return MessagePackCodec.map();
         }
     }
 
     /** A JSON answer of the administration API. */
-    static JsonNode json(HttpClientResponse answer) throws IOException {
-        return new ObjectMapper().readTree(answer.body());
+    static JsonNode json(HttpClientResponse response) throws IOException {
+        return new ObjectMapper().readTree(response.body());
     }
 
     /**
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.LongStream;
 import org.dunespindle.api.UserApi;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -132,10 +132,7 @@
                 decisions);
         assertEquals(
                 List.of(),
-                used.stream()
-                        .filter(w -> w.session() > 1)
-                        .map(FakeWorker::id)
-                        .toList(),
+                used.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "leases that ran out");
         assertEquals(List.of(), cluster.broken);
     }
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.LongStream;
-import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.JobKind;
+import org.dunespindle.protocol.Priority;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
@@ -75,10 +75,7 @@
         cluster.sim.run(Duration.ofSeconds(220));
         assertEquals(
                 List.of(),
-                inTime.stream()
-                        .filter(w -> w.session() > 1)
-                        .map(FakeWorker::id)
-                        .toList());
+                inTime.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList());
         // A machine that lost its tasks with its lease may be returned as idle, but none for a silence that was its
         // controllers'.
         String decisions = cluster.decisions();
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Random;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 
 /** A day of a few troubles that meet, drawn from a seed: the same seed is the same day. */
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Random;
-import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.JobKind;
+import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Submission;
 
 /** A day of three cells on which one is filled, its builds move, and troubles drawn from a seed meet. */
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -16,9 +16,9 @@
 import java.util.Optional;
 import java.util.Random;
 import org.dunespindle.api.UserApi;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -139,8 +139,9 @@
         var cluster = new SimulatedCluster(502);
         cluster.cloudSilent = true;
         cluster.sim.run(Duration.ofSeconds(6));
-        for (Submission s : List.of(good(1), ClusterTest.job("wk-000002", "red", JobKind.GANG, 50, false, true))) {
-            var answer = submit(cluster, s.toNode());
+        for (Submission submission :
+                List.of(good(1), ClusterTest.job("wk-000002", "red", JobKind.GANG, 50, false, true))) {
+            var answer = submit(cluster, submission.toNode());
             assertEquals(503, answer.status());
             assertTrue(answer.retryAfter().isPresent());
         }
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -245,7 +245,8 @@
     /** Most calls to machines that one controller had under way at once. */
     public int mostOpen;
 
-    private void count(int from, String address, String target, byte[] body, CompletableFuture<HttpClientResponse> result) {
+    private void count(
+            int from, String address, String target, byte[] body, CompletableFuture<HttpClientResponse> result) {
         String kind = address.substring(0, address.indexOf(':'));
         counts.merge(kind, 1, Integer::sum);
         if (target.equals("/txn")) {
@@ -257,7 +258,7 @@
         }
         if (kind.equals("worker")) {
             mostOpen = Math.max(mostOpen, ++open[from]);
-            result.whenComplete((a, e) -> open[from]--);
+            result.whenComplete((response, e) -> open[from]--);
         }
     }
 
@@ -353,7 +354,8 @@
         return (address, method, target, body, type, timeout) -> {
             var result = new CompletableFuture<HttpClientResponse>();
             count(from, address, target, body, result);
-            owner.schedule(timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
+            owner.schedule(
+                    timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
             boolean twice = sim.random.nextDouble() < repeat && address.startsWith("worker");
             if (lateWrites > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWrites) {
                 met("late write");
@@ -447,7 +449,9 @@
         }
         byte[] bytes = address.startsWith("node") ? AdminApi.write(reply.body()) : MessagePackCodec.write(reply.body());
         int slow = slowStateMillis > 0 && address.startsWith("state") ? sim.random.nextInt(slowStateMillis) : 0;
-        sim.after(delay() + slow, () -> owner.arrive(() -> result.complete(new HttpClientResponse(reply.status(), bytes))));
+        sim.after(
+                delay() + slow,
+                () -> owner.arrive(() -> result.complete(new HttpClientResponse(reply.status(), bytes))));
     }
 
     private void noteConflict(int from, FakeStateStore.Reply reply) {
@@ -542,7 +546,9 @@
     private static void receive(Controller c, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
         try {
             c.heartbeatHandler()
-                    .onHeartbeat(WorkerHeartbeat.parse(MessagePackCodec.read(MessagePackCodec.write(report))), answer::accept);
+                    .onHeartbeat(
+                            WorkerHeartbeat.parse(MessagePackCodec.read(MessagePackCodec.write(report))),
+                            answer::accept);
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/org/dunespindle/sim/SimulatedFederation.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedFederation.java
@@ -165,7 +165,8 @@
         }
     }
 
-    private void answer(int from, int to, CellReply reply, VirtualTime.Process asker, CompletableFuture<CellReply> result) {
+    private void answer(
+            int from, int to, CellReply reply, VirtualTime.Process asker, CompletableFuture<CellReply> result) {
         CellReply sent = tamper.reply(to, reply);
         if (sent == null) {
             return;
--- a/src/test/java/org/dunespindle/sim/StoredAllocations.java
+++ b/src/test/java/org/dunespindle/sim/StoredAllocations.java
@@ -32,13 +32,15 @@
 
     @Override
     public void applied(long revision, Map<String, Optional<JsonNode>> changes) {
-        var txn = new Transaction();
+        var transaction = new Transaction();
         boolean ofJobs = false;
         for (var change : changes.entrySet()) {
-            change.getValue().ifPresentOrElse(v -> txn.write(change.getKey(), v), () -> txn.remove(change.getKey()));
+            change.getValue()
+                    .ifPresentOrElse(
+                            v -> transaction.write(change.getKey(), v), () -> transaction.remove(change.getKey()));
             ofJobs |= change.getKey().startsWith(Keys.JOB) || change.getKey().startsWith(Keys.PART);
         }
-        copy.applyCommitted(txn, revision);
+        copy.applyCommitted(transaction, revision);
         if (ofJobs) {
             checkLimits(revision);
         }
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Random;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 
 /**
--- a/src/test/java/org/dunespindle/storage/CellTieTest.java
+++ b/src/test/java/org/dunespindle/storage/CellTieTest.java
@@ -14,10 +14,10 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
@@ -94,7 +94,8 @@
     @Test
     void nothingOfAJobThatIsAwayIsPlaced() {
         OutboundDelegation offered = OutboundDelegation.offer(Optional.empty(), "b", 1);
-        for (OutboundDelegation delegation : new OutboundDelegation[] {offered, offered.accepted(), offered.recalled()}) {
+        for (OutboundDelegation delegation :
+                new OutboundDelegation[] {offered, offered.accepted(), offered.recalled()}) {
             JobRecord away = job(3).withDelegationLink(delegation);
             assertEquals(0, away.unplacedCount());
             assertTrue(away.unplaced(9).isEmpty());
--- a/src/test/java/org/dunespindle/storage/JobRecordCutTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordCutTest.java
@@ -18,11 +18,11 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
@@ -94,7 +94,8 @@
     }
 
     @Property(seed = "91", tries = 200)
-    void whateverWasStoredInOneValueFitsIntoOneTransactionOfSmallOnes(@ForAll long seed) throws MalformedMessageException {
+    void whateverWasStoredInOneValueFitsIntoOneTransactionOfSmallOnes(@ForAll long seed)
+            throws MalformedMessageException {
         JobRecord job = upTo(VALUE_BEFORE, new Random(seed));
         JobRecordCodec.Cut cut = JobRecordCodec.cut(job, VALUE);
         assertTrue(1 + cut.parts().size() <= CHANGES, cut.parts().size() + " parts");
--- a/src/test/java/org/dunespindle/storage/JobRecordTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordTest.java
@@ -16,11 +16,11 @@
 import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
@@ -68,22 +68,22 @@
                 if (!places.isEmpty()) {
                     j = j.withPlaced(places);
                 }
-                for (Allocation c : j.allocations()) {
-                    if (places.containsKey(c.task())) {
+                for (Allocation allocation : j.allocations()) {
+                    if (places.containsKey(allocation.task())) {
                         assertTrue(
-                                attempts.computeIfAbsent(c.task(), t -> new HashSet<>())
-                                        .add(c.attemptBase()),
+                                attempts.computeIfAbsent(allocation.task(), t -> new HashSet<>())
+                                        .add(allocation.attemptBase()),
                                 "an attempt was used twice");
                     }
                 }
             } else if (!j.allocations().isEmpty()) {
-                Allocation c =
+                Allocation allocation =
                         j.allocations().get(random.nextInt(j.allocations().size()));
                 boolean good = random.nextInt(3) > 0;
                 if (good) {
-                    assertTrue(done.add(c.task()), "done twice");
+                    assertTrue(done.add(allocation.task()), "done twice");
                 }
-                j = j.withReleased(c.task(), good);
+                j = j.withReleased(allocation.task(), good);
             }
             j = JobRecord.parse(j.id(), MessagePackCodec.read(MessagePackCodec.write(j.toNode())));
             assertEquals(done.size(), j.doneCount());
@@ -95,60 +95,64 @@
 
     @Test
     void tasksPassedOverAreNotCountedAsDone() {
-        JobRecord j = job(JobKind.ARRAY, 5).withPlaced(new java.util.TreeMap<>(java.util.Map.of(3, "h")));
-        assertEquals(0, j.doneCount());
-        assertEquals(List.of(0, 1, 2, 4), new IntArrayList(new IntRBTreeSet(j.unplaced(10))));
+        JobRecord job = job(JobKind.ARRAY, 5).withPlaced(new java.util.TreeMap<>(java.util.Map.of(3, "h")));
+        assertEquals(0, job.doneCount());
+        assertEquals(List.of(0, 1, 2, 4), new IntArrayList(new IntRBTreeSet(job.unplaced(10))));
     }
 
     @Test
     void placeholdersOfAGangNeverShareAnAttempt() {
-        JobRecord j = job(JobKind.GANG, 3).withPlaced(new java.util.TreeMap<>(java.util.Map.of(0, "a", 1, "b", 2, "c")));
+        JobRecord job =
+                job(JobKind.GANG, 3).withPlaced(new java.util.TreeMap<>(java.util.Map.of(0, "a", 1, "b", 2, "c")));
         var attempts = new HashSet<Long>();
-        j.allocations().forEach(c -> attempts.add(c.attemptBase() + c.task()));
+        job.allocations().forEach(allocation -> attempts.add(allocation.attemptBase() + allocation.task()));
         assertEquals(3, attempts.size());
-        JobRecord again = j.withPlaceholderReplaced(1);
+        JobRecord again = job.withPlaceholderReplaced(1);
         assertEquals(
                 List.of("a", "b", "c"),
                 again.allocations().stream().map(Allocation::machineId).toList());
-        long before = j.expectedAttempt(j.allocation(1).orElseThrow());
+        long before = job.expectedAttempt(job.allocation(1).orElseThrow());
         long after = again.expectedAttempt(again.allocation(1).orElseThrow());
         assertTrue(after > before && !attempts.contains(after));
         JobRecord real = again.withGangRunning();
         assertEquals(
                 1,
-                real.allocations().stream().map(real::expectedAttempt).distinct().count());
+                real.allocations().stream()
+                        .map(real::expectedAttempt)
+                        .distinct()
+                        .count());
         assertTrue(real.gangAttempt() > after, "the common attempt is new");
     }
 
     @Test
     void aServiceNeverCompletesByItself() {
-        JobRecord j = job(JobKind.SERVICE, 1)
+        JobRecord job = job(JobKind.SERVICE, 1)
                 .withPlaced(new java.util.TreeMap<>(java.util.Map.of(0, "h")))
                 .withReleased(0, true);
-        assertTrue(j.isOpen());
-        assertEquals(1, j.unplacedCount());
+        assertTrue(job.isOpen());
+        assertEquals(1, job.unplacedCount());
     }
 
     @Test
     void aCancelledJobKeepsItsClaimsUntilTheyAreReleased() {
-        JobRecord j = job(JobKind.ARRAY, 2)
+        JobRecord job = job(JobKind.ARRAY, 2)
                 .withPlaced(new java.util.TreeMap<>(java.util.Map.of(0, "h", 1, "h")))
                 .cancelled();
-        assertEquals(2, j.allocations().size());
-        assertEquals(0, j.unplacedCount());
-        j = j.withReleased(0, false).withReleased(1, true);
-        assertEquals(JobRecord.Outcome.CANCELLED, j.outcome());
-        assertTrue(j.spec().isEmpty());
+        assertEquals(2, job.allocations().size());
+        assertEquals(0, job.unplacedCount());
+        job = job.withReleased(0, false).withReleased(1, true);
+        assertEquals(JobRecord.Outcome.CANCELLED, job.outcome());
+        assertTrue(job.spec().isEmpty());
     }
 
     @Test
     void recordsOfHugeArraysStaySmall() {
-        JobRecord j = job(JobKind.ARRAY, Submission.MAX_TASKS);
+        JobRecord job = job(JobKind.ARRAY, Submission.MAX_TASKS);
         var places = new LinkedHashMap<Integer, String>();
         for (int i = 0; i < 250; i++) {
             places.put(i, "i-%06d".formatted(i % 30));
         }
-        assertTrue(MessagePackCodec.countedSize(j.withPlaced(places).toNode()) < 8 << 10);
+        assertTrue(MessagePackCodec.countedSize(job.withPlaced(places).toNode()) < 8 << 10);
     }
 
     /** A gang as large as a team's limit: 800 accelerators on 400 machines, booked as room came and half of it being stopped. */
@@ -156,24 +160,24 @@
     void recordsOfTheLargestGangsFitOneValue(@ForAll long seed) throws MalformedMessageException {
         var random = new Random(seed);
         int tasks = 800;
-        JobRecord j = job(JobKind.GANG, tasks);
+        JobRecord job = job(JobKind.GANG, tasks);
         int next = 0;
         while (next < tasks) {
             var places = new LinkedHashMap<Integer, String>();
             for (int most = Math.min(tasks, next + 2 + 2 * random.nextInt(100)); next < most; next++) {
                 places.put(next, "i-%06d".formatted(200 + next / 2));
             }
-            j = j.withPlaced(places);
+            job = job.withPlaced(places);
         }
         for (int t = 0; t < tasks; t += 2) {
-            j = random.nextBoolean() && t < 100 ? j.withTaskStopping(t) : j;
+            job = random.nextBoolean() && t < 100 ? job.withTaskStopping(t) : job;
         }
         assertTrue(
-                MessagePackCodec.countedSize(j.toNode()) < 8 << 10,
-                "bytes: " + MessagePackCodec.countedSize(j.toNode()));
+                MessagePackCodec.countedSize(job.toNode()) < 8 << 10,
+                "bytes: " + MessagePackCodec.countedSize(job.toNode()));
         assertEquals(
-                Set.copyOf(j.allocations()),
-                Set.copyOf(JobRecord.parse(j.id(), MessagePackCodec.read(MessagePackCodec.write(j.toNode())))
+                Set.copyOf(job.allocations()),
+                Set.copyOf(JobRecord.parse(job.id(), MessagePackCodec.read(MessagePackCodec.write(job.toNode())))
                         .allocations()));
     }
 
@@ -181,30 +185,32 @@
     @Property(seed = "14", tries = 12)
     void recordsStayWritableInAnyOrderOfEvents(@ForAll long seed) {
         var random = new Random(seed);
-        JobRecord j = job(JobKind.ARRAY, Submission.MAX_TASKS);
+        JobRecord job = job(JobKind.ARRAY, Submission.MAX_TASKS);
         int written = 0;
         for (int step = 0; step < 300; step++) {
-            JobRecord after = j;
-            if (random.nextInt(3) > 0 && j.allocations().size() < 290) {
+            JobRecord after = job;
+            if (random.nextInt(3) > 0 && job.allocations().size() < 290) {
                 var places = new LinkedHashMap<Integer, String>();
-                for (int t : j.unplaced(1 + random.nextInt(6))) {
+                for (int t : job.unplaced(1 + random.nextInt(6))) {
                     places.put(t, "i-%06d".formatted(random.nextInt(1300)));
                 }
-                after = j.withPlaced(places);
+                after = job.withPlaced(places);
                 if (MessagePackCodec.countedSize(after.toNode()) > (8 << 10) * 0.7) {
-                    after = j; // as placing does
+                    after = job; // as placing does
                 } else {
                     written++;
                 }
-            } else if (!j.allocations().isEmpty()) {
-                Allocation c =
-                        j.allocations().get(random.nextInt(j.allocations().size()));
-                after = random.nextInt(3) == 0 ? j.withTaskStopping(c.task()) : j.withReleased(c.task(), random.nextBoolean());
+            } else if (!job.allocations().isEmpty()) {
+                Allocation allocation =
+                        job.allocations().get(random.nextInt(job.allocations().size()));
+                after = random.nextInt(3) == 0
+                        ? job.withTaskStopping(allocation.task())
+                        : job.withReleased(allocation.task(), random.nextBoolean());
             }
-            j = after;
+            job = after;
             assertTrue(
-                    MessagePackCodec.countedSize(j.toNode()) <= 8 << 10,
-                    "bytes: " + MessagePackCodec.countedSize(j.toNode()));
+                    MessagePackCodec.countedSize(job.toNode()) <= 8 << 10,
+                    "bytes: " + MessagePackCodec.countedSize(job.toNode()));
         }
         assertTrue(written > 50);
     }
--- a/src/test/java/org/dunespindle/storage/ReplicaTest.java
+++ b/src/test/java/org/dunespindle/storage/ReplicaTest.java
@@ -13,10 +13,10 @@
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.sim.VirtualTime;
-import org.dunespindle.transport.ResponseTooLongException;
 import org.dunespindle.transport.HttpCallException;
 import org.dunespindle.transport.HttpClient;
 import org.dunespindle.transport.HttpClientResponse;
+import org.dunespindle.transport.ResponseTooLongException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -46,18 +46,18 @@
 
     private StateReplica replica() throws MalformedMessageException {
         var process = sim.new Process();
-        HttpClient http = (address, method, target, body, type, timeout) -> {
+        HttpClient httpClient = (address, method, target, body, type, timeout) -> {
             var result = new CompletableFuture<HttpClientResponse>();
             asked.add(target);
             sim.after(20, () -> answer(target, result));
             sim.after(timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
             return result;
         };
-        var state = new StateStoreClient(
-                http,
+        var stateStore = new StateStoreClient(
+                httpClient,
                 Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", "")),
                 process);
-        var replica = new StateReplica(state, process, Duration.ofMillis(300), () -> {});
+        var replica = new StateReplica(stateStore, process, Duration.ofMillis(300), () -> {});
         replica.start();
         return replica;
     }
@@ -77,7 +77,8 @@
                 case TOO_LONG -> result.completeExceptionally(new ResponseTooLongException());
                 case NEVER_ARRIVES -> {}
                 case UNREADABLE -> result.complete(new HttpClientResponse(200, new byte[] {(byte) 0xc1}));
-                case TOO_OLD -> result.complete(new HttpClientResponse(410, MessagePackCodec.write(MessagePackCodec.map())));
+                case TOO_OLD ->
+                    result.complete(new HttpClientResponse(410, MessagePackCodec.write(MessagePackCodec.map())));
                 default -> result.complete(new HttpClientResponse(503, MessagePackCodec.write(MessagePackCodec.map())));
             }
         } else if (failPages > 0) {
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.sim.VirtualTime;
 import org.junit.jupiter.api.Test;
@@ -101,17 +101,17 @@
         }
     }
 
-    private static void assertStored(String text, JobRecord record) throws MalformedMessageException {
-        assertEquals(json(text).toString(), record.toNode().toString());
-        assertEquals(record, JobRecord.parse(ID, json(text)));
+    private static void assertStored(String text, JobRecord job) throws MalformedMessageException {
+        assertEquals(json(text).toString(), job.toNode().toString());
+        assertEquals(job, JobRecord.parse(ID, json(text)));
     }
 
     /** A copy that has read some keys, as another controller wrote them. */
     private static StateReplica copyOf(Map<String, String> stored) {
         var replica = new StateReplica(null, new VirtualTime(1).new Process(), Duration.ofSeconds(1), () -> {});
-        var txn = new Transaction();
-        stored.forEach((key, text) -> txn.write(key, json(text)));
-        replica.applyCommitted(txn, 5);
+        var transaction = new Transaction();
+        stored.forEach((key, text) -> transaction.write(key, json(text)));
+        replica.applyCommitted(transaction, 5);
         return replica;
     }
 
@@ -166,7 +166,13 @@
 
     @Test
     void endedJobsInEveryWay() throws MalformedMessageException {
-        var ends = Map.of(JobRecord.Outcome.OPEN, "OPEN", JobRecord.Outcome.DONE, "DONE", JobRecord.Outcome.CANCELLED, "CANCELLED");
+        var ends = Map.of(
+                JobRecord.Outcome.OPEN,
+                "OPEN",
+                JobRecord.Outcome.DONE,
+                "DONE",
+                JobRecord.Outcome.CANCELLED,
+                "CANCELLED");
         assertEquals(Set.of(JobRecord.Outcome.values()), ends.keySet());
         for (Map.Entry<JobRecord.Outcome, String> end : ends.entrySet()) {
             String text = "{\"at\":1700000000123,\"end\":\"" + end.getValue() + "\",\"next\":9}";
@@ -176,7 +182,8 @@
 
     @Test
     void aCancelledJobThatStillRuns() throws MalformedMessageException {
-        JobRecord running = open(JobKind.ARRAY, JobRecord.GangPhase.QUEUED, List.of(new Allocation(6, "i-0023", 17, false)));
+        JobRecord running =
+                open(JobKind.ARRAY, JobRecord.GangPhase.QUEUED, List.of(new Allocation(6, "i-0023", 17, false)));
         String text = "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"job\":" + DESCRIPTION.formatted("array")
                 + ",\"gen\":21,\"next\":7,\"mode\":\"IDLE\",\"try\":17,\"order\":1700000000456,\"fails\":3,"
                 + "\"wait\":1700000009000,\"again\":\"\",\"claims\":[[17,false,{\"i-002\":{\"3\":\"6\"}}]]}";
@@ -275,8 +282,10 @@
 
     @Test
     void recordsCutIntoPartsWithNamesOfMachinesThatNeedQuotes() {
-        JobRecord job = open(JobKind.ARRAY, JobRecord.GangPhase.QUEUED, List.of(new Allocation(6, "rack:1/a", 17, false)))
-                .withDelegationLink(new OutboundDelegation("b", 12, OutboundDelegation.Phase.HOME, 2, Optional.empty()));
+        JobRecord job = open(
+                        JobKind.ARRAY, JobRecord.GangPhase.QUEUED, List.of(new Allocation(6, "rack:1/a", 17, false)))
+                .withDelegationLink(
+                        new OutboundDelegation("b", 12, OutboundDelegation.Phase.HOME, 2, Optional.empty()));
         assertCut(
                 job,
                 "{\"at\":1700000000123,\"end\":\"OPEN\",\"gen\":21,\"next\":7,\"mode\":\"IDLE\",\"try\":17,\"order\":1700000000"
