--- a/src/main/java/org/dunespindle/control/ControllerContext.java
+++ b/src/main/java/org/dunespindle/control/ControllerContext.java
@@ -12,7 +12,7 @@
  * @param jobWriter adds job records to transactions
  * @param membership this controller's place among the others
  * @param workers what is known of each worker
- * @param eventRecorder where decisions are recorded for to operators
+ * @param eventRecorder where decisions are recorded for operators
  * @param pauseDetector whether this process has listened all along
  */
 public record ControllerContext(
