--- a/src/main/java/org/dunespindle/AdminCommands.java
+++ b/src/main/java/org/dunespindle/AdminCommands.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
-import org.dunespindle.api.AdminApi;
+import org.dunespindle.protocol.JsonCodec;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.transport.ConnectionBudget;
 import org.dunespindle.transport.HttpClientResponse;
@@ -120,7 +120,7 @@
     }
 
     private static int abandon(NettyHttpClient http, String at, String cell, String confirmed) throws IOException {
-        byte[] body = AdminApi.write(MessagePackCodec.map().put("confirm", confirmed));
+        byte[] body = JsonCodec.write(MessagePackCodec.map().put("confirm", confirmed));
         return print(call(http, at, "POST", "/v1/cells/" + cell + "/abandon", body));
     }
 
@@ -148,7 +148,7 @@
         ObjectNode change = MessagePackCodec.map()
                 .put("stamp", JSON.readTree(now.body()).path("stamp").longValue());
         change.putObject("values").set(parts.get(0), value);
-        return print(call(http, at, "PUT", "/v1/options", AdminApi.write(change)));
+        return print(call(http, at, "PUT", "/v1/options", JsonCodec.write(change)));
     }
 
     private static int print(HttpClientResponse response) throws IOException {
--- a/src/main/java/org/dunespindle/Daemon.java
+++ b/src/main/java/org/dunespindle/Daemon.java
@@ -11,11 +11,11 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.dunespindle.api.AdminApi;
 import org.dunespindle.api.DelegationContext;
 import org.dunespindle.api.JobDelegation;
 import org.dunespindle.api.UserApi;
 import org.dunespindle.controller.Controller;
+import org.dunespindle.protocol.JsonCodec;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
@@ -158,7 +158,7 @@
     }
 
     private static HttpServerResponse json(int status, ObjectNode body) {
-        return new HttpServerResponse(status, JSON, AdminApi.write(body), Optional.empty());
+        return new HttpServerResponse(status, JSON, JsonCodec.write(body), Optional.empty());
     }
 
     private void front(HttpServerRequest call, Consumer<HttpServerResponse> reply) {
@@ -168,7 +168,7 @@
             only("POST", call, reply, () -> beat(call, reply));
         } else if (path.equals("/healthz")) {
             only("GET", call, reply, () -> {
-                boolean well = controller.healthy();
+                boolean well = controller.isHealthy();
                 reply.accept(new HttpServerResponse(
                         well ? 200 : 503,
                         "text/plain",
@@ -224,10 +224,10 @@
 
     private void peer(HttpServerRequest call, Consumer<HttpServerResponse> reply) {
         if (call.path().equals("/peer/heartbeat") && call.method().equals("POST")) {
-            reply.accept(json(200, controller.heard(call.body())));
+            reply.accept(json(200, controller.onPeerHeartbeat(call.body())));
         } else {
             controller
-                    .admin()
+                    .adminApi()
                     .handle(call.method(), call.path(), call.body(), a -> reply.accept(json(a.status(), a.body())));
         }
     }
--- a/src/main/java/org/dunespindle/api/AdminApi.java
+++ b/src/main/java/org/dunespindle/api/AdminApi.java
@@ -1,6 +1,5 @@
 package org.dunespindle.api;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -8,6 +7,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
+import java.util.function.Function;
+import java.util.function.Supplier;
 import org.HdrHistogram.Histogram;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.CommitQueue;
@@ -16,7 +17,6 @@
 import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
 import org.dunespindle.control.Options;
-import org.dunespindle.controller.Controller;
 import org.dunespindle.job.TeamQuotas;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Resources;
@@ -41,7 +41,8 @@
     private final MachineRecordWriter machineWriter;
     private final TeamQuotas teamAccounts;
     private final EventRecorder eventRecorder;
-    private final Controller controller;
+    private final Supplier<Options> options;
+    private final Function<JobRecord, String> whyWaits;
     private final JobDelegation jobDelegation;
     private final Map<String, Histogram> latencies;
 
@@ -50,7 +51,8 @@
             CommitQueue commitQueue,
             MachineRecordWriter machineWriter,
             TeamQuotas teamQuotas,
-            Controller controller,
+            Supplier<Options> options,
+            Function<JobRecord, String> whyWaits,
             JobDelegation jobDelegation,
             Map<String, Histogram> latencies) {
         this.settings = context.settings();
@@ -60,7 +62,8 @@
         this.commitQueue = commitQueue;
         this.machineWriter = machineWriter;
         this.teamAccounts = teamQuotas;
-        this.controller = controller;
+        this.options = options;
+        this.whyWaits = whyWaits;
         this.jobDelegation = jobDelegation;
         this.latencies = latencies;
     }
@@ -129,7 +132,7 @@
             }
             case "options" ->
                 n.put("stamp", replica.modRevision(Keys.OPTIONS))
-                        .set("options", controller.options().describe());
+                        .set("options", options.get().describe());
             case "decisions" -> eventRecorder.toNode(n.put("controller", settings.nodeName()));
             case "latency" ->
                 latencies.forEach((name, h) -> n.putObject(name)
@@ -170,7 +173,7 @@
         }
         boolean placing = job.isOpen() && job.submission().isGang() && job.gangPhase() != JobRecord.GangPhase.RUNNING;
         if (placing || job.unplacedCount() > 0 || job.isDelegatedAway()) {
-            n.put("waits", controller.whyWaits(job));
+            n.put("waits", whyWaits.apply(job));
         }
         if (whole && job.spec().isPresent()) {
             n.put("mode", job.gangPhase().name().toLowerCase(java.util.Locale.ROOT))
@@ -282,10 +285,7 @@
     }
 
     private void commit(
-            Transaction transaction,
-            String key,
-            Consumer<AdminResponse> answer,
-            java.util.function.Supplier<AdminResponse> good) {
+            Transaction transaction, String key, Consumer<AdminResponse> answer, Supplier<AdminResponse> good) {
         if (commitQueue.isLocked(key)) {
             answer.accept(error(409, "another change is under way; read again and repeat"));
             return;
@@ -293,7 +293,7 @@
         commitQueue.propose(CommitPriority.USERS, transaction, result -> answer.accept(after(result, good)));
     }
 
-    private static AdminResponse after(TransactionResult result, java.util.function.Supplier<AdminResponse> good) {
+    private static AdminResponse after(TransactionResult result, Supplier<AdminResponse> good) {
         if (result instanceof TransactionResult.Applied) {
             return good.get();
         }
@@ -301,13 +301,4 @@
                 ? error(409, "changed by somebody else meanwhile; read again and repeat")
                 : error(503, "the state service does not answer");
     }
-
-    /** The body of a JSON answer. */
-    public static byte[] write(JsonNode n) {
-        try {
-            return JSON.writeValueAsBytes(n);
-        } catch (JsonProcessingException e) {
-            throw new IllegalStateException(e);
-        }
-    }
 }
--- /dev/null
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -0,0 +1,184 @@
+package org.dunespindle.controller;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import org.HdrHistogram.Histogram;
+import org.dunespindle.control.TaskTermination;
+import org.dunespindle.control.TerminationCause;
+import org.dunespindle.scheduling.ClusterSnapshot;
+import org.dunespindle.scheduling.Plan;
+import org.dunespindle.scheduling.Planner;
+import org.dunespindle.storage.PlacedTask;
+import org.dunespindle.time.Durations;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The controller's main loop: rounds that compare what is wanted with what is and propose the difference. Machines about
+ * which something changed are reconciled in every round; the whole is planned less often, and the less often the longer a
+ * plan takes, so that requests of users and workers keep their turn.
+ */
+final class DecisionLoop implements RoundScheduler.Round {
+    private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
+    /** With a staler replica nothing new is placed. */
+    static final Duration MAX_STALENESS_FOR_PLACEMENT = Duration.ofSeconds(3);
+
+    /** For work that goes through all machines or jobs. */
+    private static final Duration MIN_SCAN_INTERVAL = Duration.ofMillis(100);
+
+    private static final Duration MIN_PLAN_INTERVAL = Duration.ofMillis(150);
+    private static final Duration MAX_PLAN_INTERVAL = Duration.ofSeconds(1);
+    /** The pause after a plan, in multiples of the time that planning took. */
+    private static final int PAUSE_PER_PLAN_TIME = 10;
+
+    private final ControllerParts parts;
+    private final Consumer<String> terminate;
+    private final Histogram planTimes;
+    private Plan plan = Plan.NONE;
+    private Duration lastScanAt = Duration.ZERO;
+    private Duration lastPlanAt = Duration.ZERO;
+    private Duration lastPlanTime = Duration.ZERO;
+    /** The versions of stored and reported state that the last plan was made for. */
+    private long plannedVersion = -1;
+
+    DecisionLoop(ControllerParts parts, Consumer<String> terminate) {
+        this.parts = parts;
+        this.terminate = terminate;
+        this.planTimes = parts.planTimes;
+    }
+
+    /** The last plan that was made here. */
+    Plan lastPlan() {
+        return plan;
+    }
+
+    @Override
+    public Duration planningTimeSince(Duration start) {
+        return lastPlanAt.compareTo(start) > 0 ? lastPlanTime : Duration.ZERO;
+    }
+
+    @Override
+    public void run() {
+        if (parts.formatUpgrade.tooNew()) {
+            terminate.accept("what is stored has format version " + parts.replica.formatVersion()
+                    + "; this program reads up to " + parts.formatUpgrade.newest());
+            return;
+        }
+        // In every round, not only on the timer: after a crash of all controllers the workers' leases are about to
+        // expire.
+        parts.membership.tick();
+        if (!parts.membership.leads()) {
+            // Also when it leads again by the next plan: it has not observed the fleet in between.
+            parts.fleetManager.standDown();
+        }
+        if (!parts.replica.loaded() || parts.membership.incarnation() == 0) {
+            return;
+        }
+        parts.workerClient.pass();
+        boolean scans = scanIsDue();
+        if (scans) {
+            parts.terminationWriter.store(parts.membership.leads() ? terminationsOnLostMachines() : List.of());
+        }
+        if (parts.membership.joined()) {
+            runAsMember(scans);
+        }
+    }
+
+    private boolean scanIsDue() {
+        Duration now = parts.timeSource.now();
+        if (now.minus(lastScanAt).compareTo(MIN_SCAN_INTERVAL) < 0) {
+            return false;
+        }
+        lastScanAt = now;
+        return true;
+    }
+
+    private void runAsMember(boolean scans) {
+        parts.shardOwnership.tick(plan);
+        if (parts.replica.staleness().compareTo(MAX_STALENESS_FOR_PLACEMENT) > 0
+                || parts.catalog.types().isEmpty()) {
+            return; // an outage: what runs goes on, nothing new is placed
+        }
+        if (parts.membership.leads()) {
+            parts.gangLifecycle.tick();
+            parts.formatUpgrade.tick();
+            parts.oversizeRecordSplitter.tick();
+        }
+        if (scans) {
+            parts.gangLifecycle.drainNoticed();
+        }
+        if (planIsDue()) {
+            makePlan();
+        }
+        parts.loadReporter.reportIfDue();
+    }
+
+    /** Terminations on machines that the cloud confirmed as gone, or that have no record any more, which comes later still. */
+    private List<TaskTermination> terminationsOnLostMachines() {
+        var lostMachines = new ArrayList<>(parts.terminator.gone());
+        parts.replica.machinesWithAllocations().stream()
+                .filter(id -> !parts.replica.machines().containsKey(id) && !parts.terminator.isGone(id))
+                .forEach(lostMachines::add);
+        var terminations = new ArrayList<TaskTermination>();
+        for (String machineId : lostMachines) {
+            for (PlacedTask placed : parts.replica.allocationsOn(machineId)) {
+                terminations.add(new TaskTermination(
+                        placed.job().id(),
+                        placed.allocation().task(),
+                        placed.allocation().attemptBase(),
+                        TerminationCause.GONE,
+                        "its machine " + machineId + " is gone"));
+            }
+        }
+        return terminations;
+    }
+
+    private boolean planIsDue() {
+        Duration sincePlan = parts.timeSource.now().minus(lastPlanAt);
+        Duration pause =
+                Durations.max(Duration.ofNanos(lastPlanTime.toNanos() * PAUSE_PER_PLAN_TIME), MIN_PLAN_INTERVAL);
+        boolean changed = observedVersion() != plannedVersion;
+        return sincePlan.compareTo(pause) >= 0 && (changed || sincePlan.compareTo(MAX_PLAN_INTERVAL) >= 0);
+    }
+
+    private long observedVersion() {
+        return parts.replica.version() + parts.workerClient.version();
+    }
+
+    private void makePlan() {
+        Duration start = parts.timeSource.now();
+        plannedVersion = observedVersion();
+        Plan previous = plan;
+        ClusterSnapshot snapshot = parts.snapshotBuilder.build();
+        plan = Planner.plan(snapshot);
+        if (LOG.isDebugEnabled() && parts.membership.leads()) {
+            logChangedReasons(previous);
+        }
+        carryOut(snapshot);
+        lastPlanAt = parts.timeSource.now();
+        lastPlanTime = lastPlanAt.minus(start);
+        LatencyHistograms.record(planTimes, lastPlanTime);
+    }
+
+    private void carryOut(ClusterSnapshot snapshot) {
+        parts.pendingPreemptions.prune(parts.replica);
+        if (parts.membership.leads()) {
+            parts.shardOwnership.borrow(plan);
+        }
+        parts.jobDelegation.planned(snapshot, plan);
+        parts.placementWriter.evict(plan);
+        parts.placementWriter.move(plan);
+        parts.placementWriter.place(plan);
+        parts.fleetManager.tick(plan);
+    }
+
+    private void logChangedReasons(Plan previous) {
+        plan.reasons().forEach((job, reason) -> {
+            if (!reason.equals(previous.reasons().get(job))) {
+                LOG.debug("job waits job={} reason=\"{}\"", job, reason);
+            }
+        });
+    }
+}
--- a/src/main/java/org/dunespindle/controller/LoadReporter.java
+++ b/src/main/java/org/dunespindle/controller/LoadReporter.java
@@ -15,11 +15,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells a controller's load every few seconds, for whoever reads the log at debug. */
+/** Logs the load of this controller every few seconds at debug level. */
 final class LoadReporter {
     private static final Logger LOG = LoggerFactory.getLogger(LoadReporter.class);
-    private static final Duration TELL_EVERY = Duration.ofSeconds(10);
-    private static final double MOST = 90;
+    private static final Duration REPORT_INTERVAL = Duration.ofSeconds(10);
+    private static final double MEDIAN = 50;
+    private static final double HIGH_PERCENTILE = 90;
+    private static final long MICROS_PER_MILLI = 1000;
     private final ControllerContext context;
     private final HeartbeatHandler heartbeatHandler;
     private final WorkerClient workerClient;
@@ -27,7 +29,7 @@
     private final StateStoreClient stateStore;
     private final Histogram rounds;
     private final Histogram plans;
-    private Duration toldAt = Duration.ZERO;
+    private Duration lastReportAt = Duration.ZERO;
 
     LoadReporter(
             ControllerContext context,
@@ -46,16 +48,21 @@
         this.plans = plans;
     }
 
-    /** Writes the log lines when they are due. */
-    void tell() {
+    /** Writes the log lines if the interval is over and debug logging is on. */
+    void reportIfDue() {
         Duration now = context.timeSource().now();
-        if (!LOG.isDebugEnabled() || now.minus(toldAt).compareTo(TELL_EVERY) < 0) {
+        if (!LOG.isDebugEnabled() || now.minus(lastReportAt).compareTo(REPORT_INTERVAL) < 0) {
             return;
         }
-        toldAt = now;
-        LOG.debug("accelerators by class and phase: {}", acceleratorsByPhase());
+        lastReportAt = now;
+        LOG.debug("accelerators in use byClassAndPhase={}", acceleratorsByPhase());
+        logRates();
+        logLatencies();
+    }
+
+    private void logRates() {
         LOG.debug(
-                "load: {} reports, {} calls, {} writes ({} wait, {} in vain), may write {}/s, {}",
+                "load heartbeats={} workerCalls={} changes={} queuedChanges={} conflicts={} writeRatePerSecond={} changesByKind={}",
                 heartbeatHandler.heartbeatCount(),
                 workerClient.calls(),
                 commitQueue.committed(),
@@ -63,24 +70,28 @@
                 commitQueue.conflicts(),
                 Math.round(stateStore.writes().perSecond()),
                 commitQueue.kinds());
+    }
+
+    private void logLatencies() {
         LOG.debug(
-                "pace: rounds {} (p90 {} ms), plans {} (p50 {} ms, p90 {} ms), state calls {} (p90 {} ms), own {} of {} machines",
+                "latency rounds={} roundP90Ms={} plans={} planP50Ms={} planP90Ms={} storeCalls={} storeCallP90Ms={}"
+                        + " ownedMachines={} machines={}",
                 rounds.getTotalCount(),
-                millis(rounds, MOST),
+                millis(rounds, HIGH_PERCENTILE),
                 plans.getTotalCount(),
-                millis(plans, 50),
-                millis(plans, MOST),
+                millis(plans, MEDIAN),
+                millis(plans, HIGH_PERCENTILE),
                 stateStore.latency().getTotalCount(),
-                millis(stateStore.latency(), MOST),
-                ownMachines(),
+                millis(stateStore.latency(), HIGH_PERCENTILE),
+                ownedMachines(),
                 context.replica().machines().size());
     }
 
     private static long millis(Histogram histogram, double percentile) {
-        return histogram.getValueAtPercentile(percentile) / 1000;
+        return histogram.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
 
-    private long ownMachines() {
+    private long ownedMachines() {
         return context.replica().machines().values().stream()
                 .filter(context.membership()::owns)
                 .count();
--- a/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
+++ b/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
@@ -37,187 +37,178 @@
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
 
-/** Gathers what a plan depends on: all machines and gangs for the leader, its own machines for any other controller. */
+/** Builds the snapshot that a plan rests on: all machines and gangs for the leader, its own machines for any other controller. */
 final class SnapshotBuilder {
-    /** What a record holds beside its allocations, in bytes. */
+    /** What a job record holds beside its allocations, in bytes. */
     private static final int RECORD_BYTES_RESERVED = 1600;
-    /** What a task takes of its job's record at least, however many share a machine: a run of tasks breaks up while they end one by one. */
+    /** What a task takes of its job's record at least, however many share a machine: a run of indices breaks up as they end. */
     private static final int RECORD_BYTES_PER_TASK = 6;
+    /** Tasks of an array that may be under way at once however small the records are. */
+    private static final int MIN_TASKS_UNDER_WAY = 8;
+    /** A crash-looping job may try one task at a time. */
+    private static final int TASKS_OF_CRASH_LOOPING_JOB = 1;
 
-    private static final int LEAST_TASKS = 8;
     private final ControllerContext context;
-    private final MachineCatalog catalog;
-    private final FleetManager fleetManager;
-    private final MachineProvisioner provisioner;
-    private final MachineTerminator terminator;
-    private final MachineStatusReporter statusReporter;
-    private final PeerHeartbeats peerHeartbeats;
-    private final PlacementWriter placementWriter;
-    private final TerminationWriter terminationWriter;
-    private final PlacementPacing pacing;
-    private final CrashLoopDetector crashLoopDetector;
+    private final Sources sources;
     private final ServiceLevelObjectives objectives;
     private final DemandForecast demandForecast;
     private final Supplier<Options> options;
-    private final Map<String, MachinePool> places = new HashMap<>();
-    private final Map<JobAttempt, Duration> startedAt = new HashMap<>();
+    private final Map<String, MachinePool> poolsByMachine = new HashMap<>();
+    private final Map<JobAttempt, Duration> firstSeenAt = new HashMap<>();
 
     /** The parts of a controller that know what a plan depends on. */
     record Sources(
             MachineCatalog catalog,
-            FleetManager fleet,
-            MachineProvisioner renter,
-            MachineTerminator returner,
-            MachineStatusReporter machineNews,
-            PeerHeartbeats peers,
-            PlacementWriter placements,
-            TerminationWriter outcomes,
+            FleetManager fleetManager,
+            MachineProvisioner provisioner,
+            MachineTerminator terminator,
+            MachineStatusReporter statusReporter,
+            PeerHeartbeats peerHeartbeats,
+            PlacementWriter placementWriter,
+            TerminationWriter terminationWriter,
             PlacementPacing pacing,
-            CrashLoopDetector failureAttribution) {}
+            CrashLoopDetector crashLoopDetector) {}
 
     SnapshotBuilder(
             ControllerContext context, Sources sources, ServiceLevelObjectives objectives, Supplier<Options> options) {
         this.context = context;
-        this.catalog = sources.catalog;
-        this.fleetManager = sources.fleet;
-        this.provisioner = sources.renter;
-        this.terminator = sources.returner;
-        this.statusReporter = sources.machineNews;
-        this.peerHeartbeats = sources.peers;
-        this.placementWriter = sources.placements;
-        this.terminationWriter = sources.outcomes;
-        this.pacing = sources.pacing;
-        this.crashLoopDetector = sources.failureAttribution;
+        this.sources = sources;
         this.objectives = objectives;
         this.demandForecast = new DemandForecast(context.settings().objectives());
         this.options = options;
     }
 
-    /** The state as it is known now. */
-    ClusterSnapshot now() {
+    /** Builds a snapshot of the state as it is known now. */
+    ClusterSnapshot build() {
         boolean leads = context.membership().leads();
-        ProjectedJobs projection = placementWriter.projection();
+        ProjectedJobs projection = sources.placementWriter.projection();
         List<JobRecord> jobs = projection.expected();
         demandForecast.observe(jobs);
         return new ClusterSnapshot(
                 context.timeSource().wallTime(),
                 projection,
-                hosts(leads),
+                schedulableMachines(leads),
                 context.settings().teams(),
-                places,
-                provisioner.refused(),
-                mostTasks(),
-                terminationWriter.ended(),
-                pacing.leftAlone(jobs),
+                poolsByMachine,
+                sources.provisioner.refused(),
+                maxTasksUnderWay(),
+                sources.terminationWriter.ended(),
+                sources.pacing.leftAlone(jobs),
                 leads,
-                departing(leads),
-                leads
-                        ? demandForecast.forecastJobs(
-                                options.get().spareJobs(), context.timeSource().wallTime())
-                        : List.of(),
+                drainingMachines(leads),
+                leads ? forecastJobs() : List.of(),
                 objectives,
-                progress(jobs, leads));
+                elapsedTimes(jobs, leads));
     }
 
-    /** How many tasks of an array may be under way; a job that fails everywhere takes the room of one, until one ends well. */
-    private ToIntFunction<JobRecord> mostTasks() {
-        int room = context.jobWriter().capacity() - RECORD_BYTES_RESERVED;
-        int most = Math.max(LEAST_TASKS, room / RECORD_BYTES_PER_TASK);
-        return job -> crashLoopDetector.isCrashLooping(job.id()) ? 1 : most;
+    private List<DemandForecast.ForecastJob> forecastJobs() {
+        return demandForecast.forecastJobs(
+                options.get().spareJobs(), context.timeSource().wallTime());
     }
 
-    private List<MachineSnapshot> hosts(boolean leads) {
-        var hosts = new ArrayList<MachineSnapshot>();
-        var trusted = new HashMap<String, Boolean>();
+    /** How many tasks of an array may be under way at once: as many as its record can hold. */
+    private ToIntFunction<JobRecord> maxTasksUnderWay() {
+        int bytesForTasks = context.jobWriter().capacity() - RECORD_BYTES_RESERVED;
+        int maxTasks = Math.max(MIN_TASKS_UNDER_WAY, bytesForTasks / RECORD_BYTES_PER_TASK);
+        return job -> sources.crashLoopDetector.isCrashLooping(job.id()) ? TASKS_OF_CRASH_LOOPING_JOB : maxTasks;
+    }
+
+    private List<MachineSnapshot> schedulableMachines(boolean leads) {
+        var schedulable = new ArrayList<MachineSnapshot>();
+        var liveOwners = new HashMap<String, Boolean>();
         Map<String, MachineRecord> machines = context.replica().machines();
-        places.keySet().retainAll(machines.keySet());
-        // A plain loop: this runs for every machine with every plan, and capturing lambdas are dear with the first-tier
+        poolsByMachine.keySet().retainAll(machines.keySet());
+        // A plain loop: this runs for every machine with every plan, and capturing lambdas are costly with the
+        // first-tier
         // compiler.
         for (MachineRecord machine : machines.values()) {
-            if (!places.containsKey(machine.id())) {
-                places.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot()));
+            if (!poolsByMachine.containsKey(machine.id())) {
+                poolsByMachine.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot()));
             }
-            boolean mine = context.membership().owns(machine);
-            if ((mine || leads) && !terminator.leaves(machine)) {
-                Optional<MachineType> type = catalog.type(machine.type());
+            boolean owned = context.membership().owns(machine);
+            if ((owned || leads) && !sources.terminator.leaves(machine)) {
+                Optional<MachineType> type = sources.catalog.type(machine.type());
                 if (type.isPresent()) {
-                    add(hosts, machine, type.get(), mine, trusted);
+                    boolean up =
+                            owned ? sources.statusReporter.takesTasks(machine) : isUpElsewhere(machine, liveOwners);
+                    if (up || bootsInTime(machine)) {
+                        schedulable.add(snapshotOf(machine, type.get(), owned, up));
+                    }
                 }
             }
         }
-        return hosts;
+        return schedulable;
     }
 
-    /** Machines on their way out: their owners move replicas ahead, and the leader rents room for those that find none. */
-    private Set<String> departing(boolean leads) {
-        var departing = new HashSet<String>();
+    private boolean bootsInTime(MachineRecord machine) {
+        return sources.fleetManager.booting(machine) && sources.fleetManager.bootsInTime(machine);
+    }
+
+    private MachineSnapshot snapshotOf(MachineRecord machine, MachineType type, boolean owned, boolean up) {
+        Set<String> images =
+                context.workers().find(machine.id()).map(WorkerState::images).orElse(Set.of());
+        return new MachineSnapshot(
+                machine.id(), machine.type(), machine.zone(), machine.spot(), type.size(), up, owned, images);
+    }
+
+    /** Machines about to be drained or lost: their owners move replicas ahead, and the leader rents capacity for those without room. */
+    private Set<String> drainingMachines(boolean leads) {
+        var draining = new HashSet<String>();
         for (MachineRecord machine : context.replica().machines().values()) {
             if (!context.replica().allocationsOn(machine.id()).isEmpty()) {
-                boolean mine = context.membership().owns(machine);
-                if (mine ? statusReporter.departs(machine) : leads && departsElsewhere(machine)) {
-                    departing.add(machine.id());
+                boolean owned = context.membership().owns(machine);
+                if (owned ? sources.statusReporter.departs(machine) : leads && isDrainingElsewhere(machine)) {
+                    draining.add(machine.id());
                 }
             }
         }
-        return departing;
+        return draining;
     }
 
-    /** A machine that its owner hears but gives nothing new, as after a notice. */
-    private boolean departsElsewhere(MachineRecord machine) {
-        Duration lately = context.settings().workers().report().multipliedBy(2);
-        Optional<ReportedMachine> told = peerHeartbeats.machine(machine);
-        boolean closed =
-                told.isPresent() && !told.get().up() && told.get().silentFor().compareTo(lately) < 0;
+    /** A machine that its owner hears from but gives nothing new, as after a termination notice. */
+    private boolean isDrainingElsewhere(MachineRecord machine) {
+        Duration maxSilence = context.settings().workers().report().multipliedBy(2);
+        Optional<ReportedMachine> reported = sources.peerHeartbeats.machine(machine);
+        boolean closed = reported.isPresent()
+                && !reported.get().up()
+                && reported.get().silentFor().compareTo(maxSilence) < 0;
         return machine.draining() || closed;
     }
 
-    private void add(
-            List<MachineSnapshot> hosts,
-            MachineRecord machine,
-            MachineType type,
-            boolean mine,
-            Map<String, Boolean> trusted) {
-        boolean up = mine ? statusReporter.takesTasks(machine) : upElsewhere(machine, trusted);
-        if (!up && !(fleetManager.booting(machine) && fleetManager.bootsInTime(machine))) {
-            return;
-        }
-        Set<String> images =
-                context.workers().find(machine.id()).map(WorkerState::images).orElse(Set.of());
-        hosts.add(new MachineSnapshot(
-                machine.id(), machine.type(), machine.zone(), machine.spot(), type.size(), up, mine, images));
-    }
-
     /**
-     * Whether another's machine takes tasks as its owner told: also while the owner, though it lives, cannot talk to this controller. Gangs
-     * would go without its machines until then; nothing is placed on one before it has been borrowed and has reported here.
+     * Whether another controller's machine takes tasks, as its owner last reported: also while the owner, though alive, cannot
+     * reach this controller. Otherwise gangs would go without its machines until then; nothing is placed on one before this
+     * controller has acquired it and has received a heartbeat from it.
      */
-    private boolean upElsewhere(MachineRecord machine, Map<String, Boolean> trusted) {
-        Boolean talks = trusted.get(machine.owner());
-        if (talks == null) {
-            talks = peerHeartbeats.heartbeat(machine.owner()).isPresent();
-            trusted.put(machine.owner(), talks);
+    private boolean isUpElsewhere(MachineRecord machine, Map<String, Boolean> liveOwners) {
+        Boolean ownerReaches = liveOwners.get(machine.owner());
+        if (ownerReaches == null) {
+            ownerReaches = sources.peerHeartbeats.heartbeat(machine.owner()).isPresent();
+            liveOwners.put(machine.owner(), ownerReaches);
         }
-        if (!talks && !context.membership().isAlive(machine.owner(), machine.incarnation())) {
+        if (!ownerReaches && !context.membership().isAlive(machine.owner(), machine.incarnation())) {
             return false;
         }
-        Optional<ReportedMachine> told = peerHeartbeats.lastTold(machine);
-        return told.isPresent() && told.get().up() && !told.get().quarantined();
+        Optional<ReportedMachine> reported = sources.peerHeartbeats.lastTold(machine);
+        return reported.isPresent() && reported.get().up() && !reported.get().quarantined();
     }
 
-    /** How long tasks booked together have been under way: since they were first seen here, which is a little late or, after a start, much. */
-    private Function<JobAttempt, Duration> progress(List<JobRecord> jobs, boolean all) {
+    /**
+     * How long tasks placed together have been under way: since they were first seen here, which is a little late, or much
+     * after a restart of this process.
+     */
+    private Function<JobAttempt, Duration> elapsedTimes(List<JobRecord> jobs, boolean leads) {
         Duration now = context.timeSource().now();
         var present = new HashSet<JobAttempt>();
         for (JobRecord job : jobs) {
-            if (!all && (job.spec().isEmpty() || !job.submission().isService())) {
-                continue;
-            }
-            for (Allocation allocation : job.allocations()) {
-                present.add(new JobAttempt(job.id(), allocation.attemptBase()));
+            if (leads || (job.spec().isPresent() && job.submission().isService())) {
+                for (Allocation allocation : job.allocations()) {
+                    present.add(new JobAttempt(job.id(), allocation.attemptBase()));
+                }
             }
         }
-        startedAt.keySet().retainAll(present);
-        present.forEach(started -> startedAt.putIfAbsent(started, now));
-        return started -> now.minus(startedAt.getOrDefault(started, now));
+        firstSeenAt.keySet().retainAll(present);
+        present.forEach(attempt -> firstSeenAt.putIfAbsent(attempt, now));
+        return attempt -> now.minus(firstSeenAt.getOrDefault(attempt, now));
     }
 }
--- /dev/null
+++ b/src/main/java/org/dunespindle/controller/WaitExplainer.java
@@ -0,0 +1,46 @@
+package org.dunespindle.controller;
+
+import java.util.function.Supplier;
+import org.dunespindle.scheduling.Plan;
+import org.dunespindle.storage.JobRecord;
+
+/** Explains to users why an unfinished job waits in this cell. */
+final class WaitExplainer {
+    private final ControllerParts parts;
+    private final Supplier<Plan> lastPlan;
+
+    WaitExplainer(ControllerParts parts, Supplier<Plan> lastPlan) {
+        this.parts = parts;
+        this.lastPlan = lastPlan;
+    }
+
+    String explain(JobRecord job) {
+        if (parts.replica.staleness().compareTo(DecisionLoop.MAX_STALENESS_FOR_PLACEMENT) > 0) {
+            return "the state service does not answer; nothing new is placed";
+        }
+        if (job.spec().isPresent() && job.submission().isGang() && job.gangPhase() == JobRecord.GangPhase.STOPPING) {
+            return "its members are being stopped before it is placed again";
+        }
+        if (parts.crashLoopDetector.isCrashLooping(job.id())) {
+            return "its tasks have failed " + job.failures() + " times, on "
+                    + parts.crashLoopDetector.machinesOf(job.id()).size()
+                    + " machines seen from here, and none ended well; one is tried at a time, with growing pauses";
+        }
+        if (job.isDelegatedAway()) {
+            return "cell " + job.outboundDelegation().orElseThrow().cell() + " may hold it";
+        }
+        if (job.unplacedCount() == 0) {
+            return "its placeholders fetch the image";
+        }
+        String plannedReason = lastPlan.get().reasons().get(job.id());
+        return plannedReason != null ? plannedReason : explainUnplanned(job);
+    }
+
+    private String explainUnplanned(JobRecord job) {
+        if (job.submission().isGang() && !parts.membership.leads()) {
+            return "the leading controller places gangs; ask "
+                    + parts.membership.leader().orElse("it");
+        }
+        return "it is about to be placed";
+    }
+}
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.dunespindle.api.AdminApi;
+import org.dunespindle.protocol.JsonCodec;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.MachineRecord;
@@ -175,7 +175,7 @@
                 add(n, news, taken.getOrDefault(seed.name(), 0L));
             }
             httpClient
-                    .send(seed.address(), "POST", "/peer/heartbeat", AdminApi.write(n), "application/json", TIMEOUT)
+                    .send(seed.address(), "POST", "/peer/heartbeat", JsonCodec.write(n), "application/json", TIMEOUT)
                     .whenComplete((response, e) -> {
                         if (response != null && response.status() == 200) {
                             answered(seed.name(), asked, response.body());
--- a/src/main/java/org/dunespindle/time/Durations.java
+++ b/src/main/java/org/dunespindle/time/Durations.java
@@ -24,6 +24,11 @@
         return Duration.ofMillis(times(duration, numerator).toMillis() / denominator);
     }
 
+    /** The longer of two durations. */
+    public static Duration max(Duration one, Duration other) {
+        return one.compareTo(other) >= 0 ? one : other;
+    }
+
     /** The later of two moments that may be unknown; the known one if only one is. */
     public static Optional<Duration> later(Optional<Duration> one, Optional<Duration> other) {
         if (one.isEmpty()) {
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.dunespindle.TestSettings;
-import org.dunespindle.api.AdminApi;
+import org.dunespindle.protocol.JsonCodec;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
@@ -69,7 +69,7 @@
                     .add("a:1")
                     .add("image");
         }
-        return peerHeartbeats.receive(AdminApi.write(n), Duration.ZERO, new WriteDemand(0, 0));
+        return peerHeartbeats.receive(JsonCodec.write(n), Duration.ZERO, new WriteDemand(0, 0));
     }
 
     @Test
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -16,10 +16,10 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.dunespindle.api.AdminApi;
 import org.dunespindle.api.AdminResponse;
 import org.dunespindle.api.UserApi;
 import org.dunespindle.controller.Controller;
+import org.dunespindle.protocol.JsonCodec;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Submission;
@@ -447,7 +447,8 @@
         if (reply == null || sim.random.nextDouble() < loss) {
             return; // executed, or not there; either way no answer comes
         }
-        byte[] bytes = address.startsWith("node") ? AdminApi.write(reply.body()) : MessagePackCodec.write(reply.body());
+        byte[] bytes =
+                address.startsWith("node") ? JsonCodec.write(reply.body()) : MessagePackCodec.write(reply.body());
         int slow = slowStateMillis > 0 && address.startsWith("state") ? sim.random.nextInt(slowStateMillis) : 0;
         sim.after(
                 delay() + slow,
@@ -476,10 +477,11 @@
                 return null;
             }
             if (processes[address.charAt(5) - '0'].frozen()) {
-                processes[address.charAt(5) - '0'].arrive(() -> c.heard(raw)); // its asker has given up by then
+                processes[address.charAt(5) - '0'].arrive(
+                        () -> c.onPeerHeartbeat(raw)); // its asker has given up by then
                 return null;
             }
-            return new FakeStateStore.Reply(200, c.heard(raw));
+            return new FakeStateStore.Reply(200, c.onPeerHeartbeat(raw));
         }
         return w == null || w.dead
                 ? null
@@ -601,7 +603,7 @@
     /** The API of a controller that users reach now; empty while they reach none. */
     Optional<UserApi> reachable() {
         int i = usersAt >= 0 ? usersAt : sim.random.nextInt(3);
-        boolean reached = nodes[i] != null && !processes[i].frozen() && !apart("", areas[i]) && nodes[i].healthy();
+        boolean reached = nodes[i] != null && !processes[i].frozen() && !apart("", areas[i]) && nodes[i].isHealthy();
         return reached ? Optional.of(nodes[i].userApi()) : Optional.empty();
     }
 
@@ -663,7 +665,7 @@
     CompletableFuture<AdminResponse> admin(int node, String method, String path, String body) {
         var result = new CompletableFuture<AdminResponse>();
         nodes[node]
-                .admin()
+                .adminApi()
                 .handle(method, path, body.getBytes(java.nio.charset.StandardCharsets.UTF_8), result::complete);
         sim.run(sim.now().plusSeconds(1));
         return result;
@@ -674,7 +676,7 @@
         ObjectNode change = MessagePackCodec.map().put("stamp", 0);
         ObjectNode list = change.putObject("values");
         values.forEach(list::put);
-        nodes[node].admin().handle("PUT", "/v1/options", AdminApi.write(change), answer -> {
+        nodes[node].adminApi().handle("PUT", "/v1/options", JsonCodec.write(change), answer -> {
             if (answer.status() != 200) {
                 broken.add("options are not taken: " + answer.body());
             }
