--- a/src/main/java/org/dunespindle/storage/AllocationIndex.java
+++ b/src/main/java/org/dunespindle/storage/AllocationIndex.java
@@ -8,59 +8,67 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The allocations of all jobs by machine, kept as job records change. */
+/** The allocations of all jobs by machine, kept current as job records change. */
 final class AllocationIndex {
-    private final Map<String, List<PlacedTask>> byHost = new HashMap<>();
-    private final Consumer<String> touched;
+    private final Map<String, List<PlacedTask>> tasksByMachine = new HashMap<>();
+    private final Consumer<String> onMachineChanged;
 
     /**
      * Creates an empty index.
      *
-     * @param touched told of each machine on which something else should be from now on
+     * @param onMachineChanged called with each machine on which other tasks should run from now on
      */
-    AllocationIndex(Consumer<String> touched) {
-        this.touched = touched;
+    AllocationIndex(Consumer<String> onMachineChanged) {
+        this.onMachineChanged = onMachineChanged;
     }
 
     /** Machines that allocations are on. */
-    Set<String> hosts() {
-        return byHost.keySet();
+    Set<String> machines() {
+        return tasksByMachine.keySet();
     }
 
     /** The allocations on one machine. */
-    List<PlacedTask> on(String host) {
-        return byHost.getOrDefault(host, List.of());
+    List<PlacedTask> on(String machineId) {
+        return tasksByMachine.getOrDefault(machineId, List.of());
     }
 
     void clear() {
-        byHost.clear();
+        tasksByMachine.clear();
     }
 
-    /** Takes in a job's new record; a machine is touched only if what should be on it changed. */
-    void update(String id, Optional<JobRecord> before, Optional<JobRecord> after) {
-        Map<String, List<Allocation>> old = byHost(before);
-        Map<String, List<Allocation>> now = byHost(after);
-        boolean turned = turned(before, after);
-        old.forEach((host, allocations) -> {
-            byHost.computeIfPresent(host, (h, list) -> {
-                list.removeIf(placed -> placed.job().id().equals(id));
-                return list.isEmpty() ? null : list;
-            });
-            if (turned || !allocations.equals(now.get(host))) {
-                touched.accept(host);
+    /** Replaces a job's allocations; a machine is reported only if what should run on it changed. */
+    void update(String jobId, Optional<JobRecord> before, Optional<JobRecord> after) {
+        Map<String, List<Allocation>> oldByMachine = byMachine(before);
+        Map<String, List<Allocation>> newByMachine = byMachine(after);
+        boolean stateChanged = stateChanged(before, after);
+        oldByMachine.forEach((machineId, allocations) -> {
+            remove(jobId, machineId);
+            if (stateChanged || !allocations.equals(newByMachine.get(machineId))) {
+                onMachineChanged.accept(machineId);
             }
         });
-        now.forEach((host, allocations) -> {
-            List<PlacedTask> list = byHost.computeIfAbsent(host, h -> new ArrayList<>(2));
-            allocations.forEach(allocation -> list.add(new PlacedTask(after.get(), allocation)));
-            if (!allocations.equals(old.get(host))) {
-                touched.accept(host);
+        newByMachine.forEach((machineId, allocations) -> {
+            add(after.get(), machineId, allocations);
+            if (!allocations.equals(oldByMachine.get(machineId))) {
+                onMachineChanged.accept(machineId);
             }
         });
     }
 
-    /** Whether the same allocations mean something else than before. */
-    private static boolean turned(Optional<JobRecord> before, Optional<JobRecord> after) {
+    private void add(JobRecord job, String machineId, List<Allocation> allocations) {
+        List<PlacedTask> tasks = tasksByMachine.computeIfAbsent(machineId, id -> new ArrayList<>(2));
+        allocations.forEach(allocation -> tasks.add(new PlacedTask(job, allocation)));
+    }
+
+    private void remove(String jobId, String machineId) {
+        tasksByMachine.computeIfPresent(machineId, (id, tasks) -> {
+            tasks.removeIf(task -> task.job().id().equals(jobId));
+            return tasks.isEmpty() ? null : tasks;
+        });
+    }
+
+    /** Whether the same allocations require something else of the workers than before. */
+    private static boolean stateChanged(Optional<JobRecord> before, Optional<JobRecord> after) {
         if (before.isEmpty() || after.isEmpty()) {
             return before.isPresent() != after.isPresent();
         }
@@ -69,15 +77,16 @@
                 || before.get().gangAttempt() != after.get().gangAttempt();
     }
 
-    private static Map<String, List<Allocation>> byHost(Optional<JobRecord> job) {
+    private static Map<String, List<Allocation>> byMachine(Optional<JobRecord> job) {
         if (job.isEmpty() || job.get().allocations().isEmpty()) {
             return Map.of();
         }
-        var map = new HashMap<String, List<Allocation>>();
+        var allocationsByMachine = new HashMap<String, List<Allocation>>();
         for (Allocation allocation : job.get().allocations()) {
-            map.computeIfAbsent(allocation.machineId(), host -> new ArrayList<>(2))
+            allocationsByMachine
+                    .computeIfAbsent(allocation.machineId(), id -> new ArrayList<>(2))
                     .add(allocation);
         }
-        return map;
+        return allocationsByMachine;
     }
 }
--- a/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
+++ b/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
@@ -10,17 +10,18 @@
 import java.util.TreeSet;
 import org.dunespindle.protocol.MalformedMessageException;
 
-/** The main values and parts of job records that do not fit into one value, as they are stored. */
+/** The main values and chunks of job records that do not fit into one value, as they are stored. */
 final class ChunkedJobRecords {
     private final Map<String, JsonNode> mains = new HashMap<>();
-    private final Map<String, Map<Integer, String>> parts = new HashMap<>();
+    private final Map<String, Map<Integer, String>> chunksByJob = new HashMap<>();
+    /** Jobs to assemble again; sorted, so that the order is deterministic. */
     private Set<String> changed = new TreeSet<>();
 
-    /** Takes a job's main value; one that is whole, or removed, has no parts. */
-    void putMain(String id, Optional<JsonNode> main) {
-        Optional<JsonNode> cut = main.filter(JobRecordCodec::isCut);
-        if (cut.isPresent()) {
-            mains.put(id, cut.get());
+    /** Replaces a job's main value; one that is whole, or removed, has no chunks. */
+    void putMain(String id, Optional<JsonNode> value) {
+        Optional<JsonNode> main = value.filter(ChunkedJobRecordCodec::isChunked);
+        if (main.isPresent()) {
+            mains.put(id, main.get());
             changed.add(id);
         } else {
             mains.remove(id);
@@ -28,61 +29,64 @@
         }
     }
 
-    /** Takes the value of a part, by its key. */
-    void putPart(String key, Optional<JsonNode> value) throws MalformedMessageException {
+    /** Replaces the chunk under a key; an empty value removes it. */
+    void putChunk(String key, Optional<JsonNode> value) throws MalformedMessageException {
         int slash = key.lastIndexOf('/');
         String id = key.substring(Math.min(slash, Keys.PART.length()), slash);
-        int index;
-        try {
-            index = Integer.parseInt(key.substring(slash + 1));
-        } catch (NumberFormatException e) {
-            throw new MalformedMessageException("it names no part");
-        }
-        Map<Integer, String> ofJob = parts.computeIfAbsent(id, k -> new HashMap<>());
+        int index = chunkIndex(key.substring(slash + 1));
+        Map<Integer, String> chunks = chunksByJob.computeIfAbsent(id, job -> new HashMap<>());
         if (value.isPresent()) {
-            ofJob.put(index, JobRecordCodec.partText(value.get()));
+            chunks.put(index, ChunkedJobRecordCodec.chunkText(value.get()));
         } else {
-            ofJob.remove(index);
+            chunks.remove(index);
         }
-        if (ofJob.isEmpty()) {
-            parts.remove(id);
+        if (chunks.isEmpty()) {
+            chunksByJob.remove(id);
         }
         if (mains.containsKey(id)) {
             changed.add(id);
         }
     }
 
-    /** Jobs whose cut record changed since the last call. */
-    Set<String> takeChanged() {
-        Set<String> taken = changed;
+    private static int chunkIndex(String text) throws MalformedMessageException {
+        try {
+            return Integer.parseInt(text);
+        } catch (NumberFormatException e) {
+            throw new MalformedMessageException("it names no part");
+        }
+    }
+
+    /** Jobs whose chunked record changed since the last call. */
+    Set<String> drainChanged() {
+        Set<String> drained = changed;
         changed = new TreeSet<>();
-        return taken;
+        return drained;
     }
 
-    /** The texts that a job's parts keep, in their order. */
-    List<String> parts(String id) {
-        Map<Integer, String> known = parts.getOrDefault(id, Map.of());
-        var list = new ArrayList<String>();
+    /** The texts of a job's chunks, in order up to the first one missing. */
+    List<String> chunks(String id) {
+        Map<Integer, String> known = chunksByJob.getOrDefault(id, Map.of());
+        var chunks = new ArrayList<String>();
         for (int i = 0; known.containsKey(i); i++) {
-            list.add(known.get(i));
+            chunks.add(known.get(i));
         }
-        return list;
+        return chunks;
     }
 
-    /** Puts a cut record together. */
+    /** Assembles a job's record from its main value and chunks. */
     JobRecord assemble(String id) throws MalformedMessageException {
         JsonNode main = mains.get(id);
-        List<String> texts = parts(id);
-        if (texts.size() != JobRecordCodec.partCount(main)) {
-            throw new MalformedMessageException(
-                    "it has " + texts.size() + " parts in place of " + JobRecordCodec.partCount(main));
+        List<String> chunks = chunks(id);
+        int expected = ChunkedJobRecordCodec.chunkCount(main);
+        if (chunks.size() != expected) {
+            throw new MalformedMessageException("it has " + chunks.size() + " parts in place of " + expected);
         }
-        return JobRecordCodec.parse(id, main, texts);
+        return ChunkedJobRecordCodec.parse(id, main, chunks);
     }
 
     void clear() {
         mains.clear();
-        parts.clear();
+        chunksByJob.clear();
         changed.clear();
     }
 }
--- a/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
+++ b/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
@@ -29,7 +29,7 @@
     }
 
     /** Reads the tie out of a job's record. */
-    static Optional<DelegationLink> read(JsonNode record) throws MalformedMessageException {
+    static Optional<DelegationLink> parse(JsonNode record) throws MalformedMessageException {
         if (record.has(DELEGATION)) {
             return Optional.of(delegation(record.get(DELEGATION)));
         }
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -8,20 +8,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.Set;
+import java.util.function.UnaryOperator;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Submission;
 
 /**
- * A job as the state service keeps it.
+ * The stored state of a job. The record is immutable: each transition returns a new one.
  *
- * <p>Array tasks start in index order, so {@code next} (the first index never started), the ones to
- * start again and the allocations say everything: the rest below {@code next} is done. The record's size
- * follows what is under way, never the number of tasks.
+ * <p>The tasks of an array start in index order, so {@code nextTaskIndex}, {@code requeued} and {@code allocations} suffice:
+ * every other task below {@code nextTaskIndex} is done. The record's size is bounded by the tasks in progress, never by the
+ * number of tasks.
  *
- * @param spec empty for a finished job without allocations: only its final state is kept
- * @param attemptCounter source of attempts; only grows
+ * @param spec empty for a finished job without allocations: only its outcome is kept
+ * @param attemptCounter source of attempt numbers; only increases
+ * @param nextTaskIndex the first task of an array that was never placed
+ * @param requeued tasks below {@code nextTaskIndex} that have to be placed again, in the order in which they should start
  * @param gangAttempt a gang's common attempt, while {@link GangPhase#RUNNING}
  * @param queuePosition place in the team's queue of gangs: arrival in milliseconds, later after a requeue
+ * @param failures how often its tasks have failed
+ * @param notBefore when the next task may be placed, after a failure
  * @param delegationLink how the job is linked to another cell: delegated to it, or accepted from it
  */
 public record JobRecord(
@@ -40,21 +46,26 @@
         Optional<Instant> notBefore,
         Optional<DelegationLink> delegationLink) {
 
-    /** The first value of the source of attempts, which every booking raises. */
-    private static final long FIRST_GENERATION = 1;
+    /** The attempt counter of a job none of whose tasks was ever placed; every placement raises it. */
+    private static final long FIRST_ATTEMPT = 1;
 
     /** How a job ended, if it did. */
     public enum Outcome {
+        /** Neither done nor cancelled yet. */
         OPEN,
         DONE,
         CANCELLED
     }
 
-    /** Where a gang stands: queued, placeholders being placed, real tasks, or being stopped as a whole. */
+    /** The phases of a gang, whose tasks start and stop together. */
     public enum GangPhase {
+        /** No task is placed. */
         QUEUED("IDLE"),
+        /** Placeholders hold capacity until every task has a machine. */
         PLACEHOLDERS("HOLD"),
+        /** The real tasks run. */
         RUNNING("REAL"),
+        /** All tasks are being stopped; the gang is queued again once the last one is released. */
         STOPPING("STOP");
 
         private final String stored;
@@ -70,9 +81,9 @@
 
         /** Reads the name in the stored record. */
         static GangPhase parse(String text) throws MalformedMessageException {
-            for (GangPhase mode : values()) {
-                if (mode.stored.equals(text)) {
-                    return mode;
+            for (GangPhase phase : values()) {
+                if (phase.stored.equals(text)) {
+                    return phase;
                 }
             }
             throw new MalformedMessageException("unknown gang phase " + text);
@@ -86,7 +97,7 @@
                 Optional.of(spec),
                 now,
                 Outcome.OPEN,
-                FIRST_GENERATION,
+                FIRST_ATTEMPT,
                 0,
                 List.of(),
                 List.of(),
@@ -98,32 +109,76 @@
                 Optional.empty());
     }
 
+    /** The record of a job accepted from another cell, which keeps the time at which it arrived there. */
+    public static JobRecord acceptedFromOrigin(Submission spec, Instant arrived, InboundDelegation link) {
+        return accepted(spec, arrived).withDelegationLink(link);
+    }
+
+    /**
+     * The record of a delegation that ended before its job arrived: an offer of it that is still under way is refused.
+     *
+     * @param cancelled whether the job was cancelled, rather than withdrawn by its origin
+     */
+    public static JobRecord tombstone(String id, Instant now, InboundDelegation link, boolean cancelled) {
+        return finished(id, now, Outcome.CANCELLED, 0, Optional.of(cancelled ? link : link.withdraw()));
+    }
+
+    /** The record of a job without allocations that has ended: only its outcome and the number of tasks done are kept. */
+    static JobRecord finished(
+            String id, Instant arrived, Outcome outcome, int tasksDone, Optional<DelegationLink> delegationLink) {
+        return new JobRecord(
+                id,
+                Optional.empty(),
+                arrived,
+                outcome,
+                0,
+                tasksDone,
+                List.of(),
+                List.of(),
+                GangPhase.QUEUED,
+                0,
+                0,
+                0,
+                Optional.empty(),
+                delegationLink);
+    }
+
+    /** Parses the stored form as one value. */
+    public static JobRecord parse(String id, JsonNode node) throws MalformedMessageException {
+        return JobRecordCodec.parse(id, node);
+    }
+
+    /** The stored form as one value. */
+    public ObjectNode toNode() {
+        return JobRecordCodec.toNode(this);
+    }
+
     /** Whether the job is neither done nor cancelled. */
     public boolean isOpen() {
         return outcome == Outcome.OPEN;
     }
 
-    /** How the job stands between this cell, which accepted it from its user, and others. */
+    /** The link to the cell that this cell, as the origin, delegated the job to. */
     public Optional<OutboundDelegation> outboundDelegation() {
         return delegationLink.filter(OutboundDelegation.class::isInstance).map(OutboundDelegation.class::cast);
     }
 
-    /** Whose job it is, if another cell accepted it from its user. */
+    /** The link to the job's origin, if that is another cell. */
     public Optional<InboundDelegation> inboundDelegation() {
         return delegationLink.filter(InboundDelegation.class::isInstance).map(InboundDelegation.class::cast);
     }
 
-    /** Whether another cell may hold the job, so that nothing of it may be placed here. */
+    /** Whether another cell may hold the job, so that none of its tasks may be placed here. */
     public boolean isDelegatedAway() {
         return outboundDelegation().filter(OutboundDelegation::outstanding).isPresent();
     }
 
-    /** Whether no task of it was ever booked, let alone started. */
+    /** Whether none of its tasks was ever placed, let alone started. */
     public boolean neverPlaced() {
-        return attemptCounter == FIRST_GENERATION && allocations.isEmpty() && failures == 0;
+        return attemptCounter == FIRST_ATTEMPT && allocations.isEmpty() && failures == 0;
     }
 
-    /** What the user submitted; only present while the job is open or holds allocations. */
+    /** What the user submitted; only present while the job is open or has allocations. */
     public Submission submission() {
         return spec.orElseThrow();
     }
@@ -133,67 +188,35 @@
         if (spec.isEmpty()) {
             return nextTaskIndex;
         }
-        return submission().isGang() || outcome != Outcome.OPEN
-                ? 0
-                : nextTaskIndex - requeued.size() - allocations.size();
+        if (submission().isGang() || !isOpen()) {
+            return 0;
+        }
+        return nextTaskIndex - requeued.size() - allocations.size();
     }
 
-    /** Tasks running, for display: a gang's placeholders are none. */
+    /** Tasks running, for display; a gang's placeholders do not count. */
     public int runningCount() {
-        boolean placing = spec.isPresent() && submission().isGang() && gangPhase != GangPhase.RUNNING;
-        return isOpen() && !placing ? allocations.size() : 0;
+        boolean placeholders = spec.isPresent() && submission().isGang() && gangPhase != GangPhase.RUNNING;
+        return isOpen() && !placeholders ? allocations.size() : 0;
     }
 
-    /** Indexes without an allocation and not done, in the order they should start. */
-    public IntArrayList unplaced(int most) {
-        var list = new IntArrayList();
-        if (!isOpen() || isDelegatedAway()) {
-            return list;
-        }
-        if (submission().isGang()) {
-            if (gangPhase == GangPhase.RUNNING || gangPhase == GangPhase.STOPPING) {
-                return list;
-            }
-            var placed = new java.util.BitSet();
-            allocations.forEach(allocation -> placed.set(allocation.task()));
-            for (int i = placed.nextClearBit(0);
-                    i < submission().tasks() && list.size() < most;
-                    i = placed.nextClearBit(i + 1)) {
-                list.add(i);
-            }
-            return list;
-        }
-        for (int i : requeued) {
-            if (list.size() < most) {
-                list.add(i);
-            }
-        }
-        for (int i = nextTaskIndex; i < submission().tasks() && list.size() < most; i++) {
-            list.add(i);
-        }
-        return list;
+    /** The indices of tasks that still need a machine, at most so many, in the order in which they should start. */
+    public IntArrayList unplaced(int maxCount) {
+        return UnplacedTasks.first(this, maxCount);
     }
 
     /** How many tasks still need a machine. */
     public int unplacedCount() {
-        if (!isOpen() || isDelegatedAway()) {
-            return 0;
-        }
-        if (submission().isGang()) {
-            return gangPhase == GangPhase.RUNNING || gangPhase == GangPhase.STOPPING
-                    ? 0
-                    : submission().tasks() - allocations.size();
-        }
-        return requeued.size() + submission().tasks() - nextTaskIndex;
+        return UnplacedTasks.count(this);
     }
 
-    /** The attempt under which an allocation's task should be on its machine. */
+    /** The attempt under which an allocation's task should run on its machine. */
     public long expectedAttempt(Allocation allocation) {
-        return !submission().isGang()
-                ? allocation.attemptBase()
-                : gangPhase == GangPhase.RUNNING || (gangPhase == GangPhase.STOPPING && gangAttempt > 0)
-                        ? gangAttempt
-                        : allocation.attemptBase() + allocation.task();
+        if (!submission().isGang()) {
+            return allocation.attemptBase();
+        }
+        boolean realTasks = gangPhase == GangPhase.RUNNING || gangPhase == GangPhase.STOPPING && gangAttempt > 0;
+        return realTasks ? gangAttempt : allocation.attemptBase() + allocation.task();
     }
 
     /** The allocation of one task, if it has one. */
@@ -206,298 +229,179 @@
         return Optional.empty();
     }
 
-    /** Books tasks on machines, each under a fresh attempt. */
-    public JobRecord withPlaced(Map<Integer, String> places) {
-        var all = new ArrayList<>(allocations);
+    /**
+     * Places tasks on machines, each under a new attempt.
+     *
+     * @param machineIds the machine for each task
+     */
+    public JobRecord withPlaced(Map<Integer, String> machineIds) {
+        var placed = new ArrayList<>(allocations);
+        machineIds.forEach((task, machineId) -> placed.add(new Allocation(task, machineId, attemptCounter, false)));
+        JobRecordBuilder after = copy().allocations(placed).notBefore(Optional.empty());
+        if (submission().isGang()) {
+            return after.attemptCounter(attemptCounter + submission().tasks())
+                    .gangPhase(gangPhase == GangPhase.QUEUED ? GangPhase.PLACEHOLDERS : gangPhase)
+                    .build();
+        }
+        return afterArrayPlacement(after, machineIds.keySet());
+    }
+
+    private JobRecord afterArrayPlacement(JobRecordBuilder after, Set<Integer> placed) {
+        int next = nextTaskIndex;
         var waiting = new ArrayList<>(requeued);
-        int first = nextTaskIndex;
-        for (var e : places.entrySet()) {
-            all.add(new Allocation(e.getKey(), e.getValue(), attemptCounter, false));
-            if (!submission().isGang()) {
-                waiting.remove(e.getKey());
-                first = Math.max(first, e.getKey() + 1);
-            }
+        for (Integer task : placed) {
+            waiting.remove(task);
+            next = Math.max(next, task + 1);
         }
-        if (!submission().isGang()) {
-            // Indexes skipped below the new frontier still have to run; without this they would count as done.
-            for (int i = nextTaskIndex; i < first; i++) {
-                if (!places.containsKey(i)) {
-                    waiting.add(i);
-                }
+        // Indices skipped below the new next one still have to run; without this they would count as done.
+        for (int i = nextTaskIndex; i < next; i++) {
+            if (!placed.contains(i)) {
+                waiting.add(i);
             }
         }
-        long used = submission().isGang() ? submission().tasks() : 1;
-        GangPhase m = submission().isGang() && gangPhase == GangPhase.QUEUED ? GangPhase.PLACEHOLDERS : gangPhase;
-        return new JobRecord(
-                id,
-                spec,
-                arrived,
-                outcome,
-                attemptCounter + used,
-                first,
-                List.copyOf(waiting),
-                List.copyOf(all),
-                m,
-                gangAttempt,
-                queuePosition,
-                failures,
-                Optional.empty(),
-                delegationLink);
+        return after.attemptCounter(attemptCounter + 1)
+                .nextTaskIndex(next)
+                .requeued(waiting)
+                .build();
     }
 
-    /** Starts the real tasks of a gang whose placeholders all idle: one common new attempt. */
+    /** Starts the real tasks of a gang, all of whose placeholders are ready, under one new common attempt. */
     public JobRecord withGangRunning() {
-        return new JobRecord(
-                id,
-                spec,
-                arrived,
-                outcome,
-                attemptCounter + 1,
-                nextTaskIndex,
-                requeued,
-                allocations,
-                GangPhase.RUNNING,
-                attemptCounter,
-                queuePosition,
-                failures,
-                notBefore,
-                delegationLink);
+        return copy().attemptCounter(attemptCounter + 1)
+                .gangPhase(GangPhase.RUNNING)
+                .gangAttempt(attemptCounter)
+                .build();
     }
 
-    /** Books a placeholder again on its machine, after it gave up waiting. */
+    /** Places a placeholder on its machine again, under a new attempt, after it ended by itself. */
     public JobRecord withPlaceholderReplaced(int task) {
-        var all = new ArrayList<Allocation>();
-        allocations.forEach(allocation -> all.add(
-                allocation.task() == task
-                        ? new Allocation(task, allocation.machineId(), attemptCounter, allocation.stopping())
-                        : allocation));
-        return withProgress(
-                outcome, attemptCounter + submission().tasks(), nextTaskIndex, requeued, all, gangPhase, gangAttempt);
+        return copy().attemptCounter(attemptCounter + submission().tasks())
+                .allocations(replaceAllocation(
+                        task,
+                        allocation ->
+                                new Allocation(task, allocation.machineId(), attemptCounter, allocation.stopping())))
+                .build();
     }
 
-    /** Stops a whole gang: it comes back once every member is released. */
+    /** Stops a whole gang: it is queued again once every task is released. */
     public JobRecord withGangStopping() {
-        return withProgress(
-                outcome,
-                attemptCounter,
-                nextTaskIndex,
-                requeued,
-                allocations,
-                GangPhase.STOPPING,
-                gangPhase == GangPhase.RUNNING ? gangAttempt : gangPhase == GangPhase.STOPPING ? gangAttempt : 0);
+        boolean realTasks = gangPhase == GangPhase.RUNNING || gangPhase == GangPhase.STOPPING;
+        return copy().gangPhase(GangPhase.STOPPING)
+                .gangAttempt(realTasks ? gangAttempt : 0)
+                .build();
     }
 
     /** Marks one task's allocation as being stopped. */
     public JobRecord withTaskStopping(int task) {
-        var all = new ArrayList<Allocation>();
-        allocations.forEach(allocation -> all.add(allocation.task() == task ? allocation.stopped() : allocation));
-        return withProgress(outcome, attemptCounter, nextTaskIndex, requeued, all, gangPhase, gangAttempt);
+        return copy().allocations(replaceAllocation(task, Allocation::stopped)).build();
+    }
+
+    private List<Allocation> replaceAllocation(int task, UnaryOperator<Allocation> replacement) {
+        var replaced = new ArrayList<Allocation>(allocations.size());
+        allocations.forEach(
+                allocation -> replaced.add(allocation.task() == task ? replacement.apply(allocation) : allocation));
+        return replaced;
     }
 
-    /** Gives up an allocation whose task is proven gone; an array's task runs again unless it is done. */
+    /** Releases the allocation of a task that is proven to have ended; an array's task is requeued unless it is done. */
     public JobRecord withReleased(int task, boolean done) {
         return withReleased(Map.of(task, done));
     }
 
-    /** The same for several at once, which for a large array is one pass over its allocations instead of one for each. */
-    public JobRecord withReleased(Map<Integer, Boolean> ended) {
-        var all = new ArrayList<Allocation>(allocations.size());
+    /**
+     * Releases several allocations in one pass, which matters for large arrays.
+     *
+     * @param doneByTask whether each of the ended tasks is done
+     */
+    public JobRecord withReleased(Map<Integer, Boolean> doneByTask) {
+        var remaining = new ArrayList<Allocation>(allocations.size());
         allocations.forEach(allocation -> {
-            if (!ended.containsKey(allocation.task())) {
-                all.add(allocation);
+            if (!doneByTask.containsKey(allocation.task())) {
+                remaining.add(allocation);
             }
         });
-        if (spec.isEmpty() || submission().isGang()) {
-            GangPhase m = all.isEmpty() ? GangPhase.QUEUED : gangPhase;
-            return withProgress(
-                            outcome,
-                            attemptCounter,
-                            nextTaskIndex,
-                            requeued,
-                            all,
-                            m,
-                            m == GangPhase.QUEUED ? 0 : gangAttempt)
-                    .compact();
+        JobRecordBuilder after = copy().allocations(remaining);
+        if (spec.isPresent() && !submission().isGang()) {
+            return afterArrayRelease(after, doneByTask, remaining.isEmpty());
+        }
+        if (remaining.isEmpty() || gangPhase == GangPhase.QUEUED) {
+            after.gangPhase(GangPhase.QUEUED).gangAttempt(0);
         }
+        return after.build().compact();
+    }
+
+    private JobRecord afterArrayRelease(
+            JobRecordBuilder after, Map<Integer, Boolean> doneByTask, boolean noAllocations) {
         var waiting = new ArrayList<>(requeued);
-        ended.forEach((task, done) -> {
+        doneByTask.forEach((task, done) -> {
             if (!done || submission().isService()) {
                 waiting.add(task); // a service's task that ends is started again: only its user ends a service
             }
         });
-        boolean over =
-                outcome == Outcome.OPEN && nextTaskIndex == submission().tasks() && waiting.isEmpty() && all.isEmpty();
-        return withProgress(
-                        over ? Outcome.DONE : outcome,
-                        attemptCounter,
-                        nextTaskIndex,
-                        waiting,
-                        all,
-                        gangPhase,
-                        gangAttempt)
+        boolean allDone = isOpen() && nextTaskIndex == submission().tasks() && waiting.isEmpty() && noAllocations;
+        return after.requeued(waiting)
+                .outcome(allDone ? Outcome.DONE : outcome)
+                .build()
                 .compact();
     }
 
-    /** A gang is done as one: its members complete together. */
+    /** A gang that is done; its tasks complete together. */
     public JobRecord gangDone() {
-        return withProgress(Outcome.DONE, attemptCounter, nextTaskIndex, requeued, List.of(), GangPhase.QUEUED, 0)
-                .compact();
-    }
-
-    /** Cancelled for good; allocations stay until each task is proven gone. */
-    public JobRecord cancelled() {
-        return withProgress(
-                        Outcome.CANCELLED,
-                        attemptCounter,
-                        nextTaskIndex,
-                        List.of(),
-                        allocations,
-                        gangPhase,
-                        gangAttempt)
-                .compact();
+        return done();
     }
 
-    /** The same job, tied to another cell in another way. */
-    public JobRecord withDelegationLink(DelegationLink newTie) {
-        return new JobRecord(
-                id,
-                spec,
-                arrived,
-                outcome,
-                attemptCounter,
-                nextTaskIndex,
-                requeued,
-                allocations,
-                gangPhase,
-                gangAttempt,
-                queuePosition,
-                failures,
-                notBefore,
-                Optional.of(newTie));
+    /** A delegated job all of whose tasks are done, as the cell that holds it has reported. */
+    public JobRecord doneElsewhere() {
+        return done();
     }
 
-    /** A job taken in from another cell keeps the time at which it arrived there. */
-    public static JobRecord acceptedFromOrigin(Submission spec, Instant arrived, InboundDelegation visit) {
-        return accepted(spec, arrived).withDelegationLink(visit);
+    private JobRecord done() {
+        return copy().outcome(Outcome.DONE)
+                .allocations(List.of())
+                .gangPhase(GangPhase.QUEUED)
+                .gangAttempt(0)
+                .build()
+                .compact();
     }
 
-    /** The cell that holds the job told that all of its tasks are done. */
-    public JobRecord doneElsewhere() {
-        return withProgress(Outcome.DONE, attemptCounter, nextTaskIndex, requeued, List.of(), GangPhase.QUEUED, 0)
-                .compact();
+    /** A cancelled job; its allocations stay until each task is proven to have ended. */
+    public JobRecord cancelled() {
+        return copy().outcome(Outcome.CANCELLED).requeued(List.of()).build().compact();
     }
 
-    /** Ends a job taken in from another cell before any of its tasks was booked; its own cell may place it again. */
+    /** Ends a job accepted from another cell before any of its tasks was placed; its origin may place it again. */
     public JobRecord withdrawn() {
         return withDelegationLink(inboundDelegation().orElseThrow().withdraw()).cancelled();
     }
 
-    /** Remembers that a transfer is over before its job ever came: an offer of it that is still under way is refused. */
-    public static JobRecord tombstone(String id, Instant now, InboundDelegation visit, boolean cancelled) {
-        return new JobRecord(
-                id,
-                Optional.empty(),
-                now,
-                Outcome.CANCELLED,
-                0,
-                0,
-                List.of(),
-                List.of(),
-                GangPhase.QUEUED,
-                0,
-                0,
-                0,
-                Optional.empty(),
-                Optional.of(cancelled ? visit : visit.withdraw()));
+    /** The job with another link to another cell. */
+    public JobRecord withDelegationLink(DelegationLink link) {
+        return copy().delegationLink(Optional.of(link)).build();
     }
 
     /** Counts failures and delays the next attempt. */
-    public JobRecord withFailures(int more, Optional<Instant> until) {
-        return new JobRecord(
-                id,
-                spec,
-                arrived,
-                outcome,
-                attemptCounter,
-                nextTaskIndex,
-                requeued,
-                allocations,
-                gangPhase,
-                gangAttempt,
-                queuePosition,
-                failures + more,
-                until,
-                delegationLink);
+    public JobRecord withFailures(int more, Optional<Instant> retryAt) {
+        return copy().failures(failures + more).notBefore(retryAt).build();
     }
 
-    /** Moves a gang to another place in its team's queue. */
-    public JobRecord withQueuePosition(long newOrder) {
-        return new JobRecord(
-                id,
-                spec,
-                arrived,
-                outcome,
-                attemptCounter,
-                nextTaskIndex,
-                requeued,
-                allocations,
-                gangPhase,
-                gangAttempt,
-                newOrder,
-                failures,
-                notBefore,
-                delegationLink);
+    /** Moves a gang to another position in its team's queue. */
+    public JobRecord withQueuePosition(long position) {
+        return copy().queuePosition(position).build();
     }
 
-    private JobRecord withProgress(Outcome e, long g, int n, List<Integer> a, List<Allocation> c, GangPhase m, long t) {
-        return new JobRecord(
-                id,
-                spec,
-                arrived,
-                e,
-                g,
-                n,
-                List.copyOf(a),
-                List.copyOf(c),
-                m,
-                t,
-                queuePosition,
-                failures,
-                notBefore,
-                delegationLink);
+    private JobRecordBuilder copy() {
+        return new JobRecordBuilder(this);
     }
 
+    /** Drops all that a finished job without allocations does not need, in particular a delegation of its own. */
     private JobRecord compact() {
-        if (outcome == Outcome.OPEN || !allocations.isEmpty()) {
+        if (isOpen() || !allocations.isEmpty()) {
             return this;
         }
-        int finished = spec.isEmpty()
-                ? nextTaskIndex
-                : outcome == Outcome.DONE ? submission().tasks() : 0;
-        return new JobRecord(
-                id,
-                Optional.empty(),
-                arrived,
-                outcome,
-                0,
-                finished,
-                List.of(),
-                List.of(),
-                GangPhase.QUEUED,
-                0,
-                0,
-                0,
-                Optional.empty(),
-                delegationLink.filter(InboundDelegation.class::isInstance));
-    }
-
-    /** The stored form as one value. */
-    public ObjectNode toNode() {
-        return JobRecordCodec.whole(this);
-    }
-
-    /** Reads the stored form as one value. */
-    public static JobRecord parse(String id, JsonNode n) throws MalformedMessageException {
-        return JobRecordCodec.parse(id, n);
+        int tasksDone = nextTaskIndex;
+        if (spec.isPresent()) {
+            tasksDone = outcome == Outcome.DONE ? submission().tasks() : 0;
+        }
+        return finished(id, arrived, outcome, tasksDone, delegationLink.filter(InboundDelegation.class::isInstance));
     }
 }
--- a/src/main/java/org/dunespindle/storage/JobRecordWriter.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordWriter.java
@@ -1,95 +1,121 @@
 package org.dunespindle.storage;
 
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 
 /**
- * Adds job records to transactions in the form that the stored format version and the state service's limits allow: whole
- * while a record fits into one value, else cut into parts, of which only those that changed are written.
+ * Adds job records to transactions in the form that the stored format version and the state store's limits allow: whole
+ * while a record fits into one value, else in chunks, of which only those that changed are written.
  */
 public final class JobRecordWriter {
-    /** Changes of a transaction that a record being placed leaves: its team's record, and one to spare. */
-    private static final int OTHER_CHANGES = 2;
+    /** Changes of a transaction that are left to others when a task is placed: its team's record, and one to spare. */
+    private static final int RESERVED_CHANGES = 2;
+    /** The longest description that is accepted leaves this part of a value to the job's progress. */
+    private static final int DESCRIPTION_DIVISOR = 2;
 
     private final StateReplica replica;
-    private final Settings.State now;
-    private final Settings.State lowest;
+    private final Settings.State currentLimits;
+    private final Settings.State lowestLimits;
 
     /** Creates a writer for the limits that the settings name. */
     public JobRecordWriter(StateReplica replica, Settings.State limits) {
         this.replica = replica;
-        this.now = limits;
-        this.lowest = limits.lowest();
+        this.currentLimits = limits;
+        this.lowestLimits = limits.lowest();
     }
 
-    /** Adds a job's new record to a transaction, guarded by the one that it was made from. */
+    /** A record in the form in which it is to be written. */
+    private sealed interface StoredForm {
+        record Whole(ObjectNode value) implements StoredForm {}
+
+        record Chunked(ChunkedJobRecordCodec.ChunkedRecord values) implements StoredForm {}
+    }
+
+    /** Adds a job's new record to a transaction, with the revision of the one that it was made from as a precondition. */
     public Transaction write(Transaction transaction, JobRecord after) {
         String key = Keys.job(after.id());
         transaction.requireRevision(key, replica.modRevision(key));
-        List<String> stored = replica.partsOf(after.id());
-        if (!cuts(after)) {
-            transaction.write(key, after.toNode());
-            removeFrom(0, stored, transaction, after.id());
+        List<String> storedChunks = replica.chunksOf(after.id());
+        StoredForm form = storedForm(after);
+        if (form instanceof StoredForm.Whole whole) {
+            transaction.write(key, whole.value);
+            removeChunks(transaction, after.id(), 0, storedChunks.size());
             return transaction;
         }
-        JobRecordCodec.Cut cut = JobRecordCodec.cut(after, lowest.valueBytes());
+        ChunkedJobRecordCodec.ChunkedRecord values = ((StoredForm.Chunked) form).values;
         transaction
                 .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT))
-                .write(key, cut.main());
-        for (int i = 0; i < cut.parts().size(); i++) {
-            String text = cut.parts().get(i);
-            if (i >= stored.size() || !stored.get(i).equals(text)) {
-                transaction.write(Keys.part(after.id(), i), JobRecordCodec.part(text));
+                .write(key, values.main());
+        writeChangedChunks(transaction, after.id(), values.chunks(), storedChunks);
+        removeChunks(transaction, after.id(), values.chunks().size(), storedChunks.size());
+        return transaction;
+    }
+
+    private static void writeChangedChunks(
+            Transaction transaction, String jobId, List<String> chunks, List<String> storedChunks) {
+        for (int i = 0; i < chunks.size(); i++) {
+            String text = chunks.get(i);
+            if (i >= storedChunks.size() || !storedChunks.get(i).equals(text)) {
+                transaction.write(Keys.part(jobId, i), ChunkedJobRecordCodec.chunkNode(text));
             }
         }
-        removeFrom(cut.parts().size(), stored, transaction, after.id());
-        return transaction;
     }
 
-    private static void removeFrom(int first, List<String> stored, Transaction transaction, String id) {
-        for (int i = first; i < stored.size(); i++) {
-            transaction.remove(Keys.part(id, i));
+    private static void removeChunks(Transaction transaction, String jobId, int from, int to) {
+        for (int i = from; i < to; i++) {
+            transaction.remove(Keys.part(jobId, i));
         }
     }
 
-    private boolean cuts(JobRecord job) {
-        return mayCut() && job.spec().isPresent() && MessagePackCodec.countedSize(job.toNode()) > lowest.valueBytes();
+    private StoredForm storedForm(JobRecord job) {
+        ObjectNode value = job.toNode();
+        return needsChunks(job, value)
+                ? new StoredForm.Chunked(ChunkedJobRecordCodec.split(job, lowestLimits.valueBytes()))
+                : new StoredForm.Whole(value);
+    }
+
+    private boolean needsChunks(JobRecord job, ObjectNode value) {
+        return chunksAllowed()
+                && job.spec().isPresent()
+                && MessagePackCodec.countedSize(value) > lowestLimits.valueBytes();
     }
 
-    private boolean mayCut() {
+    private boolean chunksAllowed() {
         return replica.formatVersion() >= FormatVersion.JOB_PARTS;
     }
 
     /** Whether a record, as it is stored now, is longer than a value may become. */
     public boolean isOversize(JobRecord job) {
-        return replica.partsOf(job.id()).isEmpty() && cuts(job);
+        return replica.chunksOf(job.id()).isEmpty() && needsChunks(job, job.toNode());
     }
 
-    /** How long a record is in the form in which it would be written. */
+    /** The size of a record in the form in which it would be written, in bytes. */
     public int size(JobRecord job) {
-        if (!cuts(job)) {
-            return MessagePackCodec.countedSize(job.toNode());
+        StoredForm form = storedForm(job);
+        if (form instanceof StoredForm.Whole whole) {
+            return MessagePackCodec.countedSize(whole.value);
         }
-        JobRecordCodec.Cut cut = JobRecordCodec.cut(job, lowest.valueBytes());
-        int size = MessagePackCodec.countedSize(cut.main());
-        for (String part : cut.parts()) {
-            size += MessagePackCodec.countedSize(JobRecordCodec.part(part));
+        ChunkedJobRecordCodec.ChunkedRecord values = ((StoredForm.Chunked) form).values;
+        int size = MessagePackCodec.countedSize(values.main());
+        for (String text : values.chunks()) {
+            size += MessagePackCodec.countedSize(ChunkedJobRecordCodec.chunkNode(text));
         }
         return size;
     }
 
-    /** How long a record may become by placing its tasks; never longer than was allowed before records could be cut. */
+    /** How long a record may become by placing its tasks; never longer than was allowed before records could be chunked. */
     public int capacity() {
-        if (!mayCut()) {
-            return lowest.valueBytes();
+        if (!chunksAllowed()) {
+            return lowestLimits.valueBytes();
         }
-        int values = Math.max(1, lowest.txnOps() - OTHER_CHANGES);
-        return (int) Math.min(now.valueBytes(), (long) lowest.valueBytes() * values);
+        int values = Math.max(1, lowestLimits.txnOps() - RESERVED_CHANGES);
+        return (int) Math.min(currentLimits.valueBytes(), (long) lowestLimits.valueBytes() * values);
     }
 
     /** How long a new job's record may be for its description to be accepted; the announced limits do not shorten it. */
     public int longestDescription() {
-        return now.valueBytes() / 2;
+        return currentLimits.valueBytes() / DESCRIPTION_DIVISOR;
     }
 }
--- a/src/test/java/org/dunespindle/storage/CellTieTest.java
+++ b/src/test/java/org/dunespindle/storage/CellTieTest.java
@@ -64,8 +64,8 @@
         var random = new Random(seed);
         JobRecord tied = job(1 + random.nextInt(50)).withDelegationLink(tie(random));
         assertEquals(tied, JobRecord.parse(tied.id(), tied.toNode()));
-        JobRecordCodec.Cut cut = JobRecordCodec.cut(tied, 500);
-        assertEquals(tied, JobRecordCodec.parse(tied.id(), cut.main(), cut.parts()));
+        ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(tied, 500);
+        assertEquals(tied, ChunkedJobRecordCodec.parse(tied.id(), chunked.main(), chunked.chunks()));
     }
 
     @Test
--- a/src/test/java/org/dunespindle/storage/JobRecordCutTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordCutTest.java
@@ -89,21 +89,21 @@
         return fitting;
     }
 
-    private static JobRecord readBack(JobRecordCodec.Cut cut) throws MalformedMessageException {
-        return JobRecordCodec.parse("wk-000001", cut.main(), cut.parts());
+    private static JobRecord readBack(ChunkedJobRecordCodec.ChunkedRecord chunked) throws MalformedMessageException {
+        return ChunkedJobRecordCodec.parse("wk-000001", chunked.main(), chunked.chunks());
     }
 
     @Property(seed = "91", tries = 200)
     void whateverWasStoredInOneValueFitsIntoOneTransactionOfSmallOnes(@ForAll long seed)
             throws MalformedMessageException {
         JobRecord job = upTo(VALUE_BEFORE, new Random(seed));
-        JobRecordCodec.Cut cut = JobRecordCodec.cut(job, VALUE);
-        assertTrue(1 + cut.parts().size() <= CHANGES, cut.parts().size() + " parts");
-        assertTrue(MessagePackCodec.countedSize(cut.main()) <= VALUE);
-        for (String part : cut.parts()) {
-            assertTrue(MessagePackCodec.countedSize(JobRecordCodec.part(part)) <= VALUE);
+        ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(job, VALUE);
+        assertTrue(1 + chunked.chunks().size() <= CHANGES, chunked.chunks().size() + " parts");
+        assertTrue(MessagePackCodec.countedSize(chunked.main()) <= VALUE);
+        for (String part : chunked.chunks()) {
+            assertTrue(MessagePackCodec.countedSize(ChunkedJobRecordCodec.chunkNode(part)) <= VALUE);
         }
-        assertEquals(job.toNode().toString(), readBack(cut).toNode().toString());
+        assertEquals(job.toNode().toString(), readBack(chunked).toNode().toString());
     }
 
     @Property(seed = "92", tries = 100)
@@ -112,8 +112,8 @@
         if (job.allocations().isEmpty()) {
             return;
         }
-        List<String> before = JobRecordCodec.cut(job, VALUE).parts();
-        List<String> after = JobRecordCodec.cut(job.cancelled(), VALUE).parts();
+        List<String> before = ChunkedJobRecordCodec.split(job, VALUE).chunks();
+        List<String> after = ChunkedJobRecordCodec.split(job.cancelled(), VALUE).chunks();
         assertTrue(after.size() <= before.size());
         assertTrue(1 + Math.max(before.size(), after.size()) <= CHANGES);
     }
@@ -122,12 +122,14 @@
     @Test
     void partsThatDoNotBelongTogetherAreRefused() {
         JobRecord job = upTo(VALUE_BEFORE, new Random(3));
-        JobRecordCodec.Cut cut = JobRecordCodec.cut(job, VALUE);
-        var fewer = cut.parts().subList(0, cut.parts().size() - 1);
-        assertThrows(MalformedMessageException.class, () -> JobRecordCodec.parse("wk-000001", cut.main(), fewer));
-        var torn = new ArrayList<>(cut.parts());
+        ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(job, VALUE);
+        var fewer = chunked.chunks().subList(0, chunked.chunks().size() - 1);
+        assertThrows(
+                MalformedMessageException.class, () -> ChunkedJobRecordCodec.parse("wk-000001", chunked.main(), fewer));
+        var torn = new ArrayList<>(chunked.chunks());
         torn.set(0, "|" + torn.get(0).substring(1) + ":");
-        assertThrows(MalformedMessageException.class, () -> JobRecordCodec.parse("wk-000001", cut.main(), torn));
+        assertThrows(
+                MalformedMessageException.class, () -> ChunkedJobRecordCodec.parse("wk-000001", chunked.main(), torn));
     }
 
     /** Values that the version before stored, of each kind and mode: they are read, and written again as the very same bytes. */
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -247,14 +247,14 @@
 
     /** A record that was cut, as a copy puts it together from the values stored under its keys. */
     private static void assertCut(JobRecord record, String main, String... parts) {
-        JobRecordCodec.Cut cut = JobRecordCodec.cut(record, 300);
+        ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(record, 300);
         var stored = new HashMap<String, String>(Map.of("ds/job/wk-000412", main));
-        assertEquals(json(main).toString(), cut.main().toString());
-        assertEquals(parts.length, cut.parts().size());
+        assertEquals(json(main).toString(), chunked.main().toString());
+        assertEquals(parts.length, chunked.chunks().size());
         for (int i = 0; i < parts.length; i++) {
             assertEquals(
                     json(parts[i]).toString(),
-                    JobRecordCodec.part(cut.parts().get(i)).toString());
+                    ChunkedJobRecordCodec.chunkNode(chunked.chunks().get(i)).toString());
             stored.put("ds/part/wk-000412/" + i, parts[i]);
         }
         assertEquals(Optional.of(record), copyOf(stored).job(ID));
