--- a/src/main/java/org/dunespindle/control/CommitQueue.java
+++ b/src/main/java/org/dunespindle/control/CommitQueue.java
@@ -1,14 +1,13 @@
 package org.dunespindle.control;
 
 import java.time.Duration;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.EnumMap;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.StateStoreClient;
@@ -19,239 +18,251 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commits proposals, several to a transaction while many wait. A proposal locks what it changes until
- * its outcome is known, so this controller never races itself; others are kept off by the guards.
- * Proposals wait here rather than in the rate budget, so that users' requests and urgent work overtake
- * maintenance however much of that there is.
+ * Commits proposed transactions in order of priority, batched under load. The keys that a proposal writes are locked until its
+ * outcome is known, so that this controller never conflicts with itself; preconditions guard against other controllers.
+ * Proposals wait here rather than in the write rate's budget, so that users' requests and urgent work overtake
+ * maintenance however much of that is pending.
  */
 public final class CommitQueue {
     private static final Logger LOG = LoggerFactory.getLogger(CommitQueue.class);
-    private static final int MOST_IN_FLIGHT = 3;
-    private static final int USERS_AHEAD = 4;
-    private static final int KEPT_BACK = 2;
-    /** Changes to a transaction: what fails costs the write rate all of them, and requests are plenty beside writes. */
-    private static final int FEW = 4;
+    private static final int MAX_TRANSACTIONS_IN_FLIGHT = 3;
+    /** Writes by which proposals of users may overdraw the write rate. */
+    private static final int MAX_USER_WRITE_OVERDRAFT = 4;
+    /** Writes that maintenance leaves in the write rate's budget for more urgent proposals. */
+    private static final int MAINTENANCE_WRITE_RESERVE = 2;
+    /**
+     * Changes in a batch while few proposals are pending. A failed transaction costs the write rate all of its changes, whereas
+     * requests are plentiful compared with writes.
+     */
+    private static final int MAX_BATCH_CHANGES_AT_LOW_LOAD = 4;
 
-    private static final int CAUTIOUS = 2;
-    private static final int WIDEN = 10;
-    private static final Duration CAUTIOUS_FOR = Duration.ofSeconds(2);
-    private static final Duration RATE_PAUSE = Duration.ofMillis(150);
+    private static final int MAX_BATCH_CHANGES_AFTER_CONFLICT = 2;
+    private static final int PENDING_PROPOSALS_PER_BATCH_CHANGE = 10;
+    private static final Duration SMALL_BATCHES_AFTER_CONFLICT = Duration.ofSeconds(2);
+    private static final Duration RATE_LIMIT_BACKOFF = Duration.ofMillis(150);
     private final StateStoreClient stateStore;
     private final StateReplica replica;
     private final TimeSource timeSource;
-    private final int txnOps;
-    private final Map<CommitPriority, ArrayDeque<Proposal>> lanes = new EnumMap<>(CommitPriority.class);
-    private final Set<String> locked = new HashSet<>();
-    private final Runnable settled;
-    private Duration notBefore = Duration.ZERO;
-    private Duration cautiousUntil = Duration.ZERO;
-    private long conflicts;
-    private int inFlight;
-    private boolean timerSet;
-    private long committed;
-    private final Map<String, Integer> kinds = new TreeMap<>();
+    private final int maxTransactionChanges;
+    private final Runnable onSettled;
+    private final ProposalQueues pending = new ProposalQueues();
+    private final Set<String> lockedKeys = new HashSet<>();
+    private final CommitStatistics statistics = new CommitStatistics(LOG);
+    private Duration nextSendAt = Duration.ZERO;
+    private Duration smallBatchesUntil = Duration.ZERO;
+    private int transactionsInFlight;
+    private boolean flushScheduled;
 
-    /** A change that waits for its turn; one that was refused together with others is sent alone. */
-    private record Proposal(
-            CommitPriority lane, Set<String> locks, Transaction txn, Consumer<TransactionResult> then, boolean alone) {
-        Proposal sentAlone() {
-            return new Proposal(lane, locks, txn, then, true);
-        }
-    }
-
-    /** Creates a committer for transactions of at most so many changes. */
+    /**
+     * Creates an empty queue.
+     *
+     * @param maxTransactionChanges how many keys the state service lets one transaction change
+     * @param onSettled runs whenever the callbacks of some proposals have run
+     */
     public CommitQueue(
-            StateStoreClient stateStore, StateReplica replica, TimeSource timeSource, int txnOps, Runnable settled) {
+            StateStoreClient stateStore,
+            StateReplica replica,
+            TimeSource timeSource,
+            int maxTransactionChanges,
+            Runnable onSettled) {
         this.stateStore = stateStore;
         this.replica = replica;
         this.timeSource = timeSource;
-        this.txnOps = txnOps;
-        this.settled = settled;
-        for (CommitPriority lane : CommitPriority.values()) {
-            lanes.put(lane, new ArrayDeque<>());
-        }
+        this.maxTransactionChanges = maxTransactionChanges;
+        this.onSettled = onSettled;
     }
 
-    /** Whether a change of this key is queued or under way. */
+    /** Whether a change of this key is pending or in flight. */
     public boolean isLocked(String key) {
-        return locked.contains(key);
+        return lockedKeys.contains(key);
     }
 
-    /** Changes that wait for their turn. */
+    /** How many proposals are pending. */
     public int waiting() {
-        return lanes.values().stream().mapToInt(ArrayDeque::size).sum();
+        return pending.size();
     }
 
-    /** Changes of one lane that wait for their turn. */
-    public int waiting(CommitPriority lane) {
-        return lanes.get(lane).size();
+    /** How many proposals of this priority are pending. */
+    public int waiting(CommitPriority priority) {
+        return pending.size(priority);
     }
 
-    /** Changes tried in vain, since others had changed the same records. */
+    /** How many changes were sent in transactions that conflicted with other controllers' changes. */
     public long conflicts() {
-        return conflicts;
+        return statistics.conflictedChanges();
     }
 
-    /** Changes committed or tried so far. */
+    /** How many changes were sent so far, whatever their outcome. */
     public long committed() {
-        return committed;
-    }
-
-    /** Proposes a change; the keys it writes are locked until {@code then} has run. */
-    public void propose(CommitPriority lane, Transaction transaction, Consumer<TransactionResult> then) {
-        var locks = Set.copyOf(transaction.changes().keySet());
-        locked.addAll(locks);
-        lanes.get(lane).addLast(new Proposal(lane, locks, transaction, then, false));
-        flush();
+        return statistics.sentChanges();
     }
 
-    /** Changes and conflicts so far by kind of key, counted while debugging. */
+    /** Changes sent and conflicts by type of key; counted only while debug logging is on. */
     public Map<String, Integer> kinds() {
-        return kinds;
+        return statistics.countsByKeyType();
     }
 
-    private static String kind(String key) {
-        int first = key.indexOf('/');
-        int second = key.indexOf('/', first + 1);
-        return second < 0 ? key.substring(first + 1) : key.substring(first + 1, second);
-    }
-
-    private Proposal head() {
-        for (ArrayDeque<Proposal> lane : lanes.values()) {
-            if (!lane.isEmpty()) {
-                return lane.peekFirst();
-            }
-        }
-        return null;
+    /** Proposes a transaction; the keys it writes are locked until the callback is about to run. */
+    public void propose(CommitPriority priority, Transaction transaction, Consumer<TransactionResult> callback) {
+        Proposal proposal = Proposal.of(priority, transaction, callback);
+        lockedKeys.addAll(proposal.lockedKeys());
+        pending.add(proposal);
+        flush();
     }
 
     private void flush() {
-        Proposal head;
-        while (inFlight < MOST_IN_FLIGHT && (head = head()) != null) {
-            Duration pause = notBefore.minus(timeSource.now());
-            int cost = head.txn.changeCount();
-            // What users wait for may be paid off afterwards; the rest waits until it is paid for, maintenance until
-            // some is left over.
-            double wanted = head.lane == CommitPriority.USERS
-                    ? -USERS_AHEAD
-                    : cost + (head.lane == CommitPriority.MAINTENANCE ? KEPT_BACK : 0);
-            if (pause.isNegative() && stateStore.writes().isShortOf(wanted)) {
-                pause = stateStore.writes().timeUntil(wanted);
+        while (transactionsInFlight < MAX_TRANSACTIONS_IN_FLIGHT) {
+            Optional<Proposal> next = pending.head();
+            if (next.isEmpty()) {
+                return;
             }
-            if (!pause.isNegative() && !pause.isZero()) {
-                later(pause);
+            Proposal head = next.get();
+            Duration delay = delayBeforeSending(head);
+            if (!delay.isNegative() && !delay.isZero()) {
+                scheduleFlush(delay);
                 return;
             }
-            if (!head.txn.fits(txnOps)) {
-                // Proposers split what is too large; one that did not must at least not hold up the others.
-                lanes.get(head.lane).pollFirst();
-                LOG.error(
-                        "a change of {} keys under {} guards is more than a transaction takes",
-                        cost,
-                        head.txn.preconditions().size());
-                finish(List.of(head), new TransactionResult.Refused(0, "more than a transaction takes"));
-                continue;
+            if (head.transaction().fits(maxTransactionChanges)) {
+                send(pending.removeBatch(maxBatchChanges(head), maxTransactionChanges));
+            } else {
+                rejectOversized(head);
             }
-            send(batch(
-                    (int) Math.max(cost, Math.min(width(), stateStore.writes().available()))));
         }
     }
 
-    /** Batches widen with the load, but not while others change the same records. */
-    private int width() {
-        return timeSource.now().compareTo(cautiousUntil) < 0 ? CAUTIOUS : Math.max(FEW, waiting() / WIDEN);
+    private Duration delayBeforeSending(Proposal proposal) {
+        Duration backoff = nextSendAt.minus(timeSource.now());
+        double requiredWrites = requiredWrites(proposal);
+        if (backoff.isNegative() && stateStore.writes().isShortOf(requiredWrites)) {
+            return stateStore.writes().timeUntil(requiredWrites);
+        }
+        return backoff;
     }
 
-    private List<Proposal> batch(int mostWrites) {
-        var batch = new ArrayList<Proposal>();
-        var transaction = new Transaction();
-        for (ArrayDeque<Proposal> lane : lanes.values()) {
-            while (!lane.isEmpty()
-                    && (batch.isEmpty() || !batch.get(0).alone && !lane.peekFirst().alone)
-                    && (batch.isEmpty()
-                            || transaction.changeCount() + lane.peekFirst().txn.changeCount() <= mostWrites)
-                    && transaction.tryMerge(lane.peekFirst().txn, txnOps)) {
-                batch.add(lane.pollFirst());
-            }
-        }
-        return batch;
+    /** The writes that must be available before a proposal is sent. */
+    private static double requiredWrites(Proposal proposal) {
+        int changes = proposal.transaction().changeCount();
+        return switch (proposal.priority()) {
+            case USERS -> -MAX_USER_WRITE_OVERDRAFT;
+            case PLACEMENT -> changes;
+            case MAINTENANCE -> changes + MAINTENANCE_WRITE_RESERVE;
+        };
+    }
+
+    /** A batch stays within the available writes, except that its first proposal is sent whole. */
+    private int maxBatchChanges(Proposal head) {
+        double affordable = Math.min(targetBatchChanges(), stateStore.writes().available());
+        return (int) Math.max(head.transaction().changeCount(), affordable);
     }
 
-    private void send(List<Proposal> batch) {
-        var transaction = new Transaction();
-        batch.forEach(p -> transaction.tryMerge(p.txn, txnOps));
-        inFlight++;
-        committed += transaction.changeCount();
-        if (LOG.isDebugEnabled()) {
-            transaction.changes().keySet().forEach(k -> kinds.merge(kind(k), 1, Integer::sum));
+    /** Batches grow with the load, but not while other controllers change the same records. */
+    private int targetBatchChanges() {
+        if (timeSource.now().compareTo(smallBatchesUntil) < 0) {
+            return MAX_BATCH_CHANGES_AFTER_CONFLICT;
         }
-        stateStore.commit(transaction).thenAccept(result -> settle(batch, transaction, result));
+        return Math.max(MAX_BATCH_CHANGES_AT_LOW_LOAD, pending.size() / PENDING_PROPOSALS_PER_BATCH_CHANGE);
+    }
+
+    /** Proposers split what is too large for a transaction; a proposal that was not split must not block the others. */
+    private void rejectOversized(Proposal head) {
+        pending.removeHead(head);
+        LOG.error(
+                "proposal rejected, larger than a transaction may be changes={} preconditions={}",
+                head.transaction().changeCount(),
+                head.transaction().preconditions().size());
+        complete(List.of(head), new TransactionResult.Refused(0, "more than a transaction takes"));
     }
 
-    private void later(Duration pause) {
-        if (!timerSet) {
-            timerSet = true;
-            timeSource.schedule(pause, () -> {
-                timerSet = false;
-                flush();
-            });
+    private void scheduleFlush(Duration delay) {
+        if (flushScheduled) {
+            return;
         }
+        flushScheduled = true;
+        timeSource.schedule(delay, () -> {
+            flushScheduled = false;
+            flush();
+        });
     }
 
-    private void settle(List<Proposal> batch, Transaction transaction, TransactionResult result) {
-        inFlight--;
+    private void send(ProposalBatch batch) {
+        transactionsInFlight++;
+        statistics.sent(batch.transaction());
+        stateStore.commit(batch.transaction()).thenAccept(result -> settle(batch, result));
+    }
+
+    private void settle(ProposalBatch batch, TransactionResult result) {
+        transactionsInFlight--;
         if (result instanceof TransactionResult.Applied applied) {
-            replica.applyCommitted(transaction, applied.revision());
-            finish(batch, result);
+            onApplied(batch, applied);
         } else if (result instanceof TransactionResult.Conflict conflict) {
-            conflicts += transaction.changeCount();
-            cautiousUntil = timeSource.now().plus(CAUTIOUS_FOR);
-            if (LOG.isDebugEnabled()) {
-                conflict.failed().forEach(k -> kinds.merge("conflict " + kind(k), 1, Integer::sum));
-            }
-            // One stale proposal must not sink its neighbours: only those whose guards failed are decided anew.
-            var stale = new ArrayList<Proposal>();
-            for (int i = batch.size() - 1; i >= 0; i--) {
-                Proposal p = batch.get(i);
-                if (conflict.failed().isEmpty()
-                        || p.txn.preconditions().keySet().stream().anyMatch(conflict.failed()::contains)) {
-                    stale.add(p);
-                } else {
-                    lanes.get(p.lane).addFirst(p);
-                }
-            }
-            replica.refresh(() -> finish(stale, result), () -> finish(stale, result));
-        } else if (result instanceof TransactionResult.Unknown) {
-            // Decide again only on what the store says now. A late copy fails its guards or shows in the log.
-            replica.refresh(() -> finish(batch, result), () -> finish(batch, result));
-        } else if (result instanceof TransactionResult.Refused refused && refused.asItIs() && batch.size() > 1) {
-            // One that the service does not take must not sink the others, nor be lost among them: each is sent alone.
-            for (int i = batch.size() - 1; i >= 0; i--) {
-                lanes.get(batch.get(i).lane).addFirst(batch.get(i).sentAlone());
-            }
-        } else if (result instanceof TransactionResult.Refused refused && refused.tooMany()) {
-            notBefore = timeSource.now().plus(RATE_PAUSE);
-            for (int i = batch.size() - 1; i >= 0; i--) {
-                lanes.get(batch.get(i).lane).addFirst(batch.get(i));
-            }
-        } else {
-            finish(batch, result);
+            onConflict(batch, conflict);
+        } else if (result instanceof TransactionResult.Unknown unknown) {
+            onUnknown(batch, unknown);
+        } else if (result instanceof TransactionResult.Refused refused) {
+            onRefused(batch, refused);
         }
         flush();
     }
 
-    private void finish(List<Proposal> batch, TransactionResult result) {
-        for (Proposal p : batch) {
-            locked.removeAll(p.locks);
+    private void onApplied(ProposalBatch batch, TransactionResult.Applied applied) {
+        replica.applyCommitted(batch.transaction(), applied.revision());
+        complete(batch.proposals(), applied);
+    }
+
+    /**
+     * Completes the proposals whose own preconditions failed, once the replica has been refreshed, so that they are decided
+     * anew. The others are retried: one stale proposal must not fail the rest of its batch.
+     */
+    private void onConflict(ProposalBatch batch, TransactionResult.Conflict conflict) {
+        statistics.conflicted(batch.transaction(), conflict.failed());
+        smallBatchesUntil = timeSource.now().plus(SMALL_BATCHES_AFTER_CONFLICT);
+        var stale = new ArrayList<Proposal>();
+        var unaffected = new ArrayList<Proposal>();
+        for (Proposal proposal : batch.proposals()) {
+            boolean isStale = conflict.failed().isEmpty() || proposal.requiresAnyOf(conflict.failed());
+            (isStale ? stale : unaffected).add(proposal);
+        }
+        pending.requeue(unaffected);
+        // Callbacks after a conflict run from the last proposal to the first; simulations with a fixed seed depend on
+        // it.
+        Collections.reverse(stale);
+        completeAfterRefresh(stale, conflict);
+    }
+
+    /** Decisions are made again only on what the store holds now: a late copy of the transaction fails its preconditions. */
+    private void onUnknown(ProposalBatch batch, TransactionResult.Unknown unknown) {
+        completeAfterRefresh(batch.proposals(), unknown);
+    }
+
+    private void onRefused(ProposalBatch batch, TransactionResult.Refused refused) {
+        List<Proposal> proposals = batch.proposals();
+        if (refused.asItIs() && proposals.size() > 1) {
+            // The proposal that the service rejects is not known: sent one by one, the others succeed.
+            pending.requeue(proposals.stream().map(Proposal::asExclusive).toList());
+        } else if (refused.tooMany()) {
+            nextSendAt = timeSource.now().plus(RATE_LIMIT_BACKOFF);
+            pending.requeue(proposals);
+        } else {
+            complete(proposals, refused);
+        }
+    }
+
+    private void completeAfterRefresh(List<Proposal> proposals, TransactionResult result) {
+        replica.refresh(() -> complete(proposals, result), () -> complete(proposals, result));
+    }
+
+    private void complete(List<Proposal> proposals, TransactionResult result) {
+        for (Proposal proposal : proposals) {
+            lockedKeys.removeAll(proposal.lockedKeys());
         }
-        for (Proposal p : batch) {
+        for (Proposal proposal : proposals) {
             try {
-                p.then.accept(result);
+                proposal.callback().accept(result);
             } catch (RuntimeException e) {
-                // One proposer's mistake must not keep the others from connectivity their outcome.
-                LOG.error("what follows a stored change failed", e);
+                // One failing callback must not keep the other proposers from learning their outcome.
+                LOG.error("callback of a settled proposal failed result={}", result, e);
             }
         }
-        settled.run();
+        onSettled.run();
     }
 }
--- a/src/test/java/org/dunespindle/control/CommitQueueTest.java
+++ b/src/test/java/org/dunespindle/control/CommitQueueTest.java
@@ -24,48 +24,48 @@
 import org.dunespindle.transport.HttpClientResponse;
 import org.junit.jupiter.api.Test;
 
-/** Changes that others get in the way of: a transaction that fails is paid for in full. */
+/** Conflicting and rejected proposals: a failed transaction costs the write rate all of its changes, so few may fail with it. */
 class CommitQueueTest {
-    private final VirtualTime sim = new VirtualTime(1);
-    private final List<Integer> failed = new ArrayList<>();
-    private final Map<String, Integer> refusedAlone = new HashMap<>();
-    private long epoch = 10;
+    private final VirtualTime virtualTime = new VirtualTime(1);
+    private final List<Integer> conflictingBatchSizes = new ArrayList<>();
+    private final Map<String, Integer> singleRefusalsByKey = new HashMap<>();
+    private long revision = 10;
 
     private HttpClientResponse answer(String target, byte[] body) throws MalformedMessageException {
         if (!target.equals("/txn")) {
-            ObjectNode n = MessagePackCodec.map().put("epoch", epoch).put("more", false);
-            n.putArray("rows");
-            n.putArray("log");
-            return new HttpClientResponse(200, MessagePackCodec.write(n));
+            ObjectNode response = MessagePackCodec.map().put("epoch", revision).put("more", false);
+            response.putArray("rows");
+            response.putArray("log");
+            return new HttpClientResponse(200, MessagePackCodec.write(response));
         }
-        JsonNode txn = MessagePackCodec.read(body);
-        for (JsonNode change : txn.path("apply")) {
+        JsonNode transaction = MessagePackCodec.read(body);
+        for (JsonNode change : transaction.path("apply")) {
             if (change.path("write").asText().contains("refused")) {
-                if (txn.path("apply").size() == 1) {
-                    refusedAlone.merge(change.path("write").asText(), 1, Integer::sum);
+                if (transaction.path("apply").size() == 1) {
+                    singleRefusalsByKey.merge(change.path("write").asText(), 1, Integer::sum);
                 }
                 return new HttpClientResponse(
                         400, MessagePackCodec.write(MessagePackCodec.map().put("error", "too large")));
             }
         }
-        ObjectNode n = MessagePackCodec.map().put("epoch", ++epoch);
-        var stale = n.putArray("failed");
-        txn.path("guards").forEach(g -> {
-            if (g.path("key").asText().contains("stale")) {
-                stale.add(g.path("key").asText());
+        ObjectNode response = MessagePackCodec.map().put("epoch", ++revision);
+        var stale = response.putArray("failed");
+        transaction.path("guards").forEach(guard -> {
+            if (guard.path("key").asText().contains("stale")) {
+                stale.add(guard.path("key").asText());
             }
         });
         if (!stale.isEmpty()) {
-            failed.add(txn.path("apply").size());
+            conflictingBatchSizes.add(transaction.path("apply").size());
         }
-        return new HttpClientResponse(stale.isEmpty() ? 200 : 409, MessagePackCodec.write(n));
+        return new HttpClientResponse(stale.isEmpty() ? 200 : 409, MessagePackCodec.write(response));
     }
 
-    private CommitQueue committer() throws MalformedMessageException {
-        var process = sim.new Process();
+    private CommitQueue newCommitQueue() throws MalformedMessageException {
+        var process = virtualTime.new Process();
         HttpClient httpClient = (address, method, target, body, type, timeout) -> {
             var result = new CompletableFuture<HttpClientResponse>();
-            sim.after(10, () -> {
+            virtualTime.after(10, () -> {
                 try {
                     result.complete(answer(target, body));
                 } catch (MalformedMessageException e) {
@@ -80,13 +80,13 @@
                 process);
         var replica = new StateReplica(stateStore, process, Duration.ofMillis(300), () -> {});
         replica.start();
-        sim.run(Duration.ofSeconds(1));
+        virtualTime.run(Duration.ofSeconds(1));
         return new CommitQueue(stateStore, replica, process, 16, () -> {});
     }
 
     @Test
-    void staleChangesSinkFewOthers() throws MalformedMessageException {
-        CommitQueue commitQueue = committer();
+    void staleProposalsFailFewOthers() throws MalformedMessageException {
+        CommitQueue commitQueue = newCommitQueue();
         Map<String, TransactionResult> results = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             String key = "ds/x/" + (i % 10 == 5 ? "stale" : "good") + i;
@@ -97,22 +97,22 @@
                             .write(key, MessagePackCodec.map().put("n", i)),
                     result -> results.put(key, result));
         }
-        sim.run(Duration.ofSeconds(10));
+        virtualTime.run(Duration.ofSeconds(10));
         assertEquals(60, results.size());
         results.forEach((key, result) -> assertEquals(
                 key.contains("stale") ? TransactionResult.Conflict.class : TransactionResult.Applied.class,
                 result.getClass(),
                 key));
-        assertEquals(failed.stream().mapToInt(Integer::intValue).sum(), commitQueue.conflicts());
+        assertEquals(conflictingBatchSizes.stream().mapToInt(Integer::intValue).sum(), commitQueue.conflicts());
         assertTrue(
                 commitQueue.conflicts() <= 24,
-                commitQueue.conflicts() + " changes were paid for in vain, for 6 stale ones: " + failed);
+                commitQueue.conflicts() + " changes were paid for in vain, for 6 stale ones: " + conflictingBatchSizes);
     }
 
-    /** One change that the service does not take as it is: the others are stored, it is told once and not sent again. */
+    /** A proposal that the service rejects for its content: the others are stored, and it is sent alone only once. */
     @Test
-    void aRefusedChangeSinksNoOtherAndIsNotRepeated() throws MalformedMessageException {
-        CommitQueue commitQueue = committer();
+    void aRefusedProposalFailsNoOtherAndIsNotRetried() throws MalformedMessageException {
+        CommitQueue commitQueue = newCommitQueue();
         Map<String, TransactionResult> results = new HashMap<>();
         for (int i = 0; i < 30; i++) {
             String key = "ds/x/" + (i % 10 == 5 ? "refused" : "good") + i;
@@ -123,12 +123,14 @@
                             .write(key, MessagePackCodec.map().put("n", i)),
                     result -> results.put(key, result));
         }
-        sim.run(Duration.ofSeconds(10));
+        virtualTime.run(Duration.ofSeconds(10));
         results.forEach((key, result) -> assertEquals(
                 key.contains("refused") ? TransactionResult.Refused.class : TransactionResult.Applied.class,
                 result.getClass(),
                 key));
         assertEquals(30, results.size());
-        assertTrue(refusedAlone.values().stream().allMatch(count -> count == 1), "sent alone " + refusedAlone);
+        assertTrue(
+                singleRefusalsByKey.values().stream().allMatch(count -> count == 1),
+                "sent alone " + singleRefusalsByKey);
     }
 }
