--- a/src/main/java/org/dunespindle/peer/MachineStatus.java
+++ b/src/main/java/org/dunespindle/peer/MachineStatus.java
@@ -1,9 +1,18 @@
 package org.dunespindle.peer;
 
 import java.time.Duration;
+import java.util.List;
 import java.util.Set;
 
-/** A machine's state as its owner tells it, with a number that grows with every change. */
+/**
+ * The status of a machine as its owner publishes it.
+ *
+ * @param sequence grows with every change of any machine of this owner
+ * @param token the fencing token that the owner commands the machine with
+ * @param up whether the machine accepts tasks
+ * @param silentFor how long the machine has been silent; zero while it is up
+ * @param images the images that the machine has cached
+ */
 public record MachineStatus(
         String machineId,
         long sequence,
@@ -13,15 +22,9 @@
         Duration silentFor,
         String address,
         Set<String> images) {
-    /** Brackets, numbers and separators of a row, at most. */
-    private static final int ROW_FRAME = 64;
 
-    /** About how long its row is. */
-    int characters() {
-        int sum = ROW_FRAME + machineId.length() + address.length();
-        for (String image : images) {
-            sum += image.length() + 3;
-        }
-        return sum;
+    /** The part of the status that is sent. */
+    MachineReport toReport() {
+        return new MachineReport(machineId, token, up, quarantined, silentFor, address, List.copyOf(images));
     }
 }
--- /dev/null
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeatReply.java
@@ -0,0 +1,30 @@
+package org.dunespindle.peer;
+
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * The reply to a {@link PeerHeartbeat}.
+ *
+ * @param acknowledgement absent if the heartbeat was unreadable
+ * @param cancelledJobs all jobs known to be cancelled since the revision that the heartbeat named; absent if that can't be told
+ */
+record PeerHeartbeatReply(
+        SenderStatus sender, Optional<Acknowledgement> acknowledgement, Optional<List<String>> cancelledJobs) {
+
+    /** Up to which sequence the machine reports of a sender's incarnation have been applied. */
+    record Acknowledgement(long sequence, long incarnation) {}
+
+    /** The reply to an unreadable heartbeat. */
+    static PeerHeartbeatReply toUnreadable(SenderStatus sender) {
+        return new PeerHeartbeatReply(sender, Optional.empty(), Optional.empty());
+    }
+
+    /** The sequence acknowledged to an incarnation; 0 if the reply is to an earlier one, which counted differently. */
+    long acknowledgedSequence(long incarnation) {
+        return acknowledgement
+                .filter(ack -> ack.incarnation() == incarnation)
+                .map(Acknowledgement::sequence)
+                .orElse(0L);
+    }
+}
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
@@ -1,46 +1,39 @@
 package org.dunespindle.peer;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.time.Duration;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.Set;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.dunespindle.api.AdminApi;
-import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.StateReplica;
-import org.dunespindle.time.Durations;
 import org.dunespindle.time.TimeSource;
 import org.dunespindle.transport.HttpClient;
+import org.dunespindle.transport.HttpClientResponse;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
- * What the controllers tell one another about once a second: how fresh their view is, what they need of the
- * write rate, and, to the leader alone, what changed about their machines. Only advice: what is decided
- * rests on the state service and on workers.
+ * Exchanges heartbeats with the other controllers, about once a second. A heartbeat carries the staleness of the sender's
+ * replica, its write demand and, to the leader only, changes of the sender's machines. All of it is advisory: decisions rest on
+ * the state service and on the workers.
  */
 public final class PeerHeartbeats {
-    private static final Duration TIMEOUT = Duration.ofMillis(1500);
-    private static final Duration FRESH = Duration.ofSeconds(4);
-    private static final Duration QUIET = Duration.ofMillis(1700);
-    private static final Duration LEASE_TELLS = Duration.ofMillis(6500);
-    /** Machines told in one heartbeat: after a take-over all of a large fleet's at once, or placing would wait for the rest. */
-    private static final int MOST_MACHINES = 4000;
-    /** What they may take of a message, of which the receiver reads a mebibyte; the others follow in the next. */
-    private static final int MOST_NEWS_CHARACTERS = 600_000;
-    /** A list of cancelled jobs longer than this is not sent: the asker then goes by the age of its copy. */
-    private static final int MOST_CANCELLED = 2000;
+    private static final Logger LOG = LoggerFactory.getLogger(PeerHeartbeats.class);
+    private static final String PATH = "/peer/heartbeat";
+    private static final String CONTENT_TYPE = "application/json";
+    private static final int OK = 200;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1500);
+    /** A reply with more cancelled jobs than this omits them; the sender then goes by the staleness of its replica. */
+    private static final int MAX_CANCELLED_JOBS = 2000;
 
-    private static final ObjectMapper JSON = new ObjectMapper();
     private final Settings settings;
     private final HttpClient httpClient;
     private final TimeSource timeSource;
@@ -48,27 +41,30 @@
     private final Supplier<Optional<String>> leader;
     private final StateReplica replica;
     private final Listener listener;
-    private final Map<String, PeerState> heartbeats = new HashMap<>();
-    private final Map<String, Heard> heard = new HashMap<>();
-    /** Up to which number each controller has taken our news. */
-    private final Map<String, Long> taken = new HashMap<>();
+    private final PeerView peerView;
+    private final MachineDirectory machineDirectory;
+    /** The sequence of machine statuses up to which each controller has applied ours. */
+    private final Map<String, Long> acknowledgedSequences = new HashMap<>();
 
-    /** Takes what other controllers tell that concerns other parts. */
+    /** Receives what heartbeats and replies carry for other parts of the controller. */
     public interface Listener {
-        /** A machine has fetched an image. */
-        void imageSeen(String host, String image);
+        /** A machine has cached an image. */
+        void imageSeen(String machineId, String image);
 
-        /** A controller knows these cancelled jobs, which the copy here may have lacked when it was asked. */
-        void cancelled(String node, Duration asked, List<String> jobs);
+        /**
+         * A controller knows these jobs to be cancelled, which this controller's replica may have lacked.
+         *
+         * @param askedAt when the heartbeat was sent that the controller replied to
+         */
+        void cancelled(String node, Duration askedAt, List<String> jobs);
     }
 
-    private static final class Heard {
-        long incarnation;
-        long upTo;
-        final Map<String, ReportedMachine> machines = new HashMap<>();
-    }
-
-    /** Creates the link to the other controllers. */
+    /**
+     * Creates the exchange; nothing is sent before {@link #send}.
+     *
+     * @param incarnation this process's incarnation
+     * @param leader the present leader's name
+     */
     public PeerHeartbeats(
             Settings settings,
             HttpClient httpClient,
@@ -77,225 +73,171 @@
             Supplier<Optional<String>> leader,
             StateReplica replica,
             Listener listener) {
-        this.replica = replica;
-        this.listener = listener;
         this.settings = settings;
         this.httpClient = httpClient;
         this.timeSource = timeSource;
         this.incarnation = incarnation;
         this.leader = leader;
+        this.replica = replica;
+        this.listener = listener;
+        this.peerView = new PeerView(timeSource);
+        this.machineDirectory = new MachineDirectory(timeSource, peerView);
     }
 
-    /** A controller's last heartbeat while it is fresh. */
+    /** The last heartbeat of a controller while it is recent. */
     public Optional<PeerState> heartbeat(String node) {
-        return Optional.ofNullable(heartbeats.get(node))
-                .filter(peer -> timeSource.now().minus(peer.at()).compareTo(FRESH) < 0);
+        return peerView.recentHeartbeat(node);
     }
 
-    /**
-     * Whether a controller that talked a moment ago does not any more: it may have ended, and its lease will tell within seconds. One
-     * that has been quiet for longer than that lives.
-     */
+    /** Whether a controller has fallen silent so recently that it may have ended without its lease having expired. */
     public boolean isSuspected(String node) {
-        PeerState peer = heartbeats.get(node);
-        Duration quiet = peer == null ? Duration.ZERO : timeSource.now().minus(peer.at());
-        return quiet.compareTo(QUIET) > 0 && quiet.compareTo(LEASE_TELLS) < 0;
+        return peerView.isSuspected(node);
     }
 
-    /** All heartbeats that are fresh. */
+    /** The last heartbeats of all controllers whose heartbeat is recent. */
     public List<PeerState> livePeers() {
-        var list = new ArrayList<PeerState>();
-        heartbeats.keySet().forEach(n -> heartbeat(n).ifPresent(list::add));
-        return list;
+        return peerView.livePeers();
     }
 
-    /** What a machine's owner told of it under its present token, while the owner's heartbeat is fresh. */
+    /** The owner's last report of a machine under its present token, while the owner's heartbeat is recent. */
     public Optional<ReportedMachine> machine(MachineRecord machine) {
-        return heartbeat(machine.owner()).isEmpty() ? Optional.empty() : lastTold(machine);
+        return machineDirectory.currentReport(machine);
     }
 
-    /** The same however old it is: for an owner that lives but cannot talk to this controller. */
+    /** The same however old it is: for an owner that is alive but can't talk to this controller. */
     public Optional<ReportedMachine> lastTold(MachineRecord machine) {
-        Optional<ReportedMachine> told = told(machine.owner(), machine.id());
-        return told.isPresent() && told.get().token() == machine.token() ? told : Optional.empty();
-    }
-
-    private Optional<ReportedMachine> told(String node, String host) {
-        Heard from = heard.get(node);
-        return from == null ? Optional.empty() : Optional.ofNullable(from.machines.get(host));
+        return machineDirectory.lastReport(machine);
     }
 
-    /** Where a machine is reached, as anybody told. */
+    /** The address of a machine, if its owner has published one. */
     public Optional<String> address(MachineRecord machine) {
-        return told(machine.owner(), machine.id()).map(ReportedMachine::address).filter(a -> !a.isEmpty());
+        return machineDirectory.address(machine);
     }
 
-    /**
-     * When a machine was last alive as far as any other controller told. One that is up is told once and counts as alive as long
-     * as its owner keeps talking; but only while it is the owner: what an earlier owner told last says nothing about later.
-     */
+    /** When a machine was last seen alive by any other controller. */
     public Optional<Duration> aliveAt(MachineRecord machine) {
-        Optional<Duration> last = Optional.empty();
-        for (Map.Entry<String, Heard> e : heard.entrySet()) {
-            ReportedMachine reported = e.getValue().machines.get(machine.id());
-            if (reported != null) {
-                boolean present = reported.up()
-                        && e.getKey().equals(machine.owner())
-                        && reported.token() == machine.token()
-                        && heartbeats.containsKey(e.getKey());
-                Duration at = present
-                        ? heartbeats.get(e.getKey()).at()
-                        : reported.reportedAt().minus(reported.silentFor());
-                last = Durations.later(last, Optional.of(at));
-            }
-        }
-        return last;
+        return machineDirectory.lastSeenAlive(machine);
     }
 
-    /** Machines that are gone for good. */
-    public void keepOnly(Set<String> hosts) {
-        heard.values().forEach(h -> h.machines.keySet().retainAll(hosts));
+    /** Drops the reports of all machines but these. */
+    public void keepOnly(Set<String> machineIds) {
+        machineDirectory.retainMachines(machineIds);
     }
 
-    /** Whether anybody wants to hear about our machines. */
+    /** Whether another controller leads, which is sent the statuses of our machines. */
     public boolean leaderListens() {
-        return leader.get().filter(l -> !l.equals(settings.nodeName())).isPresent();
+        return leader.get().filter(node -> !node.equals(settings.nodeName())).isPresent();
     }
 
     /**
-     * Tells all others.
+     * Sends a heartbeat to every other controller.
      *
-     * @param news machines in the order of their numbers
+     * @param statuses the statuses of our machines in order of their sequence
      */
-    public void send(Duration viewAge, WriteDemand need, List<MachineStatus> news) {
-        for (Settings.Seed seed : settings.seeds()) {
-            ObjectNode n = head(viewAge, need).put("readTo", replica.appliedRevision());
-            Duration asked = timeSource.now();
-            if (leader.get().filter(seed.name()::equals).isPresent()) {
-                add(n, news, taken.getOrDefault(seed.name(), 0L));
-            }
+    public void send(Duration replicaStaleness, WriteDemand writeDemand, List<MachineStatus> statuses) {
+        SenderStatus sender = status(replicaStaleness, writeDemand);
+        for (Settings.Seed peer : settings.seeds()) {
+            var heartbeat = new PeerHeartbeat(
+                    sender, OptionalLong.of(replica.appliedRevision()), unacknowledgedReports(peer.name(), statuses));
+            Duration askedAt = timeSource.now();
             httpClient
-                    .send(seed.address(), "POST", "/peer/heartbeat", AdminApi.write(n), "application/json", TIMEOUT)
-                    .whenComplete((response, e) -> {
-                        if (response != null && response.status() == 200) {
-                            answered(seed.name(), asked, response.body());
-                        }
-                    });
+                    .send(
+                            peer.address(),
+                            "POST",
+                            PATH,
+                            PeerHeartbeatCodec.encode(heartbeat),
+                            CONTENT_TYPE,
+                            REQUEST_TIMEOUT)
+                    .whenComplete((response, failure) -> onResponse(peer.name(), askedAt, response, failure));
         }
     }
 
-    private ObjectNode head(Duration viewAge, WriteDemand need) {
-        return MessagePackCodec.map()
-                .put("node", settings.nodeName())
-                .put("inc", incarnation.getAsLong())
-                .put("viewAgeMs", viewAge.toMillis())
-                .put("writes", need.writes())
-                .put("waiting", need.waiting());
+    private SenderStatus status(Duration replicaStaleness, WriteDemand writeDemand) {
+        return new SenderStatus(settings.nodeName(), incarnation.getAsLong(), replicaStaleness, writeDemand);
     }
 
-    private static void add(ObjectNode n, List<MachineStatus> news, long from) {
-        ArrayNode list = n.put("from", from).putArray("news");
-        long upTo = from;
-        int characters = 0;
-        for (MachineStatus status : news) {
-            if (status.sequence() > from && list.size() < MOST_MACHINES && characters < MOST_NEWS_CHARACTERS) {
-                upTo = status.sequence();
-                characters += status.characters();
-                ArrayNode row = list.addArray()
-                        .add(status.machineId())
-                        .add(status.token())
-                        .add(status.up())
-                        .add(status.quarantined())
-                        .add(status.silentFor().toMillis())
-                        .add(status.address());
-                status.images().forEach(row::add);
-            }
+    private Optional<MachineReportBatch> unacknowledgedReports(String peer, List<MachineStatus> statuses) {
+        if (leader.get().filter(peer::equals).isEmpty()) {
+            return Optional.empty();
         }
-        n.put("upTo", upTo);
+        return Optional.of(MachineReportBatch.select(statuses, acknowledgedSequences.getOrDefault(peer, 0L)));
     }
 
-    /** Takes a heartbeat in and builds the answer to it; an unreadable one counts as none. */
-    public ObjectNode receive(byte[] body, Duration viewAge, WriteDemand need) {
-        ObjectNode answer = head(viewAge, need);
-        try {
-            JsonNode n = JSON.readTree(body);
-            if (n != null && n.path("node").isTextual()) {
-                String node = n.get("node").asText();
-                note(node, n);
-                Heard h = heard.computeIfAbsent(node, k -> new Heard());
-                if (h.incarnation != n.path("inc").asLong()) {
-                    h.incarnation = n.path("inc").asLong();
-                    h.upTo = 0;
-                    h.machines.clear();
-                }
-                // MachineStatus that do not continue what is known here are left; the answer says where to go on.
-                if (n.has("news") && n.path("from").asLong() <= h.upTo) {
-                    n.get("news").forEach(row -> take(h, row));
-                    h.upTo = Math.max(h.upTo, n.path("upTo").asLong());
-                }
-                answer.put("took", h.upTo).put("tookOf", h.incarnation);
-                tellCancelled(answer, n.path("readTo").asLong(-1));
-            }
-        } catch (IOException e) {
-            // counts as no heartbeat
+    private void onResponse(String peer, Duration askedAt, HttpClientResponse response, Throwable failure) {
+        if (response == null) {
+            LOG.debug("peer heartbeat failed peer={} reason={}", peer, String.valueOf(failure));
+        } else if (response.status() != OK) {
+            LOG.debug("peer heartbeat refused peer={} status={}", peer, response.status());
+        } else {
+            onReply(peer, askedAt, response.body());
         }
-        return answer;
     }
 
-    /** Only from a copy that was read whole, and only all of them: the asker counts on knowing every cancellation that was told from here. */
-    private void tellCancelled(ObjectNode answer, long readTo) {
-        List<String> ids = replica.loaded() && readTo >= 0 ? replica.cancelledSince(readTo) : List.of();
-        if (replica.loaded() && readTo >= 0 && ids.size() <= MOST_CANCELLED) {
-            ArrayNode list = answer.putArray("cancelled");
-            ids.forEach(list::add);
+    private void onReply(String peer, Duration askedAt, byte[] body) {
+        PeerHeartbeatReply reply;
+        try {
+            reply = PeerHeartbeatCodec.decodeReply(body);
+        } catch (IOException e) {
+            LOG.debug("unreadable reply to peer heartbeat ignored peer={} reason={}", peer, e.toString());
+            return;
         }
-    }
-
-    private void take(Heard h, JsonNode row) {
-        String host = row.path(0).asText();
-        h.machines.put(
-                host,
-                new ReportedMachine(
-                        row.path(2).asBoolean(),
-                        row.path(3).asBoolean(),
-                        Duration.ofMillis(row.path(4).asLong()),
-                        timeSource.now(),
-                        row.path(5).asText(),
-                        row.path(1).asLong()));
-        for (int i = 6; i < row.size(); i++) {
-            listener.imageSeen(host, row.get(i).asText());
+        if (!reply.sender().node().equals(peer)) {
+            LOG.debug(
+                    "reply of another controller ignored peer={} sender={}",
+                    peer,
+                    reply.sender().node());
+            return;
         }
+        peerView.heartbeatReceived(reply.sender());
+        reply.cancelledJobs().ifPresent(jobs -> listener.cancelled(peer, askedAt, jobs));
+        acknowledgedSequences.put(peer, reply.acknowledgedSequence(incarnation.getAsLong()));
     }
 
-    private void answered(String node, Duration asked, byte[] body) {
+    /** Processes another controller's heartbeat and returns the encoded reply; an unreadable heartbeat counts as none. */
+    public ObjectNode receive(byte[] body, Duration replicaStaleness, WriteDemand writeDemand) {
+        SenderStatus self = status(replicaStaleness, writeDemand);
+        PeerHeartbeatReply reply;
         try {
-            JsonNode n = JSON.readTree(body);
-            if (n != null && n.path("node").asText().equals(node)) {
-                note(node, n);
-                if (n.path("cancelled").isArray()) {
-                    var ids = new ArrayList<String>();
-                    n.get("cancelled").forEach(id -> ids.add(id.asText()));
-                    listener.cancelled(node, asked, ids);
-                }
-                taken.put(
-                        node,
-                        n.path("tookOf").asLong() == incarnation.getAsLong()
-                                ? n.path("took").asLong()
-                                : 0L);
-            }
+            reply = onHeartbeat(PeerHeartbeatCodec.decodeHeartbeat(body), self);
         } catch (IOException e) {
-            // counts as no heartbeat
+            LOG.debug("unreadable peer heartbeat ignored reason={}", e.toString());
+            reply = PeerHeartbeatReply.toUnreadable(self);
+        }
+        return PeerHeartbeatCodec.encode(reply);
+    }
+
+    private PeerHeartbeatReply onHeartbeat(PeerHeartbeat heartbeat, SenderStatus self) {
+        SenderStatus sender = heartbeat.sender();
+        peerView.heartbeatReceived(sender);
+        machineDirectory.beginIncarnation(sender.node(), sender.incarnation());
+        // A batch that does not continue what is known is ignored; the acknowledgement tells the sender where to
+        // resume.
+        heartbeat
+                .machineReports()
+                .filter(batch -> machineDirectory.continues(sender.node(), batch))
+                .ifPresent(batch -> applyReports(sender.node(), batch));
+        var acknowledgement = new PeerHeartbeatReply.Acknowledgement(
+                machineDirectory.appliedSequence(sender.node()), sender.incarnation());
+        return new PeerHeartbeatReply(
+                self, Optional.of(acknowledgement), cancelledJobsSince(heartbeat.appliedRevision()));
+    }
+
+    private void applyReports(String sender, MachineReportBatch batch) {
+        machineDirectory.apply(sender, batch);
+        for (MachineReport report : batch.reports()) {
+            report.images().forEach(image -> listener.imageSeen(report.machineId(), image));
         }
     }
 
-    private void note(String node, JsonNode n) {
-        heartbeats.put(
-                node,
-                new PeerState(
-                        timeSource.now(),
-                        n.path("inc").asLong(),
-                        Duration.ofMillis(n.path("viewAgeMs").asLong()),
-                        n.path("writes").asDouble(),
-                        n.path("waiting").asInt()));
+    /**
+     * The jobs cancelled since a revision: only from a completely loaded replica, and either all of them or none, since the
+     * sender relies on knowing every cancellation that was told here before.
+     */
+    private Optional<List<String>> cancelledJobsSince(OptionalLong revision) {
+        if (!replica.loaded() || revision.isEmpty()) {
+            return Optional.empty();
+        }
+        return Optional.of(replica.cancelledSince(revision.getAsLong()))
+                .filter(jobs -> jobs.size() <= MAX_CANCELLED_JOBS);
     }
 }
--- a/src/main/java/org/dunespindle/peer/WriteDemand.java
+++ b/src/main/java/org/dunespindle/peer/WriteDemand.java
@@ -1,4 +1,9 @@
 package org.dunespindle.peer;
 
-/** What this controller needs of the write rate. */
+/**
+ * A controller's demand for the state service's write rate.
+ *
+ * @param writes the writes a second that it makes now
+ * @param waiting how many proposals are pending in its commit queue
+ */
 public record WriteDemand(double writes, int waiting) {}
--- a/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
+++ b/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
@@ -1,6 +1,7 @@
 package org.dunespindle.peer;
 
 import java.time.Duration;
+import java.util.Optional;
 import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.Membership;
 import org.dunespindle.protocol.Settings;
@@ -8,25 +9,34 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * Divides the state service's write rate among the controllers by need, as they tell one another: the leader writes
- * most, and an equal part each would leave it short while the others' lie idle. Only a matter of pace: what
- * is written too fast is refused and sent again.
+ * Divides the state service's write rate among the controllers in proportion to the demand that they tell one another. The leader
+ * writes most: with equal shares it would be short while the others' shares went unused. The shares are a matter of
+ * pacing only: the service refuses what exceeds its rate, and it is sent again.
  */
 public final class WriteRateAllocator {
-    /** Controllers hear of one another's need late, so some of the rate is left unused. */
-    private static final double SAFE_PART = 0.92;
+    /** Controllers learn of one another's demand late, so part of the rate is left unallocated. */
+    private static final double ALLOCATED_FRACTION = 0.92;
+    /** The share of the allocated rate that every controller has, also one that is not running. */
+    private static final double MIN_SHARE_FRACTION = 0.08;
+    /** A shorter time does not give a meaningful rate. */
+    private static final double MIN_MEASUREMENT_SECONDS = 0.1;
+    /** The weight of the latest measurement in the moving average. */
+    private static final double LATEST_RATE_WEIGHT = 0.5;
+    /** Pending proposals that add one write a second to the demand. */
+    private static final double PENDING_PROPOSALS_PER_WRITE = 2.0;
 
-    private static final double LEAST_PART = 0.08;
+    private static final double NANOS_PER_SECOND = 1e9;
     private final Settings settings;
     private final PeerHeartbeats peerHeartbeats;
     private final Membership membership;
     private final CommitQueue commitQueue;
     private final StateStoreClient stateStore;
     private final TimeSource timeSource;
-    private long writtenBefore;
-    private Duration at = Duration.ZERO;
-    private double rate;
+    private long changesAtLastMeasurement;
+    private Duration lastMeasurementAt = Duration.ZERO;
+    private double writesPerSecond;
 
+    /** Creates an allocator; the share of this controller stays as it is until {@link #adjust}. */
     public WriteRateAllocator(
             Settings settings,
             PeerHeartbeats peerHeartbeats,
@@ -42,39 +52,49 @@
         this.timeSource = timeSource;
     }
 
+    /** This controller's demand, for the other controllers. */
     public WriteDemand need() {
-        return new WriteDemand(rate, commitQueue.waiting());
+        return new WriteDemand(writesPerSecond, commitQueue.waiting());
     }
 
-    /** What a controller would write if it could: what it does, and some of what waits. */
-    private static double want(double writes, int waiting) {
-        return Math.max(1, writes + waiting / 2.0);
-    }
-
-    /** Called about once a second. */
+    /** Measures this controller's writes and sets its share of the rate; called about once a second. */
     public void adjust() {
-        Duration now = timeSource.now();
-        double seconds = now.minus(at).toNanos() / 1e9;
-        if (seconds > 0.1) {
-            rate = 0.5 * rate + 0.5 * (commitQueue.committed() - writtenBefore) / seconds;
-            writtenBefore = commitQueue.committed();
-            at = now;
-        }
-        double all = SAFE_PART * settings.state().lowest().writeRps();
-        double least = all * LEAST_PART;
-        double left = all;
-        double own = want(rate, commitQueue.waiting());
-        double wanted = own;
-        for (Settings.Seed seed : settings.seeds()) {
-            var heartbeat = peerHeartbeats.heartbeat(seed.name());
+        measureWriteRate();
+        double allocatable = ALLOCATED_FRACTION * settings.state().lowest().writeRps();
+        double minShare = allocatable * MIN_SHARE_FRACTION;
+        double equalShare = allocatable / (settings.seeds().size() + 1);
+        double divisible = allocatable;
+        double ownDemand = demandedRate(writesPerSecond, commitQueue.waiting());
+        double totalDemand = ownDemand;
+        for (Settings.Seed peer : settings.seeds()) {
+            Optional<PeerState> heartbeat = peerHeartbeats.heartbeat(peer.name());
             if (heartbeat.isPresent()) {
-                wanted += want(heartbeat.get().writes(), heartbeat.get().waiting());
-            } else if (membership.incarnationOf(seed.name()).isPresent()) {
-                left -= all / (settings.seeds().size() + 1); // alive but not heard: it takes its equal part
+                totalDemand +=
+                        demandedRate(heartbeat.get().writes(), heartbeat.get().waiting());
+            } else if (membership.incarnationOf(peer.name()).isPresent()) {
+                divisible -= equalShare; // it is alive without being reachable, and takes an equal share
             } else {
-                left -= least;
+                divisible -= minShare;
             }
         }
-        stateStore.writes().rate(Math.max(least, left * own / wanted));
+        stateStore.writes().rate(Math.max(minShare, divisible * ownDemand / totalDemand));
+    }
+
+    private void measureWriteRate() {
+        Duration now = timeSource.now();
+        double seconds = now.minus(lastMeasurementAt).toNanos() / NANOS_PER_SECOND;
+        if (seconds <= MIN_MEASUREMENT_SECONDS) {
+            return;
+        }
+        long changes = commitQueue.committed();
+        writesPerSecond = (1 - LATEST_RATE_WEIGHT) * writesPerSecond
+                + LATEST_RATE_WEIGHT * (changes - changesAtLastMeasurement) / seconds;
+        changesAtLastMeasurement = changes;
+        lastMeasurementAt = now;
+    }
+
+    /** What a controller would write if it could: what it writes now, and part of what is pending. */
+    private static double demandedRate(double writesPerSecond, int pendingProposals) {
+        return Math.max(1, writesPerSecond + pendingProposals / PENDING_PROPOSALS_PER_WRITE);
     }
 }
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
@@ -4,13 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
+import java.util.concurrent.CompletableFuture;
 import org.dunespindle.TestSettings;
-import org.dunespindle.api.AdminApi;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Settings;
@@ -19,22 +20,22 @@
 import org.dunespindle.storage.StateReplica;
 import org.junit.jupiter.api.Test;
 
-/** What controllers tell one another of machines, and what of it still holds later. */
+/** Machine reports and liveness as the heartbeats of other controllers show them, and how long they hold. */
 class PeerHeartbeatsTest {
-    private final VirtualTime sim = new VirtualTime(1);
+    private final VirtualTime virtualTime = new VirtualTime(1);
     private final PeerHeartbeats peerHeartbeats = new PeerHeartbeats(
             settings(),
-            (address, method, target, body, type, timeout) -> new java.util.concurrent.CompletableFuture<>(),
-            sim.new Process(),
+            (address, method, target, body, type, timeout) -> new CompletableFuture<>(),
+            virtualTime.new Process(),
             () -> 1L,
             () -> Optional.of("n0"),
-            new StateReplica(null, sim.new Process(), Duration.ofSeconds(1), () -> {}),
+            new StateReplica(null, virtualTime.new Process(), Duration.ofSeconds(1), () -> {}),
             new PeerHeartbeats.Listener() {
                 @Override
-                public void imageSeen(String host, String image) {}
+                public void imageSeen(String machineId, String image) {}
 
                 @Override
-                public void cancelled(String node, Duration asked, java.util.List<String> jobs) {}
+                public void cancelled(String node, Duration askedAt, List<String> jobs) {}
             });
 
     private static Settings settings() {
@@ -45,20 +46,26 @@
         }
     }
 
-    private static MachineRecord host(String owner, long token) {
+    private static MachineRecord machine(String owner, long token) {
         return new MachineRecord("i-1", "", "m", "z", false, owner, 1, token, Instant.EPOCH, Instant.EPOCH, false, "");
     }
 
-    private ObjectNode heartbeat(String node, long inc, long from, long upTo, boolean withNews) {
-        ObjectNode n = MessagePackCodec.map()
+    private ObjectNode receive(String body) {
+        return peerHeartbeats.receive(body.getBytes(StandardCharsets.UTF_8), Duration.ZERO, new WriteDemand(0, 0));
+    }
+
+    private ObjectNode receiveHeartbeat(
+            String node, long incarnation, long afterSequence, long throughSequence, boolean withReport) {
+        ObjectNode heartbeat = MessagePackCodec.map()
                 .put("node", node)
-                .put("inc", inc)
+                .put("inc", incarnation)
                 .put("viewAgeMs", 0)
                 .put("writes", 0.0)
                 .put("waiting", 0);
-        if (withNews) {
-            n.put("from", from)
-                    .put("upTo", upTo)
+        if (withReport) {
+            heartbeat
+                    .put("from", afterSequence)
+                    .put("upTo", throughSequence)
                     .putArray("news")
                     .addArray()
                     .add("i-1")
@@ -69,61 +76,61 @@
                     .add("a:1")
                     .add("image");
         }
-        return peerHeartbeats.receive(AdminApi.write(n), Duration.ZERO, new WriteDemand(0, 0));
+        return receive(heartbeat.toString());
     }
 
     @Test
-    void aMachineThatIsUpStaysAliveWhileItsOwnerTalks() {
-        heartbeat("n1", 1, 0, 1, true);
-        sim.run(Duration.ofSeconds(3));
-        heartbeat("n1", 1, 1, 1, false);
-        assertEquals(Optional.of(Duration.ofSeconds(3)), peerHeartbeats.aliveAt(host("n1", 3)));
-        assertTrue(peerHeartbeats.machine(host("n1", 3)).orElseThrow().up());
-        sim.run(Duration.ofSeconds(30));
-        assertEquals(Optional.empty(), peerHeartbeats.machine(host("n1", 3)));
+    void aMachineThatIsUpStaysAliveWhileItsOwnerSendsHeartbeats() {
+        receiveHeartbeat("n1", 1, 0, 1, true);
+        virtualTime.run(Duration.ofSeconds(3));
+        receiveHeartbeat("n1", 1, 1, 1, false);
+        assertEquals(Optional.of(Duration.ofSeconds(3)), peerHeartbeats.aliveAt(machine("n1", 3)));
+        assertTrue(peerHeartbeats.machine(machine("n1", 3)).orElseThrow().up());
+        virtualTime.run(Duration.ofSeconds(30));
+        assertEquals(Optional.empty(), peerHeartbeats.machine(machine("n1", 3)));
     }
 
-    /** A machine that died under its new owner counted as alive for ever, because the earlier one went on talking. */
+    /** A machine that died under its new owner counted as alive for ever, because the earlier owner's heartbeats went on. */
     @Test
-    void whatAnEarlierOwnerToldSaysNothingAboutLater() {
-        heartbeat("n1", 1, 0, 1, true);
-        sim.run(Duration.ofSeconds(20));
-        heartbeat("n1", 1, 1, 1, false);
-        assertEquals(Optional.of(Duration.ZERO), peerHeartbeats.aliveAt(host("n0", 4)));
+    void reportsOfAnEarlierOwnerDoNotKeepAMachineAlive() {
+        receiveHeartbeat("n1", 1, 0, 1, true);
+        virtualTime.run(Duration.ofSeconds(20));
+        receiveHeartbeat("n1", 1, 1, 1, false);
+        assertEquals(Optional.of(Duration.ZERO), peerHeartbeats.aliveAt(machine("n0", 4)));
         assertEquals(
                 Optional.of(Duration.ZERO),
-                peerHeartbeats.aliveAt(host("n1", 5)),
+                peerHeartbeats.aliveAt(machine("n1", 5)),
                 "back under a new token, not proven yet");
-        assertEquals(Optional.empty(), peerHeartbeats.machine(host("n1", 5)));
+        assertEquals(Optional.empty(), peerHeartbeats.machine(machine("n1", 5)));
     }
 
     @Test
-    void newsThatDoNotContinueWhatIsKnownAreAskedForAgain() {
-        assertEquals(0, heartbeat("n1", 1, 7, 9, true).path("took").asLong());
-        assertEquals(Optional.empty(), peerHeartbeats.machine(host("n1", 3)));
-        assertEquals(9, heartbeat("n1", 1, 0, 9, true).path("took").asLong());
-        assertEquals(0, heartbeat("n1", 2, 9, 9, false).path("took").asLong(), "a new process starts counting anew");
-        assertEquals(Optional.empty(), peerHeartbeats.machine(host("n1", 3)));
+    void reportsThatLeaveAGapAreRequestedAgain() {
+        assertEquals(0, receiveHeartbeat("n1", 1, 7, 9, true).path("took").asLong());
+        assertEquals(Optional.empty(), peerHeartbeats.machine(machine("n1", 3)));
+        assertEquals(9, receiveHeartbeat("n1", 1, 0, 9, true).path("took").asLong());
+        assertEquals(
+                0, receiveHeartbeat("n1", 2, 9, 9, false).path("took").asLong(), "a new process starts counting anew");
+        assertEquals(Optional.empty(), peerHeartbeats.machine(machine("n1", 3)));
     }
 
     @Test
-    void unreadableWordsCountAsNone() {
-        for (String s : List.of("", "nonsense", "[]", "{\"node\":3}")) {
-            peerHeartbeats.receive(
-                    s.getBytes(java.nio.charset.StandardCharsets.UTF_8), Duration.ZERO, new WriteDemand(0, 0));
+    void unreadableHeartbeatsAreIgnored() {
+        for (String body : List.of("", "nonsense", "[]", "{\"node\":3}")) {
+            receive(body);
         }
         assertEquals(Set.of(), Set.copyOf(peerHeartbeats.livePeers()));
     }
 
-    /** Its lease tells within seconds whether it has ended; until then its machines are not taken one by one. */
+    /** Its lease expires within seconds if it has ended; until then its machines are not acquired one by one. */
     @Test
-    void whoFellQuietAMomentAgoMayHaveEnded() {
+    void aControllerThatFellSilentRecentlyIsSuspected() {
         assertEquals(false, peerHeartbeats.isSuspected("n1"));
-        heartbeat("n1", 1, 0, 1, true);
+        receiveHeartbeat("n1", 1, 0, 1, true);
         assertEquals(false, peerHeartbeats.isSuspected("n1"));
-        sim.run(Duration.ofSeconds(3));
+        virtualTime.run(Duration.ofSeconds(3));
         assertEquals(true, peerHeartbeats.isSuspected("n1"));
-        sim.run(Duration.ofSeconds(9));
+        virtualTime.run(Duration.ofSeconds(9));
         assertEquals(false, peerHeartbeats.isSuspected("n1"), "it lives, or its machines have been taken by now");
     }
 }
