--- a/src/main/java/org/dunespindle/control/WorkerRegistry.java
+++ b/src/main/java/org/dunespindle/control/WorkerRegistry.java
@@ -1,39 +1,53 @@
 package org.dunespindle.control;
 
 import java.time.Duration;
+import java.util.Collection;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import org.dunespindle.protocol.WorkerHeartbeat;
 
-/** What this process knows of each worker. It is gone with the process; nothing in it is needed for safety. */
+/** The observed state of each worker, by machine. Kept in memory only; safety does not rest on it. */
 public final class WorkerRegistry {
-    private static final Duration REMEMBER = Duration.ofMinutes(5);
-    private final Map<String, WorkerState> byHost = new HashMap<>();
+    private static final Duration MIN_RETENTION_AFTER_REMOVAL = Duration.ofMinutes(5);
+    private final Map<String, WorkerState> byMachine = new HashMap<>();
 
-    /** What is known of a worker, created if it is new. */
-    public WorkerState getOrCreate(String host) {
-        return byHost.computeIfAbsent(host, h -> new WorkerState());
+    /** The state of a machine's worker, created if there is none. */
+    public WorkerState getOrCreate(String machineId) {
+        return byMachine.computeIfAbsent(machineId, id -> new WorkerState());
     }
 
-    /** What is known of a worker, if anything. */
-    public Optional<WorkerState> find(String host) {
-        return Optional.ofNullable(byHost.get(host));
+    /** The state of a machine's worker, if anything is known of it. */
+    public Optional<WorkerState> find(String machineId) {
+        return Optional.ofNullable(byMachine.get(machineId));
     }
 
-    /** All workers by machine. */
-    public Map<String, WorkerState> all() {
-        return byHost;
+    /** The newest status that a machine's worker sent. */
+    public Optional<WorkerHeartbeat> lastHeartbeat(String machineId) {
+        return find(machineId).flatMap(WorkerState::lastHeartbeat);
+    }
+
+    /** The states of all workers. */
+    public Collection<WorkerState> all() {
+        return Collections.unmodifiableCollection(byMachine.values());
     }
 
     /**
-     * Forgets machines that are gone, though not at once: while late copies of their reports may come, it must be known that
-     * they are old.
+     * Drops the workers of removed machines. A worker is kept for a while after its last new status: as long as late copies of its
+     * heartbeats may arrive, they must be recognized as old.
+     *
+     * @param machineIds the machines that have a record
      */
-    public void evictGone(Set<String> present, Duration now) {
-        byHost.entrySet()
-                .removeIf(e -> !present.contains(e.getKey())
-                        && !e.getValue().inspectionInFlight
-                        && now.minus(e.getValue().seenAt).compareTo(REMEMBER) > 0);
+    public void evictGone(Set<String> machineIds, Duration now) {
+        byMachine
+                .entrySet()
+                .removeIf(entry -> !machineIds.contains(entry.getKey()) && isExpired(entry.getValue(), now));
+    }
+
+    private static boolean isExpired(WorkerState worker, Duration now) {
+        return !worker.inspectionInFlight()
+                && now.minus(worker.lastNewStatusAt()).compareTo(MIN_RETENTION_AFTER_REMOVAL) > 0;
     }
 }
--- a/src/main/java/org/dunespindle/controller/LoadReporter.java
+++ b/src/main/java/org/dunespindle/controller/LoadReporter.java
@@ -92,7 +92,7 @@
             if (context.membership().owns(machine)) {
                 context.workers()
                         .find(machine.id())
-                        .flatMap(worker -> worker.lastHeartbeat)
+                        .flatMap(worker -> worker.lastHeartbeat())
                         .ifPresent(heartbeat -> heartbeat.tasks().forEach(task -> add(byPhase, task)));
             }
         }
--- a/src/main/java/org/dunespindle/job/GangLifecycle.java
+++ b/src/main/java/org/dunespindle/job/GangLifecycle.java
@@ -139,11 +139,13 @@
     private boolean allIn(JobRecord job, TaskPhase phase) {
         for (Allocation allocation : job.allocations()) {
             MachineRecord machine = replica.machines().get(allocation.machineId());
-            if (machine == null || !workerClient.ready(machine) || workers.getOrCreate(machine.id()).callInFlight) {
+            if (machine == null
+                    || !workerClient.ready(machine)
+                    || workers.getOrCreate(machine.id()).callInFlight()) {
                 return false;
             }
             Optional<TaskStatus> t = workers.getOrCreate(machine.id())
-                    .lastHeartbeat
+                    .lastHeartbeat()
                     .get()
                     .find(new TaskId(job.id(), allocation.task()), job.expectedAttempt(allocation));
             if (t.filter(x -> x.phase() == phase).isEmpty()) {
--- a/src/main/java/org/dunespindle/job/TerminationWriter.java
+++ b/src/main/java/org/dunespindle/job/TerminationWriter.java
@@ -92,7 +92,7 @@
         var set = new HashSet<TaskAttempt>();
         for (String host : workerClient.machinesWithTerminations()) {
             // A placeholder that waited in vain is booked again where it was, so its room is not free.
-            workers.getOrCreate(host).terminations.stream()
+            workers.getOrCreate(host).terminations().stream()
                     .filter(termination -> termination.cause() != TerminationCause.ASSEMBLY_TIMEOUT)
                     .forEach(termination ->
                             set.add(new TaskAttempt(termination.job(), termination.task(), termination.attemptBase())));
@@ -106,8 +106,9 @@
         byJob = new LinkedHashMap<>();
         for (String host : workerClient.machinesWithTerminations()) {
             WorkerState worker = workers.getOrCreate(host);
-            worker.terminations.forEach(termination -> byJob.computeIfAbsent(termination.job(), k -> new ArrayList<>())
-                    .add(new Seen(termination, worker.terminationsSince)));
+            worker.terminations()
+                    .forEach(termination -> byJob.computeIfAbsent(termination.job(), k -> new ArrayList<>())
+                            .add(new Seen(termination, worker.terminationsSince())));
         }
         gone.forEach(termination -> byJob.computeIfAbsent(termination.job(), k -> new ArrayList<>())
                 .add(new Seen(termination, Duration.ZERO)));
--- a/src/main/java/org/dunespindle/machine/MachineProvisioner.java
+++ b/src/main/java/org/dunespindle/machine/MachineProvisioner.java
@@ -183,7 +183,7 @@
         long incarnation = membership.incarnationOf(owner).orElse(membership.incarnation());
         Optional<Long> seen = context.workers()
                 .find(id)
-                .flatMap(worker -> worker.lastHeartbeat)
+                .flatMap(worker -> worker.lastHeartbeat())
                 .map(heartbeat -> heartbeat.token());
         var machine = new MachineRecord(
                 id,
--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -41,7 +41,7 @@
             if (context.membership().owns(machine)) {
                 context.workers()
                         .find(machine.id())
-                        .filter(worker -> worker.lastHeartbeatAt.isPresent())
+                        .filter(worker -> worker.lastHeartbeatAt().isPresent())
                         .ifPresent(worker -> list.add(news(machine, worker)));
             }
         }
@@ -55,19 +55,25 @@
         Duration silent = up ? Duration.ZERO : silence(worker);
         String state = up ? "u" : "d" + silent.toSeconds() / SILENCE_STEP;
         String told = machine.token() + state + bad + worker.images().hashCode();
-        if (!told.equals(worker.lastPublished)) {
-            worker.lastPublished = told;
-            worker.lastPublishedSequence = ++lastNumber;
+        if (!told.equals(worker.lastPublished())) {
+            worker.published(told, ++lastNumber);
         }
         String address =
-                worker.lastHeartbeat.map(heartbeat -> heartbeat.address()).orElse(machine.address());
+                worker.lastHeartbeat().map(heartbeat -> heartbeat.address()).orElse(machine.address());
         return new MachineStatus(
-                machine.id(), worker.lastPublishedSequence, machine.token(), up, bad, silent, address, worker.images());
+                machine.id(),
+                worker.lastPublishedSequence(),
+                machine.token(),
+                up,
+                bad,
+                silent,
+                address,
+                worker.images());
     }
 
     private Duration silence(WorkerState worker) {
-        Duration heard = worker.lastHeartbeatAt.orElseThrow();
-        Optional<Duration> unproven = worker.commandsUnconfirmedSince.filter(since -> since.compareTo(heard) < 0);
+        Duration heard = worker.lastHeartbeatAt().orElseThrow();
+        Optional<Duration> unproven = worker.commandsUnconfirmedSince().filter(since -> since.compareTo(heard) < 0);
         return context.pauseDetector().silence(unproven.orElse(heard));
     }
 
@@ -78,7 +84,7 @@
         }
         WorkerState worker = context.workers().getOrCreate(machine.id());
         boolean noticed =
-                worker.lastHeartbeat.flatMap(heartbeat -> heartbeat.notice()).isPresent();
+                worker.lastHeartbeat().flatMap(heartbeat -> heartbeat.notice()).isPresent();
         return !noticed && !workerClient.mute(worker) && alive(worker);
     }
 
@@ -86,7 +92,7 @@
     public boolean departs(MachineRecord machine) {
         boolean noticed = context.workers()
                 .find(machine.id())
-                .flatMap(worker -> worker.lastHeartbeat)
+                .flatMap(worker -> worker.lastHeartbeat())
                 .flatMap(heartbeat -> heartbeat.notice())
                 .isPresent();
         return noticed || machine.draining() || quarantine.holds(machine.id());
--- a/src/main/java/org/dunespindle/machine/ShardOwnership.java
+++ b/src/main/java/org/dunespindle/machine/ShardOwnership.java
@@ -178,7 +178,9 @@
         Optional<WorkerState> s = workers.find(machine.id());
         boolean calm = machine.keepUntil().isBefore(timeSource.wallTime())
                 && now.minus(gangAt.getOrDefault(machine.id(), Duration.ZERO)).compareTo(kept) > 0
-                && s.filter(x -> x.callInFlight || x.unansweredStartToken.isPresent() || !x.terminations.isEmpty())
+                && s.filter(x -> x.callInFlight()
+                                || x.unansweredStartToken().isPresent()
+                                || !x.terminations().isEmpty())
                         .isEmpty();
         Optional<Long> inc = membership.incarnationOf(home.get());
         // A few pages at a time: after a controller came back there are many, and even load is less urgent than all
--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -77,7 +77,7 @@
         Optional<Duration> here = Optional.empty();
         if (session.isPresent()) {
             here = membership.owns(machine)
-                    ? session.get().lastHeartbeatAt
+                    ? session.get().lastHeartbeatAt()
                     : session.get().lastSeenAlive();
         }
         return Durations.later(here, peerHeartbeats.aliveAt(machine));
--- a/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
@@ -37,8 +37,6 @@
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
     private static final Duration KEEP = Duration.ofSeconds(40);
-    private static final Duration STRAY_GAP = Duration.ofMillis(700);
-    private static final Duration STRAY_MEMORY = Duration.ofSeconds(12);
     private static final Duration TURNED_AWAY_MEMORY = Duration.ofSeconds(40);
     private static final Duration TURNED_AWAY_GAP = Duration.ofMillis(1500);
     /** What a lease may outlast the last renewal by, beside its length: clocks, and what is under way. */
@@ -97,7 +95,7 @@
     public void onHeartbeat(WorkerHeartbeat heartbeat, BiConsumer<Integer, ObjectNode> answer) {
         heartbeatCount++;
         WorkerState worker = workers.getOrCreate(heartbeat.machineId());
-        Optional<WorkerHeartbeat> before = worker.lastHeartbeat;
+        Optional<WorkerHeartbeat> before = worker.lastHeartbeat();
         Duration now = timeSource.now();
         boolean wasSilent = workerClient.silent(worker);
         boolean newer = worker.acceptHeartbeat(heartbeat, now);
@@ -107,11 +105,10 @@
         if (newer) {
             workerClient.reconcileIfChanged(heartbeat, before);
         }
-        if (newer && wasSilent && worker.commandsUnconfirmedSince.isPresent()) {
+        if (newer && wasSilent && worker.commandsUnconfirmedSince().isPresent()) {
             // After a cut, or when it has just found its way here: that no command arrived before does not show that
             // none does now.
-            worker.commandsUnconfirmedSince = Optional.of(now);
-            worker.nextCallAt = now;
+            worker.commandRetryDue(now);
             workerClient.scheduleReconciliation(heartbeat.machineId());
             changed.run();
         }
@@ -123,8 +120,8 @@
             answer.accept(503, error("this controller does not know the present state"));
             return;
         }
-        if (newer && worker.commandsUnconfirmedSince.isPresent() && worker.nextCallAt.compareTo(timeSource.now()) > 0) {
-            worker.nextCallAt = timeSource.now().plus(WorkerClient.REFUSED_PAUSE);
+        if (newer && worker.commandsUnconfirmedSince().isPresent() && worker.callDelayed(timeSource.now())) {
+            worker.nextCallNotBefore(timeSource.now().plus(WorkerClient.REFUSED_PAUSE));
             workerClient.scheduleReconciliation(heartbeat.machineId());
         }
         if (isPartitioned.getAsBoolean()) {
@@ -134,7 +131,7 @@
         } else if (membership.owns(machine)) {
             answerOwned(heartbeat, machine, worker, newer, answer);
             if (newer && heartbeat.token() == machine.token()) {
-                worker.lastHeartbeatAt = Optional.of(timeSource.now());
+                worker.leaseRenewed(timeSource.now());
             }
         } else {
             redirectToOwner(heartbeat, machine, worker, newer, answer);
@@ -196,8 +193,8 @@
         // starts never ride.
         boolean proof = newer
                 && heartbeat.token() == machine.token()
-                && session.unansweredStartToken.isEmpty()
-                && !session.callInFlight
+                && session.unansweredStartToken().isEmpty()
+                && !session.callInFlight()
                 && replica.appliedRevision() >= replica.modRevision(Keys.machinePage(heartbeat.machineId()));
         if (!proof) {
             renew(heartbeat, machine, answer);
@@ -228,14 +225,15 @@
             BiConsumer<Integer, ObjectNode> answer) {
         Duration now = timeSource.now();
         boolean ours = machine != null && membership.owns(machine) && accepts(heartbeat, machine);
-        Optional<Duration> away = worker.turnedAwayAt.map(now::minus).filter(d -> d.compareTo(TURNED_AWAY_MEMORY) < 0);
+        Optional<Duration> away =
+                worker.rejectedWhilePartitionedAt().map(now::minus).filter(d -> d.compareTo(TURNED_AWAY_MEMORY) < 0);
         boolean cameBack = away.filter(d -> d.compareTo(TURNED_AWAY_GAP) > 0).isPresent();
         if (ours && (cameBack || !hearsOtherZones())) {
             renew(heartbeat, machine, answer);
             return;
         }
         if (away.isEmpty()) {
-            worker.turnedAwayAt = Optional.of(now);
+            worker.rejectedWhilePartitioned(now);
         }
         answer.accept(503, error("this controller is cut off from the state service and the others"));
     }
@@ -243,10 +241,10 @@
     /** In a cut between zones only the own zone's workers are heard, and nobody else can answer them. */
     private boolean hearsOtherZones() {
         Duration recent = Durations.times(settings.workers().report(), 2).plusSeconds(1);
-        for (WorkerState worker : workers.all().values()) {
-            if (worker.lastHeartbeatAt.isPresent()
-                    && timeSource.now().minus(worker.lastHeartbeatAt.get()).compareTo(recent) < 0
-                    && worker.lastHeartbeat
+        for (WorkerState worker : workers.all()) {
+            if (worker.lastHeartbeatAt().isPresent()
+                    && timeSource.now().minus(worker.lastHeartbeatAt().get()).compareTo(recent) < 0
+                    && worker.lastHeartbeat()
                             .filter(x -> !x.zone().equals(settings.zone()))
                             .isPresent()) {
                 return true;
@@ -263,7 +261,7 @@
             answer.accept(503, error("not a member yet"));
         } else if (!owner.get().equals(settings.nodeName())) {
             answer.accept(421, WorkerCommand.redirect(owner.get()));
-        } else if (!newer || worker.inspectionInFlight || machineWriter.busy(heartbeat.machineId())) {
+        } else if (!newer || worker.inspectionInFlight() || machineWriter.busy(heartbeat.machineId())) {
             answer.accept(503, error("machine is being taken up"));
         } else {
             workerClient.verify(heartbeat, worker, alive -> {
@@ -279,7 +277,7 @@
                         heartbeat.spot(),
                         settings.nodeName(),
                         membership.incarnation(),
-                        worker.lastHeartbeat.map(WorkerHeartbeat::token).orElse(heartbeat.token()) + 1,
+                        worker.lastHeartbeat().map(WorkerHeartbeat::token).orElse(heartbeat.token()) + 1,
                         timeSource.wallTime(),
                         Instant.EPOCH,
                         false,
@@ -324,17 +322,9 @@
             return;
         }
         long stamp = replica.modRevision(Keys.machinePage(heartbeat.machineId()));
-        Duration since = now.minus(session.lastRedirectAt);
-        if (session.redirectRevision != stamp || since.compareTo(STRAY_MEMORY) > 0) {
-            session.redirects = 1;
-            session.redirectRevision = stamp;
-            session.lastRedirectAt = now;
-        } else if (since.compareTo(STRAY_GAP) > 0) {
-            session.redirects++;
-            session.lastRedirectAt = now;
-        }
+        session.redirected(stamp, now);
         if (replica.staleness().compareTo(WorkerClient.START_VIEW) >= 0
-                && session.redirects >= 2
+                && session.redirects() >= 2
                 && accepts(heartbeat, record)) {
             // In an outage that all share nobody can take it over from a controller that has ended; until then it is
             // kept alive.
@@ -344,16 +334,16 @@
         // A controller that has just ended takes all its workers here: its pages are soon taken as a whole, not machine
         // by machine.
         if (!membership.joined()
-                || session.inspectionInFlight
+                || session.inspectionInFlight()
                 || machineWriter.busy(heartbeat.machineId())
                 || isSuspected.test(record.owner())) {
             sendOn.run();
-        } else if (session.redirects >= 2) {
+        } else if (session.redirects() >= 2) {
             workerClient.verify(heartbeat, session, alive -> {
                 MachineRecord present = replica.machines().get(heartbeat.machineId());
                 // A worker that reaches only this controller, and that nobody reaches, is taken over once it has
                 // insisted.
-                boolean insists = session.redirects >= STRAYS_UNSEEN && heartbeat.token() == record.token();
+                boolean insists = session.redirects() >= STRAYS_UNSEEN && heartbeat.token() == record.token();
                 if (present != null && !membership.owns(present) && (alive || insists)) {
                     eventRecorder.record(
                             LOG,
--- a/src/main/java/org/dunespindle/worker/PartitionDetector.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -97,13 +97,13 @@
             Optional<WorkerState> s =
                     membership.owns(machine) && !machine.draining() ? workers.find(machine.id()) : Optional.empty();
             if (s.isPresent()
-                    && s.get().lastHeartbeatAt.isPresent()
+                    && s.get().lastHeartbeatAt().isPresent()
                     && s.get()
-                            .lastHeartbeat
+                            .lastHeartbeat()
                             .filter(heartbeat -> heartbeat.token() == machine.token())
                             .isPresent()) {
                 all++;
-                if (pauseDetector.silence(s.get().lastHeartbeatAt.get()).compareTo(overdue) > 0) {
+                if (pauseDetector.silence(s.get().lastHeartbeatAt().get()).compareTo(overdue) > 0) {
                     silent.add(machine);
                 }
             }
@@ -116,7 +116,7 @@
         var known = new ArrayList<MachineRecord>();
         replica.machines().values().stream()
                 .filter(machine -> workers.find(machine.id())
-                        .filter(worker -> worker.lastHeartbeat.isPresent())
+                        .filter(worker -> worker.lastHeartbeat().isPresent())
                         .isPresent())
                 .forEach(known::add);
         return known;
--- a/src/main/java/org/dunespindle/worker/WorkerClient.java
+++ b/src/main/java/org/dunespindle/worker/WorkerClient.java
@@ -116,7 +116,7 @@
     /** Machines that are about to be taken away, as they last reported. */
     public Set<String> machinesWithNotice() {
         machinesWithNotice.removeIf(h -> workers.find(h)
-                .flatMap(worker -> worker.lastHeartbeat)
+                .flatMap(worker -> worker.lastHeartbeat())
                 .flatMap(WorkerHeartbeat::notice)
                 .isEmpty());
         return machinesWithNotice;
@@ -178,12 +178,12 @@
             then.accept(false);
             return;
         }
-        worker.inspectionInFlight = true;
+        worker.inspectionStarted();
         callLimiter.begin(false);
         httpClient
                 .send(address, "GET", "/inspect", new byte[0], MessagePackCodec.TYPE, INSPECT_TIMEOUT)
                 .whenComplete((response, e) -> {
-                    worker.inspectionInFlight = false;
+                    worker.inspectionEnded();
                     callLimiter.end(false, pendingReconciliation::add);
                     then.accept(
                             response != null && response.status() == 200 && answered(host, worker, response.body()));
@@ -193,7 +193,7 @@
     /** Asks a machine itself whether it is there; false if it cannot be asked now. */
     boolean ask(MachineRecord machine, String address, Consumer<Boolean> then) {
         WorkerState worker = workers.getOrCreate(machine.id());
-        if (address.isEmpty() || worker.inspectionInFlight || callLimiter.full()) {
+        if (address.isEmpty() || worker.inspectionInFlight() || callLimiter.full()) {
             return false;
         }
         verify(machine.id(), address, worker, then);
@@ -210,7 +210,7 @@
         MachineRecord mine = machine.ownedBy(settings.nodeName(), membership.incarnation(), keep)
                 .withAddress(address);
         long seen = workers.find(machine.id())
-                .flatMap(worker -> worker.lastHeartbeat)
+                .flatMap(worker -> worker.lastHeartbeat())
                 .map(WorkerHeartbeat::token)
                 .orElse(0L);
         machineWriter.change(CommitPriority.PLACEMENT, mine.withTokenAbove(seen), then);
@@ -219,7 +219,7 @@
     /** Where a machine is reached, as far as known here. */
     String address(MachineRecord machine) {
         return workers.find(machine.id())
-                .flatMap(worker -> worker.lastHeartbeat)
+                .flatMap(worker -> worker.lastHeartbeat())
                 .map(WorkerHeartbeat::address)
                 .orElse(machine.address());
     }
@@ -236,16 +236,16 @@
         return s.isPresent()
                 && inCommand(machine)
                 && !machine.draining()
-                && s.get().lastHeartbeat.isPresent()
-                && s.get().lastHeartbeat.get().token() == machine.token()
-                && s.get().unansweredStartToken.isEmpty()
-                && s.get().commandsUnconfirmedSince.isEmpty();
+                && s.get().lastHeartbeat().isPresent()
+                && s.get().lastHeartbeat().get().token() == machine.token()
+                && s.get().unansweredStartToken().isEmpty()
+                && s.get().commandsUnconfirmedSince().isEmpty();
     }
 
     /** How long a machine has reported without taking commands; empty while it takes them. */
     public Optional<Duration> oneWayFor(String host) {
         return workers.find(host)
-                .flatMap(worker -> worker.commandsUnconfirmedSince)
+                .flatMap(worker -> worker.commandsUnconfirmedSince())
                 .map(pauseDetector::silence);
     }
 
@@ -273,18 +273,18 @@
             return;
         }
         WorkerState worker = workers.getOrCreate(host);
-        if (worker.callInFlight) {
+        if (worker.callInFlight()) {
             return; // the answer brings it back
         }
-        if (worker.unansweredStartToken.isPresent() && !fenced(machine, worker)) {
+        if (worker.unansweredStartToken().isPresent() && !fenced(machine, worker)) {
             return;
         }
-        if (worker.lastHeartbeat.isPresent() && worker.lastHeartbeat.get().token() > machine.token()) {
+        if (worker.lastHeartbeat().isPresent() && worker.lastHeartbeat().get().token() > machine.token()) {
             if (!machineWriter.busy(host)) {
                 machineWriter.change(
                         CommitPriority.PLACEMENT,
                         machine.withNextToken()
-                                .withTokenAbove(worker.lastHeartbeat.get().token()),
+                                .withTokenAbove(worker.lastHeartbeat().get().token()),
                         result -> pendingReconciliation.add(host));
             }
         } else if (worker.isProofUnder(machine.token())) {
@@ -310,7 +310,7 @@
      * controller does not answer, or that was taken over, needs some seconds to find the next one.
      */
     public boolean mute(WorkerState worker) {
-        return olderThan(worker.lastHeartbeatAt, NEXT_CONTROLLER);
+        return olderThan(worker.lastHeartbeatAt(), NEXT_CONTROLLER);
     }
 
     private boolean olderThan(Optional<Duration> sign, Duration beyondTwoReports) {
@@ -319,7 +319,7 @@
     }
 
     private void conclude(MachineRecord machine, WorkerState worker) {
-        WorkerHeartbeat heartbeat = worker.lastHeartbeat.get();
+        WorkerHeartbeat heartbeat = worker.lastHeartbeat().get();
         ReconciliationResult result = HeartbeatReconciler.reconcile(allocations(machine.id()), heartbeat);
         heartbeat.tasks().forEach(task -> {
             if (task.phase() == TaskPhase.RUNNING || task.phase() == TaskPhase.ASSEMBLING) {
@@ -333,7 +333,7 @@
         // An old view may miss a cancellation: it stops tasks, but starts none.
         boolean startsWait = replica.staleness().compareTo(START_VIEW) >= 0;
         boolean mute = mute(worker);
-        if (worker.commandsUnconfirmedSince.isPresent() || mute) {
+        if (worker.commandsUnconfirmedSince().isPresent() || mute) {
             startsWait = true;
             if (mute
                     || oneWayFor(machine.id())
@@ -349,7 +349,7 @@
                     .filter(o -> !(o instanceof WorkerCommand.Run))
                     .toList();
         }
-        if (worker.commandsUnconfirmedSince.isPresent()) {
+        if (worker.commandsUnconfirmedSince().isPresent()) {
             call(machine, worker, List.of()); // nothing is started before a command is known to arrive
         } else if (commands.stream().anyMatch(o -> !(o instanceof WorkerCommand.Forget))) {
             call(machine, worker, commands);
@@ -357,15 +357,12 @@
     }
 
     private void events(String host, WorkerState worker, List<TaskTermination> terminations) {
-        if (worker.terminations.isEmpty() && terminations.isEmpty()) {
+        if (worker.terminations().isEmpty() && terminations.isEmpty()) {
             return;
         }
-        if (!worker.terminations.equals(terminations)) {
+        if (!worker.terminations().equals(terminations)) {
             version++;
-            if (worker.terminations.isEmpty()) {
-                worker.terminationsSince = timeSource.now();
-            }
-            worker.terminations = terminations;
+            worker.recordTerminations(terminations, timeSource.now());
         }
         if (terminations.isEmpty()) {
             machinesWithTerminations.remove(host);
@@ -379,15 +376,16 @@
      * being done is kept in its reports until a higher token has voided all copies; when several are, the token is raised.
      */
     List<WorkerCommand> keepExits(MachineRecord machine, WorkerState worker, List<WorkerCommand> commands) {
-        if (worker.starts.isEmpty() || worker.startsToken != machine.token() || commands.isEmpty()) {
+        if (!worker.hasStartsUnder(machine.token()) || commands.isEmpty()) {
             return commands;
         }
         var done = new HashSet<WorkerCommand.Run>();
-        worker.lastHeartbeat.ifPresent(heartbeat -> heartbeat.tasks().forEach(task -> {
-            if (task.exited() && task.cause().orElse(ExitCause.STOPPED) == ExitCause.DONE) {
-                done.add(new WorkerCommand.Run(task.task(), task.attempt()));
-            }
-        }));
+        worker.lastHeartbeat()
+                .ifPresent(heartbeat -> heartbeat.tasks().forEach(task -> {
+                    if (task.exited() && task.cause().orElse(ExitCause.STOPPED) == ExitCause.DONE) {
+                        done.add(new WorkerCommand.Run(task.task(), task.attempt()));
+                    }
+                }));
         var kept = new ArrayList<WorkerCommand>();
         int held = 0;
         for (WorkerCommand o : commands) {
@@ -410,13 +408,11 @@
      * that stays silent needs none: it is returned.
      */
     private boolean fenced(MachineRecord machine, WorkerState worker) {
-        if (machine.token() > worker.unansweredStartToken.get()) {
-            worker.unansweredStartToken = Optional.empty();
+        if (machine.token() > worker.unansweredStartToken().get()) {
+            worker.startFenced();
             return true;
         }
-        if (worker.lastSeenAlive()
-                .filter(t -> t.compareTo(worker.unansweredAt) > 0)
-                .isPresent()) {
+        if (worker.seenAliveSinceUnansweredStart()) {
             if (!machineWriter.busy(machine.id())) {
                 machineWriter.change(
                         CommitPriority.PLACEMENT,
@@ -431,7 +427,7 @@
 
     private void call(MachineRecord record, WorkerState worker, List<WorkerCommand> commands) {
         String address = address(record);
-        if (address.isEmpty() || timeSource.now().compareTo(worker.nextCallAt) < 0) {
+        if (address.isEmpty() || worker.callDelayed(timeSource.now())) {
             return; // a timer brings it back
         }
         // A silent machine is asked seldom; its next report ends the pause.
@@ -446,15 +442,14 @@
             return;
         }
         // Whatever the call is for: what is cancelled ends now.
-        List<WorkerCommand> all = commands.isEmpty() && worker.lastHeartbeat.isPresent()
-                ? cancelledOn(worker.lastHeartbeat.get())
+        List<WorkerCommand> all = commands.isEmpty() && worker.lastHeartbeat().isPresent()
+                ? cancelledOn(worker.lastHeartbeat().get())
                 : commands;
         List<WorkerCommand> some = all.size() > COMMANDS_AT_ONCE ? all.subList(0, COMMANDS_AT_ONCE) : all;
         boolean starts = some.stream().anyMatch(o -> o instanceof WorkerCommand.Run);
-        long session = worker.lastHeartbeat.map(WorkerHeartbeat::agentEpoch).orElse(1L);
+        long session = worker.lastHeartbeat().map(WorkerHeartbeat::agentEpoch).orElse(1L);
         long token = record.token();
-        worker.starting(token, session, some);
-        worker.callInFlight = true;
+        worker.callStarted(token, session, some);
         calls++;
         callLimiter.begin(silent);
         httpClient
@@ -466,7 +461,7 @@
                         MessagePackCodec.TYPE,
                         COMMAND_TIMEOUT)
                 .whenComplete((response, e) -> {
-                    worker.callInFlight = false;
+                    worker.callEnded();
                     callLimiter.end(silent, pendingReconciliation::add);
                     version++;
                     if (response != null && (response.status() == 200 || response.status() == 409)) {
@@ -475,8 +470,8 @@
                         }
                         pause(record.id(), worker, response.status() == 200 ? Duration.ZERO : REFUSED_PAUSE);
                     } else {
-                        if (worker.lastHeartbeat.isPresent()) {
-                            worker.unanswered(timeSource.now()); // one that never reported may still be booting
+                        if (worker.lastHeartbeat().isPresent()) {
+                            worker.callUnanswered(timeSource.now()); // one that never reported may still be booting
                         }
                         boolean sent =
                                 e == null || !(HttpCallException.cause(e) instanceof HttpCallException f) || f.sent();
@@ -489,14 +484,13 @@
     }
 
     private void unanswered(MachineRecord machine, WorkerState worker, long token) {
-        worker.unansweredStartToken = Optional.of(token);
-        worker.unansweredAt = timeSource.now();
+        worker.startUnanswered(token, timeSource.now());
         eventRecorder.record(
                 LOG, "machine {} did not answer a start; it is fenced before anything is concluded", machine.id());
     }
 
     private void pause(String host, WorkerState worker, Duration pause) {
-        worker.nextCallAt = timeSource.now().plus(pause);
+        worker.nextCallNotBefore(timeSource.now().plus(pause));
         if (pause.isZero()) {
             pendingReconciliation.add(host);
             changed.run();
@@ -515,7 +509,7 @@
                 if (heartbeat.notice().isPresent()) {
                     machinesWithNotice.add(host);
                 }
-                Optional<WorkerHeartbeat> before = worker.lastHeartbeat;
+                Optional<WorkerHeartbeat> before = worker.lastHeartbeat();
                 worker.answered(heartbeat, timeSource.now());
                 reconcileIfChanged(heartbeat, before);
                 return true;
