--- /dev/null
+++ b/src/main/java/org/dunespindle/machine/GangMachineAcquirer.java
@@ -0,0 +1,88 @@
+package org.dunespindle.machine;
+
+import java.time.Instant;
+import java.util.LinkedHashSet;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Supplier;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.MachineRecordWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Options;
+import org.dunespindle.peer.PeerHeartbeats;
+import org.dunespindle.scheduling.Plan;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.worker.WorkerClient;
+
+/** The leader's acquisition of other controllers' machines for gangs, which only the leader places. */
+final class GangMachineAcquirer {
+    private final ControllerContext context;
+    private final WorkerClient workerClient;
+    private final MachineRecordWriter machineWriter;
+    private final PeerHeartbeats peerHeartbeats;
+    private final GangPresence gangPresence;
+    private final Supplier<Options> options;
+
+    GangMachineAcquirer(
+            ControllerContext context,
+            WorkerClient workerClient,
+            MachineRecordWriter machineWriter,
+            PeerHeartbeats peerHeartbeats,
+            GangPresence gangPresence,
+            Supplier<Options> options) {
+        this.context = context;
+        this.workerClient = workerClient;
+        this.machineWriter = machineWriter;
+        this.peerHeartbeats = peerHeartbeats;
+        this.gangPresence = gangPresence;
+        this.options = options;
+    }
+
+    /** Acquires what gangs need of other controllers' machines, up to the operators' limit of acquired machines. */
+    void acquireFor(Plan plan) {
+        Optional<Long> acquired = Optional.empty();
+        for (String machineId : machinesForGangs(plan)) {
+            MachineRecord machine = context.replica().machines().get(machineId);
+            if (machine == null || !isAcquirable(machine)) {
+                continue;
+            }
+            // Counted only once something is to be acquired: it takes a pass over all machines.
+            long acquiredBefore = acquired.orElseGet(this::countOwnedAwayFromHome);
+            if (acquiredBefore >= options.get().borrowedMachines()) {
+                return;
+            }
+            acquired = Optional.of(acquiredBefore + 1);
+            gangPresence.recordGang(machineId, context.timeSource().now());
+            String address = peerHeartbeats.address(machine).orElse(machine.address());
+            workerClient.acquire(machine, address, Instant.EPOCH, result -> {});
+        }
+    }
+
+    /**
+     * The machines that gangs are planned on, then those that hold placeholders. Another live controller may own such a machine: it led
+     * when the placeholders were placed, and lost the lead without ending. It keeps the machine while a gang is on it, and the leader
+     * cannot see there that all placeholders are ready; without this the gang would wait for its timer although it is placed whole.
+     */
+    private Set<String> machinesForGangs(Plan plan) {
+        var machineIds = new LinkedHashSet<>(plan.gangMachines());
+        machineIds.addAll(gangPresence.machinesWithPlaceholders());
+        return machineIds;
+    }
+
+    private boolean isAcquirable(MachineRecord machine) {
+        return !context.membership().owns(machine)
+                && !machine.draining()
+                && !machineWriter.busy(machine.id())
+                && machine.keepUntil().isBefore(context.timeSource().wallTime());
+    }
+
+    private long countOwnedAwayFromHome() {
+        Membership membership = context.membership();
+        String nodeName = context.settings().nodeName();
+        return context.replica().machines().values().stream()
+                .filter(membership::owns)
+                .filter(machine ->
+                        membership.hashed(machine.id()).filter(nodeName::equals).isEmpty())
+                .count();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/machine/GangPresence.java
@@ -0,0 +1,59 @@
+package org.dunespindle.machine;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeSet;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.PlacedTask;
+import org.dunespindle.storage.StateReplica;
+
+/** Which machines hold gangs, and when a gang was last seen or planned on each machine owned here. */
+final class GangPresence {
+    private final StateReplica replica;
+    private final Map<String, Duration> lastGangAt = new HashMap<>();
+
+    GangPresence(StateReplica replica) {
+        this.replica = replica;
+    }
+
+    /** Whether a member or a placeholder of a gang is allocated on a machine. */
+    boolean hasGang(MachineRecord machine) {
+        // A plain loop: this runs for every owned machine with every check.
+        for (PlacedTask placed : replica.allocationsOn(machine.id())) {
+            if (placed.job().spec().isPresent() && placed.job().submission().isGang()) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Machines with placeholders of gangs that do not run yet, in the order of their names. */
+    Set<String> machinesWithPlaceholders() {
+        var machineIds = new TreeSet<String>();
+        for (JobRecord job : replica.activeJobs()) {
+            if (job.isOpen() && job.submission().isGang() && job.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS) {
+                job.allocations().forEach(allocation -> machineIds.add(allocation.machineId()));
+            }
+        }
+        return machineIds;
+    }
+
+    /** Records that a gang is, or is planned to be, on a machine. */
+    void recordGang(String machineId, Duration now) {
+        lastGangAt.put(machineId, now);
+    }
+
+    /** When a gang was last recorded on a machine. */
+    Optional<Duration> lastGangAt(String machineId) {
+        return Optional.ofNullable(lastGangAt.get(machineId));
+    }
+
+    /** Forgets all other machines. */
+    void retainMachines(Set<String> machineIds) {
+        lastGangAt.keySet().retainAll(machineIds);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/machine/ShardFailover.java
@@ -0,0 +1,122 @@
+package org.dunespindle.machine;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeSet;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.MachineRecordWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.peer.PeerHeartbeats;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.worker.WorkerClient;
+
+/**
+ * Failover of machines whose controller is gone. A page of machine records is taken over by one controller as a whole, by the leader
+ * if a gang is on it: of two controllers that rewrite one page at once, one fails with a conflict.
+ */
+final class ShardFailover {
+    private static final Duration MAX_DEFERRAL_TO_RESTARTED_PEERS = Duration.ofSeconds(4);
+    /** Workers must hear from a controller before their leases end, so only this part of a lease may pass first. */
+    private static final int LEASE_PARTS_PER_DEFERRAL = 4;
+
+    private final ControllerContext context;
+    private final String nodeName;
+    private final WorkerClient workerClient;
+    private final MachineRecordWriter machineWriter;
+    private final PeerHeartbeats peerHeartbeats;
+    private final GangPresence gangPresence;
+    /** The controllers of this cell by its settings, whether they live or not. */
+    private final Set<String> configuredControllers = new TreeSet<>();
+
+    private final Duration deferralToPeers;
+    private Optional<Duration> firstCheckAt = Optional.empty();
+
+    ShardFailover(
+            ControllerContext context,
+            WorkerClient workerClient,
+            MachineRecordWriter machineWriter,
+            PeerHeartbeats peerHeartbeats,
+            GangPresence gangPresence) {
+        this.context = context;
+        this.nodeName = context.settings().nodeName();
+        this.workerClient = workerClient;
+        this.machineWriter = machineWriter;
+        this.peerHeartbeats = peerHeartbeats;
+        this.gangPresence = gangPresence;
+        configuredControllers.add(nodeName);
+        context.settings().seeds().forEach(seed -> configuredControllers.add(seed.name()));
+        Duration partOfLease = context.settings().workers().lease().dividedBy(LEASE_PARTS_PER_DEFERRAL);
+        this.deferralToPeers = partOfLease.compareTo(MAX_DEFERRAL_TO_RESTARTED_PEERS) < 0
+                ? partOfLease
+                : MAX_DEFERRAL_TO_RESTARTED_PEERS;
+    }
+
+    /** Acquires the machines without a live owner that are to fail over to this controller. */
+    void takeOverOrphans() {
+        boolean deferring = defersToPeers();
+        List<MachineRecord> orphans = orphansMostUrgentFirst();
+        var pagesWithGangs = new HashSet<String>();
+        orphans.stream()
+                .filter(gangPresence::hasGang)
+                .forEach(machine -> pagesWithGangs.add(Keys.machinePage(machine.id())));
+        for (MachineRecord orphan : orphans) {
+            if (!machineWriter.busy(orphan.id())
+                    && !(deferring && isConfiguredForPeer(orphan))
+                    && failsOverHere(orphan, pagesWithGangs)) {
+                acquire(orphan);
+            }
+        }
+    }
+
+    /** After a crash of all controllers, those that restart first leave the others' pages to them for a moment. */
+    private boolean defersToPeers() {
+        Duration now = context.timeSource().now();
+        if (firstCheckAt.isEmpty()) {
+            firstCheckAt = Optional.of(now);
+        }
+        return now.minus(firstCheckAt.get()).compareTo(deferralToPeers) < 0;
+    }
+
+    /** Machines with allocations come first: their workers' leases are about to end, whereas idle machines can wait. */
+    private List<MachineRecord> orphansMostUrgentFirst() {
+        var orphans = new ArrayList<MachineRecord>();
+        for (MachineRecord machine : context.replica().machines().values()) {
+            if (!context.membership().isAlive(machine.owner(), machine.incarnation())) {
+                orphans.add(machine);
+            }
+        }
+        orphans.sort(Comparator.comparing(
+                machine -> context.replica().allocationsOn(machine.id()).isEmpty()));
+        return orphans;
+    }
+
+    private boolean isConfiguredForPeer(MachineRecord machine) {
+        return !context.membership()
+                .hashedAmong(configuredControllers, machine.id())
+                .equals(Optional.of(nodeName));
+    }
+
+    private boolean failsOverHere(MachineRecord machine, Set<String> pagesWithGangs) {
+        Membership membership = context.membership();
+        Optional<String> newOwner = pagesWithGangs.contains(Keys.machinePage(machine.id()))
+                ? membership.leader()
+                : membership.hashed(machine.id());
+        return newOwner.filter(nodeName::equals).isPresent();
+    }
+
+    private void acquire(MachineRecord machine) {
+        // The record of a machine that was rented lately may lack its address; its owner reported it.
+        peerHeartbeats
+                .address(machine)
+                .ifPresentOrElse(
+                        address -> workerClient.acquire(machine, address, Instant.EPOCH, result -> {}),
+                        () -> workerClient.acquire(machine, Instant.EPOCH, result -> {}));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/machine/ShardRebalancer.java
@@ -0,0 +1,92 @@
+package org.dunespindle.machine;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Supplier;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.MachineRecordWriter;
+import org.dunespindle.control.Membership;
+import org.dunespindle.control.Options;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.peer.PeerHeartbeats;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.MachineRecord;
+
+/** Rebalancing: releases machines owned here whose home by hash is another live controller. */
+final class ShardRebalancer {
+    /**
+     * Pages released with one check. After a controller came back there are many, and even load is less urgent than all else that is
+     * written.
+     */
+    private static final int MAX_PAGES_PER_CHECK = 6;
+
+    private final ControllerContext context;
+    private final MachineRecordWriter machineWriter;
+    private final PeerHeartbeats peerHeartbeats;
+    private final GangPresence gangPresence;
+    private final Supplier<Options> options;
+    private final Set<String> pagesReleased = new HashSet<>();
+
+    ShardRebalancer(
+            ControllerContext context,
+            MachineRecordWriter machineWriter,
+            PeerHeartbeats peerHeartbeats,
+            GangPresence gangPresence,
+            Supplier<Options> options) {
+        this.context = context;
+        this.machineWriter = machineWriter;
+        this.peerHeartbeats = peerHeartbeats;
+        this.gangPresence = gangPresence;
+        this.options = options;
+    }
+
+    /** Starts a new check, with its own limit of pages. */
+    void beginCheck() {
+        pagesReleased.clear();
+    }
+
+    /** Stores a machine's home as its owner if that is another controller and the machine can change hands now. */
+    void releaseToHome(MachineRecord machine, Duration now) {
+        Membership membership = context.membership();
+        Optional<String> home = membership.hashed(machine.id());
+        if (home.isEmpty()
+                || home.get().equals(context.settings().nodeName())
+                || machineWriter.busy(machine.id())
+                || machineWriter.crowded()) {
+            return;
+        }
+        Optional<Long> homeIncarnation = membership.incarnationOf(home.get());
+        if (isReleasable(machine, now)
+                && isWithinPageLimit(machine)
+                && homeIncarnation.isPresent()
+                && peerHeartbeats.heartbeat(home.get()).isPresent()) {
+            pagesReleased.add(Keys.machinePage(machine.id()));
+            machineWriter.change(
+                    CommitPriority.MAINTENANCE,
+                    machine.ownedBy(home.get(), homeIncarnation.get(), Instant.EPOCH),
+                    result -> {});
+        }
+    }
+
+    /** Whether a machine is past the times for which it is to stay here, with nothing under way to its worker. */
+    private boolean isReleasable(MachineRecord machine, Duration now) {
+        Duration minTimeSinceGang = context.membership().leads() ? options.get().borrowedAtLeast() : Duration.ZERO;
+        Duration lastGangAt = gangPresence.lastGangAt(machine.id()).orElse(Duration.ZERO);
+        Optional<WorkerState> workerState = context.workers().find(machine.id());
+        return machine.keepUntil().isBefore(context.timeSource().wallTime())
+                && now.minus(lastGangAt).compareTo(minTimeSinceGang) > 0
+                && workerState
+                        .filter(worker -> worker.callInFlight
+                                || worker.unansweredStartToken.isPresent()
+                                || !worker.terminations.isEmpty())
+                        .isEmpty();
+    }
+
+    private boolean isWithinPageLimit(MachineRecord machine) {
+        return pagesReleased.contains(Keys.machinePage(machine.id())) || pagesReleased.size() < MAX_PAGES_PER_CHECK;
+    }
+}
