--- a/src/main/java/org/dunespindle/api/AdminApi.java
+++ b/src/main/java/org/dunespindle/api/AdminApi.java
@@ -173,7 +173,7 @@
             n.put("waits", controller.whyWaits(job));
         }
         if (whole && job.spec().isPresent()) {
-            n.put("mode", job.gangPhase().name().toLowerCase(java.util.Locale.ROOT))
+            n.put("mode", shownPhase(job.gangPhase()))
                     .put("failures", job.failures());
             var list = n.putArray("places");
             for (Allocation allocation : job.allocations()) {
@@ -187,6 +187,16 @@
         return n;
     }
 
+    /** The word for a gang phase that operators' tools know, whatever the constant is called here. */
+    private static String shownPhase(JobRecord.GangPhase phase) {
+        return switch (phase) {
+            case QUEUED -> "idle";
+            case PLACEHOLDERS -> "hold";
+            case RUNNING -> "real";
+            case STOPPING -> "stop";
+        };
+    }
+
     private ObjectNode show(MachineRecord machine) {
         ObjectNode n = MessagePackCodec.map()
                 .put("id", machine.id())
