--- a/src/main/java/org/dunespindle/api/AdminApi.java
+++ b/src/main/java/org/dunespindle/api/AdminApi.java
@@ -173,8 +173,7 @@
             n.put("waits", controller.whyWaits(job));
         }
         if (whole && job.spec().isPresent()) {
-            n.put("mode", shownPhase(job.gangPhase()))
-                    .put("failures", job.failures());
+            n.put("mode", shownPhase(job.gangPhase())).put("failures", job.failures());
             var list = n.putArray("places");
             for (Allocation allocation : job.allocations()) {
                 list.addObject()
--- a/src/main/java/org/dunespindle/machine/CloudClient.java
+++ b/src/main/java/org/dunespindle/machine/CloudClient.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,27 +18,43 @@
 import org.dunespindle.storage.RateLimitedHttpClient;
 import org.dunespindle.storage.RateLimiter;
 import org.dunespindle.time.TimeSource;
-import org.dunespindle.transport.HttpCallException;
 import org.dunespindle.transport.HttpClient;
 import org.dunespindle.transport.HttpClientResponse;
 
-/** The cloud, called within its rate. */
+/** A client of the cloud's API that keeps to its rate limit. */
 public final class CloudClient {
-    private static final Duration TIMEOUT = Duration.ofSeconds(5);
-    private static final int PAGE = 500;
-    /** Only the leader makes more than a rare call, so it gets most of the rate; the rest is for the others' catalogs. */
-    private static final double LEADERS_PART = 0.7;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
+    private static final int LIST_PAGE_SIZE = 500;
+    /** Only the leader makes more than a rare call, so it gets most of the rate; the others read the catalog with the rest. */
+    private static final double LEADER_RATE_SHARE = 0.7;
+
+    private static final int OK = 200;
+    private static final int UNAVAILABLE = 503;
+    /** Part of the answer by which the cloud refuses a rental for want of machines. */
+    private static final String NO_CAPACITY = "no capacity";
+
+    private static final byte[] NO_BODY = new byte[0];
 
     private final RateLimitedHttpClient service;
 
-    /** A rental's outcome: machines, or a refusal for want of capacity. */
-    public record Rented(List<String> hosts, boolean noCapacity) {}
+    /** The outcome of a rental: the machines, or a refusal for want of capacity. */
+    public record RentalResult(List<String> machineIds, boolean noCapacity) {
+        private static final RentalResult REFUSED = new RentalResult(List.of(), true);
+    }
+
+    /** One page of the machine list. */
+    private record ListPage(List<ListedMachine> machines, boolean more) {}
+
+    @FunctionalInterface
+    private interface Parser<T> {
+        T parse(JsonNode node) throws MalformedMessageException;
+    }
 
     /** Creates a client for the cloud that the settings name. */
     public CloudClient(HttpClient httpClient, Settings settings, TimeSource timeSource) {
-        double rate = LEADERS_PART * settings.cloud().rps();
+        double rate = LEADER_RATE_SHARE * settings.cloud().rps();
         this.service = new RateLimitedHttpClient(
-                httpClient, settings.cloudAddress(), timeSource, new RateLimiter(timeSource, rate), TIMEOUT);
+                httpClient, settings.cloudAddress(), timeSource, new RateLimiter(timeSource, rate), CALL_TIMEOUT);
     }
 
     /** How long calls took, in microseconds. */
@@ -47,80 +64,76 @@
 
     /** The machine types on offer. */
     public CompletableFuture<List<MachineType>> catalog() {
-        return call("GET", "/catalog", new byte[0])
-                .thenCompose(response -> parsed(response, MachineType::parseCatalog));
+        return call("GET", "/catalog", NO_BODY)
+                .thenCompose(response -> parseOk(response, "catalog", MachineType::parseCatalog));
     }
 
-    /** The whole machine list, page by page. */
+    /** The whole machine list, read page by page. */
     public CompletableFuture<List<ListedMachine>> list() {
-        return page("", new ArrayList<>());
+        return listAfter("", new ArrayList<>());
     }
 
-    private CompletableFuture<List<ListedMachine>> page(String since, List<ListedMachine> got) {
-        return call("GET", "/rentals?since=" + since + "&limit=" + PAGE, new byte[0])
-                .thenCompose(response -> parsed(response, n -> n))
-                .thenCompose(body -> {
-                    String last = since;
-                    for (JsonNode row : body.path("hosts")) {
-                        try {
-                            ListedMachine listed = ListedMachine.parse(row);
-                            got.add(listed);
-                            last = listed.id();
-                        } catch (MalformedMessageException e) {
-                            return CompletableFuture.failedFuture(new HttpCallException("unreadable list", true));
-                        }
+    private CompletableFuture<List<ListedMachine>> listAfter(String lastId, List<ListedMachine> listedBefore) {
+        return call("GET", "/rentals?since=" + lastId + "&limit=" + LIST_PAGE_SIZE, NO_BODY)
+                .thenCompose(response -> parseOk(response, "machine list", CloudClient::parsePage))
+                .thenCompose(page -> {
+                    listedBefore.addAll(page.machines);
+                    if (!page.more || page.machines.isEmpty()) {
+                        return CompletableFuture.completedFuture(listedBefore);
                     }
-                    return body.path("more").asBoolean(false) && !last.equals(since)
-                            ? page(last, got)
-                            : CompletableFuture.completedFuture(got);
+                    String last = page.machines.get(page.machines.size() - 1).id();
+                    return last.equals(lastId)
+                            ? CompletableFuture.completedFuture(listedBefore)
+                            : listAfter(last, listedBefore);
                 });
     }
 
+    private static ListPage parsePage(JsonNode body) throws MalformedMessageException {
+        var machines = new ArrayList<ListedMachine>();
+        for (JsonNode row : body.path("hosts")) {
+            machines.add(ListedMachine.parse(row));
+        }
+        return new ListPage(machines, body.path("more").asBoolean(false));
+    }
+
     /** Rents machines; repeating it with the same request id is safe until it was answered with 200. */
-    public CompletableFuture<Rented> rent(String requestId, MachinePool pool, int count) {
+    public CompletableFuture<RentalResult> rent(String requestId, MachinePool pool, int count) {
         var request = new RentalRequest(requestId, pool.type(), pool.zone(), pool.spot(), count);
         return call("POST", "/rentals", MessagePackCodec.write(request.toNode()))
-                .thenCompose(response -> {
-                    if (response.status() == 200) {
-                        return parsed(response, n -> {
-                            var hosts = new ArrayList<String>();
-                            n.path("hosts").forEach(h -> hosts.add(h.asText()));
-                            return new Rented(hosts, false);
-                        });
-                    }
-                    boolean none = response.status() == 503
-                            && new String(response.body(), java.nio.charset.StandardCharsets.ISO_8859_1)
-                                    .contains("no capacity");
-                    return none
-                            ? CompletableFuture.completedFuture(new Rented(List.of(), true))
-                            : CompletableFuture.failedFuture(
-                                    new HttpCallException("status " + response.status(), true));
-                });
+                .thenCompose(response -> isCapacityRefusal(response)
+                        ? CompletableFuture.completedFuture(RentalResult.REFUSED)
+                        : parseOk(response, "rental", CloudClient::parseRental));
+    }
+
+    private static boolean isCapacityRefusal(HttpClientResponse response) {
+        return response.status() == UNAVAILABLE
+                && new String(response.body(), StandardCharsets.ISO_8859_1).contains(NO_CAPACITY);
+    }
+
+    private static RentalResult parseRental(JsonNode body) {
+        var machineIds = new ArrayList<String>();
+        body.path("hosts").forEach(id -> machineIds.add(id.asText()));
+        return new RentalResult(machineIds, false);
     }
 
-    /** Returns machines; once this completes, they and everything on them are gone. */
-    public CompletableFuture<Void> giveBack(List<String> hosts) {
+    /** Terminates machines; once this completes, they and everything on them are gone. */
+    public CompletableFuture<Void> terminate(List<String> machineIds) {
         ObjectNode body = MessagePackCodec.map();
-        hosts.forEach(body.withArray("/hosts")::add);
+        machineIds.forEach(body.withArray("/hosts")::add);
         return call("POST", "/rentals/return", MessagePackCodec.write(body))
-                .thenCompose(response -> response.status() == 200
+                .thenCompose(response -> response.status() == OK
                         ? CompletableFuture.completedFuture(null)
-                        : CompletableFuture.failedFuture(new HttpCallException("status " + response.status(), true)));
-    }
-
-    @FunctionalInterface
-    private interface Parser<T> {
-        T parse(JsonNode node) throws MalformedMessageException;
+                        : CompletableFuture.failedFuture(CloudCallException.unexpectedStatus(response.status())));
     }
 
-    private static <T> CompletableFuture<T> parsed(HttpClientResponse response, Parser<T> parser) {
-        if (response.status() != 200) {
-            return CompletableFuture.failedFuture(new HttpCallException("status " + response.status(), true));
+    private static <T> CompletableFuture<T> parseOk(HttpClientResponse response, String what, Parser<T> parser) {
+        if (response.status() != OK) {
+            return CompletableFuture.failedFuture(CloudCallException.unexpectedStatus(response.status()));
         }
         try {
             return CompletableFuture.completedFuture(parser.parse(MessagePackCodec.read(response.body())));
         } catch (MalformedMessageException e) {
-            return CompletableFuture.failedFuture(new HttpCallException("unreadable answer", true));
+            return CompletableFuture.failedFuture(CloudCallException.malformedResponse(what));
         }
     }
 
--- a/src/main/java/org/dunespindle/machine/CloudInventory.java
+++ b/src/main/java/org/dunespindle/machine/CloudInventory.java
@@ -1,6 +1,7 @@
 package org.dunespindle.machine;
 
 import java.time.Duration;
+import java.time.Instant;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -9,26 +10,30 @@
 import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.protocol.ListedMachine;
 import org.dunespindle.scheduling.MachinePool;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
-/** The cloud's list of machines as the leader last read it, and machines that it names but no record does. */
+/** The cloud's list of machines as the leader last read it. Machines in the list without a record are adopted. */
 public final class CloudInventory {
-    private static final Duration LIST_EVERY = Duration.ofSeconds(4);
-    /** Beyond twice its lag, a list surely does not name machines returned by an earlier leader any more. */
-    private static final Duration SURE_OF_LIST = Duration.ofSeconds(2);
+    private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
+    private static final Duration LIST_INTERVAL = Duration.ofSeconds(4);
+    /** Beyond twice the list's lag, the list surely does not name machines terminated by an earlier leader any more. */
+    private static final Duration LIST_LAG_MARGIN = Duration.ofSeconds(2);
 
     private final ControllerContext context;
     private final MachineRecordWriter machineWriter;
     private final CloudClient cloud;
     private final MachineProvisioner provisioner;
     private final MachineTerminator terminator;
-    private Map<String, ListedMachine> listed = Map.of();
+    private Map<String, ListedMachine> listedById = Map.of();
     /** Since when this controller leads; empty while it does not, or has not begun to. */
-    private Optional<Duration> leading = Optional.empty();
+    private Optional<Duration> leadingSince = Optional.empty();
 
-    private Duration listAgainAt = Duration.ZERO;
-    private boolean firstOfAll;
-    private boolean listing;
+    private Duration nextListAt = Duration.ZERO;
+    private boolean isFirstLeaderEver;
+    private boolean requestInFlight;
 
+    /** Creates an inventory that is still empty. */
     public CloudInventory(
             ControllerContext context,
             MachineRecordWriter machineWriter,
@@ -43,69 +48,72 @@
     }
 
     /** A machine's row in the list. */
-    Optional<ListedMachine> row(String host) {
-        return Optional.ofNullable(listed.get(host));
+    Optional<ListedMachine> row(String machineId) {
+        return Optional.ofNullable(listedById.get(machineId));
     }
 
-    /** Where the list says that a machine is; records of rented machines do not tell until they report. */
-    Optional<String> address(String host) {
-        return row(host).map(ListedMachine::address).filter(address -> !address.isEmpty());
+    /** A machine's address by the list; the record of a rented machine lacks it until the machine reports. */
+    Optional<String> address(String machineId) {
+        return row(machineId).map(ListedMachine::address).filter(address -> !address.isEmpty());
     }
 
     /** This controller has begun to lead. */
     void beginToLead() {
-        leading = Optional.of(context.timeSource().now());
-        listAgainAt = context.timeSource().now();
-        // While no machine is known at all this is the first leader ever, and what the list names is there.
-        firstOfAll = context.replica().machines().isEmpty();
+        leadingSince = Optional.of(context.timeSource().now());
+        nextListAt = context.timeSource().now();
+        // While no machine is recorded at all this is the first leader ever, and nothing in the list was terminated.
+        isFirstLeaderEver = context.replica().machines().isEmpty();
     }
 
-    /** This controller does not lead now: a list that was asked for before is not adopted from when it leads again. */
+    /** This controller does not lead now: a list requested before is not adopted from once it leads again. */
     void standDown() {
-        leading = Optional.empty();
-        firstOfAll = false;
+        leadingSince = Optional.empty();
+        isFirstLeaderEver = false;
     }
 
     /** Reads the list when it is due. */
     void tick() {
         Duration now = context.timeSource().now();
-        if (listing || now.compareTo(listAgainAt) < 0) {
+        if (requestInFlight || now.compareTo(nextListAt) < 0) {
             return;
         }
-        listing = true;
-        listAgainAt = now.plus(LIST_EVERY);
+        requestInFlight = true;
+        nextListAt = now.plus(LIST_INTERVAL);
         cloud.list().whenComplete((machines, failure) -> {
-            listing = false;
-            if (failure == null && context.membership().leads()) {
-                take(machines);
+            requestInFlight = false;
+            if (failure != null) {
+                LOG.debug("machine list not read cause={}", failure.toString());
+            } else if (context.membership().leads()) {
+                replace(machines);
+                adoptUnrecorded();
             }
         });
     }
 
-    private void take(List<ListedMachine> machines) {
-        var map = new LinkedHashMap<String, ListedMachine>();
-        machines.forEach(machine -> map.put(machine.id(), machine));
-        listed = map;
-        adopt();
+    private void replace(List<ListedMachine> machines) {
+        var byId = new LinkedHashMap<String, ListedMachine>();
+        machines.forEach(machine -> byId.put(machine.id(), machine));
+        listedById = byId;
     }
 
     /**
-     * Machines in the list that no record names: rented by a request whose answer was lost, or there from the start. The
-     * list lags and may still name what an earlier leader returned, so a new leader waits until it cannot any more.
+     * Adopts machines that no record names: rented by a request whose answer was lost, or there from the start. The list lags and may
+     * still name what an earlier leader terminated, so a new leader waits until it cannot any more.
      */
-    private void adopt() {
-        Duration least = context.settings().cloud().listLag().multipliedBy(2).plus(SURE_OF_LIST);
-        if (firstOfAll || sure(leading, context.timeSource().now(), least)) {
-            listed.values().stream().filter(this::unknown).forEach(this::adopt);
+    private void adoptUnrecorded() {
+        Duration minLead = context.settings().cloud().listLag().multipliedBy(2).plus(LIST_LAG_MARGIN);
+        if (isFirstLeaderEver
+                || hasLedFor(minLead, leadingSince, context.timeSource().now())) {
+            listedById.values().stream().filter(this::isUnrecorded).forEach(this::adopt);
         }
     }
 
-    /** Whether a leader has led for long enough for a list to name nothing that an earlier one returned. */
-    static boolean sure(Optional<Duration> leadingSince, Duration now, Duration least) {
-        return leadingSince.isPresent() && now.minus(leadingSince.get()).compareTo(least) >= 0;
+    /** Whether a leader has led for so long that a list names nothing that an earlier one terminated. */
+    static boolean hasLedFor(Duration minLead, Optional<Duration> leadingSince, Duration now) {
+        return leadingSince.isPresent() && now.minus(leadingSince.get()).compareTo(minLead) >= 0;
     }
 
-    private boolean unknown(ListedMachine machine) {
+    private boolean isUnrecorded(ListedMachine machine) {
         String id = machine.id();
         boolean recorded = context.replica().machines().containsKey(id) || machineWriter.busy(id);
         return !machine.failed() && !recorded && !terminator.isGone(id);
@@ -113,11 +121,7 @@
 
     private void adopt(ListedMachine machine) {
         var pool = new MachinePool(machine.type(), machine.zone(), machine.spot());
-        provisioner.record(
-                machine.id(),
-                machine.address(),
-                pool,
-                context.timeSource().wallTime().minus(machine.age()),
-                false);
+        Instant rentedAt = context.timeSource().wallTime().minus(machine.age());
+        provisioner.record(machine.id(), machine.address(), pool, rentedAt, false);
     }
 }
--- a/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
+++ b/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
@@ -10,72 +10,86 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Tells faulty machines from faulty jobs by where which tasks failed. A job submitted with a mistake fails on every machine: held
- * against the machines it would put one after the other in quarantine. A machine is faulty when different jobs fail on it, a job when it
- * fails on different machines and has never ended well on any. A controller sees only its own machines fail, but every job's record tells
- * how often it has failed in all.
+ * Tells faulty machines from crash-looping jobs by which tasks failed where. A job submitted with a mistake fails on every machine: held
+ * against the machines, it would put one after the other in quarantine. A machine is faulty when different jobs fail on it; a job is
+ * crash-looping when it fails on different machines and none of its tasks ever succeeded. A controller sees failures on its own machines
+ * only, but every job's record counts all failures of the job.
  */
 public final class CrashLoopDetector {
-    /** A job that failed on so many machines, and nowhere ended well, is taken for faulty. */
-    private static final int MACHINES = 2;
-    /** So many failures elsewhere, and none of its tasks done, show the same of a job that failed on one machine here. */
-    private static final int ELSEWHERE = 2;
+    /** A job that failed on so many machines without any success is crash-looping. */
+    private static final int MIN_MACHINES_OF_CRASH_LOOP = 2;
+    /** So many failures elsewhere, with no task done, show the same of a job that failed on one machine here. */
+    private static final int MIN_FAILURES_ELSEWHERE = 2;
 
-    private final Function<String, Optional<JobRecord>> record;
-    private final Map<String, Set<String>> machinesOfJob = new HashMap<>();
-    /** How often each job failed on a machine since one of its tasks last ended well. */
+    private final Function<String, Optional<JobRecord>> jobRecords;
+    private final Map<String, Set<String>> machinesByJob = new HashMap<>();
+    /** How often each job failed on a machine since any task last succeeded there. */
     private final Map<String, Map<String, Integer>> failuresByMachine = new HashMap<>();
 
-    private final Set<String> endedWell = new HashSet<>();
+    private final Set<String> succeededJobs = new HashSet<>();
 
-    public CrashLoopDetector(Function<String, Optional<JobRecord>> record) {
-        this.record = record;
+    /**
+     * Creates a detector that has seen nothing.
+     *
+     * @param jobRecords the stored record of a job
+     */
+    public CrashLoopDetector(Function<String, Optional<JobRecord>> jobRecords) {
+        this.jobRecords = jobRecords;
     }
 
-    public void failed(String job, String machine) {
-        machinesOfJob.computeIfAbsent(job, j -> new HashSet<>()).add(machine);
-        failuresByMachine.computeIfAbsent(machine, m -> new HashMap<>()).merge(job, 1, Integer::sum);
+    /** Records that a task of a job failed on a machine. */
+    public void failed(String jobId, String machineId) {
+        machinesByJob.computeIfAbsent(jobId, id -> new HashSet<>()).add(machineId);
+        failuresByMachine.computeIfAbsent(machineId, id -> new HashMap<>()).merge(jobId, 1, Integer::sum);
     }
 
-    public void succeeded(String job, String machine) {
-        endedWell.add(job);
-        failuresByMachine.remove(machine);
+    /** Records that a task of a job succeeded on a machine, which clears the machine of all failures before. */
+    public void succeeded(String jobId, String machineId) {
+        succeededJobs.add(jobId);
+        failuresByMachine.remove(machineId);
     }
 
-    public boolean isCrashLooping(String job) {
-        return !endedWell.contains(job)
-                && machinesOfJob.getOrDefault(job, Set.of()).size() >= MACHINES;
+    /** Whether a job fails wherever it is tried, as far as is seen from this controller. */
+    public boolean isCrashLooping(String jobId) {
+        return !succeededJobs.contains(jobId) && machinesOf(jobId).size() >= MIN_MACHINES_OF_CRASH_LOOP;
     }
 
-    /** How many jobs failed on a machine that are not at fault themselves, as far as is known by now. */
-    int jobsFailedOn(String machine) {
+    /** How many jobs failed on a machine without being at fault themselves, as far as is known by now. */
+    int jobsFailedOn(String machineId) {
+        Map<String, Integer> failuresByJob = failuresByMachine.getOrDefault(machineId, Map.of());
         int count = 0;
-        for (Map.Entry<String, Integer> e :
-                failuresByMachine.getOrDefault(machine, Map.of()).entrySet()) {
-            count += isCrashLooping(e.getKey()) || failsElsewhere(e.getKey(), e.getValue()) ? 0 : 1;
+        for (Map.Entry<String, Integer> failures : failuresByJob.entrySet()) {
+            String jobId = failures.getKey();
+            if (!isCrashLooping(jobId) && !failsElsewhere(jobId, failures.getValue())) {
+                count++;
+            }
         }
         return count;
     }
 
-    private boolean failsElsewhere(String job, int here) {
-        return !endedWell.contains(job)
-                && record.apply(job)
-                        .filter(j -> j.failures() - here >= ELSEWHERE && j.doneCount() == 0)
+    private boolean failsElsewhere(String jobId, int failuresHere) {
+        return !succeededJobs.contains(jobId)
+                && jobRecords
+                        .apply(jobId)
+                        .filter(job -> job.failures() - failuresHere >= MIN_FAILURES_ELSEWHERE && job.doneCount() == 0)
                         .isPresent();
     }
 
-    /** Machines on which a job has failed. */
-    public Set<String> machinesOf(String job) {
-        return machinesOfJob.getOrDefault(job, Set.of());
+    /** Machines on which tasks of a job have failed. */
+    public Set<String> machinesOf(String jobId) {
+        return machinesByJob.getOrDefault(jobId, Set.of());
     }
 
-    /** Forgets jobs that are over and machines that are gone. */
-    public void prune(Predicate<String> presentMachine) {
-        Predicate<String> over = j -> record.apply(j).filter(JobRecord::isOpen).isEmpty();
-        machinesOfJob.keySet().removeIf(over);
-        endedWell.removeIf(over);
-        failuresByMachine.keySet().removeIf(m -> !presentMachine.test(m));
-        failuresByMachine.values().forEach(jobs -> jobs.keySet().removeIf(over));
+    /** Forgets jobs that have ended and machines that are gone. */
+    public void prune(Predicate<String> isPresentMachine) {
+        Predicate<String> hasEnded =
+                jobId -> jobRecords.apply(jobId).filter(JobRecord::isOpen).isEmpty();
+        machinesByJob.keySet().removeIf(hasEnded);
+        succeededJobs.removeIf(hasEnded);
+        failuresByMachine.keySet().removeIf(machineId -> !isPresentMachine.test(machineId));
+        failuresByMachine
+                .values()
+                .forEach(failuresByJob -> failuresByJob.keySet().removeIf(hasEnded));
         failuresByMachine.values().removeIf(Map::isEmpty);
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineCatalog.java
+++ b/src/main/java/org/dunespindle/machine/MachineCatalog.java
@@ -7,39 +7,51 @@
 import java.util.Optional;
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.time.TimeSource;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
-/** The cloud's machine types, read again now and then: prices move. */
+/** The cloud's machine types, refreshed from time to time since prices change. */
 public final class MachineCatalog {
-    private static final Duration REFRESH_EVERY = Duration.ofSeconds(60);
-    private static final Duration RETRY = Duration.ofMillis(800);
+    private static final Logger LOG = LoggerFactory.getLogger(MachineCatalog.class);
+    private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(60);
+    /** Until the catalog was read for the first time. */
+    private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(800);
+
     private final CloudClient cloud;
     private final TimeSource timeSource;
-    private final Runnable changed;
+    private final Runnable onChange;
     private Optional<List<MachineType>> types = Optional.empty();
-    private Map<String, MachineType> byName = Map.of();
+    private Map<String, MachineType> typesByName = Map.of();
 
-    public MachineCatalog(CloudClient cloud, TimeSource timeSource, Runnable changed) {
+    /**
+     * Creates a catalog that is still unknown.
+     *
+     * @param onChange called whenever the catalog was read
+     */
+    public MachineCatalog(CloudClient cloud, TimeSource timeSource, Runnable onChange) {
         this.cloud = cloud;
         this.timeSource = timeSource;
-        this.changed = changed;
+        this.onChange = onChange;
     }
 
-    /** Begins to read, and keeps reading. */
+    /** Reads the catalog, and refreshes it from then on. */
     public void start() {
-        cloud.catalog().whenComplete((list, failure) -> {
+        cloud.catalog().whenComplete((read, failure) -> {
             if (failure == null) {
-                take(list);
+                replace(read);
+            } else {
+                LOG.debug("machine catalog not read cause={}", failure.toString());
             }
-            timeSource.schedule(types.isPresent() ? REFRESH_EVERY : RETRY, this::start);
+            timeSource.schedule(types.isPresent() ? REFRESH_INTERVAL : INITIAL_RETRY_DELAY, this::start);
         });
     }
 
-    private void take(List<MachineType> list) {
-        types = Optional.of(list);
-        var map = new HashMap<String, MachineType>();
-        list.forEach(type -> map.put(type.name(), type));
-        byName = map;
-        changed.run();
+    private void replace(List<MachineType> read) {
+        types = Optional.of(read);
+        var byName = new HashMap<String, MachineType>();
+        read.forEach(type -> byName.put(type.name(), type));
+        typesByName = byName;
+        onChange.run();
     }
 
     /** All machine types; empty until the cloud has answered. */
@@ -49,6 +61,6 @@
 
     /** A machine type, if the cloud offers it. */
     public Optional<MachineType> type(String name) {
-        return Optional.ofNullable(byName.get(name));
+        return Optional.ofNullable(typesByName.get(name));
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineProvisioner.java
+++ b/src/main/java/org/dunespindle/machine/MachineProvisioner.java
@@ -128,20 +128,26 @@
         });
     }
 
-    private void answered(ScaleOutPlanner.Rental rental, int count, CloudClient.Rented rented) {
+    private void answered(ScaleOutPlanner.Rental rental, int count, CloudClient.RentalResult rented) {
         MachinePool pool = rental.market();
-        if (rented.noCapacity() || rented.hosts().size() < count) {
+        if (rented.noCapacity() || rented.machineIds().size() < count) {
             refuse(pool);
         } else {
             refusals.remove(pool);
         }
-        if (rented.hosts().isEmpty()) {
+        if (rented.machineIds().isEmpty()) {
             return;
         }
         context.eventRecorder()
-                .record(LOG, "rented {} of {} in {} ({})", rented.hosts().size(), pool.type(), pool.zone(), kind(pool));
+                .record(
+                        LOG,
+                        "rented {} of {} in {} ({})",
+                        rented.machineIds().size(),
+                        pool.type(),
+                        pool.zone(),
+                        kind(pool));
         Instant at = context.timeSource().wallTime();
-        rented.hosts().forEach(id -> unrecorded.put(id, () -> record(id, "", pool, at, rental.forGang())));
+        rented.machineIds().forEach(id -> unrecorded.put(id, () -> record(id, "", pool, at, rental.forGang())));
         recordRented();
     }
 
--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -11,89 +11,101 @@
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.worker.WorkerClient;
 
-/** What this controller can tell the leader of the machines that it commands. */
+/** The status of the machines owned here, for planning here and for the heartbeats to the leader. */
 public final class MachineStatusReporter {
-    /** Silence is told anew in steps of so many seconds. */
-    private static final int SILENCE_STEP = 3;
+    /** A machine's status changes only with every step of this length for which it is silent. */
+    private static final int SILENCE_STEP_SECONDS = 3;
 
     private final ControllerContext context;
     private final WorkerClient workerClient;
     private final Quarantine quarantine;
     private final MachineTerminator terminator;
-    /** A machine that takes tasks has been heard this lately. */
-    private final Duration heardLately;
+    /** A machine on which tasks are placed has been seen alive within this time. */
+    private final Duration maxSilenceForPlacement;
 
-    private long lastNumber;
+    private long lastSequence;
 
+    /** Creates a reporter that has published nothing. */
     public MachineStatusReporter(
             ControllerContext context, WorkerClient workerClient, Quarantine quarantine, MachineTerminator terminator) {
         this.context = context;
         this.workerClient = workerClient;
         this.quarantine = quarantine;
         this.terminator = terminator;
-        this.heardLately = context.settings().workers().report().multipliedBy(3).plusSeconds(1);
+        this.maxSilenceForPlacement =
+                context.settings().workers().report().multipliedBy(3).plusSeconds(1);
     }
 
-    /** The machines commanded here that have reported, numbered anew where something changed since it was last told. */
+    /** The owned machines that have reported, by sequence number; a status that changed since it was last published gets a new one. */
     public List<MachineStatus> all() {
-        var list = new ArrayList<MachineStatus>();
+        var statuses = new ArrayList<MachineStatus>();
         for (MachineRecord machine : context.replica().machines().values()) {
             if (context.membership().owns(machine)) {
                 context.workers()
                         .find(machine.id())
                         .filter(worker -> worker.lastHeartbeatAt.isPresent())
-                        .ifPresent(worker -> list.add(news(machine, worker)));
+                        .ifPresent(worker -> statuses.add(status(machine, worker)));
             }
         }
-        list.sort(Comparator.comparingLong(MachineStatus::sequence));
-        return list;
+        statuses.sort(Comparator.comparingLong(MachineStatus::sequence));
+        return statuses;
     }
 
-    private MachineStatus news(MachineRecord machine, WorkerState worker) {
+    private MachineStatus status(MachineRecord machine, WorkerState worker) {
         boolean up = takesTasks(machine);
-        boolean bad = quarantine.holds(machine.id());
-        Duration silent = up ? Duration.ZERO : silence(worker);
-        String state = up ? "u" : "d" + silent.toSeconds() / SILENCE_STEP;
-        String told = machine.token() + state + bad + worker.images().hashCode();
-        if (!told.equals(worker.lastPublished)) {
-            worker.lastPublished = told;
-            worker.lastPublishedSequence = ++lastNumber;
+        boolean quarantined = quarantine.isQuarantined(machine.id());
+        Duration silence = up ? Duration.ZERO : silence(worker);
+        String state = up ? "u" : "d" + silence.toSeconds() / SILENCE_STEP_SECONDS;
+        String fingerprint =
+                machine.token() + state + quarantined + worker.images().hashCode();
+        if (!fingerprint.equals(worker.lastPublished)) {
+            worker.lastPublished = fingerprint;
+            worker.lastPublishedSequence = ++lastSequence;
         }
         String address =
                 worker.lastHeartbeat.map(heartbeat -> heartbeat.address()).orElse(machine.address());
         return new MachineStatus(
-                machine.id(), worker.lastPublishedSequence, machine.token(), up, bad, silent, address, worker.images());
+                machine.id(),
+                worker.lastPublishedSequence,
+                machine.token(),
+                up,
+                quarantined,
+                silence,
+                address,
+                worker.images());
     }
 
     private Duration silence(WorkerState worker) {
-        Duration heard = worker.lastHeartbeatAt.orElseThrow();
-        Optional<Duration> unproven = worker.commandsUnconfirmedSince.filter(since -> since.compareTo(heard) < 0);
-        return context.pauseDetector().silence(unproven.orElse(heard));
+        Duration lastHeartbeatAt = worker.lastHeartbeatAt.orElseThrow();
+        Optional<Duration> unconfirmedBefore =
+                worker.commandsUnconfirmedSince.filter(since -> since.compareTo(lastHeartbeatAt) < 0);
+        return context.pauseDetector().silence(unconfirmedBefore.orElse(lastHeartbeatAt));
     }
 
-    /** Whether new tasks may go to a machine commanded here. */
+    /** Whether new tasks may be placed on a machine owned here. */
     public boolean takesTasks(MachineRecord machine) {
-        if (!workerClient.ready(machine) || quarantine.holds(machine.id()) || terminator.leaves(machine)) {
+        if (!workerClient.ready(machine) || quarantine.isQuarantined(machine.id()) || terminator.leaves(machine)) {
             return false;
         }
         WorkerState worker = context.workers().getOrCreate(machine.id());
         boolean noticed =
                 worker.lastHeartbeat.flatMap(heartbeat -> heartbeat.notice()).isPresent();
-        return !noticed && !workerClient.mute(worker) && alive(worker);
+        return !noticed && !workerClient.mute(worker) && isSeenAlive(worker);
     }
 
-    /** Whether a machine commanded here will be gone soon, though what runs there may still run. */
+    /** Whether a machine owned here will be gone soon, though what runs there may still run. */
     public boolean departs(MachineRecord machine) {
         boolean noticed = context.workers()
                 .find(machine.id())
                 .flatMap(worker -> worker.lastHeartbeat)
                 .flatMap(heartbeat -> heartbeat.notice())
                 .isPresent();
-        return noticed || machine.draining() || quarantine.holds(machine.id());
+        return noticed || machine.draining() || quarantine.isQuarantined(machine.id());
     }
 
-    private boolean alive(WorkerState worker) {
-        Optional<Duration> at = worker.lastSeenAlive();
-        return at.isPresent() && context.timeSource().now().minus(at.get()).compareTo(heardLately) < 0;
+    private boolean isSeenAlive(WorkerState worker) {
+        Optional<Duration> lastSeen = worker.lastSeenAlive();
+        return lastSeen.isPresent()
+                && context.timeSource().now().minus(lastSeen.get()).compareTo(maxSilenceForPlacement) < 0;
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineTerminator.java
+++ b/src/main/java/org/dunespindle/machine/MachineTerminator.java
@@ -16,24 +16,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Returns machines to the cloud. Only its 200 shows that a machine and everything on it are gone. */
+/**
+ * Terminates machines, which returns them to the cloud. Only the cloud's confirmation proves that a machine and everything on it are
+ * gone.
+ */
 public final class MachineTerminator {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTerminator.class);
-    private static final Duration RETRY = Duration.ofMillis(700);
-    private static final Duration REMEMBER_GONE = Duration.ofSeconds(300);
-    /** The cloud takes no longer list. */
-    private static final int MOST_AT_ONCE = 100;
+    private static final Duration RETRY_DELAY = Duration.ofMillis(700);
+    private static final Duration TERMINATED_RETENTION = Duration.ofSeconds(300);
+    /** The cloud accepts no longer list. */
+    private static final int MAX_MACHINES_PER_REQUEST = 100;
 
     private final ControllerContext context;
     private final StateReplica replica;
     private final MachineRecordWriter machineWriter;
     private final CloudClient cloud;
-    private final Map<String, Duration> goneAt = new HashMap<>();
-    /** Machines being returned without a word in their record: nobody places anything on what is silent. */
-    private final Set<String> dropped = new HashSet<>();
+    private final Map<String, Duration> terminatedAt = new HashMap<>();
+    /** Machines to terminate whose records do not say so. */
+    private final Set<String> terminatingWithoutDrain = new HashSet<>();
 
-    private boolean returning;
+    private boolean requestInFlight;
 
+    /** Creates a terminator of machines. */
     public MachineTerminator(ControllerContext context, MachineRecordWriter machineWriter, CloudClient cloud) {
         this.context = context;
         this.replica = context.replica();
@@ -41,95 +45,109 @@
         this.cloud = cloud;
     }
 
-    /** Whether the cloud confirmed a machine as returned: its allocations can be released. */
-    public boolean isGone(String host) {
-        return goneAt.containsKey(host);
+    /** Whether the cloud confirmed a machine's termination: its allocations can be released. */
+    public boolean isGone(String machineId) {
+        return terminatedAt.containsKey(machineId);
     }
 
-    /** All machines that the cloud confirmed as returned lately. */
+    /** All machines whose termination the cloud confirmed lately. */
     public Set<String> gone() {
-        return goneAt.keySet();
+        return terminatedAt.keySet();
     }
 
-    /** Whether a machine is on its way out, though its record may not say so. */
+    /** Whether a machine is being terminated, though its record may not say so. */
     public boolean leaves(MachineRecord machine) {
-        return machine.draining() || dropped.contains(machine.id()) || isGone(machine.id());
+        return machine.draining() || terminatingWithoutDrain.contains(machine.id()) || isGone(machine.id());
     }
 
-    /** Stores that a machine leaves; it is returned once that is settled and, where the reason allows, its tasks have ended. */
-    void leave(MachineRecord machine, String why) {
-        tell(machine, why);
-        machineWriter.change(CommitPriority.MAINTENANCE, machine.draining(why), result -> {});
+    /**
+     * Records that a machine is draining. It is terminated once no placement can come any more and, where the reason allows that, its
+     * tasks have ended.
+     */
+    void drain(MachineRecord machine, DrainReason reason) {
+        recordEvent(machine, reason);
+        machineWriter.change(CommitPriority.MAINTENANCE, machine.draining(reason.text()), result -> {});
     }
 
     /**
-     * Gives a machine back without storing that first, which during a mass failure saves half of the writes: nobody places
-     * anything on a machine that is not heard, and should its owner hear it again at the last moment, what it places there ends with it.
+     * Terminates a machine without recording that first, which halves the writes during a mass failure. This is safe for machines
+     * that are not heard: nothing is placed on them, and should its owner hear one again at the last moment, what it places there ends
+     * with the machine.
      */
-    void drop(MachineRecord machine, String why) {
-        tell(machine, why);
-        dropped.add(machine.id());
+    void terminateWithoutDrain(MachineRecord machine, DrainReason reason) {
+        recordEvent(machine, reason);
+        terminatingWithoutDrain.add(machine.id());
     }
 
-    private void tell(MachineRecord machine, String why) {
-        context.eventRecorder().record(LOG, "machine {} is given back: {}", machine.id(), why);
+    private void recordEvent(MachineRecord machine, DrainReason reason) {
+        context.eventRecorder().record(LOG, "machine {} is given back: {}", machine.id(), reason.text());
     }
 
-    /** Forgets decisions that were not carried out: what was decided as an earlier leader says nothing. */
+    /** Drops decisions that were not carried out: those of an earlier leader are no longer valid. */
     void standDown() {
-        dropped.clear();
+        terminatingWithoutDrain.clear();
     }
 
     /** A machine's record is removed. */
-    void forget(String host) {
-        dropped.remove(host);
+    void forget(String machineId) {
+        terminatingWithoutDrain.remove(machineId);
     }
 
-    /** Forgets returned machines whose records are long removed. */
+    /** Forgets terminated machines whose records were removed long ago. */
     void prune() {
         Duration now = context.timeSource().now();
-        goneAt.entrySet()
-                .removeIf(entry -> now.minus(entry.getValue()).compareTo(REMEMBER_GONE) > 0
+        terminatedAt
+                .entrySet()
+                .removeIf(entry -> now.minus(entry.getValue()).compareTo(TERMINATED_RETENTION) > 0
                         && !replica.machines().containsKey(entry.getKey()));
     }
 
-    /** Returns what is to leave, many machines with one request. */
-    void giveBack() {
-        if (returning) {
+    /** Terminates the machines that are due, many with one request. */
+    void terminateDue() {
+        if (requestInFlight) {
             return;
         }
-        List<String> hosts = due();
-        if (hosts.isEmpty()) {
+        List<String> machineIds = dueForTermination();
+        if (machineIds.isEmpty()) {
             return;
         }
-        returning = true;
-        cloud.giveBack(hosts).whenComplete((ok, failure) -> {
+        requestInFlight = true;
+        cloud.terminate(machineIds).whenComplete((confirmed, failure) -> {
             if (failure == null) {
-                hosts.forEach(host -> goneAt.put(host, context.timeSource().now()));
-                returning = false;
+                machineIds.forEach(machineId ->
+                        terminatedAt.put(machineId, context.timeSource().now()));
+                requestInFlight = false;
             } else {
-                context.timeSource().schedule(RETRY, () -> returning = false);
+                LOG.debug("machine termination failed machines={} cause={}", machineIds.size(), failure.toString());
+                context.timeSource().schedule(RETRY_DELAY, () -> requestInFlight = false);
             }
         });
     }
 
-    private List<String> due() {
-        var hosts = new ArrayList<String>();
+    private List<String> dueForTermination() {
+        var machineIds = new ArrayList<String>();
         for (MachineRecord machine : replica.machines().values()) {
-            boolean may = dropped.contains(machine.id()) || settled(machine) && unused(machine);
-            if (may && !isGone(machine.id()) && hosts.size() < MOST_AT_ONCE) {
-                hosts.add(machine.id());
+            boolean due = terminatingWithoutDrain.contains(machine.id()) || isDrained(machine);
+            if (due && !isGone(machine.id()) && machineIds.size() < MAX_MACHINES_PER_REQUEST) {
+                machineIds.add(machine.id());
             }
         }
-        return hosts;
+        return machineIds;
+    }
+
+    private boolean isDrained(MachineRecord machine) {
+        return machine.draining() && isDrainRevisionApplied(machine) && mayEndAllocations(machine);
     }
 
-    /** Placements guard the record's stamp: once it says leaving and everything up to it is known, nothing new can come. */
-    private boolean settled(MachineRecord machine) {
-        return machine.draining() && replica.appliedRevision() >= replica.modRevision(Keys.machinePage(machine.id()));
+    /**
+     * Placements have the machine's record as a precondition: once it says draining and the replica has applied everything up to that
+     * revision, no new placement can come.
+     */
+    private boolean isDrainRevisionApplied(MachineRecord machine) {
+        return replica.appliedRevision() >= replica.modRevision(Keys.machinePage(machine.id()));
     }
 
-    private boolean unused(MachineRecord machine) {
+    private boolean mayEndAllocations(MachineRecord machine) {
         return !machine.drainsGracefully()
                 || replica.allocationsOn(machine.id()).isEmpty();
     }
--- a/src/main/java/org/dunespindle/machine/Quarantine.java
+++ b/src/main/java/org/dunespindle/machine/Quarantine.java
@@ -10,17 +10,22 @@
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.time.TimeSource;
 
-/** Machines on which tasks of different jobs keep failing: nothing new is placed there, and those that stay so are given back. */
+/**
+ * Machines on which tasks of different jobs keep failing. Nothing new is placed on a machine in quarantine, and one that stays in
+ * quarantine is terminated.
+ */
 public final class Quarantine {
-    /** In quarantine first: jobs that failed there may turn out to fail elsewhere too. */
-    private static final Duration LENGTH = Duration.ofSeconds(15);
+    /** A machine is not terminated at once: the jobs that failed on it may turn out to fail elsewhere too. */
+    private static final Duration DURATION_BEFORE_TERMINATION = Duration.ofSeconds(15);
 
     private final CrashLoopDetector crashLoopDetector;
     private final PeerHeartbeats peerHeartbeats;
     private final TimeSource timeSource;
     private final Supplier<Options> options;
-    private final Map<String, Duration> since = new HashMap<>();
+    /** Since when this controller, as the leader, has seen each machine in quarantine. */
+    private final Map<String, Duration> quarantinedSince = new HashMap<>();
 
+    /** Creates a quarantine without machines. */
     public Quarantine(
             CrashLoopDetector crashLoopDetector,
             PeerHeartbeats peerHeartbeats,
@@ -32,32 +37,36 @@
         this.options = options;
     }
 
-    /** Whether tasks of different jobs failed on a machine, as far as is known here. */
-    boolean holds(String host) {
-        return crashLoopDetector.jobsFailedOn(host) >= options.get().quarantineAfter();
+    /** Whether tasks of so many different jobs failed on a machine, as far as is known here, that nothing is placed on it. */
+    boolean isQuarantined(String machineId) {
+        return crashLoopDetector.jobsFailedOn(machineId) >= options.get().quarantineAfter();
     }
 
-    /** Whether a machine has been in quarantine, here or as its owner tells, for long enough to be given back. */
-    boolean over(MachineRecord machine) {
-        boolean fails = peerHeartbeats
-                        .machine(machine)
-                        .filter(ReportedMachine::quarantined)
-                        .isPresent()
-                || holds(machine.id());
-        if (!fails) {
-            since.remove(machine.id());
+    /** Whether a machine has been in quarantine, here or as its owner reports, for so long that it is to be terminated. */
+    boolean isExpired(MachineRecord machine) {
+        if (!isReportedQuarantined(machine) && !isQuarantined(machine.id())) {
+            quarantinedSince.remove(machine.id());
             return false;
         }
-        Duration begun = since.computeIfAbsent(machine.id(), id -> timeSource.now());
-        return timeSource.now().minus(begun).compareTo(LENGTH) > 0;
+        Duration now = timeSource.now();
+        Duration since = quarantinedSince.computeIfAbsent(machine.id(), id -> now);
+        return now.minus(since).compareTo(DURATION_BEFORE_TERMINATION) > 0;
     }
 
-    void forget(String host) {
-        since.remove(host);
+    private boolean isReportedQuarantined(MachineRecord machine) {
+        return peerHeartbeats
+                .machine(machine)
+                .filter(ReportedMachine::quarantined)
+                .isPresent();
     }
 
-    /** What was seen as an earlier leader says nothing. */
+    /** A machine's record is removed. */
+    void forget(String machineId) {
+        quarantinedSince.remove(machineId);
+    }
+
+    /** Forgets everything: what was observed as an earlier leader is no longer valid. */
     void clear() {
-        since.clear();
+        quarantinedSince.clear();
     }
 }
--- a/src/test/java/org/dunespindle/machine/CloudInventoryTest.java
+++ b/src/test/java/org/dunespindle/machine/CloudInventoryTest.java
@@ -7,20 +7,21 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** When machines are adopted that only the cloud's list names. */
+/** When machines are adopted that the cloud lists but no record names. */
 class CloudInventoryTest {
-    private static final Duration LEAST = Duration.ofSeconds(12);
+    private static final Duration MIN_LEAD = Duration.ofSeconds(12);
 
     @Test
-    void aLeaderWaitsUntilNoListCanNameWhatAnEarlierOneReturned() {
+    void newLeaderWaitsUntilTheListCannotNameTerminatedMachines() {
         Duration since = Duration.ofSeconds(100);
-        assertFalse(CloudInventory.sure(Optional.of(since), since.plus(LEAST).minusMillis(1), LEAST));
-        assertTrue(CloudInventory.sure(Optional.of(since), since.plus(LEAST), LEAST));
+        assertFalse(CloudInventory.hasLedFor(
+                MIN_LEAD, Optional.of(since), since.plus(MIN_LEAD).minusMillis(1)));
+        assertTrue(CloudInventory.hasLedFor(MIN_LEAD, Optional.of(since), since.plus(MIN_LEAD)));
     }
 
-    /** A list asked for in an earlier lead may arrive before the new one has begun: time then does not count from the earlier. */
+    /** A list requested in an earlier term of leadership may arrive before the new term: time does not count from the earlier one. */
     @Test
-    void whoHasNotBegunToLeadIsNeverSure() {
-        assertFalse(CloudInventory.sure(Optional.empty(), Duration.ofDays(1), LEAST));
+    void controllerThatDoesNotLeadNeverAdopts() {
+        assertFalse(CloudInventory.hasLedFor(MIN_LEAD, Optional.empty(), Duration.ofDays(1)));
     }
 }
