--- a/src/main/java/org/dunespindle/job/PlacementWriter.java
+++ b/src/main/java/org/dunespindle/job/PlacementWriter.java
@@ -61,9 +61,9 @@
     private final PendingPreemptions pendingPreemptions;
     private final WorkerClient workerClient;
     private final JobRecordWriter jobWriter;
-    private final TeamQuotas teamAccounts;
+    private final TeamQuotas teamQuotas;
     /** Records proposed but not stored yet: their room is taken, or another job would be booked on it too. */
-    private final Map<String, JobRecord> proposed = new HashMap<>();
+    private final Map<String, JobRecord> proposedRecords = new HashMap<>();
 
     public PlacementWriter(
             ControllerContext context,
@@ -84,13 +84,13 @@
         this.terminationWriter = terminationWriter;
         this.pendingPreemptions = pendingPreemptions;
         this.workerClient = workerClient;
-        this.teamAccounts = new TeamQuotas(context, commitQueue);
+        this.teamQuotas = new TeamQuotas(context, commitQueue);
         this.takesTasks = takesTasks;
     }
 
     /** This controller's account with each team's limit. */
     public TeamQuotas teamAccounts() {
-        return teamAccounts;
+        return teamQuotas;
     }
 
     /** The living jobs as stored, and as they will be if what is proposed here is stored. */
@@ -101,12 +101,12 @@
     }
 
     private ProjectedJob projected(JobRecord stored) {
-        return new ProjectedJob(stored, pendingPreemptions.marked(proposed.getOrDefault(stored.id(), stored)));
+        return new ProjectedJob(stored, pendingPreemptions.marked(proposedRecords.getOrDefault(stored.id(), stored)));
     }
 
     /** One transaction per booking, guarded by the job, its machines and its team's ledger. */
     public void place(Plan plan) {
-        TeamUsage use = null;
+        TeamUsage usage = null;
         for (Binding binding : plan.bindings()) {
             // What would only queue is decided anew later, for more tasks at once: so batches widen with the load.
             if (commitQueue.waiting() >= (binding.job().submission().isGang() ? MOST_WAITING_GANGS : MOST_WAITING)) {
@@ -121,8 +121,8 @@
                 // Others may have stored more of a job, and a new record of its team, since its placement was proposed
                 // here:
                 // where the limit is at stake a proposed record must not stand in for the stored one.
-                use = use == null ? projection().use() : use;
-                place(binding.job(), places, use);
+                usage = usage == null ? projection().use() : usage;
+                place(binding.job(), places, usage);
             }
         }
     }
@@ -148,7 +148,7 @@
         return places;
     }
 
-    private void place(JobRecord job, Map<Integer, String> wanted, TeamUsage use) {
+    private void place(JobRecord job, Map<Integer, String> wanted, TeamUsage usage) {
         var transaction = new Transaction();
         List<TaskTermination> told = new ArrayList<>();
         JobRecord folded = terminationWriter.fold(job, transaction, told);
@@ -157,19 +157,19 @@
             return; // some of its tasks must end first
         }
         Resources need = job.submission().perTask().times(places.size());
-        Optional<TeamQuotas.Grant> grant = teamAccounts.ask(transaction, job, use, need);
-        if (grant.isEmpty()) {
+        Optional<TeamQuotas.Admission> admission = teamQuotas.requestAdmission(transaction, job, usage, need);
+        if (admission.isEmpty()) {
             return;
         }
         JobRecord placed = addPlacement(transaction, job, folded, places);
         if (!transaction.fits(settings.state().lowest().txnOps())) {
             return;
         }
-        use.add(job.submission(), places.size());
-        grant.get().proposed();
+        usage.add(job.submission(), places.size());
+        admission.get().onProposed();
         tell(job, places.size());
         propose(transaction, job.id(), placed, result -> {
-            grant.get().settled(result);
+            admission.get().onResult(result);
             if (result instanceof TransactionResult.Applied) {
                 told.forEach(event -> terminationWriter.tell(job, event));
             }
@@ -227,9 +227,9 @@
 
     private void propose(
             Transaction transaction, String id, JobRecord job, java.util.function.Consumer<TransactionResult> then) {
-        proposed.put(id, job);
+        proposedRecords.put(id, job);
         commitQueue.propose(CommitPriority.PLACEMENT, transaction, result -> {
-            proposed.remove(id);
+            proposedRecords.remove(id);
             then.accept(result);
         });
     }
--- a/src/main/java/org/dunespindle/job/TeamQuotas.java
+++ b/src/main/java/org/dunespindle/job/TeamQuotas.java
@@ -20,200 +20,181 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's account with each team's record: what it has placed under the record as it stands, and what of that is not certain. Every
- * change of a record is told with what it rests on; there are no more of them than the state service takes writes.
+ * Asks for quota before tasks are placed, and accounts for what this controller has placed under each team's stored reservation, including
+ * placements whose outcome is unknown. Each change of a reservation is logged with what the decision rested on; the rate of these log lines is
+ * bounded by the write rate of the state service.
  */
 public final class TeamQuotas {
     private static final Logger LOG = LoggerFactory.getLogger(TeamQuotas.class);
+    private static final String DEFERRED_UNTIL_REVOKED = "its shares are being closed";
     private final Settings settings;
     private final StateReplica replica;
     private final CommitQueue commitQueue;
-    private final Map<String, Account> accounts = new HashMap<>();
-    private final Map<String, Counts> counts = new HashMap<>();
+    private final Map<String, AccountedUsage> accounts = new HashMap<>();
+    private final Map<String, AdmissionCounters> counters = new HashMap<>();
 
-    /** What was placed under a team's record as it stands. */
-    private static final class Account {
-        final long stamp;
-        Resources spent = Resources.NONE;
-        Resources unsure = Resources.NONE;
+    /** What this controller has placed under one revision of a team's reservation. */
+    private static final class AccountedUsage {
+        private final long reservationRevision;
+        private Resources placed = Resources.NONE;
+        private Resources unacknowledged = Resources.NONE;
 
-        Account(long stamp) {
-            this.stamp = stamp;
+        AccountedUsage(long reservationRevision) {
+            this.reservationRevision = reservationRevision;
+        }
+
+        void onProposed(Resources request) {
+            placed = placed.plus(request);
         }
-    }
 
-    /** What became of the placements that were asked for. */
-    private static final class Counts {
-        long withinShare;
-        long withNewRecord;
-        long refused;
-        long unanswered;
-        long waited;
-        long closed;
-        String lastWait = "";
+        void onUnacknowledged(Resources request) {
+            unacknowledged = unacknowledged.plus(request);
+        }
+
+        void onRejected(Resources request) {
+            placed = placed.minus(request);
+        }
     }
 
-    /** Leave to place tasks in a transaction that was guarded for it. */
-    final class Grant {
-        private final Basis basis;
-        private final Account account;
-        private final Optional<QuotaAdmission.Reservation> written;
+    /** Permission to place tasks with a transaction that has the reservation's revision as a precondition. */
+    final class Admission {
+        private final QuotaRequest request;
+        private final AccountedUsage account;
+        private final Optional<QuotaAdmission.Reservation> newReservation;
 
-        private Grant(Basis basis, Account account, Optional<QuotaAdmission.Reservation> written) {
-            this.basis = basis;
+        private Admission(
+                QuotaRequest request, AccountedUsage account, Optional<QuotaAdmission.Reservation> newReservation) {
+            this.request = request;
             this.account = account;
-            this.written = written;
+            this.newReservation = newReservation;
         }
 
-        /** The transaction is proposed. */
-        void proposed() {
-            account.spent = account.spent.plus(basis.need);
+        /** Accounts for the transaction, which has just been proposed. */
+        void onProposed() {
+            account.onProposed(request.amount());
         }
 
-        /** What became of the transaction. */
-        void settled(TransactionResult result) {
-            Counts counted = countsOf(basis.team.name());
+        /** Settles the account with the transaction's result. */
+        void onResult(TransactionResult result) {
+            AdmissionCounters counted = countersOf(request.team());
             if (result instanceof TransactionResult.Applied) {
-                counted.withinShare += written.isPresent() ? 0 : 1;
-                counted.withNewRecord += written.isPresent() ? 1 : 0;
-                written.ifPresent(entry -> LOG.info("{}; its record is now {}", basis, basis.describe(entry)));
+                counted.onApplied(newReservation.isPresent());
+                newReservation.ifPresent(
+                        written -> LOG.info("quota reservation written {} {}", request, request.describeNew(written)));
             } else if (result instanceof TransactionResult.Unknown) {
-                account.unsure = account.unsure.plus(basis.need);
-                counted.unanswered++;
-                LOG.info("{}; not answered, so it counts until the record changes", basis);
+                account.onUnacknowledged(request.amount());
+                counted.onUnacknowledged();
+                LOG.info("quota request unacknowledged, accounted for until the reservation changes {}", request);
             } else {
-                account.spent = account.spent.minus(basis.need);
-                counted.refused++;
-                LOG.info("{}; refused: {}", basis, result);
+                account.onRejected(request.amount());
+                counted.onRejected();
+                LOG.info("quota request rejected {} result={}", request, result);
             }
         }
     }
 
-    /** What a decision about a team's limit rested on. */
-    private record Basis(
-            Settings.Team team, String job, Resources need, long stamp, long syncedTo, QuotaAdmission.QuotaView view) {
-        String describe(QuotaAdmission.Reservation entry) {
-            return "bound " + amount(entry.bound()) + ", share " + amount(entry.share());
-        }
-
-        /** An amount of what the team's limit is about. */
-        private String amount(Resources resources) {
-            boolean gpus = Double.isFinite(team.gpusMax());
-            boolean cpus = Double.isFinite(team.cpusMax());
-            String ofGpus = "%.2f GPUs".formatted(resources.gpus());
-            String ofCpus = "%.2f CPUs".formatted(resources.cpus());
-            return gpus && cpus ? ofGpus + " and " + ofCpus : cpus ? ofCpus : ofGpus;
-        }
-
-        @Override
-        public String toString() {
-            return "team " + team.name() + ": " + amount(need) + " for " + job + " under its record of revision "
-                    + stamp
-                    + " (" + describe(view.reservation()) + "); counted " + amount(view.use()) + " up to revision "
-                    + syncedTo
-                    + ", placed under the record " + amount(view.usedUnderReservation()) + ", unsure "
-                    + amount(view.unacknowledged())
-                    + (view.entitled() ? "" : ", no share of its own");
-        }
-    }
-
     TeamQuotas(ControllerContext context, CommitQueue commitQueue) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.commitQueue = commitQueue;
     }
 
-    /** Adds to a transaction what the team's record asks for; empty if nothing may be placed now. */
-    Optional<Grant> ask(Transaction transaction, JobRecord job, TeamUsage use, Resources need) {
-        String name = job.submission().team();
-        String key = Keys.team(name);
-        Settings.Team team = settings.teams().get(name);
-        Account account = account(name);
-        var view = new QuotaAdmission.QuotaView(
-                team,
-                settings.seeds().size() + 1,
-                QuotaAdmission.Reservation.parse(replica.value(key)),
-                entitled(account),
-                account.spent,
-                account.unsure,
-                replica.appliedRevision() >= account.stamp,
-                use.of(name));
-        var basis = new Basis(team, job.id(), need, account.stamp, replica.appliedRevision(), view);
-        if (!team.withinLimit(view.use().plus(need))) {
-            return waits(name, "its limit is used up by what is stored and under way");
-        }
-        QuotaAdmission.Decision way = QuotaAdmission.decide(view, need);
-        if (way instanceof QuotaAdmission.Decision.RevokeShares close) {
-            close(basis, key, close.reservation());
-            return waits(name, "its shares are being closed");
+    /**
+     * Requests quota for some tasks of a job, and adds to the transaction what the admission needs. Empty if they may not be placed now.
+     *
+     * @param usage what all teams use, as stored and as proposed by this controller
+     */
+    Optional<Admission> requestAdmission(Transaction transaction, JobRecord job, TeamUsage usage, Resources requested) {
+        String team = job.submission().team();
+        String key = Keys.team(team);
+        AccountedUsage account = account(team);
+        var request = new QuotaRequest(job.id(), requested, view(team, account, usage));
+        QuotaAdmission.Decision decision = QuotaAdmission.decide(request.view(), requested);
+        if (decision instanceof QuotaAdmission.Decision.RevokeShares revocation) {
+            revokeShares(request, revocation.reservation());
+            return defer(team, DEFERRED_UNTIL_REVOKED);
         }
-        if (way instanceof QuotaAdmission.Decision.Defer wait) {
-            return waits(name, wait.reason().text());
+        if (decision instanceof QuotaAdmission.Decision.Defer deferral) {
+            return defer(team, deferral.reason().text());
         }
-        transaction.requireRevision(key, account.stamp);
-        if (way instanceof QuotaAdmission.Decision.AdmitWithReservation write) {
-            transaction.write(key, write.reservation().toNode());
-            return Optional.of(new Grant(basis, account, Optional.of(write.reservation())));
+        transaction.requireRevision(key, account.reservationRevision);
+        Optional<QuotaAdmission.Reservation> newReservation = Optional.empty();
+        if (decision instanceof QuotaAdmission.Decision.AdmitWithReservation admission) {
+            transaction.write(key, admission.reservation().toNode());
+            newReservation = Optional.of(admission.reservation());
         }
-        return Optional.of(new Grant(basis, account, Optional.empty()));
+        return Optional.of(new Admission(request, account, newReservation));
     }
 
-    private Account account(String team) {
-        long stamp = replica.modRevision(Keys.team(team));
-        return accounts.compute(team, (t, old) -> old != null && old.stamp == stamp ? old : new Account(stamp));
+    private QuotaAdmission.QuotaView view(String team, AccountedUsage account, TeamUsage usage) {
+        return new QuotaAdmission.QuotaView(
+                settings.teams().get(team),
+                settings.seeds().size() + 1,
+                reservation(team),
+                account.reservationRevision,
+                replica.appliedRevision(),
+                mayUseShare(account),
+                account.placed,
+                account.unacknowledged,
+                usage.of(team));
+    }
+
+    private QuotaAdmission.Reservation reservation(String team) {
+        return QuotaAdmission.Reservation.parse(replica.value(Keys.team(team)));
+    }
+
+    private AccountedUsage account(String team) {
+        long revision = replica.modRevision(Keys.team(team));
+        return accounts.compute(
+                team,
+                (name, known) ->
+                        known != null && known.reservationRevision == revision ? known : new AccountedUsage(revision));
     }
 
-    /** A process that started after the record was written can't know what an earlier one of its name placed under it. */
-    private boolean entitled(Account account) {
-        return account.stamp > replica.modRevision(Keys.INCARNATION + settings.nodeName());
+    /** A process that started after the reservation was written cannot know what an earlier one of its name placed under it. */
+    private boolean mayUseShare(AccountedUsage account) {
+        return account.reservationRevision > replica.modRevision(Keys.INCARNATION + settings.nodeName());
     }
 
-    private void close(Basis basis, String key, QuotaAdmission.Reservation entry) {
-        var closing = new Transaction().requireRevision(key, basis.stamp).write(key, entry.toNode());
-        commitQueue.propose(CommitPriority.PLACEMENT, closing, result -> {
+    private void revokeShares(QuotaRequest request, QuotaAdmission.Reservation withoutShares) {
+        String key = Keys.team(request.team());
+        var revocation = new Transaction()
+                .requireRevision(key, request.view().reservationRevision())
+                .write(key, withoutShares.toNode());
+        commitQueue.propose(CommitPriority.PLACEMENT, revocation, result -> {
             if (result instanceof TransactionResult.Applied) {
-                countsOf(basis.team.name()).closed++;
-                LOG.info("{}; closes the shares: {}", basis, basis.describe(entry));
+                countersOf(request.team()).onSharesRevoked();
+                LOG.info("quota shares revoked {} {}", request, request.describeNew(withoutShares));
             }
         });
     }
 
-    private Optional<Grant> waits(String team, String why) {
-        Counts counted = countsOf(team);
-        counted.waited++;
-        if (!why.equals(counted.lastWait)) {
-            counted.lastWait = why;
-            LOG.debug("team {}: nothing more is placed for now: {}", team, why);
+    private Optional<Admission> defer(String team, String reason) {
+        if (countersOf(team).onDeferred(reason)) {
+            LOG.debug("quota request deferred team={} reason=\"{}\"", team, reason);
         }
         return Optional.empty();
     }
 
-    private Counts countsOf(String team) {
-        return counts.computeIfAbsent(team, t -> new Counts());
+    private AdmissionCounters countersOf(String team) {
+        return counters.computeIfAbsent(team, name -> new AdmissionCounters());
     }
 
-    /** Shows a team's record, and this controller's account with it. */
+    /** Writes a team's reservation and this controller's account with it into an answer of the administration API. */
     public void show(String team, ObjectNode into) {
-        QuotaAdmission.Reservation entry = QuotaAdmission.Reservation.parse(replica.value(Keys.team(team)));
-        Account account = account(team);
-        Counts counted = countsOf(team);
-        into.put("recordRevision", account.stamp)
+        QuotaAdmission.Reservation reservation = reservation(team);
+        AccountedUsage account = account(team);
+        into.put("recordRevision", account.reservationRevision)
                 .put("syncedToRevision", replica.appliedRevision())
-                .put("entitled", entitled(account));
-        show(into.putObject("bound"), entry.bound());
-        show(into.putObject("share"), entry.share());
-        show(into.putObject("placedUnderRecord"), account.spent);
-        show(into.putObject("unsure"), account.unsure);
-        into.put("placedWithinShare", counted.withinShare)
-                .put("placedWithNewRecord", counted.withNewRecord)
-                .put("refused", counted.refused)
-                .put("unanswered", counted.unanswered)
-                .put("sharesClosed", counted.closed)
-                .put("waited", counted.waited)
-                .put("lastWait", counted.lastWait);
+                .put("entitled", mayUseShare(account));
+        writeAmount(into.putObject("bound"), reservation.bound());
+        writeAmount(into.putObject("share"), reservation.share());
+        writeAmount(into.putObject("placedUnderRecord"), account.placed);
+        writeAmount(into.putObject("unsure"), account.unacknowledged);
+        countersOf(team).writeTo(into);
     }
 
-    private static void show(ObjectNode into, Resources amount) {
+    private static void writeAmount(ObjectNode into, Resources amount) {
         into.put("gpus", amount.gpus()).put("cpus", amount.cpus());
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/ProjectedJob.java
+++ b/src/main/java/org/dunespindle/scheduling/ProjectedJob.java
@@ -8,39 +8,40 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * A job as it is stored, as far as known here, and as this controller expects it to be. What is expected may never come true: others may have
- * stored more of the job since it was proposed. It says where this controller's plans lead, and is no proof of what is there.
+ * A job as it is stored, as far as the replica has applied changes, and as this controller expects it to become. The projected record
+ * may never be stored: another controller may have changed the job since. It shows where this controller's proposals lead and proves nothing
+ * about the stored state.
  *
- * @param stored the record that the copy of the store holds
- * @param expected the same with this controller's own proposal for it, and with the tasks marked that are to give way
+ * @param stored the record in the replica
+ * @param projected the record that this controller has proposed, if any, with the tasks marked that are about to be preempted
  */
-public record ProjectedJob(JobRecord stored, JobRecord expected) {
+public record ProjectedJob(JobRecord stored, JobRecord projected) {
     /** A job for which this controller has proposed nothing. */
-    public static ProjectedJob ofStored(JobRecord stored) {
+    public static ProjectedJob unchanged(JobRecord stored) {
         return new ProjectedJob(stored, stored);
     }
 
     /**
-     * How many tasks count against limits: all that are stored, and those that are proposed beside them. A proposal that gives tasks up
-     * frees nothing before it is stored.
+     * The number of tasks that count against quotas: all that are stored, and those that are proposed in addition. A proposal that releases
+     * tasks frees nothing before it is stored.
      */
     int countedTasks() {
-        return expected.allocations().size() + hidden().size();
+        return projected.allocations().size() + hidden().size();
     }
 
-    /** Stored allocations that the expected record does not show: it was overtaken, or gives them up. */
+    /** Stored allocations that the projected record does not contain: it is stale, or releases them. */
     public List<Allocation> hidden() {
-        if (stored == expected) {
+        if (stored == projected) {
             return List.of();
         }
-        Set<Integer> shown = new HashSet<>();
-        expected.allocations().forEach(allocation -> shown.add(allocation.task()));
-        var hidden = new ArrayList<Allocation>();
+        Set<Integer> projectedTasks = new HashSet<>();
+        projected.allocations().forEach(allocation -> projectedTasks.add(allocation.task()));
+        var missing = new ArrayList<Allocation>();
         for (Allocation allocation : stored.allocations()) {
-            if (!shown.contains(allocation.task())) {
-                hidden.add(allocation);
+            if (!projectedTasks.contains(allocation.task())) {
+                missing.add(allocation);
             }
         }
-        return hidden;
+        return missing;
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/ProjectedJobs.java
+++ b/src/main/java/org/dunespindle/scheduling/ProjectedJobs.java
@@ -4,41 +4,42 @@
 import java.util.List;
 import org.dunespindle.storage.JobRecord;
 
-/** The living jobs as a plan sees them: what is expected of each, and what counts whatever becomes of that. */
+/** The active jobs of a snapshot, each as stored and as this controller expects it to become. */
 public final class ProjectedJobs {
     private final List<ProjectedJob> all;
-    private final List<JobRecord> expected;
-    private final List<ProjectedJob> overtaken;
+    private final List<JobRecord> records;
+    private final List<ProjectedJob> withUnprojectedAllocations;
 
+    /** Projects these jobs; the order is kept. */
     public ProjectedJobs(List<ProjectedJob> all) {
         this.all = all;
-        this.expected = new ArrayList<>(all.size());
-        this.overtaken = new ArrayList<>();
+        this.records = new ArrayList<>(all.size());
+        this.withUnprojectedAllocations = new ArrayList<>();
         for (ProjectedJob job : all) {
-            expected.add(job.expected());
+            records.add(job.projected());
             if (!job.hidden().isEmpty()) {
-                overtaken.add(job);
+                withUnprojectedAllocations.add(job);
             }
         }
     }
 
-    /** Jobs for which nothing is proposed. */
+    /** Jobs for which this controller has proposed nothing. */
     public static ProjectedJobs ofStored(List<JobRecord> stored) {
-        return new ProjectedJobs(stored.stream().map(ProjectedJob::ofStored).toList());
+        return new ProjectedJobs(stored.stream().map(ProjectedJob::unchanged).toList());
     }
 
-    /** The records that this controller expects. */
+    /** The projected records, in order. */
     public List<JobRecord> expected() {
-        return expected;
+        return records;
     }
 
-    /** Jobs with stored allocations that the expected record does not show. */
+    /** Jobs with stored allocations that the projected record does not contain. */
     public List<ProjectedJob> overtaken() {
-        return overtaken;
+        return withUnprojectedAllocations;
     }
 
-    /** What counts against the teams' limits. */
+    /** The usage that counts against the teams' quotas. */
     public TeamUsage use() {
-        return TeamUsage.counted(all);
+        return TeamUsage.projected(all);
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
+++ b/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
@@ -8,133 +8,174 @@
 import org.dunespindle.protocol.Settings;
 
 /**
- * Keeps a team's use within its limit although several controllers place its tasks. The team's record holds an upper
- * bound of the use when it was written and a share: until the record changes, each controller may add that much,
- * guarded by the record's stamp but without writing it. Bound and all shares together never exceed the limit.
+ * Admission control for a team's quota when several controllers place the team's tasks concurrently.
  *
- * <p>A controller that has used its share writes a new bound: the use as it sees it, plus all that the others may have
- * added unseen. Where that bound is too coarse for what is asked, the shares are closed first: from then on
- * every placement writes the record, so a view that reaches up to it shows the exact use.
+ * <p>The team's stored reservation holds an upper bound of the team's usage at the time it was written, and a share. Until the
+ * reservation changes, each controller may add up to one share of usage; such placements have the reservation's revision as a
+ * precondition but do not write it. The bound and all shares together never exceed the quota.
+ *
+ * <p>A controller that has used up its share writes a new reservation. Its bound is the usage that the controller knows of, plus
+ * everything the other controllers may have added that it has not seen. Where that bound is too coarse for a request, the shares are
+ * revoked first: from then on every placement writes the reservation, so a replica that has applied the reservation's revision shows
+ * the exact usage.
  */
 public final class QuotaAdmission {
-    /** Stands for no limit; sums of it stay exact enough to compare. */
-    private static final double NO_LIMIT = 1e12;
-    /** Smaller shares would be used up at once, so the record is written with every placement instead. */
-    private static final double LEAST_SHARE = 0.04;
+    /** Stands for an unlimited quota; sums with it stay exact enough to compare. */
+    private static final double UNLIMITED = 1e12;
+    /** A smaller part of the quota would be used up at once, so no shares are granted and every placement writes the reservation. */
+    private static final double MIN_SHARE_OF_QUOTA = 0.04;
 
     private QuotaAdmission() {}
 
-    /** A team's record. */
+    /**
+     * A team's stored quota reservation.
+     *
+     * @param bound upper bound of the team's usage when the reservation was written
+     * @param share what each controller may add without writing a new reservation
+     */
     public record Reservation(Resources bound, Resources share) {
         static final Reservation NONE = new Reservation(Resources.NONE, Resources.NONE);
 
+        private static final String BOUND_CPUS = "cpus";
+        private static final String BOUND_GPUS = "gpus";
+        private static final String SHARE_CPUS = "shareCpus";
+        private static final String SHARE_GPUS = "shareGpus";
+
+        /** Decodes the stored form; a team without one has nothing reserved. */
         public static Reservation parse(Optional<JsonNode> stored) {
-            return stored.map(n -> new Reservation(
-                            new Resources(
-                                    n.path("cpus").asDouble(), n.path("gpus").asDouble(), 0),
-                            new Resources(
-                                    n.path("shareCpus").asDouble(0),
-                                    n.path("shareGpus").asDouble(0),
-                                    0)))
-                    .orElse(NONE);
+            return stored.map(Reservation::decode).orElse(NONE);
+        }
+
+        private static Reservation decode(JsonNode node) {
+            var bound = new Resources(
+                    node.path(BOUND_CPUS).asDouble(), node.path(BOUND_GPUS).asDouble(), 0);
+            var share = new Resources(
+                    node.path(SHARE_CPUS).asDouble(0), node.path(SHARE_GPUS).asDouble(0), 0);
+            return new Reservation(bound, share);
         }
 
+        /** Encodes the stored form. */
         public ObjectNode toNode() {
             return MessagePackCodec.map()
-                    .put("cpus", bound.cpus())
-                    .put("gpus", bound.gpus())
-                    .put("shareCpus", share.cpus())
-                    .put("shareGpus", share.gpus());
+                    .put(BOUND_CPUS, bound.cpus())
+                    .put(BOUND_GPUS, bound.gpus())
+                    .put(SHARE_CPUS, share.cpus())
+                    .put(SHARE_GPUS, share.gpus());
         }
 
-        boolean closed() {
+        /** Whether every placement has to write the reservation. */
+        boolean hasNoShare() {
             return share.cpus() == 0 && share.gpus() == 0;
         }
     }
 
-    /** How a placement may go ahead. */
+    /** The outcome of a request to place tasks. */
     public sealed interface Decision {
-        /** Guarded by the record's stamp alone. */
+        /** Admitted with the reservation's revision as a precondition; the reservation stays as it is. */
         record Admit() implements Decision {}
 
-        /** Together with this new record. */
+        /** Admitted together with a write of this new reservation. */
         record AdmitWithReservation(Reservation reservation) implements Decision {}
 
-        /** Not yet: this record, which closes the shares, is to be written first. */
+        /** Not admitted yet: this reservation, which revokes the shares, has to be written first. */
         record RevokeShares(Reservation reservation) implements Decision {}
 
-        /** Not now. */
-        record Defer(WaitReason reason) implements Decision {}
+        /** Not admitted now. */
+        record Defer(DeferReason reason) implements Decision {}
     }
 
-    /** Why nothing may be placed now. */
-    public enum WaitReason {
-        VIEW_BEHIND_RECORD("what is known here does not reach up to its record"),
-        LIMIT_REACHED("its limit is used up");
+    /** Why a request is deferred. */
+    public enum DeferReason {
+        /** The known usage and the request together exceed the quota. */
+        LIMIT_REACHED("its limit is used up by what is stored and under way"),
+        /** The replica has not applied the reservation's revision yet, so the usage it shows may be too low. */
+        REPLICA_BEHIND_RESERVATION("what is known here does not reach up to its record");
 
         private final String text;
 
-        WaitReason(String text) {
+        DeferReason(String text) {
             this.text = text;
         }
 
+        /** The reason as operators read it in the administration API. */
         public String text() {
             return text;
         }
     }
 
     /**
-     * What one controller sees.
+     * What one controller knows of a team's quota.
      *
      * @param controllers how many controllers there may be
-     * @param entitled whether this process may use its share: it was running when the record was written, so nobody of its name used any before
-     * @param usedUnderReservation what it has added under this record
+     * @param reservationRevision the revision at which the reservation was written
+     * @param appliedRevision the revision up to which this controller's replica has applied changes
+     * @param mayUseShare whether this process may use its share: it was running when the reservation was written, so no earlier
+     *     process of the same name used any of it
+     * @param accountedUsage what this controller has added under this reservation
      * @param unacknowledged what of that may or may not have been stored
-     * @param upToDate whether the view reaches up to the record
-     * @param use all allocations as stored, with what this controller has proposed beside them; never less than is stored at the record
+     * @param usage all stored allocations and those that this controller has proposed; never less than what was stored when the
+     *     reservation was written, provided that the replica has applied that revision
      */
     public record QuotaView(
             Settings.Team team,
             int controllers,
             Reservation reservation,
-            boolean entitled,
-            Resources usedUnderReservation,
+            long reservationRevision,
+            long appliedRevision,
+            boolean mayUseShare,
+            Resources accountedUsage,
             Resources unacknowledged,
-            boolean upToDate,
-            Resources use) {}
+            Resources usage) {
+        private boolean coversReservation() {
+            return appliedRevision >= reservationRevision;
+        }
+
+        private boolean shareCovers(Resources request) {
+            return mayUseShare && !reservation.hasNoShare() && within(accountedUsage.plus(request), reservation.share);
+        }
 
-    public static Decision decide(QuotaView v, Resources need) {
-        if (v.entitled && !v.reservation.closed() && within(v.usedUnderReservation.plus(need), v.reservation.share)) {
+        /** An upper bound of the team's usage, whatever the other controllers have added unseen. */
+        private Resources usageBound() {
+            int unseenShares = mayUseShare ? controllers - 1 : controllers;
+            return usage.plus(reservation.share.times(unseenShares)).plus(unacknowledged);
+        }
+    }
+
+    /** Decides whether tasks that need so much may be placed. */
+    public static Decision decide(QuotaView view, Resources request) {
+        if (!view.team.withinLimit(view.usage.plus(request))) {
+            return new Decision.Defer(DeferReason.LIMIT_REACHED);
+        }
+        if (view.shareCovers(request)) {
             return new Decision.Admit();
         }
-        if (!v.upToDate) {
-            return new Decision.Defer(WaitReason.VIEW_BEHIND_RECORD);
+        if (!view.coversReservation()) {
+            return new Decision.Defer(DeferReason.REPLICA_BEHIND_RESERVATION);
         }
-        Resources bound = v.use.plus(v.reservation.share.times(v.entitled ? v.controllers - 1 : v.controllers))
-                .plus(v.unacknowledged);
-        if (v.team.withinLimit(bound.plus(need))) {
-            return new Decision.AdmitWithReservation(open(v.team, bound.plus(need), v.controllers));
+        Resources bound = view.usageBound();
+        Resources newBound = bound.plus(request);
+        if (view.team.withinLimit(newBound)) {
+            return new Decision.AdmitWithReservation(reservationFor(view.team, newBound, view.controllers));
         }
-        // What may or may not have been stored counts until it cannot be any more: a new record voids what is still
-        // under way, and
-        // shows what was stored. Without that a team near its limit would wait for ever after a few answers that stayed
-        // out.
-        boolean unsure = v.unacknowledged.cpus() > 0 || v.unacknowledged.gpus() > 0;
-        return v.reservation.closed() && !unsure
-                ? new Decision.Defer(WaitReason.LIMIT_REACHED)
-                : new Decision.RevokeShares(new Reservation(bound, Resources.NONE));
+        // The known usage leaves room, so the bound is too coarse: unseen shares or unacknowledged placements are in
+        // it. A new
+        // reservation voids the transactions that are still in flight, and a replica that has applied it shows those
+        // that were
+        // stored. Without that, a team near its quota would wait forever after a few missing answers.
+        return new Decision.RevokeShares(new Reservation(bound, Resources.NONE));
     }
 
-    private static Reservation open(Settings.Team team, Resources bound, int names) {
-        double cpus = share(team.cpusMax(), bound.cpus(), names);
-        double gpus = share(team.gpusMax(), bound.gpus(), names);
+    /** A reservation whose shares are equal parts of what the bound leaves of the quota. */
+    private static Reservation reservationFor(Settings.Team team, Resources bound, int controllers) {
+        double cpus = sharePerController(team.cpusMax(), bound.cpus(), controllers);
+        double gpus = sharePerController(team.gpusMax(), bound.gpus(), controllers);
         return new Reservation(bound, cpus == 0 || gpus == 0 ? Resources.NONE : new Resources(cpus, gpus, 0));
     }
 
-    private static double share(double most, double used, int names) {
-        double limit = Math.min(most, NO_LIMIT);
-        double part = (limit - used) / names;
-        return part < limit * LEAST_SHARE ? 0 : part;
+    private static double sharePerController(double quota, double bound, int controllers) {
+        double limit = Math.min(quota, UNLIMITED);
+        double share = (limit - bound) / controllers;
+        return share < limit * MIN_SHARE_OF_QUOTA ? 0 : share;
     }
 
     private static boolean within(Resources sum, Resources share) {
--- a/src/main/java/org/dunespindle/scheduling/TeamUsage.java
+++ b/src/main/java/org/dunespindle/scheduling/TeamUsage.java
@@ -8,41 +8,41 @@
 import org.dunespindle.storage.StateReplica;
 
 /**
- * What each team's tasks take of its limit, cancelled jobs' included: their tasks count until they are gone. It can only be had from
- * stored records or from ones that know what is stored, since a sum over proposals alone may be too low.
+ * What each team's tasks use of its quota. The tasks of cancelled jobs count until they are gone. A usage can only be computed from stored
+ * records, or from projections that include the stored ones: a sum over this controller's proposals alone may be too low.
  */
 public final class TeamUsage {
     private final Map<String, Resources> byTeam = new HashMap<>();
 
     private TeamUsage() {}
 
-    /** What is stored, as far as known here. */
+    /** The usage as stored, as far as the replica has applied changes. */
     public static TeamUsage stored(StateReplica replica) {
-        var use = new TeamUsage();
+        var usage = new TeamUsage();
         replica.activeJobs()
                 .forEach(job -> job.spec()
-                        .ifPresent(spec -> use.add(spec, job.allocations().size())));
-        return use;
+                        .ifPresent(spec -> usage.add(spec, job.allocations().size())));
+        return usage;
     }
 
-    /** What is stored together with all that this controller has under way: never below what is stored. */
-    static TeamUsage counted(Iterable<ProjectedJob> jobs) {
-        var use = new TeamUsage();
-        jobs.forEach(job -> job.stored().spec().ifPresent(spec -> use.add(spec, job.countedTasks())));
-        return use;
+    /** The usage as stored, together with what this controller has proposed; never below the stored usage. */
+    static TeamUsage projected(Iterable<ProjectedJob> jobs) {
+        var usage = new TeamUsage();
+        jobs.forEach(job -> job.stored().spec().ifPresent(spec -> usage.add(spec, job.countedTasks())));
+        return usage;
     }
 
-    /** What one team uses. */
+    /** The usage of one team. */
     public Resources of(String team) {
         return byTeam.getOrDefault(team, Resources.NONE);
     }
 
-    /** Counts more tasks of a job. */
+    /** Adds the usage of more tasks of a job. */
     public void add(Submission job, int tasks) {
         byTeam.merge(job.team(), job.perTask().times(tasks), Resources::plus);
     }
 
-    /** Visits the teams that use anything. */
+    /** Visits each team that uses anything. */
     public void forEach(BiConsumer<String, Resources> visitor) {
         byTeam.forEach(visitor);
     }
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -390,7 +390,7 @@
         var hosts = List.of(host("a", "east", false, 8), host("b", "east", false, 8));
         ProjectedJob used = overtaken(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
         Plan plan =
-                Planner.plan(snapshot(new ProjectedJobs(List.of(used, ProjectedJob.ofStored(gang))), hosts, Map.of()));
+                Planner.plan(snapshot(new ProjectedJobs(List.of(used, ProjectedJob.unchanged(gang))), hosts, Map.of()));
         assertTrue(
                 plan.bindings().stream().noneMatch(binding -> binding.job().id().equals(gang.id())));
     }
@@ -401,7 +401,7 @@
         JobRecord other = job(2, "red", JobKind.ARRAY, Priority.LOW, 1, ANYWHERE);
         ProjectedJob full = overtaken(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
         Plan plan = Planner.plan(snapshot(
-                new ProjectedJobs(List.of(full, ProjectedJob.ofStored(other))),
+                new ProjectedJobs(List.of(full, ProjectedJob.unchanged(other))),
                 List.of(host("a", "east", false, 3)),
                 Map.of()));
         assertTrue(
--- a/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
+++ b/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
@@ -19,214 +19,240 @@
 import org.dunespindle.protocol.Settings;
 import org.junit.jupiter.api.Test;
 
-/** Several controllers with old views, late transactions and restarts never exceed a team's limit together. */
+/** Several controllers with stale replicas, delayed transactions and restarts never exceed a team's quota together. */
 class QuotaAdmissionTest {
-    private static final int NAMES = 3;
+    private static final int CONTROLLERS = 3;
 
-    /** A store with one team's record and its allocations, as a log that views lag behind. */
+    /** A store with one team's reservation and usage, as a log that the replicas lag behind. */
     private static final class Store {
-        final List<double[]> log = new ArrayList<>(); // revision: change of use, 1 if the record changed
-        QuotaAdmission.Reservation entry = QuotaAdmission.Reservation.NONE;
-        long stamp;
-        double use;
+        final List<double[]> log = new ArrayList<>(); // by revision: change of usage, 1 if the reservation changed
+        QuotaAdmission.Reservation reservation = QuotaAdmission.Reservation.NONE;
+        long reservationRevision;
+        double usage;
 
-        boolean commit(long guard, double change, QuotaAdmission.Reservation written) {
-            if (guard != stamp) {
+        boolean commit(long requiredRevision, double change, QuotaAdmission.Reservation written) {
+            if (requiredRevision != reservationRevision) {
                 return false;
             }
-            use += change;
+            usage += change;
             log.add(new double[] {change, written == null ? 0 : 1});
             if (written != null) {
-                entry = written;
-                stamp = log.size();
+                reservation = written;
+                reservationRevision = log.size();
             }
             return true;
         }
 
-        double useAt(long revision) {
+        double usageAt(long revision) {
             return log.subList(0, (int) revision).stream()
-                    .mapToDouble(c -> c[0])
+                    .mapToDouble(change -> change[0])
                     .sum();
         }
     }
 
-    private record Late(long guard, double need, QuotaAdmission.Reservation written) {}
-
-    private static final class Node {
-        long born;
-        long seen;
-        long spentUnder = -1;
-        double spent;
-        double unsure;
-        QuotaAdmission.Reservation entry = QuotaAdmission.Reservation.NONE;
-        long stamp;
-
-        void sync(Store s) {
-            seen = s.log.size();
-            entry = s.entry;
-            stamp = s.stamp;
+    /** A transaction that got no answer and may still be applied. */
+    private record UnacknowledgedTransaction(long requiredRevision, double change, QuotaAdmission.Reservation written) {
+        boolean commit(Store store) {
+            return store.commit(requiredRevision, change, written);
+        }
+    }
+
+    private static final class Controller {
+        long incarnationRevision;
+        long appliedRevision;
+        long accountedRevision = -1;
+        double accountedUsage;
+        double unacknowledged;
+        QuotaAdmission.Reservation reservation = QuotaAdmission.Reservation.NONE;
+        long reservationRevision;
+
+        void sync(Store store) {
+            appliedRevision = store.log.size();
+            reservation = store.reservation;
+            reservationRevision = store.reservationRevision;
         }
     }
 
     @Property(seed = "31", tries = 400)
-    void theLimitHolds(@ForAll long seed) {
+    void theQuotaIsNeverExceeded(@ForAll long seed) {
         var random = new Random(seed);
         double limit = 20 + random.nextInt(400);
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, limit);
         var store = new Store();
-        var late = new ArrayDeque<Late>();
-        var nodes = new Node[NAMES];
-        for (int i = 0; i < NAMES; i++) {
-            nodes[i] = new Node();
+        var unacknowledged = new ArrayDeque<UnacknowledgedTransaction>();
+        var controllers = new Controller[CONTROLLERS];
+        for (int i = 0; i < CONTROLLERS; i++) {
+            controllers[i] = new Controller();
         }
         int placed = 0;
         for (int step = 0; step < 400; step++) {
-            Node n = nodes[random.nextInt(NAMES)];
+            Controller controller = controllers[random.nextInt(CONTROLLERS)];
             switch (random.nextInt(8)) {
-                case 0, 1 -> n.sync(store);
+                case 0, 1 -> controller.sync(store);
                 case 2 -> {
-                    // Starting anew writes a record of its own, and it reads what is there.
+                    // A restarted process writes its incarnation record and reads the store.
                     store.log.add(new double[] {0, 0});
-                    n.born = store.log.size();
-                    n.spentUnder = -1;
-                    n.spent = 0;
-                    n.unsure = 0;
-                    n.sync(store);
+                    controller.incarnationRevision = store.log.size();
+                    controller.accountedRevision = -1;
+                    controller.accountedUsage = 0;
+                    controller.unacknowledged = 0;
+                    controller.sync(store);
                 }
                 case 3 -> {
-                    double less = Math.min(store.use, random.nextInt(30));
-                    store.use -= less;
+                    double less = Math.min(store.usage, random.nextInt(30));
+                    store.usage -= less;
                     store.log.add(new double[] {-less, 0});
                 }
                 case 4 -> {
-                    if (!late.isEmpty() && random.nextBoolean()) {
-                        Late l = late.poll();
-                        store.commit(l.guard, l.need, l.written);
+                    if (!unacknowledged.isEmpty() && random.nextBoolean()) {
+                        unacknowledged.poll().commit(store);
                     }
                 }
-                default -> placed += place(n, store, team, 1 + random.nextInt(24), late, random) ? 1 : 0;
+                default ->
+                    placed += place(controller, store, team, 1 + random.nextInt(24), unacknowledged, random) ? 1 : 0;
             }
-            assertTrue(store.use <= limit + 1e-6, store.use + " of " + limit);
+            assertTrue(store.usage <= limit + 1e-6, store.usage + " of " + limit);
         }
         assertTrue(placed > 0, "nothing was ever placed");
-        // Troubles over: whatever answers stayed out before, what the limit has room for is placed.
-        late.forEach(l -> store.commit(l.guard, l.need, l.written));
-        double last = Math.floor(limit - store.use);
+        // Without further faults, what the quota leaves room for is placed, whatever answers were missing before.
+        unacknowledged.forEach(transaction -> transaction.commit(store));
+        double last = Math.floor(limit - store.usage);
         if (last >= 1) {
-            Node n = nodes[random.nextInt(NAMES)];
+            Controller controller = controllers[random.nextInt(CONTROLLERS)];
             boolean done = false;
             for (int tries = 0; tries < 40 && !done; tries++) {
-                n.sync(store);
-                done = place(n, store, team, last, late, random);
+                controller.sync(store);
+                done = place(controller, store, team, last, unacknowledged, random);
             }
-            assertTrue(done, last + " more beside " + store.use + " of " + limit + " is never placed");
+            assertTrue(done, last + " more beside " + store.usage + " of " + limit + " is never placed");
         }
     }
 
     private static boolean place(
-            Node n, Store store, Settings.Team team, double need, ArrayDeque<Late> late, Random random) {
-        if (n.spentUnder != n.stamp) {
-            n.spentUnder = n.stamp;
-            n.spent = 0;
-            n.unsure = 0;
-        }
-        double use = store.useAt(n.seen);
-        if (use + need > team.gpusMax()) {
-            return false;
+            Controller controller,
+            Store store,
+            Settings.Team team,
+            double need,
+            ArrayDeque<UnacknowledgedTransaction> unacknowledged,
+            Random random) {
+        if (controller.accountedRevision != controller.reservationRevision) {
+            controller.accountedRevision = controller.reservationRevision;
+            controller.accountedUsage = 0;
+            controller.unacknowledged = 0;
         }
+        double usage = store.usageAt(controller.appliedRevision);
         var view = new QuotaAdmission.QuotaView(
-                team, NAMES, n.entry, n.stamp > n.born, gpus(n.spent), gpus(n.unsure), n.seen >= n.stamp, gpus(use));
-        QuotaAdmission.Decision way = QuotaAdmission.decide(view, gpus(need));
-        if (way instanceof QuotaAdmission.Decision.Defer) {
+                team,
+                CONTROLLERS,
+                controller.reservation,
+                controller.reservationRevision,
+                controller.appliedRevision,
+                controller.reservationRevision > controller.incarnationRevision,
+                gpus(controller.accountedUsage),
+                gpus(controller.unacknowledged),
+                gpus(usage));
+        QuotaAdmission.Decision decision = QuotaAdmission.decide(view, gpus(need));
+        if (decision instanceof QuotaAdmission.Decision.Defer) {
             return false;
         }
-        QuotaAdmission.Reservation written = way instanceof QuotaAdmission.Decision.AdmitWithReservation w
-                ? w.reservation()
-                : way instanceof QuotaAdmission.Decision.RevokeShares c ? c.reservation() : null;
-        double change = way instanceof QuotaAdmission.Decision.RevokeShares ? 0 : need;
+        QuotaAdmission.Reservation written = decision instanceof QuotaAdmission.Decision.AdmitWithReservation admission
+                ? admission.reservation()
+                : decision instanceof QuotaAdmission.Decision.RevokeShares revocation ? revocation.reservation() : null;
+        double change = decision instanceof QuotaAdmission.Decision.RevokeShares ? 0 : need;
         if (random.nextInt(6) == 0) {
-            // No answer: it may have been carried out, or may yet be.
-            late.add(new Late(n.stamp, change, written));
-            n.spent += change;
-            n.unsure += change;
+            // No answer: the transaction may have been applied, or may be applied later.
+            unacknowledged.add(new UnacknowledgedTransaction(controller.reservationRevision, change, written));
+            controller.accountedUsage += change;
+            controller.unacknowledged += change;
             return false;
         }
-        boolean applied = store.commit(n.stamp, change, written);
+        boolean applied = store.commit(controller.reservationRevision, change, written);
         if (applied) {
-            n.spent += change;
-            // Its own change is taken over at once; others' before it may still be unseen, which the bound allows for.
+            controller.accountedUsage += change;
+            // The own change is replicated at once; earlier ones of others may be unseen, which the bound allows for.
             if (written == null && random.nextBoolean()) {
-                n.unsure += change; // adopted late: counted as unsure meanwhile
+                controller.unacknowledged += change; // replicated late: counted as unacknowledged meanwhile
             } else {
-                n.sync(store);
+                controller.sync(store);
             }
         }
         return applied && change > 0;
     }
 
-    private static Resources gpus(double n) {
-        return new Resources(0, n, 0);
+    private static Resources gpus(double amount) {
+        return new Resources(0, amount, 0);
+    }
+
+    /** The view of a controller that may use its share and whose replica has applied the reservation. */
+    private static QuotaAdmission.QuotaView view(
+            Settings.Team team,
+            QuotaAdmission.Reservation reservation,
+            Resources accountedUsage,
+            Resources unacknowledged,
+            Resources usage) {
+        return new QuotaAdmission.QuotaView(
+                team, CONTROLLERS, reservation, 1, 1, true, accountedUsage, unacknowledged, usage);
     }
 
     @Test
-    void closeToTheLimitEveryPlacementWritesTheRecord() {
+    void nearTheQuotaEveryPlacementWritesTheReservation() {
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, 100);
         var view = new QuotaAdmission.QuotaView(
-                team, NAMES, QuotaAdmission.Reservation.NONE, false, Resources.NONE, Resources.NONE, true, gpus(90));
+                team,
+                CONTROLLERS,
+                QuotaAdmission.Reservation.NONE,
+                0,
+                0,
+                false,
+                Resources.NONE,
+                Resources.NONE,
+                gpus(90));
         var write = assertInstanceOf(
                 QuotaAdmission.Decision.AdmitWithReservation.class, QuotaAdmission.decide(view, gpus(8)));
-        assertTrue(write.reservation().closed());
+        assertTrue(write.reservation().hasNoShare());
         assertInstanceOf(QuotaAdmission.Decision.Defer.class, QuotaAdmission.decide(view, gpus(11)));
     }
 
     @Test
-    void farFromTheLimitASharedRecordIsNotWritten() {
+    void farFromTheQuotaPlacementsWithinTheShareDoNotWriteTheReservation() {
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, 300);
-        var entry = new QuotaAdmission.Reservation(gpus(0), new Resources(1e9, 100, 0));
+        var reservation = new QuotaAdmission.Reservation(gpus(0), new Resources(1e9, 100, 0));
         assertEquals(
                 new QuotaAdmission.Decision.Admit(),
-                QuotaAdmission.decide(
-                        new QuotaAdmission.QuotaView(
-                                team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(60)),
-                        gpus(40)));
-        // Used up: the bound allows for all that the two others may have placed.
+                QuotaAdmission.decide(view(team, reservation, gpus(60), Resources.NONE, gpus(60)), gpus(40)));
+        // The share is used up: the bound allows for all that the two other controllers may have placed.
         var write = assertInstanceOf(
                 QuotaAdmission.Decision.AdmitWithReservation.class,
-                QuotaAdmission.decide(
-                        new QuotaAdmission.QuotaView(
-                                team, NAMES, entry, true, gpus(60), Resources.NONE, true, gpus(50)),
-                        gpus(41)));
+                QuotaAdmission.decide(view(team, reservation, gpus(60), Resources.NONE, gpus(50)), gpus(41)));
         assertEquals(291, write.reservation().bound().gpus());
-        // What the bound cannot allow waits until the shares are closed.
+        // A request that the coarse bound leaves no room for waits until the shares are revoked.
         assertInstanceOf(
                 QuotaAdmission.Decision.RevokeShares.class,
-                QuotaAdmission.decide(
-                        new QuotaAdmission.QuotaView(
-                                team, NAMES, entry, true, gpus(100), Resources.NONE, true, gpus(70)),
-                        gpus(60)));
+                QuotaAdmission.decide(view(team, reservation, gpus(100), Resources.NONE, gpus(70)), gpus(60)));
     }
 
     @Test
-    void whatGotNoAnswerCountsInANewBound() {
+    void unacknowledgedPlacementsCountInANewBound() {
         var team = new Settings.Team("t", 0, Double.POSITIVE_INFINITY, 0, 300);
-        var entry = new QuotaAdmission.Reservation(gpus(0), new Resources(1e9, 50, 0));
-        var unanswered = new QuotaAdmission.QuotaView(team, NAMES, entry, true, gpus(40), gpus(40), true, gpus(0));
+        var reservation = new QuotaAdmission.Reservation(gpus(0), new Resources(1e9, 50, 0));
+        var unanswered = view(team, reservation, gpus(40), gpus(40), gpus(0));
         var write = assertInstanceOf(
                 QuotaAdmission.Decision.AdmitWithReservation.class, QuotaAdmission.decide(unanswered, gpus(20)));
         assertEquals(160, write.reservation().bound().gpus());
     }
 
-    /** Records that the version before stored are read and written as the very same bytes. */
+    /** Records stored by the previous version are decoded and encoded as the very same bytes. */
     @Test
-    void whatTheVersionBeforeStoredIsWrittenTheSame() throws IOException {
+    void reservationsStoredByThePreviousVersionAreEncodedUnchanged() throws IOException {
         int teams = 0;
         try (var in = QuotaAdmissionTest.class.getResourceAsStream("/production-records.jsonl")) {
             for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
                 JsonNode row = new ObjectMapper().readTree(line);
                 if (row.path("key").asText().startsWith("ds/team/")) {
                     teams++;
-                    QuotaAdmission.Reservation entry = QuotaAdmission.Reservation.parse(Optional.of(row.path("v")));
-                    assertEquals(row.path("v").toString(), entry.toNode().toString());
+                    QuotaAdmission.Reservation reservation =
+                            QuotaAdmission.Reservation.parse(Optional.of(row.path("v")));
+                    assertEquals(row.path("v").toString(), reservation.toNode().toString());
                 }
             }
         }
--- a/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
+++ b/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
@@ -23,11 +23,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Several controllers place tasks of a few jobs of one team, each by its own copy of the store and with placements under way that may be
- * overtaken, refused, or left without an answer: the team's limit holds, and its record's bound is never below what is stored.
+ * Several controllers place tasks of a few jobs of one team, each by its own replica of the store and with placements in flight that may be
+ * overtaken, refused, or remaining without an answer: the team's limit holds, and its record's bound is never below what is stored.
  */
 class TeamUsageTest {
-    private static final int MOST_CONTROLLERS = 3;
+    private static final int MAX_CONTROLLERS = 3;
     private static final int JOBS = 4;
     private static final int STEPS = 500;
     private static final String TEAM = "red";
@@ -70,152 +70,168 @@
     }
 
     /** A stored value and the revision at which it was written. */
-    private record Row<T>(T value, long stamp) {}
+    private record Versioned<T>(T value, long modRevision) {}
 
-    /** What a controller knows of the store, which lags behind. */
-    private record Copy(Map<Integer, Row<JobRecord>> jobs, Row<QuotaAdmission.Reservation> ledger, long syncedTo) {}
+    /** A controller's replica of the store, which lags behind. */
+    private record Replica(
+            Map<Integer, Versioned<JobRecord>> jobs,
+            Versioned<QuotaAdmission.Reservation> reservation,
+            long appliedRevision) {}
 
     private static final class Store {
-        private final Map<Integer, Row<JobRecord>> jobs = new TreeMap<>();
-        private Row<QuotaAdmission.Reservation> ledger = new Row<>(QuotaAdmission.Reservation.NONE, 0);
+        private final Map<Integer, Versioned<JobRecord>> jobs = new TreeMap<>();
+        private Versioned<QuotaAdmission.Reservation> reservation = new Versioned<>(QuotaAdmission.Reservation.NONE, 0);
         private long revision;
 
         Store() {
             for (int id = 0; id < JOBS; id++) {
-                jobs.put(id, new Row<>(array(id, 1000), ++revision));
+                jobs.put(id, new Versioned<>(array(id, 1000), ++revision));
             }
         }
 
-        Copy copy() {
-            return new Copy(new TreeMap<>(jobs), ledger, revision);
+        Replica replicate() {
+            return new Replica(new TreeMap<>(jobs), reservation, revision);
         }
 
         boolean apply(Proposal proposal) {
-            if (jobs.get(proposal.job).stamp != proposal.jobStamp || ledger.stamp != proposal.ledgerStamp) {
+            if (jobs.get(proposal.job).modRevision != proposal.requiredJobRevision
+                    || reservation.modRevision != proposal.requiredReservationRevision) {
                 return false;
             }
             revision++;
-            proposal.after.ifPresent(after -> jobs.put(proposal.job, new Row<>(after, revision)));
-            proposal.entry.ifPresent(entry -> ledger = new Row<>(entry, revision));
+            proposal.after.ifPresent(after -> jobs.put(proposal.job, new Versioned<>(after, revision)));
+            proposal.reservation.ifPresent(written -> reservation = new Versioned<>(written, revision));
             return true;
         }
 
         double use() {
             return jobs.values().stream()
-                    .mapToInt(row -> row.value.allocations().size())
+                    .mapToInt(versioned -> versioned.value.allocations().size())
                     .sum();
         }
     }
 
-    /** A placement of some tasks of a job, or a new record of the team alone. */
+    /** A transaction that places some tasks of a job, or only writes a new reservation. */
     private record Proposal(
             int job,
-            long jobStamp,
+            long requiredJobRevision,
             Optional<JobRecord> after,
-            long ledgerStamp,
-            Optional<QuotaAdmission.Reservation> entry,
+            long requiredReservationRevision,
+            Optional<QuotaAdmission.Reservation> reservation,
             int tasks) {}
 
     private static final class Controller {
-        private final int names;
-        private Copy copy;
-        private final Map<Integer, Proposal> underWay = new TreeMap<>();
-        private long born;
-        private long account = -1;
-        private int spent;
-        private int unsure;
-
-        Controller(int names, Store store) {
-            this.names = names;
-            copy = store.copy();
+        private final int controllerCount;
+        private Replica replica;
+        private final Map<Integer, Proposal> inFlight = new TreeMap<>();
+        private long incarnationRevision;
+        private long accountedRevision = -1;
+        private int accountedUsage;
+        private int unacknowledged;
+
+        Controller(int controllerCount, Store store) {
+            this.controllerCount = controllerCount;
+            replica = store.replicate();
         }
 
-        /** A new process of the same name writes a record of its own, and knows nothing of what the old one had under way. */
+        /** A new process of the same name writes its incarnation record, and knows nothing of the old one's transactions in flight. */
         void restart(Store store) {
-            born = ++store.revision;
-            underWay.clear();
-            account = -1;
-            copy = store.copy();
+            incarnationRevision = ++store.revision;
+            inFlight.clear();
+            accountedRevision = -1;
+            replica = store.replicate();
         }
 
         TeamUsage use() {
             var jobs = new ArrayList<ProjectedJob>();
-            copy.jobs.forEach((id, row) -> {
+            replica.jobs.forEach((id, versioned) -> {
                 Optional<JobRecord> proposed =
-                        Optional.ofNullable(underWay.get(id)).flatMap(Proposal::after);
-                jobs.add(new ProjectedJob(row.value, proposed.orElse(row.value)));
+                        Optional.ofNullable(inFlight.get(id)).flatMap(Proposal::after);
+                jobs.add(new ProjectedJob(versioned.value, proposed.orElse(versioned.value)));
             });
-            return TeamUsage.counted(jobs);
+            return TeamUsage.projected(jobs);
         }
 
         Optional<Proposal> propose(Settings.Team team, int job, int tasks, int endedTasks) {
-            boolean recordLocked = underWay.values().stream().anyMatch(proposal -> proposal.entry.isPresent());
-            if (recordLocked || underWay.containsKey(job)) {
+            boolean reservationLocked =
+                    inFlight.values().stream().anyMatch(proposal -> proposal.reservation.isPresent());
+            if (reservationLocked || inFlight.containsKey(job)) {
                 return Optional.empty();
             }
-            if (account != copy.ledger.stamp) {
-                account = copy.ledger.stamp;
-                spent = 0;
-                unsure = 0;
+            if (accountedRevision != replica.reservation.modRevision) {
+                accountedRevision = replica.reservation.modRevision;
+                accountedUsage = 0;
+                unacknowledged = 0;
             }
             Resources used = use().of(TEAM);
             var view = new QuotaAdmission.QuotaView(
                     team,
-                    names,
-                    copy.ledger.value,
-                    copy.ledger.stamp > born,
-                    gpus(spent),
-                    gpus(unsure),
-                    copy.syncedTo >= copy.ledger.stamp,
+                    controllerCount,
+                    replica.reservation.value,
+                    replica.reservation.modRevision,
+                    replica.appliedRevision,
+                    replica.reservation.modRevision > incarnationRevision,
+                    gpus(accountedUsage),
+                    gpus(unacknowledged),
                     used);
-            if (!team.withinLimit(used.plus(gpus(tasks)))) {
-                return Optional.empty();
-            }
-            QuotaAdmission.Decision way = QuotaAdmission.decide(view, gpus(tasks));
-            Row<JobRecord> stored = copy.jobs.get(job);
+            QuotaAdmission.Decision decision = QuotaAdmission.decide(view, gpus(tasks));
+            Versioned<JobRecord> stored = replica.jobs.get(job);
             Proposal proposal = null;
-            if (way instanceof QuotaAdmission.Decision.RevokeShares close) {
+            if (decision instanceof QuotaAdmission.Decision.RevokeShares revocation) {
                 proposal = new Proposal(
-                        job, stored.stamp, Optional.empty(), copy.ledger.stamp, Optional.of(close.reservation()), 0);
-            } else if (!(way instanceof QuotaAdmission.Decision.Defer)) {
-                Optional<QuotaAdmission.Reservation> entry =
-                        way instanceof QuotaAdmission.Decision.AdmitWithReservation write
-                                ? Optional.of(write.reservation())
+                        job,
+                        stored.modRevision,
+                        Optional.empty(),
+                        replica.reservation.modRevision,
+                        Optional.of(revocation.reservation()),
+                        0);
+            } else if (!(decision instanceof QuotaAdmission.Decision.Defer)) {
+                Optional<QuotaAdmission.Reservation> reservation =
+                        decision instanceof QuotaAdmission.Decision.AdmitWithReservation admission
+                                ? Optional.of(admission.reservation())
                                 : Optional.empty();
                 JobRecord after = placed(released(stored.value, endedTasks), tasks);
-                proposal = new Proposal(job, stored.stamp, Optional.of(after), copy.ledger.stamp, entry, tasks);
-                spent += tasks;
+                proposal = new Proposal(
+                        job,
+                        stored.modRevision,
+                        Optional.of(after),
+                        replica.reservation.modRevision,
+                        reservation,
+                        tasks);
+                accountedUsage += tasks;
             }
             if (proposal != null) {
-                underWay.put(job, proposal);
+                inFlight.put(job, proposal);
             }
             return Optional.ofNullable(proposal);
         }
 
-        /** What became of a proposal is known; its account is that of the record under which it was made. */
+        /** Settles the account with a proposal's result, if the reservation is still the one under which it was made. */
         void settle(Proposal proposal, Store store, boolean applied, boolean answered) {
-            underWay.remove(proposal.job);
-            boolean sameRecord = account == proposal.ledgerStamp;
+            inFlight.remove(proposal.job);
+            boolean sameRecord = accountedRevision == proposal.requiredReservationRevision;
             if (!answered) {
-                unsure += sameRecord ? proposal.tasks : 0;
+                unacknowledged += sameRecord ? proposal.tasks : 0;
             } else if (!applied) {
-                spent -= sameRecord ? proposal.tasks : 0;
+                accountedUsage -= sameRecord ? proposal.tasks : 0;
             }
             if (!answered || !applied) {
-                copy = store.copy();
+                replica = store.replicate();
             } else {
                 adopt(proposal, store);
             }
         }
 
-        /** Own changes are taken over at once, while others' before them may still be unseen. */
+        /** Applies an own change at once, while earlier changes of others may still be missing from the replica. */
         private void adopt(Proposal proposal, Store store) {
-            var jobs = new TreeMap<>(copy.jobs);
+            var jobs = new TreeMap<>(replica.jobs);
             proposal.after.ifPresent(after -> jobs.put(proposal.job, store.jobs.get(proposal.job)));
-            copy = new Copy(
+            replica = new Replica(
                     jobs,
-                    proposal.entry.isPresent() ? new Row<>(proposal.entry.get(), store.revision) : copy.ledger,
-                    copy.syncedTo);
+                    proposal.reservation.isPresent()
+                            ? new Versioned<>(proposal.reservation.get(), store.revision)
+                            : replica.reservation,
+                    replica.appliedRevision);
         }
     }
 
@@ -223,39 +239,39 @@
         return new Resources(0, amount, 0);
     }
 
-    /** One history, with everything that keeps a proposal waiting or lets it be overtaken. */
+    /** A random history of replication, restarts, delayed transactions and missing answers. */
     private static final class History {
         private final Random random;
         private final Settings.Team team;
         private final Store store = new Store();
         private final List<Controller> controllers = new ArrayList<>();
-        private final List<Proposal> late = new ArrayList<>();
+        private final List<Proposal> unacknowledgedTransactions = new ArrayList<>();
         private int stored;
 
         History(long seed) {
             random = new Random(seed);
             team = new Settings.Team(TEAM, 0, Double.POSITIVE_INFINITY, 0, 20 + random.nextInt(100));
-            // The fewer there are, the less of what others may have placed unseen covers up for what is not counted.
-            int names = 1 + random.nextInt(MOST_CONTROLLERS);
-            for (int i = 0; i < names; i++) {
-                controllers.add(new Controller(names, store));
+            // With fewer controllers, the allowance for unseen placements hides fewer errors in the usage.
+            int controllerCount = 1 + random.nextInt(MAX_CONTROLLERS);
+            for (int i = 0; i < controllerCount; i++) {
+                controllers.add(new Controller(controllerCount, store));
             }
         }
 
         void step() {
             Controller controller = controllers.get(random.nextInt(controllers.size()));
             switch (random.nextInt(12)) {
-                case 0, 1, 2 -> controller.copy = store.copy();
+                case 0, 1, 2 -> controller.replica = store.replicate();
                 case 3 -> end();
                 case 4 -> {
                     if (random.nextInt(10) == 0) {
-                        late.addAll(controller.underWay.values());
+                        unacknowledgedTransactions.addAll(controller.inFlight.values());
                         controller.restart(store);
                     }
                 }
                 case 5 -> {
-                    if (!late.isEmpty()) {
-                        carryOut(late.remove(random.nextInt(late.size())));
+                    if (!unacknowledgedTransactions.isEmpty()) {
+                        commit(unacknowledgedTransactions.remove(random.nextInt(unacknowledgedTransactions.size())));
                     }
                 }
                 case 6, 7, 8 -> answer(controller);
@@ -266,34 +282,35 @@
             check();
         }
 
-        /** Some tasks end, and that is stored. */
+        /** Stores the end of some tasks. */
         private void end() {
             int job = random.nextInt(JOBS);
             store.revision++;
             store.jobs.computeIfPresent(
-                    job, (id, row) -> new Row<>(released(row.value, random.nextInt(8)), store.revision));
+                    job,
+                    (id, versioned) -> new Versioned<>(released(versioned.value, random.nextInt(8)), store.revision));
         }
 
         private void answer(Controller controller) {
-            if (controller.underWay.isEmpty()) {
+            if (controller.inFlight.isEmpty()) {
                 return;
             }
-            List<Proposal> proposals = List.copyOf(controller.underWay.values());
+            List<Proposal> proposals = List.copyOf(controller.inFlight.values());
             Proposal proposal = proposals.get(random.nextInt(proposals.size()));
-            int fate = random.nextInt(8);
-            if (fate == 0) {
-                late.add(proposal);
+            int outcome = random.nextInt(8);
+            if (outcome == 0) {
+                unacknowledgedTransactions.add(proposal);
                 controller.settle(proposal, store, false, false);
             } else {
-                boolean applied = carryOut(proposal);
-                controller.settle(proposal, store, applied, fate > 1);
+                boolean applied = commit(proposal);
+                controller.settle(proposal, store, applied, outcome > 1);
             }
         }
 
-        private boolean carryOut(Proposal proposal) {
+        private boolean commit(Proposal proposal) {
             boolean applied = store.apply(proposal);
-            if (applied && proposal.entry.isPresent()) {
-                double bound = store.ledger.value.bound().gpus();
+            if (applied && proposal.reservation.isPresent()) {
+                double bound = store.reservation.value.bound().gpus();
                 assertTrue(store.use() <= bound + ROUNDING, store.use() + " stored under a bound of " + bound);
             }
             stored += applied ? proposal.tasks : 0;
@@ -306,7 +323,7 @@
     }
 
     @Property(seed = "32", tries = 500)
-    void theLimitHoldsWhateverIsUnderWay(@ForAll long seed) {
+    void theQuotaHoldsWithTransactionsInFlight(@ForAll long seed) {
         var history = new History(seed);
         for (int step = 0; step < STEPS; step++) {
             history.step();
@@ -315,36 +332,36 @@
     }
 
     @Test
-    void aProposalThatWasOvertakenHidesNothing() {
+    void aStaleProposalHidesNoStoredAllocation() {
         JobRecord before = array(1, 30);
         JobRecord own = placed(before, 2);
         JobRecord stored = placed(before, 20);
         assertEquals(
                 20,
-                TeamUsage.counted(List.of(new ProjectedJob(stored, own)))
+                TeamUsage.projected(List.of(new ProjectedJob(stored, own)))
                         .of(TEAM)
                         .gpus());
     }
 
     @Test
-    void aProposalThatGivesUpDoneTasksFreesNothingYet() {
+    void aProposalThatReleasesTasksFreesNothingBeforeItIsStored() {
         JobRecord stored = placed(array(1, 30), 5);
         JobRecord own = placed(stored.withReleased(Map.of(0, true, 1, true, 2, true)), 4);
         assertEquals(
                 9,
-                TeamUsage.counted(List.of(new ProjectedJob(stored, own)))
+                TeamUsage.projected(List.of(new ProjectedJob(stored, own)))
                         .of(TEAM)
                         .gpus());
     }
 
-    /** Whether it is stored or not, a task is on one machine. */
+    /** A task runs on one machine, whichever of its two allocations is stored. */
     @Test
-    void aTaskThatIsPlacedAgainCountsOnce() {
+    void aReplacedTaskCountsOnce() {
         JobRecord stored = placed(array(1, 30), 5);
         JobRecord own = placed(stored.withReleased(Map.of(0, false, 1, false, 2, false)), 4);
         assertEquals(
                 6,
-                TeamUsage.counted(List.of(new ProjectedJob(stored, own)))
+                TeamUsage.projected(List.of(new ProjectedJob(stored, own)))
                         .of(TEAM)
                         .gpus());
     }
