--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -26,8 +26,10 @@
 import org.dunespindle.control.TerminationCause;
 import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.job.GangLifecycle;
+import org.dunespindle.job.NoticedMachineDrainer;
 import org.dunespindle.job.PlacementPacing;
 import org.dunespindle.job.PlacementWriter;
+import org.dunespindle.job.TaskPreemptor;
 import org.dunespindle.job.TerminationWriter;
 import org.dunespindle.machine.CloudClient;
 import org.dunespindle.machine.CloudInventory;
@@ -109,7 +111,9 @@
     private final ShardOwnership shardOwnership;
     private final TerminationWriter terminationWriter;
     private final PlacementWriter placementWriter;
+    private final TaskPreemptor taskPreemptor;
     private final GangLifecycle gangLifecycle;
+    private final NoticedMachineDrainer noticedMachineDrainer;
     private final UserApi userApi;
     private final EventRecorder eventRecorder;
     private final WriteRateAllocator writeRateAllocator;
@@ -200,14 +204,10 @@
         this.shardOwnership = new ShardOwnership(context, workerClient, machineWriter, peerHeartbeats, this::options);
         this.terminationWriter = new TerminationWriter(context, commitQueue, workerClient, crashLoopDetector);
         this.placementWriter = new PlacementWriter(
-                context,
-                commitQueue,
-                machineWriter,
-                terminationWriter,
-                pendingPreemptions,
-                workerClient,
-                statusReporter::takesTasks);
+                context, commitQueue, machineWriter, terminationWriter, pendingPreemptions, statusReporter::takesTasks);
+        this.taskPreemptor = new TaskPreemptor(context, pendingPreemptions, workerClient);
         this.gangLifecycle = new GangLifecycle(context, commitQueue, workerClient, this::options);
+        this.noticedMachineDrainer = new NoticedMachineDrainer(context, commitQueue, workerClient);
         this.snapshotBuilder =
                 new SnapshotBuilder(context, planSources(context, provisioner), objectives, this::options);
         this.loadReporter =
@@ -449,7 +449,7 @@
             oversizeRecords.tick();
         }
         if (look) {
-            gangLifecycle.drainNoticed();
+            noticedMachineDrainer.drain();
         }
         if (planDue()) {
             plan();
@@ -504,9 +504,9 @@
             shardOwnership.borrow(plan);
         }
         jobDelegation.planned(snapshot, plan);
-        placementWriter.evict(plan);
-        placementWriter.move(plan);
-        placementWriter.place(plan);
+        taskPreemptor.preempt(plan);
+        taskPreemptor.moveReplicas(plan);
+        placementWriter.place(plan, snapshot.projection());
         fleetManager.tick(plan);
         lastPlan = timeSource.now();
         planCost = lastPlan.minus(begun);
--- a/src/main/java/org/dunespindle/job/GangLifecycle.java
+++ b/src/main/java/org/dunespindle/job/GangLifecycle.java
@@ -13,6 +13,7 @@
 import org.dunespindle.control.EventRecorder;
 import org.dunespindle.control.Options;
 import org.dunespindle.control.WorkerRegistry;
+import org.dunespindle.control.WorkerState;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.TaskPhase;
@@ -22,7 +23,6 @@
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.PlacedTask;
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.Transaction;
 import org.dunespindle.time.TimeSource;
@@ -30,11 +30,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Moves gangs on: to real tasks once every placeholder idles, back to the queue when the timer ends the placement. */
+/**
+ * Advances the phases of gangs, on the leader: from placeholders to real tasks once every placeholder is assembling, and back to the queue
+ * when a gang's placement times out.
+ */
 public final class GangLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(GangLifecycle.class);
-    private static final Duration FETCH_ALLOWANCE = Duration.ofSeconds(30);
-    private static final long LONGEST_MICROS = 3_600_000_000L;
+    /** How much longer than the placement timer a fully placed gang may take, for fetches of its image. */
+    private static final Duration IMAGE_FETCH_ALLOWANCE = Duration.ofSeconds(30);
+
+    private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
+    private static final int LATENCY_DIGITS = 2;
+    private static final long NANOS_PER_MICRO = 1000;
     private final Settings settings;
     private final StateReplica replica;
     private final CommitQueue commitQueue;
@@ -44,11 +51,14 @@
     private final TimeSource timeSource;
     private final EventRecorder eventRecorder;
     private final Supplier<Options> options;
-    private final Histogram holdPlacement = new Histogram(LONGEST_MICROS, 2);
-    private final Histogram replacement = new Histogram(LONGEST_MICROS, 2);
+    private final Histogram placeholderLatency = new Histogram(MAX_LATENCY_MICROS, LATENCY_DIGITS);
+    private final Histogram replacementLatency = new Histogram(MAX_LATENCY_MICROS, LATENCY_DIGITS);
+    /** By job: since when real tasks replace its placeholders. */
     private final Map<String, Duration> replacingSince = new HashMap<>();
-    private final Map<String, Duration> firstHold = new HashMap<>();
+    /** By job: since when it has been in the placeholder phase. */
+    private final Map<String, Duration> placeholdersSince = new HashMap<>();
 
+    /** Creates the gang life cycle of one controller. */
     public GangLifecycle(
             ControllerContext context, CommitQueue commitQueue, WorkerClient workerClient, Supplier<Options> options) {
         this.settings = context.settings();
@@ -62,136 +72,115 @@
         this.options = options;
     }
 
+    /** How long gangs took until all their placeholders were assembling, in microseconds. */
     public Histogram holdPlacement() {
-        return holdPlacement;
+        return placeholderLatency;
     }
 
+    /** How long it took until real tasks had replaced all placeholders of a gang, in microseconds. */
     public Histogram replacement() {
-        return replacement;
+        return replacementLatency;
     }
 
-    /** The leader's part. */
+    /** Advances every gang that is due. To be called on the leader only. */
     public void tick() {
         Duration now = timeSource.now();
-        var holding = new HashSet<String>();
+        var placing = new HashSet<String>();
         for (JobRecord job : replica.activeJobs()) {
             if (!job.isOpen() || !job.submission().isGang()) {
                 continue;
             }
-            if (replacingSince.containsKey(job.id())
-                    && job.gangPhase() == JobRecord.GangPhase.RUNNING
-                    && allIn(job, TaskPhase.RUNNING)) {
-                replacement.recordValue(Math.min(
-                        LONGEST_MICROS,
-                        now.minus(replacingSince.remove(job.id())).toNanos() / 1000));
-            }
-            if (job.gangPhase() != JobRecord.GangPhase.PLACEHOLDERS) {
-                continue;
+            recordReplacement(job, now);
+            if (job.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS) {
+                placing.add(job.id());
+                advance(job, now.minus(placeholdersSince.computeIfAbsent(job.id(), id -> now)));
             }
-            holding.add(job.id());
-            moveOn(job, now.minus(firstHold.computeIfAbsent(job.id(), k -> now)));
         }
-        firstHold.keySet().retainAll(holding);
+        placeholdersSince.keySet().retainAll(placing);
         replacingSince
                 .keySet()
                 .removeIf(id -> replica.job(id).filter(JobRecord::isOpen).isEmpty());
     }
 
-    private void moveOn(JobRecord job, Duration since) {
+    private void recordReplacement(JobRecord job, Duration now) {
+        if (replacingSince.containsKey(job.id())
+                && job.gangPhase() == JobRecord.GangPhase.RUNNING
+                && allMembersIn(job, TaskPhase.RUNNING)) {
+            recordLatency(replacementLatency, now.minus(replacingSince.remove(job.id())));
+        }
+    }
+
+    private static void recordLatency(Histogram histogram, Duration latency) {
+        histogram.recordValue(Math.min(MAX_LATENCY_MICROS, latency.toNanos() / NANOS_PER_MICRO));
+    }
+
+    private void advance(JobRecord job, Duration inPhase) {
         if (commitQueue.isLocked(Keys.job(job.id()))) {
             return;
         }
-        boolean all = job.allocations().size() == job.submission().tasks();
-        Duration limit = all
-                ? options.get()
-                        .firstHoldTimer()
-                        .plus(settings.workers().gangWait())
-                        .plus(FETCH_ALLOWANCE)
-                : options.get().firstHoldTimer();
-        if (all && allIn(job, TaskPhase.ASSEMBLING)) {
-            holdPlacement.recordValue(Math.min(LONGEST_MICROS, since.toNanos() / 1000));
-            eventRecorder.record(
-                    LOG,
-                    "gang {}: all {} placeholders are placed; real tasks replace them",
-                    job.id(),
-                    job.submission().tasks());
-            replacingSince.put(job.id(), timeSource.now());
-            change(job.withGangRunning());
-        } else if (since.compareTo(limit) > 0) {
-            eventRecorder.record(
-                    LOG,
-                    "gang {}: its placement ended after {} s with {} of {} placeholders; queued again",
-                    job.id(),
-                    since.toSeconds(),
-                    job.allocations().size(),
-                    job.submission().tasks());
-            change(job.withGangStopping()
-                    .withQueuePosition(timeSource.wallTime().toEpochMilli()));
+        boolean allPlaced = job.allocations().size() == job.submission().tasks();
+        Duration timeout = placementTimeout(allPlaced);
+        if (allPlaced && allMembersIn(job, TaskPhase.ASSEMBLING)) {
+            startRealTasks(job, inPhase);
+        } else if (inPhase.compareTo(timeout) > 0) {
+            requeue(job, inPhase);
         }
     }
 
-    private void change(JobRecord to) {
+    private Duration placementTimeout(boolean allPlaced) {
+        Duration timer = options.get().firstHoldTimer();
+        return allPlaced ? timer.plus(settings.workers().gangWait()).plus(IMAGE_FETCH_ALLOWANCE) : timer;
+    }
+
+    private void startRealTasks(JobRecord job, Duration inPhase) {
+        recordLatency(placeholderLatency, inPhase);
+        eventRecorder.record(
+                LOG,
+                "gang {}: all {} placeholders are placed; real tasks replace them",
+                job.id(),
+                job.submission().tasks());
+        replacingSince.put(job.id(), timeSource.now());
+        write(job.withGangRunning());
+    }
+
+    private void requeue(JobRecord job, Duration inPhase) {
+        eventRecorder.record(
+                LOG,
+                "gang {}: its placement ended after {} s with {} of {} placeholders; queued again",
+                job.id(),
+                inPhase.toSeconds(),
+                job.allocations().size(),
+                job.submission().tasks());
+        write(job.withGangStopping().withQueuePosition(timeSource.wallTime().toEpochMilli()));
+    }
+
+    private void write(JobRecord changed) {
         var transaction = new Transaction().requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
-        commitQueue.propose(CommitPriority.PLACEMENT, jobWriter.write(transaction, to), result -> {});
+        commitQueue.propose(CommitPriority.PLACEMENT, jobWriter.write(transaction, changed), result -> {});
     }
 
-    /** Whether every member is reported in a phase, by machines commanded here. */
-    private boolean allIn(JobRecord job, TaskPhase phase) {
+    /** Whether every allocated member is reported in a phase, by machines that this controller commands. */
+    private boolean allMembersIn(JobRecord job, TaskPhase phase) {
         for (Allocation allocation : job.allocations()) {
-            MachineRecord machine = replica.machines().get(allocation.machineId());
-            if (machine == null || !workerClient.ready(machine) || workers.getOrCreate(machine.id()).callInFlight) {
-                return false;
-            }
-            Optional<TaskStatus> t = workers.getOrCreate(machine.id())
-                    .lastHeartbeat
-                    .get()
-                    .find(new TaskId(job.id(), allocation.task()), job.expectedAttempt(allocation));
-            if (t.filter(x -> x.phase() == phase).isEmpty()) {
+            if (!isMemberIn(job, allocation, phase)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** On every controller: from a machine about to be taken away, work that can save is stopped in time, gangs as a whole. */
-    public void drainNoticed() {
-        for (String host : workerClient.machinesWithNotice()) {
-            MachineRecord machine = replica.machines().get(host);
-            if (machine == null || !workerClient.inCommand(machine)) {
-                continue;
-            }
-            for (PlacedTask placed : replica.allocationsOn(machine.id())) {
-                JobRecord job = placed.job();
-                if (commitQueue.isLocked(Keys.job(job.id()))
-                        || !job.isOpen()
-                        || placed.allocation().stopping()
-                        || job.gangPhase() == JobRecord.GangPhase.STOPPING
-                        || !(job.submission().checkpoints() || job.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS)) {
-                    continue;
-                }
-                eventRecorder.record(
-                        LOG,
-                        "machine {} is about to be taken away; {} stops there",
-                        machine.id(),
-                        job.submission().isGang()
-                                ? "gang " + job.id()
-                                : "task " + job.id() + "/" + placed.allocation().task());
-                var transaction = new Transaction()
-                        .requireRevision(
-                                Keys.machinePage(machine.id()), replica.modRevision(Keys.machinePage(machine.id())));
-                JobRecord stopped = job.submission().isGang() ? job.withGangStopping() : stopAllOn(job, machine.id());
-                commitQueue.propose(CommitPriority.PLACEMENT, jobWriter.write(transaction, stopped), result -> {});
-            }
+    private boolean isMemberIn(JobRecord job, Allocation allocation, TaskPhase phase) {
+        MachineRecord machine = replica.machines().get(allocation.machineId());
+        if (machine == null || !workerClient.ready(machine)) {
+            return false;
         }
-    }
-
-    private static JobRecord stopAllOn(JobRecord job, String host) {
-        JobRecord changed = job;
-        for (Allocation allocation : job.allocations()) {
-            if (allocation.machineId().equals(host)) {
-                changed = changed.withTaskStopping(allocation.task());
-            }
+        WorkerState worker = workers.getOrCreate(machine.id());
+        if (worker.callInFlight) {
+            return false;
         }
-        return changed;
+        Optional<TaskStatus> status = worker.lastHeartbeat
+                .get()
+                .find(new TaskId(job.id(), allocation.task()), job.expectedAttempt(allocation));
+        return status.filter(reported -> reported.phase() == phase).isPresent();
     }
 }
--- a/src/main/java/org/dunespindle/job/JobTransitions.java
+++ b/src/main/java/org/dunespindle/job/JobTransitions.java
@@ -4,47 +4,72 @@
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
 import org.dunespindle.control.TaskTermination;
 import org.dunespindle.control.TerminationCause;
 import org.dunespindle.storage.JobRecord;
 
-/** Applies what became of allocations to a job's record. Pure. */
+/** Applies task terminations to a job's record. All functions are pure. */
 public final class JobTransitions {
-    private static final Duration FIRST_PAUSE = Duration.ofSeconds(1);
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(30);
-    private static final int FREE_FAILURES = 3;
+    /** The pause after a rejected start, and the base of the exponential backoff after failures. */
+    private static final Duration MIN_BACKOFF = Duration.ofSeconds(1);
+
+    private static final Duration MAX_BACKOFF = Duration.ofSeconds(30);
+    /** The backoff doubles at most so many times, so that the shift below cannot overflow. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 10;
+
+    private static final int MAX_FAILURES_WITHOUT_BACKOFF = 3;
+    private static final long NO_ATTEMPT = -1L;
 
     private JobTransitions() {}
 
-    /** The record after some outcomes. */
+    /** The job's record after some terminations; those of other attempts than the allocated ones are ignored. */
     public static JobRecord apply(JobRecord job, List<TaskTermination> terminations, Instant now) {
-        JobRecord j = job;
-        var ended = new TreeMap<Integer, Boolean>();
-        boolean plain = job.isOpen() && !job.submission().isGang();
-        var bases = new HashMap<Integer, Long>();
-        job.allocations().forEach(allocation -> bases.put(allocation.task(), allocation.attemptBase()));
+        JobRecord updated = job;
+        // Tasks that need no more than to be released, by whether they are done: they are released together.
+        var released = new TreeMap<Integer, Boolean>();
+        boolean releasesTogether = job.isOpen() && !job.submission().isGang();
+        Map<Integer, Long> attemptBases = attemptBases(job);
         for (TaskTermination termination : terminations) {
-            if (bases.getOrDefault(termination.task(), -1L) != termination.attemptBase()
-                    || ended.containsKey(termination.task())) {
+            int task = termination.task();
+            if (attemptBases.getOrDefault(task, NO_ATTEMPT) != termination.attemptBase()
+                    || released.containsKey(task)) {
                 continue;
             }
-            if (plain
-                    && (termination.cause() == TerminationCause.DONE || termination.cause() == TerminationCause.GONE)) {
-                ended.put(termination.task(), termination.cause() == TerminationCause.DONE);
-            } else if (j.allocation(termination.task())
-                    .filter(allocation -> allocation.attemptBase() == termination.attemptBase())
-                    .isPresent()) {
-                j = one(j, termination, now);
+            if (releasesTogether && onlyReleases(termination)) {
+                released.put(task, isDone(termination));
+            } else if (isAllocated(updated, termination)) {
+                updated = applyOne(updated, termination, now);
             }
         }
-        return ended.isEmpty() ? j : j.withReleased(ended);
+        return released.isEmpty() ? updated : updated.withReleased(released);
     }
 
-    private static JobRecord one(JobRecord job, TaskTermination termination, Instant now) {
+    private static Map<Integer, Long> attemptBases(JobRecord job) {
+        var bases = new HashMap<Integer, Long>();
+        job.allocations().forEach(allocation -> bases.put(allocation.task(), allocation.attemptBase()));
+        return bases;
+    }
+
+    private static boolean onlyReleases(TaskTermination termination) {
+        return isDone(termination) || termination.cause() == TerminationCause.GONE;
+    }
+
+    private static boolean isDone(TaskTermination termination) {
+        return termination.cause() == TerminationCause.DONE;
+    }
+
+    private static boolean isAllocated(JobRecord job, TaskTermination termination) {
+        return job.allocation(termination.task())
+                .filter(allocation -> allocation.attemptBase() == termination.attemptBase())
+                .isPresent();
+    }
+
+    private static JobRecord applyOne(JobRecord job, TaskTermination termination, Instant now) {
         boolean gang = job.spec().isPresent() && job.submission().isGang();
-        if (gang && termination.cause() == TerminationCause.DONE && job.isOpen()) {
+        if (gang && isDone(termination) && job.isOpen()) {
             return job.gangDone();
         }
         if (termination.cause() == TerminationCause.ASSEMBLY_TIMEOUT) {
@@ -52,34 +77,41 @@
         }
         JobRecord after = job;
         if (gang && job.isOpen() && job.gangPhase() == JobRecord.GangPhase.RUNNING) {
-            // One member gone breaks the attempt: the others exit with peers or wait in vain, so all are stopped.
+            // A lost member breaks the attempt: the others exit with their peers or wait in vain, so all are stopped.
             after = after.withGangStopping();
         }
-        after = after.withReleased(termination.task(), termination.cause() == TerminationCause.DONE);
-        if (termination.cause() == TerminationCause.ERROR && after.isOpen()) {
-            after = after.withFailures(1, pause(after.failures() + 1, freeFailures(after), now));
-            if (gang && after.failures() > FREE_FAILURES) {
-                after = after.withQueuePosition(
-                        now.toEpochMilli()); // it lets the gangs of its team go first, one of which may not fail
-            }
-        } else if (termination.cause() == TerminationCause.REJECTED && after.isOpen()) {
-            after = after.withFailures(0, Optional.of(now.plus(FIRST_PAUSE)));
+        after = after.withReleased(termination.task(), isDone(termination));
+        if (!after.isOpen()) {
+            return after;
         }
-        return after;
+        return switch (termination.cause()) {
+            case ERROR -> afterFailure(after, gang, now);
+            case REJECTED -> after.withFailures(0, Optional.of(now.plus(MIN_BACKOFF)));
+            default -> after;
+        };
+    }
+
+    private static JobRecord afterFailure(JobRecord job, boolean gang, Instant now) {
+        JobRecord failed = job.withFailures(1, backoffUntil(job.failures() + 1, failuresWithoutBackoff(job), now));
+        // A gang that keeps failing is queued behind the other gangs of its team, which may succeed.
+        return gang && failed.failures() > MAX_FAILURES_WITHOUT_BACKOFF
+                ? failed.withQueuePosition(now.toEpochMilli())
+                : failed;
     }
 
     /** A service runs for so long that it meets faulty machines; one that fails everywhere loses all replicas at once. */
-    private static int freeFailures(JobRecord job) {
-        boolean service = job.submission().isService();
-        return FREE_FAILURES + (service ? job.submission().tasks() : 0);
+    private static int failuresWithoutBackoff(JobRecord job) {
+        int replicas = job.submission().isService() ? job.submission().tasks() : 0;
+        return MAX_FAILURES_WITHOUT_BACKOFF + replicas;
     }
 
     /** A job that fails everywhere backs off, so that it does not wear out machine after machine. */
-    private static Optional<Instant> pause(int failures, int free, Instant now) {
-        if (failures <= free) {
+    private static Optional<Instant> backoffUntil(int failures, int withoutBackoff, Instant now) {
+        if (failures <= withoutBackoff) {
             return Optional.empty();
         }
-        Duration d = FIRST_PAUSE.multipliedBy(1L << Math.min(10, failures - free));
-        return Optional.of(now.plus(d.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : d));
+        int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, failures - withoutBackoff);
+        Duration backoff = MIN_BACKOFF.multipliedBy(1L << doublings);
+        return Optional.of(now.plus(backoff.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : backoff));
     }
 }
--- a/src/main/java/org/dunespindle/job/PlacementPacing.java
+++ b/src/main/java/org/dunespindle/job/PlacementPacing.java
@@ -13,80 +13,96 @@
 import org.dunespindle.time.Durations;
 
 /**
- * Which arrays are not placed here just now, because another controller looks after them or because more of their tasks are awaited.
- * Two controllers that write one record at once only make one of them fail. When a record stays as it is with tasks to place, its home
- * has no room, and any other helps. Under load, a job's placements are gathered, the longer the more changes wait to be written.
+ * Defers the placement of arrays and services on this controller, either because another controller is responsible for them or because
+ * more of their tasks are expected soon.
+ *
+ * <p>Each job has a home controller, which places it first: when two controllers write one record concurrently, one of the transactions
+ * conflicts. A record that stays unchanged with tasks to place shows that its home has no capacity, and then any controller helps. Under load,
+ * the placements of a job are batched, the longer the more transactions wait in the commit queue.
  */
 public final class PlacementPacing {
-    /** What a job's home gets before others help. */
-    private static final Duration HOME_FIRST = Duration.ofMillis(900);
+    /** How long only a job's home controller places it. */
+    private static final Duration HOME_ONLY_INTERVAL = Duration.ofMillis(900);
 
     /** The same for a service, whose users notice every moment that a replica is missing. */
-    private static final Duration HOME_FIRST_SERVICE = Duration.ofMillis(400);
+    private static final Duration HOME_ONLY_INTERVAL_FOR_SERVICES = Duration.ofMillis(400);
 
-    private static final Duration GATHER_PER_WAITING = Duration.ofMillis(30);
-    private static final Duration GATHER_AT_MOST = Duration.ofSeconds(3);
+    private static final Duration BATCH_INTERVAL_PER_QUEUED_TRANSACTION = Duration.ofMillis(30);
+    private static final Duration MAX_BATCH_INTERVAL = Duration.ofSeconds(3);
     /**
-     * With so many tasks of an array under way, those that end are replaced together: each booking takes a place of its own in the
-     * job's record, and a record of small bookings holds a fraction of the tasks.
+     * With so many allocated tasks, those of an array that end are replaced in batches: each placement takes an entry of its own in the
+     * job's record, and a record of small entries holds a fraction of the tasks.
      */
-    private static final int MANY_UNDER_WAY = 200;
+    private static final int MIN_ALLOCATIONS_OF_LARGE_ARRAY = 200;
 
-    private static final Duration GATHER_MANY = Duration.ofMillis(900);
+    private static final Duration MIN_BATCH_INTERVAL_OF_LARGE_ARRAY = Duration.ofMillis(900);
     private final ControllerContext context;
     private final CommitQueue commitQueue;
-    private final Map<String, Unchanged> unchanged = new HashMap<>();
+    private final Map<String, ObservedRevision> observed = new HashMap<>();
 
-    /** A job's record as it has been for a while, as seen here. */
-    private record Unchanged(long stamp, Duration since) {}
+    /** The revision of a job's record, and since when this controller has seen it unchanged. */
+    private record ObservedRevision(long modRevision, Duration since) {}
 
+    /** Creates the pacing of one controller's placements. */
     public PlacementPacing(ControllerContext context, CommitQueue commitQueue) {
         this.context = context;
         this.commitQueue = commitQueue;
     }
 
-    /** The arrays, of those given, that are left alone now. */
+    /** The ids of those jobs, arrays and services, whose placement is deferred now. */
     public Set<String> leftAlone(List<JobRecord> jobs) {
-        var alone = new HashSet<String>();
-        var seen = new HashSet<String>();
-        Duration gather = gatherTime();
+        var deferred = new HashSet<String>();
+        var unplaced = new HashSet<String>();
+        Duration batchInterval = batchInterval();
         for (JobRecord job : jobs) {
             if (job.isOpen() && !job.submission().isGang() && job.unplacedCount() > 0) {
-                seen.add(job.id());
-                if (unchangedFor(job).compareTo(wait(job, gather)) < 0) {
-                    alone.add(job.id());
+                unplaced.add(job.id());
+                if (unchangedFor(job).compareTo(requiredUnchanged(job, batchInterval)) < 0) {
+                    deferred.add(job.id());
                 }
             }
         }
-        unchanged.keySet().retainAll(seen);
-        return alone;
+        observed.keySet().retainAll(unplaced);
+        return deferred;
     }
 
-    private Duration gatherTime() {
-        Duration gather = Durations.times(GATHER_PER_WAITING, commitQueue.waiting());
-        return gather.compareTo(GATHER_AT_MOST) > 0 ? GATHER_AT_MOST : gather;
+    private Duration batchInterval() {
+        Duration interval = Durations.times(BATCH_INTERVAL_PER_QUEUED_TRANSACTION, commitQueue.waiting());
+        return interval.compareTo(MAX_BATCH_INTERVAL) > 0 ? MAX_BATCH_INTERVAL : interval;
     }
 
     private Duration unchangedFor(JobRecord job) {
         Duration now = context.timeSource().now();
-        long stamp = context.replica().modRevision(Keys.job(job.id()));
-        Unchanged known = unchanged.get(job.id());
-        if (known == null || known.stamp != stamp) {
-            known = new Unchanged(stamp, now);
-            unchanged.put(job.id(), known);
+        long modRevision = context.replica().modRevision(Keys.job(job.id()));
+        ObservedRevision known = observed.get(job.id());
+        if (known == null || known.modRevision != modRevision) {
+            known = new ObservedRevision(modRevision, now);
+            observed.put(job.id(), known);
         }
         return now.minus(known.since);
     }
 
-    /** How long a job's record must have stayed as it is before it is placed here. */
-    private Duration wait(JobRecord job, Duration gather) {
-        boolean many = job.allocations().size() >= MANY_UNDER_WAY && gather.compareTo(GATHER_MANY) < 0;
-        boolean service = job.submission().isService();
-        Duration patience = service ? Duration.ZERO : many ? GATHER_MANY : gather;
-        String here = context.settings().nodeName();
-        if (context.membership().homeOf(job.id()).filter(here::equals).isEmpty()) {
-            return (service ? HOME_FIRST_SERVICE : HOME_FIRST).plus(patience);
+    /** How long a job's record must have stayed unchanged before this controller places the job. */
+    private Duration requiredUnchanged(JobRecord job, Duration batchInterval) {
+        Duration batching = batchIntervalOf(job, batchInterval);
+        if (!isHome(job)) {
+            Duration homeOnly = job.submission().isService() ? HOME_ONLY_INTERVAL_FOR_SERVICES : HOME_ONLY_INTERVAL;
+            return homeOnly.plus(batching);
         }
-        return job.allocations().isEmpty() ? Duration.ZERO : patience;
+        return job.allocations().isEmpty() ? Duration.ZERO : batching;
+    }
+
+    private static Duration batchIntervalOf(JobRecord job, Duration batchInterval) {
+        if (job.submission().isService()) {
+            return Duration.ZERO;
+        }
+        boolean large = job.allocations().size() >= MIN_ALLOCATIONS_OF_LARGE_ARRAY;
+        boolean raised = large && batchInterval.compareTo(MIN_BATCH_INTERVAL_OF_LARGE_ARRAY) < 0;
+        return raised ? MIN_BATCH_INTERVAL_OF_LARGE_ARRAY : batchInterval;
+    }
+
+    private boolean isHome(JobRecord job) {
+        String node = context.settings().nodeName();
+        return context.membership().homeOf(job.id()).filter(node::equals).isPresent();
     }
 }
--- a/src/main/java/org/dunespindle/job/PlacementWriter.java
+++ b/src/main/java/org/dunespindle/job/PlacementWriter.java
@@ -8,18 +8,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.EventRecorder;
 import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
 import org.dunespindle.control.TaskTermination;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
+import org.dunespindle.protocol.Submission;
 import org.dunespindle.scheduling.Binding;
-import org.dunespindle.scheduling.Eviction;
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.scheduling.ProjectedJob;
 import org.dunespindle.scheduling.ProjectedJobs;
@@ -33,22 +33,19 @@
 import org.dunespindle.storage.TransactionResult;
 import org.dunespindle.time.TimeSource;
 import org.dunespindle.worker.PendingPreemptions;
-import org.dunespindle.worker.WorkerClient;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out this controller's part of a plan: books tasks on its machines, and stops those that give way. */
+/** Carries out this controller's part of a plan: allocates tasks to the machines that it owns. */
 public final class PlacementWriter {
     private static final Logger LOG = LoggerFactory.getLogger(PlacementWriter.class);
-    /** Stopping tasks splits groups of allocations, so a record is not filled to the brim by placing. */
-    private static final double FILLED_BY_PLACING = 0.7;
-    /** A run of tasks on a machine is short in the record, and at its longest when every other one has left and is to start again. */
-    private static final int BROKEN_UP_PER_TASK = 6;
+    /** Preconditions of a transaction that are needed for other records than the machines': job, team and leader. */
+    private static final int OTHER_PRECONDITIONS = 3;
+    /** With so many transactions queued no more placements are proposed: later ones then hold more tasks each. */
+    private static final int MAX_QUEUED_TRANSACTIONS = 8;
+    /** The same for gangs. */
+    private static final int MAX_QUEUED_TRANSACTIONS_FOR_GANGS = 24;
 
-    private static final double FILLED_WHEN_BROKEN_UP = 0.9;
-    private static final int OTHER_GUARDS = 3;
-    private static final int MOST_WAITING = 8;
-    private static final int MOST_WAITING_GANGS = 24;
     private final Settings settings;
     private final StateReplica replica;
     private final Membership membership;
@@ -56,44 +53,42 @@
     private final MachineRecordWriter machineWriter;
     private final TerminationWriter terminationWriter;
     private final TimeSource timeSource;
-    private final EventRecorder eventRecorder;
-    private final Predicate<MachineRecord> takesTasks;
+    private final Predicate<MachineRecord> acceptsTasks;
     private final PendingPreemptions pendingPreemptions;
-    private final WorkerClient workerClient;
     private final JobRecordWriter jobWriter;
+    private final RecordSizeLimit recordSizeLimit;
     private final TeamQuotas teamQuotas;
-    /** Records proposed but not stored yet: their room is taken, or another job would be booked on it too. */
+    /** By job: records proposed but not stored yet. Their capacity is taken, or other jobs would be placed on it too. */
     private final Map<String, JobRecord> proposedRecords = new HashMap<>();
 
+    /** Creates the writer of one controller; tasks go only to machines that the predicate accepts. */
     public PlacementWriter(
             ControllerContext context,
             CommitQueue commitQueue,
             MachineRecordWriter machineWriter,
             TerminationWriter terminationWriter,
             PendingPreemptions pendingPreemptions,
-            WorkerClient workerClient,
-            Predicate<MachineRecord> takesTasks) {
+            Predicate<MachineRecord> acceptsTasks) {
         this.settings = context.settings();
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
+        this.recordSizeLimit = new RecordSizeLimit(jobWriter);
         this.membership = context.membership();
         this.timeSource = context.timeSource();
-        this.eventRecorder = context.eventRecorder();
         this.commitQueue = commitQueue;
         this.machineWriter = machineWriter;
         this.terminationWriter = terminationWriter;
         this.pendingPreemptions = pendingPreemptions;
-        this.workerClient = workerClient;
         this.teamQuotas = new TeamQuotas(context, commitQueue);
-        this.takesTasks = takesTasks;
+        this.acceptsTasks = acceptsTasks;
     }
 
-    /** This controller's account with each team's limit. */
+    /** This controller's account with each team's quota. */
     public TeamQuotas teamAccounts() {
         return teamQuotas;
     }
 
-    /** The living jobs as stored, and as they will be if what is proposed here is stored. */
+    /** The active jobs as stored, and as they will be if what this controller has proposed is stored. */
     public ProjectedJobs projection() {
         var jobs = new ArrayList<ProjectedJob>();
         replica.activeJobs().forEach(stored -> jobs.add(projected(stored)));
@@ -104,163 +99,137 @@
         return new ProjectedJob(stored, pendingPreemptions.marked(proposedRecords.getOrDefault(stored.id(), stored)));
     }
 
-    /** One transaction per booking, guarded by the job, its machines and its team's ledger. */
-    public void place(Plan plan) {
-        TeamUsage usage = null;
+    /**
+     * Proposes the plan's bindings, one transaction each, with the job, its machines and its team's reservation as preconditions.
+     *
+     * @param projection the jobs as the plan saw them
+     */
+    public void place(Plan plan, ProjectedJobs projection) {
+        if (plan.bindings().isEmpty()) {
+            return;
+        }
+        // Counts what is stored beside what is proposed: other controllers may have stored more of a job, and a new
+        // reservation of its
+        // team, since its placement was proposed here, so a proposed record must not stand in for the stored one.
+        TeamUsage usage = projection.use();
         for (Binding binding : plan.bindings()) {
-            // What would only queue is decided anew later, for more tasks at once: so batches widen with the load.
-            if (commitQueue.waiting() >= (binding.job().submission().isGang() ? MOST_WAITING_GANGS : MOST_WAITING)) {
+            Submission submission = binding.job().submission();
+            // What would only be queued is planned again later, for more tasks at once: so batches grow with the load.
+            if (commitQueue.waiting() >= maxQueuedTransactions(submission)) {
                 return;
             }
-            if (commitQueue.isLocked(Keys.job(binding.job().id()))
-                    || commitQueue.isLocked(Keys.team(binding.job().submission().team()))) {
+            if (isLocked(binding.job())) {
                 continue;
             }
-            Map<Integer, String> places = ownPart(binding);
+            Map<Integer, String> places = ownPlaces(binding);
             if (!places.isEmpty()) {
-                // Others may have stored more of a job, and a new record of its team, since its placement was proposed
-                // here:
-                // where the limit is at stake a proposed record must not stand in for the stored one.
-                usage = usage == null ? projection().use() : usage;
                 place(binding.job(), places, usage);
             }
         }
     }
 
-    /** The places on machines commanded here, as many as one transaction's guards allow: the others follow in the next. */
-    private Map<Integer, String> ownPart(Binding binding) {
-        int room = Transaction.maxPreconditions(settings.state().lowest().txnOps()) / 2 - OTHER_GUARDS;
-        boolean may = !binding.job().submission().isGang() || membership.leads();
-        var pages = new HashSet<String>();
+    private static int maxQueuedTransactions(Submission submission) {
+        return submission.isGang() ? MAX_QUEUED_TRANSACTIONS_FOR_GANGS : MAX_QUEUED_TRANSACTIONS;
+    }
+
+    private boolean isLocked(JobRecord job) {
+        return commitQueue.isLocked(Keys.job(job.id()))
+                || commitQueue.isLocked(Keys.team(job.submission().team()));
+    }
+
+    /** The places on machines that this controller commands, as many as one transaction's preconditions allow. */
+    private Map<Integer, String> ownPlaces(Binding binding) {
         var places = new LinkedHashMap<Integer, String>();
-        binding.places().forEach((task, host) -> {
-            MachineRecord machine = replica.machines().get(host);
-            if (may
-                    && machine != null
-                    && membership.owns(machine)
-                    && !machineWriter.busy(host)
-                    && takesTasks.test(machine)
-                    && (pages.contains(Keys.machinePage(host)) || pages.size() < room)) {
-                pages.add(Keys.machinePage(host));
-                places.put(task, host);
+        if (binding.job().submission().isGang() && !membership.leads()) {
+            return places;
+        }
+        int maxPreconditions =
+                Transaction.maxPreconditions(settings.state().lowest().txnOps());
+        int maxMachinePages = maxPreconditions / 2 - OTHER_PRECONDITIONS;
+        var machinePages = new HashSet<String>();
+        binding.places().forEach((task, machineId) -> {
+            String machinePage = Keys.machinePage(machineId);
+            if (isCommanded(machineId)
+                    && (machinePages.contains(machinePage) || machinePages.size() < maxMachinePages)) {
+                machinePages.add(machinePage);
+                places.put(task, machineId);
             }
         });
         return places;
     }
 
-    private void place(JobRecord job, Map<Integer, String> wanted, TeamUsage usage) {
+    private boolean isCommanded(String machineId) {
+        MachineRecord machine = replica.machines().get(machineId);
+        return machine != null
+                && membership.owns(machine)
+                && !machineWriter.busy(machineId)
+                && acceptsTasks.test(machine);
+    }
+
+    private void place(JobRecord job, Map<Integer, String> planned, TeamUsage usage) {
         var transaction = new Transaction();
-        List<TaskTermination> told = new ArrayList<>();
-        JobRecord folded = terminationWriter.fold(job, transaction, told);
-        Map<Integer, String> places = asManyAsFit(folded, wanted);
+        List<TaskTermination> applied = new ArrayList<>();
+        JobRecord withoutTerminated = terminationWriter.applyPending(job, transaction, applied);
+        Map<Integer, String> places = recordSizeLimit.limit(withoutTerminated, planned);
         if (places.isEmpty()) {
             return; // some of its tasks must end first
         }
-        Resources need = job.submission().perTask().times(places.size());
-        Optional<TeamQuotas.Admission> admission = teamQuotas.requestAdmission(transaction, job, usage, need);
+        Resources request = job.submission().perTask().times(places.size());
+        Optional<TeamQuotas.Admission> admission = teamQuotas.requestAdmission(transaction, job, usage, request);
         if (admission.isEmpty()) {
             return;
         }
-        JobRecord placed = addPlacement(transaction, job, folded, places);
+        JobRecord placed = withPlacement(withoutTerminated, places);
+        writePlacement(transaction, placed, places);
         if (!transaction.fits(settings.state().lowest().txnOps())) {
             return;
         }
         usage.add(job.submission(), places.size());
         admission.get().onProposed();
-        tell(job, places.size());
-        propose(transaction, job.id(), placed, result -> {
+        logPlacement(job, places.size());
+        propose(transaction, placed, result -> {
             admission.get().onResult(result);
             if (result instanceof TransactionResult.Applied) {
-                told.forEach(event -> terminationWriter.tell(job, event));
+                applied.forEach(termination -> terminationWriter.recordTermination(job, termination));
             }
         });
     }
 
-    private JobRecord addPlacement(
-            Transaction transaction, JobRecord job, JobRecord folded, Map<Integer, String> places) {
-        JobRecord placed = folded.withPlaced(places);
-        if (job.submission().isGang() && job.submission().tasks() == 1) {
-            placed = placed.withGangRunning(); // its placeholder would be the whole gang and start, so it runs directly
-        }
+    private static JobRecord withPlacement(JobRecord job, Map<Integer, String> places) {
+        JobRecord placed = job.withPlaced(places);
+        Submission submission = job.submission();
+        // The placeholder of a gang of one would be the whole gang and start, so its task runs directly.
+        return submission.isGang() && submission.tasks() == 1 ? placed.withGangRunning() : placed;
+    }
+
+    private void writePlacement(Transaction transaction, JobRecord placed, Map<Integer, String> places) {
         jobWriter.write(transaction, placed);
-        places.values()
-                .forEach(host -> transaction.requireRevision(
-                        Keys.machinePage(host), replica.modRevision(Keys.machinePage(host))));
-        if (job.submission().isGang()) {
-            transaction.requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
+        places.values().forEach(machineId -> requireCurrent(transaction, Keys.machinePage(machineId)));
+        if (placed.submission().isGang()) {
+            requireCurrent(transaction, Keys.LEADER);
         }
-        return placed;
     }
 
-    private void tell(JobRecord job, int tasks) {
+    private void requireCurrent(Transaction transaction, String key) {
+        transaction.requireRevision(key, replica.modRevision(key));
+    }
+
+    private void logPlacement(JobRecord job, int tasks) {
         if (LOG.isDebugEnabled()) {
-            long age = Duration.between(job.arrived(), timeSource.wallTime()).toMillis();
             LOG.debug(
-                    "{} ({}): {} placed {} ms after it came",
+                    "tasks placed job={} class={} tasks={} sinceArrivalMs={}",
                     job.id(),
                     job.submission().jobClass(),
                     tasks,
-                    age);
+                    Duration.between(job.arrived(), timeSource.wallTime()).toMillis());
         }
     }
 
-    /** Of some places as many as the job's record takes, now and while its tasks end one by one. */
-    private Map<Integer, String> asManyAsFit(JobRecord job, Map<Integer, String> places) {
-        Map<Integer, String> some = places;
-        while (!some.isEmpty()) {
-            JobRecord placed = job.withPlaced(some);
-            if (fits(jobWriter.size(placed), placed.allocations().size(), jobWriter.capacity())) {
-                return some;
-            }
-            var half = new LinkedHashMap<Integer, String>();
-            some.entrySet().stream().limit(some.size() / 2).forEach(e -> half.put(e.getKey(), e.getValue()));
-            some = half;
-        }
-        return some;
-    }
-
-    /** Whether a record of some size stays within its limit whatever becomes of its tasks: one that grows beyond it could never be written again. */
-    static boolean fits(int size, int allocations, int capacity) {
-        return size <= capacity * FILLED_BY_PLACING
-                && size + BROKEN_UP_PER_TASK * allocations <= capacity * FILLED_WHEN_BROKEN_UP;
-    }
-
-    private void propose(
-            Transaction transaction, String id, JobRecord job, java.util.function.Consumer<TransactionResult> then) {
-        proposedRecords.put(id, job);
+    private void propose(Transaction transaction, JobRecord placed, Consumer<TransactionResult> onResult) {
+        proposedRecords.put(placed.id(), placed);
         commitQueue.propose(CommitPriority.PLACEMENT, transaction, result -> {
-            proposedRecords.remove(id);
-            then.accept(result);
+            proposedRecords.remove(placed.id());
+            onResult.accept(result);
         });
     }
-
-    /** Stops replicas that are to run elsewhere, where room was found for them. */
-    public void move(Plan plan) {
-        plan.moves().forEach(eviction -> stop(eviction, "moves to another machine"));
-    }
-
-    /** Stops the tasks that give way, once their machine is borrowed: its owner would fill the room with other work at once. */
-    public void evict(Plan plan) {
-        plan.evictions().forEach(eviction -> stop(eviction, "gives way to " + eviction.forJob()));
-    }
-
-    /** Has a task end that runs on a machine commanded here, unless it was told already. */
-    private void stop(Eviction eviction, String why) {
-        String host = eviction.allocation().machineId();
-        MachineRecord machine = replica.machines().get(host);
-        if (machine == null
-                || !membership.owns(machine)
-                || eviction.allocation().stopping()) {
-            return;
-        }
-        pendingPreemptions.add(PendingPreemptions.of(eviction.victim(), eviction.allocation()), host);
-        workerClient.scheduleReconciliation(host);
-        eventRecorder.record(
-                LOG,
-                "task {}/{} on {} {}",
-                eviction.victim().id(),
-                eviction.allocation().task(),
-                host,
-                why);
-    }
 }
--- a/src/main/java/org/dunespindle/job/TerminationWriter.java
+++ b/src/main/java/org/dunespindle/job/TerminationWriter.java
@@ -12,15 +12,12 @@
 import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.control.EventRecorder;
-import org.dunespindle.control.Membership;
 import org.dunespindle.control.TaskTermination;
 import org.dunespindle.control.TerminationCause;
 import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.machine.CrashLoopDetector;
-import org.dunespindle.protocol.Settings;
 import org.dunespindle.scheduling.TaskAttempt;
-import org.dunespindle.scheduling.TeamUsage;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
@@ -34,23 +31,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores what became of allocations, guarded by the ownership under which it was seen. Tasks of a job that ended well are
- * gathered for a moment, since each write of a record costs the same however many of them it tells; what
- * ends a job, or sends tasks back to the queue, is stored at once.
+ * Stores task terminations in their jobs' records, in batches. Each write has the machines' ownership as a precondition, as it was when the
+ * terminations were reported.
  */
 public final class TerminationWriter {
     private static final Logger LOG = LoggerFactory.getLogger(TerminationWriter.class);
-    /** While more of the job is under way here: what has ended is stored with its next placement, at the latest after this. */
-    private static final Duration GATHER = Duration.ofSeconds(15);
-    /** Once nothing more of the job is under way here: others may hold its last task. */
-    private static final Duration GATHER_LAST = Duration.ofMillis(400);
-    /** While the team is close to its limit, which counts tasks until their end is stored. */
-    private static final Duration GATHER_TIGHT = Duration.ofMillis(1500);
+    /** With more transactions queued than this, terminations wait for the job's next placement instead of locking its record. */
+    private static final int MAX_QUEUED_TRANSACTIONS = 6;
+    /** Preconditions of a transaction that are needed for other records than the machines'. */
+    private static final int OTHER_PRECONDITIONS = 6;
 
-    private static final Duration LOOK_AT_TEAMS_EVERY = Duration.ofSeconds(1);
-    private static final int MOST_WAITING = 6;
-    private static final double TIGHT = 0.75;
-    private static final int OTHER_GUARDS = 6;
+    private static final String UNKNOWN_MACHINE = "?";
     private final StateReplica replica;
     private final CommitQueue commitQueue;
     private final WorkerClient workerClient;
@@ -58,24 +49,18 @@
     private final TimeSource timeSource;
     private final EventRecorder eventRecorder;
     private final CrashLoopDetector crashLoopDetector;
-    private final Membership membership;
-    private final Settings settings;
     private final JobRecordWriter jobWriter;
-    private final int mostHosts;
-    private final Set<String> tightTeams = new HashSet<>();
-    private Duration lookAgainAt = Duration.ZERO;
-    private Map<String, List<Seen>> byJob = Map.of();
-
-    private record Seen(TaskTermination event, Duration since) {}
+    private final TerminationBatching batching;
+    private final int maxMachinesPerTransaction;
+    private Map<String, List<PendingTermination>> pendingByJob = Map.of();
 
+    /** Creates the writer of one controller. */
     public TerminationWriter(
             ControllerContext context,
             CommitQueue commitQueue,
             WorkerClient workerClient,
             CrashLoopDetector crashLoopDetector) {
-        this.settings = context.settings();
         this.jobWriter = context.jobWriter();
-        this.membership = context.membership();
         this.replica = context.replica();
         this.workers = context.workers();
         this.timeSource = context.timeSource();
@@ -83,146 +68,135 @@
         this.crashLoopDetector = crashLoopDetector;
         this.commitQueue = commitQueue;
         this.workerClient = workerClient;
-        this.mostHosts = Math.max(
-                1, Transaction.maxPreconditions(settings.state().lowest().txnOps()) / 2 - OTHER_GUARDS);
+        this.batching = new TerminationBatching(context);
+        int maxPreconditions =
+                Transaction.maxPreconditions(context.settings().state().lowest().txnOps());
+        this.maxMachinesPerTransaction = Math.max(1, maxPreconditions / 2 - OTHER_PRECONDITIONS);
     }
 
-    /** Claims whose end is reported but not stored: their room is free already. */
+    /** Task attempts whose termination is reported but not stored: the capacity that they took is free already. */
     public Set<TaskAttempt> ended() {
-        var set = new HashSet<TaskAttempt>();
-        for (String host : workerClient.machinesWithTerminations()) {
-            // A placeholder that waited in vain is booked again where it was, so its room is not free.
-            workers.getOrCreate(host).terminations.stream()
-                    .filter(termination -> termination.cause() != TerminationCause.ASSEMBLY_TIMEOUT)
-                    .forEach(termination ->
-                            set.add(new TaskAttempt(termination.job(), termination.task(), termination.attemptBase())));
+        var attempts = new HashSet<TaskAttempt>();
+        for (String machineId : workerClient.machinesWithTerminations()) {
+            for (TaskTermination termination : workers.getOrCreate(machineId).terminations) {
+                // A placeholder that timed out is placed again where it was, so its capacity is not free.
+                if (termination.cause() != TerminationCause.ASSEMBLY_TIMEOUT) {
+                    attempts.add(new TaskAttempt(termination.job(), termination.task(), termination.attemptBase()));
+                }
+            }
         }
-        return set;
+        return attempts;
     }
 
-    /** Proposes what is due, along with allocations on machines that are proven gone. */
-    public void store(List<TaskTermination> gone) {
-        lookAtTeams();
-        byJob = new LinkedHashMap<>();
-        for (String host : workerClient.machinesWithTerminations()) {
-            WorkerState worker = workers.getOrCreate(host);
-            worker.terminations.forEach(termination -> byJob.computeIfAbsent(termination.job(), k -> new ArrayList<>())
-                    .add(new Seen(termination, worker.terminationsSince)));
-        }
-        gone.forEach(termination -> byJob.computeIfAbsent(termination.job(), k -> new ArrayList<>())
-                .add(new Seen(termination, Duration.ZERO)));
-        byJob.forEach((id, seen) -> replica.job(id)
-                .filter(job -> !commitQueue.isLocked(Keys.job(id)) && due(job, seen))
+    /** Proposes all terminations that are due, those reported by workers and those of tasks on machines that are gone. */
+    public void store(List<TaskTermination> onGoneMachines) {
+        batching.checkQuotas();
+        pendingByJob = pendingByJob(onGoneMachines);
+        pendingByJob.forEach((id, pending) -> replica.job(id)
+                .filter(job -> !commitQueue.isLocked(Keys.job(id)) && batching.isDue(job, pending))
                 .ifPresent(this::store));
     }
 
-    private void lookAtTeams() {
-        if (timeSource.now().compareTo(lookAgainAt) < 0) {
-            return;
+    private Map<String, List<PendingTermination>> pendingByJob(List<TaskTermination> onGoneMachines) {
+        var byJob = new LinkedHashMap<String, List<PendingTermination>>();
+        for (String machineId : workerClient.machinesWithTerminations()) {
+            WorkerState worker = workers.getOrCreate(machineId);
+            worker.terminations.forEach(termination -> addPending(byJob, termination, worker.terminationsSince));
         }
-        lookAgainAt = timeSource.now().plus(LOOK_AT_TEAMS_EVERY);
-        tightTeams.clear();
-        TeamUsage.stored(replica).forEach((name, use) -> {
-            Settings.Team team = settings.teams().get(name);
-            if (team != null && (use.gpus() > TIGHT * team.gpusMax() || use.cpus() > TIGHT * team.cpusMax())) {
-                tightTeams.add(name);
-            }
-        });
+        onGoneMachines.forEach(termination -> addPending(byJob, termination, Duration.ZERO));
+        return byJob;
     }
 
-    private boolean due(JobRecord job, List<Seen> seen) {
-        if (job.spec().isEmpty()
-                || !job.isOpen()
-                || job.submission().runsAsWhole()
-                || seen.stream()
-                        .anyMatch(s -> s.event.cause() != TerminationCause.DONE
-                                && timeSource.now().minus(s.since).compareTo(GATHER_LAST) >= 0)) {
-            return true;
-        }
-        boolean last = false;
-        if (job.unplacedCount() == 0) {
-            if (job.allocations().size() <= seen.size()) {
-                return true;
-            }
-            long here = job.allocations().stream()
-                    .filter(allocation -> Optional.ofNullable(replica.machines().get(allocation.machineId()))
-                            .filter(membership::owns)
-                            .isPresent())
-                    .count();
-            last = here <= seen.size();
-        }
-        Duration patience =
-                last ? GATHER_LAST : tightTeams.contains(job.submission().team()) ? GATHER_TIGHT : GATHER;
-        return seen.stream().anyMatch(s -> timeSource.now().minus(s.since).compareTo(patience) >= 0);
+    private static void addPending(
+            Map<String, List<PendingTermination>> byJob, TaskTermination termination, Duration since) {
+        byJob.computeIfAbsent(termination.job(), job -> new ArrayList<>())
+                .add(new PendingTermination(termination, since));
     }
 
-    private void store(JobRecord j) {
+    private void store(JobRecord job) {
         var transaction = new Transaction();
-        var terminations = new ArrayList<TaskTermination>();
-        JobRecord after = fold(j, transaction, terminations);
-        if (after == j) {
+        var applied = new ArrayList<TaskTermination>();
+        JobRecord after = applyPending(job, transaction, applied);
+        if (after == job) {
             return;
         }
-        boolean hurry = !after.isOpen() || after.submission().runsAsWhole();
-        if (!hurry && commitQueue.waiting() >= MOST_WAITING) {
-            return; // it would lock the record for long; the job's next placement takes it along
+        boolean urgent = !after.isOpen() || after.submission().runsAsWhole();
+        if (!urgent && commitQueue.waiting() >= MAX_QUEUED_TRANSACTIONS) {
+            return; // it would lock the record for long; the job's next placement stores the terminations too
         }
         commitQueue.propose(
-                hurry ? CommitPriority.PLACEMENT : CommitPriority.MAINTENANCE,
+                urgent ? CommitPriority.PLACEMENT : CommitPriority.MAINTENANCE,
                 jobWriter.write(transaction, after),
                 result -> {
                     if (result instanceof TransactionResult.Applied) {
-                        terminations.forEach(termination -> tell(j, termination));
+                        applied.forEach(termination -> recordTermination(job, termination));
                     }
                 });
     }
 
     /**
-     * Takes what is known of a job's tasks into its record, which is written anyway. As many outcomes as half of a
-     * transaction's guards allow; the others follow once it is stored.
+     * Applies a job's pending terminations to its record, which the caller is about to write, and adds the preconditions to the transaction.
+     * Only as many are applied as half of a transaction's preconditions allow; the others follow once these are stored.
+     *
+     * @param applied receives the terminations that were applied
      */
-    JobRecord fold(JobRecord job, Transaction transaction, List<TaskTermination> taken) {
-        var pages = new HashSet<String>();
-        for (Seen s : byJob.getOrDefault(job.id(), List.of())) {
-            Optional<Allocation> allocation =
-                    job.allocation(s.event.task()).filter(c -> c.attemptBase() == s.event.attemptBase());
+    JobRecord applyPending(JobRecord job, Transaction transaction, List<TaskTermination> applied) {
+        var machinePages = new HashSet<String>();
+        for (PendingTermination pending : pendingByJob.getOrDefault(job.id(), List.of())) {
+            TaskTermination termination = pending.termination();
+            Optional<Allocation> allocation = job.allocation(termination.task())
+                    .filter(allocated -> allocated.attemptBase() == termination.attemptBase());
             if (allocation.isEmpty()) {
-                continue; // booked again since
+                continue; // placed again since
             }
-            String page = Keys.machinePage(allocation.get().machineId());
-            if (pages.contains(page) || pages.size() < mostHosts) {
-                pages.add(page);
-                transaction.requireRevision(page, replica.modRevision(page));
-                taken.add(s.event);
+            String machinePage = Keys.machinePage(allocation.get().machineId());
+            if (machinePages.contains(machinePage) || machinePages.size() < maxMachinesPerTransaction) {
+                machinePages.add(machinePage);
+                transaction.requireRevision(machinePage, replica.modRevision(machinePage));
+                applied.add(termination);
             }
         }
-        return JobTransitions.apply(job, taken, timeSource.wallTime());
+        return JobTransitions.apply(job, applied, timeSource.wallTime());
     }
 
-    void tell(JobRecord job, TaskTermination termination) {
-        String host =
-                job.allocation(termination.task()).map(Allocation::machineId).orElse("?");
+    /**
+     * Records a stored termination as an event, and for the detection of crash loops.
+     *
+     * @param job the job before the termination was applied
+     */
+    void recordTermination(JobRecord job, TaskTermination termination) {
+        String machineId =
+                job.allocation(termination.task()).map(Allocation::machineId).orElse(UNKNOWN_MACHINE);
         if (termination.cause() == TerminationCause.ERROR) {
+            recordFailure(job, termination, machineId);
+        } else if (termination.cause() == TerminationCause.DONE) {
+            crashLoopDetector.succeeded(job.id(), machineId);
+        } else if (job.isOpen()) {
             eventRecorder.record(
                     LOG,
-                    "task {}/{} failed on machine {}; it is started again elsewhere or later",
+                    "task {}/{} left machine {}: {}",
                     job.id(),
                     termination.task(),
-                    host);
-            boolean known = crashLoopDetector.isCrashLooping(job.id());
-            crashLoopDetector.failed(job.id(), host);
-            if (!known && crashLoopDetector.isCrashLooping(job.id())) {
-                eventRecorder.record(
-                        LOG,
-                        "job {} fails on every machine: on {} so far; it is taken for faulty and tried ever more seldom until its user cancels it",
-                        job.id(),
-                        crashLoopDetector.machinesOf(job.id()));
-            }
-        } else if (termination.cause() == TerminationCause.DONE) {
-            crashLoopDetector.succeeded(job.id(), host);
-        } else if (job.isOpen()) {
+                    machineId,
+                    termination.detail());
+        }
+    }
+
+    private void recordFailure(JobRecord job, TaskTermination termination, String machineId) {
+        eventRecorder.record(
+                LOG,
+                "task {}/{} failed on machine {}; it is started again elsewhere or later",
+                job.id(),
+                termination.task(),
+                machineId);
+        boolean wasCrashLooping = crashLoopDetector.isCrashLooping(job.id());
+        crashLoopDetector.failed(job.id(), machineId);
+        if (!wasCrashLooping && crashLoopDetector.isCrashLooping(job.id())) {
             eventRecorder.record(
-                    LOG, "task {}/{} left machine {}: {}", job.id(), termination.task(), host, termination.detail());
+                    LOG,
+                    "job {} fails on every machine: on {} so far; it is taken for faulty and tried ever more seldom until its user cancels it",
+                    job.id(),
+                    crashLoopDetector.machinesOf(job.id()));
         }
     }
 }
--- a/src/test/java/org/dunespindle/job/PlacementWriterTest.java
+++ b/src/test/java/org/dunespindle/job/PlacementWriterTest.java
@@ -25,7 +25,7 @@
 
 /** How much of a large array is placed at once. */
 class PlacementWriterTest {
-    private static final int VALUE = 8192;
+    private static final int MAX_VALUE_BYTES = 8192;
 
     private static JobRecord array(int tasks) {
         return JobRecord.accepted(
@@ -51,13 +51,13 @@
                 Instant.EPOCH);
     }
 
-    /** Many or few to a machine, ending, failing and placed again in any order. */
+    /** Many or few tasks on a machine, ending, failing and placed again in any order. */
     @Property(seed = "71", tries = 60)
-    void aRecordNeverOutgrowsItsValue(@ForAll long seed) {
+    void aRecordNeverExceedsTheValueLimit(@ForAll long seed) {
         var random = new Random(seed);
         int perMachine = 1 + random.nextInt(96);
         JobRecord job = array(25_000);
-        int most = 0;
+        int maxAllocated = 0;
         for (int step = 0; step < 60; step++) {
             var places = new LinkedHashMap<Integer, String>();
             int count = 1 + random.nextInt(random.nextBoolean() ? 400 : 3000);
@@ -68,10 +68,10 @@
             JobRecord placed = job.withPlaced(places);
             int placedSize = MessagePackCodec.countedSize(placed.toNode());
             if (!places.isEmpty()
-                    && PlacementWriter.fits(placedSize, placed.allocations().size(), VALUE)) {
+                    && RecordSizeLimit.fits(placedSize, placed.allocations().size(), MAX_VALUE_BYTES)) {
                 job = placed;
             }
-            most = Math.max(most, job.allocations().size());
+            maxAllocated = Math.max(maxAllocated, job.allocations().size());
             int pattern = random.nextInt(3);
             var ended = new TreeMap<Integer, Boolean>();
             for (Allocation allocation : job.allocations()) {
@@ -83,14 +83,16 @@
             }
             job = job.withReleased(ended);
             int size = MessagePackCodec.countedSize(job.toNode());
-            assertTrue(size <= VALUE, size + " bytes with " + job.allocations().size() + " claims");
+            assertTrue(
+                    size <= MAX_VALUE_BYTES,
+                    size + " bytes with " + job.allocations().size() + " allocations");
         }
-        assertTrue(perMachine < 48 || most > 300, "no more than " + most + " under way");
+        assertTrue(perMachine < 48 || maxAllocated > 300, "no more than " + maxAllocated + " allocated");
     }
 
-    /** Ended together or one after the other, the record is the same. */
+    /** The record is the same whether terminations are applied in a batch or one after the other. */
     @Property(seed = "72", tries = 100)
-    void outcomesTogetherAreOutcomesOneByOne(@ForAll long seed) {
+    void terminationsAppliedTogetherEqualThoseAppliedOneByOne(@ForAll long seed) {
         var random = new Random(seed);
         var places = new LinkedHashMap<Integer, String>();
         for (int i = 0; i < 1 + random.nextInt(40); i++) {
