--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -21,7 +21,9 @@
 import org.dunespindle.control.PauseDetector;
 import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.job.GangLifecycle;
+import org.dunespindle.job.NoticedMachineDrainer;
 import org.dunespindle.job.PlacementPacing;
+import org.dunespindle.job.TaskPreemptor;
 import org.dunespindle.job.PlacementWriter;
 import org.dunespindle.job.TerminationWriter;
 import org.dunespindle.machine.CloudClient;
@@ -100,7 +102,9 @@
     // Jobs.
     final TerminationWriter terminationWriter;
     final PlacementWriter placementWriter;
+    final TaskPreemptor taskPreemptor;
     final GangLifecycle gangLifecycle;
+    final NoticedMachineDrainer noticedMachineDrainer;
     final SnapshotBuilder snapshotBuilder;
 
     // Interfaces and the main loop.
@@ -202,9 +206,10 @@
                 machineWriter,
                 terminationWriter,
                 pendingPreemptions,
-                workerClient,
                 statusReporter::takesTasks);
+        taskPreemptor = new TaskPreemptor(context, pendingPreemptions, workerClient);
         gangLifecycle = new GangLifecycle(context, commitQueue, workerClient, options);
+        noticedMachineDrainer = new NoticedMachineDrainer(context, commitQueue, workerClient);
         snapshotBuilder = new SnapshotBuilder(context, snapshotSources(), objectives, options);
 
         decisionLoop = new DecisionLoop(this, terminate);
--- a/src/main/java/org/dunespindle/controller/DecisionLoop.java
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -107,7 +107,7 @@
             parts.oversizeRecordSplitter.tick();
         }
         if (scans) {
-            parts.gangLifecycle.drainNoticed();
+            parts.noticedMachineDrainer.drain();
         }
         if (planIsDue()) {
             makePlan();
@@ -168,9 +168,9 @@
             parts.shardOwnership.borrow(plan);
         }
         parts.jobDelegation.planned(snapshot, plan);
-        parts.placementWriter.evict(plan);
-        parts.placementWriter.move(plan);
-        parts.placementWriter.place(plan);
+        parts.taskPreemptor.preempt(plan);
+        parts.taskPreemptor.moveReplicas(plan);
+        parts.placementWriter.place(plan, snapshot.projection());
         parts.fleetManager.tick(plan);
     }
 
