--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -23,8 +23,8 @@
 import org.dunespindle.job.GangLifecycle;
 import org.dunespindle.job.NoticedMachineDrainer;
 import org.dunespindle.job.PlacementPacing;
-import org.dunespindle.job.TaskPreemptor;
 import org.dunespindle.job.PlacementWriter;
+import org.dunespindle.job.TaskPreemptor;
 import org.dunespindle.job.TerminationWriter;
 import org.dunespindle.machine.CloudClient;
 import org.dunespindle.machine.CloudInventory;
@@ -201,12 +201,7 @@
 
         terminationWriter = new TerminationWriter(context, commitQueue, workerClient, crashLoopDetector);
         placementWriter = new PlacementWriter(
-                context,
-                commitQueue,
-                machineWriter,
-                terminationWriter,
-                pendingPreemptions,
-                statusReporter::takesTasks);
+                context, commitQueue, machineWriter, terminationWriter, pendingPreemptions, statusReporter::takesTasks);
         taskPreemptor = new TaskPreemptor(context, pendingPreemptions, workerClient);
         gangLifecycle = new GangLifecycle(context, commitQueue, workerClient, options);
         noticedMachineDrainer = new NoticedMachineDrainer(context, commitQueue, workerClient);
