--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -57,7 +57,6 @@
 
     /** Begins to read the state store and to take part in the cell. */
     public void start() {
-        parts.roundScheduler.start(parts.decisionLoop);
         parts.replica.start();
         parts.catalog.start();
         parts.jobDelegation.start();
--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -208,6 +208,7 @@
         snapshotBuilder = new SnapshotBuilder(context, snapshotSources(), objectives, options);
 
         decisionLoop = new DecisionLoop(this, terminate);
+        roundScheduler.setRound(decisionLoop);
         waitExplainer = new WaitExplainer(this, decisionLoop::lastPlan);
         loadReporter = new LoadReporter(
                 context,
--- a/src/main/java/org/dunespindle/controller/RoundScheduler.java
+++ b/src/main/java/org/dunespindle/controller/RoundScheduler.java
@@ -41,8 +41,8 @@
         this.pauseDetector = pauseDetector;
     }
 
-    /** Sets the work that each round does; called once, before the first request. */
-    void start(Round newRound) {
+    /** Sets the work that each round does; called once, while the controller is wired together. */
+    void setRound(Round newRound) {
         round = newRound;
     }
 
