--- a/src/main/java/org/dunespindle/Daemon.java
+++ b/src/main/java/org/dunespindle/Daemon.java
@@ -213,8 +213,8 @@
     private void beat(HttpServerRequest call, Consumer<HttpServerResponse> reply) {
         try {
             WorkerHeartbeat heartbeat = WorkerHeartbeat.parse(MessagePackCodec.read(call.body()));
-            controller.heartbeatHandler().onHeartbeat(heartbeat, (status, body) -> {
-                HttpServerResponse whole = packed(status, body, Optional.empty());
+            controller.heartbeatHandler().onHeartbeat(heartbeat, answer -> {
+                HttpServerResponse whole = packed(answer.status(), answer.body(), Optional.empty());
                 reply.accept(connections.scarce() ? whole.andClose() : whole);
             });
         } catch (MalformedMessageException e) {
--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -170,7 +170,7 @@
         this.workerClient = new WorkerClient(
                 context, machineWriter, httpClient, pendingPreemptions, cancellationTracker, this::wake);
         this.heartbeatHandler = new HeartbeatHandler(
-                context, machineWriter, workerClient, cancellationTracker, this::cutOff, this::fellQuiet, this::wake);
+                context, machineWriter, workerClient, cancellationTracker, this::cutOff, this::fellQuiet);
         this.peerHeartbeats = new PeerHeartbeats(
                 settings,
                 httpClient,
--- a/src/main/java/org/dunespindle/worker/CancellationTracker.java
+++ b/src/main/java/org/dunespindle/worker/CancellationTracker.java
@@ -14,81 +14,101 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * What this controller knows of cancellations, and how old that knowledge may be at most.
+ * The cancellations known to this controller, and the staleness of that knowledge.
  *
- * <p>The copy of the store names every cancellation stored before its last reading was asked for. While it cannot be read, the
- * other controllers are asked: each answers with the cancelled jobs that it knows and the asker's copy may lack. A controller
- * tells a user only what its own copy holds, so one that has answered had confirmed nothing else when it was asked; one that
- * started again answers only from a copy that it has read whole, and what its predecessor confirmed had been stored before.
- * So what is known here is as old as the <em>oldest</em> of the last answers of all others, each counted from when it was
- * asked. One that does not answer may have confirmed anything since, so then age grows, whoever else answers.
+ * <p>The replica contains every cancellation stored before its last read was requested. While the state service cannot be read, the
+ * other controllers are asked: each answers with the cancelled jobs that it knows and the asker's replica may lack. A controller
+ * confirms a cancellation to a user only once its own replica has it, so one that has answered had confirmed no other when it was
+ * asked; one that was restarted answers only after its replica is loaded, and what its predecessor confirmed had been stored before.
+ * So the staleness is that of the <em>oldest</em> of the last answers of all others, each counted from the request. A controller
+ * that does not answer may have confirmed cancellations since, so then the staleness grows, whoever else answers.
  */
 public final class CancellationTracker {
     private final StateReplica replica;
     private final TimeSource timeSource;
-    private final List<String> others;
-    /** When each other controller was last asked that has answered. */
-    private final Map<String, Duration> askedAt = new HashMap<>();
-    /** Jobs that others say are cancelled and that the copy here may still show as open. */
-    private final Set<String> told = new HashSet<>();
+    private final List<String> otherControllers;
+    /** When the last request was sent that a controller has answered. */
+    private final Map<String, Duration> answeredRequestAt = new HashMap<>();
+    /** Jobs that other controllers say are cancelled; the replica may still have them as open. */
+    private final Set<String> cancelledElsewhere = new HashSet<>();
 
+    /** Creates a tracker that knows of the cancellations in the replica. */
     public CancellationTracker(Settings settings, StateReplica replica, TimeSource timeSource) {
         this.replica = replica;
         this.timeSource = timeSource;
-        this.others = settings.seeds().stream().map(Settings.Seed::name).toList();
+        this.otherControllers =
+                settings.seeds().stream().map(Settings.Seed::name).toList();
     }
 
     /**
-     * Takes another controller's whole answer.
+     * Records another controller's complete answer.
      *
-     * @param asked when the question was sent: what it confirms later may be missing in the answer
+     * @param requestedAt when the request was sent: later cancellations may be missing in the answer
      * @return the jobs that were not known here to be cancelled
      */
-    public List<String> answered(String node, Duration asked, List<String> cancelled) {
-        askedAt.merge(node, asked, (a, b) -> a.compareTo(b) > 0 ? a : b);
-        var news = new ArrayList<String>();
-        for (String id : cancelled) {
-            // A job that the copy does not have yet has no task that was started from here.
-            if (replica.job(id).filter(j -> !j.isOpen()).isEmpty() && told.add(id)) {
-                news.add(id);
+    public List<String> answered(String controller, Duration requestedAt, List<String> cancelledJobs) {
+        answeredRequestAt.merge(controller, requestedAt, CancellationTracker::longer);
+        var newlyCancelled = new ArrayList<String>();
+        for (String jobId : cancelledJobs) {
+            // No task of a job that the replica lacks was started from here.
+            if (!isClosed(jobId) && cancelledElsewhere.add(jobId)) {
+                newlyCancelled.add(jobId);
             }
         }
-        return news;
+        return newlyCancelled;
     }
 
-    /** A cancellation confirmed longer ago than this is known here. */
+    /** Cancellations that were confirmed to a user longer ago than this are known here. */
     Duration staleness() {
+        Duration replicaStaleness = replica.staleness();
+        return replica.loaded() ? shorter(replicaStaleness, answerStaleness(replicaStaleness)) : replicaStaleness;
+    }
+
+    private Duration answerStaleness(Duration replicaStaleness) {
         Duration now = timeSource.now();
         Duration oldest = Duration.ZERO;
-        for (String node : others) {
-            Duration asked = askedAt.get(node);
-            Duration since = asked == null ? replica.staleness() : now.minus(asked);
-            oldest = since.compareTo(oldest) > 0 ? since : oldest;
+        for (String controller : otherControllers) {
+            Duration requestedAt = answeredRequestAt.get(controller);
+            oldest = longer(oldest, requestedAt == null ? replicaStaleness : now.minus(requestedAt));
         }
-        Duration read = replica.staleness();
-        return !replica.loaded() || read.compareTo(oldest) < 0 ? read : oldest;
+        return oldest;
+    }
+
+    private static Duration longer(Duration one, Duration other) {
+        return one.compareTo(other) > 0 ? one : other;
+    }
+
+    private static Duration shorter(Duration one, Duration other) {
+        return one.compareTo(other) < 0 ? one : other;
+    }
+
+    /** Whether a job is known to be cancelled, from the replica or from other controllers. */
+    boolean isCancelled(JobRecord job) {
+        return job.outcome() == JobRecord.Outcome.CANCELLED || isCancelledElsewhere(job);
     }
 
-    /** Whether a job is known to be cancelled, by the copy or by what others told. */
-    boolean cancelled(JobRecord job) {
-        return job.outcome() == JobRecord.Outcome.CANCELLED || job.isOpen() && told.contains(job.id());
+    private boolean isCancelledElsewhere(JobRecord job) {
+        return job.isOpen() && cancelledElsewhere.contains(job.id());
     }
 
-    /** A machine's allocations as they stand with what others told: those of cancelled jobs are to end. */
-    List<PlacedTask> marked(List<PlacedTask> allocations) {
-        if (told.isEmpty()) {
+    /** A machine's allocations with the cancellations applied that only other controllers know. */
+    List<PlacedTask> withCancellations(List<PlacedTask> allocations) {
+        if (cancelledElsewhere.isEmpty()) {
             return allocations;
         }
         return allocations.stream()
-                .map(placed ->
-                        placed.job().isOpen() && told.contains(placed.job().id())
-                                ? new PlacedTask(placed.job().cancelled(), placed.allocation())
-                                : placed)
+                .map(placed -> isCancelledElsewhere(placed.job())
+                        ? new PlacedTask(placed.job().cancelled(), placed.allocation())
+                        : placed)
                 .toList();
     }
 
-    /** Forgets what the copy shows by itself. */
+    /** Forgets the cancellations that the replica has by now. */
     public void prune() {
-        told.removeIf(id -> replica.job(id).filter(job -> !job.isOpen()).isPresent());
+        cancelledElsewhere.removeIf(this::isClosed);
+    }
+
+    private boolean isClosed(String jobId) {
+        return replica.job(jobId).filter(job -> !job.isOpen()).isPresent();
     }
 }
--- a/src/main/java/org/dunespindle/worker/ConcurrentCallLimiter.java
+++ b/src/main/java/org/dunespindle/worker/ConcurrentCallLimiter.java
@@ -4,51 +4,53 @@
 import java.util.function.Consumer;
 
 /**
- * Bounds the calls to machines that are under way, and those to silent ones further: in a cut they hang by the hundred, and each holds a
- * socket. A machine that finds no place waits in line; what it is told is decided when its turn comes.
+ * Bounds the number of calls to workers in flight, and further that of calls to unresponsive workers: in a network partition those
+ * hang by the hundred, and each holds a socket. A machine that exceeds the bound is queued; what its worker is sent is decided when
+ * its turn comes.
  */
 final class ConcurrentCallLimiter {
-    /** Calls to machines may take this part of the sockets, those to silent ones half of it. */
-    private static final int PART_OF_SOCKETS = 8;
+    /** Calls to workers may use one socket in so many; calls to unresponsive ones half of these. */
+    private static final int SOCKETS_PER_CALL = 8;
 
-    private static final int LEAST = 16;
-    private final int most;
-    private final LinkedHashSet<String> inLine = new LinkedHashSet<>();
-    private int underWay;
-    private int underWayToSilent;
+    private static final int MIN_CALL_LIMIT = 16;
+    private final int maxCallsInFlight;
+    private final LinkedHashSet<String> queuedMachines = new LinkedHashSet<>();
+    private int callsInFlight;
+    private int unresponsiveCallsInFlight;
 
     ConcurrentCallLimiter(int sockets) {
-        this.most = Math.max(LEAST, sockets / PART_OF_SOCKETS);
+        this.maxCallsInFlight = Math.max(MIN_CALL_LIMIT, sockets / SOCKETS_PER_CALL);
     }
 
-    /** Whether no further call may begin. */
-    boolean full() {
-        return underWay >= most;
+    /** Whether no further call may start. */
+    boolean isFull() {
+        return callsInFlight >= maxCallsInFlight;
     }
 
-    /** Whether no further call may begin to a machine that is silent, or is not. */
-    boolean full(boolean silent) {
-        return full() || silent && underWayToSilent >= most / 2;
+    /** Whether no further call may start to a worker that is, or is not, unresponsive. */
+    boolean isFull(boolean unresponsive) {
+        return isFull() || unresponsive && unresponsiveCallsInFlight >= maxCallsInFlight / 2;
     }
 
-    /** Has a machine wait until another's call has ended. */
-    void queue(String host) {
-        inLine.add(host);
+    /** Queues a machine until other calls have ended. */
+    void enqueue(String machineId) {
+        queuedMachines.add(machineId);
     }
 
-    void begin(boolean silent) {
-        underWay++;
-        underWayToSilent += silent ? 1 : 0;
+    /** Records that a call starts. */
+    void callStarted(boolean unresponsive) {
+        callsInFlight++;
+        unresponsiveCallsInFlight += unresponsive ? 1 : 0;
     }
 
-    /** Notes that a call has ended, and tells whose turn it is. */
-    void end(boolean silent, Consumer<String> turn) {
-        underWay--;
-        underWayToSilent -= silent ? 1 : 0;
-        int free = Math.max(1, most - underWay);
-        for (var it = inLine.iterator(); free > 0 && it.hasNext(); free--) {
-            turn.accept(it.next());
-            it.remove();
+    /** Records that a call has ended, and passes on the queued machines that may be called now. */
+    void callEnded(boolean unresponsive, Consumer<String> nextMachine) {
+        callsInFlight--;
+        unresponsiveCallsInFlight -= unresponsive ? 1 : 0;
+        int free = Math.max(1, maxCallsInFlight - callsInFlight);
+        for (var queued = queuedMachines.iterator(); free > 0 && queued.hasNext(); free--) {
+            nextMachine.accept(queued.next());
+            queued.remove();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/org/dunespindle/worker/EffectiveAllocations.java
@@ -0,0 +1,46 @@
+package org.dunespindle.worker;
+
+import java.time.Duration;
+import java.util.List;
+import org.dunespindle.protocol.TaskStatus;
+import org.dunespindle.protocol.WorkerCommand;
+import org.dunespindle.protocol.WorkerHeartbeat;
+import org.dunespindle.storage.PlacedTask;
+import org.dunespindle.storage.StateReplica;
+
+/** Machines' allocations with the preemptions and cancellations applied that are known here but not in the replica's records. */
+final class EffectiveAllocations {
+    private final StateReplica replica;
+    private final PendingPreemptions pendingPreemptions;
+    private final CancellationTracker cancellationTracker;
+
+    EffectiveAllocations(
+            StateReplica replica, PendingPreemptions pendingPreemptions, CancellationTracker cancellationTracker) {
+        this.replica = replica;
+        this.pendingPreemptions = pendingPreemptions;
+        this.cancellationTracker = cancellationTracker;
+    }
+
+    /** The allocations on a machine. */
+    List<PlacedTask> on(String machineId) {
+        return pendingPreemptions.marked(
+                machineId, cancellationTracker.withCancellations(replica.allocationsOn(machineId)));
+    }
+
+    /**
+     * Commands that halt the reported tasks of cancelled jobs. They are right under any fencing token and whatever else is in
+     * flight.
+     */
+    List<WorkerCommand> haltsOfCancelledTasks(WorkerHeartbeat heartbeat) {
+        return heartbeat.tasks().stream()
+                .filter(task -> !task.exited() && isCancelled(task))
+                .<WorkerCommand>map(task -> new WorkerCommand.Halt(task.task(), task.attempt(), Duration.ZERO))
+                .toList();
+    }
+
+    private boolean isCancelled(TaskStatus task) {
+        return replica.job(task.task().job())
+                .filter(cancellationTracker::isCancelled)
+                .isPresent();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
@@ -0,0 +1,101 @@
+package org.dunespindle.worker;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Function;
+import java.util.function.Predicate;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.time.Durations;
+
+/**
+ * Finds zones and controllers most of whose machines are silent at once: these are partitioned rather than all of their machines
+ * dead.
+ */
+final class GroupOutageDetector {
+    private static final int MIN_MACHINES_FOR_OUTAGE = 4;
+    /** How late, beyond two heartbeat intervals, the next sign of life of a healthy worker may be. */
+    private static final Duration MAX_HEARTBEAT_DELAY = Duration.ofSeconds(2);
+    /** When an outage ends, some machines are heard later than others. */
+    private static final Duration RECOVERY_TIME = Duration.ofSeconds(5);
+
+    private final ControllerContext context;
+    private final Map<Group, Duration> lastOutageAt = new HashMap<>();
+
+    private enum GroupKind {
+        ZONE,
+        OWNER
+    }
+
+    private record Group(GroupKind kind, String name) {}
+
+    private static final class MachineCount {
+        private int total;
+        private int silent;
+
+        void add(boolean isSilent) {
+            total++;
+            silent += isSilent ? 1 : 0;
+        }
+
+        boolean isOutage() {
+            return total >= MIN_MACHINES_FOR_OUTAGE && silent * 2 > total;
+        }
+    }
+
+    GroupOutageDetector(ControllerContext context) {
+        this.context = context;
+    }
+
+    /** Forgets all outages. */
+    void reset() {
+        lastOutageAt.clear();
+    }
+
+    /**
+     * Counts the silent machines of each zone and owner.
+     *
+     * @param leadingSince since when this controller leads: silence before does not count
+     * @param lastSeen when a machine last gave a sign of life
+     * @param isLongUp whether a machine must have been up for long: one that was never heard counts as silent only then
+     */
+    void update(
+            Duration leadingSince,
+            Function<MachineRecord, Optional<Duration>> lastSeen,
+            Predicate<MachineRecord> isLongUp) {
+        Duration maxSilence =
+                Durations.times(context.settings().workers().report(), 2).plus(MAX_HEARTBEAT_DELAY);
+        var counts = new HashMap<Group, MachineCount>();
+        for (MachineRecord machine : context.replica().machines().values()) {
+            Optional<Duration> seenAt = lastSeen.apply(machine);
+            if (machine.draining() || seenAt.isEmpty() && !isLongUp.test(machine)) {
+                continue;
+            }
+            Duration silence = context.pauseDetector().silence(seenAt.orElse(leadingSince));
+            boolean isSilent = silence.compareTo(maxSilence) > 0;
+            groupsOf(machine)
+                    .forEach(group -> counts.computeIfAbsent(group, key -> new MachineCount())
+                            .add(isSilent));
+        }
+        Duration now = context.timeSource().now();
+        Duration maxAge = maxSilence.plus(RECOVERY_TIME);
+        lastOutageAt.values().removeIf(outageAt -> now.minus(outageAt).compareTo(maxAge) > 0);
+        counts.forEach((group, count) -> {
+            if (count.isOutage()) {
+                lastOutageAt.put(group, now);
+            }
+        });
+    }
+
+    /** Whether a machine's zone or owner had an outage until a moment ago. */
+    boolean isAffected(MachineRecord machine) {
+        return groupsOf(machine).stream().anyMatch(lastOutageAt::containsKey);
+    }
+
+    private static List<Group> groupsOf(MachineRecord machine) {
+        return List.of(new Group(GroupKind.ZONE, machine.zone()), new Group(GroupKind.OWNER, machine.owner()));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/worker/MachineAcquisition.java
@@ -0,0 +1,37 @@
+package org.dunespindle.worker;
+
+import java.time.Instant;
+import java.util.function.Consumer;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.MachineRecordWriter;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.storage.TransactionResult;
+
+/** Makes this controller the owner of machines. */
+final class MachineAcquisition {
+    private final ControllerContext context;
+    private final MachineRecordWriter machineWriter;
+
+    MachineAcquisition(ControllerContext context, MachineRecordWriter machineWriter) {
+        this.context = context;
+        this.machineWriter = machineWriter;
+    }
+
+    /**
+     * Becomes a machine's owner under a fencing token higher than any that its worker is known to have seen.
+     *
+     * @param address where the worker is reached: it can be commanded before it sends a heartbeat here
+     * @param keepUntil until when the machine is not released to another controller
+     */
+    void acquire(MachineRecord machine, String address, Instant keepUntil, Consumer<TransactionResult> onResult) {
+        MachineRecord owned = machine.ownedBy(
+                        context.settings().nodeName(), context.membership().incarnation(), keepUntil)
+                .withAddress(address);
+        long seenToken = context.workers()
+                .find(machine.id())
+                .flatMap(worker -> worker.lastReportedToken())
+                .orElse(0L);
+        machineWriter.change(CommitPriority.PLACEMENT, owned.withTokenAbove(seenToken), onResult);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/worker/MachineReconciler.java
@@ -0,0 +1,144 @@
+package org.dunespindle.worker;
+
+import java.time.Duration;
+import java.util.List;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.HeartbeatReconciler;
+import org.dunespindle.control.MachineRecordWriter;
+import org.dunespindle.control.ReconciliationResult;
+import org.dunespindle.control.TaskTermination;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.protocol.TaskPhase;
+import org.dunespindle.protocol.TaskStatus;
+import org.dunespindle.protocol.WorkerCommand;
+import org.dunespindle.protocol.WorkerHeartbeat;
+import org.dunespindle.storage.MachineRecord;
+
+/** Reconciles the machines of this controller with their workers' status: sends commands and records terminations. */
+final class MachineReconciler {
+    /** With an older replica tasks are halted but not started: it may miss a cancellation. */
+    static final Duration MAX_REPLICA_STALENESS_FOR_START = Duration.ofSeconds(3);
+    /** Tasks that cannot be started on a machine because it takes no commands are released after this time. */
+    private static final Duration MIN_BLOCKED_TIME_FOR_RELEASE = Duration.ofSeconds(5);
+
+    private final ControllerContext context;
+    private final MachineRecordWriter machineWriter;
+    private final ReconciliationQueue reconciliationQueue;
+    private final WorkerReachability reachability;
+    private final EffectiveAllocations allocations;
+    private final WorkerCommandSender commandSender;
+    private final StartFencing startFencing;
+    private final ForgetFilter forgetFilter;
+    private final TerminationTracker terminationTracker;
+
+    MachineReconciler(
+            ControllerContext context,
+            MachineRecordWriter machineWriter,
+            ReconciliationQueue reconciliationQueue,
+            WorkerReachability reachability,
+            EffectiveAllocations allocations,
+            WorkerCommandSender commandSender,
+            ForgetFilter forgetFilter,
+            TerminationTracker terminationTracker) {
+        this.context = context;
+        this.machineWriter = machineWriter;
+        this.reconciliationQueue = reconciliationQueue;
+        this.reachability = reachability;
+        this.allocations = allocations;
+        this.commandSender = commandSender;
+        this.forgetFilter = forgetFilter;
+        this.terminationTracker = terminationTracker;
+        this.startFencing = new StartFencing(machineWriter, commandSender, reconciliationQueue);
+    }
+
+    /** Reconciles the machines that are queued and those whose records or allocations changed. */
+    void reconcilePending() {
+        reconciliationQueue.addAll(context.replica().drainChangedMachines());
+        reconciliationQueue.drain().forEach(this::reconcile);
+    }
+
+    private void reconcile(String machineId) {
+        MachineRecord machine = context.replica().machines().get(machineId);
+        if (machine == null || !context.membership().owns(machine)) {
+            context.workers().find(machineId).ifPresent(worker -> terminationTracker.clear(machineId, worker));
+        } else if (!reachability.inCommand(machine)) {
+            reconciliationQueue.add(machineId); // until the replica has caught up
+        } else {
+            reconcileOwned(machine, context.workers().getOrCreate(machineId));
+        }
+    }
+
+    private void reconcileOwned(MachineRecord machine, WorkerState worker) {
+        if (worker.callInFlight()) {
+            return; // the end of the call queues the machine again
+        }
+        if (!startFencing.isFenced(machine, worker)) {
+            return;
+        }
+        long seenToken = worker.lastReportedToken().orElse(machine.token());
+        if (seenToken > machine.token()) {
+            raiseTokenAbove(seenToken, machine);
+        } else if (worker.isProofUnder(machine.token())) {
+            reconcileWithStatus(machine, worker, worker.lastHeartbeat().orElseThrow());
+        } else {
+            terminationTracker.clear(machine.id(), worker);
+            commandSender.send(machine, worker, List.of());
+        }
+    }
+
+    private void raiseTokenAbove(long seenToken, MachineRecord machine) {
+        if (!machineWriter.busy(machine.id())) {
+            machineWriter.change(
+                    CommitPriority.PLACEMENT,
+                    machine.withNextToken().withTokenAbove(seenToken),
+                    result -> reconciliationQueue.add(machine.id()));
+        }
+    }
+
+    private void reconcileWithStatus(MachineRecord machine, WorkerState worker, WorkerHeartbeat status) {
+        ReconciliationResult result = HeartbeatReconciler.reconcile(allocations.on(machine.id()), status);
+        recordImages(worker, status);
+        List<WorkerCommand> commands = forgetFilter.withoutUnsafeForgets(machine, worker, result.commands());
+        terminationTracker.record(machine.id(), worker, terminations(machine, worker, result));
+        if (commands.stream().anyMatch(MachineReconciler::isStart) && mustDelayStarts(worker)) {
+            reconciliationQueue.add(machine.id());
+            commands = commands.stream().filter(command -> !isStart(command)).toList();
+        }
+        if (worker.commandsUnconfirmedSince().isPresent()) {
+            commandSender.send(machine, worker, List.of()); // nothing is started before a command is known to arrive
+        } else if (commands.stream().anyMatch(command -> !(command instanceof WorkerCommand.Forget))) {
+            commandSender.send(machine, worker, commands);
+        }
+    }
+
+    private void recordImages(WorkerState worker, WorkerHeartbeat status) {
+        for (TaskStatus task : status.tasks()) {
+            if (task.phase() == TaskPhase.RUNNING || task.phase() == TaskPhase.ASSEMBLING) {
+                context.replica()
+                        .job(task.task().job())
+                        .flatMap(job -> job.spec())
+                        .ifPresent(spec -> worker.fetched(spec.image()));
+            }
+        }
+    }
+
+    private List<TaskTermination> terminations(MachineRecord machine, WorkerState worker, ReconciliationResult result) {
+        boolean released = reachability.areHeartbeatsOverdue(worker)
+                || reachability
+                        .commandsBlockedFor(machine.id())
+                        .filter(blocked -> blocked.compareTo(MIN_BLOCKED_TIME_FOR_RELEASE) > 0)
+                        .isPresent();
+        return released ? result.withoutStarts(context.replica().allocationsOn(machine.id())) : result.terminations();
+    }
+
+    private boolean mustDelayStarts(WorkerState worker) {
+        return context.replica().staleness().compareTo(MAX_REPLICA_STALENESS_FOR_START) >= 0
+                || worker.commandsUnconfirmedSince().isPresent()
+                || reachability.areHeartbeatsOverdue(worker);
+    }
+
+    private static boolean isStart(WorkerCommand command) {
+        return command instanceof WorkerCommand.Run;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
@@ -0,0 +1,51 @@
+package org.dunespindle.worker;
+
+import java.util.List;
+import org.dunespindle.control.HeartbeatReconciler;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.protocol.WorkerCommand;
+import org.dunespindle.storage.MachineRecord;
+
+/** Answers heartbeats of workers whose machines this controller owns. */
+final class OwnedMachineResponder {
+    private final WorkerClient workerClient;
+    private final LeaseRenewal leaseRenewal;
+
+    OwnedMachineResponder(WorkerClient workerClient, LeaseRenewal leaseRenewal) {
+        this.workerClient = workerClient;
+        this.leaseRenewal = leaseRenewal;
+    }
+
+    /** The reply to a heartbeat from a machine that this controller owns. */
+    HeartbeatReply reply(ReceivedHeartbeat received, MachineRecord machine) {
+        if (!received.acceptsTokenOf(machine)) {
+            return new HeartbeatReply.Unavailable("its token is being raised");
+        }
+        return isProof(received, machine)
+                ? leaseRenewal.reply(machine, commands(received, machine))
+                : leaseRenewal.renew(received, machine);
+    }
+
+    /** Whether the heartbeat proves what runs on the machine and what is to run there is known. */
+    private boolean isProof(ReceivedHeartbeat received, MachineRecord machine) {
+        WorkerState worker = received.worker();
+        return received.newer()
+                && received.hasTokenOf(machine)
+                && worker.unansweredStartToken().isEmpty()
+                && !worker.callInFlight()
+                && workerClient.inCommand(machine);
+    }
+
+    /**
+     * The commands for the reply: halts reach a worker that reaches this controller but cannot be reached, and forgets are not
+     * urgent. Starts are sent only by direct command.
+     */
+    private List<WorkerCommand> commands(ReceivedHeartbeat received, MachineRecord machine) {
+        List<WorkerCommand> wanted = HeartbeatReconciler.reconcile(
+                        workerClient.allocations().on(machine.id()), received.heartbeat())
+                .commands();
+        return workerClient.forgetFilter().withoutUnsafeForgets(machine, received.worker(), wanted).stream()
+                .filter(command -> !(command instanceof WorkerCommand.Run))
+                .toList();
+    }
+}
--- a/src/main/java/org/dunespindle/worker/PartitionDetector.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -2,182 +2,209 @@
 
 import java.time.Duration;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Optional;
+import java.util.function.Consumer;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.EventRecorder;
-import org.dunespindle.control.Membership;
-import org.dunespindle.control.PauseDetector;
-import org.dunespindle.control.WorkerRegistry;
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.peer.PeerHeartbeats;
-import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.MachineRecord;
-import org.dunespindle.storage.StateReplica;
-import org.dunespindle.time.TimeSource;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Notices when this controller has lost its workers while it still reaches the state service and the other controllers. Then it
- * steps aside, before its workers' leases end: the others take its machines, and the lead, as after a crash. Left
- * in place it would hold machines that it cannot command, and take them for dead.
+ * Notices when this controller is partitioned from its workers while it still reaches the state service and the other controllers.
+ * Then it resigns before its workers' leases expire: the others take over its machines, and the leadership, as after a crash. As a
+ * member it would hold machines that it cannot command, and take them for failed.
  */
 public final class PartitionDetector {
     private static final Logger LOG = LoggerFactory.getLogger(PartitionDetector.class);
-    private static final Duration LATENESS = Duration.ofMillis(800);
-    private static final Duration VIEW = Duration.ofSeconds(3);
-    private static final Duration ASK_EVERY = Duration.ofSeconds(2);
-    private static final Duration AWAY_AT_MOST = Duration.ofSeconds(60);
-    private static final int ASKED = 5;
-    private static final double NEARLY_ALL = 0.8;
-    private final Settings settings;
-    private final StateReplica replica;
-    private final Membership membership;
+    private static final Duration MAX_HEARTBEAT_DELAY = Duration.ofMillis(800);
+    private static final Duration MAX_REPLICA_STALENESS = Duration.ofSeconds(3);
+    private static final Duration MIN_INSPECTION_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration MAX_TIME_RESIGNED = Duration.ofSeconds(60);
+    private static final int MAX_SAMPLE_SIZE = 5;
+    private static final double MIN_SILENT_FRACTION = 0.8;
+    private final ControllerContext context;
     private final WorkerClient workerClient;
     private final PeerHeartbeats peerHeartbeats;
-    private final WorkerRegistry workers;
-    private final TimeSource timeSource;
-    private final PauseDetector pauseDetector;
-    private final EventRecorder eventRecorder;
-    /** Reports come at this interval, give or take a quarter. */
-    private final Duration overdue;
-
-    private Optional<Duration> awaySince = Optional.empty();
-    private Duration askAgainAt = Duration.ZERO;
+    private final Duration maxSilence;
+    private Optional<Duration> resignedAt = Optional.empty();
+    private Duration nextCheckAt = Duration.ZERO;
 
+    /** Creates a detector for a controller that takes part. */
     public PartitionDetector(ControllerContext context, WorkerClient workerClient, PeerHeartbeats peerHeartbeats) {
-        this.settings = context.settings();
-        this.replica = context.replica();
-        this.membership = context.membership();
-        this.workers = context.workers();
-        this.timeSource = context.timeSource();
-        this.pauseDetector = context.pauseDetector();
-        this.eventRecorder = context.eventRecorder();
+        this.context = context;
         this.workerClient = workerClient;
         this.peerHeartbeats = peerHeartbeats;
-        this.overdue = settings.workers().report().multipliedBy(5).dividedBy(4).plus(LATENESS);
+        // Workers send heartbeats at this interval, give or take a quarter.
+        this.maxSilence = context.settings()
+                .workers()
+                .report()
+                .multipliedBy(5)
+                .dividedBy(4)
+                .plus(MAX_HEARTBEAT_DELAY);
     }
 
-    /** Called about twice a second. */
+    /** Checks whether to resign or to rejoin; called about twice a second. */
     public void tick() {
-        Duration now = timeSource.now();
-        if (now.compareTo(askAgainAt) < 0) {
+        Duration now = context.timeSource().now();
+        if (now.compareTo(nextCheckAt) < 0) {
             return;
         }
-        if (awaySince.isPresent()) {
-            comeBack(now);
-        } else if (membership.joined()
-                && replica.staleness().compareTo(VIEW) < 0
-                && pauseDetector.awake().compareTo(overdue) > 0
-                && othersServe()) {
-            List<MachineRecord> silent = silentOnes();
+        if (resignedAt.isPresent()) {
+            nextCheckAt = now.plus(MIN_INSPECTION_INTERVAL);
+            rejoinIfPossible(now.minus(resignedAt.get()));
+        } else if (canJudgeSilence()) {
+            List<MachineRecord> silent = silentMachinesIfNearlyAll();
             if (!silent.isEmpty()) {
-                askAgainAt = now.plus(ASK_EVERY);
-                ask(spread(silent), spread(known()), () -> stepAside(silent.size()));
+                nextCheckAt = now.plus(MIN_INSPECTION_INTERVAL);
+                resignIfNoneAnswers(silent);
             }
         }
     }
 
-    private boolean othersServe() {
-        return settings.seeds().stream()
-                .anyMatch(seed -> membership.incarnationOf(seed.name()).isPresent()
-                        && peerHeartbeats
-                                .heartbeat(seed.name())
-                                .filter(peer -> peer.replicaStaleness().compareTo(VIEW) < 0)
-                                .isPresent());
+    private boolean canJudgeSilence() {
+        return context.membership().joined()
+                && isReplicaFresh()
+                && context.pauseDetector().awake().compareTo(maxSilence) > 0
+                && isAnotherControllerServing();
+    }
+
+    private boolean isReplicaFresh() {
+        return context.replica().staleness().compareTo(MAX_REPLICA_STALENESS) < 0;
     }
 
-    /** The silent ones of the machines that have reported under this controller's command; none unless nearly all are. */
-    private List<MachineRecord> silentOnes() {
+    private boolean isAnotherControllerServing() {
+        return context.settings().seeds().stream()
+                .anyMatch(seed ->
+                        context.membership().incarnationOf(seed.name()).isPresent()
+                                && peerHeartbeats
+                                        .heartbeat(seed.name())
+                                        .filter(peer -> peer.replicaStaleness().compareTo(MAX_REPLICA_STALENESS) < 0)
+                                        .isPresent());
+    }
+
+    /** The silent ones of the machines that have sent heartbeats under this controller's command; none unless nearly all are. */
+    private List<MachineRecord> silentMachinesIfNearlyAll() {
         var silent = new ArrayList<MachineRecord>();
-        int all = 0;
-        for (MachineRecord machine : replica.machines().values()) {
-            Optional<WorkerState> s =
-                    membership.owns(machine) && !machine.draining() ? workers.find(machine.id()) : Optional.empty();
-            if (s.isPresent()
-                    && s.get().lastHeartbeatAt().isPresent()
-                    && s.get()
-                            .lastHeartbeat()
-                            .filter(heartbeat -> heartbeat.token() == machine.token())
-                            .isPresent()) {
-                all++;
-                if (pauseDetector.silence(s.get().lastHeartbeatAt().get()).compareTo(overdue) > 0) {
+        int total = 0;
+        for (MachineRecord machine : context.replica().machines().values()) {
+            Optional<Duration> lastHeartbeatAt = lastHeartbeatUnderCommand(machine);
+            if (lastHeartbeatAt.isPresent()) {
+                total++;
+                if (context.pauseDetector().silence(lastHeartbeatAt.get()).compareTo(maxSilence) > 0) {
                     silent.add(machine);
                 }
             }
         }
-        return !silent.isEmpty() && silent.size() >= NEARLY_ALL * all ? silent : List.of();
+        return !silent.isEmpty() && silent.size() >= MIN_SILENT_FRACTION * total ? silent : List.of();
     }
 
-    /** Machines of any controller that have been heard here. */
-    private List<MachineRecord> known() {
-        var known = new ArrayList<MachineRecord>();
-        replica.machines().values().stream()
-                .filter(machine -> workers.find(machine.id())
-                        .filter(worker -> worker.lastHeartbeat().isPresent())
+    private Optional<Duration> lastHeartbeatUnderCommand(MachineRecord machine) {
+        if (!context.membership().owns(machine) || machine.draining()) {
+            return Optional.empty();
+        }
+        return context.workers()
+                .find(machine.id())
+                .filter(worker -> worker.lastReportedToken()
+                        .filter(token -> token == machine.token())
                         .isPresent())
-                .forEach(known::add);
-        return known;
+                .flatMap(WorkerState::lastHeartbeatAt);
     }
 
-    private static List<MachineRecord> spread(List<MachineRecord> hosts) {
-        int count = Math.min(ASKED, hosts.size());
-        var some = new ArrayList<MachineRecord>();
-        for (int i = 0; i < count; i++) {
-            some.add(hosts.get(i * hosts.size() / count));
+    /** The machines of any controller whose workers have been heard here. */
+    private List<MachineRecord> machinesHeardHere() {
+        return context.replica().machines().values().stream()
+                .filter(machine -> context.workers().lastHeartbeat(machine.id()).isPresent())
+                .toList();
+    }
+
+    private static List<MachineRecord> evenSample(List<MachineRecord> machines) {
+        int size = Math.min(MAX_SAMPLE_SIZE, machines.size());
+        var sample = new ArrayList<MachineRecord>();
+        for (int i = 0; i < size; i++) {
+            sample.add(machines.get(i * machines.size() / size));
         }
-        return some;
+        return sample;
     }
 
-    /** Asks own machines and any; only if none at all answers is it this controller that is cut off, rather than some machines gone. */
-    private void ask(List<MachineRecord> silent, List<MachineRecord> any, Runnable noneAnswered) {
-        var hosts = new LinkedHashSet<>(silent);
-        hosts.addAll(any);
-        var open = new int[] {hosts.size()};
-        var answered = new boolean[1];
-        for (MachineRecord machine : hosts) {
-            workerClient.ask(machine, workerClient.address(machine), yes -> {
-                answered[0] |= yes;
-                if (--open[0] == 0 && !answered[0]) {
-                    noneAnswered.run();
-                }
-            });
+    /**
+     * Inspects own machines and others. Only if none at all answers is it this controller that is partitioned, rather than some
+     * machines gone.
+     */
+    private void resignIfNoneAnswers(List<MachineRecord> silent) {
+        var sample = new LinkedHashSet<>(evenSample(silent));
+        sample.addAll(evenSample(machinesHeardHere()));
+        var survey = new Survey(sample.size());
+        inspect(sample, answered -> {
+            survey.record(answered);
+            if (survey.isCompleteWithoutAnswer()) {
+                resign(silent.size());
+            }
+        });
+    }
+
+    private void inspect(Collection<MachineRecord> machines, Consumer<Boolean> onResult) {
+        for (MachineRecord machine : machines) {
+            workerClient
+                    .inspector()
+                    .inspect(machine, workerClient.reachability().address(machine), onResult);
         }
     }
 
-    private void stepAside(int silent) {
-        if (!membership.joined() || !othersServe()) {
+    private void resign(int silentMachines) {
+        if (!context.membership().joined() || !isAnotherControllerServing()) {
             return;
         }
-        eventRecorder.record(
-                LOG, "none of {} workers is heard or reached from here; this controller steps aside", silent);
-        awaySince = Optional.of(timeSource.now());
-        membership.resign();
+        context.eventRecorder()
+                .record(
+                        LOG,
+                        "none of {} workers is heard or reached from here; this controller steps aside",
+                        silentMachines);
+        resignedAt = Optional.of(context.timeSource().now());
+        context.membership().resign();
     }
 
-    private void comeBack(Duration now) {
-        askAgainAt = now.plus(ASK_EVERY);
-        boolean alone = replica.members().isEmpty() && replica.staleness().compareTo(VIEW) < 0;
-        if (alone || now.minus(awaySince.get()).compareTo(AWAY_AT_MOST) > 0) {
-            back("nobody else serves");
+    private void rejoinIfPossible(Duration sinceResignation) {
+        boolean noOtherMember = context.replica().members().isEmpty() && isReplicaFresh();
+        if (noOtherMember || sinceResignation.compareTo(MAX_TIME_RESIGNED) > 0) {
+            rejoin("nobody else serves");
             return;
         }
-        for (MachineRecord machine : spread(known())) {
-            workerClient.ask(machine, workerClient.address(machine), yes -> {
-                if (yes) {
-                    back("workers answer again");
-                }
-            });
+        inspect(evenSample(machinesHeardHere()), answered -> {
+            if (answered) {
+                rejoin("workers answer again");
+            }
+        });
+    }
+
+    private void rejoin(String reason) {
+        if (resignedAt.isPresent()) {
+            resignedAt = Optional.empty();
+            context.eventRecorder().record(LOG, "{}; this controller takes part again", reason);
+            context.membership().rejoin();
         }
     }
 
-    private void back(String why) {
-        if (awaySince.isPresent()) {
-            awaySince = Optional.empty();
-            eventRecorder.record(LOG, "{}; this controller takes part again", why);
-            membership.rejoin();
+    /** Counts the results of inspections that were started together. */
+    private static final class Survey {
+        private int outstanding;
+        private boolean anyAnswer;
+
+        Survey(int inspections) {
+            this.outstanding = inspections;
+        }
+
+        void record(boolean answered) {
+            outstanding--;
+            anyAnswer |= answered;
+        }
+
+        boolean isCompleteWithoutAnswer() {
+            return outstanding == 0 && !anyAnswer;
         }
     }
 }
--- a/src/main/java/org/dunespindle/worker/PendingPreemptions.java
+++ b/src/main/java/org/dunespindle/worker/PendingPreemptions.java
@@ -12,64 +12,67 @@
 import org.dunespindle.storage.StateReplica;
 
 /**
- * Tasks that are to give way, decided here and stored nowhere: stopping a task needs no record, only its end does. A
- * decision that is lost with its process is taken anew by the next leader, if it still makes sense.
+ * Tasks that are to be preempted. The decisions are kept in memory only: stopping a task needs no record, only its termination does.
+ * A decision that is lost with the process is taken anew by the next leader, if it still makes sense.
  */
 public final class PendingPreemptions {
-    private final Map<String, Set<TaskAttempt>> byHost = new HashMap<>();
+    private final Map<String, Set<TaskAttempt>> byMachine = new HashMap<>();
     private final Map<String, Set<TaskAttempt>> byJob = new HashMap<>();
 
-    public void add(TaskAttempt allocation, String host) {
-        byHost.computeIfAbsent(host, h -> new HashSet<>()).add(allocation);
-        byJob.computeIfAbsent(allocation.job(), j -> new HashSet<>()).add(allocation);
+    /** Adds a task attempt that is to be preempted on a machine. */
+    public void add(TaskAttempt victim, String machineId) {
+        byMachine.computeIfAbsent(machineId, key -> new HashSet<>()).add(victim);
+        byJob.computeIfAbsent(victim.job(), key -> new HashSet<>()).add(victim);
     }
 
-    /** A machine's allocations, with those marked that are to give way. */
-    public List<PlacedTask> marked(String host, List<PlacedTask> allocations) {
-        Set<TaskAttempt> stops = byHost.get(host);
-        return stops == null
-                ? allocations
-                : allocations.stream()
-                        .map(placed -> stops.contains(new TaskAttempt(
-                                        placed.job().id(),
-                                        placed.allocation().task(),
-                                        placed.allocation().attemptBase()))
-                                ? new PlacedTask(
-                                        placed.job(), placed.allocation().stopped())
-                                : placed)
-                        .toList();
+    /** A machine's allocations, those to be preempted marked as stopping. */
+    public List<PlacedTask> marked(String machineId, List<PlacedTask> allocations) {
+        Set<TaskAttempt> victims = byMachine.get(machineId);
+        if (victims == null) {
+            return allocations;
+        }
+        return allocations.stream()
+                .map(placed -> victims.contains(of(placed.job(), placed.allocation()))
+                        ? new PlacedTask(placed.job(), placed.allocation().stopped())
+                        : placed)
+                .toList();
     }
 
-    /** A job with those of its allocations marked that are to give way. */
+    /** A job with its allocations that are to be preempted marked as stopping. */
     public JobRecord marked(JobRecord job) {
         JobRecord marked = job;
-        for (TaskAttempt stop : byJob.getOrDefault(job.id(), Set.of())) {
-            if (stands(job, stop)) {
-                marked = marked.withTaskStopping(stop.task());
+        for (TaskAttempt victim : byJob.getOrDefault(job.id(), Set.of())) {
+            if (isAllocated(job, victim)) {
+                marked = marked.withTaskStopping(victim.task());
             }
         }
         return marked;
     }
 
-    private static boolean stands(JobRecord job, TaskAttempt stop) {
-        return job.allocation(stop.task())
-                .filter(allocation -> allocation.attemptBase() == stop.attemptBase())
-                .isPresent();
-    }
-
-    /** Forgets what has left its machine. */
+    /** Forgets the attempts that are no longer allocated. */
     public void prune(StateReplica replica) {
-        byJob.values().removeIf(stops -> {
-            stops.removeIf(
-                    s -> replica.job(s.job()).filter(job -> stands(job, s)).isEmpty());
-            return stops.isEmpty();
+        byJob.values().removeIf(victims -> {
+            victims.removeIf(victim -> !isAllocated(replica, victim));
+            return victims.isEmpty();
         });
-        byHost.values().removeIf(stops -> {
-            stops.removeIf(s -> !byJob.getOrDefault(s.job(), Set.of()).contains(s));
-            return stops.isEmpty();
+        byMachine.values().removeIf(victims -> {
+            victims.removeIf(
+                    victim -> !byJob.getOrDefault(victim.job(), Set.of()).contains(victim));
+            return victims.isEmpty();
         });
     }
 
+    private static boolean isAllocated(StateReplica replica, TaskAttempt victim) {
+        return replica.job(victim.job()).filter(job -> isAllocated(job, victim)).isPresent();
+    }
+
+    private static boolean isAllocated(JobRecord job, TaskAttempt victim) {
+        return job.allocation(victim.task())
+                .filter(allocation -> allocation.attemptBase() == victim.attemptBase())
+                .isPresent();
+    }
+
+    /** The attempt that an allocation of a job stands for. */
     public static TaskAttempt of(JobRecord job, Allocation allocation) {
         return new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase());
     }
--- /dev/null
+++ b/src/main/java/org/dunespindle/worker/StartFencing.java
@@ -0,0 +1,47 @@
+package org.dunespindle.worker;
+
+import java.util.List;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.MachineRecordWriter;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.storage.MachineRecord;
+
+/**
+ * Fences {@code run} commands that went unanswered. Such a command may still take effect; a higher fencing token, once the worker
+ * has seen it, rules that out.
+ */
+final class StartFencing {
+    private final MachineRecordWriter machineWriter;
+    private final WorkerCommandSender commandSender;
+    private final ReconciliationQueue reconciliationQueue;
+
+    StartFencing(
+            MachineRecordWriter machineWriter,
+            WorkerCommandSender commandSender,
+            ReconciliationQueue reconciliationQueue) {
+        this.machineWriter = machineWriter;
+        this.commandSender = commandSender;
+        this.reconciliationQueue = reconciliationQueue;
+    }
+
+    /**
+     * Whether no start is unanswered under a machine's current token; if one is, the next step towards that is taken. A machine
+     * that gives no sign of life needs no new token: it is terminated.
+     */
+    boolean isFenced(MachineRecord machine, WorkerState worker) {
+        if (worker.unansweredStartToken().isEmpty()) {
+            return true;
+        }
+        if (machine.token() > worker.unansweredStartToken().get()) {
+            worker.startFenced();
+            return true;
+        }
+        if (!worker.seenAliveSinceUnansweredStart()) {
+            commandSender.send(machine, worker, List.of());
+        } else if (!machineWriter.busy(machine.id())) {
+            machineWriter.change(
+                    CommitPriority.PLACEMENT, machine.withNextToken(), result -> reconciliationQueue.add(machine.id()));
+        }
+        return false;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/worker/SuspectInspection.java
@@ -0,0 +1,111 @@
+package org.dunespindle.worker;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Function;
+import org.dunespindle.peer.PeerHeartbeats;
+import org.dunespindle.storage.MachineRecord;
+import org.dunespindle.time.TimeSource;
+
+/**
+ * Asks the workers of suspected machines before these are declared failed. A machine's owner may be unable to talk to this
+ * controller, or may not reach the machine; then another controller will be found to command it.
+ */
+final class SuspectInspection {
+    /** A worker that answers again and again but whose heartbeats reach no controller is of no use. */
+    private static final int MAX_ANSWERS_WITHOUT_HEARTBEAT = 3;
+
+    private static final Duration FAILURE_RETENTION = Duration.ofSeconds(12);
+    private final TimeSource timeSource;
+    private final WorkerClient workerClient;
+    private final PeerHeartbeats peerHeartbeats;
+    private final Function<String, Optional<String>> listedAddress;
+    private final Map<String, Answers> answers = new HashMap<>();
+    private final Map<String, Duration> unansweredAt = new HashMap<>();
+
+    private record Answers(int count, Duration lastAt) {
+        Answers next(Duration now) {
+            return new Answers(count + 1, now);
+        }
+    }
+
+    /**
+     * Creates an inspection without results.
+     *
+     * @param listedAddress a machine's address in the cloud's list: the record of a rented machine has none until its first heartbeat
+     */
+    SuspectInspection(
+            TimeSource timeSource,
+            WorkerClient workerClient,
+            PeerHeartbeats peerHeartbeats,
+            Function<String, Optional<String>> listedAddress) {
+        this.timeSource = timeSource;
+        this.workerClient = workerClient;
+        this.peerHeartbeats = peerHeartbeats;
+        this.listedAddress = listedAddress;
+    }
+
+    /** Forgets all results. */
+    void reset() {
+        answers.clear();
+        unansweredAt.clear();
+    }
+
+    /** Forgets the results for a machine. */
+    void forget(String machineId) {
+        answers.remove(machineId);
+        unansweredAt.remove(machineId);
+    }
+
+    /** Forgets the answers of a machine that is heard again, if the last is older than this. */
+    void forgetAnswersOlderThan(Duration age, String machineId) {
+        Answers earlier = answers.get(machineId);
+        if (earlier != null && timeSource.now().minus(earlier.lastAt).compareTo(age) > 0) {
+            answers.remove(machineId);
+        }
+    }
+
+    /** Whether a suspected machine may be alive: its worker answers, or has just been asked. */
+    boolean mayBeAlive(MachineRecord machine) {
+        if (hasFailedLately(machine.id()) || hasAnsweredTooOften(machine.id())) {
+            return false;
+        }
+        String address = address(machine);
+        if (address.isEmpty()) {
+            return false;
+        }
+        workerClient.inspector().inspect(machine, address, alive -> record(machine.id(), alive));
+        return true;
+    }
+
+    private boolean hasFailedLately(String machineId) {
+        Duration failedAt = unansweredAt.get(machineId);
+        return failedAt != null && timeSource.now().minus(failedAt).compareTo(FAILURE_RETENTION) < 0;
+    }
+
+    private boolean hasAnsweredTooOften(String machineId) {
+        Answers earlier = answers.get(machineId);
+        return earlier != null && earlier.count >= MAX_ANSWERS_WITHOUT_HEARTBEAT;
+    }
+
+    private String address(MachineRecord machine) {
+        String known = peerHeartbeats
+                .address(machine)
+                .orElse(workerClient.reachability().address(machine));
+        return known.isEmpty() ? listedAddress.apply(machine.id()).orElse("") : known;
+    }
+
+    private void record(String machineId, boolean alive) {
+        Duration now = timeSource.now();
+        if (alive) {
+            unansweredAt.remove(machineId);
+            answers.put(
+                    machineId,
+                    answers.getOrDefault(machineId, new Answers(0, now)).next(now));
+        } else {
+            unansweredAt.put(machineId, now);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/worker/TerminationTracker.java
@@ -0,0 +1,46 @@
+package org.dunespindle.worker;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.dunespindle.control.TaskTermination;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.time.TimeSource;
+
+/** Keeps track of the machines with terminations that are not stored yet. */
+final class TerminationTracker {
+    private final TimeSource timeSource;
+    private final ReconciliationQueue reconciliationQueue;
+    private final Set<String> machinesWithTerminations = new LinkedHashSet<>();
+
+    TerminationTracker(TimeSource timeSource, ReconciliationQueue reconciliationQueue) {
+        this.timeSource = timeSource;
+        this.reconciliationQueue = reconciliationQueue;
+    }
+
+    /** The machines with terminations that are not stored yet. */
+    Set<String> machinesWithTerminations() {
+        return machinesWithTerminations;
+    }
+
+    /** Replaces a machine's terminations that are not stored yet. */
+    void record(String machineId, WorkerState worker, List<TaskTermination> terminations) {
+        if (worker.terminations().isEmpty() && terminations.isEmpty()) {
+            return;
+        }
+        if (!worker.terminations().equals(terminations)) {
+            reconciliationQueue.incrementVersion();
+            worker.recordTerminations(terminations, timeSource.now());
+        }
+        if (terminations.isEmpty()) {
+            machinesWithTerminations.remove(machineId);
+        } else {
+            machinesWithTerminations.add(machineId);
+        }
+    }
+
+    /** Drops a machine's terminations: it is not this controller's to conclude from, or its status proves nothing now. */
+    void clear(String machineId, WorkerState worker) {
+        record(machineId, worker, List.of());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
@@ -0,0 +1,90 @@
+package org.dunespindle.worker;
+
+import java.util.LinkedHashSet;
+import java.util.Optional;
+import java.util.Set;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.WorkerState;
+import org.dunespindle.protocol.MalformedMessageException;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.WorkerHeartbeat;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Records the status that workers send, in heartbeats and in answers, and schedules reconciliation of a machine whose status
+ * changed. This must happen whatever way the status came and however it is answered: the next one may be the same, and would then be
+ * no change.
+ */
+final class WorkerStatusRecorder {
+    private static final Logger LOG = LoggerFactory.getLogger(WorkerStatusRecorder.class);
+    private final ControllerContext context;
+    private final ReconciliationQueue reconciliationQueue;
+    private final Set<String> machinesWithNotice = new LinkedHashSet<>();
+
+    WorkerStatusRecorder(ControllerContext context, ReconciliationQueue reconciliationQueue) {
+        this.context = context;
+        this.reconciliationQueue = reconciliationQueue;
+    }
+
+    /**
+     * Records a heartbeat.
+     *
+     * @return whether it is newer than what was known
+     */
+    boolean recordHeartbeat(WorkerHeartbeat heartbeat, WorkerState worker) {
+        Optional<WorkerHeartbeat> previous = worker.lastHeartbeat();
+        boolean newer = worker.acceptHeartbeat(heartbeat, context.timeSource().now());
+        recordNotice(heartbeat);
+        if (newer) {
+            reconcileIfChanged(heartbeat, previous);
+        }
+        return newer;
+    }
+
+    /**
+     * Records the status in a worker's answer to a command or an inspection.
+     *
+     * @return whether the answer is a readable status of this machine
+     */
+    boolean recordAnswer(String machineId, WorkerState worker, byte[] body) {
+        WorkerHeartbeat status;
+        try {
+            status = WorkerHeartbeat.parse(MessagePackCodec.read(body));
+        } catch (MalformedMessageException e) {
+            LOG.debug("malformed answer from worker machine={} error={}", machineId, e.getMessage());
+            return false;
+        }
+        if (!status.machineId().equals(machineId)) {
+            LOG.debug("answer from another machine machine={} answered={}", machineId, status.machineId());
+            return false;
+        }
+        recordNotice(status);
+        Optional<WorkerHeartbeat> previous = worker.lastHeartbeat();
+        worker.answered(status, context.timeSource().now());
+        reconcileIfChanged(status, previous);
+        return true;
+    }
+
+    /** The machines that their cloud is about to reclaim, according to their last status. */
+    Set<String> machinesWithNotice() {
+        machinesWithNotice.removeIf(machineId -> context.workers()
+                .lastHeartbeat(machineId)
+                .flatMap(WorkerHeartbeat::notice)
+                .isEmpty());
+        return machinesWithNotice;
+    }
+
+    private void recordNotice(WorkerHeartbeat status) {
+        if (status.notice().isPresent()) {
+            machinesWithNotice.add(status.machineId());
+        }
+    }
+
+    private void reconcileIfChanged(WorkerHeartbeat status, Optional<WorkerHeartbeat> previous) {
+        if (previous.filter(earlier -> earlier.sameAs(status)).isEmpty()) {
+            reconciliationQueue.incrementVersion();
+            reconciliationQueue.addAndWake(status.machineId());
+        }
+    }
+}
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -548,7 +548,7 @@
             c.heartbeatHandler()
                     .onHeartbeat(
                             WorkerHeartbeat.parse(MessagePackCodec.read(MessagePackCodec.write(report))),
-                            answer::accept);
+                            reply -> answer.accept(reply.status(), reply.body()));
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
--- /dev/null
+++ b/src/test/java/org/dunespindle/worker/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the dealings with workers. */
+package org.dunespindle.worker;
