--- a/src/main/java/org/dunespindle/control/HeartbeatReconciler.java
+++ b/src/main/java/org/dunespindle/control/HeartbeatReconciler.java
@@ -6,6 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.dunespindle.protocol.ExitCause;
 import org.dunespindle.protocol.TaskId;
@@ -17,110 +18,131 @@
 import org.dunespindle.storage.PlacedTask;
 
 /**
- * Works out the difference between what should be on a machine and what its worker reports: commands to
- * send, and what became of allocations. Pure; the caller vouches that the report is proof, that is, it comes
- * under the present token and session and no {@code run} can still be under way.
+ * Works out the difference between a machine's allocations and its worker's status: the commands to send, and the allocations that
+ * have terminated. It has no side effects; the caller guarantees that the status is proof, that is, it comes under the current
+ * fencing token and agent epoch and no {@code run} can still take effect.
  */
 public final class HeartbeatReconciler {
-    private static final Duration EXTRA_GRACE = Duration.ofSeconds(3);
+    private static final Duration EXTRA_CHECKPOINT_GRACE = Duration.ofSeconds(3);
+    private static final String DETAIL_RELEASED = "released";
+    private static final String DETAIL_WITHOUT_CAUSE = "ended";
+    private static final String DETAIL_SAVED_SUFFIX = ", saved";
+    private final List<WorkerCommand> commands = new ArrayList<>();
+    private final List<TaskTermination> terminations = new ArrayList<>();
 
     private HeartbeatReconciler() {}
 
-    /** Compares a machine's allocations with what its worker reports. */
-    public static ReconciliationResult reconcile(List<PlacedTask> allocations, WorkerHeartbeat heartbeat) {
-        var commands = new ArrayList<WorkerCommand>();
-        var terminations = new ArrayList<TaskTermination>();
-        var byTask = new HashMap<TaskId, List<TaskStatus>>();
-        heartbeat
-                .tasks()
-                .forEach(task -> byTask.computeIfAbsent(task.task(), k -> new ArrayList<>(2))
-                        .add(task));
+    /** Compares a machine's allocations with its worker's status. */
+    public static ReconciliationResult reconcile(List<PlacedTask> allocations, WorkerHeartbeat status) {
+        var reconciler = new HeartbeatReconciler();
+        Map<TaskId, List<TaskStatus>> attemptsByTask = attemptsByTask(status);
         Set<TaskId> allocated = new HashSet<>();
         for (PlacedTask placed : allocations) {
-            TaskId id = new TaskId(placed.job().id(), placed.allocation().task());
-            allocated.add(id);
-            judgeClaim(placed, id, byTask.getOrDefault(id, List.of()), commands, terminations);
+            var task = new TaskId(placed.job().id(), placed.allocation().task());
+            allocated.add(task);
+            reconciler.reconcileAllocation(placed, task, attemptsByTask.getOrDefault(task, List.of()));
         }
-        for (Map.Entry<TaskId, List<TaskStatus>> e : byTask.entrySet()) {
-            if (!allocated.contains(e.getKey())) {
-                e.getValue()
-                        .forEach(task -> commands.add(
-                                task.exited()
-                                        ? new WorkerCommand.Forget(task.task(), task.attempt())
-                                        : new WorkerCommand.Halt(task.task(), task.attempt(), Duration.ZERO)));
+        attemptsByTask.forEach((task, attempts) -> {
+            if (!allocated.contains(task)) {
+                attempts.forEach(reconciler::removeAttempt);
             }
+        });
+        return new ReconciliationResult(reconciler.commands, reconciler.terminations);
+    }
+
+    private static Map<TaskId, List<TaskStatus>> attemptsByTask(WorkerHeartbeat status) {
+        var attemptsByTask = new HashMap<TaskId, List<TaskStatus>>();
+        for (TaskStatus attempt : status.tasks()) {
+            attemptsByTask
+                    .computeIfAbsent(attempt.task(), key -> new ArrayList<>(2))
+                    .add(attempt);
         }
-        return new ReconciliationResult(commands, terminations);
+        return attemptsByTask;
     }
 
-    private static void judgeClaim(
-            PlacedTask placed,
-            TaskId id,
-            List<TaskStatus> present,
-            List<WorkerCommand> commands,
-            List<TaskTermination> terminations) {
-        JobRecord job = placed.job();
-        long wanted = job.expectedAttempt(placed.allocation());
-        boolean stop =
-                !job.isOpen() || placed.allocation().stopping() || job.gangPhase() == JobRecord.GangPhase.STOPPING;
-        boolean othersLive = false;
-        TaskStatus own = null;
-        for (TaskStatus task : present) {
-            if (task.attempt() == wanted) {
-                own = task;
-            } else if (task.exited()) {
-                commands.add(new WorkerCommand.Forget(id, task.attempt()));
+    private void reconcileAllocation(PlacedTask placed, TaskId task, List<TaskStatus> attempts) {
+        long expectedAttempt = placed.job().expectedAttempt(placed.allocation());
+        Optional<TaskStatus> expected = Optional.empty();
+        boolean othersAlive = false;
+        for (TaskStatus attempt : attempts) {
+            if (attempt.attempt() == expectedAttempt) {
+                expected = Optional.of(attempt);
             } else {
-                othersLive = true;
-                // Another attempt: a placeholder to be replaced, or a leftover. Its release is confirmed by the next
-                // report.
-                commands.add(new WorkerCommand.Halt(id, task.attempt(), Duration.ZERO));
+                // A placeholder to be replaced, or a leftover: that it has ended is confirmed by the next status.
+                othersAlive |= !attempt.exited();
+                removeAttempt(attempt);
             }
         }
-        if (own != null && own.exited()) {
-            if (!othersLive) {
-                terminations.add(new TaskTermination(
-                        job.id(), id.index(), placed.allocation().attemptBase(), fate(own, job, placed), why(own)));
-            }
-        } else if (own != null) {
-            if (stop && own.phase() != TaskPhase.SAVING) {
-                commands.add(new WorkerCommand.Halt(id, wanted, grace(job)));
-            } else if (stop && !job.isOpen()) {
-                commands.add(new WorkerCommand.Halt(id, wanted, Duration.ZERO));
-            }
-        } else if (!othersLive) {
-            if (stop) {
-                terminations.add(new TaskTermination(
-                        job.id(), id.index(), placed.allocation().attemptBase(), TerminationCause.GONE, "released"));
-            } else {
-                commands.add(new WorkerCommand.Run(id, wanted));
+        if (expected.isEmpty()) {
+            if (!othersAlive) {
+                startOrRelease(placed, task, expectedAttempt);
             }
+        } else if (!expected.get().exited()) {
+            haltIfStopping(placed.job(), expected.get(), isStopping(placed));
+        } else if (!othersAlive) {
+            terminate(placed, cause(expected.get(), placed), detail(expected.get()));
+        }
+    }
+
+    private void removeAttempt(TaskStatus attempt) {
+        commands.add(
+                attempt.exited()
+                        ? new WorkerCommand.Forget(attempt.task(), attempt.attempt())
+                        : new WorkerCommand.Halt(attempt.task(), attempt.attempt(), Duration.ZERO));
+    }
+
+    private void startOrRelease(PlacedTask placed, TaskId task, long attempt) {
+        if (isStopping(placed)) {
+            terminate(placed, TerminationCause.GONE, DETAIL_RELEASED);
+        } else {
+            commands.add(new WorkerCommand.Run(task, attempt));
         }
     }
 
-    /** A cancelled job's progress is of no use to anybody; others may save. */
-    private static Duration grace(JobRecord job) {
+    private void haltIfStopping(JobRecord job, TaskStatus attempt, boolean stopping) {
+        if (!stopping) {
+            return;
+        }
+        if (attempt.phase() != TaskPhase.SAVING) {
+            commands.add(new WorkerCommand.Halt(attempt.task(), attempt.attempt(), checkpointGrace(job)));
+        } else if (!job.isOpen()) {
+            commands.add(new WorkerCommand.Halt(attempt.task(), attempt.attempt(), Duration.ZERO));
+        }
+    }
+
+    private static boolean isStopping(PlacedTask placed) {
+        return !placed.job().isOpen()
+                || placed.allocation().stopping()
+                || placed.job().gangPhase() == JobRecord.GangPhase.STOPPING;
+    }
+
+    /** The time to save a checkpoint; that of a cancelled job would be of no use. */
+    private static Duration checkpointGrace(JobRecord job) {
         return job.isOpen() && job.submission().checkpoints()
-                ? job.submission().checkpointTime().plus(EXTRA_GRACE)
+                ? job.submission().checkpointTime().plus(EXTRA_CHECKPOINT_GRACE)
                 : Duration.ZERO;
     }
 
-    private static TerminationCause fate(TaskStatus task, JobRecord job, PlacedTask placed) {
-        return switch (task.cause().orElse(ExitCause.STOPPED)) {
+    private void terminate(PlacedTask placed, TerminationCause cause, String detail) {
+        terminations.add(TaskTermination.of(placed, cause, detail));
+    }
+
+    private static TerminationCause cause(TaskStatus attempt, PlacedTask placed) {
+        return switch (attempt.cause().orElse(ExitCause.STOPPED)) {
             case DONE -> TerminationCause.DONE;
             case ERROR -> TerminationCause.ERROR;
             case NO_ROOM, BUSY, UNKNOWN -> TerminationCause.REJECTED;
-            case INCOMPLETE ->
-                job.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS
-                                && job.isOpen()
-                                && !placed.allocation().stopping()
-                        ? TerminationCause.ASSEMBLY_TIMEOUT
-                        : TerminationCause.GONE;
-            default -> TerminationCause.GONE;
+            case INCOMPLETE -> isAssembling(placed) ? TerminationCause.ASSEMBLY_TIMEOUT : TerminationCause.GONE;
+            case STOPPED, PEERS -> TerminationCause.GONE;
         };
     }
 
-    private static String why(TaskStatus task) {
-        return task.cause().map(ExitCause::wire).orElse("ended") + (task.saved() ? ", saved" : "");
+    private static boolean isAssembling(PlacedTask placed) {
+        return placed.job().gangPhase() == JobRecord.GangPhase.PLACEHOLDERS && !isStopping(placed);
+    }
+
+    private static String detail(TaskStatus attempt) {
+        String cause = attempt.cause().map(ExitCause::wire).orElse(DETAIL_WITHOUT_CAUSE);
+        return attempt.saved() ? cause + DETAIL_SAVED_SUFFIX : cause;
     }
 }
--- a/src/main/java/org/dunespindle/control/ReconciliationResult.java
+++ b/src/main/java/org/dunespindle/control/ReconciliationResult.java
@@ -3,31 +3,45 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Set;
 import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.WorkerCommand;
 import org.dunespindle.storage.PlacedTask;
 
-/** The outcome for one machine. */
+/**
+ * The difference between a machine's allocations and its worker's status.
+ *
+ * @param commands what to send to the worker
+ * @param terminations the allocations that have ended
+ */
 public record ReconciliationResult(List<WorkerCommand> commands, List<TaskTermination> terminations) {
+    private static final String DETAIL_UNREACHABLE = "the machine and its controllers do not reach each other";
+
     /**
-     * What became of allocations on a machine that takes no commands, or whose reports reach nobody: a task that its report shows
-     * absent, with no start under way, is free to start elsewhere.
+     * The terminations on a machine that takes no commands, or whose heartbeats reach no controller: a task that its status shows
+     * absent, with no start in flight, may be placed elsewhere.
+     *
+     * @param allocations the machine's allocations
      */
     public List<TaskTermination> withoutStarts(List<PlacedTask> allocations) {
-        var ended = new ArrayList<>(terminations);
-        var unstarted = new HashSet<TaskId>();
-        commands.stream().filter(WorkerCommand.Run.class::isInstance).forEach(run -> unstarted.add(run.task()));
+        var all = new ArrayList<>(terminations);
+        Set<TaskId> unstarted = unstartedTasks();
         for (PlacedTask placed : allocations) {
             if (unstarted.contains(
                     new TaskId(placed.job().id(), placed.allocation().task()))) {
-                ended.add(new TaskTermination(
-                        placed.job().id(),
-                        placed.allocation().task(),
-                        placed.allocation().attemptBase(),
-                        TerminationCause.GONE,
-                        "the machine and its controllers do not reach each other"));
+                all.add(TaskTermination.of(placed, TerminationCause.GONE, DETAIL_UNREACHABLE));
+            }
+        }
+        return all;
+    }
+
+    private Set<TaskId> unstartedTasks() {
+        var unstarted = new HashSet<TaskId>();
+        for (WorkerCommand command : commands) {
+            if (command instanceof WorkerCommand.Run start) {
+                unstarted.add(start.task());
             }
         }
-        return ended;
+        return unstarted;
     }
 }
--- a/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
@@ -24,17 +24,17 @@
 import org.dunespindle.storage.PlacedTask;
 import org.junit.jupiter.api.Test;
 
-/** What is ordered and concluded from a report that is proof. */
+/** The commands and terminations that follow from a status that is proof. */
 class HeartbeatReconcilerTest {
-    private static final TaskId FIRST = new TaskId("wk-000001", 0);
+    private static final TaskId TASK = new TaskId("wk-000001", 0);
 
-    private static JobRecord job(JobKind shape, int tasks, Duration saves) {
+    private static JobRecord job(JobKind kind, int tasks, Duration checkpointTime) {
         return JobRecord.accepted(
                 new Submission(
                         "wk-000001",
                         "c",
                         "t",
-                        shape,
+                        kind,
                         Priority.URGENT,
                         tasks,
                         new Resources(1, 1, 1),
@@ -46,17 +46,17 @@
                         "i",
                         1,
                         Duration.ofSeconds(1),
-                        saves,
+                        checkpointTime,
                         Duration.ofSeconds(4),
                         Optional.empty()),
                 Instant.EPOCH);
     }
 
-    private static JobRecord held() {
+    private static JobRecord gangOfPlaceholders() {
         return job(JobKind.GANG, 2, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h", 1, "k")));
     }
 
-    private static ReconciliationResult judge(JobRecord job, TaskStatus... tasks) {
+    private static ReconciliationResult reconcile(JobRecord job, TaskStatus... tasks) {
         List<PlacedTask> allocations = job.allocations().stream()
                 .filter(allocation -> allocation.machineId().equals("h"))
                 .map(allocation -> new PlacedTask(job, allocation))
@@ -67,11 +67,11 @@
     }
 
     private static TaskStatus status(long attempt, TaskPhase phase) {
-        return new TaskStatus(FIRST, attempt, phase, Optional.empty(), false);
+        return new TaskStatus(TASK, attempt, phase, Optional.empty(), false);
     }
 
     private static TaskStatus exited(long attempt, ExitCause cause) {
-        return new TaskStatus(FIRST, attempt, TaskPhase.EXITED, Optional.of(cause), false);
+        return new TaskStatus(TASK, attempt, TaskPhase.EXITED, Optional.of(cause), false);
     }
 
     private static long placeholder(JobRecord job) {
@@ -79,22 +79,23 @@
     }
 
     @Test
-    void aRealTaskWaitsForTheConfirmedReleaseOfItsPlaceholder() {
-        JobRecord real = held().withGangRunning();
+    void aGangTaskStartsOnceItsPlaceholderIsConfirmedToHaveEnded() {
+        JobRecord running = gangOfPlaceholders().withGangRunning();
         assertEquals(
-                List.of(new WorkerCommand.Halt(FIRST, placeholder(real), Duration.ZERO)),
-                judge(real, status(placeholder(real), TaskPhase.ASSEMBLING)).commands());
-        var confirmed =
-                judge(real, exited(placeholder(real), ExitCause.STOPPED)).commands();
-        assertTrue(confirmed.contains(new WorkerCommand.Run(FIRST, real.gangAttempt())));
-        assertTrue(confirmed.contains(new WorkerCommand.Forget(FIRST, placeholder(real))));
+                List.of(new WorkerCommand.Halt(TASK, placeholder(running), Duration.ZERO)),
+                reconcile(running, status(placeholder(running), TaskPhase.ASSEMBLING))
+                        .commands());
+        var confirmed = reconcile(running, exited(placeholder(running), ExitCause.STOPPED))
+                .commands();
+        assertTrue(confirmed.contains(new WorkerCommand.Run(TASK, running.gangAttempt())));
+        assertTrue(confirmed.contains(new WorkerCommand.Forget(TASK, placeholder(running))));
     }
 
     @Test
-    void aPlaceholderThatWaitedInVainIsBookedAgain() {
-        JobRecord job = held();
+    void aPlaceholderWhoseAssemblyTimedOutIsReplaced() {
+        JobRecord job = gangOfPlaceholders();
         var terminations =
-                judge(job, exited(placeholder(job), ExitCause.INCOMPLETE)).terminations();
+                reconcile(job, exited(placeholder(job), ExitCause.INCOMPLETE)).terminations();
         assertEquals(TerminationCause.ASSEMBLY_TIMEOUT, terminations.get(0).cause());
         JobRecord after = JobTransitions.apply(job, terminations, Instant.EPOCH);
         assertEquals(2, after.allocations().size());
@@ -102,48 +103,48 @@
     }
 
     @Test
-    void anOutcomeIsStoredBeforeItIsForgotten() {
+    void aTerminationIsStoredBeforeItsAttemptIsForgotten() {
         JobRecord job = job(JobKind.ARRAY, 1, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h")));
-        var result = judge(job, exited(placeholder(job), ExitCause.DONE));
+        var result = reconcile(job, exited(placeholder(job), ExitCause.DONE));
         assertEquals(List.of(), result.commands());
         JobRecord done = JobTransitions.apply(job, result.terminations(), Instant.EPOCH);
         assertEquals(JobRecord.Outcome.DONE, done.outcome());
         assertEquals(
-                List.of(new WorkerCommand.Forget(FIRST, placeholder(job))),
-                judge(done, exited(placeholder(job), ExitCause.DONE)).commands());
+                List.of(new WorkerCommand.Forget(TASK, placeholder(job))),
+                reconcile(done, exited(placeholder(job), ExitCause.DONE)).commands());
     }
 
     @Test
-    void aCancelledTaskIsStoppedWithoutGraceEvenWhileSaving() {
+    void aCancelledTaskIsHaltedWithoutGraceEvenWhileSaving() {
         JobRecord job = job(JobKind.ARRAY, 1, Duration.ofSeconds(5))
                 .withPlaced(new TreeMap<>(Map.of(0, "h")))
                 .cancelled();
         assertEquals(
-                List.of(new WorkerCommand.Halt(FIRST, placeholder(job), Duration.ZERO)),
-                judge(job, status(placeholder(job), TaskPhase.SAVING)).commands());
-        assertEquals(TerminationCause.GONE, judge(job).terminations().get(0).cause());
+                List.of(new WorkerCommand.Halt(TASK, placeholder(job), Duration.ZERO)),
+                reconcile(job, status(placeholder(job), TaskPhase.SAVING)).commands());
+        assertEquals(TerminationCause.GONE, reconcile(job).terminations().get(0).cause());
     }
 
     @Test
-    void aTaskThatGivesWayMaySave() {
+    void aPreemptedTaskMaySaveACheckpoint() {
         JobRecord job = job(JobKind.ARRAY, 1, Duration.ofSeconds(5))
                 .withPlaced(new TreeMap<>(Map.of(0, "h")))
                 .withTaskStopping(0);
-        WorkerCommand.Halt halt = (WorkerCommand.Halt) judge(job, status(placeholder(job), TaskPhase.RUNNING))
+        WorkerCommand.Halt halt = (WorkerCommand.Halt) reconcile(job, status(placeholder(job), TaskPhase.RUNNING))
                 .commands()
                 .get(0);
         assertTrue(halt.grace().compareTo(job.submission().checkpointTime()) >= 0);
         assertEquals(
                 List.of(),
-                judge(job, status(placeholder(job), TaskPhase.SAVING)).commands());
+                reconcile(job, status(placeholder(job), TaskPhase.SAVING)).commands());
     }
 
     @Test
-    void oneLostMemberSendsTheWholeGangBackToPlacement() {
-        JobRecord real = held().withGangRunning();
-        var terminations =
-                judge(real, exited(real.gangAttempt(), ExitCause.PEERS)).terminations();
-        JobRecord after = JobTransitions.apply(real, terminations, Instant.EPOCH);
+    void oneLostMemberRequeuesTheWholeGang() {
+        JobRecord running = gangOfPlaceholders().withGangRunning();
+        var terminations = reconcile(running, exited(running.gangAttempt(), ExitCause.PEERS))
+                .terminations();
+        JobRecord after = JobTransitions.apply(running, terminations, Instant.EPOCH);
         assertEquals(JobRecord.GangPhase.STOPPING, after.gangPhase());
         assertEquals(0, after.unplacedCount());
         JobRecord free = after.withReleased(1, false);
@@ -151,20 +152,25 @@
         assertEquals(2, free.unplacedCount());
     }
 
-    /** Outcomes are gathered before they are stored, and by then the task may be under way again on the same machine. */
+    /** Terminations are stored in batches; by then the task may have been placed again on the same machine. */
     @Test
-    void anOldOutcomeDoesNotEndALaterStart() {
+    void anOldTerminationDoesNotEndALaterAttempt() {
         JobRecord first = job(JobKind.ARRAY, 1, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h")));
-        var old = judge(first, exited(placeholder(first), ExitCause.STOPPED)).terminations();
-        JobRecord again = JobTransitions.apply(first, old, Instant.EPOCH).withPlaced(new TreeMap<>(Map.of(0, "h")));
-        assertEquals(again, JobTransitions.apply(again, old, Instant.EPOCH));
+        var oldTerminations =
+                reconcile(first, exited(placeholder(first), ExitCause.STOPPED)).terminations();
+        JobRecord placedAgain =
+                JobTransitions.apply(first, oldTerminations, Instant.EPOCH).withPlaced(new TreeMap<>(Map.of(0, "h")));
+        assertEquals(placedAgain, JobTransitions.apply(placedAgain, oldTerminations, Instant.EPOCH));
     }
 
     @Test
-    void aGangIsDoneAsOne() {
-        JobRecord real = held().withGangRunning();
+    void aGangIsDoneAsAWhole() {
+        JobRecord running = gangOfPlaceholders().withGangRunning();
         JobRecord after = JobTransitions.apply(
-                real, judge(real, exited(real.gangAttempt(), ExitCause.DONE)).terminations(), Instant.EPOCH);
+                running,
+                reconcile(running, exited(running.gangAttempt(), ExitCause.DONE))
+                        .terminations(),
+                Instant.EPOCH);
         assertEquals(JobRecord.Outcome.DONE, after.outcome());
     }
 
@@ -187,11 +193,11 @@
     }
 
     @Test
-    void tasksThatNobodyClaimsAreStopped() {
+    void tasksWithoutAnAllocationAreHalted() {
         var result = HeartbeatReconciler.reconcile(
                 List.of(),
                 new WorkerHeartbeat(
                         "h", "a:1", "m", "z", false, 1, 1, 1, Optional.empty(), List.of(status(3, TaskPhase.RUNNING))));
-        assertEquals(List.of(new WorkerCommand.Halt(FIRST, 3, Duration.ZERO)), result.commands());
+        assertEquals(List.of(new WorkerCommand.Halt(TASK, 3, Duration.ZERO)), result.commands());
     }
 }
