--- a/src/main/java/org/dunespindle/FrontRoutes.java
+++ b/src/main/java/org/dunespindle/FrontRoutes.java
@@ -80,8 +80,8 @@
             reply.accept(error(HttpStatus.BAD_REQUEST, e.getMessage()));
             return;
         }
-        controller.heartbeatHandler().onHeartbeat(heartbeat, (status, body) -> {
-            HttpServerResponse response = encode(status, body, Optional.empty());
+        controller.heartbeatHandler().onHeartbeat(heartbeat, answer -> {
+            HttpServerResponse response = encode(answer.status(), answer.body(), Optional.empty());
             reply.accept(connections.scarce() ? response.andClose() : response);
         });
     }
--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -176,8 +176,7 @@
                 workerClient,
                 cancellationTracker,
                 health::isPartitioned,
-                peerHeartbeats::isSuspected,
-                requestRound);
+                peerHeartbeats::isSuspected);
         writeRateAllocator =
                 new WriteRateAllocator(settings, peerHeartbeats, membership, commitQueue, stateStore, timeSource);
         partitionDetector = new PartitionDetector(context, workerClient, peerHeartbeats);
