--- a/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
+++ b/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
@@ -7,37 +7,37 @@
 import java.util.Optional;
 import org.dunespindle.protocol.MalformedMessageException;
 
-/** The stored form of a job's tie to another cell, from {@link FormatVersion#CELL_TIES} on. */
+/** The stored form of a job's link to another cell, from {@link FormatVersion#CELL_TIES} on. */
 final class DelegationLinkCodec {
-    private static final String DELEGATION = "away";
-    private static final String VISIT = "visit";
+    private static final String OUTBOUND = "away";
+    private static final String INBOUND = "visit";
 
     private DelegationLinkCodec() {}
 
-    /** Adds a tie to a job's record. */
-    static void put(ObjectNode record, DelegationLink tie) {
-        if (tie instanceof OutboundDelegation delegation) {
-            ArrayNode row = record.putArray(DELEGATION)
-                    .add(delegation.cell())
-                    .add(delegation.transfer())
-                    .add(delegation.phase().name())
-                    .add(delegation.transfers());
-            delegation.notBefore().ifPresent(time -> row.add(time.toEpochMilli()));
-        } else if (tie instanceof InboundDelegation visit) {
-            record.putArray(VISIT).add(visit.home()).add(visit.transfer()).add(visit.withdrawn());
+    /** Adds a link to a job's record. */
+    static void put(ObjectNode record, DelegationLink link) {
+        if (link instanceof OutboundDelegation outbound) {
+            ArrayNode row = record.putArray(OUTBOUND)
+                    .add(outbound.cell())
+                    .add(outbound.transfer())
+                    .add(outbound.phase().name())
+                    .add(outbound.transfers());
+            outbound.notBefore().ifPresent(time -> row.add(time.toEpochMilli()));
+        } else if (link instanceof InboundDelegation inbound) {
+            record.putArray(INBOUND).add(inbound.home()).add(inbound.transfer()).add(inbound.withdrawn());
         }
     }
 
-    /** Reads the tie out of a job's record. */
+    /** Parses the link in a job's record, if there is one. */
     static Optional<DelegationLink> parse(JsonNode record) throws MalformedMessageException {
-        if (record.has(DELEGATION)) {
-            return Optional.of(delegation(record.get(DELEGATION)));
+        if (record.has(OUTBOUND)) {
+            return Optional.of(parseOutbound(record.get(OUTBOUND)));
         }
-        return record.has(VISIT) ? Optional.of(visit(record.get(VISIT))) : Optional.empty();
+        return record.has(INBOUND) ? Optional.of(parseInbound(record.get(INBOUND))) : Optional.empty();
     }
 
-    private static OutboundDelegation delegation(JsonNode row) throws MalformedMessageException {
-        check(row.path(0).isTextual()
+    private static OutboundDelegation parseOutbound(JsonNode row) throws MalformedMessageException {
+        require(row.path(0).isTextual()
                 && row.path(1).isIntegralNumber()
                 && row.path(3).isIntegralNumber());
         Optional<Instant> notBefore =
@@ -45,12 +45,12 @@
         return new OutboundDelegation(
                 row.get(0).textValue(),
                 row.get(1).longValue(),
-                phase(row.path(2).asText()),
+                parsePhase(row.path(2).asText()),
                 row.get(3).intValue(),
                 notBefore);
     }
 
-    private static OutboundDelegation.Phase phase(String name) throws MalformedMessageException {
+    private static OutboundDelegation.Phase parsePhase(String name) throws MalformedMessageException {
         for (OutboundDelegation.Phase phase : OutboundDelegation.Phase.values()) {
             if (phase.name().equals(name)) {
                 return phase;
@@ -59,16 +59,16 @@
         throw new MalformedMessageException("its transfer's phase " + name + " is unknown");
     }
 
-    private static InboundDelegation visit(JsonNode row) throws MalformedMessageException {
-        check(row.path(0).isTextual()
+    private static InboundDelegation parseInbound(JsonNode row) throws MalformedMessageException {
+        require(row.path(0).isTextual()
                 && row.path(1).isIntegralNumber()
                 && row.path(2).isBoolean());
         return new InboundDelegation(
                 row.get(0).textValue(), row.get(1).longValue(), row.get(2).booleanValue());
     }
 
-    private static void check(boolean fine) throws MalformedMessageException {
-        if (!fine) {
+    private static void require(boolean wellFormed) throws MalformedMessageException {
+        if (!wellFormed) {
             throw new MalformedMessageException("its tie to another cell cannot be read");
         }
     }
--- a/src/main/java/org/dunespindle/storage/FormatSupport.java
+++ b/src/main/java/org/dunespindle/storage/FormatSupport.java
@@ -1,16 +1,16 @@
 package org.dunespindle.storage;
 
 /**
- * Which versions of the stored forms a controller deals with. What a feature stores is announced only while the feature is
- * switched on, but understood in any case, so that it can be switched off again.
+ * The versions of the stored forms that a controller supports. A feature's version is announced only while the feature is
+ * enabled, but can be read in any case, so that the feature can be disabled again.
  *
- * @param announced the version that is stored once all controllers announce it
- * @param readable the newest version that is understood
+ * @param announced the version that becomes the stored one once all controllers announce it
+ * @param readable the newest version that can be read
  */
 public record FormatSupport(int announced, int readable) {
-    /** The program without any feature switched on. */
+    /** No optional feature is enabled. */
     public static final FormatSupport STANDARD =
             new FormatSupport(FormatVersion.WITHOUT_FEATURES, FormatVersion.NEWEST);
-    /** The program with the federation switched on. */
+    /** The federation of cells is enabled. */
     public static final FormatSupport FEDERATED = new FormatSupport(FormatVersion.CELL_TIES, FormatVersion.NEWEST);
 }
--- a/src/main/java/org/dunespindle/storage/FormatVersion.java
+++ b/src/main/java/org/dunespindle/storage/FormatVersion.java
@@ -6,33 +6,33 @@
 import org.dunespindle.protocol.MessagePackCodec;
 
 /**
- * Versions of what controllers store. Each controller announces the newest version that it reads; the stored version is
- * raised once all of them have announced it, never lowered, and allows the forms that came with it.
+ * Versions of the stored forms. Each controller announces the newest version that it can read; the stored version is raised
+ * once all of them have announced it, is never lowered, and permits the forms that came with it.
  */
 public final class FormatVersion {
-    /** What was stored before versions were: every record is one value. */
+    /** The forms before versions were introduced: every record is one value. */
     public static final int WHOLE_RECORDS = 1;
-    /** Job records that do not fit into one value may be cut into parts. */
+    /** Job records that do not fit into one value may be divided into chunks. */
     public static final int JOB_PARTS = 2;
-    /** Job records may tell of other cells. */
+    /** Job records may be linked to other cells, see {@link DelegationLink}. */
     public static final int CELL_TIES = 3;
-    /** The newest version that this program reads. */
+    /** The newest version that this program can read. */
     public static final int NEWEST = CELL_TIES;
-    /** The newest version that needs no feature to be switched on. */
+    /** The newest version that requires no optional feature. */
     public static final int WITHOUT_FEATURES = JOB_PARTS;
 
-    private static final String FIELD = "version";
+    private static final String VERSION_FIELD = "version";
 
     private FormatVersion() {}
 
-    /** Reads a version from a record that may tell one; without any it is the first. */
+    /** Reads the version from a record; it is the first one if there is none. */
     public static int of(Optional<JsonNode> record) {
-        return record.map(node -> node.path(FIELD).asInt(WHOLE_RECORDS)).orElse(WHOLE_RECORDS);
+        return record.map(node -> node.path(VERSION_FIELD).asInt(WHOLE_RECORDS)).orElse(WHOLE_RECORDS);
     }
 
     /** Adds a version to a record. */
     public static ObjectNode put(ObjectNode record, int version) {
-        return record.put(FIELD, version);
+        return record.put(VERSION_FIELD, version);
     }
 
     /** The record of the stored version. */
--- a/src/main/java/org/dunespindle/storage/InboundDelegation.java
+++ b/src/main/java/org/dunespindle/storage/InboundDelegation.java
@@ -1,20 +1,20 @@
 package org.dunespindle.storage;
 
 /**
- * The tie of a job that was taken in from another cell.
+ * The link of a job that was accepted from another cell, its origin.
  *
- * @param home the cell that accepted the job from its user
- * @param transfer the number under which it was given away: a fencing token, higher with every transfer of that cell
- * @param withdrawn whether the home took the job back, or was refused, before any task was booked
+ * @param home the origin, which accepted the job from its user
+ * @param transfer the number of the delegation: a fencing token, higher with every delegation by the origin
+ * @param withdrawn whether the origin withdrew the job, or was refused, before any task was placed
  */
 public record InboundDelegation(String home, long transfer, boolean withdrawn) implements DelegationLink {
-    /** A visit that goes on. */
+    /** A delegation in progress. */
     public static InboundDelegation of(String home, long transfer) {
         return new InboundDelegation(home, transfer, false);
     }
 
-    /** The same visit, ended without any task having been booked. */
-    public InboundDelegation withdraw() {
+    /** The same delegation, ended without any task having been placed. */
+    InboundDelegation withdraw() {
         return new InboundDelegation(home, transfer, true);
     }
 }
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -4,12 +4,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import java.time.Instant;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
-import java.util.function.UnaryOperator;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Submission;
 
@@ -235,72 +232,27 @@
      * @param machineIds the machine for each task
      */
     public JobRecord withPlaced(Map<Integer, String> machineIds) {
-        var placed = new ArrayList<>(allocations);
-        machineIds.forEach((task, machineId) -> placed.add(new Allocation(task, machineId, attemptCounter, false)));
-        JobRecordBuilder after = copy().allocations(placed).notBefore(Optional.empty());
-        if (submission().isGang()) {
-            return after.attemptCounter(attemptCounter + submission().tasks())
-                    .gangPhase(gangPhase == GangPhase.QUEUED ? GangPhase.PLACEHOLDERS : gangPhase)
-                    .build();
-        }
-        return afterArrayPlacement(after, machineIds.keySet());
-    }
-
-    private JobRecord afterArrayPlacement(JobRecordBuilder after, Set<Integer> placed) {
-        int next = nextTaskIndex;
-        var waiting = new ArrayList<>(requeued);
-        for (Integer task : placed) {
-            waiting.remove(task);
-            next = Math.max(next, task + 1);
-        }
-        // Indices skipped below the new next one still have to run; without this they would count as done.
-        for (int i = nextTaskIndex; i < next; i++) {
-            if (!placed.contains(i)) {
-                waiting.add(i);
-            }
-        }
-        return after.attemptCounter(attemptCounter + 1)
-                .nextTaskIndex(next)
-                .requeued(waiting)
-                .build();
+        return JobTransitions.place(this, machineIds);
     }
 
     /** Starts the real tasks of a gang, all of whose placeholders are ready, under one new common attempt. */
     public JobRecord withGangRunning() {
-        return copy().attemptCounter(attemptCounter + 1)
-                .gangPhase(GangPhase.RUNNING)
-                .gangAttempt(attemptCounter)
-                .build();
+        return JobTransitions.runGang(this);
     }
 
     /** Places a placeholder on its machine again, under a new attempt, after it ended by itself. */
     public JobRecord withPlaceholderReplaced(int task) {
-        return copy().attemptCounter(attemptCounter + submission().tasks())
-                .allocations(replaceAllocation(
-                        task,
-                        allocation ->
-                                new Allocation(task, allocation.machineId(), attemptCounter, allocation.stopping())))
-                .build();
+        return JobTransitions.replacePlaceholder(this, task);
     }
 
     /** Stops a whole gang: it is queued again once every task is released. */
     public JobRecord withGangStopping() {
-        boolean realTasks = gangPhase == GangPhase.RUNNING || gangPhase == GangPhase.STOPPING;
-        return copy().gangPhase(GangPhase.STOPPING)
-                .gangAttempt(realTasks ? gangAttempt : 0)
-                .build();
+        return JobTransitions.stopGang(this);
     }
 
     /** Marks one task's allocation as being stopped. */
     public JobRecord withTaskStopping(int task) {
-        return copy().allocations(replaceAllocation(task, Allocation::stopped)).build();
-    }
-
-    private List<Allocation> replaceAllocation(int task, UnaryOperator<Allocation> replacement) {
-        var replaced = new ArrayList<Allocation>(allocations.size());
-        allocations.forEach(
-                allocation -> replaced.add(allocation.task() == task ? replacement.apply(allocation) : allocation));
-        return replaced;
+        return JobTransitions.stopTask(this, task);
     }
 
     /** Releases the allocation of a task that is proven to have ended; an array's task is requeued unless it is done. */
@@ -314,59 +266,22 @@
      * @param doneByTask whether each of the ended tasks is done
      */
     public JobRecord withReleased(Map<Integer, Boolean> doneByTask) {
-        var remaining = new ArrayList<Allocation>(allocations.size());
-        allocations.forEach(allocation -> {
-            if (!doneByTask.containsKey(allocation.task())) {
-                remaining.add(allocation);
-            }
-        });
-        JobRecordBuilder after = copy().allocations(remaining);
-        if (spec.isPresent() && !submission().isGang()) {
-            return afterArrayRelease(after, doneByTask, remaining.isEmpty());
-        }
-        if (remaining.isEmpty() || gangPhase == GangPhase.QUEUED) {
-            after.gangPhase(GangPhase.QUEUED).gangAttempt(0);
-        }
-        return after.build().compact();
-    }
-
-    private JobRecord afterArrayRelease(
-            JobRecordBuilder after, Map<Integer, Boolean> doneByTask, boolean noAllocations) {
-        var waiting = new ArrayList<>(requeued);
-        doneByTask.forEach((task, done) -> {
-            if (!done || submission().isService()) {
-                waiting.add(task); // a service's task that ends is started again: only its user ends a service
-            }
-        });
-        boolean allDone = isOpen() && nextTaskIndex == submission().tasks() && waiting.isEmpty() && noAllocations;
-        return after.requeued(waiting)
-                .outcome(allDone ? Outcome.DONE : outcome)
-                .build()
-                .compact();
+        return JobTransitions.release(this, doneByTask);
     }
 
     /** A gang that is done; its tasks complete together. */
     public JobRecord gangDone() {
-        return done();
+        return JobTransitions.complete(this);
     }
 
     /** A delegated job all of whose tasks are done, as the cell that holds it has reported. */
     public JobRecord doneElsewhere() {
-        return done();
-    }
-
-    private JobRecord done() {
-        return copy().outcome(Outcome.DONE)
-                .allocations(List.of())
-                .gangPhase(GangPhase.QUEUED)
-                .gangAttempt(0)
-                .build()
-                .compact();
+        return JobTransitions.complete(this);
     }
 
     /** A cancelled job; its allocations stay until each task is proven to have ended. */
     public JobRecord cancelled() {
-        return copy().outcome(Outcome.CANCELLED).requeued(List.of()).build().compact();
+        return JobTransitions.cancel(this);
     }
 
     /** Ends a job accepted from another cell before any of its tasks was placed; its origin may place it again. */
@@ -389,19 +304,8 @@
         return copy().queuePosition(position).build();
     }
 
-    private JobRecordBuilder copy() {
+    /** A builder of a changed copy. */
+    JobRecordBuilder copy() {
         return new JobRecordBuilder(this);
     }
-
-    /** Drops all that a finished job without allocations does not need, in particular a delegation of its own. */
-    private JobRecord compact() {
-        if (isOpen() || !allocations.isEmpty()) {
-            return this;
-        }
-        int tasksDone = nextTaskIndex;
-        if (spec.isPresent()) {
-            tasksDone = outcome == Outcome.DONE ? submission().tasks() : 0;
-        }
-        return finished(id, arrived, outcome, tasksDone, delegationLink.filter(InboundDelegation.class::isInstance));
-    }
 }
--- a/src/main/java/org/dunespindle/storage/JobRecordWriter.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordWriter.java
@@ -58,14 +58,14 @@
         for (int i = 0; i < chunks.size(); i++) {
             String text = chunks.get(i);
             if (i >= storedChunks.size() || !storedChunks.get(i).equals(text)) {
-                transaction.write(Keys.part(jobId, i), ChunkedJobRecordCodec.chunkNode(text));
+                transaction.write(Keys.chunk(jobId, i), ChunkedJobRecordCodec.chunkNode(text));
             }
         }
     }
 
     private static void removeChunks(Transaction transaction, String jobId, int from, int to) {
         for (int i = from; i < to; i++) {
-            transaction.remove(Keys.part(jobId, i));
+            transaction.remove(Keys.chunk(jobId, i));
         }
     }
 
--- a/src/main/java/org/dunespindle/storage/Keys.java
+++ b/src/main/java/org/dunespindle/storage/Keys.java
@@ -1,26 +1,31 @@
 package org.dunespindle.storage;
 
-/** Where things are kept in the state service. */
+/** The layout of keys in the state store. */
 public final class Keys {
+    /** The prefix of all keys. */
     public static final String ROOT = "ds/";
+    /** The prefix of jobs' records, see {@link JobRecord}. */
     public static final String JOB = ROOT + "job/";
-    /** Machines are kept several to a record: what concerns them together then costs one write. */
-    public static final String PAGE = ROOT + "page/";
-
+    /** The prefix of pages of machines, see {@link MachineRecord}. A change of several machines of a page costs one write. */
+    static final String PAGE = ROOT + "page/";
+    /** The prefix of teams' quota records. */
     public static final String TEAM = ROOT + "team/";
-    public static final String MEMBER = ROOT + "member/";
+    /** The prefix of live controllers' membership records, each attached to the controller's lease. */
+    static final String MEMBER = ROOT + "member/";
+    /** The prefix of controllers' incarnation numbers. */
     public static final String INCARNATION = ROOT + "incarnation/";
+    /** The key of the leader's record. */
     public static final String LEADER = ROOT + "leader";
+    /** The key of the options that operators set. */
     public static final String OPTIONS = ROOT + "options";
-    /** The version of the stored forms, see {@link FormatVersion}. */
+    /** The key of the version of the stored forms, see {@link FormatVersion}. */
     public static final String FORMAT = ROOT + "format";
-    /** Parts of jobs' records that do not fit into one value. */
+    /** The prefix of chunks of jobs' records that do not fit into one value. */
     public static final String PART = ROOT + "part/";
-
-    /** This cell's identity among others. */
+    /** The key of this cell's identity in the federation. */
     public static final String FEDERATION = ROOT + "federation";
-    /** What is known of other cells. */
-    public static final String CELL = ROOT + "cell/";
+    /** The prefix of records of other cells. */
+    static final String CELL = ROOT + "cell/";
 
     private Keys() {}
 
@@ -29,32 +34,32 @@
         return JOB + id;
     }
 
-    /** The key of a part of a job's record, counted from 0. */
-    public static String part(String id, int index) {
+    /** The key of a chunk of a job's record, counted from 0. */
+    static String chunk(String id, int index) {
         return PART + id + "/" + index;
     }
 
-    /** The record that a machine is kept in. */
-    public static String machinePage(String id) {
-        return PAGE + machinePageName(id);
+    /** The key of the page that a machine is stored on. */
+    public static String machinePage(String machineId) {
+        return PAGE + machinePageName(machineId);
     }
 
-    /** Machines whose names differ in the last character only share a page; names are given in rising order. */
-    public static String machinePageName(String host) {
-        return host.length() > 1 ? host.substring(0, host.length() - 1) : host;
+    /** The name of a machine's page. Machines whose ids differ in the last character only share one; ids ascend. */
+    public static String machinePageName(String machineId) {
+        return machineId.length() > 1 ? machineId.substring(0, machineId.length() - 1) : machineId;
     }
 
-    /** The key of a team's record. */
+    /** The key of a team's quota record. */
     public static String team(String name) {
         return TEAM + name;
     }
 
-    /** The key of what is known of another cell. */
+    /** The key of another cell's record. */
     public static String cell(String name) {
         return CELL + name;
     }
 
-    /** The key of a controller's membership. */
+    /** The key of a controller's membership record. */
     public static String member(String node) {
         return MEMBER + node;
     }
--- a/src/main/java/org/dunespindle/storage/MachineRecord.java
+++ b/src/main/java/org/dunespindle/storage/MachineRecord.java
@@ -6,11 +6,15 @@
 import java.time.Instant;
 
 /**
- * A machine: who commands it, under which fencing token, and what it is. Every change of hands raises the
- * token, so that a transaction guarded by the record's stamp can only come from the present owner.
+ * The stored state of a machine: which controller owns it, under which fencing token, and what it is. Every change of owner
+ * raises the token, so that a transaction with the record's revision as a precondition can only come from the present owner.
  *
- * @param keepUntil no rebalancing before then: the owner took the machine because its worker could not reach the other
- * @param draining being returned; nothing may be placed on it any more
+ * @param owner the name of the owning controller
+ * @param incarnation of the owning controller
+ * @param token the fencing token that commands to the machine's worker carry
+ * @param keepUntil no rebalancing before then: the owner took the machine over because its worker could not reach the other
+ * @param draining whether it is being returned to the cloud; nothing may be placed on it any more
+ * @param drainReason why it is draining, empty while it is not
  */
 public record MachineRecord(
         String id,
@@ -26,45 +30,66 @@
         boolean draining,
         String drainReason) {
 
-    /** Reasons for leaving that let present work end first. */
+    /** The stored drain reason of a machine that scales in because nothing runs on it. */
     public static final String IDLE = "it is idle";
 
+    /** The stored drain reason of a machine that an operator drains. */
     public static final String DRAINED = "an operator drains it";
 
-    /** Whether the machine is given back only once its tasks have ended. */
+    /** The columns of a row, in their stored order. */
+    private enum Column {
+        ADDRESS,
+        TYPE,
+        ZONE,
+        SPOT,
+        OWNER,
+        INCARNATION,
+        TOKEN,
+        RENTED,
+        KEEP_UNTIL,
+        DRAINING,
+        DRAIN_REASON;
+
+        JsonNode in(JsonNode row) {
+            return row.path(ordinal());
+        }
+    }
+
+    /** Whether the machine is returned only once its tasks have ended. */
     public boolean drainsGracefully() {
         return drainReason.equals(IDLE) || drainReason.equals(DRAINED);
     }
 
     /** The record under a new owner and a raised fencing token. */
-    public MachineRecord ownedBy(String node, long inc, Instant keep) {
+    public MachineRecord ownedBy(String newOwner, long newIncarnation, Instant newKeepUntil) {
         return new MachineRecord(
-                id, address, type, zone, spot, node, inc, token + 1, rented, keep, draining, drainReason);
+                id,
+                address,
+                type,
+                zone,
+                spot,
+                newOwner,
+                newIncarnation,
+                token + 1,
+                rented,
+                newKeepUntil,
+                draining,
+                drainReason);
     }
 
     /** The same owner under a higher token: commands still under way with the old one become void. */
     public MachineRecord withNextToken() {
-        return new MachineRecord(
-                id, address, type, zone, spot, owner, incarnation, token + 1, rented, keepUntil, draining, drainReason);
+        return withToken(token + 1);
     }
 
-    /** The same under a token that the worker has not seen yet, should it know a higher one than was stored. */
+    /** The record under a token that the worker has not seen yet, should it know a higher one than was stored. */
     public MachineRecord withTokenAbove(long seen) {
-        return token > seen
-                ? this
-                : new MachineRecord(
-                        id,
-                        address,
-                        type,
-                        zone,
-                        spot,
-                        owner,
-                        incarnation,
-                        seen + 1,
-                        rented,
-                        keepUntil,
-                        draining,
-                        drainReason);
+        return token > seen ? this : withToken(seen + 1);
+    }
+
+    private MachineRecord withToken(long newToken) {
+        return new MachineRecord(
+                id, address, type, zone, spot, owner, incarnation, newToken, rented, keepUntil, draining, drainReason);
     }
 
     /** The record of a machine that is being returned, with the reason. */
@@ -75,24 +100,14 @@
 
     /** The record with another address, unless that is empty. */
     public MachineRecord withAddress(String newAddress) {
-        return newAddress.isEmpty() || newAddress.equals(address)
-                ? this
-                : new MachineRecord(
-                        id,
-                        newAddress,
-                        type,
-                        zone,
-                        spot,
-                        owner,
-                        incarnation,
-                        token,
-                        rented,
-                        keepUntil,
-                        draining,
-                        drainReason);
+        if (newAddress.isEmpty() || newAddress.equals(address)) {
+            return this;
+        }
+        return new MachineRecord(
+                id, newAddress, type, zone, spot, owner, incarnation, token, rented, keepUntil, draining, drainReason);
     }
 
-    /** A row of the page that the machine is kept on; rows are short, since a page holds several. */
+    /** The row on the page that the machine is stored on; rows are positional, since a page holds several. */
     ArrayNode toRow() {
         return JsonNodeFactory.instance
                 .arrayNode()
@@ -109,19 +124,20 @@
                 .add(drainReason);
     }
 
-    static MachineRecord parse(String id, JsonNode n) {
+    /** Parses the row that {@link #toRow} writes. */
+    static MachineRecord parse(String id, JsonNode row) {
         return new MachineRecord(
                 id,
-                n.path(0).asText(),
-                n.path(1).asText(),
-                n.path(2).asText(),
-                n.path(3).booleanValue(),
-                n.path(4).asText(),
-                n.path(5).longValue(),
-                n.path(6).longValue(),
-                Instant.ofEpochMilli(n.path(7).longValue()),
-                Instant.ofEpochMilli(n.path(8).longValue()),
-                n.path(9).booleanValue(),
-                n.path(10).asText(""));
+                Column.ADDRESS.in(row).asText(),
+                Column.TYPE.in(row).asText(),
+                Column.ZONE.in(row).asText(),
+                Column.SPOT.in(row).booleanValue(),
+                Column.OWNER.in(row).asText(),
+                Column.INCARNATION.in(row).longValue(),
+                Column.TOKEN.in(row).longValue(),
+                Instant.ofEpochMilli(Column.RENTED.in(row).longValue()),
+                Instant.ofEpochMilli(Column.KEEP_UNTIL.in(row).longValue()),
+                Column.DRAINING.in(row).booleanValue(),
+                Column.DRAIN_REASON.in(row).asText(""));
     }
 }
--- a/src/main/java/org/dunespindle/storage/OutboundDelegation.java
+++ b/src/main/java/org/dunespindle/storage/OutboundDelegation.java
@@ -4,30 +4,30 @@
 import java.util.Optional;
 
 /**
- * The tie of a job to the cell that it was given to, as its own cell keeps it. The phases change by the methods here alone;
- * a change that the present phase does not allow is an {@link IllegalStateException}.
+ * The link of a job to the remote cell that it was delegated to, as its origin stores it. Only the methods here change the
+ * phase; a transition that the present phase does not permit is an {@link IllegalStateException}.
  *
- * @param cell the cell that the latest transfer went to
+ * @param cell the remote cell of the latest transfer
  * @param transfer the number of the latest transfer, which serves as its fencing token
- * @param transfers how often the job has been given away so far
- * @param notBefore when it may be given away again, after it came back
+ * @param transfers how often the job has been delegated so far
+ * @param notBefore when it may be delegated again, after it was returned
  */
 public record OutboundDelegation(String cell, long transfer, Phase phase, int transfers, Optional<Instant> notBefore)
         implements DelegationLink {
 
-    /** Where a transfer stands. In all phases but the first the other cell may hold the job. */
+    /** The phases of a transfer. In all but the first the remote cell may hold the job. */
     public enum Phase {
-        /** The job is at home: the transfer is proven to have ended without any task having been booked. */
+        /** The job is at its origin: the transfer is proven to have ended without any task having been placed. */
         HOME,
         /** The offer may have been sent any number of times; whether it was accepted is not known. */
         OFFERED,
-        /** The other cell has stored the job. */
+        /** The remote cell has stored the job. */
         ACCEPTED,
-        /** The job is wanted back; whether the other cell gives it back is not known. */
+        /** The origin recalls the job; whether the remote cell returns it is not known. */
         RECALLED
     }
 
-    /** Whether the other cell may hold the job. */
+    /** Whether the remote cell may hold the job. */
     public boolean outstanding() {
         return phase != Phase.HOME;
     }
@@ -44,48 +44,48 @@
         return new OutboundDelegation(cell, transfer, Phase.OFFERED, transfers, Optional.empty());
     }
 
-    /** The other cell told that it has stored the job; one that is wanted back stays so. */
+    /** The remote cell has confirmed that it stored the job; a recall remains in effect. */
     public OutboundDelegation accepted() {
         return switch (phase) {
-            case OFFERED -> in(Phase.ACCEPTED);
+            case OFFERED -> withPhase(Phase.ACCEPTED);
             case ACCEPTED, RECALLED -> this;
-            case HOME -> throw refused("accepted");
+            case HOME -> throw illegalTransition("accepted");
         };
     }
 
-    /** The job is wanted back. */
+    /** The origin recalls the job. */
     public OutboundDelegation recalled() {
         if (!outstanding()) {
-            throw refused("recalled");
+            throw illegalTransition("recalled");
         }
-        return in(Phase.RECALLED);
+        return withPhase(Phase.RECALLED);
     }
 
-    /** The other cell has begun with the job and keeps it. */
+    /** The remote cell has placed tasks of the job and keeps it. */
     public OutboundDelegation kept() {
         require(Phase.RECALLED, "kept");
-        return in(Phase.ACCEPTED);
+        return withPhase(Phase.ACCEPTED);
     }
 
-    /** The other cell told that this transfer has ended there, and that no task was ever booked under it. */
-    public OutboundDelegation returned(Instant again) {
+    /** The remote cell has confirmed that this transfer ended there without any task having been placed. */
+    public OutboundDelegation returned(Instant retryAt) {
         if (!outstanding()) {
-            throw refused("returned");
+            throw illegalTransition("returned");
         }
-        return new OutboundDelegation(cell, transfer, Phase.HOME, transfers, Optional.of(again));
+        return new OutboundDelegation(cell, transfer, Phase.HOME, transfers, Optional.of(retryAt));
     }
 
-    private OutboundDelegation in(Phase next) {
+    private OutboundDelegation withPhase(Phase next) {
         return new OutboundDelegation(cell, transfer, next, transfers, notBefore);
     }
 
-    private void require(Phase wanted, String change) {
-        if (phase != wanted) {
-            throw refused(change);
+    private void require(Phase required, String change) {
+        if (phase != required) {
+            throw illegalTransition(change);
         }
     }
 
-    private IllegalStateException refused(String change) {
+    private IllegalStateException illegalTransition(String change) {
         return new IllegalStateException("a transfer that is " + phase + " cannot be " + change);
     }
 }
--- a/src/main/java/org/dunespindle/storage/PlacedTask.java
+++ b/src/main/java/org/dunespindle/storage/PlacedTask.java
@@ -1,4 +1,4 @@
 package org.dunespindle.storage;
 
-/** An allocation with its job. */
+/** An allocation together with its job. */
 public record PlacedTask(JobRecord job, Allocation allocation) {}
--- a/src/main/java/org/dunespindle/storage/RateLimitedHttpClient.java
+++ b/src/main/java/org/dunespindle/storage/RateLimitedHttpClient.java
@@ -8,17 +8,21 @@
 import org.dunespindle.transport.HttpClient;
 import org.dunespindle.transport.HttpClientResponse;
 
-/** Calls one outside service within a budget and measures how long it takes to answer. */
+/** Calls one external service within a rate limit and records its latency. */
 public final class RateLimitedHttpClient {
-    private static final long LONGEST_MICROS = 60_000_000L;
+    private static final long MAX_RECORDED_LATENCY_MICROS = 60_000_000L;
+    private static final int LATENCY_SIGNIFICANT_DIGITS = 2;
+    private static final long NANOS_PER_MICRO = 1000;
+    private static final double COST_OF_CALL = 1;
+
     private final HttpClient httpClient;
     private final String address;
     private final TimeSource timeSource;
     private final RateLimiter rateLimiter;
     private final Duration timeout;
-    private final Histogram latency = new Histogram(LONGEST_MICROS, 2);
+    private final Histogram latency = new Histogram(MAX_RECORDED_LATENCY_MICROS, LATENCY_SIGNIFICANT_DIGITS);
 
-    /** Creates a caller for one address, with a budget and a time limit for each call. */
+    /** Creates a client for one address, with a rate limit and a timeout for each call. */
     public RateLimitedHttpClient(
             HttpClient httpClient, String address, TimeSource timeSource, RateLimiter rateLimiter, Duration timeout) {
         this.httpClient = httpClient;
@@ -33,23 +37,28 @@
         return latency;
     }
 
-    /** Sends a MessagePack request once the budget allows; renewals go first. */
-    public CompletableFuture<HttpClientResponse> call(boolean first, String method, String target, byte[] body) {
+    /** Sends a MessagePack request once the rate limit allows; urgent calls (lease renewals) go first. */
+    public CompletableFuture<HttpClientResponse> call(boolean urgent, String method, String target, byte[] body) {
         var result = new CompletableFuture<HttpClientResponse>();
-        rateLimiter.submit(first, 1, () -> {
-            Duration begun = timeSource.now();
-            httpClient
-                    .send(address, method, target, body, MessagePackCodec.TYPE, timeout)
-                    .whenComplete((response, e) -> {
-                        latency.recordValue(Math.min(
-                                LONGEST_MICROS, timeSource.now().minus(begun).toNanos() / 1000));
-                        if (e != null) {
-                            result.completeExceptionally(e);
-                        } else {
-                            result.complete(response);
-                        }
-                    });
-        });
+        rateLimiter.submit(urgent, COST_OF_CALL, () -> send(method, target, body, result));
         return result;
     }
+
+    private void send(String method, String target, byte[] body, CompletableFuture<HttpClientResponse> result) {
+        Duration begun = timeSource.now();
+        httpClient
+                .send(address, method, target, body, MessagePackCodec.TYPE, timeout)
+                .whenComplete((response, failure) -> {
+                    recordLatency(timeSource.now().minus(begun));
+                    if (failure != null) {
+                        result.completeExceptionally(failure);
+                    } else {
+                        result.complete(response);
+                    }
+                });
+    }
+
+    private void recordLatency(Duration elapsed) {
+        latency.recordValue(Math.min(MAX_RECORDED_LATENCY_MICROS, elapsed.toNanos() / NANOS_PER_MICRO));
+    }
 }
--- a/src/main/java/org/dunespindle/storage/RateLimiter.java
+++ b/src/main/java/org/dunespindle/storage/RateLimiter.java
@@ -5,29 +5,35 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * This controller's share of a service's rate. Work waits its turn in order; urgent work (lease
- * renewals) goes first, because a lost lease costs more than any late request.
+ * A token bucket: this controller's share of a service's rate. Work waits its turn in order; urgent work (lease renewals)
+ * goes first, because a lost lease costs more than any late request.
  */
 public final class RateLimiter {
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** Tokens accrue as floating-point numbers: work may run although its cost is missing by so much. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
+    /** Added to each wait, so that the tokens have accrued for certain when it ends. */
+    private static final long WAIT_MARGIN_NANOS = 1_000_000;
+
     private final TimeSource timeSource;
-    private final ArrayDeque<Waiting> urgent = new ArrayDeque<>();
-    private final ArrayDeque<Waiting> normal = new ArrayDeque<>();
+    private final ArrayDeque<QueuedWork> urgentWork = new ArrayDeque<>();
+    private final ArrayDeque<QueuedWork> normalWork = new ArrayDeque<>();
     private double perSecond;
     private double tokens;
-    private Duration filledAt;
+    private Duration refilledAt;
     private boolean timerSet;
 
-    private record Waiting(double cost, Runnable work) {}
+    private record QueuedWork(double cost, Runnable work) {}
 
-    /** Creates a budget of so many units a second, with a burst of one second. */
+    /** Creates a limiter for so many units a second, with a burst of one second. */
     public RateLimiter(TimeSource timeSource, double perSecond) {
         this.timeSource = timeSource;
         this.perSecond = perSecond;
         this.tokens = burst();
-        this.filledAt = timeSource.now();
+        this.refilledAt = timeSource.now();
     }
 
-    /** A second's worth, as the services allow. */
+    /** The most tokens that accrue: one second's worth, as the services allow. */
     private double burst() {
         return Math.max(perSecond, 1);
     }
@@ -37,7 +43,7 @@
         return perSecond;
     }
 
-    /** Changes the rate from now on, as the others' need for their shares changes. */
+    /** Changes the rate from now on, as the controllers' demand for their shares changes. */
     public void rate(double newPerSecond) {
         refill();
         perSecond = newPerSecond;
@@ -47,49 +53,54 @@
     /** What may be spent now; negative while a large charge is being paid off. */
     public double available() {
         refill();
-        return urgent.isEmpty() && normal.isEmpty() ? tokens : Math.min(tokens, 0);
+        return urgentWork.isEmpty() && normalWork.isEmpty() ? tokens : Math.min(tokens, 0);
     }
 
-    /** Whether this much cannot be spent yet; what costs more than a second's worth needs a full budget. */
+    /** Whether this cost cannot be spent yet; one above the burst only needs a full bucket. */
     public boolean isShortOf(double cost) {
-        return Math.min(cost, burst()) > available() + 1e-9;
+        return requiredTokens(cost) > available() + ROUNDING_TOLERANCE;
     }
 
-    /** Pays for work that is done at once, if need be later. */
-    public void charge(double cost) {
+    /** Charges for work that runs at once, if need be to be paid off later. */
+    void charge(double cost) {
         refill();
         tokens -= cost;
     }
 
-    /** How long until this much is available, at least a millisecond. */
+    /** How long to wait until a cost can be spent, at least a millisecond. */
     public Duration timeUntil(double cost) {
         refill();
-        double missing = Math.min(cost, burst()) - tokens;
-        return Duration.ofNanos((long) (Math.max(0, missing) / perSecond * 1e9) + 1_000_000);
+        double missing = Math.max(0, requiredTokens(cost) - tokens);
+        return Duration.ofNanos((long) (missing / perSecond * NANOS_PER_SECOND) + WAIT_MARGIN_NANOS);
     }
 
-    /** Runs work once its cost is available. What costs more than a second's worth runs at a full budget and is paid off afterwards. */
-    public void submit(boolean first, double cost, Runnable work) {
-        (first ? urgent : normal).addLast(new Waiting(cost, work));
+    /** Runs work once its cost can be spent. What costs more than the burst runs at a full bucket and is paid off afterwards. */
+    public void submit(boolean urgent, double cost, Runnable work) {
+        (urgent ? urgentWork : normalWork).addLast(new QueuedWork(cost, work));
         drain();
     }
 
+    private double requiredTokens(double cost) {
+        return Math.min(cost, burst());
+    }
+
     private void refill() {
         Duration now = timeSource.now();
-        tokens = Math.min(burst(), tokens + now.minus(filledAt).toNanos() / 1e9 * perSecond);
-        filledAt = now;
+        double accrued = now.minus(refilledAt).toNanos() / NANOS_PER_SECOND * perSecond;
+        tokens = Math.min(burst(), tokens + accrued);
+        refilledAt = now;
     }
 
     private void drain() {
         refill();
         while (true) {
-            ArrayDeque<Waiting> queue = urgent.isEmpty() ? normal : urgent;
-            Waiting head = queue.peekFirst();
+            ArrayDeque<QueuedWork> queue = urgentWork.isEmpty() ? normalWork : urgentWork;
+            QueuedWork head = queue.peekFirst();
             if (head == null) {
                 return;
             }
-            if (Math.min(head.cost, burst()) > tokens + 1e-9) {
-                wake(timeUntil(head.cost));
+            if (requiredTokens(head.cost) > tokens + ROUNDING_TOLERANCE) {
+                scheduleDrain(timeUntil(head.cost));
                 return;
             }
             queue.pollFirst();
@@ -98,12 +109,12 @@
         }
     }
 
-    private void wake(Duration in) {
+    private void scheduleDrain(Duration delay) {
         if (timerSet) {
             return;
         }
         timerSet = true;
-        timeSource.schedule(in, () -> {
+        timeSource.schedule(delay, () -> {
             timerSet = false;
             drain();
         });
--- a/src/main/java/org/dunespindle/storage/StateStoreClient.java
+++ b/src/main/java/org/dunespindle/storage/StateStoreClient.java
@@ -1,6 +1,7 @@
 package org.dunespindle.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.OptionalLong;
 import java.util.Set;
@@ -17,127 +18,152 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The state service, called within this controller's share of its rates. */
+/** Client of the state store's HTTP API, within this controller's share of the store's rate limits. */
 public final class StateStoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateStoreClient.class);
-    private static final Duration TIMEOUT = Duration.ofMillis(1800);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1800);
     /** Controllers' clocks differ a little, so their shares leave some of the rate unused. */
-    private static final double SAFE_PART = 0.9;
+    private static final double USABLE_RATE_FRACTION = 0.9;
 
-    private final RateLimitedHttpClient service;
+    private static final int MIN_FAILURES_FOR_OUTAGE = 2;
+    private static final byte[] NO_BODY = new byte[0];
+
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_BAD_REQUEST = 400;
+    private static final int HTTP_NOT_FOUND = 404;
+    private static final int HTTP_CONFLICT = 409;
+    private static final int HTTP_CONTENT_TOO_LARGE = 413;
+    private static final int HTTP_TOO_MANY_REQUESTS = 429;
+    private static final int HTTP_UNAVAILABLE = 503;
+
+    private final RateLimitedHttpClient httpClient;
     private final RateLimiter writes;
-    private int failuresInARow;
+    private int consecutiveFailures;
 
-    /** Creates a client for the state service that the settings name. */
+    /** Creates a client for the state store that the settings name. */
     public StateStoreClient(HttpClient httpClient, Settings settings, TimeSource timeSource) {
         Settings.State limits = settings.state().lowest();
-        int sharers = settings.seeds().size() + 1;
-        double requestShare = SAFE_PART * limits.rps() / sharers;
-        double writeShare = SAFE_PART * limits.writeRps() / sharers;
-        this.service = new RateLimitedHttpClient(
-                httpClient, settings.stateAddress(), timeSource, new RateLimiter(timeSource, requestShare), TIMEOUT);
+        int controllers = settings.seeds().size() + 1;
+        double requestShare = USABLE_RATE_FRACTION * limits.rps() / controllers;
+        double writeShare = USABLE_RATE_FRACTION * limits.writeRps() / controllers;
+        this.httpClient = new RateLimitedHttpClient(
+                httpClient,
+                settings.stateAddress(),
+                timeSource,
+                new RateLimiter(timeSource, requestShare),
+                REQUEST_TIMEOUT);
         this.writes = new RateLimiter(timeSource, writeShare);
     }
 
-    /** What this controller may write; changes are paid for as they are committed. */
+    /** The limiter of this controller's writes; changes are charged as they are committed. */
     public RateLimiter writes() {
         return writes;
     }
 
-    /** Whether the last requests went unserved; tells when to refuse at once instead of trying. */
+    /** Whether the last requests were not served, so that users are better refused at once than after a timeout. */
     public boolean failing() {
-        return failuresInARow >= 2;
+        return consecutiveFailures >= MIN_FAILURES_FOR_OUTAGE;
     }
 
     /** How long calls took, in microseconds. */
     public Histogram latency() {
-        return service.latency();
+        return httpClient.latency();
     }
 
-    /** A page of keys; fails unless it was answered with 200. */
-    public CompletableFuture<StateMessages.Entries> list(String under, String since, int limit) {
-        return ok(call(
-                        false,
-                        "GET",
-                        "/keys?under=" + under + (since.isEmpty() ? "" : "&since=" + since) + "&limit=" + limit,
-                        new byte[0]))
-                .thenApply(StateMessages::page);
+    /**
+     * Reads a page of keys and their values; fails unless the store serves it.
+     *
+     * @param prefix of all keys
+     * @param after the last key of the page before, empty for the first page
+     */
+    public CompletableFuture<StateMessages.Entries> list(String prefix, String after, int maxKeys) {
+        String since = after.isEmpty() ? "" : "&since=" + after;
+        String target = "/keys?under=" + prefix + since + "&limit=" + maxKeys;
+        return requireOk(call(false, "GET", target, NO_BODY)).thenApply(StateMessages::page);
     }
 
-    /** All changes after a revision, without waiting for any; status 410 when it is too old. */
-    public CompletableFuture<HttpClientResponse> changes(String under, long since) {
-        return call(false, "GET", "/watch?under=" + under + "&since=" + since + "&holdMs=0", new byte[0]);
+    /** Reads all changes after a revision, without waiting for any; status 410 when the revision is too old. */
+    public CompletableFuture<HttpClientResponse> changes(String prefix, long revision) {
+        return call(false, "GET", "/watch?under=" + prefix + "&since=" + revision + "&holdMs=0", NO_BODY);
     }
 
-    /** A new lease, as the service's number for it. */
+    /** Grants a new lease and returns the store's id of it. */
     public CompletableFuture<OptionalLong> openLease(Duration ttl) {
-        return ok(call(true, "POST", "/holds", MessagePackCodec.write(StateMessages.lease(ttl))))
+        return requireOk(call(true, "POST", "/holds", MessagePackCodec.write(StateMessages.lease(ttl))))
                 .thenApply(StateMessages::leaseId);
     }
 
-    /** Renews; false when the lease has ended. */
+    /** Renews a lease; false when it has ended. */
     public CompletableFuture<Boolean> renewLease(long lease) {
         return call(true, "POST", "/holds/" + lease + "/renew", MessagePackCodec.write(MessagePackCodec.map()))
                 .thenCompose(response -> switch (response.status()) {
-                    case 200 -> CompletableFuture.completedFuture(true);
-                    case 404 -> CompletableFuture.completedFuture(false);
-                    default ->
-                        CompletableFuture.failedFuture(new HttpCallException("status " + response.status(), true));
+                    case HTTP_OK -> CompletableFuture.completedFuture(true);
+                    case HTTP_NOT_FOUND -> CompletableFuture.completedFuture(false);
+                    default -> CompletableFuture.failedFuture(unexpectedStatus(response));
                 });
     }
 
-    /** Ends a lease and removes what is attached to it. */
+    /** Ends a lease and removes the keys attached to it. A failure is only logged: the lease then ends by itself. */
     public void endLease(long lease) {
-        call(true, "DELETE", "/holds/" + lease, new byte[0]);
+        call(true, "DELETE", "/holds/" + lease, NO_BODY).whenComplete((response, failure) -> {
+            if (failure != null) {
+                LOG.debug("lease not ended lease={} cause={}", lease, failure.toString());
+            }
+        });
     }
 
-    /** Commits a transaction at once and charges its changes; whoever has many paces them. Never fails, see the result. */
+    /** Commits a transaction at once and charges its changes; callers with many pace them. The future never fails. */
     public CompletableFuture<TransactionResult> commit(Transaction transaction) {
         var result = new CompletableFuture<TransactionResult>();
         writes.charge(transaction.changeCount());
         call(false, "POST", "/txn", MessagePackCodec.write(transaction.toNode()))
-                .whenComplete((response, e) -> result.complete(judge(response, e)));
+                .whenComplete((response, failure) -> result.complete(result(response, failure)));
         return result;
     }
 
-    private static TransactionResult judge(HttpClientResponse response, Throwable failure) {
+    private static TransactionResult result(HttpClientResponse response, Throwable failure) {
         if (failure != null) {
-            return sent(failure) ? new TransactionResult.Unknown() : new TransactionResult.Refused(0, "no connection");
+            return wasSent(failure)
+                    ? new TransactionResult.Unknown()
+                    : new TransactionResult.Refused(0, "no connection");
         }
         return switch (response.status()) {
-            case 200 -> {
-                try {
-                    yield new TransactionResult.Applied(StateMessages.revision(response.body()));
-                } catch (MalformedMessageException e) {
-                    yield new TransactionResult.Unknown();
-                }
-            }
-            case 409 -> new TransactionResult.Conflict(failedKeys(response));
-            case 400, 413, 429, 503 ->
+            case HTTP_OK -> applied(response);
+            case HTTP_CONFLICT -> new TransactionResult.Conflict(failedKeys(response));
+            case HTTP_BAD_REQUEST, HTTP_CONTENT_TOO_LARGE, HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE ->
                 new TransactionResult.Refused(
-                        response.status(), new String(response.body(), java.nio.charset.StandardCharsets.ISO_8859_1));
+                        response.status(), new String(response.body(), StandardCharsets.ISO_8859_1));
             default -> new TransactionResult.Unknown();
         };
     }
 
+    private static TransactionResult applied(HttpClientResponse response) {
+        try {
+            return new TransactionResult.Applied(StateMessages.revision(response.body()));
+        } catch (MalformedMessageException e) {
+            LOG.debug("commit response without a readable revision cause={}", e.getMessage());
+            return new TransactionResult.Unknown();
+        }
+    }
+
     private static Set<String> failedKeys(HttpClientResponse response) {
         try {
             return StateMessages.failedKeys(response.body());
         } catch (MalformedMessageException e) {
-            LOG.debug("a conflict without a readable reason");
+            LOG.debug("conflict response without readable keys cause={}", e.getMessage());
             return Set.of();
         }
     }
 
-    private static boolean sent(Throwable failure) {
+    private static boolean wasSent(Throwable failure) {
         Throwable cause = HttpCallException.cause(failure);
-        return !(cause instanceof HttpCallException f) || f.sent();
+        return !(cause instanceof HttpCallException callFailure) || callFailure.sent();
     }
 
-    private static CompletableFuture<JsonNode> ok(CompletableFuture<HttpClientResponse> answer) {
-        return answer.thenCompose(response -> {
-            if (response.status() != 200) {
-                return CompletableFuture.failedFuture(new HttpCallException("status " + response.status(), true));
+    private static CompletableFuture<JsonNode> requireOk(CompletableFuture<HttpClientResponse> call) {
+        return call.thenCompose(response -> {
+            if (response.status() != HTTP_OK) {
+                return CompletableFuture.failedFuture(unexpectedStatus(response));
             }
             try {
                 return CompletableFuture.completedFuture(MessagePackCodec.read(response.body()));
@@ -147,11 +173,15 @@
         });
     }
 
-    private CompletableFuture<HttpClientResponse> call(boolean first, String method, String target, byte[] body) {
-        return service.call(first, method, target, body).whenComplete((response, e) -> {
-            // A refusal for the rate alone says that the service is there.
-            boolean served = response != null && response.status() != 503;
-            failuresInARow = served ? 0 : failuresInARow + 1;
+    private static HttpCallException unexpectedStatus(HttpClientResponse response) {
+        return new HttpCallException("status " + response.status(), true);
+    }
+
+    private CompletableFuture<HttpClientResponse> call(boolean urgent, String method, String target, byte[] body) {
+        return httpClient.call(urgent, method, target, body).whenComplete((response, failure) -> {
+            // A refusal for the rate alone shows that the store is available.
+            boolean served = response != null && response.status() != HTTP_UNAVAILABLE;
+            consecutiveFailures = served ? 0 : consecutiveFailures + 1;
         });
     }
 }
--- a/src/main/java/org/dunespindle/storage/TaskIndexSet.java
+++ b/src/main/java/org/dunespindle/storage/TaskIndexSet.java
@@ -3,12 +3,12 @@
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 
-/** Sets of task indexes as text ranges, {@code 0-15,17}, so that a record stays small. */
-public final class TaskIndexSet {
+/** Sets of task indices as text ranges, {@code 0-15,17}, so that a record stays small. */
+final class TaskIndexSet {
     private TaskIndexSet() {}
 
-    /** Writes indexes given in rising order. */
-    public static String format(IntList sorted) {
+    /** Formats indices in ascending order. */
+    static String format(IntList sorted) {
         var text = new StringBuilder();
         for (int i = 0; i < sorted.size(); ) {
             int first = sorted.getInt(i);
@@ -24,16 +24,16 @@
         return text.toString();
     }
 
-    /** Reads the form that {@link #format} writes. */
-    public static IntArrayList parse(String text) {
+    /** Parses the form that {@link #format} writes. */
+    static IntArrayList parse(String text) {
         var list = new IntArrayList();
         if (text.isEmpty()) {
             return list;
         }
-        for (String part : text.split(",")) {
-            int dash = part.indexOf('-');
-            int first = Integer.parseInt(dash < 0 ? part : part.substring(0, dash));
-            int last = dash < 0 ? first : Integer.parseInt(part.substring(dash + 1));
+        for (String range : text.split(",")) {
+            int dash = range.indexOf('-');
+            int first = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
+            int last = dash < 0 ? first : Integer.parseInt(range.substring(dash + 1));
             for (int i = first; i <= last; i++) {
                 list.add(i);
             }
--- a/src/main/java/org/dunespindle/storage/Transaction.java
+++ b/src/main/java/org/dunespindle/storage/Transaction.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
@@ -10,22 +11,23 @@
 import org.dunespindle.protocol.StateMessages;
 import org.dunespindle.protocol.StateMessages.Change;
 
-/** An atomic change under construction: guards on stamps, writes and removals. */
+/** An atomic compare-and-swap under construction: preconditions on revisions of keys, writes and removals. */
 public final class Transaction {
-    /** The state service takes 64 KiB; some are left for what stands around keys and values. */
-    private static final int MOST_BYTES = 60 << 10;
+    /** The state store accepts 64 KiB; the rest is left for what surrounds keys and values. */
+    private static final int MAX_BYTES = 60 << 10;
+    /** An upper bound of what an entry takes beside its key and value. */
+    private static final int ENTRY_OVERHEAD_BYTES = 48;
+
+    private static final int MAX_PRECONDITIONS_PER_CHANGE = 4;
 
-    private static final int PER_ENTRY = 48;
-    private static final int GUARDS_PER_CHANGE = 4;
     private final Map<String, Long> preconditions = new LinkedHashMap<>();
     private final Map<String, Change> changes = new LinkedHashMap<>();
-
     private int bytes;
 
-    /** Requires a key's stamp; 0 means that the key does not exist. */
-    public Transaction requireRevision(String key, long stamp) {
-        if (preconditions.put(key, stamp) == null) {
-            bytes += key.length() + PER_ENTRY;
+    /** Requires that a key was last changed at a revision; 0 means that the key does not exist. */
+    public Transaction requireRevision(String key, long revision) {
+        if (preconditions.put(key, revision) == null) {
+            bytes += key.length() + ENTRY_OVERHEAD_BYTES;
         }
         return this;
     }
@@ -35,14 +37,6 @@
         return put(key, new Change(Optional.of(value), OptionalLong.empty()));
     }
 
-    private Transaction put(String key, Change change) {
-        changes.put(key, change);
-        bytes += key.length()
-                + PER_ENTRY
-                + change.value().map(MessagePackCodec::countedSize).orElse(0);
-        return this;
-    }
-
     /** Adds a write of a key that is removed when its lease ends. */
     public Transaction writeWithLease(String key, JsonNode value, long lease) {
         return put(key, new Change(Optional.of(value), OptionalLong.of(lease)));
@@ -53,12 +47,19 @@
         return put(key, new Change(Optional.empty(), OptionalLong.empty()));
     }
 
+    private Transaction put(String key, Change change) {
+        changes.put(key, change);
+        int valueBytes = change.value().map(MessagePackCodec::countedSize).orElse(0);
+        bytes += key.length() + ENTRY_OVERHEAD_BYTES + valueBytes;
+        return this;
+    }
+
     /** How many keys it writes or removes. */
     public int changeCount() {
         return changes.size();
     }
 
-    /** The stamps that it requires, by key. */
+    /** The revisions that it requires, by key. */
     public Map<String, Long> preconditions() {
         return preconditions;
     }
@@ -68,36 +69,24 @@
         return changes;
     }
 
-    /** How many keys one transaction may guard where it may change so many. */
-    public static int maxPreconditions(int mostChanges) {
-        return GUARDS_PER_CHANGE * mostChanges;
+    /** How many preconditions a transaction may have where it may have so many changes. */
+    public static int maxPreconditions(int maxChanges) {
+        return MAX_PRECONDITIONS_PER_CHANGE * maxChanges;
     }
 
-    /** Whether the state service takes it; what does not fit must be split by whoever proposes it, or it would never be stored. */
-    public boolean fits(int mostChanges) {
-        return changes.size() <= mostChanges
-                && preconditions.size() <= maxPreconditions(mostChanges)
-                && bytes <= MOST_BYTES;
+    /** Whether the state store accepts it; what does not fit must be split by whoever proposes it, or it would never be stored. */
+    public boolean fits(int maxChanges) {
+        return fits(changes.size(), preconditions.size(), bytes, maxChanges);
     }
 
-    /** Takes in another change; false, and nothing done, if the two disagree about a key or exceed a limit together. */
-    public boolean tryMerge(Transaction other, int mostChanges) {
-        int common = 0;
-        for (var g : other.preconditions.entrySet()) {
-            Long mine = preconditions.get(g.getKey());
-            if (mine != null && !mine.equals(g.getValue())) {
-                return false;
-            }
-            common += mine != null ? 1 : 0;
-        }
-        for (String key : other.changes.keySet()) {
-            if (changes.containsKey(key)) {
-                return false;
-            }
+    /** Merges another transaction into this one; false, and nothing done, if the two conflict or exceed a limit together. */
+    public boolean tryMerge(Transaction other, int maxChanges) {
+        if (conflictsWith(other)) {
+            return false;
         }
-        if (changes.size() + other.changes.size() > mostChanges
-                || preconditions.size() + other.preconditions.size() - common > maxPreconditions(mostChanges)
-                || bytes + other.bytes > MOST_BYTES) {
+        int mergedChanges = changes.size() + other.changes.size();
+        int mergedPreconditions = preconditions.size() + other.preconditions.size() - commonPreconditions(other);
+        if (!fits(mergedChanges, mergedPreconditions, bytes + other.bytes, maxChanges)) {
             return false;
         }
         preconditions.putAll(other.preconditions);
@@ -106,7 +95,30 @@
         return true;
     }
 
-    /** The request body for the state service. */
+    /** Whether the two require different revisions of a key, or change the same key. */
+    private boolean conflictsWith(Transaction other) {
+        for (Map.Entry<String, Long> precondition : other.preconditions.entrySet()) {
+            Long required = preconditions.get(precondition.getKey());
+            if (required != null && !required.equals(precondition.getValue())) {
+                return true;
+            }
+        }
+        return !Collections.disjoint(changes.keySet(), other.changes.keySet());
+    }
+
+    private int commonPreconditions(Transaction other) {
+        int common = 0;
+        for (String key : other.preconditions.keySet()) {
+            common += preconditions.containsKey(key) ? 1 : 0;
+        }
+        return common;
+    }
+
+    private static boolean fits(int changeCount, int preconditionCount, int bytes, int maxChanges) {
+        return changeCount <= maxChanges && preconditionCount <= maxPreconditions(maxChanges) && bytes <= MAX_BYTES;
+    }
+
+    /** The request body for the state store. */
     public ObjectNode toNode() {
         return StateMessages.transaction(preconditions, changes);
     }
--- a/src/main/java/org/dunespindle/storage/TransactionResult.java
+++ b/src/main/java/org/dunespindle/storage/TransactionResult.java
@@ -2,31 +2,36 @@
 
 import java.util.Set;
 
-/** What became of a transaction. */
+/** The outcome of a transaction. */
 public sealed interface TransactionResult {
-    /** Applied, at this revision. */
+    /** The transaction was applied, at this revision. */
     record Applied(long revision) implements TransactionResult {}
 
-    /** Guards on these keys failed; nothing was changed. */
+    /** Preconditions on these keys failed; nothing was changed. */
     record Conflict(Set<String> failed) implements TransactionResult {}
 
-    /** Certainly not applied. */
+    /**
+     * The transaction was certainly not applied.
+     *
+     * @param status the HTTP status, or 0 if the request was never sent
+     * @param why the store's explanation
+     */
     record Refused(int status, String why) implements TransactionResult {
-        private static final int TOO_MANY = 429;
-        private static final int MALFORMED = 400;
-        private static final int TOO_LONG = 413;
+        private static final int HTTP_BAD_REQUEST = 400;
+        private static final int HTTP_CONTENT_TOO_LARGE = 413;
+        private static final int HTTP_TOO_MANY_REQUESTS = 429;
 
-        /** Whether it was refused only for its rate: the same change may be sent again. */
+        /** Whether it was refused only for its rate: the same transaction may be sent again. */
         public boolean tooMany() {
-            return status == TOO_MANY;
+            return status == HTTP_TOO_MANY_REQUESTS;
         }
 
-        /** Whether it was refused for what it holds: the same change will be refused again. */
+        /** Whether it was refused for its content: the same transaction will be refused again. */
         public boolean asItIs() {
-            return status == MALFORMED || status == TOO_LONG;
+            return status == HTTP_BAD_REQUEST || status == HTTP_CONTENT_TOO_LARGE;
         }
     }
 
-    /** It may have been applied, or may yet be. */
+    /** The transaction may have been applied, or may yet be. */
     record Unknown() implements TransactionResult {}
 }
--- a/src/main/java/org/dunespindle/storage/package-info.java
+++ b/src/main/java/org/dunespindle/storage/package-info.java
@@ -1,2 +1,2 @@
-/** What is kept in the state service: records, transactions, and the replica that follows its log. */
+/** The state store: records and their stored forms, transactions, and the replica that follows the change log. */
 package org.dunespindle.storage;
--- a/src/test/java/org/dunespindle/storage/JobRecordCutTest.java
+++ b/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
@@ -26,11 +26,11 @@
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
-/** Job records cut into parts, and those that earlier versions stored. */
-class JobRecordCutTest {
-    private static final int VALUE_BEFORE = 8192;
-    private static final int VALUE = 2048;
-    private static final int CHANGES = 5;
+/** Job records divided into chunks, and records that earlier versions stored. */
+class ChunkedJobRecordCodecTest {
+    private static final int MAX_WHOLE_VALUE_BYTES = 8192;
+    private static final int MAX_VALUE_BYTES = 2048;
+    private static final int MAX_CHANGES_PER_TRANSACTION = 5;
 
     private static Submission description(Random random) {
         var types = new ArrayList<String>();
@@ -58,10 +58,10 @@
                 Optional.empty());
     }
 
-    /** A record as long as an earlier version may have left it: tasks under way on few or many machines, ended at random. */
-    private static JobRecord upTo(int bytes, Random random) {
+    /** A record as long as an earlier version may have stored: tasks on few or many machines, ended at random. */
+    private static JobRecord randomJob(int maxBytes, Random random) {
         JobRecord job = JobRecord.accepted(description(random), Instant.ofEpochMilli(1_700_000_000_000L));
-        JobRecord fitting = job;
+        JobRecord longestFitting = job;
         String prefix = random.nextInt(4) == 0 ? "machine:with=signs/" : "i-";
         for (int step = 0; step < 40; step++) {
             var places = new LinkedHashMap<Integer, String>();
@@ -81,12 +81,12 @@
             if (!job.allocations().isEmpty() && random.nextInt(5) == 0) {
                 job = job.withTaskStopping(job.allocations().get(0).task());
             }
-            if (MessagePackCodec.countedSize(job.toNode()) > bytes) {
-                return fitting;
+            if (MessagePackCodec.countedSize(job.toNode()) > maxBytes) {
+                return longestFitting;
             }
-            fitting = job;
+            longestFitting = job;
         }
-        return fitting;
+        return longestFitting;
     }
 
     private static JobRecord readBack(ChunkedJobRecordCodec.ChunkedRecord chunked) throws MalformedMessageException {
@@ -94,50 +94,53 @@
     }
 
     @Property(seed = "91", tries = 200)
-    void whateverWasStoredInOneValueFitsIntoOneTransactionOfSmallOnes(@ForAll long seed)
-            throws MalformedMessageException {
-        JobRecord job = upTo(VALUE_BEFORE, new Random(seed));
-        ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(job, VALUE);
-        assertTrue(1 + chunked.chunks().size() <= CHANGES, chunked.chunks().size() + " parts");
-        assertTrue(MessagePackCodec.countedSize(chunked.main()) <= VALUE);
-        for (String part : chunked.chunks()) {
-            assertTrue(MessagePackCodec.countedSize(ChunkedJobRecordCodec.chunkNode(part)) <= VALUE);
+    void whateverFitsOneWholeValueFitsOneTransactionInChunks(@ForAll long seed) throws MalformedMessageException {
+        JobRecord job = randomJob(MAX_WHOLE_VALUE_BYTES, new Random(seed));
+        ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(job, MAX_VALUE_BYTES);
+        assertTrue(
+                1 + chunked.chunks().size() <= MAX_CHANGES_PER_TRANSACTION,
+                chunked.chunks().size() + " chunks");
+        assertTrue(MessagePackCodec.countedSize(chunked.main()) <= MAX_VALUE_BYTES);
+        for (String chunk : chunked.chunks()) {
+            assertTrue(MessagePackCodec.countedSize(ChunkedJobRecordCodec.chunkNode(chunk)) <= MAX_VALUE_BYTES);
         }
         assertEquals(job.toNode().toString(), readBack(chunked).toNode().toString());
     }
 
     @Property(seed = "92", tries = 100)
-    void aCancellationOfACutRecordLeavesItsPartsButTheLast(@ForAll long seed) {
-        JobRecord job = upTo(VALUE_BEFORE, new Random(seed));
+    void cancellingAChunkedRecordNeedsNoMoreChunks(@ForAll long seed) {
+        JobRecord job = randomJob(MAX_WHOLE_VALUE_BYTES, new Random(seed));
         if (job.allocations().isEmpty()) {
             return;
         }
-        List<String> before = ChunkedJobRecordCodec.split(job, VALUE).chunks();
-        List<String> after = ChunkedJobRecordCodec.split(job.cancelled(), VALUE).chunks();
+        List<String> before = ChunkedJobRecordCodec.split(job, MAX_VALUE_BYTES).chunks();
+        List<String> after =
+                ChunkedJobRecordCodec.split(job.cancelled(), MAX_VALUE_BYTES).chunks();
         assertTrue(after.size() <= before.size());
-        assertTrue(1 + Math.max(before.size(), after.size()) <= CHANGES);
+        assertTrue(1 + Math.max(before.size(), after.size()) <= MAX_CHANGES_PER_TRANSACTION);
     }
 
-    /** A reader never guesses: parts of different writes are refused. */
+    /** Chunks of different writes are rejected instead of being assembled to a wrong record. */
     @Test
-    void partsThatDoNotBelongTogetherAreRefused() {
-        JobRecord job = upTo(VALUE_BEFORE, new Random(3));
-        ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(job, VALUE);
-        var fewer = chunked.chunks().subList(0, chunked.chunks().size() - 1);
+    void chunksThatDoNotBelongTogetherAreRejected() {
+        JobRecord job = randomJob(MAX_WHOLE_VALUE_BYTES, new Random(3));
+        ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(job, MAX_VALUE_BYTES);
+        var missingLast = chunked.chunks().subList(0, chunked.chunks().size() - 1);
         assertThrows(
-                MalformedMessageException.class, () -> ChunkedJobRecordCodec.parse("wk-000001", chunked.main(), fewer));
-        var torn = new ArrayList<>(chunked.chunks());
-        torn.set(0, "|" + torn.get(0).substring(1) + ":");
+                MalformedMessageException.class,
+                () -> ChunkedJobRecordCodec.parse("wk-000001", chunked.main(), missingLast));
+        var mixed = new ArrayList<>(chunked.chunks());
+        mixed.set(0, "|" + mixed.get(0).substring(1) + ":");
         assertThrows(
-                MalformedMessageException.class, () -> ChunkedJobRecordCodec.parse("wk-000001", chunked.main(), torn));
+                MalformedMessageException.class, () -> ChunkedJobRecordCodec.parse("wk-000001", chunked.main(), mixed));
     }
 
-    /** Values that the version before stored, of each kind and mode: they are read, and written again as the very same bytes. */
+    /** Values of each kind and gang phase that the previous version stored are parsed, and written again as the same bytes. */
     @Test
-    void whatTheVersionBeforeStoredIsWrittenTheSame() throws IOException, MalformedMessageException {
+    void valuesOfThePreviousVersionAreWrittenUnchanged() throws IOException, MalformedMessageException {
         int jobs = 0;
         int pages = 0;
-        for (String line : recorded()) {
+        for (String line : recordedValues()) {
             JsonNode row = new ObjectMapper().readTree(line);
             String key = row.path("key").asText();
             JsonNode value = row.path("v");
@@ -158,8 +161,8 @@
         assertTrue(jobs >= 20 && pages >= 4, jobs + " jobs, " + pages + " pages");
     }
 
-    private static List<String> recorded() throws IOException {
-        try (var in = JobRecordCutTest.class.getResourceAsStream("/production-records.jsonl")) {
+    private static List<String> recordedValues() throws IOException {
+        try (var in = ChunkedJobRecordCodecTest.class.getResourceAsStream("/production-records.jsonl")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
         }
     }
--- a/src/test/java/org/dunespindle/storage/CellTieTest.java
+++ b/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
@@ -21,8 +21,8 @@
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
-/** Ties of jobs to other cells, as they are stored, and what they keep from being placed. */
-class CellTieTest {
+/** Links of jobs to other cells: their stored form, and which jobs they keep from being placed. */
+class DelegationLinkTest {
     private static final Instant NOW = Instant.ofEpochMilli(1_700_000_000_123L);
 
     private static JobRecord job(int tasks) {
@@ -49,27 +49,27 @@
                 NOW);
     }
 
-    private static DelegationLink tie(Random random) {
+    private static DelegationLink randomLink(Random random) {
         if (random.nextBoolean()) {
             return new InboundDelegation("cell-" + random.nextInt(9), random.nextLong() >>> 1, random.nextBoolean());
         }
         OutboundDelegation.Phase phase = OutboundDelegation.Phase.values()[random.nextInt(4)];
-        Optional<Instant> again =
+        Optional<Instant> notBefore =
                 random.nextBoolean() ? Optional.empty() : Optional.of(Instant.ofEpochMilli(random.nextLong() >>> 20));
-        return new OutboundDelegation("b", random.nextLong() >>> 1, phase, random.nextInt(20), again);
+        return new OutboundDelegation("b", random.nextLong() >>> 1, phase, random.nextInt(20), notBefore);
     }
 
     @Property(seed = "51", tries = 300)
-    void tiesSurviveInWholeAndInCutRecords(@ForAll long seed) throws MalformedMessageException {
+    void linksRoundTripInWholeAndInChunkedRecords(@ForAll long seed) throws MalformedMessageException {
         var random = new Random(seed);
-        JobRecord tied = job(1 + random.nextInt(50)).withDelegationLink(tie(random));
-        assertEquals(tied, JobRecord.parse(tied.id(), tied.toNode()));
-        ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(tied, 500);
-        assertEquals(tied, ChunkedJobRecordCodec.parse(tied.id(), chunked.main(), chunked.chunks()));
+        JobRecord linked = job(1 + random.nextInt(50)).withDelegationLink(randomLink(random));
+        assertEquals(linked, JobRecord.parse(linked.id(), linked.toNode()));
+        ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(linked, 500);
+        assertEquals(linked, ChunkedJobRecordCodec.parse(linked.id(), chunked.main(), chunked.chunks()));
     }
 
     @Test
-    void recordsWithoutATieAreStoredAsBefore() throws Exception {
+    void recordsWithoutALinkAreStoredAsBefore() throws Exception {
         JsonNode stored = job(3).toNode();
         assertFalse(stored.has("away") || stored.has("visit"));
         JsonNode before = new ObjectMapper()
@@ -80,37 +80,37 @@
     }
 
     @Test
-    void unreadableTiesAreComplainedAbout() throws Exception {
-        for (String bad : new String[] {
+    void malformedLinksAreRejected() throws Exception {
+        for (String malformed : new String[] {
             "{\"at\":1,\"end\":\"DONE\",\"visit\":[\"a\",\"x\",true]}",
             "{\"at\":1,\"end\":\"DONE\",\"away\":[\"a\",4,\"SOMEWHERE\",1]}",
             "{\"at\":1,\"end\":\"DONE\",\"away\":7}"
         }) {
-            JsonNode node = new ObjectMapper().readTree(bad);
-            assertThrows(MalformedMessageException.class, () -> JobRecord.parse("wk-000001", node), bad);
+            JsonNode node = new ObjectMapper().readTree(malformed);
+            assertThrows(MalformedMessageException.class, () -> JobRecord.parse("wk-000001", node), malformed);
         }
     }
 
     @Test
-    void nothingOfAJobThatIsAwayIsPlaced() {
+    void noTaskOfADelegatedJobIsUnplaced() {
         OutboundDelegation offered = OutboundDelegation.offer(Optional.empty(), "b", 1);
         for (OutboundDelegation delegation :
                 new OutboundDelegation[] {offered, offered.accepted(), offered.recalled()}) {
-            JobRecord away = job(3).withDelegationLink(delegation);
-            assertEquals(0, away.unplacedCount());
-            assertTrue(away.unplaced(9).isEmpty());
+            JobRecord delegated = job(3).withDelegationLink(delegation);
+            assertEquals(0, delegated.unplacedCount());
+            assertTrue(delegated.unplaced(9).isEmpty());
         }
-        JobRecord home = job(3).withDelegationLink(offered.returned(NOW));
-        assertEquals(3, home.unplacedCount());
-        assertEquals(3, home.unplaced(9).size());
+        JobRecord returned = job(3).withDelegationLink(offered.returned(NOW));
+        assertEquals(3, returned.unplacedCount());
+        assertEquals(3, returned.unplaced(9).size());
     }
 
     @Test
-    void endsForgetTheDelegationAndKeepTheVisit() {
-        JobRecord away = job(3).withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 1));
-        assertEquals(Optional.empty(), away.doneElsewhere().delegationLink());
-        assertEquals(3, away.doneElsewhere().doneCount());
-        assertEquals(Optional.empty(), away.cancelled().delegationLink());
+    void finishedJobsDropOutboundAndKeepInboundDelegations() {
+        JobRecord delegated = job(3).withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 1));
+        assertEquals(Optional.empty(), delegated.doneElsewhere().delegationLink());
+        assertEquals(3, delegated.doneElsewhere().doneCount());
+        assertEquals(Optional.empty(), delegated.cancelled().delegationLink());
         InboundDelegation visit = InboundDelegation.of("a", 7);
         JobRecord visitor = JobRecord.acceptedFromOrigin(job(1).submission(), NOW, visit);
         JobRecord done = visitor.withPlaced(Map.of(0, "i-1")).withReleased(0, true);
--- a/src/test/java/org/dunespindle/storage/JobRecordTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordTest.java
@@ -11,9 +11,11 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
+import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.dunespindle.protocol.JobKind;
@@ -24,15 +26,15 @@
 import org.dunespindle.protocol.Submission;
 import org.junit.jupiter.api.Test;
 
-/** Job records under generated commands of placement, release and failure. */
+/** Transitions of job records under generated sequences of placement, release and failure. */
 class JobRecordTest {
-    private static JobRecord job(JobKind shape, int tasks) {
+    private static JobRecord job(JobKind kind, int tasks) {
         return JobRecord.accepted(
                 new Submission(
                         "wk-000001",
                         "c",
                         "t",
-                        shape,
+                        kind,
                         Priority.LOW,
                         tasks,
                         new Resources(1, 1, 1),
@@ -54,21 +56,21 @@
     void everyArrayTaskEndsDoneExactlyOnce(@ForAll long seed) throws MalformedMessageException {
         var random = new Random(seed);
         int tasks = 1 + random.nextInt(40);
-        JobRecord j = job(JobKind.ARRAY, tasks);
+        JobRecord job = job(JobKind.ARRAY, tasks);
         Set<Integer> done = new HashSet<>();
         var attempts = new HashMap<Integer, Set<Long>>();
-        for (int step = 0; step < 5000 && j.isOpen(); step++) {
-            if (random.nextBoolean() && j.unplacedCount() > 0) {
+        for (int step = 0; step < 5000 && job.isOpen(); step++) {
+            if (random.nextBoolean() && job.unplacedCount() > 0) {
                 var places = new LinkedHashMap<Integer, String>();
-                for (int t : j.unplaced(1 + random.nextInt(5))) {
+                for (int t : job.unplaced(1 + random.nextInt(5))) {
                     if (random.nextInt(4) > 0) {
                         places.put(t, "h" + random.nextInt(3));
                     }
                 }
                 if (!places.isEmpty()) {
-                    j = j.withPlaced(places);
+                    job = job.withPlaced(places);
                 }
-                for (Allocation allocation : j.allocations()) {
+                for (Allocation allocation : job.allocations()) {
                     if (places.containsKey(allocation.task())) {
                         assertTrue(
                                 attempts.computeIfAbsent(allocation.task(), t -> new HashSet<>())
@@ -76,67 +78,66 @@
                                 "an attempt was used twice");
                     }
                 }
-            } else if (!j.allocations().isEmpty()) {
+            } else if (!job.allocations().isEmpty()) {
                 Allocation allocation =
-                        j.allocations().get(random.nextInt(j.allocations().size()));
+                        job.allocations().get(random.nextInt(job.allocations().size()));
                 boolean good = random.nextInt(3) > 0;
                 if (good) {
                     assertTrue(done.add(allocation.task()), "done twice");
                 }
-                j = j.withReleased(allocation.task(), good);
+                job = job.withReleased(allocation.task(), good);
             }
-            j = JobRecord.parse(j.id(), MessagePackCodec.read(MessagePackCodec.write(j.toNode())));
-            assertEquals(done.size(), j.doneCount());
+            job = JobRecord.parse(job.id(), MessagePackCodec.read(MessagePackCodec.write(job.toNode())));
+            assertEquals(done.size(), job.doneCount());
         }
-        assertEquals(JobRecord.Outcome.DONE, j.outcome());
+        assertEquals(JobRecord.Outcome.DONE, job.outcome());
         assertEquals(tasks, done.size());
-        assertTrue(j.spec().isEmpty(), "a finished job keeps only its end");
+        assertTrue(job.spec().isEmpty(), "a finished job keeps only its end");
     }
 
     @Test
-    void tasksPassedOverAreNotCountedAsDone() {
-        JobRecord job = job(JobKind.ARRAY, 5).withPlaced(new java.util.TreeMap<>(java.util.Map.of(3, "h")));
+    void skippedTasksAreNotCountedAsDone() {
+        JobRecord job = job(JobKind.ARRAY, 5).withPlaced(new TreeMap<>(Map.of(3, "h")));
         assertEquals(0, job.doneCount());
         assertEquals(List.of(0, 1, 2, 4), new IntArrayList(new IntRBTreeSet(job.unplaced(10))));
     }
 
     @Test
     void placeholdersOfAGangNeverShareAnAttempt() {
-        JobRecord job =
-                job(JobKind.GANG, 3).withPlaced(new java.util.TreeMap<>(java.util.Map.of(0, "a", 1, "b", 2, "c")));
+        JobRecord job = job(JobKind.GANG, 3).withPlaced(new TreeMap<>(Map.of(0, "a", 1, "b", 2, "c")));
         var attempts = new HashSet<Long>();
         job.allocations().forEach(allocation -> attempts.add(allocation.attemptBase() + allocation.task()));
         assertEquals(3, attempts.size());
-        JobRecord again = job.withPlaceholderReplaced(1);
+        JobRecord replaced = job.withPlaceholderReplaced(1);
         assertEquals(
                 List.of("a", "b", "c"),
-                again.allocations().stream().map(Allocation::machineId).toList());
+                replaced.allocations().stream().map(Allocation::machineId).toList());
         long before = job.expectedAttempt(job.allocation(1).orElseThrow());
-        long after = again.expectedAttempt(again.allocation(1).orElseThrow());
+        long after = replaced.expectedAttempt(replaced.allocation(1).orElseThrow());
         assertTrue(after > before && !attempts.contains(after));
-        JobRecord real = again.withGangRunning();
+        JobRecord running = replaced.withGangRunning();
         assertEquals(
                 1,
-                real.allocations().stream()
-                        .map(real::expectedAttempt)
+                running.allocations().stream()
+                        .map(running::expectedAttempt)
                         .distinct()
                         .count());
-        assertTrue(real.gangAttempt() > after, "the common attempt is new");
+        assertTrue(running.gangAttempt() > after, "the common attempt is new");
     }
 
     @Test
     void aServiceNeverCompletesByItself() {
         JobRecord job = job(JobKind.SERVICE, 1)
-                .withPlaced(new java.util.TreeMap<>(java.util.Map.of(0, "h")))
+                .withPlaced(new TreeMap<>(Map.of(0, "h")))
                 .withReleased(0, true);
         assertTrue(job.isOpen());
         assertEquals(1, job.unplacedCount());
     }
 
     @Test
-    void aCancelledJobKeepsItsClaimsUntilTheyAreReleased() {
+    void aCancelledJobKeepsItsAllocationsUntilTheyAreReleased() {
         JobRecord job = job(JobKind.ARRAY, 2)
-                .withPlaced(new java.util.TreeMap<>(java.util.Map.of(0, "h", 1, "h")))
+                .withPlaced(new TreeMap<>(Map.of(0, "h", 1, "h")))
                 .cancelled();
         assertEquals(2, job.allocations().size());
         assertEquals(0, job.unplacedCount());
@@ -155,7 +156,7 @@
         assertTrue(MessagePackCodec.countedSize(job.withPlaced(places).toNode()) < 8 << 10);
     }
 
-    /** A gang as large as a team's limit: 800 accelerators on 400 machines, booked as room came and half of it being stopped. */
+    /** A gang as large as a team's quota: 800 accelerators on 400 machines, placed as capacity appeared and partly being stopped. */
     @Property(seed = "13", tries = 30)
     void recordsOfTheLargestGangsFitOneValue(@ForAll long seed) throws MalformedMessageException {
         var random = new Random(seed);
@@ -216,7 +217,7 @@
     }
 
     @Property(seed = "12", tries = 100)
-    void setsOfTasksSurvive(@ForAll long seed) {
+    void taskIndexSetsRoundTrip(@ForAll long seed) {
         var random = new Random(seed);
         var set = new IntRBTreeSet();
         for (int i = 0; i < random.nextInt(60); i++) {
--- a/src/test/java/org/dunespindle/storage/MachinePageTest.java
+++ b/src/test/java/org/dunespindle/storage/MachinePageTest.java
@@ -10,18 +10,18 @@
 import net.jqwik.api.Property;
 import org.dunespindle.protocol.MessagePackCodec;
 
-/** The machines that share a record. */
+/** The size of a page of machines. */
 class MachinePageTest {
-    private static final int LOWERED_VALUE = 2048;
-    /** Names are numbered, and those that differ in the last digit share a page. */
-    private static final int MACHINES = 10;
+    private static final int LOWERED_MAX_VALUE_BYTES = 2048;
+    /** Machine ids are numbered, and those that differ in the last digit share a page. */
+    private static final int MACHINES_PER_PAGE = 10;
 
-    private static final int LONGEST_NAME = 20;
-    private static final List<String> REASONS =
+    private static final int MAX_NAME_LENGTH = 20;
+    private static final List<String> DRAIN_REASONS =
             List.of("", MachineRecord.IDLE, MachineRecord.DRAINED, "it fails its tasks");
 
     private static String name(Random random) {
-        return "n".repeat(LONGEST_NAME - random.nextInt(3));
+        return "n".repeat(MAX_NAME_LENGTH - random.nextInt(3));
     }
 
     /** With the longest address, names of twenty characters and any stored reason a full page fits the lowered limit. */
@@ -30,9 +30,9 @@
         var random = new Random(seed);
         ObjectNode page = MessagePackCodec.map();
         String type = name(random);
-        for (int i = 0; i < MACHINES; i++) {
+        for (int i = 0; i < MACHINES_PER_PAGE; i++) {
             String id = "i-99999" + i;
-            String reason = REASONS.get(random.nextInt(REASONS.size()));
+            String reason = DRAIN_REASONS.get(random.nextInt(DRAIN_REASONS.size()));
             var machine = new MachineRecord(
                     id,
                     "255.255.255.255:65535",
@@ -49,6 +49,6 @@
             page.set(id, machine.toRow());
         }
         int size = MessagePackCodec.countedSize(page);
-        assertTrue(size <= LOWERED_VALUE, size + " bytes");
+        assertTrue(size <= LOWERED_MAX_VALUE_BYTES, size + " bytes");
     }
 }
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -119,7 +119,7 @@
     void keys() {
         assertEquals("ds/", Keys.ROOT);
         assertEquals("ds/job/wk-000412", Keys.job(ID));
-        assertEquals("ds/part/wk-000412/3", Keys.part(ID, 3));
+        assertEquals("ds/part/wk-000412/3", Keys.chunk(ID, 3));
         assertEquals("ds/page/i-002", Keys.machinePage("i-0023"));
         assertEquals("ds/team/red", Keys.team("red"));
         assertEquals("ds/member/n0", Keys.member("n0"));
