--- a/src/main/java/org/dunespindle/api/AdminApi.java
+++ b/src/main/java/org/dunespindle/api/AdminApi.java
@@ -245,8 +245,7 @@
                 .map(v -> ((ObjectNode) v).deepCopy())
                 .orElseGet(MessagePackCodec::map);
         for (Map.Entry<String, JsonNode> e : n.get("values").properties()) {
-            Optional<String> wrong = Options.complaint(
-                    e.getKey(), e.getValue(), settings.workers().lease());
+            Optional<String> wrong = Options.complaint(e.getKey(), e.getValue());
             if (wrong.isPresent()) {
                 answer.accept(error(400, wrong.get()));
                 return;
