--- a/src/main/java/org/dunespindle/control/ControllerContext.java
+++ b/src/main/java/org/dunespindle/control/ControllerContext.java
@@ -6,14 +6,16 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * What nearly every part of a controller needs.
+ * The collaborators that nearly every part of a controller needs.
  *
- * @param replica the copy of what is stored
+ * @param settings the settings of this controller and its cell
+ * @param timeSource the clock and timers
+ * @param replica the replica of the stored state
  * @param jobWriter adds job records to transactions
- * @param membership this controller's place among the others
- * @param workers what is known of each worker
- * @param eventRecorder where decisions are recorded for operators
- * @param pauseDetector whether this process has listened all along
+ * @param membership this controller's membership in the cell
+ * @param workers the state of each worker as this process knows it
+ * @param eventRecorder records decisions for operators
+ * @param pauseDetector detects pauses of this process
  */
 public record ControllerContext(
         Settings settings,
--- a/src/main/java/org/dunespindle/control/EventRecorder.java
+++ b/src/main/java/org/dunespindle/control/EventRecorder.java
@@ -8,33 +8,34 @@
 import org.slf4j.Logger;
 import org.slf4j.helpers.MessageFormatter;
 
-/** Tells each decision in one log line and remembers the latest for the administration API. */
+/** Logs the controller's decisions and keeps the latest of them for the administration API. */
 public final class EventRecorder {
-    private static final int REMEMBERED = 200;
+    private static final int MAX_EVENTS = 200;
     private final TimeSource timeSource;
-    private final ArrayDeque<Entry> latest = new ArrayDeque<>();
+    private final ArrayDeque<Event> latestEvents = new ArrayDeque<>();
 
-    private record Entry(Instant at, String text) {}
+    private record Event(Instant recordedAt, String text) {}
 
-    /** Creates an empty list. */
+    /** Creates a recorder without events. */
     public EventRecorder(TimeSource timeSource) {
         this.timeSource = timeSource;
     }
 
-    /** Logs a decision and keeps it for the administration API. */
-    public void record(Logger log, String pattern, Object... parts) {
-        String text = MessageFormatter.arrayFormat(pattern, parts).getMessage();
+    /** Logs an event, with a pattern as loggers take it, and keeps it for the administration API. */
+    public void record(Logger log, String pattern, Object... arguments) {
+        String text = MessageFormatter.arrayFormat(pattern, arguments).getMessage();
         log.info(text);
-        latest.addLast(new Entry(timeSource.wallTime(), text));
-        if (latest.size() > REMEMBERED) {
-            latest.removeFirst();
+        latestEvents.addLast(new Event(timeSource.wallTime(), text));
+        if (latestEvents.size() > MAX_EVENTS) {
+            latestEvents.removeFirst();
         }
     }
 
-    /** Adds the kept decisions to a response. */
-    public ObjectNode toNode(ObjectNode into) {
-        ArrayNode list = into.putArray("decisions");
-        latest.forEach(e -> list.addObject().put("at", e.at.toString()).put("what", e.text));
-        return into;
+    /** Adds the latest events to an answer of the administration API. */
+    public ObjectNode toNode(ObjectNode answer) {
+        ArrayNode list = answer.putArray("decisions");
+        latestEvents.forEach(event ->
+                list.addObject().put("at", event.recordedAt().toString()).put("what", event.text()));
+        return answer;
     }
 }
--- a/src/main/java/org/dunespindle/control/FormatUpgrade.java
+++ b/src/main/java/org/dunespindle/control/FormatUpgrade.java
@@ -7,12 +7,14 @@
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Raises the stored format version. The leader does so once every configured controller is a member that announces the
- * newer version; the transaction is guarded by all their member records, so none can have come back older meanwhile.
+ * Raises the stored format version. The leader does so once every configured controller is a live member that announces the
+ * newer version. Preconditions on all their member records exclude that one of them has meanwhile been replaced by an
+ * older program.
  */
 public final class FormatUpgrade {
     private static final Logger LOG = LoggerFactory.getLogger(FormatUpgrade.class);
@@ -23,7 +25,7 @@
     private final FormatSupport formats;
     private final List<String> controllers = new ArrayList<>();
 
-    /** Creates the upgrade for a program that announces and understands the given versions. */
+    /** Creates the upgrade for a program that announces and reads the given versions. */
     public FormatUpgrade(ControllerContext context, CommitQueue commitQueue, FormatSupport formats) {
         this.formats = formats;
         this.replica = context.replica();
@@ -39,29 +41,39 @@
         return formats.readable();
     }
 
-    /** Whether what is stored is newer than this program understands. */
+    /** Whether the stored format is newer than this program reads. */
     public boolean tooNew() {
         return replica.formatVersion() > formats.readable();
     }
 
-    /** The leader's part. */
+    /** Raises the stored version if all controllers announce a newer one; called regularly on the leader. */
     public void tick() {
         int announced = formats.announced();
-        boolean raised = replica.formatVersion() >= announced;
-        if (raised || commitQueue.isLocked(Keys.FORMAT) || !allAnnounce()) {
+        boolean isRaised = replica.formatVersion() >= announced;
+        if (isRaised || commitQueue.isLocked(Keys.FORMAT) || !isAnnouncedByAll()) {
             return;
         }
-        var transaction = new Transaction()
-                .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT))
-                .requireRevision(Keys.LEADER, replica.modRevision(Keys.LEADER));
-        controllers.forEach(
-                name -> transaction.requireRevision(Keys.member(name), replica.modRevision(Keys.member(name))));
-        transaction.write(Keys.FORMAT, FormatVersion.record(announced));
         eventRecorder.record(LOG, "all controllers read format version {}; it is used from now on", announced);
-        commitQueue.propose(CommitPriority.PLACEMENT, transaction, result -> {});
+        commitQueue.propose(CommitPriority.PLACEMENT, upgradeTo(announced), result -> {
+            if (!(result instanceof TransactionResult.Applied)) {
+                LOG.debug("format upgrade not applied, retrying version={} result={}", announced, result);
+            }
+        });
     }
 
-    private boolean allAnnounce() {
+    private Transaction upgradeTo(int version) {
+        var transaction = new Transaction();
+        requireUnchanged(transaction, Keys.FORMAT);
+        requireUnchanged(transaction, Keys.LEADER);
+        controllers.forEach(name -> requireUnchanged(transaction, Keys.member(name)));
+        return transaction.write(Keys.FORMAT, FormatVersion.record(version));
+    }
+
+    private void requireUnchanged(Transaction transaction, String key) {
+        transaction.requireRevision(key, replica.modRevision(key));
+    }
+
+    private boolean isAnnouncedByAll() {
         return controllers.stream().allMatch(name -> membership.formatVersionOf(name) >= formats.announced());
     }
 }
--- a/src/main/java/org/dunespindle/control/OversizeRecordSplitter.java
+++ b/src/main/java/org/dunespindle/control/OversizeRecordSplitter.java
@@ -3,31 +3,37 @@
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.JobRecordWriter;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.StateStoreClient;
 import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
 import org.dunespindle.time.TimeSource;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
- * Cuts job records that are longer than a value may become, one at a time and only while nothing else waits to be written. It
- * saves work later: whoever changes such a record cuts it anyway.
+ * Splits job records that exceed the size of a value into chunks, one record at a time and only while no proposal is pending. It
+ * only saves work later, since every other change of such a record splits it too.
  */
 public final class OversizeRecordSplitter {
-    private static final Duration LOOK_EVERY = Duration.ofMillis(500);
+    private static final Logger LOG = LoggerFactory.getLogger(OversizeRecordSplitter.class);
+    private static final Duration SCAN_INTERVAL = Duration.ofMillis(500);
 
     private final StateReplica replica;
     private final JobRecordWriter jobWriter;
     private final CommitQueue commitQueue;
     private final StateStoreClient stateStore;
     private final TimeSource timeSource;
-    /** Stamps of records that were looked at: measuring one costs as much as writing it out. */
-    private final Map<String, Long> checked = new HashMap<>();
+    /** Revisions of records known to fit, by job: measuring a record costs as much as encoding it. */
+    private final Map<String, Long> fittingRevisions = new HashMap<>();
 
-    private Duration lookAgainAt = Duration.ZERO;
+    private Duration nextScanAt = Duration.ZERO;
 
+    /** Creates a splitter that proposes its transactions to a commit queue. */
     public OversizeRecordSplitter(ControllerContext context, CommitQueue commitQueue, StateStoreClient stateStore) {
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
@@ -36,29 +42,43 @@
         this.stateStore = stateStore;
     }
 
-    /** The leader's part. */
+    /** Splits the first oversize record that it finds; called regularly on the leader. */
     public void tick() {
         Duration now = timeSource.now();
-        if (now.compareTo(lookAgainAt) < 0 || commitQueue.waiting() > 0) {
+        if (now.compareTo(nextScanAt) < 0 || commitQueue.waiting() > 0) {
             return;
         }
-        lookAgainAt = now.plus(LOOK_EVERY);
-        checked.keySet().removeIf(id -> replica.job(id).flatMap(JobRecord::spec).isEmpty());
+        nextScanAt = now.plus(SCAN_INTERVAL);
+        fittingRevisions
+                .keySet()
+                .removeIf(id -> replica.job(id).flatMap(JobRecord::spec).isEmpty());
+        findOversizeRecord().ifPresent(this::split);
+    }
+
+    private Optional<JobRecord> findOversizeRecord() {
         for (JobRecord job : replica.activeJobs()) {
             String key = Keys.job(job.id());
-            Long stamp = replica.modRevision(key);
-            if (stamp.equals(checked.get(job.id())) || commitQueue.isLocked(key)) {
-                continue;
-            }
-            if (!jobWriter.isOversize(job)) {
-                checked.put(job.id(), stamp);
+            Long revision = replica.modRevision(key);
+            if (revision.equals(fittingRevisions.get(job.id())) || commitQueue.isLocked(key)) {
                 continue;
             }
-            Transaction transaction = jobWriter.write(new Transaction(), job);
-            if (!stateStore.writes().isShortOf(transaction.changeCount())) {
-                commitQueue.propose(CommitPriority.MAINTENANCE, transaction, result -> {});
+            if (jobWriter.isOversize(job)) {
+                return Optional.of(job);
             }
+            fittingRevisions.put(job.id(), revision);
+        }
+        return Optional.empty();
+    }
+
+    private void split(JobRecord job) {
+        Transaction transaction = jobWriter.write(new Transaction(), job);
+        if (stateStore.writes().isShortOf(transaction.changeCount())) {
             return;
         }
+        commitQueue.propose(CommitPriority.MAINTENANCE, transaction, result -> {
+            if (!(result instanceof TransactionResult.Applied)) {
+                LOG.debug("oversize record not split, retrying job={} result={}", job.id(), result);
+            }
+        });
     }
 }
--- a/src/main/java/org/dunespindle/control/PauseDetector.java
+++ b/src/main/java/org/dunespindle/control/PauseDetector.java
@@ -6,43 +6,46 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notices when this process stood still while its clocks went on. Then workers and controllers look silent only because
- * nobody here listened, so silence is counted from the moment of waking. What rests on the age of the stored
- * state needs no such care: a reading counts from when it was asked for.
+ * Detects that this process was paused while its clocks went on. Workers and controllers then appear silent only because nothing
+ * was received here, so their silence is counted from the end of the pause. What depends on the staleness of the replica
+ * needs no such correction: that is counted from the time at which the reading was requested.
  */
 public final class PauseDetector {
     private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
-    private static final Duration STOOD_STILL = Duration.ofSeconds(2);
+    /** The time between two ticks from which on it counts as a pause. */
+    private static final Duration MIN_PAUSE = Duration.ofSeconds(2);
+
     private final TimeSource timeSource;
-    private Duration lastBeat;
-    private Duration listeningSince;
+    private Duration lastTickAt;
+    private Duration runningSince;
 
+    /** Creates a detector for a process that runs from now on. */
     public PauseDetector(TimeSource timeSource) {
         this.timeSource = timeSource;
-        this.lastBeat = timeSource.now();
-        this.listeningSince = lastBeat;
+        this.lastTickAt = timeSource.now();
+        this.runningSince = lastTickAt;
     }
 
     /** Called at least twice a second, and before anything is concluded from silence. */
     public void tick() {
         Duration now = timeSource.now();
-        Duration gap = now.minus(lastBeat);
-        lastBeat = now;
-        if (gap.compareTo(STOOD_STILL) > 0) {
-            listeningSince = now;
-            LOG.info("this process stood still for {} ms", gap.toMillis());
+        Duration sinceLastTick = now.minus(lastTickAt);
+        lastTickAt = now;
+        if (sinceLastTick.compareTo(MIN_PAUSE) > 0) {
+            runningSince = now;
+            LOG.info("process pause detected durationMs={}", sinceLastTick.toMillis());
         }
     }
 
-    /** How long this process has listened without a break. */
+    /** How long this process has run without a pause. */
     public Duration awake() {
-        return timeSource.now().minus(listeningSince);
+        return timeSource.now().minus(runningSince);
     }
 
-    /** How long something has been silent that was last heard then, as far as it was listened to. */
-    public Duration silence(Duration heardAt) {
-        Duration silent = timeSource.now().minus(heardAt);
-        Duration awake = awake();
-        return silent.compareTo(awake) < 0 ? silent : awake;
+    /** How long something has been silent that was last heard of at a given time, without the time before the last pause ended. */
+    public Duration silence(Duration lastHeardAt) {
+        Duration silence = timeSource.now().minus(lastHeardAt);
+        Duration uptimeSincePause = awake();
+        return silence.compareTo(uptimeSincePause) < 0 ? silence : uptimeSincePause;
     }
 }
