--- a/src/main/java/org/dunespindle/time/Durations.java
+++ b/src/main/java/org/dunespindle/time/Durations.java
@@ -4,31 +4,33 @@
 import java.util.Optional;
 
 /**
- * Arithmetic on times for what runs for every machine or job with every plan: the standard library multiplies and divides durations
- * as decimals, which costs more than the rest of such a comparison.
+ * Arithmetic on durations for what is computed for every machine or job in every plan. The standard library multiplies and divides
+ * durations as decimals, which costs more than the rest of such a comparison.
  */
 public final class Durations {
-    private static final long LONGEST_MILLIS = Long.MAX_VALUE / 4;
+    /** Greater results are cut off here, which leaves a margin for sums of a few of them. */
+    private static final long MAX_MILLIS = Long.MAX_VALUE / 4;
 
     private Durations() {}
 
-    /** A multiple, to the millisecond; huge ones are cut off. */
+    /** A multiple of a duration, to the millisecond; results out of range are cut off. */
     public static Duration times(Duration duration, long factor) {
         long millis = duration.toMillis();
-        boolean fits = factor == 0 || Math.abs(millis) <= LONGEST_MILLIS / Math.abs(factor);
-        return Duration.ofMillis(fits ? millis * factor : LONGEST_MILLIS);
+        boolean isInRange = factor == 0 || Math.abs(millis) <= MAX_MILLIS / Math.abs(factor);
+        return Duration.ofMillis(isInRange ? millis * factor : MAX_MILLIS);
     }
 
-    /** A part, to the millisecond. */
+    /** A fraction of a duration, to the millisecond. */
     public static Duration part(Duration duration, long numerator, long denominator) {
         return Duration.ofMillis(times(duration, numerator).toMillis() / denominator);
     }
 
-    /** The later of two moments that may be unknown; the known one if only one is. */
-    public static Optional<Duration> later(Optional<Duration> one, Optional<Duration> other) {
-        if (one.isEmpty()) {
-            return other;
+    /** The later of two times, of which either may be unknown; if only one is known, that one. */
+    public static Optional<Duration> later(Optional<Duration> first, Optional<Duration> second) {
+        if (first.isEmpty()) {
+            return second;
         }
-        return other.isEmpty() || one.get().compareTo(other.get()) >= 0 ? one : other;
+        boolean isFirstLater = second.isEmpty() || first.get().compareTo(second.get()) >= 0;
+        return isFirstLater ? first : second;
     }
 }
--- a/src/main/java/org/dunespindle/time/TimeSource.java
+++ b/src/main/java/org/dunespindle/time/TimeSource.java
@@ -4,16 +4,16 @@
 import java.time.Instant;
 
 /**
- * The clocks and timers that the service runs on, passed in so that tests decide what time it is.
- * {@link #now} never goes back; {@link #wallTime} is only shown and stored, never compared for safety.
+ * The clocks and timers of a process, passed in so that tests control the time. Safety rests on {@link #now} alone, which is
+ * monotonic; {@link #wallTime} is shown and stored, but never compared where safety depends on it.
  */
 public interface TimeSource {
-    /** Steady time since some fixed moment of this process. */
+    /** The monotonic time since an arbitrary origin that stays the same for this process. */
     Duration now();
 
-    /** The time of day, within the bound that the settings give. */
+    /** The wall-clock time, which may be off by as much as the settings allow. */
     Instant wallTime();
 
-    /** Runs work on the service's one thread after a delay. */
-    void schedule(Duration delay, Runnable work);
+    /** Runs a task on the process's event loop after a delay. */
+    void schedule(Duration delay, Runnable task);
 }
--- a/src/test/java/org/dunespindle/control/StateServiceStub.java
+++ b/src/test/java/org/dunespindle/control/StateServiceStub.java
@@ -20,9 +20,9 @@
 import org.dunespindle.transport.HttpClient;
 import org.dunespindle.transport.HttpClientResponse;
 
-/** A state service that holds given texts, applies every transaction, and remembers what was written, for tests of stored forms. */
+/** A state service that serves given records, applies every transaction and keeps what was written, for tests of the stored forms. */
 public final class StateServiceStub implements HttpClient {
-    /** The revision of the texts that it begins with. */
+    /** The revision of the records that it starts with. */
     static final long REVISION = 5;
 
     private static final String SEED = """
@@ -35,23 +35,23 @@
     /** The values that were written, as JSON text, by key. */
     final Map<String, String> written = new LinkedHashMap<>();
 
-    final VirtualTime sim = new VirtualTime(1);
-    public final VirtualTime.Process process = sim.new Process();
+    final VirtualTime virtualTime = new VirtualTime(1);
+    public final VirtualTime.Process process = virtualTime.new Process();
     public final Settings settings;
     final StateStoreClient client;
     public final StateReplica replica;
     private final Map<String, String> stored;
-    private final List<ObjectNode> log = new ArrayList<>();
+    private final List<ObjectNode> changeLog = new ArrayList<>();
     private long revision = REVISION;
 
-    /** A service that holds these texts, and a copy of them. */
+    /** Starts a service with these records as JSON text by key, and a replica of it. */
     public StateServiceStub(Map<String, String> stored) throws MalformedMessageException {
         this.stored = stored;
         settings = Settings.parse(TestSettings.node("n0", "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", SEED));
         client = new StateStoreClient(this, settings, process);
         replica = new StateReplica(client, process, Duration.ofMillis(300), () -> {});
         replica.start();
-        sim.run(Duration.ofSeconds(2));
+        virtualTime.run(Duration.ofSeconds(2));
     }
 
     static JsonNode json(String text) {
@@ -66,7 +66,8 @@
     public CompletableFuture<HttpClientResponse> send(
             String address, String method, String target, byte[] body, String type, Duration timeout) {
         var result = new CompletableFuture<HttpClientResponse>();
-        sim.after(5, () -> result.complete(new HttpClientResponse(200, MessagePackCodec.write(answer(target, body)))));
+        virtualTime.after(
+                5, () -> result.complete(new HttpClientResponse(200, MessagePackCodec.write(answer(target, body)))));
         return result;
     }
 
@@ -79,7 +80,7 @@
         }
         ObjectNode answer = MessagePackCodec.map().put("epoch", revision);
         if (target.startsWith("/watch")) {
-            log.forEach(answer.putArray("log")::add);
+            changeLog.forEach(answer.putArray("log")::add);
         } else if (target.startsWith("/keys")) {
             var rows = answer.put("more", false).putArray("rows");
             stored.forEach((key, text) ->
@@ -93,7 +94,7 @@
             revision++;
             for (JsonNode change : MessagePackCodec.read(body).path("apply")) {
                 written.put(change.path("write").asText(), change.path("v").toString());
-                log.add(((ObjectNode) change.deepCopy()).put("stamp", revision));
+                changeLog.add(((ObjectNode) change.deepCopy()).put("stamp", revision));
             }
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/org/dunespindle/control/StoredControlFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/control/StoredControlFormsCompatibilityTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What controllers keep about themselves, teams and options in the state service, letter by letter: running cells hold these
- * texts, whatever the sources call their parts.
+ * The records of controllers, teams and options exactly as they are stored: running cells hold them in this form, whatever the
+ * sources call their parts.
  */
 class StoredControlFormsCompatibilityTest {
     private static final Duration LEASE = Duration.ofSeconds(10);
@@ -27,12 +27,12 @@
     private static void run(StateServiceStub service, Membership membership) {
         for (int i = 0; i < 20; i++) {
             membership.tick();
-            service.sim.run(service.sim.now().plusMillis(100));
+            service.virtualTime.run(service.virtualTime.now().plusMillis(100));
         }
     }
 
     @Test
-    void aControllerThatJoinsAndLeads() throws MalformedMessageException {
+    void recordsOfAControllerThatJoinsAndLeads() throws MalformedMessageException {
         var service = new StateServiceStub(Map.of("ds/incarnation/n0", "{\"n\":4}"));
         Membership membership = membership(service);
         run(service, membership);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void anotherControllerThatLeads() throws MalformedMessageException {
+    void recordsOfAnotherLeader() throws MalformedMessageException {
         var service = new StateServiceStub(Map.of(
                 "ds/member/n1", "{\"inc\":3,\"version\":2}",
                 "ds/member/n2", "{\"inc\":8}",
@@ -65,19 +65,19 @@
     }
 
     @Test
-    void teams() {
+    void quotaReservationOfATeam() {
         JsonNode stored = StateServiceStub.json("{\"cpus\":12.5,\"gpus\":3.0,\"shareCpus\":2.25,\"shareGpus\":1.0}");
-        var entry = new QuotaAdmission.Reservation(new Resources(12.5, 3, 0), new Resources(2.25, 1, 0));
-        assertEquals(stored.toString(), entry.toNode().toString());
-        assertEquals(entry, QuotaAdmission.Reservation.parse(Optional.of(stored)));
-        JsonNode without = StateServiceStub.json("{\"cpus\":12.5,\"gpus\":3.0}");
+        var reservation = new QuotaAdmission.Reservation(new Resources(12.5, 3, 0), new Resources(2.25, 1, 0));
+        assertEquals(stored.toString(), reservation.toNode().toString());
+        assertEquals(reservation, QuotaAdmission.Reservation.parse(Optional.of(stored)));
+        JsonNode storedWithoutShare = StateServiceStub.json("{\"cpus\":12.5,\"gpus\":3.0}");
         assertEquals(
                 new QuotaAdmission.Reservation(new Resources(12.5, 3, 0), Resources.NONE),
-                QuotaAdmission.Reservation.parse(Optional.of(without)));
+                QuotaAdmission.Reservation.parse(Optional.of(storedWithoutShare)));
     }
 
     @Test
-    void options() {
+    void operatorsOptions() {
         Options options = Options.of(Optional.of(StateServiceStub.json("""
                         {"first_hold_timer_s":11,"idle_return_s":12.5,"idle_spot_return_s":13,"silent_return_s":14,
                          "quarantine_errors":15,"boot_patience":16,"spare_jobs":7,"borrowed_machines":18,"lent_s":19,
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
@@ -19,25 +19,25 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What controllers send one another, letter by letter: during an upgrade old and new ones talk, so neither the heartbeat nor the
- * answer to it may change with the names in the sources.
+ * Heartbeats and replies exactly as they are sent: during an upgrade controllers of both versions exchange them, so they may not
+ * change with the names in the sources.
  */
 class PeerHeartbeatCompatibilityTest {
-    private static final Duration VIEW_AGE = Duration.ofMillis(250);
-    private static final WriteDemand NEED = new WriteDemand(12.5, 4);
+    private static final Duration REPLICA_STALENESS = Duration.ofMillis(250);
+    private static final WriteDemand WRITE_DEMAND = new WriteDemand(12.5, 4);
 
-    /** Two jobs were cancelled, at revision 5. */
+    /** One of the two jobs was cancelled, at revision 5. */
     private final StateServiceStub service = new StateServiceStub(Map.of(
             "ds/job/wk-000007", "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"next\":0}",
             "ds/job/wk-000008", "{\"at\":1700000000123,\"end\":\"DONE\",\"next\":3}"));
 
-    private final List<String> sent = new ArrayList<>();
-    private final List<String> told = new ArrayList<>();
-    private String answer = "{}";
+    private final List<String> sentRequests = new ArrayList<>();
+    private final List<String> notifications = new ArrayList<>();
+    private String reply = "{}";
 
     private final HttpClient peer = (address, method, target, body, type, timeout) -> {
-        sent.add(String.join(" ", address, method, target, type, new String(body, StandardCharsets.UTF_8)));
-        return CompletableFuture.completedFuture(new HttpClientResponse(200, answer.getBytes(StandardCharsets.UTF_8)));
+        sentRequests.add(String.join(" ", address, method, target, type, new String(body, StandardCharsets.UTF_8)));
+        return CompletableFuture.completedFuture(new HttpClientResponse(200, reply.getBytes(StandardCharsets.UTF_8)));
     };
 
     private final PeerHeartbeats peerHeartbeats = new PeerHeartbeats(
@@ -49,21 +49,22 @@
             service.replica,
             new PeerHeartbeats.Listener() {
                 @Override
-                public void imageSeen(String host, String image) {
-                    told.add(host + " has " + image);
+                public void imageSeen(String machineId, String image) {
+                    notifications.add(machineId + " has " + image);
                 }
 
                 @Override
-                public void cancelled(String node, Duration asked, List<String> jobs) {
-                    told.add(node + " knows of " + jobs);
+                public void cancelled(String node, Duration askedAt, List<String> jobs) {
+                    notifications.add(node + " knows of " + jobs);
                 }
             });
 
     PeerHeartbeatCompatibilityTest() throws MalformedMessageException {}
 
-    private static MachineStatus news(String host, long number, String... images) {
-        var set = new LinkedHashSet<>(List.of(images));
-        return new MachineStatus(host, number, 11, true, false, Duration.ofMillis(40), "10.0.0.7:7000", set);
+    private static MachineStatus status(String machineId, long sequence, String... images) {
+        var imageSet = new LinkedHashSet<>(List.of(images));
+        return new MachineStatus(
+                machineId, sequence, 11, true, false, Duration.ofMillis(40), "10.0.0.7:7000", imageSet);
     }
 
     private static MachineRecord machine(String id, long token) {
@@ -71,42 +72,43 @@
                 id, "", "gpu-8", "east", false, "n1", 3, token, Instant.EPOCH, Instant.EPOCH, false, "");
     }
 
-    private String hear(String heartbeat) {
+    private String receive(String heartbeat) {
         return peerHeartbeats
-                .receive(heartbeat.getBytes(StandardCharsets.UTF_8), VIEW_AGE, NEED)
+                .receive(heartbeat.getBytes(StandardCharsets.UTF_8), REPLICA_STALENESS, WRITE_DEMAND)
                 .toString();
     }
 
     @Test
-    void aHeartbeatToTheLeaderAndItsAnswer() {
-        answer = "{\"node\":\"n1\",\"inc\":3,\"viewAgeMs\":70,\"writes\":1.5,\"waiting\":2,\"took\":8,\"tookOf\":6,"
+    void aHeartbeatToTheLeaderAndItsReply() {
+        reply = "{\"node\":\"n1\",\"inc\":3,\"viewAgeMs\":70,\"writes\":1.5,\"waiting\":2,\"took\":8,\"tookOf\":6,"
                 + "\"cancelled\":[\"wk-000001\",\"wk-000002\"]}";
-        List<MachineStatus> news = List.of(news("i-0023", 8, "image:7", "image:8"), news("i-0024", 9));
+        List<MachineStatus> statuses = List.of(status("i-0023", 8, "image:7", "image:8"), status("i-0024", 9));
         String head = "peer:1 POST /peer/heartbeat application/json "
                 + "{\"node\":\"n0\",\"inc\":6,\"viewAgeMs\":250,\"writes\":12.5,\"waiting\":4,\"readTo\":5,";
-        peerHeartbeats.send(VIEW_AGE, NEED, news);
-        peerHeartbeats.send(VIEW_AGE, NEED, news);
+        peerHeartbeats.send(REPLICA_STALENESS, WRITE_DEMAND, statuses);
+        peerHeartbeats.send(REPLICA_STALENESS, WRITE_DEMAND, statuses);
         assertEquals(
                 List.of(
                         head
                                 + "\"from\":0,\"news\":[[\"i-0023\",11,true,false,40,\"10.0.0.7:7000\",\"image:7\",\"image:8\"],"
                                 + "[\"i-0024\",11,true,false,40,\"10.0.0.7:7000\"]],\"upTo\":9}",
                         head + "\"from\":8,\"news\":[[\"i-0024\",11,true,false,40,\"10.0.0.7:7000\"]],\"upTo\":9}"),
-                sent);
-        assertEquals("n1 knows of [wk-000001, wk-000002]", told.get(0));
+                sentRequests);
+        assertEquals("n1 knows of [wk-000001, wk-000002]", notifications.get(0));
         assertEquals(
                 Optional.of(new PeerState(service.process.now(), 3, Duration.ofMillis(70), 1.5, 2)),
                 peerHeartbeats.heartbeat("n1"));
     }
 
     @Test
-    void aHeartbeatThatIsHeard() {
+    void aReceivedHeartbeatAndItsReply() {
         assertEquals(
                 "{\"node\":\"n0\",\"inc\":6,\"viewAgeMs\":250,\"writes\":12.5,\"waiting\":4,\"took\":9,\"tookOf\":3,"
                         + "\"cancelled\":[\"wk-000007\"]}",
-                hear("{\"node\":\"n1\",\"inc\":3,\"viewAgeMs\":70,\"writes\":1.5,\"waiting\":2,\"readTo\":4,\"from\":0,"
-                        + "\"news\":[[\"i-0023\",11,true,false,40,\"10.0.0.7:7000\",\"image:7\"],"
-                        + "[\"i-0024\",12,false,true,50,\"\"]],\"upTo\":9}"));
+                receive(
+                        "{\"node\":\"n1\",\"inc\":3,\"viewAgeMs\":70,\"writes\":1.5,\"waiting\":2,\"readTo\":4,\"from\":0,"
+                                + "\"news\":[[\"i-0023\",11,true,false,40,\"10.0.0.7:7000\",\"image:7\"],"
+                                + "[\"i-0024\",12,false,true,50,\"\"]],\"upTo\":9}"));
         Duration now = service.process.now();
         assertEquals(Optional.of(new PeerState(now, 3, Duration.ofMillis(70), 1.5, 2)), peerHeartbeats.heartbeat("n1"));
         assertEquals(
@@ -115,15 +117,16 @@
         assertEquals(
                 Optional.of(new ReportedMachine(false, true, Duration.ofMillis(50), now, "", 12)),
                 peerHeartbeats.machine(machine("i-0024", 12)));
-        assertEquals(List.of("i-0023 has image:7"), told);
+        assertEquals(List.of("i-0023 has image:7"), notifications);
     }
 
     @Test
-    void anAnswerToOneThatReadsAsFarOrIsOlder() {
+    void replyToASenderThatIsUpToDateOrOlder() {
         String head = "{\"node\":\"n0\",\"inc\":6,\"viewAgeMs\":250,\"writes\":12.5,\"waiting\":4";
         assertEquals(
-                head + ",\"took\":0,\"tookOf\":3,\"cancelled\":[]}", hear("{\"node\":\"n1\",\"inc\":3,\"readTo\":5}"));
-        assertEquals(head + ",\"took\":0,\"tookOf\":3}", hear("{\"node\":\"n1\",\"inc\":3}"));
-        assertEquals(head + "}", hear("not readable"));
+                head + ",\"took\":0,\"tookOf\":3,\"cancelled\":[]}",
+                receive("{\"node\":\"n1\",\"inc\":3,\"readTo\":5}"));
+        assertEquals(head + ",\"took\":0,\"tookOf\":3}", receive("{\"node\":\"n1\",\"inc\":3}"));
+        assertEquals(head + "}", receive("not readable"));
     }
 }
