--- a/src/main/java/org/dunespindle/control/CommitQueue.java
+++ b/src/main/java/org/dunespindle/control/CommitQueue.java
@@ -51,7 +51,7 @@
     private Duration nextSendAt = Duration.ZERO;
     private Duration smallBatchesUntil = Duration.ZERO;
     private int transactionsInFlight;
-    private boolean flushScheduled;
+    private boolean flushTimerPending;
 
     /**
      * Creates an empty queue.
@@ -174,12 +174,12 @@
     }
 
     private void scheduleFlush(Duration delay) {
-        if (flushScheduled) {
+        if (flushTimerPending) {
             return;
         }
-        flushScheduled = true;
+        flushTimerPending = true;
         timeSource.schedule(delay, () -> {
-            flushScheduled = false;
+            flushTimerPending = false;
             flush();
         });
     }
--- a/src/main/java/org/dunespindle/control/MachineRecordWriter.java
+++ b/src/main/java/org/dunespindle/control/MachineRecordWriter.java
@@ -26,7 +26,7 @@
     private final CommitQueue commitQueue;
     private final TimeSource timeSource;
     private final Map<String, MachinePageEdit> pendingEdits = new LinkedHashMap<>();
-    private boolean flushScheduled;
+    private boolean flushTimerPending;
 
     /** Creates a writer that proposes its transactions to a commit queue. */
     public MachineRecordWriter(StateReplica replica, CommitQueue commitQueue, TimeSource timeSource) {
@@ -78,14 +78,14 @@
     }
 
     private void scheduleFlush() {
-        if (!flushScheduled) {
-            flushScheduled = true;
+        if (!flushTimerPending) {
+            flushTimerPending = true;
             timeSource.schedule(BATCH_DELAY, this::flush);
         }
     }
 
     private void flush() {
-        flushScheduled = false;
+        flushTimerPending = false;
         var edits = new LinkedHashMap<>(pendingEdits);
         pendingEdits.clear();
         edits.forEach(this::propose);
