--- a/src/main/java/org/dunespindle/machine/MachineProvisioner.java
+++ b/src/main/java/org/dunespindle/machine/MachineProvisioner.java
@@ -25,15 +25,15 @@
 /** Rents machines, one request at a time, and records them. */
 public final class MachineProvisioner {
     private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
-    private static final Duration NO_CAPACITY_PAUSE = Duration.ofSeconds(6);
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(25);
-    private static final Duration RETRY = Duration.ofMillis(700);
-    /** With an older copy of what is stored, too much might be rented. */
-    private static final Duration FRESH_VIEW = Duration.ofSeconds(3);
+    private static final Duration INITIAL_NO_CAPACITY_BACKOFF = Duration.ofSeconds(6);
+    private static final Duration MAX_NO_CAPACITY_BACKOFF = Duration.ofSeconds(25);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(700);
+    /** With an older replica, too much might be rented. */
+    private static final Duration MAX_REPLICA_STALENESS = Duration.ofSeconds(3);
 
-    private static final int TRIES = 4;
-    /** The cloud takes no larger request. */
-    private static final int MOST_AT_ONCE = 50;
+    private static final int MAX_ATTEMPTS = 4;
+    /** The cloud accepts no larger request. */
+    private static final int MAX_MACHINES_PER_REQUEST = 50;
 
     private final ControllerContext context;
     private final StateReplica replica;
@@ -41,20 +41,24 @@
     private final CloudClient cloud;
     private final MachineCatalog catalog;
     private final ServiceLevelObjectives objectives;
-    private final Predicate<String> gone;
-    private final Map<MachinePool, Refusal> refusals = new HashMap<>();
-    /** Machines rented here whose records are not stored yet; nothing more is rented until they count as room. */
-    private final Map<String, Runnable> unrecorded = new LinkedHashMap<>();
+    private final Predicate<String> isTerminated;
+    private final Map<MachinePool, Backoff> backoffs = new HashMap<>();
+    /** Machines rented here whose records are not stored yet; nothing more is rented until they count as capacity. */
+    private final Map<String, RentedMachine> unrecorded = new LinkedHashMap<>();
 
-    private boolean renting;
-    private long requests;
+    private boolean requestInFlight;
+    private long requestCount;
 
-    private record Refusal(Duration until, Duration pause) {}
+    /** When a pool without capacity is asked again, and how long it was left alone for that. */
+    private record Backoff(Duration until, Duration pause) {}
+
+    /** What is known of a machine when it has been rented. */
+    private record RentedMachine(String id, MachinePool pool, Instant rentedAt, boolean forGang) {}
 
     /**
-     * Creates a renter.
+     * Creates a provisioner of machines.
      *
-     * @param gone whether the cloud has confirmed a machine's return
+     * @param isTerminated whether the cloud has confirmed a machine's termination
      */
     public MachineProvisioner(
             ControllerContext context,
@@ -62,28 +66,28 @@
             CloudClient cloud,
             MachineCatalog catalog,
             ServiceLevelObjectives objectives,
-            Predicate<String> gone) {
+            Predicate<String> isTerminated) {
         this.context = context;
         this.replica = context.replica();
         this.machineWriter = machineWriter;
         this.cloud = cloud;
         this.catalog = catalog;
         this.objectives = objectives;
-        this.gone = gone;
+        this.isTerminated = isTerminated;
     }
 
-    /** Markets that had no capacity a moment ago. */
+    /** Pools that had no capacity lately and are not asked yet. */
     public Set<MachinePool> refused() {
-        var set = new HashSet<MachinePool>();
-        refusals.forEach((pool, refusal) -> {
-            if (refusal.until.compareTo(context.timeSource().now()) > 0) {
-                set.add(pool);
+        var pools = new HashSet<MachinePool>();
+        backoffs.forEach((pool, backoff) -> {
+            if (backoff.until.compareTo(context.timeSource().now()) > 0) {
+                pools.add(pool);
             }
         });
-        return set;
+        return pools;
     }
 
-    /** Forgets what is not recorded yet: the list tells the next leader of it. */
+    /** Forgets what is not recorded yet: the next leader learns of it from the cloud's list. */
     void standDown() {
         unrecorded.clear();
     }
@@ -91,101 +95,104 @@
     /** Rents what a plan lacks most urgently. */
     void rent(Plan plan) {
         recordRented();
-        boolean fresh = replica.staleness().compareTo(FRESH_VIEW) <= 0;
-        if (!unrecorded.isEmpty() || renting || catalog.types().isEmpty() || !fresh) {
+        boolean stale = replica.staleness().compareTo(MAX_REPLICA_STALENESS) > 0;
+        if (!unrecorded.isEmpty() || requestInFlight || catalog.types().isEmpty() || stale) {
             return;
         }
-        List<ScaleOutPlanner.Rental> rentals =
-                new ScaleOutPlanner(context, catalog, objectives, refused()).of(plan.shortfalls());
-        if (!rentals.isEmpty()) {
-            renting = true;
-            request(nextRequestId(), rentals.get(0), TRIES);
+        List<ScaleOutPlanner.ScaleOutRequest> requests =
+                new ScaleOutPlanner(context, catalog, objectives, refused()).plan(plan.shortfalls());
+        if (!requests.isEmpty()) {
+            requestInFlight = true;
+            send(nextRequestId(), requests.get(0), MAX_ATTEMPTS);
         }
     }
 
-    /** Names are built on the incarnation, so that none is ever used twice. */
+    /** Ids contain the incarnation, so that none is ever used twice. */
     private String nextRequestId() {
-        requests++;
-        return "r-" + context.settings().nodeName() + "-" + context.membership().incarnation() + "-" + requests;
+        requestCount++;
+        return "r-" + context.settings().nodeName() + "-" + context.membership().incarnation() + "-" + requestCount;
     }
 
-    private void request(String id, ScaleOutPlanner.Rental rental, int tries) {
-        int count = Math.min(MOST_AT_ONCE, rental.count());
-        cloud.rent(id, rental.market(), count).whenComplete((rented, failure) -> {
+    private void send(String requestId, ScaleOutPlanner.ScaleOutRequest request, int attemptsLeft) {
+        int count = Math.min(MAX_MACHINES_PER_REQUEST, request.count());
+        cloud.rent(requestId, request.pool(), count).whenComplete((rented, failure) -> {
             if (failure == null) {
-                renting = false;
-                answered(rental, count, rented);
-                return;
+                requestInFlight = false;
+                onRented(request, count, rented);
+            } else {
+                LOG.debug("rental request failed id={} cause={}", requestId, failure.toString());
+                retryLater(requestId, request, attemptsLeft);
             }
-            // Its answer may be lost, so the same request is sent again; what it rents all the same shows in the list.
-            context.timeSource().schedule(RETRY, () -> {
-                if (tries > 1 && context.membership().leads()) {
-                    request(id, rental, tries - 1);
-                } else {
-                    renting = false;
-                }
-            });
         });
     }
 
-    private void answered(ScaleOutPlanner.Rental rental, int count, CloudClient.RentalResult rented) {
-        MachinePool pool = rental.market();
-        if (rented.noCapacity() || rented.machineIds().size() < count) {
-            refuse(pool);
+    /** An answer may be lost, so the same request is sent again; what it rents all the same is found in the cloud's list. */
+    private void retryLater(String requestId, ScaleOutPlanner.ScaleOutRequest request, int attemptsLeft) {
+        context.timeSource().schedule(RETRY_DELAY, () -> {
+            if (attemptsLeft > 1 && context.membership().leads()) {
+                send(requestId, request, attemptsLeft - 1);
+            } else {
+                requestInFlight = false;
+            }
+        });
+    }
+
+    private void onRented(ScaleOutPlanner.ScaleOutRequest request, int count, CloudClient.RentalResult rented) {
+        MachinePool pool = request.pool();
+        List<String> machineIds = rented.machineIds();
+        if (rented.noCapacity() || machineIds.size() < count) {
+            backOff(pool);
         } else {
-            refusals.remove(pool);
+            backoffs.remove(pool);
         }
-        if (rented.machineIds().isEmpty()) {
+        if (machineIds.isEmpty()) {
             return;
         }
         context.eventRecorder()
-                .record(
-                        LOG,
-                        "rented {} of {} in {} ({})",
-                        rented.machineIds().size(),
-                        pool.type(),
-                        pool.zone(),
-                        kind(pool));
-        Instant at = context.timeSource().wallTime();
-        rented.machineIds().forEach(id -> unrecorded.put(id, () -> record(id, "", pool, at, rental.forGang())));
+                .record(LOG, "rented {} of {} in {} ({})", machineIds.size(), pool.type(), pool.zone(), market(pool));
+        Instant rentedAt = context.timeSource().wallTime();
+        machineIds.forEach(id -> unrecorded.put(id, new RentedMachine(id, pool, rentedAt, request.forGang())));
         recordRented();
     }
 
-    private static String kind(MachinePool pool) {
+    private static String market(MachinePool pool) {
         return pool.spot() ? "spot" : "ordinary";
     }
 
-    private void refuse(MachinePool pool) {
-        Refusal before = refusals.get(pool);
-        Duration pause = before == null ? NO_CAPACITY_PAUSE : before.pause.multipliedBy(2);
-        if (pause.compareTo(LONGEST_PAUSE) > 0) {
-            pause = LONGEST_PAUSE;
+    private void backOff(MachinePool pool) {
+        Backoff previous = backoffs.get(pool);
+        Duration pause = previous == null ? INITIAL_NO_CAPACITY_BACKOFF : previous.pause.multipliedBy(2);
+        if (pause.compareTo(MAX_NO_CAPACITY_BACKOFF) > 0) {
+            pause = MAX_NO_CAPACITY_BACKOFF;
         }
-        refusals.put(pool, new Refusal(context.timeSource().now().plus(pause), pause));
+        backoffs.put(pool, new Backoff(context.timeSource().now().plus(pause), pause));
         context.eventRecorder()
                 .record(
                         LOG,
                         "no more {} in {} ({}); asked again in {} s",
                         pool.type(),
                         pool.zone(),
-                        kind(pool),
+                        market(pool),
                         pause.toSeconds());
     }
 
     private void recordRented() {
-        unrecorded.keySet().removeIf(id -> replica.machines().containsKey(id) || gone.test(id));
-        List.copyOf(unrecorded.entrySet()).forEach(entry -> {
-            if (!machineWriter.busy(entry.getKey())) {
-                entry.getValue().run();
+        unrecorded.keySet().removeIf(id -> replica.machines().containsKey(id) || isTerminated.test(id));
+        for (RentedMachine machine : List.copyOf(unrecorded.values())) {
+            if (!machineWriter.busy(machine.id)) {
+                record(machine.id, "", machine.pool, machine.rentedAt, machine.forGang);
             }
-        });
+        }
     }
 
-    /** Records a machine. One that is rented for a gang is the leader's from the start: borrowing it would cost a write more. */
-    void record(String id, String address, MachinePool pool, Instant rented, boolean forGang) {
+    /**
+     * Records a machine. One that is rented for a gang belongs to the leader from the start: acquiring it later would cost another
+     * write.
+     */
+    void record(String id, String address, MachinePool pool, Instant rentedAt, boolean forGang) {
         Membership membership = context.membership();
-        String here = context.settings().nodeName();
-        String owner = forGang ? here : membership.hashed(id).orElse(here);
+        String nodeName = context.settings().nodeName();
+        String owner = forGang ? nodeName : membership.hashed(id).orElse(nodeName);
         long incarnation = membership.incarnationOf(owner).orElse(membership.incarnation());
         Optional<Long> seen = context.workers()
                 .find(id)
@@ -200,7 +207,7 @@
                 owner,
                 incarnation,
                 seen.orElse(0L) + 1,
-                rented,
+                rentedAt,
                 Instant.EPOCH,
                 false,
                 "");
