--- a/src/main/java/org/dunespindle/api/AdminResponse.java
+++ b/src/main/java/org/dunespindle/api/AdminResponse.java
@@ -1,6 +1,29 @@
 package org.dunespindle.api;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.dunespindle.protocol.MessagePackCodec;
 
-/** An answer before it is put on the wire. */
-public record AdminResponse(int status, ObjectNode body) {}
+/** An answer of the administration API before it is put on the wire. */
+public record AdminResponse(int status, ObjectNode body) {
+    static AdminResponse ok(ObjectNode body) {
+        return new AdminResponse(HttpStatus.OK, body);
+    }
+
+    static AdminResponse notFound(String text) {
+        return error(HttpStatus.NOT_FOUND, text);
+    }
+
+    static AdminResponse stateServiceUnavailable() {
+        return error(HttpStatus.UNAVAILABLE, "the state service does not answer");
+    }
+
+    /** Another change of the same record is being stored. */
+    static AdminResponse changeInProgress() {
+        return error(HttpStatus.CONFLICT, "another change is under way; read again and repeat");
+    }
+
+    /** An answer that says what is wrong. */
+    public static AdminResponse error(int status, String text) {
+        return new AdminResponse(status, MessagePackCodec.map().put("error", text));
+    }
+}
--- a/src/main/java/org/dunespindle/api/DelegationContext.java
+++ b/src/main/java/org/dunespindle/api/DelegationContext.java
@@ -17,9 +17,9 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * What a {@link JobDelegation} may use of the controller that it belongs to.
+ * The parts of a controller that its {@link JobDelegation} uses.
  *
- * @param whyNever why a job can never run in this cell, if so; empty while that is not known yet
+ * @param whyNever whether a job can ever run in this cell; empty while that is not known yet
  * @param whyWaits why an unfinished job waits in this cell
  * @param machineTypes what the cell's cloud rents out; empty while that is not known yet
  */
@@ -36,6 +36,10 @@
         Function<JobRecord, String> whyWaits,
         Supplier<List<MachineType>> machineTypes) {
 
-    /** Whether a job can ever run here; known once the cloud has told its machine types. */
+    /**
+     * Whether a job can ever run here, which is known once the machine types have been read.
+     *
+     * @param why why it cannot; empty if it can
+     */
     public record NeverVerdict(Optional<String> why) {}
 }
--- a/src/main/java/org/dunespindle/api/JobDelegation.java
+++ b/src/main/java/org/dunespindle/api/JobDelegation.java
@@ -8,24 +8,24 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * What a controller needs to know of other cells: the seam between placing jobs on this cell's machines and giving them to, or
- * taking them from, others. Everything runs on the controller's one thread.
+ * Delegation of jobs to other cells, as a controller sees it: the boundary between placing jobs on this cell's machines and delegating
+ * them to, or accepting them from, other cells. Everything runs on the controller's event loop.
  */
 public interface JobDelegation {
-    /** A cell on its own. */
+    /** For a cell that is not federated: no job is ever delegated. */
     JobDelegation NONE = new JobDelegation() {};
 
     /**
-     * How a job stands in the cell that holds it, as that cell told last.
+     * The progress of a job in the cell that holds it, by the latest report of that cell.
      *
-     * @param begun whether any of its tasks was booked there
-     * @param age how long ago it was asked for
+     * @param begun whether any of its tasks was placed there
+     * @param age how long ago the report was requested
      */
     record RemoteProgress(String cell, boolean begun, int done, int running, int failures, Duration age) {}
 
-    /** How a cancellation that another cell has to store first went. */
+    /** The outcome of a cancellation that another cell has to store first. */
     enum Cancellation {
-        /** The other cell has stored it, so this one may. */
+        /** The other cell has stored the cancellation, so this one may store it too. */
         CANCELLED,
         /** The other cell had finished the job before. */
         DONE,
@@ -35,23 +35,23 @@
         UNKNOWN
     }
 
-    /** Begins, once the controller reads the state service. */
+    /** Starts; called once the controller reads the state service. */
     default void start() {}
 
-    /** Looks at a new plan of this controller, which covers the whole cell while it leads. */
+    /** Receives a new plan of this controller, which covers the whole cell while it leads. */
     default void planned(ClusterSnapshot snapshot, Plan plan) {}
 
-    /** Has the cell that may hold a job store that it is cancelled. */
-    default void cancel(JobRecord job, Consumer<Cancellation> then) {
-        then.accept(Cancellation.UNKNOWN);
+    /** Requests that the cell that may hold a job store its cancellation. */
+    default void cancel(JobRecord job, Consumer<Cancellation> onOutcome) {
+        onOutcome.accept(Cancellation.UNKNOWN);
     }
 
-    /** What is known of a job that another cell may hold. */
+    /** The known progress of a job that another cell may hold. */
     default Optional<RemoteProgress> progress(JobRecord job) {
         return Optional.empty();
     }
 
-    /** Why a job that other cells were asked to take waits, in words for its user. */
+    /** Why a job that is offered to other cells waits, in words for its user. */
     default Optional<String> whyWaits(JobRecord job) {
         return Optional.empty();
     }
--- /dev/null
+++ b/src/main/java/org/dunespindle/api/JobStatusReader.java
@@ -0,0 +1,65 @@
+package org.dunespindle.api;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.dunespindle.api.UserApi.Answer;
+import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.StateStoreClient;
+
+/** Answers users' polls with the stored state of their jobs. */
+final class JobStatusReader {
+    private final StateReplica replica;
+    private final StateStoreClient stateStore;
+    private final JobStatusRenderer renderer;
+
+    JobStatusReader(StateReplica replica, StateStoreClient stateStore, JobStatusRenderer renderer) {
+        this.replica = replica;
+        this.stateStore = stateStore;
+        this.renderer = renderer;
+    }
+
+    /** Answers a poll of a job. */
+    void poll(String id, Consumer<Answer> answer) {
+        if (!replica.loaded()) {
+            answer.accept(Answer.notLoaded());
+        } else if (!Submission.wellFormedId(id)) {
+            answer.accept(Answer.error(HttpStatus.NOT_FOUND, "no such job"));
+        } else {
+            answerCurrent(id, answer);
+        }
+    }
+
+    /** Answers with the stored state. A final state can be read from the replica as it is: it never changes again. */
+    void answerCurrent(String id, Consumer<Answer> answer) {
+        Optional<JobRecord> known = findOwn(id);
+        if (known.isPresent() && !known.get().isOpen()) {
+            answer.accept(status(known.get()));
+        } else if (stateStore.failing()) {
+            answer.accept(Answer.stateServiceUnavailable());
+        } else {
+            replica.refresh(
+                    () -> answer.accept(findOwn(id).map(this::status).orElseGet(() -> absent(id))),
+                    () -> answer.accept(Answer.stateServiceUnavailable()));
+        }
+    }
+
+    /** A job that this cell accepted from its user. One taken in from another cell is known to that cell's users only. */
+    Optional<JobRecord> findOwn(String id) {
+        return replica.job(id).filter(job -> job.inboundDelegation().isEmpty());
+    }
+
+    /** The status of a job. */
+    Answer status(JobRecord job) {
+        return Answer.of(HttpStatus.OK, renderer.render(job));
+    }
+
+    /** The answer for a job that was not found. One whose record cannot be understood is not absent: it was accepted. */
+    Answer absent(String id) {
+        return replica.unreadable(Keys.job(id))
+                ? Answer.retryLater("the job's record cannot be read")
+                : Answer.error(HttpStatus.NOT_FOUND, "no such job");
+    }
+}
--- /dev/null
+++ b/src/main/java/org/dunespindle/api/JobSubmission.java
@@ -0,0 +1,141 @@
+package org.dunespindle.api;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.HdrHistogram.Histogram;
+import org.dunespindle.api.UserApi.Answer;
+import org.dunespindle.control.CommitPriority;
+import org.dunespindle.control.CommitQueue;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.protocol.MachineType;
+import org.dunespindle.protocol.MalformedMessageException;
+import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.protocol.Submission;
+import org.dunespindle.storage.JobRecord;
+import org.dunespindle.storage.Keys;
+import org.dunespindle.storage.StateReplica;
+import org.dunespindle.storage.StateStoreClient;
+import org.dunespindle.storage.Transaction;
+import org.dunespindle.storage.TransactionResult;
+
+/** Accepts users' submissions: a job is accepted once its record is stored. Repeating a submission is idempotent. */
+final class JobSubmission {
+    private final ControllerContext context;
+    private final StateReplica replica;
+    private final StateStoreClient stateStore;
+    private final CommitQueue commitQueue;
+    private final Supplier<Optional<List<MachineType>>> catalog;
+    private final Histogram acceptLatency;
+    private final JobStatusReader statusReader;
+    private final int maxTransactionsWaiting;
+
+    JobSubmission(
+            ControllerContext context,
+            StateStoreClient stateStore,
+            CommitQueue commitQueue,
+            Supplier<Optional<List<MachineType>>> catalog,
+            Histogram acceptLatency,
+            JobStatusReader statusReader,
+            int maxTransactionsWaiting) {
+        this.context = context;
+        this.replica = context.replica();
+        this.stateStore = stateStore;
+        this.commitQueue = commitQueue;
+        this.catalog = catalog;
+        this.acceptLatency = acceptLatency;
+        this.statusReader = statusReader;
+        this.maxTransactionsWaiting = maxTransactionsWaiting;
+    }
+
+    /** Answers a submission. */
+    void submit(byte[] body, Consumer<Answer> answer) {
+        Submission job;
+        try {
+            job = Submission.parse(MessagePackCodec.read(body));
+        } catch (MalformedMessageException e) {
+            answer.accept(Answer.error(HttpStatus.BAD_REQUEST, e.getMessage()));
+            return;
+        }
+        if (!replica.loaded()) {
+            answer.accept(Answer.notLoaded());
+        } else if (statusReader.findOwn(job.id()).isPresent()) {
+            // A job that was accepted once is never refused later, whatever the settings say by then.
+            statusReader.answerCurrent(job.id(), answer);
+        } else if (replica.job(job.id()).isPresent()) {
+            answer.accept(idInUse(job.id()));
+        } else {
+            acceptIfFeasible(job, answer);
+        }
+    }
+
+    private Answer idInUse(String id) {
+        String originCell = replica.job(id)
+                .flatMap(JobRecord::inboundDelegation)
+                .orElseThrow()
+                .home();
+        return Answer.retryLater("the id is in use by a job of cell " + originCell);
+    }
+
+    private void acceptIfFeasible(Submission job, Consumer<Answer> answer) {
+        Optional<List<MachineType>> types = catalog.get();
+        if (types.isEmpty()) {
+            answer.accept(Answer.retrySoon("the machine types are not known yet"));
+            return;
+        }
+        Optional<String> whyNever = SubmissionFeasibility.whyNever(job, types.get(), context.settings());
+        if (whyNever.isPresent()) {
+            reject(job.id(), whyNever.get(), answer);
+        } else if (stateStore.failing()) {
+            answer.accept(Answer.stateServiceUnavailable());
+        } else {
+            store(job, answer);
+        }
+    }
+
+    /** Rejects a job for good, unless another controller has accepted it meanwhile. */
+    private void reject(String id, String reason, Consumer<Answer> answer) {
+        replica.refresh(
+                () -> answer.accept(statusReader
+                        .findOwn(id)
+                        .map(statusReader::status)
+                        .orElseGet(() -> Answer.error(HttpStatus.UNPROCESSABLE, reason))),
+                () -> answer.accept(Answer.stateServiceUnavailable()));
+    }
+
+    private void store(Submission job, Consumer<Answer> answer) {
+        JobRecord record = JobRecord.accepted(job, context.timeSource().wallTime());
+        if (MessagePackCodec.countedSize(record.toNode()) > context.jobWriter().longestDescription()) {
+            answer.accept(Answer.error(HttpStatus.BAD_REQUEST, "the job's description is too long"));
+        } else if (commitQueue.isLocked(Keys.job(job.id()))) {
+            answer.accept(Answer.retrySoon("the same submission is being stored"));
+        } else if (commitQueue.waiting(CommitPriority.USERS) >= maxTransactionsWaiting) {
+            answer.accept(Answer.retryLater("more submissions wait than can be stored in time"));
+        } else {
+            propose(record, answer);
+        }
+    }
+
+    private void propose(JobRecord record, Consumer<Answer> answer) {
+        Duration startedAt = context.timeSource().now();
+        Transaction transaction = context.jobWriter().write(new Transaction(), record);
+        commitQueue.propose(CommitPriority.USERS, transaction, result -> {
+            long micros = context.timeSource().now().minus(startedAt).toNanos() / 1000;
+            acceptLatency.recordValue(Math.min(acceptLatency.getHighestTrackableValue(), micros));
+            onStored(record.id(), result, answer);
+        });
+    }
+
+    private void onStored(String id, TransactionResult result, Consumer<Answer> answer) {
+        if (result instanceof TransactionResult.Applied) {
+            answer.accept(Answer.of(
+                    HttpStatus.CREATED, MessagePackCodec.map().put("id", id).put("phase", "queued")));
+        } else if (statusReader.findOwn(id).isPresent() && !(result instanceof TransactionResult.Refused)) {
+            statusReader.answerCurrent(id, answer);
+        } else {
+            answer.accept(Answer.stateServiceUnavailable());
+        }
+    }
+}
--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -10,8 +10,10 @@
 import java.util.function.Function;
 import org.HdrHistogram.Histogram;
 import org.dunespindle.api.AdminApi;
+import org.dunespindle.api.ControllerStatus;
 import org.dunespindle.api.DelegationContext;
 import org.dunespindle.api.JobDelegation;
+import org.dunespindle.api.SubmissionFeasibility;
 import org.dunespindle.api.UserApi;
 import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
@@ -69,7 +71,7 @@
  * Machines about which something changed are attended to at once; the whole is planned anew less often, and
  * the less often the dearer a plan is, so that answers to workers and users keep their turn.
  */
-public final class Controller {
+public final class Controller implements ControllerStatus {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final Duration ROUND_AT_MOST_EVERY = Duration.ofMillis(25);
     private static final Duration ROUND_AT_LEAST_EVERY = Duration.ofMillis(500);
@@ -230,7 +232,8 @@
                 eventRecorder,
                 this::options,
                 job -> catalog.types()
-                        .map(types -> new DelegationContext.NeverVerdict(UserApi.whyNever(job, types, settings))),
+                        .map(types -> new DelegationContext.NeverVerdict(
+                                SubmissionFeasibility.whyNever(job, types, settings))),
                 this::whyWaitsHere,
                 () -> catalog.types().orElse(List.of()));
     }
@@ -268,6 +271,7 @@
     }
 
     /** The operators' settings as stored now. */
+    @Override
     public Options options() {
         long stamp = replica.modRevision(Keys.OPTIONS);
         if (stamp != optionsStamp) {
@@ -283,6 +287,7 @@
     }
 
     /** Why an unfinished job waits, in words for its user. */
+    @Override
     public String whyWaits(JobRecord job) {
         return jobDelegation.whyWaits(job).orElseGet(() -> whyWaitsHere(job));
     }
--- a/src/main/java/org/dunespindle/federation/FederationAdmin.java
+++ b/src/main/java/org/dunespindle/federation/FederationAdmin.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.dunespindle.api.AdminApi;
 import org.dunespindle.api.AdminResponse;
 import org.dunespindle.api.DelegationContext;
 import org.dunespindle.control.CommitPriority;
@@ -70,7 +69,7 @@
     }
 
     private static AdminResponse unavailable() {
-        return AdminApi.error(UNAVAILABLE, "the state service does not answer");
+        return AdminResponse.error(UNAVAILABLE, "the state service does not answer");
     }
 
     private ObjectNode cells() {
@@ -210,7 +209,7 @@
         String key = Keys.cell(name);
         Optional<FederationRecords.KnownCell> cell = known.cell(name);
         if (!contacts.containsKey(name) || cell.isEmpty()) {
-            answer.accept(AdminApi.error(NOT_FOUND, "no such cell, or nothing is known of it"));
+            answer.accept(AdminResponse.error(NOT_FOUND, "no such cell, or nothing is known of it"));
         } else if (!confirmed(name, body)) {
             answer.accept(new AdminResponse(
                     BAD_REQUEST,
@@ -219,7 +218,7 @@
                             .put("jobsThere", countAway(name))
                             .put("itsJobsHere", countVisitors(name))));
         } else if (context.commitQueue().isLocked(key)) {
-            answer.accept(AdminApi.error(CONFLICT, "another change is under way; read again and repeat"));
+            answer.accept(AdminResponse.error(CONFLICT, "another change is under way; read again and repeat"));
         } else {
             Transaction transaction = new Transaction()
                     .requireRevision(key, replica.modRevision(key))
@@ -236,7 +235,7 @@
                                                             .put("cell", name)
                                                             .put("abandoned", true)
                                                             .put("risk", RISK))
-                                            : AdminApi.error(UNAVAILABLE, "not stored; read again and repeat")));
+                                            : AdminResponse.error(UNAVAILABLE, "not stored; read again and repeat")));
         }
     }
 
