--- a/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
+++ b/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
@@ -16,21 +16,21 @@
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
-/** Whether what failed is held against the machine or the job. */
+/** Whether failures are attributed to the machine or to the job. */
 class CrashLoopDetectorTest {
     private final Map<String, JobRecord> records = new HashMap<>();
     private final CrashLoopDetector crashLoopDetector =
             new CrashLoopDetector(id -> Optional.ofNullable(records.get(id)));
 
-    /** A job's task fails, and its record tells of it. */
-    private void failed(String job, String machine) {
-        records.put(job, record(job).withFailures(1, Optional.empty()));
-        crashLoopDetector.failed(job, machine);
+    /** A job's task fails, and the job's record counts it. */
+    private void failed(String jobId, String machineId) {
+        records.put(jobId, record(jobId).withFailures(1, Optional.empty()));
+        crashLoopDetector.failed(jobId, machineId);
     }
 
-    private JobRecord record(String job) {
+    private JobRecord record(String jobId) {
         return records.computeIfAbsent(
-                job,
+                jobId,
                 id -> JobRecord.accepted(
                         new Submission(
                                 id,
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aJobThatFailsEverywhereIsHeldAgainstNoMachine() {
+    void jobThatFailsEverywhereCountsAgainstNoMachine() {
         for (String job : new String[] {"wk-1", "wk-2", "wk-3"}) {
             for (String machine : new String[] {"a", "b"}) {
                 failed(job, machine);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aMachineOnWhichDifferentJobsFailIsFaulty() {
+    void machineOnWhichDifferentJobsFailIsFaulty() {
         failed("wk-1", "a");
         failed("wk-1", "a");
         failed("wk-2", "a");
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void oneThatEndedWellSomewhereIsNotFaultyHoweverManyMachinesAre() {
+    void jobThatSucceededOnceIsNotCrashLoopingHoweverManyMachinesItFailsOn() {
         crashLoopDetector.succeeded("wk-1", "z");
         for (String machine : new String[] {"a", "b", "c", "d"}) {
             failed("wk-1", machine);
@@ -87,9 +87,9 @@
         assertEquals(1, crashLoopDetector.jobsFailedOn("a"));
     }
 
-    /** Two faulty jobs that met on one machine first: the other controllers' machines saw them fail too, and the records tell. */
+    /** Two faulty jobs that ran on one machine first: they failed on other controllers' machines too, and their records count that. */
     @Test
-    void whatFailsElsewhereTooSaysNothingAboutOneMachine() {
+    void jobThatFailsElsewhereTooDoesNotCountAgainstTheMachine() {
         failed("wk-1", "a");
         failed("wk-2", "a");
         assertEquals(2, crashLoopDetector.jobsFailedOn("a"));
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void whatIsOverIsForgotten() {
+    void endedJobsAndGoneMachinesAreForgotten() {
         failed("wk-1", "a");
         failed("wk-2", "a");
         records.put("wk-1", records.get("wk-1").cancelled());
--- /dev/null
+++ b/src/test/java/org/dunespindle/machine/DrainReasonCompatibilityTest.java
@@ -0,0 +1,38 @@
+package org.dunespindle.machine;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.time.Duration;
+import org.dunespindle.storage.MachineRecord;
+import org.junit.jupiter.api.Test;
+
+/** The texts of drain reasons are stored with machines and shown to operators, so none may change with the names in the sources. */
+class DrainReasonCompatibilityTest {
+    @Test
+    void reasonsAreStoredInTheseWords() {
+        assertEquals("it is idle", DrainReason.IDLE.text());
+        assertEquals("it fails its tasks", DrainReason.FAILS_TASKS.text());
+        assertEquals("it failed", DrainReason.FAILED.text());
+        assertEquals("it runs but no controller hears it", DrainReason.RUNS_UNHEARD.text());
+        assertEquals("it did not come up in time", DrainReason.BOOT_TIMED_OUT.text());
+        assertEquals("it reports but takes no commands", DrainReason.TAKES_NO_COMMANDS.text());
+        assertEquals(
+                "it has been silent for 17 s",
+                DrainReason.silentFor(Duration.ofMillis(17_900)).text());
+    }
+
+    /** Only idle machines are worth no extra write while commits queue, and only machines that are heard are recorded as draining. */
+    @Test
+    void onlyMachinesThatAreHeardAreDrainedFirst() {
+        assertEquals(DrainReason.Procedure.DRAIN_UNLESS_COMMITS_QUEUE, DrainReason.IDLE.procedure());
+        assertEquals(DrainReason.Procedure.DRAIN, DrainReason.FAILS_TASKS.procedure());
+        assertEquals(DrainReason.Procedure.TERMINATE, DrainReason.FAILED.procedure());
+        assertEquals(DrainReason.Procedure.TERMINATE, DrainReason.RUNS_UNHEARD.procedure());
+        assertEquals(DrainReason.Procedure.TERMINATE, DrainReason.BOOT_TIMED_OUT.procedure());
+        assertEquals(DrainReason.Procedure.TERMINATE, DrainReason.TAKES_NO_COMMANDS.procedure());
+        assertEquals(
+                DrainReason.Procedure.TERMINATE,
+                DrainReason.silentFor(Duration.ofSeconds(17)).procedure());
+        assertEquals(MachineRecord.IDLE, DrainReason.IDLE.text());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/dunespindle/machine/PoolDemandTest.java
@@ -0,0 +1,64 @@
+package org.dunespindle.machine;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.time.Duration;
+import java.util.Optional;
+import org.dunespindle.protocol.JobKind;
+import org.dunespindle.protocol.Priority;
+import org.dunespindle.protocol.Resources;
+import org.dunespindle.protocol.Submission;
+import org.junit.jupiter.api.Test;
+
+/** How tasks are packed onto the machines of a pool that are to be rented. */
+class PoolDemandTest {
+    private static final Resources MACHINE_SIZE = new Resources(4, 4, 4);
+    private static final int TASKS_PER_MACHINE = 4;
+
+    private final PoolDemand demand = new PoolDemand(MACHINE_SIZE);
+
+    private static Submission job(JobKind kind, int tasks) {
+        return new Submission(
+                "wk-1",
+                "class",
+                "red",
+                kind,
+                Priority.LOW,
+                tasks,
+                new Resources(1, 1, 1),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                true,
+                "image",
+                2,
+                Duration.ofSeconds(4),
+                Duration.ZERO,
+                Duration.ZERO,
+                Optional.empty());
+    }
+
+    @Test
+    void capacityLeftOnTheLastMachineIsUsedFirst() {
+        demand.add(job(JobKind.ARRAY, 9), 6, TASKS_PER_MACHINE);
+        assertEquals(2, demand.machines());
+        demand.add(job(JobKind.ARRAY, 9), 2, TASKS_PER_MACHINE);
+        assertEquals(2, demand.machines());
+        demand.add(job(JobKind.ARRAY, 9), 1, TASKS_PER_MACHINE);
+        assertEquals(3, demand.machines());
+    }
+
+    @Test
+    void demandIsForAGangOnlyIfAGangNeedsTheFirstMachine() {
+        demand.add(job(JobKind.ARRAY, 9), 1, TASKS_PER_MACHINE);
+        demand.add(job(JobKind.GANG, 9), 9, TASKS_PER_MACHINE);
+        assertFalse(demand.isForGang());
+        var gangFirst = new PoolDemand(MACHINE_SIZE);
+        gangFirst.add(job(JobKind.GANG, 9), 9, TASKS_PER_MACHINE);
+        gangFirst.add(job(JobKind.ARRAY, 9), 1, TASKS_PER_MACHINE);
+        assertTrue(gangFirst.isForGang());
+    }
+}
