--- a/src/main/java/org/dunespindle/FrontRoutes.java
+++ b/src/main/java/org/dunespindle/FrontRoutes.java
@@ -12,6 +12,7 @@
 import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.transport.ConnectionBudget;
 import org.dunespindle.transport.HttpServerRequest;
+import org.dunespindle.transport.HttpStatus;
 import org.dunespindle.transport.HttpServerResponse;
 
 /** Routes the requests of users, workers and health checks; bodies are MessagePack. */
@@ -49,7 +50,7 @@
 
     /** The answer to a request that was refused before it was routed. */
     static HttpServerResponse refuse(int status) {
-        return error(status, HttpStatus.describe(status));
+        return error(status, refusal(status));
     }
 
     private void submission(HttpServerRequest request, String rest, Consumer<HttpServerResponse> reply) {
@@ -66,7 +67,7 @@
     private HttpServerResponse health() {
         boolean healthy = controller.isHealthy();
         return new HttpServerResponse(
-                healthy ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE,
+                healthy ? HttpStatus.OK : HttpStatus.UNAVAILABLE,
                 "text/plain",
                 (healthy ? "ok" : "not ready").getBytes(StandardCharsets.US_ASCII),
                 Optional.empty());
@@ -110,4 +111,13 @@
     private static HttpServerResponse encode(int status, ObjectNode body, Optional<Duration> retryAfter) {
         return new HttpServerResponse(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), retryAfter);
     }
+
+    /** What a listener tells of a request that no route saw. */
+    static String refusal(int status) {
+        return switch (status) {
+            case HttpStatus.PAYLOAD_TOO_LARGE -> "the body is longer than 64 KiB";
+            case HttpStatus.INTERNAL_SERVER_ERROR -> "the service failed at this request";
+            default -> "the request is malformed";
+        };
+    }
 }
--- a/src/main/java/org/dunespindle/PeerRoutes.java
+++ b/src/main/java/org/dunespindle/PeerRoutes.java
@@ -7,6 +7,7 @@
 import org.dunespindle.protocol.JsonCodec;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.transport.HttpServerRequest;
+import org.dunespindle.transport.HttpStatus;
 import org.dunespindle.transport.HttpServerResponse;
 
 /** Routes the requests of other controllers and of operators; bodies are JSON. */
@@ -37,7 +38,7 @@
 
     /** The answer to a request that was refused before it was routed. */
     static HttpServerResponse refuse(int status) {
-        return encode(status, MessagePackCodec.map().put("error", HttpStatus.describe(status)));
+        return encode(status, MessagePackCodec.map().put("error", FrontRoutes.refusal(status)));
     }
 
     private static HttpServerResponse encode(int status, ObjectNode body) {
--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -8,6 +8,8 @@
 import java.util.function.Function;
 import org.HdrHistogram.Histogram;
 import org.dunespindle.api.AdminApi;
+import org.dunespindle.api.ControllerStatus;
+import org.dunespindle.api.SubmissionFeasibility;
 import org.dunespindle.api.DelegationContext;
 import org.dunespindle.api.JobDelegation;
 import org.dunespindle.api.UserApi;
@@ -17,6 +19,7 @@
 import org.dunespindle.control.FormatUpgrade;
 import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.Membership;
+import org.dunespindle.control.Options;
 import org.dunespindle.control.OversizeRecordSplitter;
 import org.dunespindle.control.PauseDetector;
 import org.dunespindle.control.WorkerRegistry;
@@ -57,7 +60,7 @@
  * The parts of one controller and how they are wired together. Nothing happens before the controller is started. All of
  * them run on one event loop.
  */
-final class ControllerParts {
+final class ControllerParts implements ControllerStatus {
     private static final Duration REPLICA_SYNC_INTERVAL = Duration.ofMillis(300);
 
     final Settings settings;
@@ -223,15 +226,19 @@
                 commitQueue,
                 machineWriter,
                 placementWriter.teamAccounts(),
-                options,
-                this::whyWaits,
+                this,
                 jobDelegation,
                 latencies());
         userApi = new UserApi(context, stateStore, commitQueue, catalog::types, acceptTimes, jobDelegation);
     }
 
-    /** Why an unfinished job waits, in words for its user. */
-    private String whyWaits(JobRecord job) {
+    @Override
+    public Options options() {
+        return options.get();
+    }
+
+    @Override
+    public String whyWaits(JobRecord job) {
         return jobDelegation.whyWaits(job).orElseGet(() -> waitExplainer.explain(job));
     }
 
@@ -260,7 +267,7 @@
                 context.eventRecorder(),
                 options,
                 job -> catalog.types()
-                        .map(types -> new DelegationContext.NeverVerdict(UserApi.whyNever(job, types, settings))),
+                        .map(types -> new DelegationContext.NeverVerdict(SubmissionFeasibility.whyNever(job, types, settings))),
                 waitExplainer::explain,
                 () -> catalog.types().orElse(List.of()));
     }
--- /dev/null
+++ b/src/main/java/org/dunespindle/transport/HttpStatus.java
@@ -0,0 +1,18 @@
+package org.dunespindle.transport;
+
+/** The HTTP status codes that are sent and understood here. */
+public final class HttpStatus {
+    public static final int OK = 200;
+    public static final int CREATED = 201;
+    public static final int BAD_REQUEST = 400;
+    public static final int NOT_FOUND = 404;
+    public static final int METHOD_NOT_ALLOWED = 405;
+    public static final int CONFLICT = 409;
+    public static final int PAYLOAD_TOO_LARGE = 413;
+    public static final int MISDIRECTED = 421;
+    public static final int UNPROCESSABLE = 422;
+    public static final int INTERNAL_SERVER_ERROR = 500;
+    public static final int UNAVAILABLE = 503;
+
+    private HttpStatus() {}
+}
--- a/src/main/java/org/dunespindle/worker/HeartbeatReply.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatReply.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.WorkerCommand;
+import org.dunespindle.transport.HttpStatus;
 
 /** The reply to a worker's heartbeat. */
 public sealed interface HeartbeatReply {
@@ -17,7 +18,7 @@
     record Commands(long token, List<WorkerCommand> commands) implements HeartbeatReply {
         @Override
         public int status() {
-            return 200;
+            return HttpStatus.OK;
         }
 
         @Override
@@ -30,7 +31,7 @@
     record Redirect(String controller) implements HeartbeatReply {
         @Override
         public int status() {
-            return 421;
+            return HttpStatus.MISDIRECTED;
         }
 
         @Override
@@ -43,7 +44,7 @@
     record Unavailable(String error) implements HeartbeatReply {
         @Override
         public int status() {
-            return 503;
+            return HttpStatus.UNAVAILABLE;
         }
 
         @Override
