--- a/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -13,119 +13,129 @@
 final class ArrayPlanner {
     private final PlanState state;
     private final ZoneChooser zoneChooser;
-    /** Jobs that left no room which one more of their tasks would fit into; room only shrinks while arrays are planned. */
-    private final List<Submission> fullFor = new ArrayList<>();
+    /** Jobs with tasks that fit nowhere any more; free capacity only shrinks while arrays are planned. */
+    private final List<Submission> unplaceable = new ArrayList<>();
 
     ArrayPlanner(PlanState state, ZoneChooser zoneChooser) {
         this.state = state;
         this.zoneChooser = zoneChooser;
     }
 
-    /** An array while its tasks are placed. */
-    private final class Progress {
-        final JobRecord record;
-        final Submission job;
-        final Resources reserved;
+    /** The state of one array while its tasks are placed. */
+    private final class ArrayProgress {
+        final JobRecord job;
+        final Submission submission;
+        final Resources reservedQuota;
         final ZoneRules zones;
         final IntIterator unplaced;
         final int unplacedCount;
-        final int most;
+        final int maxTasks;
         final Map<Integer, String> places = new LinkedHashMap<>();
         int placed;
 
-        Progress(JobRecord record) {
-            this.record = record;
-            this.job = record.submission();
-            this.reserved = state.reserved(job.team());
-            this.zones = zoneChooser.rules(record);
-            this.unplacedCount = record.unplacedCount();
-            int underWay = record.allocations().size() - state.endedOf(record);
-            this.most = Math.min(
-                    unplacedCount, Math.max(0, state.snapshot().mostTasks().applyAsInt(record) - underWay));
-            this.unplaced = record.unplaced(most).iterator();
+        ArrayProgress(JobRecord job) {
+            this.job = job;
+            this.submission = job.submission();
+            this.reservedQuota = state.quota().reserved(submission.team());
+            this.zones = zoneChooser.rules(job);
+            this.unplacedCount = job.unplacedCount();
+            int allocated = job.allocations().size() - state.endedTasks(job);
+            this.maxTasks = Math.min(
+                    unplacedCount, Math.max(0, state.snapshot().mostTasks().applyAsInt(job) - allocated));
+            this.unplaced = job.unplaced(maxTasks).iterator();
         }
 
-        int left() {
-            return state.allowed(job, reserved, most - placed);
+        int remaining() {
+            return state.quota().maxTasks(submission, reservedQuota, maxTasks - placed);
         }
     }
 
     /**
-     * Places arrays that stand alike: each first where its image is, in their order, and only then where it must be fetched.
-     * With machines full, a free place goes to whoever has the image there, and fewer of them fetch.
+     * Places arrays of equal rank: each first on machines that have its image, in their order, and only then where the image must be fetched. On
+     * a full cluster, free capacity then goes to the array whose image is there, so that fewer fetches are needed.
      */
-    void place(List<JobRecord> alike) {
-        List<Progress> arrays = alike.stream().map(Progress::new).toList();
+    void place(List<JobRecord> equalArrays) {
+        List<ArrayProgress> arrays =
+                equalArrays.stream().map(ArrayProgress::new).toList();
         arrays.forEach(array -> place(array, true));
         arrays.forEach(array -> place(array, false));
-        arrays.forEach(this::conclude);
+        arrays.forEach(this::finish);
     }
 
-    private void place(Progress array, boolean withImage) {
-        int left = array.left();
-        if (left == 0 || full(array.job)) {
+    private void place(ArrayProgress array, boolean withImage) {
+        int remaining = array.remaining();
+        if (remaining == 0 || isKnownUnplaceable(array.submission)) {
             return;
         }
-        List<MachineCapacity> candidates =
-                withImage ? state.candidatesWithImage(array.job) : state.candidates(array.job);
-        for (MachineCapacity machine : state.roomy(array.job, candidates, array.zones, withImage)) {
-            while (left > 0 && machine.fits(array.job.perTask()) && array.zones.allows(machine.host())) {
-                take(array, machine);
-                left--;
+        List<MachineCapacity> candidates = withImage
+                ? state.machines().candidatesWithImage(array.submission)
+                : state.machines().candidates(array.submission);
+        for (MachineCapacity machine : state.withCapacity(array.submission, candidates, array.zones, withImage)) {
+            while (remaining > 0
+                    && machine.hasCapacity(array.submission.perTask())
+                    && array.zones.allows(machine.machine())) {
+                allocate(array, machine);
+                remaining--;
             }
         }
-        if (left > 0 && !withImage) {
-            fullFor.add(array.job);
+        if (remaining > 0 && !withImage) {
+            unplaceable.add(array.submission);
         }
     }
 
-    private void take(Progress array, MachineCapacity machine) {
+    private void allocate(ArrayProgress array, MachineCapacity machine) {
         int task = array.unplaced.nextInt();
         array.placed++;
-        state.take(array.job, machine);
-        array.zones.add(machine.host().zone());
-        if (machine.bookable()) {
-            array.places.put(task, machine.host().id());
+        state.allocate(array.submission, machine);
+        array.zones.addTask(machine.machine().zone());
+        if (machine.schedulable()) {
+            array.places.put(task, machine.machine().id());
         } else {
-            state.waits(array.record, "waits for machines that are booting");
+            state.addWaitReason(array.job, "waits for machines that are booting");
         }
     }
 
-    private void conclude(Progress array) {
-        if (!state.snapshot().leftAlone().contains(array.record.id())) {
-            state.book(array.record, array.places);
+    private void finish(ArrayProgress array) {
+        if (!state.snapshot().leftAlone().contains(array.job.id())) {
+            state.bind(array.job, array.places);
         }
-        int allowed = array.left();
-        if (array.placed + allowed < array.unplacedCount) {
-            boolean recordFull = array.placed + allowed == array.most;
-            state.waitsForNow(
-                    array.record,
+        int stillAllowed = array.remaining();
+        if (array.placed + stillAllowed < array.unplacedCount) {
+            boolean recordFull = array.placed + stillAllowed == array.maxTasks;
+            state.replaceWaitReason(
+                    array.job,
                     recordFull
                             ? "as many of its tasks are under way as its record takes"
                             : "its team's limit is used up");
         }
-        int waiting = state.allowed(array.job, array.reserved.plus(state.pending(array.job.team())), allowed);
+        int waiting = state.quota()
+                .maxTasks(
+                        array.submission,
+                        array.reservedQuota.plus(state.quota().unplacedUsage(array.submission.team())),
+                        stillAllowed);
         if (waiting > 0) {
-            state.addPending(array.job.team(), array.job.perTask().times(waiting));
-            state.waits(array.record, "no room on machines it may use");
-            state.lacks(array.record, waiting, array.zones.only());
+            state.quota()
+                    .addUnplacedUsage(
+                            array.submission.team(), array.submission.perTask().times(waiting));
+            state.addWaitReason(array.job, "no room on machines it may use");
+            state.addShortfall(array.job, waiting, array.zones.requiredZone());
         }
     }
 
-    /** Whether an earlier job that asked for no more, and could go wherever this one can, already found no room left. */
-    private boolean full(Submission job) {
-        return fullFor.stream()
+    /** Whether an earlier job of no larger tasks, which may use every machine that this one may, already found no capacity. */
+    private boolean isKnownUnplaceable(Submission job) {
+        return unplaceable.stream()
                 .anyMatch(earlier ->
-                        atLeastAsWide(earlier, job) && earlier.perTask().fitsIn(job.perTask()));
+                        isAtLeastAsFlexible(earlier, job) && earlier.perTask().fitsIn(job.perTask()));
     }
 
-    /** Whether one job may go wherever another may. */
-    private static boolean atLeastAsWide(Submission one, Submission other) {
-        boolean kind = one.spot() || !other.spot();
-        boolean zone = one.zone().isEmpty() || one.zone().equals(other.zone());
-        boolean type = one.types().isEmpty()
+    /** Whether one job may use every machine that another may. */
+    private static boolean isAtLeastAsFlexible(Submission one, Submission other) {
+        boolean kindAllowed = one.spot() || !other.spot();
+        boolean zoneAllowed = one.zone().isEmpty() || one.zone().equals(other.zone());
+        boolean typeAllowed = one.types().isEmpty()
                 || other.types().isPresent()
                         && one.types().get().containsAll(other.types().get());
-        return kind && zone && type && !one.sameZone() && !one.spread();
+        return kindAllowed && zoneAllowed && typeAllowed && !one.sameZone() && !one.spread();
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/GangPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/GangPlanner.java
@@ -8,7 +8,7 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 
-/** Places the members of a gang: where there is room, where lower work gives way, and on machines that boot. */
+/** Places the members of a gang: on free capacity, where lower work can be preempted, and on booting machines. */
 final class GangPlanner {
     private final PlanState state;
     private final ZoneChooser zoneChooser;
@@ -20,77 +20,82 @@
         this.preemption = new PreemptionPlanner(state);
     }
 
-    /** Places what can be placed of a gang and asks for the rest. */
+    /** Places what can be placed of a gang, and requests machines for the rest. */
     void place(JobRecord gang) {
         Submission job = gang.submission();
         int missing = gang.unplacedCount();
-        if (!state.teamAllows(job, missing)) {
-            state.waitsForNow(gang, "its team's unused limit does not cover the whole gang");
+        if (!state.quota().allows(job, missing)) {
+            state.replaceWaitReason(gang, "its team's unused limit does not cover the whole gang");
             return;
         }
         ZoneRules zones = zoneChooser.rules(gang);
-        List<MachineCapacity> candidates = withImages(gang, state.candidates(job), zones, missing);
-        var members = new Members(gang, missing);
-        fill(members, state.roomy(job, candidates, zones, true), zones);
-        // Lower work gives way before the gang waits for a machine to boot; that machine then takes the lower work.
-        if (members.left > 0) {
-            members.left = preemption.makeRoom(gang, candidates, zones, members.left);
+        List<MachineCapacity> candidates =
+                preferWithImage(gang, state.machines().candidates(job), zones, missing);
+        var progress = new GangProgress(gang, missing);
+        fill(progress, state.withCapacity(job, candidates, zones, true), zones);
+        // Preempting lower work is faster than waiting for a machine to boot; that machine then takes the lower work.
+        if (progress.remaining > 0) {
+            progress.remaining = preemption.preemptFor(gang, candidates, zones, progress.remaining);
         }
-        if (members.left > 0) {
-            fill(members, state.roomy(job, candidates, zones, false), zones);
+        if (progress.remaining > 0) {
+            fill(progress, state.withCapacity(job, candidates, zones, false), zones);
         }
-        if (members.left > 0) {
-            String where = zones.only().map(zone -> " in zone " + zone).orElse("");
-            state.waitsForNow(gang, "no room for " + members.left + " of " + job.tasks() + " members" + where);
-            state.lacks(gang, members.left, zones.only());
-            state.addPending(job.team(), job.perTask().times(members.left));
+        if (progress.remaining > 0) {
+            String where = zones.requiredZone().map(zone -> " in zone " + zone).orElse("");
+            state.replaceWaitReason(
+                    gang, "no room for " + progress.remaining + " of " + job.tasks() + " members" + where);
+            state.addShortfall(gang, progress.remaining, zones.requiredZone());
+            state.quota().addUnplacedUsage(job.team(), job.perTask().times(progress.remaining));
         }
-        state.book(gang, members.places);
+        state.bind(gang, progress.places);
     }
 
-    /** A gang's members while they are placed. */
-    private static final class Members {
+    /** The state of one gang while its members are placed. */
+    private static final class GangProgress {
         final JobRecord gang;
         final Iterator<Integer> unplaced;
         final Map<Integer, String> places = new LinkedHashMap<>();
-        int left;
+        int remaining;
 
-        Members(JobRecord gang, int missing) {
+        GangProgress(JobRecord gang, int missing) {
             this.gang = gang;
             this.unplaced = gang.unplaced(missing).iterator();
-            this.left = missing;
+            this.remaining = missing;
         }
     }
 
     /**
-     * A gang starts with its last member, so one fetch delays them all: where machines that have the image can take all of
-     * it, if need be by lower work giving way, only those are looked at; otherwise it makes no difference who fetches.
+     * A gang starts with its last member, so a single image fetch delays them all. Where machines that have the image have capacity for the
+     * whole gang, if need be by preemption, only those are candidates; otherwise it makes no difference which members fetch.
      */
-    private List<MachineCapacity> withImages(
+    private List<MachineCapacity> preferWithImage(
             JobRecord gang, List<MachineCapacity> candidates, ZoneRules zones, int missing) {
         Submission job = gang.submission();
-        var fetched = new ArrayList<MachineCapacity>();
-        int room = 0;
-        for (MachineCapacity machine : state.candidatesWithImage(job)) {
-            if (machine.host().up() && zones.allows(machine.host())) {
-                fetched.add(machine);
-                room += room < missing ? Planner.fitCount(job.perTask(), machine.freeFor(gang), missing) : 0;
+        var withImage = new ArrayList<MachineCapacity>();
+        int capacity = 0;
+        for (MachineCapacity machine : state.machines().candidatesWithImage(job)) {
+            if (machine.machine().up() && zones.allows(machine.machine())) {
+                withImage.add(machine);
+                capacity += capacity < missing
+                        ? Planner.fitCount(job.perTask(), machine.freeAfterPreemptionBy(gang), missing)
+                        : 0;
             }
         }
-        return room >= missing && !job.spread() ? fetched : candidates;
+        return capacity >= missing && !job.spread() ? withImage : candidates;
     }
 
-    private void fill(Members members, List<MachineCapacity> machines, ZoneRules zones) {
-        Submission job = members.gang.submission();
+    private void fill(GangProgress progress, List<MachineCapacity> machines, ZoneRules zones) {
+        Submission job = progress.gang.submission();
         for (MachineCapacity machine : machines) {
-            while (members.left > 0 && machine.fits(job.perTask()) && zones.allows(machine.host())) {
-                state.take(job, machine);
-                zones.add(machine.host().zone());
-                members.left--;
-                if (machine.bookable()) {
-                    members.places.put(members.unplaced.next(), machine.host().id());
+            while (progress.remaining > 0 && machine.hasCapacity(job.perTask()) && zones.allows(machine.machine())) {
+                state.allocate(job, machine);
+                zones.addTask(machine.machine().zone());
+                progress.remaining--;
+                if (machine.schedulable()) {
+                    progress.places.put(
+                            progress.unplaced.next(), machine.machine().id());
                 } else {
-                    state.waits(members.gang, "waits for machines that are booting");
+                    state.addWaitReason(progress.gang, "waits for machines that are booting");
                 }
             }
         }
--- a/src/main/java/org/dunespindle/scheduling/GangQueues.java
+++ b/src/main/java/org/dunespindle/scheduling/GangQueues.java
@@ -7,30 +7,31 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Which gang of each team is in placement: one at a time, in the order they came. One whose placeholders are all booked has left
- * placement, since its whole ask counts as use by then. A gang of one never holds partial room, so it does not queue.
+ * The queue of each team's gangs: only its head is placed, and gangs are queued in the order of arrival. A gang whose placeholders are all
+ * allocated has left the queue, since its whole request counts as usage by then. A gang of one never holds partial capacity, so it does not
+ * queue.
  */
 final class GangQueues {
-    /** A gang that has waited so long for its team's limit is not overtaken by the team's later work any more. */
-    private static final Duration OVERTAKEN_AT_MOST = Duration.ofSeconds(20);
+    /** A gang that has waited so long for its team's quota has the quota reserved, so that the team's later work cannot use it. */
+    private static final Duration MAX_WAIT_BEFORE_QUOTA_RESERVATION = Duration.ofSeconds(20);
 
     private final PlanState state;
     private final Map<String, JobRecord> heads = new HashMap<>();
 
     GangQueues(PlanState state) {
         this.state = state;
-        var visitors = new HashMap<String, JobRecord>();
+        var inboundHeads = new HashMap<String, JobRecord>();
         for (JobRecord job : state.snapshot().jobs()) {
-            if (queues(job)) {
-                Map<String, JobRecord> queue = job.inboundDelegation().isPresent() ? visitors : heads;
-                queue.merge(job.submission().team(), job, (a, b) -> earlier(a, b) ? a : b);
+            if (isQueued(job)) {
+                Map<String, JobRecord> queue = job.inboundDelegation().isPresent() ? inboundHeads : heads;
+                queue.merge(job.submission().team(), job, (one, other) -> precedes(one, other) ? one : other);
             }
         }
-        visitors.forEach((team, visitor) -> heads.merge(team, visitor, GangQueues::ownOrHigher));
-        heads.values().forEach(this::keepLimitFree);
+        inboundHeads.forEach((team, inbound) -> heads.merge(team, inbound, GangQueues::ownOrHigher));
+        heads.values().forEach(this::reserveQuotaFor);
     }
 
-    /** The gang of a team that is in placement. */
+    /** The gang of a team that is being placed. */
     Optional<JobRecord> head(String team) {
         return Optional.ofNullable(heads.get(team));
     }
@@ -42,44 +43,47 @@
             return true;
         }
         boolean single = gang.submission().tasks() == 1;
-        return single && (state.teamAllows(head.submission(), head.unplacedCount()) || earlier(gang, head));
+        return single && (state.quota().allows(head.submission(), head.unplacedCount()) || precedes(gang, head));
     }
 
-    /** One that pauses after its tasks failed does not queue: it would keep its team's other gangs waiting for as long. */
-    private boolean queues(JobRecord job) {
-        boolean pauses = job.gangPhase() == JobRecord.GangPhase.QUEUED
+    /** A gang that backs off after failures does not queue: it would block its team's other gangs for as long. */
+    private boolean isQueued(JobRecord job) {
+        boolean backsOff = job.gangPhase() == JobRecord.GangPhase.QUEUED
                 && job.notBefore()
-                        .filter(t -> t.isAfter(state.snapshot().now()))
+                        .filter(until -> until.isAfter(state.snapshot().now()))
                         .isPresent();
         return job.isOpen()
                 && job.submission().isGang()
                 && job.submission().tasks() > 1
                 && job.unplacedCount() > 0
-                && !pauses;
+                && !backsOff;
     }
 
-    private void keepLimitFree(JobRecord head) {
+    private void reserveQuotaFor(JobRecord head) {
         Duration waited = Duration.between(head.arrived(), state.snapshot().now());
-        boolean waitedLong = waited.compareTo(OVERTAKEN_AT_MOST) > 0;
+        boolean waitedLong = waited.compareTo(MAX_WAIT_BEFORE_QUOTA_RESERVATION) > 0;
         boolean unplaced = head.gangPhase() == JobRecord.GangPhase.QUEUED;
         if (waitedLong
                 && unplaced
-                && !state.teamAllows(head.submission(), head.submission().tasks())) {
-            state.reserve(head.submission().team(), head.submission().totalResources());
+                && !state.quota().allows(head.submission(), head.submission().tasks())) {
+            state.quota().reserve(head.submission().team(), head.submission().totalResources());
         }
     }
 
-    /** The cell's own gang goes before one from another cell, unless that has a higher priority or is being placed already. */
-    private static JobRecord ownOrHigher(JobRecord own, JobRecord visitor) {
+    /** The cell's own gang precedes an inbound one, unless that has a higher priority or is being placed already. */
+    private static JobRecord ownOrHigher(JobRecord own, JobRecord inbound) {
         boolean placingOwn = own.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
-        boolean placingVisitor = visitor.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
+        boolean placingInbound = inbound.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
+        if (placingOwn != placingInbound) {
+            return placingOwn ? own : inbound;
+        }
         boolean higher =
-                visitor.submission().priority().compareTo(own.submission().priority()) > 0;
-        return placingOwn != placingVisitor ? placingOwn ? own : visitor : higher ? visitor : own;
+                inbound.submission().priority().compareTo(own.submission().priority()) > 0;
+        return higher ? inbound : own;
     }
 
-    /** A gang whose placeholders are being placed stays the head; otherwise arrival order decides. */
-    private static boolean earlier(JobRecord one, JobRecord other) {
+    /** A gang whose placeholders are being placed stays the head; otherwise the queue position decides. */
+    private static boolean precedes(JobRecord one, JobRecord other) {
         boolean placingOne = one.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
         boolean placingOther = other.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
         if (placingOne != placingOther) {
--- a/src/main/java/org/dunespindle/scheduling/JobOrder.java
+++ b/src/main/java/org/dunespindle/scheduling/JobOrder.java
@@ -1,30 +1,38 @@
 package org.dunespindle.scheduling;
 
 import java.time.Duration;
+import java.time.Instant;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.dunespindle.protocol.Resources;
+import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.time.Durations;
 
 /** The order in which jobs are planned. */
 final class JobOrder {
-    /** An array that has waited so long without any task begun goes first of its priority. */
-    private static final Duration BEGIN_WITHIN = Duration.ofSeconds(120);
-    /** The tier of jobs that miss every time they are measured by. */
-    private static final int LOST_CAUSE = 1000;
-    /** Estimates are often too high by so much: a job is not a lost cause while this part of its estimate fits. */
-    private static final double BEST_CASE = 0.7;
+    /** A job that has waited so long without any task started is starving, and goes first of its priority. */
+    private static final Duration MAX_WAIT_BEFORE_FIRST_TASK = Duration.ofSeconds(120);
+
+    private static final int FIRST_TIER = 0;
+    /** The tier of jobs that can meet their first objective, or have none; each later objective has the next tier. */
+    private static final int FIRST_OBJECTIVE_TIER = 1;
+    /** The tier of jobs that miss all their objectives. */
+    private static final int MISSED_ALL_OBJECTIVES_TIER = 1000;
+    /** Estimates are often too high: a job can meet an objective while this part of its estimate fits. */
+    private static final double BEST_CASE_PART_OF_ESTIMATE = 0.7;
 
     private final ClusterSnapshot snapshot;
     private final Set<String> guaranteed;
     private final Map<String, Rank> ranks = new HashMap<>();
 
-    /** Where a job stands among those of its priority: tier, then the lesser key. */
+    /** A job's rank among those of its priority: by tier, then by key, the least first. */
     private record Rank(int tier, long key) implements Comparable<Rank> {
         @Override
         public int compareTo(Rank other) {
@@ -34,10 +42,10 @@
 
     JobOrder(ClusterSnapshot snapshot) {
         this.snapshot = snapshot;
-        this.guaranteed = Planner.guaranteed(snapshot.jobs(), snapshot.teams());
+        this.guaranteed = withinGuarantee(snapshot.jobs(), snapshot.teams());
     }
 
-    /** The jobs that are planned here, in their order. */
+    /** The jobs that this controller plans, in their order. */
     List<JobRecord> jobs() {
         var ordered = new ArrayList<JobRecord>();
         for (JobRecord job : snapshot.jobs()) {
@@ -46,11 +54,11 @@
                 ranks.put(job.id(), rank(job));
             }
         }
-        // The oldest unfinished jobs are what counts as guaranteed first; those that are late anyway must not push
-        // others past their time too.
+        // Guarantees cover the oldest unfinished jobs first; jobs that miss all objectives anyway must not make others
+        // miss theirs.
         ordered.sort(Comparator.comparing((JobRecord job) -> job.submission().priority(), Comparator.reverseOrder())
-                .thenComparing(job -> job.inboundDelegation().isPresent()) // the cell's own work first, among equals
-                .thenComparing(job -> ranks.get(job.id()).tier() == LOST_CAUSE)
+                .thenComparing(job -> job.inboundDelegation().isPresent()) // the cell's own jobs first, among equals
+                .thenComparing(job -> ranks.get(job.id()).tier() == MISSED_ALL_OBJECTIVES_TIER)
                 .thenComparing(job -> !guaranteed.contains(job.id()))
                 .thenComparing(job -> ranks.get(job.id()))
                 .thenComparing(JobRecord::id));
@@ -62,8 +70,8 @@
                 || !job.submission().isGang() && !snapshot.leftAlone().contains(job.id());
     }
 
-    /** Whether two ordered jobs are alike but for the work that is left. */
-    boolean equalStanding(JobRecord one, JobRecord other) {
+    /** Whether two ordered jobs differ in rank by no more than their remaining work. */
+    boolean haveEqualRank(JobRecord one, JobRecord other) {
         return one.submission().isGang() == other.submission().isGang()
                 && one.submission().priority() == other.submission().priority()
                 && one.inboundDelegation().isPresent()
@@ -73,32 +81,55 @@
     }
 
     /**
-     * Gangs go in the order they came. Arrays that can still meet the first time they are measured by go least work first,
-     * so that most of them meet it when not all can; then those that can meet a later one, then lost causes. One that
-     * has waited long without any task begun goes first: the largest must begin too.
+     * Gangs go in the order of arrival. Arrays that can still meet their first objective go least work first, so that most of them meet it
+     * when not all can; then those that can meet a later objective, then those that miss all. A starving job goes first: the largest must
+     * begin too.
      */
-    private Rank rank(JobRecord record) {
-        Submission job = record.submission();
-        if (job.isGang() || neverBegun(record)) {
-            return new Rank(0, record.arrived().toEpochMilli());
+    private Rank rank(JobRecord job) {
+        Submission submission = job.submission();
+        if (submission.isGang() || isStarving(job)) {
+            return new Rank(FIRST_TIER, job.arrived().toEpochMilli());
         }
-        List<Duration> ends = snapshot.objectives().all(job);
-        Duration bestCase = Duration.ofMillis((long) (job.estimate().toMillis() * BEST_CASE));
-        long work = Durations.times(job.estimate(), record.unplacedCount()).toMillis();
-        int tier = 1;
-        for (Duration end : ends) {
-            if (!snapshot.now().plus(bestCase).isAfter(record.arrived().plus(end))) {
-                return new Rank(tier, work);
+        List<Duration> objectives = snapshot.objectives().all(submission);
+        Instant bestCaseEnd = snapshot.now().plus(bestCase(submission));
+        long remainingWork =
+                Durations.times(submission.estimate(), job.unplacedCount()).toMillis();
+        int tier = FIRST_OBJECTIVE_TIER;
+        for (Duration objective : objectives) {
+            if (!bestCaseEnd.isAfter(job.arrived().plus(objective))) {
+                return new Rank(tier, remainingWork);
             }
             tier++;
         }
-        return ends.isEmpty()
-                ? new Rank(1, work)
-                : new Rank(LOST_CAUSE, record.arrived().toEpochMilli());
+        return objectives.isEmpty()
+                ? new Rank(FIRST_OBJECTIVE_TIER, remainingWork)
+                : new Rank(MISSED_ALL_OBJECTIVES_TIER, job.arrived().toEpochMilli());
+    }
+
+    private static Duration bestCase(Submission submission) {
+        return Duration.ofMillis((long) (submission.estimate().toMillis() * BEST_CASE_PART_OF_ESTIMATE));
+    }
+
+    /** Jobs that fit within their team's guarantee together with the team's earlier unfinished jobs. */
+    private static Set<String> withinGuarantee(List<JobRecord> jobs, Map<String, Settings.Team> teams) {
+        var sums = new HashMap<String, Resources>();
+        var within = new HashSet<String>();
+        jobs.stream()
+                .filter(JobRecord::isOpen)
+                .sorted(Comparator.comparing(JobRecord::arrived).thenComparing(JobRecord::id))
+                .forEach(job -> {
+                    Submission submission = job.submission();
+                    Resources sum = sums.merge(submission.team(), submission.totalResources(), Resources::plus);
+                    Settings.Team team = teams.get(submission.team());
+                    if (team != null && team.withinGuarantee(sum)) {
+                        within.add(job.id());
+                    }
+                });
+        return within;
     }
 
-    private boolean neverBegun(JobRecord job) {
+    private boolean isStarving(JobRecord job) {
         boolean untouched = job.allocations().isEmpty() && job.nextTaskIndex() == 0;
-        return untouched && Duration.between(job.arrived(), snapshot.now()).compareTo(BEGIN_WITHIN) > 0;
+        return untouched && Duration.between(job.arrived(), snapshot.now()).compareTo(MAX_WAIT_BEFORE_FIRST_TASK) > 0;
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
@@ -8,42 +8,42 @@
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
-/** A machine's room while a plan is made. */
+/** A machine's capacity while a plan is made. */
 final class MachineCapacity {
-    private final MachineSnapshot host;
+    private final MachineSnapshot machine;
     private Resources free;
-    /** Room of tasks that are being stopped. */
-    private Resources ending = Resources.NONE;
-    /** Promised to a gang before its room is free: nothing can be booked there yet. */
-    private boolean promised;
-    /** Tasks that may have to give way, the latest booked first: they have least to lose. */
+    /** What tasks that are being stopped still occupy. */
+    private Resources stopping = Resources.NONE;
+    /** Whether the machine is reserved for a gang whose capacity is not free yet: nothing can be placed on it now. */
+    private boolean reserved;
+    /** Tasks that may be preempted, the latest allocated first: they have the least work to lose. */
     private final List<Victim> victims = new ArrayList<>(2);
 
-    /** Images of the tasks here; those that the machine has are told apart only when somebody asks. */
+    /** Images of the tasks on the machine, both fetched and pending ones; they are told apart on demand only. */
     private final List<String> taskImages = new ArrayList<>(2);
-    /** Tasks here, as far as they were there when the plan began. */
+    /** Number of tasks that were allocated when the plan began. */
     private int tasks;
-    /** Replicas of services among them, and those that the plan adds. */
+    /** Number of service replicas, both allocated and planned. */
     private int replicas;
-    /** Whether the plan puts anything else here. */
+    /** Whether the plan uses the machine. */
     private boolean planned;
-    /** How well it suits the job that is being planned. */
+    /** How well the machine suits the job that is being planned. */
     private double score;
 
-    /** A task that may have to give way. */
+    /** A task that may be preempted. */
     record Victim(JobRecord job, Allocation allocation) {
-        Resources size() {
+        Resources resources() {
             return job.submission().perTask();
         }
     }
 
     MachineCapacity(MachineSnapshot machine) {
-        this.host = machine;
+        this.machine = machine;
         this.free = machine.size();
     }
 
-    MachineSnapshot host() {
-        return host;
+    MachineSnapshot machine() {
+        return machine;
     }
 
     Resources free() {
@@ -58,28 +58,26 @@
         score = value;
     }
 
-    /** What is free, and what will be once tasks that are being stopped have ended. */
-    Resources freeSoon() {
-        return free.plus(ending);
+    /** What is free now or as soon as the tasks that are being stopped have ended. */
+    Resources freeAfterStopping() {
+        return free.plus(stopping);
     }
 
-    /** Whether tasks can be booked here now. */
-    boolean bookable() {
-        return host.up() && !promised;
+    /** Whether tasks can be placed here now. */
+    boolean schedulable() {
+        return machine.up() && !reserved;
     }
 
-    boolean fits(Resources one) {
-        return one.fitsIn(free);
+    boolean hasCapacity(Resources perTask) {
+        return perTask.fitsIn(free);
     }
 
     boolean hasImage(String image) {
-        return host.images().contains(image);
+        return machine.images().contains(image);
     }
 
-    /**
-     * Images that tasks here still wait for, as far as is known: fetches of several at the same time share the machine's rate.
-     */
-    Set<String> fetches() {
+    /** Images that tasks here still wait for, as far as is known. Concurrent fetches share the machine's rate. */
+    Set<String> pendingFetches() {
         var fetches = new HashSet<String>();
         for (String image : taskImages) {
             if (!hasImage(image)) {
@@ -93,33 +91,33 @@
         return victims;
     }
 
-    /** Whether stopping tasks could make more room than there is. */
-    boolean canBeFreed() {
-        return !victims.isEmpty() || ending != Resources.NONE;
+    /** Whether the machine has tasks that may be preempted or are being stopped. */
+    boolean hasPreemptibleOrStopping() {
+        return !victims.isEmpty() || stopping != Resources.NONE;
     }
 
-    /** What is or will be free once lower work has given way to a job. */
-    Resources freeFor(JobRecord job) {
-        Resources room = freeSoon();
+    /** What is free once a job has preempted all tasks that it may. */
+    Resources freeAfterPreemptionBy(JobRecord job) {
+        Resources capacity = freeAfterStopping();
         for (Victim victim : victims) {
-            if (PreemptionPlanner.mayEvict(job, victim)) {
-                room = room.plus(victim.size());
+            if (PreemptionPlanner.mayPreempt(job, victim)) {
+                capacity = capacity.plus(victim.resources());
             }
         }
-        return room;
+        return capacity;
     }
 
-    /** Takes room. */
-    void take(Resources one) {
-        free = free.minus(one);
+    /** Allocates capacity. */
+    void allocate(Resources perTask) {
+        free = free.minus(perTask);
     }
 
-    /** Notes that the plan puts or keeps something here. */
-    void plan() {
+    /** Notes that the plan allocates or reserves capacity here. */
+    void markPlanned() {
         planned = true;
     }
 
-    /** Notes that the plan puts a replica of a service here. */
+    /** Notes that the plan places a service replica here. */
     void addReplica() {
         replicas++;
     }
@@ -128,45 +126,45 @@
         return replicas;
     }
 
-    /** Whether anything is here or planned here. */
-    boolean used() {
+    /** Whether any task is allocated or planned here. */
+    boolean isUsed() {
         return tasks > 0 || planned;
     }
 
-    /** Whether replicas of services are all that is here or planned here. */
-    boolean onlyReplicas() {
+    /** Whether service replicas are all that is allocated here, and nothing is planned. */
+    boolean holdsOnlyReplicas() {
         return tasks > 0 && tasks == replicas && !planned;
     }
 
-    /** Takes room of a task that is there; where it may give way, it is remembered as a victim. */
-    void occupy(JobRecord job, Allocation allocation) {
-        Resources one = job.submission().perTask();
-        take(one);
+    /** Adds a task that is allocated here, as a victim if it may be preempted. */
+    void addAllocated(JobRecord job, Allocation allocation) {
+        Resources perTask = job.submission().perTask();
+        allocate(perTask);
         tasks++;
         replicas += job.submission().isService() ? 1 : 0;
-        needsImage(job.submission().image());
+        addTaskImage(job.submission().image());
         if (allocation.stopping() || !job.isOpen() || job.gangPhase() == JobRecord.GangPhase.STOPPING) {
-            ending = ending.plus(one);
+            stopping = stopping.plus(perTask);
         } else if (!job.submission().isGang()) {
             victims.add(0, new Victim(job, allocation));
         }
     }
 
     /** Notes that a task here needs an image. */
-    void needsImage(String image) {
+    void addTaskImage(String image) {
         if (taskImages.isEmpty() || !taskImages.get(taskImages.size() - 1).equals(image)) {
             taskImages.add(image);
         }
     }
 
-    /** Promises what is being freed, and what these tasks hold, to a gang. */
-    void promise(List<Victim> leaving) {
-        promised = true;
-        free = freeSoon();
-        ending = Resources.NONE;
-        for (Victim victim : leaving) {
+    /** Reserves for a gang what is being freed and what these victims occupy. */
+    void reserve(List<Victim> preempted) {
+        reserved = true;
+        free = freeAfterStopping();
+        stopping = Resources.NONE;
+        for (Victim victim : preempted) {
             victims.remove(victim);
-            free = free.plus(victim.size());
+            free = free.plus(victim.resources());
         }
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/MachineDemand.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineDemand.java
@@ -7,84 +7,86 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 
-/** Keeps room, or asks for machines, for jobs that are not placed now: gangs that queue and jobs that are expected. */
+/** Reserves capacity, or requests machines, for jobs that are not placed now: queued gangs and forecast jobs. */
 final class MachineDemand {
     private final PlanState state;
     private final ZoneChooser zoneChooser;
-    /** How many tasks' worth of room is kept for each expected job. */
-    private final Map<String, Integer> kept = new HashMap<>();
+    /** By forecast job: for how many of its tasks capacity is reserved. */
+    private final Map<String, Integer> reservedTasks = new HashMap<>();
 
     MachineDemand(PlanState state, ZoneChooser zoneChooser) {
         this.state = state;
         this.zoneChooser = zoneChooser;
     }
 
-    /** Keeps room that higher jobs will need within seconds from lower work, which would have to give way again. */
-    void keepFreeOf(JobRecord lower) {
-        for (DemandForecast.ForecastJob phantom : state.snapshot().forecastJobs()) {
-            JobRecord expected = phantom.job();
+    /** Withholds from lower work what higher jobs will need within seconds, and would otherwise have to preempt again. */
+    void reserveForForecast(JobRecord lower) {
+        for (DemandForecast.ForecastJob forecast : state.snapshot().forecastJobs()) {
+            JobRecord expected = forecast.job();
             if (expected.submission().priority().compareTo(lower.submission().priority()) > 0) {
-                kept.computeIfAbsent(expected.id(), id -> keepFree(phantom));
+                reservedTasks.computeIfAbsent(expected.id(), id -> reserveForImminent(forecast));
             }
         }
     }
 
-    /** Keeps free room on machines that are up for what is likely to come within seconds; tells how many tasks' worth. */
-    private int keepFree(DemandForecast.ForecastJob phantom) {
-        Submission job = phantom.job().submission();
-        int left = phantom.expectedSoon();
-        if (left == 0) {
+    /** Reserves free capacity on machines that are up for tasks expected within seconds; returns for how many. */
+    private int reserveForImminent(DemandForecast.ForecastJob forecast) {
+        Submission job = forecast.job().submission();
+        int remaining = forecast.expectedSoon();
+        if (remaining == 0) {
             return 0;
         }
-        // Wherever it is: which zone the next job wants, or finds most room in, is not known.
-        for (MachineCapacity machine : state.roomy(job, state.candidates(job), new ZoneRules(job), true)) {
-            while (left > 0 && machine.fits(job.perTask())) {
-                state.keep(job, machine);
-                left--;
+        // In any zone: which one the next job requires or chooses is not known.
+        for (MachineCapacity machine :
+                state.withCapacity(job, state.machines().candidates(job), new ZoneRules(job), true)) {
+            while (remaining > 0 && machine.hasCapacity(job.perTask())) {
+                state.reserveCapacity(job, machine);
+                remaining--;
             }
         }
-        return phantom.expectedSoon() - left;
+        return forecast.expectedSoon() - remaining;
     }
 
     /**
-     * Asks for the machines of a gang that queues behind another of its team. It places nothing before its turn; but if machines were
-     * only rented then, each gang of a burst would wait for the boot of its own.
+     * Requests the machines of a gang that is queued behind another one of its team. The gang is not placed before its turn; but if machines
+     * were only provisioned then, each gang of a burst would wait for its own machines to boot.
      */
-    void ahead(JobRecord gang) {
+    void requestForQueued(JobRecord gang) {
         Submission job = gang.submission();
         int missing = gang.unplacedCount();
-        if (!state.withinLimit(job, state.pending(job.team()), missing)) {
+        if (!state.quota().allows(job, state.quota().unplacedUsage(job.team()), missing)) {
             return; // its turn is not near
         }
-        keepRoom(gang, missing, state.candidates(job));
-        state.addPending(job.team(), job.totalResources());
+        reserveOrRequest(gang, missing, state.machines().candidates(job));
+        state.quota().addUnplacedUsage(job.team(), job.totalResources());
     }
 
-    /** Keeps or asks for room for a typical job that has not come yet; it is wanted, but nothing is booked or evicted. */
-    void expected(JobRecord phantom) {
-        Submission job = phantom.submission();
-        int missing = job.tasks() - kept.getOrDefault(phantom.id(), 0);
+    /** Reserves or requests capacity for a forecast job; nothing is bound or preempted for it. */
+    void requestForForecast(JobRecord forecast) {
+        Submission job = forecast.submission();
+        int missing = job.tasks() - reservedTasks.getOrDefault(forecast.id(), 0);
         if (missing > 0) {
-            ZoneRules zones = zoneChooser.rules(phantom);
-            keepRoom(phantom, missing, state.roomy(job, state.candidates(job), zones, false));
+            ZoneRules zones = zoneChooser.rules(forecast);
+            reserveOrRequest(
+                    forecast, missing, state.withCapacity(job, state.machines().candidates(job), zones, false));
         }
     }
 
-    /** Keeps room on some machines, in their order, and asks for more where they have too little. */
-    private void keepRoom(JobRecord job, int tasks, List<MachineCapacity> machines) {
+    /** Reserves capacity on some machines, in their order, and requests more where they have too little. */
+    private void reserveOrRequest(JobRecord job, int tasks, List<MachineCapacity> machines) {
         ZoneRules zones = zoneChooser.rules(job);
-        Resources one = job.submission().perTask();
+        Resources perTask = job.submission().perTask();
         int missing = tasks;
         for (MachineCapacity machine : machines) {
-            while (missing > 0 && machine.fits(one) && zones.allows(machine.host())) {
-                state.keep(job.submission(), machine);
-                zones.add(machine.host().zone());
+            while (missing > 0 && machine.hasCapacity(perTask) && zones.allows(machine.machine())) {
+                state.reserveCapacity(job.submission(), machine);
+                zones.addTask(machine.machine().zone());
                 missing--;
             }
             if (missing == 0) {
                 return;
             }
         }
-        state.lacks(job, missing, zones.only());
+        state.addShortfall(job, missing, zones.requiredZone());
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
@@ -10,103 +10,108 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 
-/** Chooses which lower tasks give way to a gang. */
+/** Chooses which tasks of lower priority are preempted for a job. */
 final class PreemptionPlanner {
-    /** What a fetch counts for, and how much of a task's work at most, when it is chosen who gives way. */
+    /** The cost of an image fetch, in work. */
     private static final Duration FETCH_COST = Duration.ofSeconds(20);
 
-    private static final Duration MOST_LOST = Duration.ofSeconds(120);
-    /** What stopping any task costs, in milliseconds of work. */
-    private static final long STOP_COST = 1000;
+    /** The most that the work lost by one preempted task counts. */
+    private static final Duration MAX_LOST_WORK = Duration.ofSeconds(120);
+    /** The cost of stopping any task, in milliseconds of work. */
+    private static final long STOP_COST_MILLIS = 1000;
+
+    /** Tasks that are being stopped already cost nothing more, and must come first: no second machine is to be emptied for them. */
+    private static final long ALREADY_STOPPING_COST = -1;
 
     private final PlanState state;
 
-    /** A way for one member to find room on a machine. */
-    private record Option(MachineCapacity machine, List<MachineCapacity.Victim> victims, long cost) {}
+    /** A way to free capacity for one task on a machine: the victims, and the cost of preempting them. */
+    private record PreemptionOption(MachineCapacity machine, List<MachineCapacity.Victim> victims, long cost) {}
 
     PreemptionPlanner(PlanState state) {
         this.state = state;
     }
 
     /**
-     * Priority decides both who gives way and who is planned first: were that not the same order, lower work would
-     * take the freed room back at once, and the job would evict again and again.
+     * Whether a job may preempt a task. Priority decides both preemption and the order of planning: with different orders, lower work
+     * would take the freed capacity back at once, and the job would preempt again and again.
      */
-    static boolean mayEvict(JobRecord job, MachineCapacity.Victim victim) {
+    static boolean mayPreempt(JobRecord job, MachineCapacity.Victim victim) {
         return victim.job().submission().priority().compareTo(job.submission().priority()) < 0;
     }
 
-    /** Makes room where lower tasks lose least by giving way; tells how many members still lack a place. */
-    int makeRoom(JobRecord job, List<MachineCapacity> candidates, ZoneRules zones, int members) {
-        var options = new PriorityQueue<Option>(Comparator.comparingLong(Option::cost)
-                .thenComparing(o -> o.machine.host().id()));
+    /** Frees capacity for some tasks of a job at the least cost; returns for how many of them none could be freed. */
+    int preemptFor(JobRecord job, List<MachineCapacity> candidates, ZoneRules zones, int tasks) {
+        var options = new PriorityQueue<PreemptionOption>(Comparator.comparingLong(PreemptionOption::cost)
+                .thenComparing(option -> option.machine.machine().id()));
         for (MachineCapacity machine : candidates) {
-            if (machine.host().up() && zones.allows(machine.host())) {
+            if (machine.machine().up() && zones.allows(machine.machine())) {
                 option(job, machine).ifPresent(options::add);
             }
         }
-        int left = members;
-        while (left > 0 && !options.isEmpty()) {
-            Option chosen = options.poll();
-            if (!zones.allows(chosen.machine.host())) {
+        int remaining = tasks;
+        while (remaining > 0 && !options.isEmpty()) {
+            PreemptionOption chosen = options.poll();
+            if (!zones.allows(chosen.machine.machine())) {
                 continue;
             }
-            carryOut(job, chosen);
-            zones.add(chosen.machine.host().zone());
-            left--;
+            apply(job, chosen);
+            zones.addTask(chosen.machine.machine().zone());
+            remaining--;
             option(job, chosen.machine).ifPresent(options::add);
         }
-        return left;
+        return remaining;
     }
 
-    private void carryOut(JobRecord job, Option chosen) {
-        chosen.machine.promise(chosen.victims);
+    private void apply(JobRecord job, PreemptionOption chosen) {
+        chosen.machine.reserve(chosen.victims);
         chosen.victims.forEach(victim -> state.evict(victim, job));
-        state.take(job.submission(), chosen.machine);
-        state.waits(
+        state.allocate(job.submission(), chosen.machine);
+        state.addWaitReason(
                 job,
-                "waits for lower work to give way on " + chosen.machine.host().id());
+                "waits for lower work to give way on "
+                        + chosen.machine.machine().id());
     }
 
-    /** How one member finds room on a machine; empty if no lower work there makes any. */
-    private Optional<Option> option(JobRecord job, MachineCapacity machine) {
-        if (!machine.canBeFreed()) {
+    /** How capacity for one task can be freed on a machine; empty if preempting lower work there does not suffice. */
+    private Optional<PreemptionOption> option(JobRecord job, MachineCapacity machine) {
+        if (!machine.hasPreemptibleOrStopping()) {
             return Optional.empty();
         }
-        Resources one = job.submission().perTask();
-        Resources free = machine.freeSoon();
+        Resources perTask = job.submission().perTask();
+        Resources free = machine.freeAfterStopping();
         var chosen = new ArrayList<MachineCapacity.Victim>(2);
         for (MachineCapacity.Victim victim : machine.victims()) {
-            if (one.fitsIn(free)) {
+            if (perTask.fitsIn(free)) {
                 break;
             }
-            if (mayEvict(job, victim)) {
+            if (mayPreempt(job, victim)) {
                 chosen.add(victim);
-                free = free.plus(victim.size());
+                free = free.plus(victim.resources());
             }
         }
-        return one.fitsIn(free)
-                ? Optional.of(new Option(machine, chosen, cost(job, machine, chosen)))
+        return perTask.fitsIn(free)
+                ? Optional.of(new PreemptionOption(machine, chosen, cost(job, machine, chosen)))
                 : Optional.empty();
     }
 
     private long cost(JobRecord job, MachineCapacity machine, List<MachineCapacity.Victim> chosen) {
         if (chosen.isEmpty()) {
-            return -1; // tasks already being stopped cost nothing more; no second machine must be emptied beside them
+            return ALREADY_STOPPING_COST;
         }
         long cost = machine.hasImage(job.submission().image()) ? 0 : FETCH_COST.toMillis();
         for (MachineCapacity.Victim victim : chosen) {
-            cost += STOP_COST + lost(victim).toMillis();
+            cost += STOP_COST_MILLIS + lostWork(victim).toMillis();
         }
         return cost;
     }
 
-    /** The work that stopping a task throws away: what it did since it started, or since it last saved. */
-    private Duration lost(MachineCapacity.Victim victim) {
+    /** The work that is lost by stopping a task: what it did since its start, or at most one checkpoint interval. */
+    private Duration lostWork(MachineCapacity.Victim victim) {
         Submission job = victim.job().submission();
         var started = new JobAttempt(victim.job().id(), victim.allocation().attemptBase());
-        Duration done = state.snapshot().elapsed().apply(started);
-        Duration kept = job.checkpoints() ? job.checkpointEvery() : MOST_LOST;
-        return done.compareTo(kept) > 0 ? kept : done;
+        Duration elapsed = state.snapshot().elapsed().apply(started);
+        Duration maxLost = job.checkpoints() ? job.checkpointEvery() : MAX_LOST_WORK;
+        return elapsed.compareTo(maxLost) > 0 ? maxLost : elapsed;
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceLevelObjectives.java
@@ -9,39 +9,43 @@
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
 
-/** The times within which jobs should be done: multiples of their own deadline, or those that the operators aim at for their class. */
+/** The times within which jobs should finish: multiples of their own deadline, or the completion objectives of their class. */
 public final class ServiceLevelObjectives {
-    private final Map<String, TreeSet<Duration>> finished = new HashMap<>();
-    private final Map<String, TreeSet<Double>> deadlines = new HashMap<>();
+    /** By job class, shortest first. */
+    private final Map<String, TreeSet<Duration>> completionTimes = new HashMap<>();
+    /** By job class, as multiples of the job's deadline, least first. */
+    private final Map<String, TreeSet<Double>> deadlineMultiples = new HashMap<>();
 
-    /** Takes the completion objectives from the settings. */
+    /** Reads the completion objectives from the settings; objectives of other kinds are ignored. */
     public ServiceLevelObjectives(List<Settings.Objective> objectives) {
         for (Settings.Objective objective : objectives) {
-            if (objective.kind().equals("finished")) {
-                finished.computeIfAbsent(objective.jobClass(), c -> new TreeSet<>())
+            if (ObjectiveKind.FINISHED.matches(objective)) {
+                completionTimes
+                        .computeIfAbsent(objective.jobClass(), jobClass -> new TreeSet<>())
                         .add(objective.within());
-            } else if (objective.kind().equals("deadline") && objective.times() > 0) {
-                deadlines
-                        .computeIfAbsent(objective.jobClass(), c -> new TreeSet<>())
+            } else if (ObjectiveKind.DEADLINE.matches(objective) && objective.times() > 0) {
+                deadlineMultiples
+                        .computeIfAbsent(objective.jobClass(), jobClass -> new TreeSet<>())
                         .add(objective.times());
             }
         }
     }
 
-    /** All times that a job is measured by, from its submission on, shortest first. */
+    /** All objectives of a job, as times from its submission, shortest first. */
     public List<Duration> all(Submission job) {
         if (job.due().isEmpty()) {
-            return List.copyOf(finished.getOrDefault(job.jobClass(), new TreeSet<>()));
+            return List.copyOf(completionTimes.getOrDefault(job.jobClass(), new TreeSet<>()));
         }
-        TreeSet<Double> times = deadlines.get(job.jobClass());
-        return times == null
+        TreeSet<Double> multiples = deadlineMultiples.get(job.jobClass());
+        return multiples == null
                 ? List.of(job.due().get())
-                : times.stream()
-                        .map(t -> Duration.ofMillis(Math.round(job.due().get().toMillis() * t)))
+                : multiples.stream()
+                        .map(multiple ->
+                                Duration.ofMillis(Math.round(job.due().get().toMillis() * multiple)))
                         .toList();
     }
 
-    /** The first time that a job is measured by. */
+    /** The shortest objective of a job. */
     public Optional<Duration> nearest(Submission job) {
         return all(job).stream().findFirst();
     }
--- a/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
@@ -13,183 +13,188 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Places the replicas of services. They run for long and are small: those of one service go to different machines and, where
- * there is a choice, zones, so that a loss takes few of them; those of different services share machines, since a machine
- * that holds a single replica is paid for as a whole.
+ * Places the replicas of services, which are small and run for long. Those of one service go to different machines and, where there is a
+ * choice, to different zones, so that a failure affects few of them. Those of different services share machines, since a machine that holds a
+ * single replica costs as much as a full one.
  */
 final class ServicePlanner {
     /**
-     * What the service's replicas on a machine count against it, by the square of their number: a second one may go where the
-     * image is, for a fetch takes longer than all else until it runs; a third one goes elsewhere.
+     * For the service's own replicas on the machine, by the square of their number: a second one may go where the image is, because a
+     * fetch takes longer than the rest of a start; a third one goes elsewhere.
      */
-    private static final double SAME_SERVICE = 5;
-    /** What the image counts beyond what it does for other work. */
-    private static final double IMAGE_THERE = 4;
-    /** What it counts against a machine that still fetches for others, which share the rate. */
-    private static final double FETCHES = 2;
-    /** What each of the service's replicas in a zone counts against machines there. */
-    private static final double SAME_ZONE = 2;
-    /** What replicas of other services count for a machine, while it does not hold many. */
-    private static final double OTHER_SERVICES = 2;
-    /** A machine's loss should not take more replicas than this where others can be shared. */
-    private static final int MANY_REPLICAS = 6;
-    /** What it counts against a machine if a task that asks for accelerators no longer fits beside the replica. */
-    private static final double DISPLACES = 4;
-    /** What it counts against a machine that nothing else keeps. */
-    private static final double UNUSED = 1.5;
+    private static final double SAME_SERVICE_PENALTY = 5;
+    /** For a machine that has the image, in addition to the score that other work gets. */
+    private static final double IMAGE_SCORE = 4;
+    /** For a machine with fetches in progress, which share its rate. */
+    private static final double OTHER_FETCHES_PENALTY = 2;
+    /** For each of the service's replicas in the machine's zone. */
+    private static final double SAME_ZONE_PENALTY = 2;
+    /** For a machine that holds replicas of other services, but not too many. */
+    private static final double OTHER_SERVICES_SCORE = 2;
+    /** A machine with so many replicas is not preferred any more: its failure would affect too many. */
+    private static final int MAX_SHARED_REPLICAS = 6;
+    /** For a machine on which a task that requests accelerators would no longer fit beside the replica. */
+    private static final double ACCELERATOR_DISPLACEMENT_PENALTY = 4;
+    /** For a machine that would otherwise be unused and could be terminated. */
+    private static final double UNUSED_MACHINE_PENALTY = 1.5;
 
     private final PlanState state;
     private final ZoneChooser zoneChooser;
     private final PreemptionPlanner preemption;
-    private final List<Resources> acceleratorAsks;
+    private final List<Resources> acceleratorRequests;
 
     ServicePlanner(PlanState state, ZoneChooser zoneChooser) {
         this.state = state;
         this.zoneChooser = zoneChooser;
         this.preemption = new PreemptionPlanner(state);
-        this.acceleratorAsks = acceleratorAsks(state.snapshot().jobs());
+        this.acceleratorRequests = acceleratorRequests(state.snapshot().jobs());
     }
 
-    private static List<Resources> acceleratorAsks(List<JobRecord> jobs) {
-        var asks = new HashSet<Resources>();
+    private static List<Resources> acceleratorRequests(List<JobRecord> jobs) {
+        var requests = new HashSet<Resources>();
         for (JobRecord job : jobs) {
             if (job.isOpen() && job.submission().perTask().gpus() > 0) {
-                asks.add(job.submission().perTask());
+                requests.add(job.submission().perTask());
             }
         }
-        return List.copyOf(asks);
+        return List.copyOf(requests);
     }
 
-    /** A service while its replicas are placed. */
-    private final class Progress {
-        final JobRecord record;
-        final Submission job;
+    /** The state of one service while its replicas are placed. */
+    private final class ServiceProgress {
+        final JobRecord job;
+        final Submission submission;
         final ZoneRules zones;
         final Map<String, Integer> perZone;
         final Map<String, Integer> perMachine = new HashMap<>();
         final Map<Integer, String> places = new LinkedHashMap<>();
         final Iterator<Integer> unplaced;
-        int left;
-
-        Progress(JobRecord record) {
-            this.record = record;
-            this.job = record.submission();
-            this.zones = zoneChooser.rules(record);
-            this.perZone = state.zonesTaken(record);
-            int underWay = record.allocations().size();
-            // One that fails everywhere has one replica tried at a time beside those that run.
-            int room = Math.max(1, state.snapshot().mostTasks().applyAsInt(record) - underWay);
-            this.left = state.allowed(job, Resources.NONE, Math.min(room, record.unplacedCount()));
-            this.unplaced = record.unplaced(left).iterator();
-            for (Allocation allocation : record.allocations()) {
+        int remaining;
+
+        ServiceProgress(JobRecord job) {
+            this.job = job;
+            this.submission = job.submission();
+            this.zones = zoneChooser.rules(job);
+            this.perZone = state.tasksPerZone(job);
+            int allocated = job.allocations().size();
+            // A crash-looping service has one replica at a time started in addition to those that run.
+            int maxNew = Math.max(1, state.snapshot().mostTasks().applyAsInt(job) - allocated);
+            this.remaining = state.quota().maxTasks(submission, Resources.NONE, Math.min(maxNew, job.unplacedCount()));
+            this.unplaced = job.unplaced(remaining).iterator();
+            for (Allocation allocation : job.allocations()) {
                 perMachine.merge(allocation.machineId(), 1, Integer::sum);
             }
         }
 
-        void take(MachineCapacity machine) {
-            state.take(job, machine);
+        void allocate(MachineCapacity machine) {
+            state.allocate(submission, machine);
             machine.addReplica();
-            zones.add(machine.host().zone());
-            perZone.merge(machine.host().zone(), 1, Integer::sum);
-            perMachine.merge(machine.host().id(), 1, Integer::sum);
-            left--;
+            zones.addTask(machine.machine().zone());
+            perZone.merge(machine.machine().zone(), 1, Integer::sum);
+            perMachine.merge(machine.machine().id(), 1, Integer::sum);
+            remaining--;
         }
     }
 
-    /** Places what can be placed of a service; lower work gives way where there is no room, and machines are asked for. */
+    /** Places what can be placed of a service, preempts lower work where capacity is missing, and requests machines for the rest. */
     void place(JobRecord job) {
-        var service = new Progress(job);
-        int missing = job.unplacedCount();
-        if (service.left < missing) {
-            state.waits(job, "its team's limit is used up, or its replicas fail and are tried one at a time");
+        var service = new ServiceProgress(job);
+        if (service.remaining < job.unplacedCount()) {
+            state.addWaitReason(job, "its team's limit is used up, or its replicas fail and are tried one at a time");
         }
-        List<MachineCapacity> candidates = state.candidates(service.job);
-        List<MachineCapacity> commanded =
-                candidates.stream().filter(machine -> machine.host().owned()).toList();
-        boolean others = state.snapshot().leftAlone().contains(job.id());
-        // Only what is commanded here can be booked here; the rest is looked at for what is missing in all.
-        fill(service, commanded, true);
+        List<MachineCapacity> candidates = state.machines().candidates(service.submission);
+        List<MachineCapacity> owned =
+                candidates.stream().filter(machine -> machine.machine().owned()).toList();
+        boolean deferred = state.snapshot().leftAlone().contains(job.id());
+        // Tasks can be bound to owned machines only; the others show whether capacity is missing in the cluster.
+        fill(service, owned, true);
         fill(service, candidates, true);
-        if (service.left > 0 && !others) {
-            int before = service.left;
-            service.left = preemption.makeRoom(job, commanded, service.zones, service.left);
-            if (service.left < before) {
-                state.waits(job, "waits for lower work to give way");
-            }
+        if (service.remaining > 0 && !deferred) {
+            preempt(service, owned);
         }
-        if (service.left > 0) {
+        if (service.remaining > 0) {
             fill(service, candidates, false);
         }
-        if (service.left > 0) {
-            state.waits(job, "no room for " + service.left + " of its replicas on machines they may use");
-            state.lacks(job, service.left, service.zones.only());
-            state.addPending(service.job.team(), service.job.perTask().times(service.left));
+        if (service.remaining > 0) {
+            requestMachines(service);
+        }
+        if (!deferred) {
+            state.bind(job, service.places);
         }
-        if (!others) {
-            state.book(job, service.places);
+    }
+
+    private void preempt(ServiceProgress service, List<MachineCapacity> owned) {
+        int before = service.remaining;
+        service.remaining = preemption.preemptFor(service.job, owned, service.zones, before);
+        if (service.remaining < before) {
+            state.addWaitReason(service.job, "waits for lower work to give way");
         }
     }
 
-    private void fill(Progress service, List<MachineCapacity> candidates, boolean upOnly) {
-        while (service.left > 0) {
+    private void requestMachines(ServiceProgress service) {
+        int missing = service.remaining;
+        Submission submission = service.submission;
+        state.addWaitReason(service.job, "no room for " + missing + " of its replicas on machines they may use");
+        state.addShortfall(service.job, missing, service.zones.requiredZone());
+        state.quota().addUnplacedUsage(submission.team(), submission.perTask().times(missing));
+    }
+
+    private void fill(ServiceProgress service, List<MachineCapacity> candidates, boolean upOnly) {
+        while (service.remaining > 0) {
             Optional<MachineCapacity> best = best(service, candidates, upOnly);
             if (best.isEmpty()) {
                 return;
             }
             MachineCapacity machine = best.get();
-            service.take(machine);
-            if (machine.bookable()) {
-                service.places.put(service.unplaced.next(), machine.host().id());
+            service.allocate(machine);
+            if (machine.schedulable()) {
+                service.places.put(service.unplaced.next(), machine.machine().id());
             } else {
-                state.waits(service.record, "waits for machines that are booting");
+                state.addWaitReason(service.job, "waits for machines that are booting");
             }
         }
     }
 
-    private Optional<MachineCapacity> best(Progress service, List<MachineCapacity> candidates, boolean upOnly) {
-        MachineCapacity best = null;
-        double bestScore = Double.NEGATIVE_INFINITY;
-        for (MachineCapacity machine : candidates) {
-            boolean ready = machine.bookable() || !upOnly;
-            if (ready && machine.fits(service.job.perTask()) && service.zones.allows(machine.host())) {
-                double score = score(service, machine);
-                if (score > bestScore) {
-                    best = machine;
-                    bestScore = score;
-                }
-            }
-        }
-        return Optional.ofNullable(best);
+    private Optional<MachineCapacity> best(ServiceProgress service, List<MachineCapacity> candidates, boolean upOnly) {
+        return MachineScore.best(
+                candidates,
+                machine -> (machine.schedulable() || !upOnly)
+                        && machine.hasCapacity(service.submission.perTask())
+                        && service.zones.allows(machine.machine()),
+                machine -> score(service, machine));
     }
 
-    private double score(Progress service, MachineCapacity machine) {
-        double score = PlanState.score(service.job, machine);
-        int here = service.perMachine.getOrDefault(machine.host().id(), 0);
-        score -= SAME_SERVICE * here * here;
-        score += startsSoon(service.job, machine);
-        score -= SAME_ZONE * service.perZone.getOrDefault(machine.host().zone(), 0);
-        if (machine.replicas() > 0 && machine.replicas() < MANY_REPLICAS) {
-            score += OTHER_SERVICES;
+    private double score(ServiceProgress service, MachineCapacity machine) {
+        double score = MachineScore.of(service.submission, machine);
+        int ownReplicas = service.perMachine.getOrDefault(machine.machine().id(), 0);
+        score -= SAME_SERVICE_PENALTY * ownReplicas * ownReplicas;
+        score += startupScore(service.submission, machine);
+        score -= SAME_ZONE_PENALTY
+                * service.perZone.getOrDefault(machine.machine().zone(), 0);
+        if (machine.replicas() > 0 && machine.replicas() < MAX_SHARED_REPLICAS) {
+            score += OTHER_SERVICES_SCORE;
         }
-        if (machine.replicas() == 0 && !machine.used()) {
-            score -= UNUSED;
+        if (machine.replicas() == 0 && !machine.isUsed()) {
+            score -= UNUSED_MACHINE_PENALTY;
         }
-        return displaces(service.job.perTask(), machine) ? score - DISPLACES : score;
+        return displacesAcceleratorTask(service.submission.perTask(), machine)
+                ? score - ACCELERATOR_DISPLACEMENT_PENALTY
+                : score;
     }
 
-    /** How soon a replica would run on a machine, as far as fetches decide it. */
-    static double startsSoon(Submission job, MachineCapacity machine) {
-        if (machine.hasImage(job.image())) {
-            return IMAGE_THERE;
+    /** Scores how soon a replica would run on a machine, as far as image fetches decide it. */
+    static double startupScore(Submission submission, MachineCapacity machine) {
+        if (machine.hasImage(submission.image())) {
+            return IMAGE_SCORE;
         }
-        return machine.fetches().isEmpty() ? 0 : -FETCHES;
+        return machine.pendingFetches().isEmpty() ? 0 : -OTHER_FETCHES_PENALTY;
     }
 
-    private boolean displaces(Resources replica, MachineCapacity machine) {
+    private boolean displacesAcceleratorTask(Resources replica, MachineCapacity machine) {
         Resources free = machine.free();
         Resources after = free.minus(replica);
-        for (Resources ask : acceleratorAsks) {
-            if (ask.fitsIn(free) && !ask.fitsIn(after)) {
+        for (Resources request : acceleratorRequests) {
+            if (request.fitsIn(free) && !request.fitsIn(after)) {
                 return true;
             }
         }
--- a/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
@@ -4,20 +4,21 @@
 import java.util.HashSet;
 import java.util.Optional;
 import java.util.Set;
+import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Moves replicas off machines that are about to go, each only where room is found for it elsewhere, and gently off machines
- * that nothing but a few replicas keeps. A replica runs elsewhere only once its end here is confirmed.
+ * Moves service replicas off machines that are about to be terminated, each only if capacity is found for it elsewhere, and one at a time off
+ * machines that could be terminated but for a few replicas. A replica is started elsewhere only after its end here is confirmed.
  */
 final class ServiceRebalancer {
-    /** How long a replica that needs not move stays where it is. */
-    private static final Duration STAYS = Duration.ofSeconds(300);
-    /** Replicas on a machine that nothing else keeps, up to which it is emptied: each move is a moment without the replica. */
-    private static final int FEW_REPLICAS = 1;
-    /** What it counts against a machine that it holds another replica of the same service. */
-    private static final double BESIDE_ANOTHER = 5;
+    /** A replica that need not move stays where it is for at least this time. */
+    private static final Duration MIN_RUNTIME_BEFORE_CONSOLIDATION = Duration.ofSeconds(300);
+    /** With more replicas a machine is not emptied, since each move interrupts a replica. */
+    private static final int MAX_REPLICAS_TO_CONSOLIDATE = 1;
+    /** For a machine that holds another replica of the same service. */
+    private static final double SAME_SERVICE_PENALTY = 5;
 
     private final PlanState state;
     private final ZoneChooser zoneChooser;
@@ -27,108 +28,109 @@
         this.zoneChooser = zoneChooser;
     }
 
-    /** Chooses the replicas that move now. */
+    /** Plans which replicas move now. */
     void plan() {
-        boolean mayEmpty = true;
+        boolean mayConsolidate = true;
         for (JobRecord job : state.snapshot().jobs()) {
             if (job.isOpen() && job.submission().isService()) {
-                mayEmpty = move(job, mayEmpty);
+                mayConsolidate = move(job, mayConsolidate);
             }
         }
     }
 
-    /** Tells whether, after this job, a machine may still be emptied: one replica at a time. */
-    private boolean move(JobRecord job, boolean mayEmpty) {
-        boolean settled = mayEmpty
+    /** Moves replicas of one service; returns whether another machine may still be emptied, which is done one replica at a time. */
+    private boolean move(JobRecord job, boolean mayConsolidate) {
+        boolean settled = mayConsolidate
                 && job.unplacedCount() == 0
                 && job.allocations().stream().noneMatch(Allocation::stopping);
-        boolean mayEmptyNext = mayEmpty;
+        boolean mayStillConsolidate = mayConsolidate;
         for (Allocation allocation : job.allocations()) {
             if (allocation.stopping()) {
                 continue;
             }
-            boolean departs = state.snapshot().departing().contains(allocation.machineId());
-            if (!departs && !(settled && emptied(job, allocation))) {
+            boolean mustLeave = state.snapshot().departing().contains(allocation.machineId());
+            if (!mustLeave && !(settled && isConsolidatable(job, allocation))) {
                 continue;
             }
-            Optional<MachineCapacity> target = target(job, allocation, departs);
+            Optional<MachineCapacity> target = target(job, allocation, mustLeave);
             if (target.isPresent()) {
-                state.take(job.submission(), target.get());
+                state.allocate(job.submission(), target.get());
                 target.get().addReplica();
                 state.move(new MachineCapacity.Victim(job, allocation));
                 settled = false;
-                mayEmptyNext &= departs;
-            } else if (departs) {
-                askForRoom(job, allocation);
+                mayStillConsolidate &= mustLeave;
+            } else if (mustLeave) {
+                requestCapacity(job, allocation);
             }
         }
-        return mayEmptyNext;
+        return mayStillConsolidate;
     }
 
-    /** Room for a replica that has to leave and finds none: on a machine that boots, or on one to be rented. */
-    private void askForRoom(JobRecord job, Allocation leaving) {
+    /** Reserves capacity on a booting machine for a replica that has to leave, or requests a machine. */
+    private void requestCapacity(JobRecord job, Allocation leaving) {
         ZoneRules zones = zoneChooser.rulesWithout(job, leaving);
-        for (MachineCapacity machine : state.candidates(job.submission())) {
-            boolean boots = !machine.host().up();
-            if (boots && machine.fits(job.submission().perTask()) && zones.allows(machine.host())) {
-                state.keep(job.submission(), machine);
+        for (MachineCapacity machine : state.machines().candidates(job.submission())) {
+            boolean boots = !machine.machine().up();
+            if (boots && machine.hasCapacity(job.submission().perTask()) && zones.allows(machine.machine())) {
+                state.reserveCapacity(job.submission(), machine);
                 return;
             }
         }
-        state.lacks(job, 1, zones.only());
+        state.addShortfall(job, 1, zones.requiredZone());
     }
 
-    /** Whether an allocation is one of a few replicas that alone keep their machine, and has been for a while. */
-    private boolean emptied(JobRecord job, Allocation allocation) {
-        Optional<MachineCapacity> machine = state.machine(allocation.machineId());
+    /** Whether an allocation is one of a few replicas without which their machine could be terminated, and has run for a while. */
+    private boolean isConsolidatable(JobRecord job, Allocation allocation) {
+        Optional<MachineCapacity> machine = state.machines().machine(allocation.machineId());
         var started = new JobAttempt(job.id(), allocation.attemptBase());
         return machine.isPresent()
-                && machine.get().onlyReplicas()
-                && machine.get().replicas() <= FEW_REPLICAS
-                && state.snapshot().elapsed().apply(started).compareTo(STAYS) > 0;
+                && machine.get().holdsOnlyReplicas()
+                && machine.get().replicas() <= MAX_REPLICAS_TO_CONSOLIDATE
+                && state.snapshot().elapsed().apply(started).compareTo(MIN_RUNTIME_BEFORE_CONSOLIDATION) > 0;
     }
 
-    /** The best machine for a replica that leaves another, if any is worth it. */
-    private Optional<MachineCapacity> target(JobRecord job, Allocation leaving, boolean departs) {
-        Set<String> taken = placesWithout(job, leaving);
+    /** The best machine for a replica that leaves another, if any is worth the move. */
+    private Optional<MachineCapacity> target(JobRecord job, Allocation leaving, boolean mustLeave) {
+        Submission submission = job.submission();
+        Set<String> ownMachines = machinesOfOthers(job, leaving);
         ZoneRules zones = zoneChooser.rulesWithout(job, leaving);
-        MachineCapacity best = null;
-        double bestScore = Double.NEGATIVE_INFINITY;
-        for (MachineCapacity machine : state.candidates(job.submission())) {
-            boolean elsewhere = !machine.host().id().equals(leaving.machineId());
-            boolean room = machine.bookable() && machine.fits(job.submission().perTask());
-            boolean beside = taken.contains(machine.host().id());
-            boolean worth = departs
-                    || !beside
-                            && keptAnyway(machine)
-                            && machine.hasImage(job.submission().image());
-            if (!elsewhere || !room || !worth || !zones.allows(machine.host())) {
-                continue;
-            }
-            double score = PlanState.score(job.submission(), machine)
-                    + ServicePlanner.startsSoon(job.submission(), machine)
-                    - (beside ? BESIDE_ANOTHER : 0);
-            if (score > bestScore) {
-                best = machine;
-                bestScore = score;
-            }
-        }
-        return Optional.ofNullable(best);
+        return MachineScore.best(
+                state.machines().candidates(submission),
+                machine -> !machine.machine().id().equals(leaving.machineId())
+                        && machine.schedulable()
+                        && machine.hasCapacity(submission.perTask())
+                        && (mustLeave || isWorthMoving(submission, machine, ownMachines))
+                        && zones.allows(machine.machine()),
+                machine -> score(submission, machine, ownMachines));
+    }
+
+    private static boolean isWorthMoving(Submission submission, MachineCapacity machine, Set<String> ownMachines) {
+        return !ownMachines.contains(machine.machine().id())
+                && isKeptForOtherWork(machine)
+                && machine.hasImage(submission.image());
+    }
+
+    private static double score(Submission submission, MachineCapacity machine, Set<String> ownMachines) {
+        boolean besideOwnReplica = ownMachines.contains(machine.machine().id());
+        return MachineScore.of(submission, machine)
+                + ServicePlanner.startupScore(submission, machine)
+                - (besideOwnReplica ? SAME_SERVICE_PENALTY : 0);
     }
 
-    private static Set<String> placesWithout(JobRecord job, Allocation leaving) {
-        var places = new HashSet<String>();
+    /** The machines of a service's replicas other than the one that leaves. */
+    private static Set<String> machinesOfOthers(JobRecord job, Allocation leaving) {
+        var machines = new HashSet<String>();
         for (Allocation allocation : job.allocations()) {
             if (!allocation.equals(leaving)) {
-                places.add(allocation.machineId());
+                machines.add(allocation.machineId());
             }
         }
-        return places;
+        return machines;
     }
 
-    /** Whether a machine is not kept for a few replicas alone. */
-    private static boolean keptAnyway(MachineCapacity machine) {
-        boolean otherWork = machine.used() && !machine.onlyReplicas();
-        return otherWork || machine.replicas() > FEW_REPLICAS;
+    /** Whether a machine is kept for more than a few replicas. */
+    private static boolean isKeptForOtherWork(MachineCapacity machine) {
+        boolean otherWork = machine.isUsed() && !machine.holdsOnlyReplicas();
+        return otherWork || machine.replicas() > MAX_REPLICAS_TO_CONSOLIDATE;
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
@@ -10,21 +10,21 @@
 
 /** Chooses a zone for jobs whose tasks must all be in one. */
 final class ZoneChooser {
-    /** Room for more tasks than this on one machine makes no difference. */
-    private static final int MOST_COUNTED = 64;
+    /** Capacity for more tasks than this on one machine makes no difference. */
+    private static final int MAX_TASKS_COUNTED_PER_MACHINE = 64;
 
-    private static final double FREE_NOW = 3;
-    private static final double FREED = 2;
-    private static final double IMAGE_FOR_ALL = 1.5;
-    private static final double IMAGE_FOR_SOME = 0.1;
-    private static final double REFUSED_TASK = 0.5;
-    private static final double REFUSED = 0.1;
+    private static final double FREE_TASK_SCORE = 3;
+    private static final double PREEMPTED_TASK_SCORE = 2;
+    private static final double IMAGE_FOR_ALL_TASKS_SCORE = 1.5;
+    private static final double IMAGE_FOR_SOME_TASKS_SCORE = 0.1;
+    private static final double MISSING_TASK_PENALTY_IN_REFUSED_POOL = 0.5;
+    private static final double REFUSED_POOL_PENALTY = 0.1;
     private final PlanState state;
 
-    /** How many tasks a zone has room for. */
-    private static final class Room {
-        int now;
-        int freed;
+    /** For how many tasks a zone has capacity. */
+    private static final class ZoneCapacity {
+        int free;
+        int preemptible;
         int booting;
         int withImage;
     }
@@ -33,28 +33,28 @@
         this.state = state;
     }
 
-    /** The rules for a job's zones, with a zone chosen if it needs a single one and is in none yet. */
+    /** The zone rules of a job, with a zone chosen if all its tasks must be in one zone and none is allocated yet. */
     ZoneRules rules(JobRecord job) {
-        Map<String, Integer> taken = state.zonesTaken(job);
-        boolean choose = job.submission().sameZone() && job.submission().zone().isEmpty() && taken.isEmpty();
-        return new ZoneRules(job.submission(), taken, choose ? best(job, job.unplacedCount()) : Optional.empty());
+        Map<String, Integer> perZone = state.tasksPerZone(job);
+        boolean choose = job.submission().sameZone() && job.submission().zone().isEmpty() && perZone.isEmpty();
+        return new ZoneRules(job.submission(), perZone, choose ? best(job, job.unplacedCount()) : Optional.empty());
     }
 
-    /** The rules for a job of which one task leaves its place. */
+    /** The zone rules of a job of which one task leaves its machine. */
     ZoneRules rulesWithout(JobRecord job, Allocation leaving) {
-        Map<String, Integer> taken = state.zonesTaken(job);
+        Map<String, Integer> perZone = state.tasksPerZone(job);
         MachinePool pool = state.snapshot().pools().get(leaving.machineId());
         if (pool != null) {
-            taken.computeIfPresent(pool.zone(), (zone, count) -> count > 1 ? count - 1 : null);
+            perZone.computeIfPresent(pool.zone(), (zone, count) -> count > 1 ? count - 1 : null);
         }
-        return new ZoneRules(job.submission(), taken, Optional.empty());
+        return new ZoneRules(job.submission(), perZone, Optional.empty());
     }
 
-    /** The zone that serves most of the job now, then by lower work giving way, then soon. */
+    /** The zone with the most capacity for the job: free capacity first, then preemptible, then booting. */
     private Optional<String> best(JobRecord job, int missing) {
         String best = null;
         double bestScore = 0;
-        for (Map.Entry<String, Room> zone : new TreeMap<>(rooms(job, missing)).entrySet()) {
+        for (Map.Entry<String, ZoneCapacity> zone : new TreeMap<>(capacityByZone(job, missing)).entrySet()) {
             double score = score(zone.getKey(), zone.getValue(), missing);
             if (score > bestScore) {
                 best = zone.getKey();
@@ -64,34 +64,40 @@
         return Optional.ofNullable(best);
     }
 
-    private Map<String, Room> rooms(JobRecord job, int missing) {
+    private Map<String, ZoneCapacity> capacityByZone(JobRecord job, int missing) {
         Submission spec = job.submission();
-        int most = Math.min(MOST_COUNTED, missing);
-        var rooms = new HashMap<String, Room>();
-        for (MachineCapacity machine : state.candidates(spec)) {
-            int fits = Planner.fitCount(spec.perTask(), machine.free(), most);
-            Room room = rooms.computeIfAbsent(machine.host().zone(), z -> new Room());
-            if (!machine.host().up()) {
-                room.booting += fits;
+        int maxTasks = Math.min(MAX_TASKS_COUNTED_PER_MACHINE, missing);
+        var byZone = new HashMap<String, ZoneCapacity>();
+        for (MachineCapacity machine : state.machines().candidates(spec)) {
+            int fits = Planner.fitCount(spec.perTask(), machine.free(), maxTasks);
+            ZoneCapacity capacity = byZone.computeIfAbsent(machine.machine().zone(), name -> new ZoneCapacity());
+            if (!machine.machine().up()) {
+                capacity.booting += fits;
                 continue;
             }
-            int freed = machine.canBeFreed() ? Planner.fitCount(spec.perTask(), machine.freeFor(job), most) - fits : 0;
-            room.now += fits;
-            room.freed += freed;
-            room.withImage += machine.hasImage(spec.image()) ? fits + freed : 0;
+            int preemptible = machine.hasPreemptibleOrStopping()
+                    ? Planner.fitCount(spec.perTask(), machine.freeAfterPreemptionBy(job), maxTasks) - fits
+                    : 0;
+            capacity.free += fits;
+            capacity.preemptible += preemptible;
+            capacity.withImage += machine.hasImage(spec.image()) ? fits + preemptible : 0;
         }
-        return rooms;
+        return byZone;
     }
 
-    private double score(String zone, Room room, int missing) {
-        int now = Math.min(missing, room.now);
-        int freed = Math.min(missing - now, room.freed);
-        int soon = Math.min(missing - now - freed, room.booting);
-        double perImage = room.withImage >= missing ? IMAGE_FOR_ALL : IMAGE_FOR_SOME;
-        double score = FREE_NOW * now + FREED * freed + soon + perImage * Math.min(missing, room.withImage);
+    private double score(String zone, ZoneCapacity capacity, int missing) {
+        int free = Math.min(missing, capacity.free);
+        int preemptible = Math.min(missing - free, capacity.preemptible);
+        int booting = Math.min(missing - free - preemptible, capacity.booting);
+        double imageScore = capacity.withImage >= missing ? IMAGE_FOR_ALL_TASKS_SCORE : IMAGE_FOR_SOME_TASKS_SCORE;
+        double score = FREE_TASK_SCORE * free
+                + PREEMPTED_TASK_SCORE * preemptible
+                + booting
+                + imageScore * Math.min(missing, capacity.withImage);
         for (MachinePool pool : state.snapshot().refused()) {
             if (pool.zone().equals(zone) && !pool.spot()) {
-                score -= REFUSED_TASK * (missing - now - freed - soon) + REFUSED;
+                score -= MISSING_TASK_PENALTY_IN_REFUSED_POOL * (missing - free - preemptible - booting)
+                        + REFUSED_POOL_PENALTY;
             }
         }
         return score;
