--- a/src/main/java/org/dunespindle/scheduling/Binding.java
+++ b/src/main/java/org/dunespindle/scheduling/Binding.java
@@ -3,5 +3,9 @@
 import java.util.Map;
 import org.dunespindle.storage.JobRecord;
 
-/** Tasks of one job booked at once. */
+/**
+ * Tasks of one job that are to be allocated in one transaction.
+ *
+ * @param places the machine of each task, by task index
+ */
 public record Binding(JobRecord job, Map<Integer, String> places) {}
--- a/src/main/java/org/dunespindle/scheduling/ClusterSnapshot.java
+++ b/src/main/java/org/dunespindle/scheduling/ClusterSnapshot.java
@@ -11,15 +11,20 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Everything a plan depends on.
+ * Everything that a plan depends on.
  *
- * @param projection the jobs, as stored and as expected
- * @param mostTasks how many tasks of an array may be under way at once
- * @param ended tasks whose end is reported but not stored yet: their room is free, their team's use is not
- * @param leftAlone jobs that another controller is placing, or that wait for more: not booked here now
- * @param gangs whether gangs are planned here
- * @param departing machines that are about to be taken away, returned or closed
- * @param elapsed how long tasks have been under way, as far as known here
+ * @param projection the active jobs, as stored and as projected
+ * @param machines the machines that tasks may be planned on
+ * @param teams the teams' quotas and guarantees, by name
+ * @param pools the pool of each known machine, by machine id
+ * @param refused pools for which the cloud has lately refused machines
+ * @param mostTasks how many tasks of a job may be allocated at once
+ * @param ended task attempts whose end is reported but not stored: their capacity is free, their quota is not
+ * @param leftAlone ids of jobs whose placement this controller defers
+ * @param gangs whether gangs are planned here, as on the leader
+ * @param departing ids of machines that are draining or about to be terminated
+ * @param forecastJobs the forecast demand, planned after all real jobs
+ * @param elapsed how long a job's attempt has been running, as far as known here
  */
 public record ClusterSnapshot(
         Instant now,
@@ -36,7 +41,7 @@
         List<DemandForecast.ForecastJob> forecastJobs,
         ServiceLevelObjectives objectives,
         Function<JobAttempt, Duration> elapsed) {
-    /** The jobs as this controller expects them to be. */
+    /** The projected records of the active jobs. */
     public List<JobRecord> jobs() {
         return projection.expected();
     }
--- a/src/main/java/org/dunespindle/scheduling/Plan.java
+++ b/src/main/java/org/dunespindle/scheduling/Plan.java
@@ -5,12 +5,15 @@
 import java.util.Set;
 
 /**
- * The outcome.
+ * The outcome of planning.
  *
- * @param reasons why a job waits
- * @param wantedMachines machines that something is planned on
- * @param gangMachines those of them that gangs are planned on
- * @param moves replicas that are to run elsewhere
+ * @param bindings tasks to be allocated, in the order of planning
+ * @param evictions tasks to be preempted
+ * @param shortfalls tasks that need machines which the cluster does not have
+ * @param reasons why jobs wait, by job id
+ * @param wantedMachines ids of the machines that the plan uses or reserves
+ * @param gangMachines ids of those of them that gangs are planned on
+ * @param moves service replicas to be stopped so that they run elsewhere
  */
 public record Plan(
         List<Binding> bindings,
@@ -20,5 +23,6 @@
         Set<String> wantedMachines,
         Set<String> gangMachines,
         List<Eviction> moves) {
+    /** The plan of a controller that has not planned yet. */
     public static final Plan NONE = new Plan(List.of(), List.of(), List.of(), Map.of(), Set.of(), Set.of(), List.of());
 }
--- a/src/main/java/org/dunespindle/scheduling/TaskAttempt.java
+++ b/src/main/java/org/dunespindle/scheduling/TaskAttempt.java
@@ -1,4 +1,9 @@
 package org.dunespindle.scheduling;
 
-/** An allocation whose task has ended. */
+/**
+ * One allocation of a task, as opposed to earlier and later allocations of the same task.
+ *
+ * @param job the id of the job
+ * @param attemptBase the attempt base of the allocation
+ */
 public record TaskAttempt(String job, int task, long attemptBase) {}
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -32,32 +32,32 @@
             "blue",
             new Settings.Team("blue", 0, Double.POSITIVE_INFINITY, 2, 9));
 
-    private static final ServiceLevelObjectives TARGETS = new ServiceLevelObjectives(List.of(
+    private static final ServiceLevelObjectives OBJECTIVES = new ServiceLevelObjectives(List.of(
             new Settings.Objective("finished", "c", Duration.ofSeconds(900), 0.9, 1),
             new Settings.Objective("finished", "c", Duration.ofSeconds(200), 0.9, 1),
             new Settings.Objective("deadline", "d", Duration.ZERO, 0.9, 1.5),
             new Settings.Objective("deadline", "d", Duration.ZERO, 0.9, 1)));
 
-    /** Where a job may go. */
-    private record Where(boolean sameZone, boolean spread, boolean spot) {}
+    /** A job's placement constraints. */
+    private record Placement(boolean sameZone, boolean spread, boolean spot) {}
 
-    private static final Where ANYWHERE = new Where(false, false, true);
+    private static final Placement ANYWHERE = new Placement(false, false, true);
 
-    private static JobRecord job(int id, String team, JobKind shape, Priority priority, int tasks, Where where) {
+    private static JobRecord job(int id, String team, JobKind kind, Priority priority, int tasks, Placement placement) {
         return JobRecord.accepted(
                 new Submission(
                         "wk-%06d".formatted(id),
                         "c",
                         team,
-                        shape,
+                        kind,
                         priority,
                         tasks,
                         new Resources(1, 1, 1),
                         Optional.empty(),
                         Optional.empty(),
-                        where.sameZone,
-                        where.spread,
-                        where.spot,
+                        placement.sameZone,
+                        placement.spread,
+                        placement.spot,
                         "i",
                         1,
                         Duration.ofSeconds(10),
@@ -67,34 +67,16 @@
                 Instant.ofEpochSecond(id));
     }
 
-    private static MachineSnapshot host(String id, String zone, boolean spot, int gpus) {
+    private static MachineSnapshot machine(String id, String zone, boolean spot, int gpus) {
         return new MachineSnapshot(id, "m", zone, spot, new Resources(8, gpus, 8), true, true, Set.of());
     }
 
-    private static Plan plan(List<JobRecord> jobs, List<MachineSnapshot> hosts) {
-        var places = new HashMap<String, MachinePool>();
-        hosts.forEach(
-                machine -> places.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot())));
-        return Planner.plan(snapshot(ProjectedJobs.ofStored(jobs), hosts, places));
+    private static Plan plan(List<JobRecord> jobs, List<MachineSnapshot> machines) {
+        return snapshot().jobs(jobs).machines(machines).plan();
     }
 
-    private static ClusterSnapshot snapshot(
-            ProjectedJobs jobs, List<MachineSnapshot> hosts, Map<String, MachinePool> places) {
-        return new ClusterSnapshot(
-                Instant.ofEpochSecond(1000),
-                jobs,
-                hosts,
-                TEAMS,
-                places,
-                Set.of(),
-                job -> 100,
-                Set.of(),
-                Set.of(),
-                true,
-                Set.of(),
-                List.of(),
-                TARGETS,
-                p -> Duration.ZERO);
+    private static SnapshotFixture snapshot() {
+        return new SnapshotFixture(TEAMS).objectives(OBJECTIVES);
     }
 
     @Property(seed = "21", tries = 200)
@@ -109,15 +91,15 @@
                     JobKind.values()[random.nextInt(JobKind.values().length)],
                     Priority.values()[random.nextInt(4)],
                     1 + random.nextInt(5),
-                    new Where(sameZone, !sameZone && random.nextBoolean(), random.nextBoolean())));
+                    new Placement(sameZone, !sameZone && random.nextBoolean(), random.nextBoolean())));
         }
-        var hosts = new ArrayList<MachineSnapshot>();
+        var machines = new ArrayList<MachineSnapshot>();
         for (int i = 0; i < 5; i++) {
-            hosts.add(
-                    host("h" + i, random.nextBoolean() ? "east" : "west", random.nextBoolean(), 1 + random.nextInt(3)));
+            machines.add(machine(
+                    "h" + i, random.nextBoolean() ? "east" : "west", random.nextBoolean(), 1 + random.nextInt(3)));
         }
         for (int round = 0; round < 4; round++) {
-            Plan plan = plan(jobs, hosts);
+            Plan plan = plan(jobs, machines);
             var byId = new LinkedHashMap<String, JobRecord>();
             jobs.forEach(job -> byId.put(job.id(), job));
             plan.bindings()
@@ -129,23 +111,23 @@
                             (id, job) -> job.withReleased(eviction.allocation().task(), false)));
             jobs.clear();
             jobs.addAll(byId.values());
-            check(jobs, hosts);
+            check(jobs, machines);
         }
     }
 
-    private static void check(List<JobRecord> jobs, List<MachineSnapshot> hosts) {
+    private static void check(List<JobRecord> jobs, List<MachineSnapshot> machines) {
         ProjectedJobs.ofStored(jobs)
                 .use()
                 .forEach((team, use) -> assertTrue(TEAMS.get(team).withinLimit(use), team + " uses " + use));
-        var room = new HashMap<String, Integer>();
+        var tasksByMachine = new HashMap<String, Integer>();
         for (JobRecord job : jobs) {
             var zones = new HashMap<String, Integer>();
             job.allocations().forEach(allocation -> {
-                MachineSnapshot machine = hosts.stream()
-                        .filter(x -> x.id().equals(allocation.machineId()))
+                MachineSnapshot machine = machines.stream()
+                        .filter(candidate -> candidate.id().equals(allocation.machineId()))
                         .findFirst()
                         .orElseThrow();
-                room.merge(machine.id(), 1, Integer::sum);
+                tasksByMachine.merge(machine.id(), 1, Integer::sum);
                 zones.merge(machine.zone(), 1, Integer::sum);
                 assertTrue(job.submission().spot() || !machine.spot(), "spot not allowed");
             });
@@ -153,33 +135,34 @@
             assertTrue(
                     !job.submission().spread()
                             || zones.values().stream()
-                                    .allMatch(n -> n <= (job.submission().tasks() + 1) / 2),
+                                    .allMatch(
+                                            tasks -> tasks <= (job.submission().tasks() + 1) / 2),
                     "apart");
         }
-        hosts.forEach(machine ->
-                assertTrue(room.getOrDefault(machine.id(), 0) <= machine.size().gpus(), "room on " + machine.id()));
+        machines.forEach(machine -> assertTrue(
+                tasksByMachine.getOrDefault(machine.id(), 0) <= machine.size().gpus(), "capacity of " + machine.id()));
     }
 
     @Test
-    void noPlaceholderBeforeTheLimitCoversTheWholeGang() {
+    void noPlaceholderIsPlacedBeforeTheQuotaCoversTheWholeGang() {
         JobRecord running = job(1, "red", JobKind.ARRAY, Priority.URGENT, 3, ANYWHERE);
         running = running.withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
         Plan plan = plan(
                 List.of(running, job(2, "red", JobKind.GANG, Priority.URGENT, 4, ANYWHERE)),
-                List.of(host("a", "east", false, 8)));
+                List.of(machine("a", "east", false, 8)));
         assertEquals(List.of(), plan.bindings());
         assertTrue(plan.reasons().get("wk-000002").contains("limit"));
     }
 
     @Test
-    void oneGangPerTeamIsInPlacementAndOthersGoOn() {
+    void onlyTheHeadOfATeamsGangQueueIsPlacedAndOtherTeamsAreNotBlocked() {
         Plan plan = plan(
                 List.of(
                         job(1, "blue", JobKind.GANG, Priority.NORMAL, 4, ANYWHERE),
                         job(2, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE),
                         job(3, "red", JobKind.GANG, Priority.URGENT, 2, ANYWHERE),
                         job(4, "blue", JobKind.ARRAY, Priority.LOW, 1, ANYWHERE)),
-                List.of(host("a", "east", false, 4)));
+                List.of(machine("a", "east", false, 4)));
         assertTrue(plan.reasons().get("wk-000002").contains("behind gang wk-000001"));
         assertEquals(
                 List.of("wk-000003", "wk-000001"),
@@ -187,7 +170,7 @@
     }
 
     @Test
-    void aFullyBookedGangAndGangsOfOneDoNotHoldUpTheQueue() {
+    void aFullyPlacedGangAndGangsOfOneDoNotBlockTheQueue() {
         JobRecord booked = job(1, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE)
                 .withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a")));
         Plan plan = plan(
@@ -195,24 +178,24 @@
                         booked,
                         job(2, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE),
                         job(3, "blue", JobKind.GANG, Priority.URGENT, 1, ANYWHERE)),
-                List.of(host("a", "east", false, 5)));
+                List.of(machine("a", "east", false, 5)));
         assertEquals(
                 List.of("wk-000002", "wk-000003"),
                 plan.bindings().stream().map(binding -> binding.job().id()).toList());
     }
 
     @Test
-    void lowerWorkGivesWayOnOneMachineOnly() {
+    void lowerWorkIsPreemptedOnOneMachineOnly() {
         JobRecord low = job(1, "blue", JobKind.ARRAY, Priority.LOW, 4, ANYWHERE)
                 .withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "b", 3, "b")));
-        var hosts = List.of(host("a", "east", false, 2), host("b", "east", false, 2));
+        var machines = List.of(machine("a", "east", false, 2), machine("b", "east", false, 2));
         JobRecord gang = job(2, "red", JobKind.GANG, Priority.URGENT, 1, ANYWHERE);
-        Plan plan = plan(List.of(low, gang), hosts);
+        Plan plan = plan(List.of(low, gang), machines);
         assertEquals(1, plan.evictions().size());
-        // While the stopped task has not left, nothing else is emptied for the same gang.
+        // While the preempted task is still stopping, nothing else is preempted for the same gang.
         JobRecord stopping =
                 low.withTaskStopping(plan.evictions().get(0).allocation().task());
-        assertEquals(List.of(), plan(List.of(stopping, gang), hosts).evictions());
+        assertEquals(List.of(), plan(List.of(stopping, gang), machines).evictions());
     }
 
     private static JobRecord withImage(JobRecord job, String image) {
@@ -242,28 +225,29 @@
 
     /** Fetches of several images share a machine's rate: without this a gang waited for its image beside others' fetches. */
     @Test
-    void aMachineThatFetchesAnotherImageComesLater() {
+    void aMachineThatFetchesAnotherImageIsRankedLower() {
         JobRecord fetching = withImage(job(1, "red", JobKind.ARRAY, Priority.NORMAL, 1, ANYWHERE), "another")
                 .withPlaced(new TreeMap<>(Map.of(0, "a")));
         JobRecord alone = job(2, "blue", JobKind.GANG, Priority.URGENT, 1, ANYWHERE);
-        List<MachineSnapshot> hosts = List.of(host("a", "east", false, 3), host("b", "east", false, 3));
+        List<MachineSnapshot> machines = List.of(machine("a", "east", false, 3), machine("b", "east", false, 3));
         assertEquals(
                 Map.of(0, "b"),
-                plan(List.of(fetching, alone), hosts).bindings().get(0).places());
+                plan(List.of(fetching, alone), machines).bindings().get(0).places());
         JobRecord same = withImage(fetching, alone.submission().image()).withPlaced(new TreeMap<>(Map.of(0, "a")));
         assertEquals(
                 Map.of(0, "a"),
-                plan(List.of(same, alone), hosts).bindings().get(0).places(),
+                plan(List.of(same, alone), machines).bindings().get(0).places(),
                 "one fetch serves both");
     }
 
     @Test
-    void workThatCanMeetNoTimeAnyMoreLetsTheOthersGoFirst() {
-        // The first is within its team's guarantee besides. Now is second 1000: it came at 50 and is past both times,
+    void jobsThatMissAllObjectivesAreRankedLast() {
+        // The first is within its team's guarantee besides. Now is second 1000: it arrived at 50 and misses both
+        // objectives,
         // the second can still meet 900 s.
         JobRecord lost = begun(job(50, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE));
         JobRecord open = begun(job(600, "blue", JobKind.ARRAY, Priority.LOW, 3, ANYWHERE));
-        Plan plan = plan(List.of(lost, open), List.of(host("a", "east", false, 1)));
+        Plan plan = plan(List.of(lost, open), List.of(machine("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000600"),
                 plan.bindings().stream().map(binding -> binding.job().id()).toList());
@@ -274,7 +258,7 @@
     }
 
     @Test
-    void aDeadlineCountsByAllMultiplesThatAreAimedAt() {
+    void aJobWithADeadlineHasAnObjectiveForEachMultiple() {
         Submission due = new Submission(
                 "wk-000001",
                 "d",
@@ -294,150 +278,135 @@
                 Duration.ZERO,
                 Duration.ZERO,
                 Optional.of(Duration.ofSeconds(100)));
-        assertEquals(List.of(Duration.ofSeconds(100), Duration.ofSeconds(150)), TARGETS.all(due));
+        assertEquals(List.of(Duration.ofSeconds(100), Duration.ofSeconds(150)), OBJECTIVES.all(due));
         assertEquals(
                 List.of(Duration.ofSeconds(200), Duration.ofSeconds(900)),
-                TARGETS.all(
+                OBJECTIVES.all(
                         job(1, "red", JobKind.ARRAY, Priority.LOW, 1, ANYWHERE).submission()));
     }
 
     @Test
-    void anArrayThatHasWaitedLongBeginsBeforeSmallerOnes() {
+    void aStarvingArrayStartsBeforeSmallerOnes() {
         JobRecord large = job(50, "blue", JobKind.ARRAY, Priority.LOW, 9, ANYWHERE);
         JobRecord small = begun(job(990, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE));
-        Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
+        Plan plan = plan(List.of(large, small), List.of(machine("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000050"),
                 plan.bindings().stream().map(binding -> binding.job().id()).toList());
     }
 
     @Test
-    void whenNotAllCanMeetTheirTimeTheLeastWorkGoesFirst() {
+    void amongEqualArraysTheLeastWorkGoesFirst() {
         JobRecord large = job(980, "blue", JobKind.ARRAY, Priority.LOW, 9, ANYWHERE);
         JobRecord small = job(990, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE);
-        Plan plan = plan(List.of(large, small), List.of(host("a", "east", false, 1)));
+        Plan plan = plan(List.of(large, small), List.of(machine("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000990"),
                 plan.bindings().stream().map(binding -> binding.job().id()).toList());
     }
 
     /**
-     * An array with as many tasks under way as its record takes: those that have ended make place at once, not when their end is stored
-     * by itself.
+     * An array with as many allocated tasks as its record has capacity for: those that have ended free their entries at once, not only when
+     * their termination is stored.
      */
     @Test
-    void endedTasksDoNotCountAgainstTheRecord() {
+    void endedTasksDoNotCountAgainstTheRecordsCapacity() {
         JobRecord full = job(1, "red", JobKind.ARRAY, Priority.LOW, 9, ANYWHERE)
                 .withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a", 2, "a")));
         var ended = Set.of(
                 new TaskAttempt(full.id(), 0, full.allocations().get(0).attemptBase()),
                 new TaskAttempt(full.id(), 2, full.allocations().get(0).attemptBase()));
-        Plan plan = Planner.plan(new ClusterSnapshot(
-                Instant.ofEpochSecond(1000),
-                ProjectedJobs.ofStored(List.of(full)),
-                List.of(host("a", "east", false, 8)),
-                TEAMS,
-                Map.of(),
-                Set.of(),
-                job -> 3,
-                ended,
-                Set.of(),
-                true,
-                Set.of(),
-                List.of(),
-                TARGETS,
-                p -> Duration.ZERO));
+        Plan plan = snapshot()
+                .jobs(List.of(full))
+                .machinesWithoutPools(List.of(machine("a", "east", false, 8)))
+                .maxTasks(3)
+                .endedTasks(ended)
+                .plan();
         assertEquals(Set.of(3, 4), plan.bindings().get(0).places().keySet());
     }
 
-    /** Room that urgent jobs will need within seconds is not filled with work that would have to give way again. */
+    /** Capacity that urgent jobs will need within seconds is not given to work that would be preempted again. */
     @Test
-    void roomForWhatComesWithinSecondsIsKeptFromLowerWork() {
-        var phantom = new DemandForecast.ForecastJob(
-                job(1, "red", JobKind.GANG, Priority.URGENT, 2, new Where(false, false, false)), 2);
+    void capacityForImminentDemandIsWithheldFromLowerWork() {
+        var forecast = new DemandForecast.ForecastJob(
+                job(1, "red", JobKind.GANG, Priority.URGENT, 2, new Placement(false, false, false)), 2);
         JobRecord low = job(990, "blue", JobKind.ARRAY, Priority.LOW, 5, ANYWHERE);
         JobRecord equal = job(991, "blue", JobKind.ARRAY, Priority.URGENT, 1, ANYWHERE);
-        var hosts = List.of(host("a", "east", false, 4));
-        Plan plan = Planner.plan(new ClusterSnapshot(
-                Instant.ofEpochSecond(1000),
-                ProjectedJobs.ofStored(List.of(low, equal)),
-                hosts,
-                TEAMS,
-                Map.of(),
-                Set.of(),
-                job -> 100,
-                Set.of(),
-                Set.of(),
-                true,
-                Set.of(),
-                List.of(phantom),
-                TARGETS,
-                p -> Duration.ZERO));
+        var machines = List.of(machine("a", "east", false, 4));
+        Plan plan = snapshot()
+                .jobs(List.of(low, equal))
+                .machinesWithoutPools(machines)
+                .forecastJobs(List.of(forecast))
+                .plan();
         assertEquals(
                 List.of(1, 1),
                 plan.bindings().stream().map(binding -> binding.places().size()).toList());
     }
 
-    /** A job of which this controller proposed one task, while another stored more of it. */
-    private static ProjectedJob overtaken(JobRecord job, Map<Integer, String> stored) {
+    /** A job of which this controller has proposed one task, while another controller has stored more of it. */
+    private static ProjectedJob staleProposal(JobRecord job, Map<Integer, String> stored) {
         return new ProjectedJob(job.withPlaced(new TreeMap<>(stored)), job.withPlaced(new TreeMap<>(Map.of(0, "b"))));
     }
 
     @Test
-    void aGangWaitsForTheLimitThatOthersUsedUnseenByAnOwnProposal() {
+    void quotaUsedByOthersBesideAStaleProposalCountsForAGang() {
         JobRecord array = job(1, "red", JobKind.ARRAY, Priority.LOW, 9, ANYWHERE);
         JobRecord gang = job(2, "red", JobKind.GANG, Priority.URGENT, 3, ANYWHERE);
-        var hosts = List.of(host("a", "east", false, 8), host("b", "east", false, 8));
-        ProjectedJob used = overtaken(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
-        Plan plan =
-                Planner.plan(snapshot(new ProjectedJobs(List.of(used, ProjectedJob.unchanged(gang))), hosts, Map.of()));
+        var machines = List.of(machine("a", "east", false, 8), machine("b", "east", false, 8));
+        ProjectedJob used = staleProposal(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
+        Plan plan = snapshot()
+                .jobs(new ProjectedJobs(List.of(used, ProjectedJob.unchanged(gang))))
+                .machinesWithoutPools(machines)
+                .plan();
         assertTrue(
                 plan.bindings().stream().noneMatch(binding -> binding.job().id().equals(gang.id())));
     }
 
     @Test
-    void roomThatOthersFilledUnseenByAnOwnProposalIsNotFree() {
+    void capacityUsedByOthersBesideAStaleProposalIsNotFree() {
         JobRecord array = job(1, "blue", JobKind.ARRAY, Priority.LOW, 5, ANYWHERE);
         JobRecord other = job(2, "red", JobKind.ARRAY, Priority.LOW, 1, ANYWHERE);
-        ProjectedJob full = overtaken(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
-        Plan plan = Planner.plan(snapshot(
-                new ProjectedJobs(List.of(full, ProjectedJob.unchanged(other))),
-                List.of(host("a", "east", false, 3)),
-                Map.of()));
+        ProjectedJob full = staleProposal(array, Map.of(0, "a", 1, "a", 2, "a", 3, "a"));
+        Plan plan = snapshot()
+                .jobs(new ProjectedJobs(List.of(full, ProjectedJob.unchanged(other))))
+                .machinesWithoutPools(List.of(machine("a", "east", false, 3)))
+                .plan();
         assertTrue(
                 plan.bindings().stream().noneMatch(binding -> binding.job().id().equals(other.id())));
     }
 
     @Test
-    void equalPriorityNeverGivesWay() {
+    void tasksOfEqualPriorityAreNeverPreempted() {
         JobRecord other = job(1, "blue", JobKind.ARRAY, Priority.URGENT, 2, ANYWHERE)
                 .withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a")));
         Plan plan = plan(
                 List.of(other, job(2, "red", JobKind.GANG, Priority.URGENT, 1, ANYWHERE)),
-                List.of(host("a", "east", false, 2)));
+                List.of(machine("a", "east", false, 2)));
         assertEquals(List.of(), plan.evictions());
         assertEquals(1, plan.shortfalls().size());
     }
 
-    /** Were machines rented only when a gang's turn has come, each gang of a burst would wait for the boot of its own. */
+    /** Were machines provisioned only on a gang's turn, each gang of a burst would wait for its own machines to boot. */
     @Test
-    void machinesAreAskedForAheadOfAGangsTurnButNothingIsPlaced() {
+    void machinesAreRequestedBeforeAGangsTurnButNothingIsPlaced() {
         List<JobRecord> gangs = List.of(
-                job(1, "red", JobKind.GANG, Priority.URGENT, 2, new Where(false, false, false)),
-                job(2, "red", JobKind.GANG, Priority.URGENT, 3, new Where(false, false, false)),
-                job(3, "red", JobKind.GANG, Priority.URGENT, 4, new Where(false, false, false)));
+                job(1, "red", JobKind.GANG, Priority.URGENT, 2, new Placement(false, false, false)),
+                job(2, "red", JobKind.GANG, Priority.URGENT, 3, new Placement(false, false, false)),
+                job(3, "red", JobKind.GANG, Priority.URGENT, 4, new Placement(false, false, false)));
         Plan empty = plan(gangs, List.of());
         // The third would be beyond the team's limit of six together with those before it.
         assertEquals(
                 List.of("wk-000001 2", "wk-000002 3"),
                 empty.shortfalls().stream()
-                        .map(g -> g.job().id() + " " + g.tasks())
+                        .map(shortfall -> shortfall.job().id() + " " + shortfall.tasks())
                         .toList());
-        Plan roomy = plan(gangs, List.of(host("h1", "east", false, 4), host("h2", "east", false, 4)));
+        Plan withCapacity = plan(gangs, List.of(machine("h1", "east", false, 4), machine("h2", "east", false, 4)));
         assertEquals(
                 List.of("wk-000001"),
-                roomy.bindings().stream().map(binding -> binding.job().id()).toList());
-        assertEquals(List.of(), roomy.shortfalls());
-        assertEquals(Set.of("h1", "h2"), roomy.wantedMachines());
+                withCapacity.bindings().stream()
+                        .map(binding -> binding.job().id())
+                        .toList());
+        assertEquals(List.of(), withCapacity.shortfalls());
+        assertEquals(Set.of("h1", "h2"), withCapacity.wantedMachines());
     }
 }
--- a/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
@@ -20,7 +20,7 @@
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
-/** Where replicas of services go, and when they move. */
+/** Where service replicas are placed, and when they move. */
 class ServicePlannerTest {
     private static final Map<String, Settings.Team> TEAMS =
             Map.of("red", new Settings.Team("red", 0, 100, 40, Double.POSITIVE_INFINITY));
@@ -28,24 +28,25 @@
     private static final Resources REPLICA = new Resources(2, 0, 8);
     private static final Resources TRAINING = new Resources(21, 2, 100);
 
-    private final List<MachineSnapshot> hosts = new ArrayList<>();
+    private final List<MachineSnapshot> machines = new ArrayList<>();
     private final Set<String> departing = new HashSet<>();
-    private Duration progress = Duration.ZERO;
+    private Duration runtime = Duration.ZERO;
 
-    private static JobRecord job(int id, JobKind shape, Priority priority, int tasks, Resources each, boolean apart) {
+    private static JobRecord job(
+            int id, JobKind kind, Priority priority, int tasks, Resources perTask, boolean spread) {
         return JobRecord.accepted(
                 new Submission(
                         "wk-%06d".formatted(id),
                         "c",
                         "red",
-                        shape,
+                        kind,
                         priority,
                         tasks,
-                        each,
+                        perTask,
                         Optional.empty(),
                         Optional.empty(),
                         false,
-                        apart,
+                        spread,
                         false,
                         "image",
                         1,
@@ -60,29 +61,19 @@
         return job(id, JobKind.SERVICE, Priority.CRITICAL, replicas, REPLICA, false);
     }
 
-    private void host(String id, String zone, String... images) {
-        hosts.add(new MachineSnapshot(id, "m", zone, false, MACHINE, true, true, Set.of(images)));
+    private void machine(String id, String zone, String... images) {
+        machines.add(new MachineSnapshot(id, "m", zone, false, MACHINE, true, true, Set.of(images)));
     }
 
     private Plan plan(JobRecord... jobs) {
-        var places = new HashMap<String, MachinePool>();
-        hosts.forEach(
-                machine -> places.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot())));
-        return Planner.plan(new ClusterSnapshot(
-                Instant.ofEpochSecond(1000),
-                ProjectedJobs.ofStored(List.of(jobs)),
-                hosts,
-                TEAMS,
-                places,
-                Set.of(),
-                job -> 100,
-                Set.of(),
-                Set.of(),
-                true,
-                departing,
-                List.of(),
-                new ServiceLevelObjectives(List.of()),
-                started -> progress));
+        return snapshot(jobs).machines(machines).plan();
+    }
+
+    private SnapshotFixture snapshot(JobRecord... jobs) {
+        return new SnapshotFixture(TEAMS)
+                .jobs(List.of(jobs))
+                .departingMachines(departing)
+                .runtime(runtime);
     }
 
     private static List<String> placesOf(Plan plan, JobRecord job) {
@@ -93,22 +84,22 @@
     }
 
     @Test
-    void replicasOfOneServiceGoToDifferentMachinesAndZones() {
-        host("a", "east");
-        host("b", "east");
-        host("c", "west");
-        host("d", "west");
+    void replicasOfOneServiceAreSpreadOverMachinesAndZones() {
+        machine("a", "east");
+        machine("b", "east");
+        machine("c", "west");
+        machine("d", "west");
         List<String> places = placesOf(plan(service(1, 4)), service(1, 4));
         assertEquals(Set.of("a", "b", "c", "d"), Set.copyOf(places));
         assertEquals(4, places.size());
     }
 
     @Test
-    void aSecondReplicaGoesWhereTheImageIsAndAThirdElsewhere() {
-        host("a", "east", "image");
-        host("b", "east");
-        host("c", "west");
-        host("d", "west");
+    void aSecondReplicaIsPlacedWhereTheImageIsAndAThirdElsewhere() {
+        machine("a", "east", "image");
+        machine("b", "east");
+        machine("c", "west");
+        machine("d", "west");
         List<String> places = placesOf(plan(service(1, 5)), service(1, 5));
         assertEquals(2, places.stream().filter("a"::equals).count());
         assertEquals(Set.of("a", "b", "c", "d"), Set.copyOf(places));
@@ -116,8 +107,8 @@
 
     @Test
     void theZoneLimitHoldsForEachStartGivenWhereTheOthersAre() {
-        host("a", "east");
-        host("b", "east");
+        machine("a", "east");
+        machine("b", "east");
         JobRecord job = job(1, JobKind.SERVICE, Priority.CRITICAL, 5, REPLICA, true);
         Plan plan = plan(job);
         assertEquals(3, placesOf(plan, job).size(), "at most half, rounded up, in one zone");
@@ -127,9 +118,9 @@
     }
 
     @Test
-    void servicesShareMachinesAndLeaveTheOthersToAccelerators() {
+    void servicesShareMachinesAndLeaveOthersToAcceleratorWork() {
         for (String id : List.of("a", "b", "c", "d")) {
-            host(id, "east", "image");
+            machine(id, "east", "image");
         }
         JobRecord running = service(1, 2).withPlaced(Map.of(0, "a", 1, "b"));
         JobRecord second = service(2, 2);
@@ -137,9 +128,9 @@
     }
 
     @Test
-    void aReplicaGoesBesideAcceleratorWorkBeforeItTakesRoomFromIt() {
-        host("a", "east", "image");
-        host("b", "east", "image");
+    void aReplicaIsPlacedBesideAcceleratorWorkBeforeItDisplacesAny() {
+        machine("a", "east", "image");
+        machine("b", "east", "image");
         JobRecord training = job(1, JobKind.GANG, Priority.URGENT, 1, TRAINING, false)
                 .withPlaced(Map.of(0, "a"))
                 .withGangRunning();
@@ -151,8 +142,8 @@
     }
 
     @Test
-    void lowerWorkGivesWayAtOnceAndIsNotBookedBefore() {
-        host("a", "east", "image");
+    void lowerWorkIsPreemptedAtOnceAndTheReplicaIsNotBoundBefore() {
+        machine("a", "east", "image");
         JobRecord low = job(1, JobKind.ARRAY, Priority.LOW, 12, REPLICA, false);
         var places = new HashMap<Integer, String>();
         for (int i = 0; i < 12; i++) {
@@ -165,48 +156,33 @@
     }
 
     @Test
-    void aMachineThatDepartsIsLeftOnlyForRoomElsewhere() {
-        host("b", "east", "image");
+    void aReplicaLeavesADepartingMachineOnlyIfThereIsCapacityElsewhere() {
+        machine("b", "east", "image");
         departing.add("a");
         JobRecord replica = service(1, 1).withPlaced(Map.of(0, "a"));
         assertEquals(1, plan(replica).moves().size());
-        hosts.clear();
-        assertEquals(List.of(), plan(replica).moves(), "without room elsewhere it stays while it can");
+        machines.clear();
+        assertEquals(List.of(), plan(replica).moves(), "without capacity elsewhere it stays while it can");
     }
 
     @Test
-    void aMachineThatASingleReplicaKeepsIsEmptiedAfterAWhile() {
-        host("a", "east", "image");
-        host("b", "east", "image");
+    void aMachineWithASingleReplicaIsEmptiedAfterAWhile() {
+        machine("a", "east", "image");
+        machine("b", "east", "image");
         JobRecord alone = service(1, 1).withPlaced(Map.of(0, "a"));
         JobRecord others = service(2, 2).withPlaced(Map.of(0, "b", 1, "b"));
         assertEquals(List.of(), plan(alone, others).moves(), "it has only just started");
-        progress = Duration.ofMinutes(6);
+        runtime = Duration.ofMinutes(6);
         List<Eviction> moves = plan(alone, others).moves();
         assertEquals(1, moves.size());
         assertEquals("a", moves.get(0).allocation().machineId());
     }
 
     @Test
-    void aServiceThatFailsEverywhereHasOneReplicaTriedAtATime() {
-        host("a", "east");
+    void aCrashLoopingServiceStartsOneReplicaAtATime() {
+        machine("a", "east");
         JobRecord faulty = service(1, 6);
-        var snapshotMost = new int[] {1};
-        Plan plan = Planner.plan(new ClusterSnapshot(
-                Instant.ofEpochSecond(1000),
-                ProjectedJobs.ofStored(List.of(faulty)),
-                hosts,
-                TEAMS,
-                Map.of(),
-                Set.of(),
-                job -> snapshotMost[0],
-                Set.of(),
-                Set.of(),
-                true,
-                Set.of(),
-                List.of(),
-                new ServiceLevelObjectives(List.of()),
-                started -> Duration.ZERO));
+        Plan plan = snapshot(faulty).machinesWithoutPools(machines).maxTasks(1).plan();
         assertEquals(1, placesOf(plan, faulty).size());
         assertTrue(plan.reasons().containsKey(faulty.id()));
     }
--- /dev/null
+++ b/src/test/java/org/dunespindle/scheduling/SnapshotFixture.java
@@ -0,0 +1,107 @@
+package org.dunespindle.scheduling;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.dunespindle.protocol.Settings;
+import org.dunespindle.storage.JobRecord;
+
+/** Builds snapshots of a cluster as its leader sees it; whatever a test does not set is empty. */
+final class SnapshotFixture {
+    private static final Instant NOW = Instant.ofEpochSecond(1000);
+    private static final int DEFAULT_MAX_TASKS = 100;
+
+    private final Map<String, Settings.Team> teams;
+    private ProjectedJobs jobs = ProjectedJobs.ofStored(List.of());
+    private List<MachineSnapshot> machines = List.of();
+    private Map<String, MachinePool> pools = Map.of();
+    private int maxTasks = DEFAULT_MAX_TASKS;
+    private Set<TaskAttempt> endedTasks = Set.of();
+    private Set<String> departingMachines = Set.of();
+    private List<DemandForecast.ForecastJob> forecastJobs = List.of();
+    private ServiceLevelObjectives objectives = new ServiceLevelObjectives(List.of());
+    private Duration runtime = Duration.ZERO;
+
+    SnapshotFixture(Map<String, Settings.Team> teams) {
+        this.teams = teams;
+    }
+
+    /** Jobs for which the controller has proposed nothing. */
+    SnapshotFixture jobs(List<JobRecord> stored) {
+        return jobs(ProjectedJobs.ofStored(stored));
+    }
+
+    SnapshotFixture jobs(ProjectedJobs projected) {
+        jobs = projected;
+        return this;
+    }
+
+    /** Machines whose pools are not known to the snapshot, so that allocations on them are in no zone. */
+    SnapshotFixture machinesWithoutPools(List<MachineSnapshot> snapshots) {
+        machines = snapshots;
+        pools = Map.of();
+        return this;
+    }
+
+    SnapshotFixture machines(List<MachineSnapshot> snapshots) {
+        var known = new HashMap<String, MachinePool>();
+        snapshots.forEach(
+                machine -> known.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot())));
+        machines = snapshots;
+        pools = known;
+        return this;
+    }
+
+    /** How many tasks of a job may be allocated at once. */
+    SnapshotFixture maxTasks(int count) {
+        maxTasks = count;
+        return this;
+    }
+
+    SnapshotFixture endedTasks(Set<TaskAttempt> attempts) {
+        endedTasks = attempts;
+        return this;
+    }
+
+    SnapshotFixture departingMachines(Set<String> ids) {
+        departingMachines = ids;
+        return this;
+    }
+
+    SnapshotFixture forecastJobs(List<DemandForecast.ForecastJob> forecast) {
+        forecastJobs = forecast;
+        return this;
+    }
+
+    SnapshotFixture objectives(ServiceLevelObjectives serviceLevelObjectives) {
+        objectives = serviceLevelObjectives;
+        return this;
+    }
+
+    /** How long every allocated task has been running. */
+    SnapshotFixture runtime(Duration duration) {
+        runtime = duration;
+        return this;
+    }
+
+    Plan plan() {
+        return Planner.plan(new ClusterSnapshot(
+                NOW,
+                jobs,
+                machines,
+                teams,
+                pools,
+                Set.of(),
+                job -> maxTasks,
+                endedTasks,
+                Set.of(),
+                true,
+                departingMachines,
+                forecastJobs,
+                objectives,
+                attempt -> runtime));
+    }
+}
