--- a/src/main/java/org/dunespindle/storage/AllocationCodec.java
+++ b/src/main/java/org/dunespindle/storage/AllocationCodec.java
@@ -150,7 +150,7 @@
     private static void parseBinding(String text, List<Allocation> into) throws MalformedMessageException {
         int end = text.indexOf(BINDING_END);
         if (end < 1) {
-            throw unreadable();
+            throw malformed();
         }
         boolean stopping = text.charAt(end - 1) == STOPPING_MARK;
         long attemptBase = Long.parseLong(text.substring(0, stopping ? end - 1 : end));
@@ -167,7 +167,7 @@
             String machine = pageAndMachines[i];
             int tasksStart = machine.indexOf(TASKS_START);
             if (tasksStart < 0) {
-                throw unreadable();
+                throw malformed();
             }
             String machineId = pageAndMachines[0] + machine.substring(0, tasksStart);
             for (int task : TaskIndexSet.parse(machine.substring(tasksStart + 1))) {
@@ -176,8 +176,8 @@
         }
     }
 
-    private static MalformedMessageException unreadable() {
-        return new MalformedMessageException("its allocations cannot be read");
+    private static MalformedMessageException malformed() {
+        return new MalformedMessageException("malformed allocations");
     }
 
     private static Map<Binding, Map<String, IntRBTreeSet>> group(List<Allocation> allocations) {
--- a/src/main/java/org/dunespindle/storage/ChangeLogReader.java
+++ b/src/main/java/org/dunespindle/storage/ChangeLogReader.java
@@ -9,11 +9,6 @@
 
 /** Reads the state store's change log and classifies why it could not be read. */
 final class ChangeLogReader {
-    private static final int HTTP_OK = 200;
-    private static final int HTTP_CLIENT_ERROR = 400;
-    private static final int HTTP_TOO_MANY_REQUESTS = 429;
-    private static final int HTTP_SERVER_ERROR = 500;
-
     private final StateStoreClient stateStore;
 
     ChangeLogReader(StateStoreClient stateStore) {
@@ -65,9 +60,10 @@
                     : Failure.UNANSWERED;
         }
         int status = response.status();
-        if (status != HTTP_OK) {
-            boolean clientError = status >= HTTP_CLIENT_ERROR && status < HTTP_SERVER_ERROR;
-            return clientError && status != HTTP_TOO_MANY_REQUESTS ? Failure.COMPACTED : Failure.REFUSED;
+        if (status != HttpStatus.OK) {
+            return HttpStatus.isClientError(status) && status != HttpStatus.TOO_MANY_REQUESTS
+                    ? Failure.COMPACTED
+                    : Failure.REFUSED;
         }
         try {
             return new Changes(StateMessages.log(response.body()));
--- a/src/main/java/org/dunespindle/storage/ChunkedJobRecordCodec.java
+++ b/src/main/java/org/dunespindle/storage/ChunkedJobRecordCodec.java
@@ -124,14 +124,14 @@
         String text = chunkText(main) + String.join("", chunks);
         String[] sections = text.split(SECTION_SEPARATOR, -1);
         if (text.length() != main.path(TEXT_LENGTH).asInt() || sections.length != SECTIONS) {
-            throw new MalformedMessageException("its parts do not belong together");
+            throw new MalformedMessageException("chunks do not belong together");
         }
         try {
             Submission spec = Submission.parse(JSON.readTree(sections[0]));
             List<Allocation> allocations = AllocationCodec.parseText(sections[1]);
             return JobRecordCodec.parseUnfinished(id, main, spec, allocations, sections[2]);
         } catch (IOException | NumberFormatException e) {
-            throw new MalformedMessageException("its text cannot be read");
+            throw new MalformedMessageException("malformed text in chunks");
         }
     }
 }
--- a/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
+++ b/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
@@ -52,7 +52,7 @@
         try {
             return Integer.parseInt(text);
         } catch (NumberFormatException e) {
-            throw new MalformedMessageException("it names no part");
+            throw new MalformedMessageException("no chunk index in key");
         }
     }
 
@@ -79,7 +79,7 @@
         List<String> chunks = chunks(id);
         int expected = ChunkedJobRecordCodec.chunkCount(main);
         if (chunks.size() != expected) {
-            throw new MalformedMessageException("it has " + chunks.size() + " parts in place of " + expected);
+            throw new MalformedMessageException("expected " + expected + " chunks, found " + chunks.size());
         }
         return ChunkedJobRecordCodec.parse(id, main, chunks);
     }
--- a/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
+++ b/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
@@ -56,7 +56,7 @@
                 return phase;
             }
         }
-        throw new MalformedMessageException("its transfer's phase " + name + " is unknown");
+        throw new MalformedMessageException("unknown delegation phase " + name);
     }
 
     private static InboundDelegation parseInbound(JsonNode row) throws MalformedMessageException {
@@ -69,7 +69,7 @@
 
     private static void require(boolean wellFormed) throws MalformedMessageException {
         if (!wellFormed) {
-            throw new MalformedMessageException("its tie to another cell cannot be read");
+            throw new MalformedMessageException("malformed delegation link");
         }
     }
 }
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -50,7 +50,9 @@
     public enum Outcome {
         /** Neither done nor cancelled yet. */
         OPEN,
+        /** All of its tasks are done. */
         DONE,
+        /** Its user or an operator cancelled it, or it was withdrawn; tasks may still be stopping. */
         CANCELLED
     }
 
@@ -71,12 +73,12 @@
             this.stored = stored;
         }
 
-        /** The name in the stored record. */
+        /** The name in the stored record, which differs from the constant's. */
         String stored() {
             return stored;
         }
 
-        /** Reads the name in the stored record. */
+        /** Parses the name in the stored record. */
         static GangPhase parse(String text) throws MalformedMessageException {
             for (GangPhase phase : values()) {
                 if (phase.stored.equals(text)) {
--- a/src/main/java/org/dunespindle/storage/JobRecordWriter.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordWriter.java
@@ -12,7 +12,7 @@
 public final class JobRecordWriter {
     /** Changes of a transaction that are left to others when a task is placed: its team's record, and one to spare. */
     private static final int RESERVED_CHANGES = 2;
-    /** The longest description that is accepted leaves this part of a value to the job's progress. */
+    /** A description may take a value's size divided by this; the rest is left for the job's progress. */
     private static final int DESCRIPTION_DIVISOR = 2;
 
     private final StateReplica replica;
--- a/src/main/java/org/dunespindle/storage/StateStoreClient.java
+++ b/src/main/java/org/dunespindle/storage/StateStoreClient.java
@@ -28,14 +28,6 @@
     private static final int MIN_FAILURES_FOR_OUTAGE = 2;
     private static final byte[] NO_BODY = new byte[0];
 
-    private static final int HTTP_OK = 200;
-    private static final int HTTP_BAD_REQUEST = 400;
-    private static final int HTTP_NOT_FOUND = 404;
-    private static final int HTTP_CONFLICT = 409;
-    private static final int HTTP_CONTENT_TOO_LARGE = 413;
-    private static final int HTTP_TOO_MANY_REQUESTS = 429;
-    private static final int HTTP_UNAVAILABLE = 503;
-
     private final RateLimitedHttpClient httpClient;
     private final RateLimiter writes;
     private int consecutiveFailures;
@@ -97,8 +89,8 @@
     public CompletableFuture<Boolean> renewLease(long lease) {
         return call(true, "POST", "/holds/" + lease + "/renew", MessagePackCodec.write(MessagePackCodec.map()))
                 .thenCompose(response -> switch (response.status()) {
-                    case HTTP_OK -> CompletableFuture.completedFuture(true);
-                    case HTTP_NOT_FOUND -> CompletableFuture.completedFuture(false);
+                    case HttpStatus.OK -> CompletableFuture.completedFuture(true);
+                    case HttpStatus.NOT_FOUND -> CompletableFuture.completedFuture(false);
                     default -> CompletableFuture.failedFuture(unexpectedStatus(response));
                 });
     }
@@ -128,9 +120,12 @@
                     : new TransactionResult.Refused(0, "no connection");
         }
         return switch (response.status()) {
-            case HTTP_OK -> applied(response);
-            case HTTP_CONFLICT -> new TransactionResult.Conflict(failedKeys(response));
-            case HTTP_BAD_REQUEST, HTTP_CONTENT_TOO_LARGE, HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE ->
+            case HttpStatus.OK -> applied(response);
+            case HttpStatus.CONFLICT -> new TransactionResult.Conflict(failedKeys(response));
+            case HttpStatus.BAD_REQUEST,
+                    HttpStatus.CONTENT_TOO_LARGE,
+                    HttpStatus.TOO_MANY_REQUESTS,
+                    HttpStatus.SERVICE_UNAVAILABLE ->
                 new TransactionResult.Refused(
                         response.status(), new String(response.body(), StandardCharsets.ISO_8859_1));
             default -> new TransactionResult.Unknown();
@@ -162,7 +157,7 @@
 
     private static CompletableFuture<JsonNode> requireOk(CompletableFuture<HttpClientResponse> call) {
         return call.thenCompose(response -> {
-            if (response.status() != HTTP_OK) {
+            if (response.status() != HttpStatus.OK) {
                 return CompletableFuture.failedFuture(unexpectedStatus(response));
             }
             try {
@@ -180,7 +175,7 @@
     private CompletableFuture<HttpClientResponse> call(boolean urgent, String method, String target, byte[] body) {
         return httpClient.call(urgent, method, target, body).whenComplete((response, failure) -> {
             // A refusal for the rate alone shows that the store is available.
-            boolean served = response != null && response.status() != HTTP_UNAVAILABLE;
+            boolean served = response != null && response.status() != HttpStatus.SERVICE_UNAVAILABLE;
             consecutiveFailures = served ? 0 : consecutiveFailures + 1;
         });
     }
--- a/src/main/java/org/dunespindle/storage/TransactionResult.java
+++ b/src/main/java/org/dunespindle/storage/TransactionResult.java
@@ -17,18 +17,14 @@
      * @param why the store's explanation
      */
     record Refused(int status, String why) implements TransactionResult {
-        private static final int HTTP_BAD_REQUEST = 400;
-        private static final int HTTP_CONTENT_TOO_LARGE = 413;
-        private static final int HTTP_TOO_MANY_REQUESTS = 429;
-
         /** Whether it was refused only for its rate: the same transaction may be sent again. */
         public boolean tooMany() {
-            return status == HTTP_TOO_MANY_REQUESTS;
+            return status == HttpStatus.TOO_MANY_REQUESTS;
         }
 
         /** Whether it was refused for its content: the same transaction will be refused again. */
         public boolean asItIs() {
-            return status == HTTP_BAD_REQUEST || status == HTTP_CONTENT_TOO_LARGE;
+            return status == HttpStatus.BAD_REQUEST || status == HttpStatus.CONTENT_TOO_LARGE;
         }
     }
 
--- a/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
+++ b/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
@@ -111,13 +111,14 @@
         assertEquals(Optional.empty(), delegated.doneElsewhere().delegationLink());
         assertEquals(3, delegated.doneElsewhere().doneCount());
         assertEquals(Optional.empty(), delegated.cancelled().delegationLink());
-        InboundDelegation visit = InboundDelegation.of("a", 7);
-        JobRecord visitor = JobRecord.acceptedFromOrigin(job(1).submission(), NOW, visit);
-        JobRecord done = visitor.withPlaced(Map.of(0, "i-1")).withReleased(0, true);
+        InboundDelegation link = InboundDelegation.of("a", 7);
+        JobRecord inboundJob = JobRecord.acceptedFromOrigin(job(1).submission(), NOW, link);
+        JobRecord done = inboundJob.withPlaced(Map.of(0, "i-1")).withReleased(0, true);
         assertEquals(JobRecord.Outcome.DONE, done.outcome());
-        assertEquals(Optional.of(visit), done.inboundDelegation());
-        assertEquals(Optional.of(visit), visitor.cancelled().inboundDelegation());
-        assertTrue(visitor.withdrawn().inboundDelegation().orElseThrow().withdrawn());
-        assertFalse(visitor.withPlaced(Map.of(0, "i-1")).withReleased(0, false).neverPlaced());
+        assertEquals(Optional.of(link), done.inboundDelegation());
+        assertEquals(Optional.of(link), inboundJob.cancelled().inboundDelegation());
+        assertTrue(inboundJob.withdrawn().inboundDelegation().orElseThrow().withdrawn());
+        assertFalse(
+                inboundJob.withPlaced(Map.of(0, "i-1")).withReleased(0, false).neverPlaced());
     }
 }
--- a/src/test/java/org/dunespindle/storage/StateReplicaTest.java
+++ b/src/test/java/org/dunespindle/storage/StateReplicaTest.java
@@ -111,8 +111,8 @@
         revision = 50_000;
         firstLogRevision = 49_000;
         time.run(Duration.ofSeconds(20));
-        assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0, "its view is " + replica.staleness());
-        assertTrue(replica.value("ds/x/039").orElseThrow().path("at").asLong() >= 50_000, "the copy is the old one");
+        assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0, "staleness " + replica.staleness());
+        assertTrue(replica.value("ds/x/039").orElseThrow().path("at").asLong() >= 50_000, "the replica is stale");
     }
 
     @Test
@@ -125,7 +125,7 @@
         requests.clear();
         pagesToFail = 6;
         time.run(Duration.ofSeconds(12));
-        assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0, "its view is " + replica.staleness());
+        assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0, "staleness " + replica.staleness());
         long first = requests.stream()
                 .filter(t -> t.startsWith("/keys") && !t.contains("since="))
                 .count();
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is kept in the state service, letter by letter: every record here is written as the text beside it, and that text is read
- * as the record. What the sources call a field or a constant may change; the text may not, since running cells hold it.
+ * Pins the stored forms: every record here is written as the text beside it, and that text is parsed as the record. The names
+ * of fields and constants in the sources may change; the text may not, since running cells have stored it.
  */
 class StoredFormsCompatibilityTest {
     private static final String ID = "wk-000412";
@@ -35,12 +35,12 @@
              "samePlace":true,"apart":false,"driftwood":true,"bundle":"image:7","imageGb":2.5,
              "guessS":300.0,"snapshotS":30.0,"flushS":2.0,"dueS":3600.0}""";
 
-    private static Submission description(JobKind shape) {
+    private static Submission description(JobKind kind) {
         return new Submission(
                 ID,
                 "train",
                 "red",
-                shape,
+                kind,
                 Priority.URGENT,
                 9,
                 new Resources(2, 1, 16.5),
@@ -57,17 +57,17 @@
                 Optional.of(Duration.ofHours(1)));
     }
 
-    private static JobRecord open(JobKind shape, JobRecord.GangPhase mode, List<Allocation> allocations) {
+    private static JobRecord open(JobKind kind, JobRecord.GangPhase phase, List<Allocation> allocations) {
         return new JobRecord(
                 ID,
-                Optional.of(description(shape)),
+                Optional.of(description(kind)),
                 ARRIVED,
                 JobRecord.Outcome.OPEN,
                 21,
                 7,
                 List.of(0, 1, 2, 5),
                 allocations,
-                mode,
+                phase,
                 17,
                 1_700_000_000_456L,
                 3,
@@ -75,14 +75,14 @@
                 Optional.empty());
     }
 
-    private static JobRecord finished(JobRecord.Outcome end, int next, Optional<DelegationLink> tie) {
+    private static JobRecord finished(JobRecord.Outcome outcome, int nextTaskIndex, Optional<DelegationLink> link) {
         return new JobRecord(
                 ID,
                 Optional.empty(),
                 ARRIVED,
-                end,
+                outcome,
                 0,
-                next,
+                nextTaskIndex,
                 List.of(),
                 List.of(),
                 JobRecord.GangPhase.QUEUED,
@@ -90,7 +90,7 @@
                 0,
                 0,
                 Optional.empty(),
-                tie);
+                link);
     }
 
     private static JsonNode json(String text) {
@@ -106,8 +106,8 @@
         assertEquals(job, JobRecord.parse(ID, json(text)));
     }
 
-    /** A copy that has read some keys, as another controller wrote them. */
-    private static StateReplica copyOf(Map<String, String> stored) {
+    /** A replica of some keys, as another controller wrote them. */
+    private static StateReplica replicaOf(Map<String, String> stored) {
         var replica = new StateReplica(null, new VirtualTime(1).new Process(), Duration.ofSeconds(1), () -> {});
         var transaction = new Transaction();
         stored.forEach((key, text) -> transaction.write(key, json(text)));
@@ -133,50 +133,50 @@
 
     @Test
     void acceptedJobs() throws MalformedMessageException {
-        for (JobKind shape : JobKind.values()) {
-            String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted(shape.wire())
+        for (JobKind kind : JobKind.values()) {
+            String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted(kind.wire())
                     + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
                     + "\"again\":\"\",\"claims\":[]}";
-            assertStored(text, JobRecord.accepted(description(shape), ARRIVED));
+            assertStored(text, JobRecord.accepted(description(kind), ARRIVED));
         }
     }
 
     @Test
-    void placedJobsInEveryMode() throws MalformedMessageException {
+    void placedJobsInEveryGangPhase() throws MalformedMessageException {
         var allocations = List.of(
                 new Allocation(3, "i-0023", 17, false),
                 new Allocation(4, "i-0023", 17, false),
                 new Allocation(6, "i-0031", 17, false),
                 new Allocation(7, "i-0024", 18, true));
-        var modes = Map.of(
+        var phases = Map.of(
                 JobRecord.GangPhase.QUEUED, "IDLE",
                 JobRecord.GangPhase.PLACEHOLDERS, "HOLD",
                 JobRecord.GangPhase.RUNNING, "REAL",
                 JobRecord.GangPhase.STOPPING, "STOP");
-        assertEquals(Set.of(JobRecord.GangPhase.values()), modes.keySet());
-        for (Map.Entry<JobRecord.GangPhase, String> mode : modes.entrySet()) {
+        assertEquals(Set.of(JobRecord.GangPhase.values()), phases.keySet());
+        for (Map.Entry<JobRecord.GangPhase, String> phase : phases.entrySet()) {
             String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted("group")
-                    + ",\"gen\":21,\"next\":7,\"mode\":\"" + mode.getValue()
+                    + ",\"gen\":21,\"next\":7,\"mode\":\"" + phase.getValue()
                     + "\",\"try\":17,\"order\":1700000000456,\"fails\":3,\"wait\":1700000009000,"
                     + "\"again\":\"0-2,5\",\"claims\":[[17,false,{\"i-002\":{\"3\":\"3-4\"},\"i-003\":{\"1\":\"6\"}}],"
                     + "[18,true,{\"i-002\":{\"4\":\"7\"}}]]}";
-            assertStored(text, open(JobKind.GANG, mode.getKey(), allocations));
+            assertStored(text, open(JobKind.GANG, phase.getKey(), allocations));
         }
     }
 
     @Test
-    void endedJobsInEveryWay() throws MalformedMessageException {
-        var ends = Map.of(
+    void finishedJobsWithEveryOutcome() throws MalformedMessageException {
+        var outcomes = Map.of(
                 JobRecord.Outcome.OPEN,
                 "OPEN",
                 JobRecord.Outcome.DONE,
                 "DONE",
                 JobRecord.Outcome.CANCELLED,
                 "CANCELLED");
-        assertEquals(Set.of(JobRecord.Outcome.values()), ends.keySet());
-        for (Map.Entry<JobRecord.Outcome, String> end : ends.entrySet()) {
-            String text = "{\"at\":1700000000123,\"end\":\"" + end.getValue() + "\",\"next\":9}";
-            assertStored(text, finished(end.getKey(), 9, Optional.empty()));
+        assertEquals(Set.of(JobRecord.Outcome.values()), outcomes.keySet());
+        for (Map.Entry<JobRecord.Outcome, String> outcome : outcomes.entrySet()) {
+            String text = "{\"at\":1700000000123,\"end\":\"" + outcome.getValue() + "\",\"next\":9}";
+            assertStored(text, finished(outcome.getKey(), 9, Optional.empty()));
         }
     }
 
@@ -226,7 +226,7 @@
     }
 
     @Test
-    void tombstonesOfTransfersThatNeverCame() throws MalformedMessageException {
+    void tombstonesOfDelegationsWhoseJobNeverArrived() throws MalformedMessageException {
         assertStored(
                 "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"visit\":[\"a\",12,false],\"next\":0}",
                 JobRecord.tombstone(ID, ARRIVED, InboundDelegation.of("a", 12), true));
@@ -235,7 +235,7 @@
                 JobRecord.tombstone(ID, ARRIVED, InboundDelegation.of("a", 12), false));
     }
 
-    /** Values are MessagePack there; this one stands for all. */
+    /** Stored values are MessagePack; one example pins the encoding. */
     @Test
     void bytesOfAValue() {
         assertEquals(
@@ -245,29 +245,29 @@
                                 .toNode())));
     }
 
-    /** A record that was cut, as a copy puts it together from the values stored under its keys. */
-    private static void assertCut(JobRecord record, String main, String... parts) {
+    /** A chunked record, and the one that a replica assembles from the values stored under its keys. */
+    private static void assertChunked(JobRecord record, String main, String... chunks) {
         ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(record, 300);
         var stored = new HashMap<String, String>(Map.of("ds/job/wk-000412", main));
         assertEquals(json(main).toString(), chunked.main().toString());
-        assertEquals(parts.length, chunked.chunks().size());
-        for (int i = 0; i < parts.length; i++) {
+        assertEquals(chunks.length, chunked.chunks().size());
+        for (int i = 0; i < chunks.length; i++) {
             assertEquals(
-                    json(parts[i]).toString(),
+                    json(chunks[i]).toString(),
                     ChunkedJobRecordCodec.chunkNode(chunked.chunks().get(i)).toString());
-            stored.put("ds/part/wk-000412/" + i, parts[i]);
+            stored.put("ds/part/wk-000412/" + i, chunks[i]);
         }
-        assertEquals(Optional.of(record), copyOf(stored).job(ID));
+        assertEquals(Optional.of(record), replicaOf(stored).job(ID));
     }
 
     @Test
-    void recordsCutIntoParts() {
+    void chunkedRecords() {
         var allocations = List.of(
                 new Allocation(3, "i-0023", 17, false),
                 new Allocation(4, "i-0023", 17, false),
                 new Allocation(6, "i-0031", 17, false),
                 new Allocation(7, "i-0024", 18, true));
-        assertCut(
+        assertChunked(
                 open(JobKind.GANG, JobRecord.GangPhase.STOPPING, allocations),
                 "{\"at\":1700000000123,\"end\":\"OPEN\",\"gen\":21,\"next\":7,\"mode\":\"STOP\",\"try\":17,\"order\":1700000000"
                         + "456,\"fails\":3,\"wait\":1700000009000,\"length\":363,\"parts\":2,\"text\":\"{\\\"id\\\":\\\"wk-000412\\\",\\"
@@ -281,12 +281,12 @@
     }
 
     @Test
-    void recordsCutIntoPartsWithNamesOfMachinesThatNeedQuotes() {
+    void chunkedRecordsWithMachineIdsThatNeedQuotes() {
         JobRecord job = open(
                         JobKind.ARRAY, JobRecord.GangPhase.QUEUED, List.of(new Allocation(6, "rack:1/a", 17, false)))
                 .withDelegationLink(
                         new OutboundDelegation("b", 12, OutboundDelegation.Phase.HOME, 2, Optional.empty()));
-        assertCut(
+        assertChunked(
                 job,
                 "{\"at\":1700000000123,\"end\":\"OPEN\",\"gen\":21,\"next\":7,\"mode\":\"IDLE\",\"try\":17,\"order\":1700000000"
                         + "456,\"fails\":3,\"wait\":1700000009000,\"away\":[\"b\",12,\"HOME\",2],\"length\":359,\"parts\":2,\"text\":\"{"
@@ -322,7 +322,7 @@
                 {"i-0023":["10.0.0.7:7000","gpu-8","east",false,"n0",4,11,1700000000000,1700000040000,false,""],
                  "i-0024":["","gpu-4","west",true,"n1",5,12,1700000000123,0,true,"it is idle"],
                  "i-0025":["","gpu-4","west",true,"n1",5,12,1700000000123,0,true,"an operator drains it"]}""";
-        StateReplica replica = copyOf(Map.of("ds/page/i-002", page));
+        StateReplica replica = replicaOf(Map.of("ds/page/i-002", page));
         assertEquals(Map.of("i-0023", ordinary, "i-0024", idle, "i-0025", drained), replica.machines());
         JsonNode written = replica.rewrite("ds/page/i-002", Map.of())
                 .changes()
@@ -343,13 +343,13 @@
                 "{\"version\":3}", FormatVersion.record(FormatVersion.CELL_TIES).toString());
         assertEquals(
                 FormatVersion.CELL_TIES,
-                copyOf(Map.of("ds/format", "{\"version\":3}")).formatVersion());
-        assertEquals(FormatVersion.WHOLE_RECORDS, copyOf(Map.of()).formatVersion());
+                replicaOf(Map.of("ds/format", "{\"version\":3}")).formatVersion());
+        assertEquals(FormatVersion.WHOLE_RECORDS, replicaOf(Map.of()).formatVersion());
     }
 
     @Test
-    void controllersAreKnownByTheirKeys() {
-        StateReplica replica = copyOf(Map.of("ds/member/n1", "{\"inc\":3,\"version\":2}"));
+    void membersAreNamedByTheirKeys() {
+        StateReplica replica = replicaOf(Map.of("ds/member/n1", "{\"inc\":3,\"version\":2}"));
         assertEquals(Set.of("n1"), replica.members().keySet());
     }
 }
