--- a/src/main/java/org/dunespindle/FrontRoutes.java
+++ b/src/main/java/org/dunespindle/FrontRoutes.java
@@ -12,8 +12,8 @@
 import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.transport.ConnectionBudget;
 import org.dunespindle.transport.HttpServerRequest;
-import org.dunespindle.transport.HttpStatus;
 import org.dunespindle.transport.HttpServerResponse;
+import org.dunespindle.transport.HttpStatus;
 
 /** Routes the requests of users, workers and health checks; bodies are MessagePack. */
 final class FrontRoutes {
@@ -67,7 +67,7 @@
     private HttpServerResponse health() {
         boolean healthy = controller.isHealthy();
         return new HttpServerResponse(
-                healthy ? HttpStatus.OK : HttpStatus.UNAVAILABLE,
+                healthy ? HttpStatus.OK : HttpStatus.SERVICE_UNAVAILABLE,
                 "text/plain",
                 (healthy ? "ok" : "not ready").getBytes(StandardCharsets.US_ASCII),
                 Optional.empty());
@@ -115,7 +115,7 @@
     /** What a listener tells of a request that no route saw. */
     static String refusal(int status) {
         return switch (status) {
-            case HttpStatus.PAYLOAD_TOO_LARGE -> "the body is longer than 64 KiB";
+            case HttpStatus.CONTENT_TOO_LARGE -> "the body is longer than 64 KiB";
             case HttpStatus.INTERNAL_SERVER_ERROR -> "the service failed at this request";
             default -> "the request is malformed";
         };
--- a/src/main/java/org/dunespindle/PeerRoutes.java
+++ b/src/main/java/org/dunespindle/PeerRoutes.java
@@ -7,8 +7,8 @@
 import org.dunespindle.protocol.JsonCodec;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.transport.HttpServerRequest;
-import org.dunespindle.transport.HttpStatus;
 import org.dunespindle.transport.HttpServerResponse;
+import org.dunespindle.transport.HttpStatus;
 
 /** Routes the requests of other controllers and of operators; bodies are JSON. */
 final class PeerRoutes {
--- a/src/main/java/org/dunespindle/api/AdminApi.java
+++ b/src/main/java/org/dunespindle/api/AdminApi.java
@@ -1,7 +1,5 @@
 package org.dunespindle.api;
 
-import org.dunespindle.transport.HttpStatus;
-
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Map;
@@ -15,6 +13,7 @@
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.StateReplica;
+import org.dunespindle.transport.HttpStatus;
 
 /** The administration API, version 1: JSON on the peers' address. This class routes requests. */
 public final class AdminApi {
@@ -66,8 +65,8 @@
             return;
         }
         if (!replica.loaded()) {
-            answer.accept(
-                    AdminResponse.error(HttpStatus.UNAVAILABLE, "this controller is still reading the stored state"));
+            answer.accept(AdminResponse.error(
+                    HttpStatus.SERVICE_UNAVAILABLE, "this controller is still reading the stored state"));
             return;
         }
         String resource = path.substring(PREFIX.length());
--- a/src/main/java/org/dunespindle/api/AdminChanges.java
+++ b/src/main/java/org/dunespindle/api/AdminChanges.java
@@ -1,7 +1,5 @@
 package org.dunespindle.api;
 
-import org.dunespindle.transport.HttpStatus;
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -21,6 +19,7 @@
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.Transaction;
 import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.transport.HttpStatus;
 
 /** Stores what operators change: the options, and which machines drain. A change is answered once it is stored. */
 final class AdminChanges {
--- a/src/main/java/org/dunespindle/api/AdminResponse.java
+++ b/src/main/java/org/dunespindle/api/AdminResponse.java
@@ -1,9 +1,8 @@
 package org.dunespindle.api;
 
-import org.dunespindle.transport.HttpStatus;
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.dunespindle.protocol.MessagePackCodec;
+import org.dunespindle.transport.HttpStatus;
 
 /** An answer of the administration API before it is put on the wire. */
 public record AdminResponse(int status, ObjectNode body) {
@@ -16,7 +15,7 @@
     }
 
     static AdminResponse stateServiceUnavailable() {
-        return error(HttpStatus.UNAVAILABLE, "the state service does not answer");
+        return error(HttpStatus.SERVICE_UNAVAILABLE, "the state service does not answer");
     }
 
     /** Another change of the same record is being stored. */
--- a/src/main/java/org/dunespindle/api/JobCancellation.java
+++ b/src/main/java/org/dunespindle/api/JobCancellation.java
@@ -1,7 +1,5 @@
 package org.dunespindle.api;
 
-import org.dunespindle.transport.HttpStatus;
-
 import java.time.Duration;
 import java.util.Optional;
 import java.util.function.Consumer;
@@ -16,6 +14,7 @@
 import org.dunespindle.storage.StateStoreClient;
 import org.dunespindle.storage.Transaction;
 import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.transport.HttpStatus;
 
 /** Cancels users' jobs. A cancellation is answered once it is stored; until then it is retried for a while. */
 final class JobCancellation {
--- a/src/main/java/org/dunespindle/api/JobStatusReader.java
+++ b/src/main/java/org/dunespindle/api/JobStatusReader.java
@@ -1,7 +1,5 @@
 package org.dunespindle.api;
 
-import org.dunespindle.transport.HttpStatus;
-
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.dunespindle.api.UserApi.Answer;
@@ -10,6 +8,7 @@
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.storage.StateStoreClient;
+import org.dunespindle.transport.HttpStatus;
 
 /** Answers users' polls with the stored state of their jobs. */
 final class JobStatusReader {
--- a/src/main/java/org/dunespindle/api/JobSubmission.java
+++ b/src/main/java/org/dunespindle/api/JobSubmission.java
@@ -1,7 +1,5 @@
 package org.dunespindle.api;
 
-import org.dunespindle.transport.HttpStatus;
-
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
@@ -22,6 +20,7 @@
 import org.dunespindle.storage.StateStoreClient;
 import org.dunespindle.storage.Transaction;
 import org.dunespindle.storage.TransactionResult;
+import org.dunespindle.transport.HttpStatus;
 
 /** Accepts users' submissions: a job is accepted once its record is stored. Repeating a submission is idempotent. */
 final class JobSubmission {
--- a/src/main/java/org/dunespindle/api/UserApi.java
+++ b/src/main/java/org/dunespindle/api/UserApi.java
@@ -1,7 +1,5 @@
 package org.dunespindle.api;
 
-import org.dunespindle.transport.HttpStatus;
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
 import java.util.List;
@@ -14,6 +12,7 @@
 import org.dunespindle.protocol.MachineType;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.storage.StateStoreClient;
+import org.dunespindle.transport.HttpStatus;
 
 /** The users' interface: submissions, polls and cancellations. Every answer rests on what is stored. */
 public final class UserApi {
@@ -59,7 +58,9 @@
 
         private static Answer unavailable(String reason, Duration retryAfter) {
             return new Answer(
-                    HttpStatus.UNAVAILABLE, MessagePackCodec.map().put("error", reason), Optional.of(retryAfter));
+                    HttpStatus.SERVICE_UNAVAILABLE,
+                    MessagePackCodec.map().put("error", reason),
+                    Optional.of(retryAfter));
         }
     }
 
--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -9,9 +9,9 @@
 import org.HdrHistogram.Histogram;
 import org.dunespindle.api.AdminApi;
 import org.dunespindle.api.ControllerStatus;
-import org.dunespindle.api.SubmissionFeasibility;
 import org.dunespindle.api.DelegationContext;
 import org.dunespindle.api.JobDelegation;
+import org.dunespindle.api.SubmissionFeasibility;
 import org.dunespindle.api.UserApi;
 import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
@@ -222,13 +222,7 @@
                 planTimes);
         jobDelegation = connector.apply(delegationContext());
         adminApi = new AdminApi(
-                context,
-                commitQueue,
-                machineWriter,
-                placementWriter.teamAccounts(),
-                this,
-                jobDelegation,
-                latencies());
+                context, commitQueue, machineWriter, placementWriter.teamAccounts(), this, jobDelegation, latencies());
         userApi = new UserApi(context, stateStore, commitQueue, catalog::types, acceptTimes, jobDelegation);
     }
 
@@ -267,7 +261,8 @@
                 context.eventRecorder(),
                 options,
                 job -> catalog.types()
-                        .map(types -> new DelegationContext.NeverVerdict(SubmissionFeasibility.whyNever(job, types, settings))),
+                        .map(types -> new DelegationContext.NeverVerdict(
+                                SubmissionFeasibility.whyNever(job, types, settings))),
                 waitExplainer::explain,
                 () -> catalog.types().orElse(List.of()));
     }
--- a/src/main/java/org/dunespindle/storage/ChangeLogReader.java
+++ b/src/main/java/org/dunespindle/storage/ChangeLogReader.java
@@ -5,6 +5,7 @@
 import org.dunespindle.protocol.StateMessages;
 import org.dunespindle.transport.HttpCallException;
 import org.dunespindle.transport.HttpClientResponse;
+import org.dunespindle.transport.HttpStatus;
 import org.dunespindle.transport.ResponseTooLongException;
 
 /** Reads the state store's change log and classifies why it could not be read. */
--- a/src/main/java/org/dunespindle/storage/StateStoreClient.java
+++ b/src/main/java/org/dunespindle/storage/StateStoreClient.java
@@ -15,6 +15,7 @@
 import org.dunespindle.transport.HttpCallException;
 import org.dunespindle.transport.HttpClient;
 import org.dunespindle.transport.HttpClientResponse;
+import org.dunespindle.transport.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/dunespindle/storage/TransactionResult.java
+++ b/src/main/java/org/dunespindle/storage/TransactionResult.java
@@ -1,6 +1,7 @@
 package org.dunespindle.storage;
 
 import java.util.Set;
+import org.dunespindle.transport.HttpStatus;
 
 /** The outcome of a transaction. */
 public sealed interface TransactionResult {
--- a/src/main/java/org/dunespindle/worker/HeartbeatReply.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatReply.java
@@ -44,7 +44,7 @@
     record Unavailable(String error) implements HeartbeatReply {
         @Override
         public int status() {
-            return HttpStatus.UNAVAILABLE;
+            return HttpStatus.SERVICE_UNAVAILABLE;
         }
 
         @Override
