--- a/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.control;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -30,25 +32,7 @@
 
     private static JobRecord job(JobKind kind, int tasks, Duration checkpointTime) {
         return JobRecord.accepted(
-                new Submission(
-                        "wk-000001",
-                        "c",
-                        "t",
-                        kind,
-                        Priority.URGENT,
-                        tasks,
-                        new Resources(1, 1, 1),
-                        Optional.empty(),
-                        Optional.empty(),
-                        false,
-                        false,
-                        false,
-                        "i",
-                        1,
-                        Duration.ofSeconds(1),
-                        checkpointTime,
-                        Duration.ofSeconds(4),
-                        Optional.empty()),
+                SubmissionBuilder.submission("wk-000001").jobClass("c").team("t").kind(kind).priority(Priority.URGENT).tasks(tasks).image("i").estimate(Duration.ofSeconds(1)).checkpointEvery(checkpointTime).checkpointTime(Duration.ofSeconds(4)).build(),
                 Instant.EPOCH);
     }
 
--- a/src/test/java/org/dunespindle/federation/TestJobs.java
+++ b/src/test/java/org/dunespindle/federation/TestJobs.java
@@ -1,5 +1,7 @@
 package org.dunespindle.federation;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
@@ -22,24 +24,6 @@
 
     static Submission of(
             String id, JobKind shape, Priority priority, int tasks, Optional<List<String>> types, boolean sameZone) {
-        return new Submission(
-                id,
-                "class",
-                "red",
-                shape,
-                priority,
-                tasks,
-                new Resources(1, 1, 1),
-                types,
-                Optional.empty(),
-                sameZone,
-                false,
-                false,
-                "image",
-                1,
-                Duration.ofSeconds(20),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        return SubmissionBuilder.submission(id).kind(shape).priority(priority).tasks(tasks).types(types).sameZone(sameZone).build();
     }
 }
--- /dev/null
+++ b/src/test/java/org/dunespindle/protocol/SubmissionBuilder.java
@@ -0,0 +1,143 @@
+package org.dunespindle.protocol;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+
+/** Builds submissions for tests; what a test does not set is a small array of one task. */
+public final class SubmissionBuilder {
+    private final String id;
+    private String jobClass = "class";
+    private String team = "red";
+    private JobKind kind = JobKind.ARRAY;
+    private Priority priority = Priority.NORMAL;
+    private int tasks = 1;
+    private Resources perTask = new Resources(1, 1, 1);
+    private Optional<List<String>> types = Optional.empty();
+    private Optional<String> zone = Optional.empty();
+    private boolean sameZone = false;
+    private boolean spread = false;
+    private boolean spot = false;
+    private String image = "image";
+    private double imageGb = 1;
+    private Duration estimate = Duration.ofSeconds(20);
+    private Duration checkpointEvery = Duration.ZERO;
+    private Duration checkpointTime = Duration.ZERO;
+    private Optional<Duration> due = Optional.empty();
+
+    private SubmissionBuilder(String id) {
+        this.id = id;
+    }
+
+    /** Begins a submission with this id. */
+    public static SubmissionBuilder submission(String id) {
+        return new SubmissionBuilder(id);
+    }
+
+    /** Sets the class of work that service-level objectives are stated for. */
+    public SubmissionBuilder jobClass(String value) {
+        jobClass = value;
+        return this;
+    }
+
+    /** Sets the team whose quota the job counts against. */
+    public SubmissionBuilder team(String value) {
+        team = value;
+        return this;
+    }
+
+    /** Sets whether the job is an array, a gang or a service. */
+    public SubmissionBuilder kind(JobKind value) {
+        kind = value;
+        return this;
+    }
+
+    /** Sets the priority. */
+    public SubmissionBuilder priority(Priority value) {
+        priority = value;
+        return this;
+    }
+
+    /** Sets the number of tasks. */
+    public SubmissionBuilder tasks(int value) {
+        tasks = value;
+        return this;
+    }
+
+    /** Sets what each task needs. */
+    public SubmissionBuilder perTask(Resources value) {
+        perTask = value;
+        return this;
+    }
+
+    /** Sets the machine types that the job may use. */
+    public SubmissionBuilder types(Optional<List<String>> value) {
+        types = value;
+        return this;
+    }
+
+    /** Sets the zone that the job is bound to. */
+    public SubmissionBuilder zone(Optional<String> value) {
+        zone = value;
+        return this;
+    }
+
+    /** Sets whether all tasks must be in one zone. */
+    public SubmissionBuilder sameZone(boolean value) {
+        sameZone = value;
+        return this;
+    }
+
+    /** Sets whether the tasks must be on different machines. */
+    public SubmissionBuilder spread(boolean value) {
+        spread = value;
+        return this;
+    }
+
+    /** Sets whether spot machines may be used. */
+    public SubmissionBuilder spot(boolean value) {
+        spot = value;
+        return this;
+    }
+
+    /** Sets the image. */
+    public SubmissionBuilder image(String value) {
+        image = value;
+        return this;
+    }
+
+    /** Sets the size of the image in gigabytes. */
+    public SubmissionBuilder imageGb(double value) {
+        imageGb = value;
+        return this;
+    }
+
+    /** Sets how long a task is expected to take. */
+    public SubmissionBuilder estimate(Duration value) {
+        estimate = value;
+        return this;
+    }
+
+    /** Sets the interval of checkpoints; zero for none. */
+    public SubmissionBuilder checkpointEvery(Duration value) {
+        checkpointEvery = value;
+        return this;
+    }
+
+    /** Sets how long writing a checkpoint takes. */
+    public SubmissionBuilder checkpointTime(Duration value) {
+        checkpointTime = value;
+        return this;
+    }
+
+    /** Sets the time within which the job is due. */
+    public SubmissionBuilder due(Optional<Duration> value) {
+        due = value;
+        return this;
+    }
+
+    /** The submission as set. */
+    public Submission build() {
+        return new Submission(id, jobClass, team, kind, priority, tasks, perTask, types, zone, sameZone, spread, spot, image, imageGb, estimate, checkpointEvery, checkpointTime, due);
+    }
+}
--- a/src/test/java/org/dunespindle/sim/ClusterTest.java
+++ b/src/test/java/org/dunespindle/sim/ClusterTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.sim;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Duration;
@@ -17,25 +19,7 @@
 /** Whole controllers against stand-ins in virtual time, through failures drawn from fixed seeds. */
 class ClusterTest {
     static Submission job(String id, String team, JobKind shape, int tasks, boolean sameZone, boolean spot) {
-        return new Submission(
-                id,
-                "class",
-                team,
-                shape,
-                shape == JobKind.GANG ? Priority.URGENT : Priority.LOW,
-                tasks,
-                new Resources(1, 1, 1),
-                Optional.empty(),
-                Optional.empty(),
-                sameZone,
-                false,
-                spot,
-                "image-" + tasks % 2,
-                2,
-                Duration.ofSeconds(5),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        return SubmissionBuilder.submission(id).team(team).kind(shape).priority(shape == JobKind.GANG ? Priority.URGENT : Priority.LOW).tasks(tasks).sameZone(sameZone).spot(spot).image("image-" + tasks % 2).imageGb(2).estimate(Duration.ofSeconds(5)).build();
     }
 
     static List<String> submitMix(SimulatedCluster cluster, int count) {
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.sim;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -186,25 +188,7 @@
     @ValueSource(longs = {105, 106, 107, 108, 109, 110})
     void allControllersCrashWhileAGangSaves(long seed) {
         var cluster = new SimulatedCluster(seed);
-        Submission gang = new Submission(
-                "wk-000001",
-                "class",
-                "red",
-                JobKind.GANG,
-                Priority.URGENT,
-                6,
-                new Resources(1, 1, 1),
-                Optional.empty(),
-                Optional.empty(),
-                false,
-                false,
-                true,
-                "image",
-                2,
-                Duration.ofSeconds(25),
-                Duration.ofSeconds(5),
-                Duration.ofSeconds(4),
-                Optional.empty());
+        Submission gang = SubmissionBuilder.submission("wk-000001").kind(JobKind.GANG).priority(Priority.URGENT).tasks(6).spot(true).imageGb(2).estimate(Duration.ofSeconds(25)).checkpointEvery(Duration.ofSeconds(5)).checkpointTime(Duration.ofSeconds(4)).build();
         cluster.submit(gang);
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.ARRAY, 5, false, true));
         while (!cluster.lastTold("wk-000001").equals("running")
@@ -254,44 +238,8 @@
         // Names far apart: every machine has a record of its own, and there are more of them than one transaction may
         // guard.
         var cluster = new SimulatedCluster(121, 90, 10);
-        cluster.submit(new Submission(
-                "wk-000001",
-                "class",
-                "red",
-                JobKind.ARRAY,
-                Priority.LOW,
-                80,
-                new Resources(4, 0, 1),
-                Optional.empty(),
-                Optional.empty(),
-                false,
-                false,
-                false,
-                "image",
-                2,
-                Duration.ofSeconds(5),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty()));
-        cluster.submit(new Submission(
-                "wk-000002",
-                "class",
-                "blue",
-                JobKind.GANG,
-                Priority.URGENT,
-                70,
-                new Resources(4, 0, 1),
-                Optional.empty(),
-                Optional.empty(),
-                false,
-                false,
-                false,
-                "image",
-                2,
-                Duration.ofSeconds(5),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty()));
+        cluster.submit(SubmissionBuilder.submission("wk-000001").priority(Priority.LOW).tasks(80).perTask(new Resources(4, 0, 1)).imageGb(2).estimate(Duration.ofSeconds(5)).build());
+        cluster.submit(SubmissionBuilder.submission("wk-000002").team("blue").kind(JobKind.GANG).priority(Priority.URGENT).tasks(70).perTask(new Resources(4, 0, 1)).imageGb(2).estimate(Duration.ofSeconds(5)).build());
         cluster.sim.run(Duration.ofSeconds(300));
         ClusterTest.assertAllDone(cluster, List.of("wk-000001", "wk-000002"));
     }
@@ -302,46 +250,10 @@
     void aLargeGangBeginsWithinFourMinutes(String priority) {
         var cluster = new SimulatedCluster(131);
         for (int i = 0; i < 300; i++) {
-            Submission small = new Submission(
-                    "wk-%06d".formatted(i + 10),
-                    "small",
-                    i % 3 == 0 ? "red" : "blue",
-                    JobKind.ARRAY,
-                    Priority.NORMAL,
-                    2,
-                    new Resources(1, 1, 1),
-                    Optional.empty(),
-                    Optional.empty(),
-                    false,
-                    false,
-                    false,
-                    "image-1",
-                    2,
-                    Duration.ofSeconds(5),
-                    Duration.ZERO,
-                    Duration.ZERO,
-                    Optional.empty());
+            Submission small = SubmissionBuilder.submission("wk-%06d".formatted(i + 10)).jobClass("small").team(i % 3 == 0 ? "red" : "blue").tasks(2).image("image-1").imageGb(2).estimate(Duration.ofSeconds(5)).build();
             cluster.sim.after(1000L + i * 900L, () -> cluster.submit(small));
         }
-        Submission large = new Submission(
-                "wk-000001",
-                "large",
-                "red",
-                JobKind.GANG,
-                Priority.valueOf(priority),
-                9,
-                new Resources(1, 1, 1),
-                Optional.empty(),
-                Optional.empty(),
-                true,
-                false,
-                false,
-                "image-2",
-                2,
-                Duration.ofSeconds(5),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        Submission large = SubmissionBuilder.submission("wk-000001").jobClass("large").kind(JobKind.GANG).priority(Priority.valueOf(priority)).tasks(9).sameZone(true).image("image-2").imageGb(2).estimate(Duration.ofSeconds(5)).build();
         cluster.sim.after(30_000, () -> cluster.submit(large));
         cluster.sim.run(Duration.ofSeconds(270));
         assertEquals(List.of(), cluster.broken);
@@ -490,25 +402,7 @@
     /** A service that may run in one zone only, wherever machines would be rented otherwise. */
     private static Submission serviceIn(String zone, String id, String team, int replicas) {
         Submission anywhere = ClusterTest.job(id, team, JobKind.SERVICE, replicas, false, false);
-        return new Submission(
-                anywhere.id(),
-                anywhere.jobClass(),
-                anywhere.team(),
-                anywhere.kind(),
-                anywhere.priority(),
-                anywhere.tasks(),
-                anywhere.perTask(),
-                anywhere.types(),
-                Optional.of(zone),
-                anywhere.sameZone(),
-                anywhere.spread(),
-                anywhere.spot(),
-                anywhere.image(),
-                anywhere.imageGb(),
-                anywhere.estimate(),
-                anywhere.checkpointEvery(),
-                anywhere.checkpointTime(),
-                anywhere.due());
+        return SubmissionBuilder.submission(anywhere.id()).jobClass(anywhere.jobClass()).team(anywhere.team()).kind(anywhere.kind()).priority(anywhere.priority()).tasks(anywhere.tasks()).perTask(anywhere.perTask()).types(anywhere.types()).zone(Optional.of(zone)).sameZone(anywhere.sameZone()).spread(anywhere.spread()).spot(anywhere.spot()).image(anywhere.image()).imageGb(anywhere.imageGb()).estimate(anywhere.estimate()).checkpointEvery(anywhere.checkpointEvery()).checkpointTime(anywhere.checkpointTime()).due(anywhere.due()).build();
     }
 
     /** Held reports arrive all at once when a cut ends; that commands did not arrive before says nothing about after. */
@@ -547,25 +441,7 @@
         cluster.provide(40);
         cluster.taskTime = Optional.of(Duration.ofMinutes(10));
         for (String id : List.of("wk-000101", "wk-000102")) {
-            cluster.submit(new Submission(
-                    id,
-                    "class",
-                    id.endsWith("1") ? "red" : "blue",
-                    JobKind.ARRAY,
-                    Priority.NORMAL,
-                    20,
-                    new Resources(4, 1, 1),
-                    Optional.empty(),
-                    Optional.empty(),
-                    false,
-                    false,
-                    false,
-                    "image",
-                    2,
-                    Duration.ofSeconds(60),
-                    Duration.ZERO,
-                    Duration.ZERO,
-                    Optional.empty()));
+            cluster.submit(SubmissionBuilder.submission(id).team(id.endsWith("1") ? "red" : "blue").tasks(20).perTask(new Resources(4, 1, 1)).imageGb(2).estimate(Duration.ofSeconds(60)).build());
         }
         cluster.sim.run(Duration.ofSeconds(70));
         cluster.taskTime = Optional.empty();
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.sim;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -36,25 +38,7 @@
     private static final String BUILD = "wk-000007";
 
     static Submission job(String id, String team, JobKind shape, Priority priority, int tasks) {
-        return new Submission(
-                id,
-                "class",
-                team,
-                shape,
-                priority,
-                tasks,
-                new Resources(1, 1, 1),
-                Optional.empty(),
-                Optional.empty(),
-                false,
-                false,
-                false,
-                "image-1",
-                1,
-                Duration.ofSeconds(20),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        return SubmissionBuilder.submission(id).team(team).kind(shape).priority(priority).tasks(tasks).image("image-1").build();
     }
 
     /** Cell a is filled with its own urgent work for minutes; nothing gives way to work of the same priority. */
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.sim;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -30,25 +32,7 @@
         cluster.provide(machines);
         cluster.taskTime = Optional.of(Duration.ofMinutes(10));
         for (int i = 0; i < machines / TASKS; i++) {
-            Submission submission = new Submission(
-                    "wk-%06d".formatted(i),
-                    "class",
-                    i % 2 == 0 ? "red" : "blue",
-                    JobKind.ARRAY,
-                    Priority.NORMAL,
-                    TASKS,
-                    new Resources(4, 1, 1),
-                    Optional.empty(),
-                    Optional.empty(),
-                    false,
-                    false,
-                    false,
-                    "image",
-                    2,
-                    Duration.ofSeconds(60),
-                    Duration.ZERO,
-                    Duration.ZERO,
-                    Optional.empty());
+            Submission submission = SubmissionBuilder.submission("wk-%06d".formatted(i)).team(i % 2 == 0 ? "red" : "blue").tasks(TASKS).perTask(new Resources(4, 1, 1)).imageGb(2).estimate(Duration.ofSeconds(60)).build();
             cluster.sim.after(3000L + 20L * i, () -> cluster.submit(submission));
         }
         cluster.sim.run(Duration.ofSeconds(60));
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.sim;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,25 +24,7 @@
 /** What operators met on bad nights: faulty jobs, long silences, storms of questions, guests. */
 class OperationsTest {
     static Submission array(String id, String team, Priority priority, int tasks) {
-        return new Submission(
-                id,
-                "class",
-                team,
-                JobKind.ARRAY,
-                priority,
-                tasks,
-                new Resources(1, 1, 1),
-                Optional.empty(),
-                Optional.empty(),
-                false,
-                false,
-                true,
-                "image-1",
-                2,
-                Duration.ofSeconds(5),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        return SubmissionBuilder.submission(id).team(team).priority(priority).tasks(tasks).spot(true).image("image-1").imageGb(2).estimate(Duration.ofSeconds(5)).build();
     }
 
     static LongStream faultySeeds() {
@@ -164,25 +148,7 @@
     @Test
     void aGuestsHugeArrayGivesWayAndIsServed() {
         var cluster = new SimulatedCluster(641);
-        Submission huge = new Submission(
-                "wk-000100",
-                "guest",
-                "green",
-                JobKind.ARRAY,
-                Priority.LOW,
-                120,
-                new Resources(1, 1, 1),
-                Optional.empty(),
-                Optional.empty(),
-                false,
-                false,
-                true,
-                "image-9",
-                0.5,
-                Duration.ofSeconds(4),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        Submission huge = SubmissionBuilder.submission("wk-000100").jobClass("guest").team("green").priority(Priority.LOW).tasks(120).spot(true).image("image-9").imageGb(0.5).estimate(Duration.ofSeconds(4)).build();
         cluster.submit(huge);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -1,5 +1,7 @@
 package org.dunespindle.sim;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -99,25 +101,7 @@
             boolean apart = !gang && i % 5 == 4;
             Optional<String> zone = i % 7 == 2 && !apart ? Optional.of(i % 2 == 0 ? "east" : "west") : Optional.empty();
             Duration saves = i % 4 == 1 ? Duration.ofSeconds(5) : Duration.ZERO;
-            var job = new Submission(
-                    id,
-                    gang ? "gang" : "array",
-                    i % 2 == 0 ? "red" : "blue",
-                    gang ? JobKind.GANG : JobKind.ARRAY,
-                    gang ? Priority.URGENT : Priority.LOW,
-                    tasks,
-                    new Resources(1, 1, 1),
-                    Optional.empty(),
-                    zone,
-                    gang && i % 2 == 0,
-                    apart,
-                    i % 4 != 0,
-                    "image-" + tasks % 2,
-                    2,
-                    Duration.ofSeconds(5),
-                    saves,
-                    saves.isZero() ? saves : Duration.ofSeconds(3),
-                    Optional.empty());
+            var job = SubmissionBuilder.submission(id).jobClass(gang ? "gang" : "array").team(i % 2 == 0 ? "red" : "blue").kind(gang ? JobKind.GANG : JobKind.ARRAY).priority(gang ? Priority.URGENT : Priority.LOW).tasks(tasks).zone(zone).sameZone(gang && i % 2 == 0).spread(apart).spot(i % 4 != 0).image("image-" + tasks % 2).imageGb(2).estimate(Duration.ofSeconds(5)).checkpointEvery(saves).checkpointTime(saves.isZero() ? saves : Duration.ofSeconds(3)).build();
             cluster.sim.after(500L + i * 3500L + random.nextInt(1500), () -> cluster.submit(job));
         }
     }
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.sim;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -109,25 +111,7 @@
     void whatCanNeverRunIsRefused(
             String team, JobKind shape, int tasks, double gpus, String type, String zone, String zoneRules) {
         SimulatedCluster cluster = ready();
-        var job = new Submission(
-                "wk-000001",
-                "class",
-                team,
-                shape,
-                Priority.NORMAL,
-                tasks,
-                new Resources(1, gpus, 1),
-                type.isEmpty() ? Optional.empty() : Optional.of(List.of(type)),
-                zone.isEmpty() ? Optional.empty() : Optional.of(zone),
-                zoneRules.contains("together"),
-                zoneRules.contains("apart"),
-                true,
-                "image",
-                2,
-                Duration.ofSeconds(5),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        var job = SubmissionBuilder.submission("wk-000001").team(team).kind(shape).tasks(tasks).perTask(new Resources(1, gpus, 1)).types(type.isEmpty() ? Optional.empty() : Optional.of(List.of(type))).zone(zone.isEmpty() ? Optional.empty() : Optional.of(zone)).sameZone(zoneRules.contains("together")).spread(zoneRules.contains("apart")).spot(true).imageGb(2).estimate(Duration.ofSeconds(5)).build();
         var answer = submit(cluster, job.toNode());
         assertEquals(422, answer.status(), answer.body().toString());
         assertTrue(!answer.body().path("error").asText().isEmpty());
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.sim;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,25 +24,7 @@
     private static final Duration SETTLED = Duration.ofSeconds(40);
 
     private static Submission service(String id, int replicas, boolean apart, boolean spot) {
-        return new Submission(
-                id,
-                "service",
-                "blue",
-                JobKind.SERVICE,
-                Priority.CRITICAL,
-                replicas,
-                new Resources(1, 0, 1),
-                Optional.empty(),
-                Optional.empty(),
-                false,
-                apart,
-                spot,
-                "image-1",
-                1,
-                Duration.ZERO,
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        return SubmissionBuilder.submission(id).jobClass("service").team("blue").kind(JobKind.SERVICE).priority(Priority.CRITICAL).tasks(replicas).perTask(new Resources(1, 0, 1)).spread(apart).spot(spot).image("image-1").estimate(Duration.ZERO).build();
     }
 
     private static List<FakeWorker.Task> replicas(SimulatedCluster cluster) {
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.sim;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -93,25 +95,7 @@
     }
 
     private static Submission array(String id, int tasks, Optional<String> zone, boolean spot) {
-        return new Submission(
-                id,
-                "array",
-                "red",
-                JobKind.ARRAY,
-                Priority.LOW,
-                tasks,
-                new Resources(1, 1, 1),
-                Optional.empty(),
-                zone,
-                false,
-                false,
-                spot,
-                "image-0",
-                1,
-                RUNS,
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        return SubmissionBuilder.submission(id).jobClass("array").priority(Priority.LOW).tasks(tasks).zone(zone).spot(spot).image("image-0").estimate(RUNS).build();
     }
 
     private static int allocated(SimulatedCluster cluster, String job) {
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -1,5 +1,7 @@
 package org.dunespindle.sim;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -93,25 +95,7 @@
 
     private Submission draw(String id) {
         boolean gang = random.nextInt(8) == 0;
-        return new Submission(
-                id,
-                gang ? "gang" : "array",
-                random.nextInt(3) > 0 ? "red" : "blue",
-                gang ? JobKind.GANG : JobKind.ARRAY,
-                random.nextBoolean() ? Priority.LOW : Priority.NORMAL,
-                gang ? 2 + random.nextInt(5) : drawTasks(),
-                new Resources(1, 1, 1),
-                Optional.empty(),
-                Optional.empty(),
-                false,
-                false,
-                true,
-                "image-" + random.nextInt(3),
-                1,
-                Duration.ofSeconds(8),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        return SubmissionBuilder.submission(id).jobClass(gang ? "gang" : "array").team(random.nextInt(3) > 0 ? "red" : "blue").kind(gang ? JobKind.GANG : JobKind.ARRAY).priority(random.nextBoolean() ? Priority.LOW : Priority.NORMAL).tasks(gang ? 2 + random.nextInt(5) : drawTasks()).spot(true).image("image-" + random.nextInt(3)).estimate(Duration.ofSeconds(8)).build();
     }
 
     /** Most arrays are small; some are as large as several machines. */
--- a/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
+++ b/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.storage;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -37,25 +39,7 @@
         for (int i = random.nextInt(30); i > 0; i--) {
             types.add("type-\u00e9\u4e2d\"" + "x".repeat(random.nextInt(60)) + i);
         }
-        return new Submission(
-                "wk-000001",
-                "class \uD83D\uDE00 " + "c".repeat(random.nextInt(100)),
-                "t",
-                random.nextInt(3) == 0 ? JobKind.GANG : JobKind.ARRAY,
-                Priority.LOW,
-                100_000,
-                new Resources(1, 1, 1),
-                random.nextBoolean() ? Optional.empty() : Optional.of(types),
-                Optional.empty(),
-                false,
-                false,
-                false,
-                "image",
-                1,
-                Duration.ofSeconds(1),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        return SubmissionBuilder.submission("wk-000001").jobClass("class \uD83D\uDE00 " + "c".repeat(random.nextInt(100))).team("t").kind(random.nextInt(3) == 0 ? JobKind.GANG : JobKind.ARRAY).priority(Priority.LOW).tasks(100_000).types(random.nextBoolean() ? Optional.empty() : Optional.of(types)).estimate(Duration.ofSeconds(1)).build();
     }
 
     /** A record as long as an earlier version may have stored: tasks on few or many machines, ended at random. */
--- a/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
+++ b/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.storage;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -27,25 +29,7 @@
 
     private static JobRecord job(int tasks) {
         return JobRecord.accepted(
-                new Submission(
-                        "wk-000001",
-                        "class",
-                        "red",
-                        JobKind.ARRAY,
-                        Priority.LOW,
-                        tasks,
-                        new Resources(1, 1, 1),
-                        Optional.empty(),
-                        Optional.empty(),
-                        false,
-                        false,
-                        false,
-                        "image",
-                        1,
-                        Duration.ofSeconds(1),
-                        Duration.ZERO,
-                        Duration.ZERO,
-                        Optional.empty()),
+                SubmissionBuilder.submission("wk-000001").priority(Priority.LOW).tasks(tasks).estimate(Duration.ofSeconds(1)).build(),
                 NOW);
     }
 
--- a/src/test/java/org/dunespindle/storage/JobRecordTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordTest.java
@@ -1,5 +1,7 @@
 package org.dunespindle.storage;
 
+import org.dunespindle.protocol.SubmissionBuilder;
+
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -30,25 +32,7 @@
 class JobRecordTest {
     private static JobRecord job(JobKind kind, int tasks) {
         return JobRecord.accepted(
-                new Submission(
-                        "wk-000001",
-                        "c",
-                        "t",
-                        kind,
-                        Priority.LOW,
-                        tasks,
-                        new Resources(1, 1, 1),
-                        Optional.empty(),
-                        Optional.empty(),
-                        false,
-                        false,
-                        false,
-                        "i",
-                        1,
-                        Duration.ofSeconds(1),
-                        Duration.ZERO,
-                        Duration.ZERO,
-                        Optional.empty()),
+                SubmissionBuilder.submission("wk-000001").jobClass("c").team("t").kind(kind).priority(Priority.LOW).tasks(tasks).image("i").estimate(Duration.ofSeconds(1)).build(),
                 Instant.ofEpochMilli(1000));
     }
 
