--- a/src/main/java/org/dunespindle/worker/HeartbeatReply.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatReply.java
@@ -7,6 +7,13 @@
 
 /** The reply to a worker's heartbeat. */
 public sealed interface HeartbeatReply {
+    /** HTTP status of a reply that renews the lease. */
+    int STATUS_OK = 200;
+    /** HTTP status of a reply that names another controller. */
+    int STATUS_MISDIRECTED = 421;
+    /** HTTP status of a reply that does neither. */
+    int STATUS_UNAVAILABLE = 503;
+
     /** The HTTP status that the reply is sent with. */
     int status();
 
@@ -17,7 +24,7 @@
     record Commands(long token, List<WorkerCommand> commands) implements HeartbeatReply {
         @Override
         public int status() {
-            return 200;
+            return STATUS_OK;
         }
 
         @Override
@@ -30,7 +37,7 @@
     record Redirect(String controller) implements HeartbeatReply {
         @Override
         public int status() {
-            return 421;
+            return STATUS_MISDIRECTED;
         }
 
         @Override
@@ -43,7 +50,7 @@
     record Unavailable(String error) implements HeartbeatReply {
         @Override
         public int status() {
-            return 503;
+            return STATUS_UNAVAILABLE;
         }
 
         @Override
--- a/src/main/java/org/dunespindle/worker/LeaseRenewal.java
+++ b/src/main/java/org/dunespindle/worker/LeaseRenewal.java
@@ -8,8 +8,8 @@
 import org.dunespindle.storage.MachineRecord;
 
 /**
- * Renews workers' leases. None is renewed while this controller's knowledge of cancellations is too old: a cancellation confirmed
- * elsewhere may be unknown here, and must end its tasks in time.
+ * Renews workers' leases. Unless the replica itself is fresh, none is renewed while this controller's knowledge of cancellations is
+ * too old: a cancellation confirmed elsewhere may be unknown here, and must end its tasks in time.
  */
 final class LeaseRenewal {
     /** How long a task may outlive its lease: clock drift and messages in flight. */
--- a/src/main/java/org/dunespindle/worker/MachineReconciler.java
+++ b/src/main/java/org/dunespindle/worker/MachineReconciler.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import org.dunespindle.control.CommitPriority;
 import org.dunespindle.control.ControllerContext;
-import org.dunespindle.control.HeartbeatReconciler;
 import org.dunespindle.control.MachineRecordWriter;
 import org.dunespindle.control.ReconciliationResult;
 import org.dunespindle.control.TaskTermination;
@@ -26,10 +25,9 @@
     private final MachineRecordWriter machineWriter;
     private final ReconciliationQueue reconciliationQueue;
     private final WorkerReachability reachability;
-    private final EffectiveAllocations allocations;
+    private final StatusReconciliation statusReconciliation;
     private final WorkerCommandSender commandSender;
     private final StartFencing startFencing;
-    private final ForgetFilter forgetFilter;
     private final TerminationTracker terminationTracker;
 
     MachineReconciler(
@@ -37,17 +35,15 @@
             MachineRecordWriter machineWriter,
             ReconciliationQueue reconciliationQueue,
             WorkerReachability reachability,
-            EffectiveAllocations allocations,
+            StatusReconciliation statusReconciliation,
             WorkerCommandSender commandSender,
-            ForgetFilter forgetFilter,
             TerminationTracker terminationTracker) {
         this.context = context;
         this.machineWriter = machineWriter;
         this.reconciliationQueue = reconciliationQueue;
         this.reachability = reachability;
-        this.allocations = allocations;
+        this.statusReconciliation = statusReconciliation;
         this.commandSender = commandSender;
-        this.forgetFilter = forgetFilter;
         this.terminationTracker = terminationTracker;
         this.startFencing = new StartFencing(machineWriter, commandSender, reconciliationQueue);
     }
@@ -97,9 +93,9 @@
     }
 
     private void reconcileWithStatus(MachineRecord machine, WorkerState worker, WorkerHeartbeat status) {
-        ReconciliationResult result = HeartbeatReconciler.reconcile(allocations.on(machine.id()), status);
+        ReconciliationResult result = statusReconciliation.reconcile(machine, worker, status);
         recordImages(worker, status);
-        List<WorkerCommand> commands = forgetFilter.withoutUnsafeForgets(machine, worker, result.commands());
+        List<WorkerCommand> commands = result.commands();
         terminationTracker.record(machine.id(), worker, terminations(machine, worker, result));
         if (commands.stream().anyMatch(MachineReconciler::isStart) && mustDelayStarts(worker)) {
             reconciliationQueue.add(machine.id());
--- a/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
+++ b/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
@@ -1,7 +1,6 @@
 package org.dunespindle.worker;
 
 import java.util.List;
-import org.dunespindle.control.HeartbeatReconciler;
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.protocol.WorkerCommand;
 import org.dunespindle.storage.MachineRecord;
@@ -41,10 +40,11 @@
      * urgent. Starts are sent only by direct command.
      */
     private List<WorkerCommand> commands(ReceivedHeartbeat received, MachineRecord machine) {
-        List<WorkerCommand> wanted = HeartbeatReconciler.reconcile(
-                        workerClient.allocations().on(machine.id()), received.heartbeat())
-                .commands();
-        return workerClient.forgetFilter().withoutUnsafeForgets(machine, received.worker(), wanted).stream()
+        return workerClient
+                .statusReconciliation()
+                .reconcile(machine, received.worker(), received.heartbeat())
+                .commands()
+                .stream()
                 .filter(command -> !(command instanceof WorkerCommand.Run))
                 .toList();
     }
--- a/src/main/java/org/dunespindle/worker/WorkerClient.java
+++ b/src/main/java/org/dunespindle/worker/WorkerClient.java
@@ -23,7 +23,7 @@
     private final WorkerStatusRecorder statusRecorder;
     private final WorkerInspector inspector;
     private final WorkerCommandSender commandSender;
-    private final ForgetFilter forgetFilter;
+    private final StatusReconciliation statusReconciliation;
     private final TerminationTracker terminationTracker;
     private final MachineReconciler reconciler;
     private final MachineAcquisition acquisition;
@@ -50,16 +50,15 @@
                 new WorkerInspector(context.workers(), httpClient, callLimiter, reconciliationQueue, statusRecorder);
         this.commandSender = new WorkerCommandSender(
                 context, httpClient, callLimiter, reconciliationQueue, reachability, statusRecorder, allocations);
-        this.forgetFilter = new ForgetFilter(machineWriter);
+        this.statusReconciliation = new StatusReconciliation(allocations, new ForgetFilter(machineWriter));
         this.terminationTracker = new TerminationTracker(context.timeSource(), reconciliationQueue);
         this.reconciler = new MachineReconciler(
                 context,
                 machineWriter,
                 reconciliationQueue,
                 reachability,
-                allocations,
+                statusReconciliation,
                 commandSender,
-                forgetFilter,
                 terminationTracker);
         this.acquisition = new MachineAcquisition(context, machineWriter);
     }
@@ -157,7 +156,7 @@
         return inspector;
     }
 
-    ForgetFilter forgetFilter() {
-        return forgetFilter;
+    StatusReconciliation statusReconciliation() {
+        return statusReconciliation;
     }
 }
