--- a/src/main/java/org/dunespindle/machine/CloudInventory.java
+++ b/src/main/java/org/dunespindle/machine/CloudInventory.java
@@ -48,13 +48,13 @@
     }
 
     /** A machine's row in the list. */
-    Optional<ListedMachine> row(String machineId) {
+    Optional<ListedMachine> find(String machineId) {
         return Optional.ofNullable(listedById.get(machineId));
     }
 
     /** A machine's address by the list; the record of a rented machine lacks it until the machine reports. */
     Optional<String> address(String machineId) {
-        return row(machineId).map(ListedMachine::address).filter(address -> !address.isEmpty());
+        return find(machineId).map(ListedMachine::address).filter(address -> !address.isEmpty());
     }
 
     /** This controller has begun to lead. */
--- a/src/main/java/org/dunespindle/machine/FleetManager.java
+++ b/src/main/java/org/dunespindle/machine/FleetManager.java
@@ -28,7 +28,6 @@
     private final MachineProvisioner provisioner;
     private final MachineTerminator terminator;
     private final BootDeadlines bootDeadlines;
-    private final IdleTracker idleTracker;
     private final MachineEvaluator evaluator;
     private final FleetSizeReporter sizeReporter;
     private Optional<Duration> leadingSince = Optional.empty();
@@ -58,9 +57,8 @@
         this.terminator = cloud.terminator;
         this.failureDetector = new FailureDetector(context, workerClient, peerHeartbeats, inventory::address);
         this.bootDeadlines = new BootDeadlines(context, cloud.catalog);
-        this.idleTracker = new IdleTracker(context.replica(), options);
         this.evaluator = new MachineEvaluator(
-                context, workerClient, failureDetector, quarantine, inventory, bootDeadlines, idleTracker, options);
+                context, workerClient, failureDetector, quarantine, inventory, bootDeadlines, options);
         this.sizeReporter = new FleetSizeReporter(context.replica(), cloud.catalog, this::booting);
     }
 
@@ -105,7 +103,6 @@
             inventory.standDown();
             evaluator.clear();
             quarantine.clear();
-            idleTracker.clear();
             failureDetector.reset();
             terminator.standDown();
         }
@@ -132,7 +129,6 @@
         quarantine.forget(machineId);
         failureDetector.forget(machineId);
         terminator.forget(machineId);
-        idleTracker.forget(machineId);
     }
 
     private void evaluateAll(Duration now, Duration leadingSince, Plan plan) {
@@ -141,8 +137,7 @@
             if (terminator.leaves(machine) || machineWriter.busy(machine.id())) {
                 continue;
             }
-            idleTracker.observe(machine, plan, now);
-            evaluator.evaluate(machine, now, leadingSince).ifPresent(reason -> retire(machine, reason));
+            evaluator.evaluate(machine, plan, now, leadingSince).ifPresent(reason -> retire(machine, reason));
         }
     }
 
--- a/src/main/java/org/dunespindle/machine/FleetSizeReporter.java
+++ b/src/main/java/org/dunespindle/machine/FleetSizeReporter.java
@@ -38,8 +38,8 @@
                 "fleet size machines={} tasks={} gpusAllocated={} gpusHeldByPlaceholders={} gpusTotal={}",
                 machinesByUse(),
                 allocationsOnMachines(),
-                Math.round(allocatedGpus(false)),
-                Math.round(allocatedGpus(true)),
+                Math.round(allocatedGpus(job -> true)),
+                Math.round(allocatedGpus(FleetSizeReporter::hasPlaceholdersOnly)),
                 Math.round(totalGpus()));
     }
 
@@ -68,17 +68,20 @@
                 .sum();
     }
 
-    private double allocatedGpus(boolean onlyPlaceholders) {
+    private double allocatedGpus(Predicate<JobRecord> isCounted) {
         double sum = 0;
         for (JobRecord job : replica.activeJobs()) {
-            boolean placeholders = job.submission().isGang() && job.gangPhase() != JobRecord.GangPhase.RUNNING;
-            if (placeholders || !onlyPlaceholders) {
+            if (isCounted.test(job)) {
                 sum += job.submission().perTask().gpus() * job.allocations().size();
             }
         }
         return sum;
     }
 
+    private static boolean hasPlaceholdersOnly(JobRecord job) {
+        return job.submission().isGang() && job.gangPhase() != JobRecord.GangPhase.RUNNING;
+    }
+
     private double totalGpus() {
         return replica.machines().values().stream()
                 .mapToDouble(machine -> catalog.type(machine.type())
--- a/src/main/java/org/dunespindle/machine/GangPresence.java
+++ b/src/main/java/org/dunespindle/machine/GangPresence.java
@@ -22,7 +22,6 @@
 
     /** Whether a member or a placeholder of a gang is allocated on a machine. */
     boolean hasGang(MachineRecord machine) {
-        // A plain loop: this runs for every owned machine with every check.
         for (PlacedTask placed : replica.allocationsOn(machine.id())) {
             if (placed.job().spec().isPresent() && placed.job().submission().isGang()) {
                 return true;
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -8,6 +8,7 @@
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.control.Options;
 import org.dunespindle.protocol.ListedMachine;
+import org.dunespindle.scheduling.Plan;
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.time.Durations;
 import org.dunespindle.worker.FailureDetector;
@@ -15,7 +16,7 @@
 
 /** Decides for the leader whether a machine is to be drained or terminated, and why. */
 final class MachineEvaluator {
-    /** After a change of the leader, machines are not missed before all of them could report once. */
+    /** How long, beyond the limit of silence, a new leader waits before it judges machines that no controller has heard. */
     private static final Duration LEADER_WARM_UP = Duration.ofSeconds(15);
     /** How long, beyond the limit of silence, a machine that the cloud lists as running may go unheard. */
     private static final Duration MAX_UNHEARD_WHILE_RUNNING = Duration.ofSeconds(20);
@@ -42,7 +43,6 @@
             Quarantine quarantine,
             CloudInventory inventory,
             BootDeadlines bootDeadlines,
-            IdleTracker idleTracker,
             Supplier<Options> options) {
         this.context = context;
         this.workerClient = workerClient;
@@ -50,17 +50,19 @@
         this.quarantine = quarantine;
         this.inventory = inventory;
         this.bootDeadlines = bootDeadlines;
-        this.idleTracker = idleTracker;
+        this.idleTracker = new IdleTracker(context.replica(), options);
         this.options = options;
     }
 
     /**
      * Why a machine is to be drained or terminated; empty if it is to stay.
      *
+     * @param plan the latest plan: a machine that it needs is not idle
      * @param leadingSince since when this controller has led
      */
-    Optional<DrainReason> evaluate(MachineRecord machine, Duration now, Duration leadingSince) {
-        Optional<ListedMachine> listed = inventory.row(machine.id());
+    Optional<DrainReason> evaluate(MachineRecord machine, Plan plan, Duration now, Duration leadingSince) {
+        idleTracker.observe(machine, plan, now);
+        Optional<ListedMachine> listed = inventory.find(machine.id());
         if (listed.filter(ListedMachine::failed).isPresent()) {
             return Optional.of(DrainReason.FAILED);
         }
@@ -137,10 +139,12 @@
     /** A machine's record is removed. */
     void forget(String machineId) {
         unheardSince.remove(machineId);
+        idleTracker.forget(machineId);
     }
 
     /** Forgets everything: what was observed as an earlier leader is no longer valid. */
     void clear() {
         unheardSince.clear();
+        idleTracker.clear();
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineProvisioner.java
+++ b/src/main/java/org/dunespindle/machine/MachineProvisioner.java
@@ -2,8 +2,6 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -25,8 +23,6 @@
 /** Rents machines, one request at a time, and records them. */
 public final class MachineProvisioner {
     private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
-    private static final Duration INITIAL_NO_CAPACITY_BACKOFF = Duration.ofSeconds(6);
-    private static final Duration MAX_NO_CAPACITY_BACKOFF = Duration.ofSeconds(25);
     private static final Duration RETRY_DELAY = Duration.ofMillis(700);
     /** With an older replica, too much might be rented. */
     private static final Duration MAX_REPLICA_STALENESS = Duration.ofSeconds(3);
@@ -42,16 +38,13 @@
     private final MachineCatalog catalog;
     private final ServiceLevelObjectives objectives;
     private final Predicate<String> isTerminated;
-    private final Map<MachinePool, Backoff> backoffs = new HashMap<>();
+    private final CapacityBackoff capacityBackoff;
     /** Machines rented here whose records are not stored yet; nothing more is rented until they count as capacity. */
     private final Map<String, RentedMachine> unrecorded = new LinkedHashMap<>();
 
     private boolean requestInFlight;
     private long requestCount;
 
-    /** When a pool without capacity is asked again, and how long it was left alone for that. */
-    private record Backoff(Duration until, Duration pause) {}
-
     /** What is known of a machine when it has been rented. */
     private record RentedMachine(String id, MachinePool pool, Instant rentedAt, boolean forGang) {}
 
@@ -74,17 +67,12 @@
         this.catalog = catalog;
         this.objectives = objectives;
         this.isTerminated = isTerminated;
+        this.capacityBackoff = new CapacityBackoff(context.timeSource());
     }
 
     /** Pools that had no capacity lately and are not asked yet. */
     public Set<MachinePool> refused() {
-        var pools = new HashSet<MachinePool>();
-        backoffs.forEach((pool, backoff) -> {
-            if (backoff.until.compareTo(context.timeSource().now()) > 0) {
-                pools.add(pool);
-            }
-        });
-        return pools;
+        return capacityBackoff.pools();
     }
 
     /** Forgets what is not recorded yet: the next leader learns of it from the cloud's list. */
@@ -143,7 +131,7 @@
         if (rented.noCapacity() || machineIds.size() < count) {
             backOff(pool);
         } else {
-            backoffs.remove(pool);
+            capacityBackoff.reset(pool);
         }
         if (machineIds.isEmpty()) {
             return;
@@ -160,12 +148,7 @@
     }
 
     private void backOff(MachinePool pool) {
-        Backoff previous = backoffs.get(pool);
-        Duration pause = previous == null ? INITIAL_NO_CAPACITY_BACKOFF : previous.pause.multipliedBy(2);
-        if (pause.compareTo(MAX_NO_CAPACITY_BACKOFF) > 0) {
-            pause = MAX_NO_CAPACITY_BACKOFF;
-        }
-        backoffs.put(pool, new Backoff(context.timeSource().now().plus(pause), pause));
+        Duration pause = capacityBackoff.backOff(pool);
         context.eventRecorder()
                 .record(
                         LOG,
--- a/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
+++ b/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
@@ -23,6 +23,10 @@
     private static final Duration IMAGE_FETCH_ALLOWANCE = Duration.ofSeconds(12);
     /** A pool whose price is up to this multiple of the lowest one counts as cheapest too. */
     private static final double MAX_PRICE_RATIO_OF_CHEAPEST = 1.2;
+    /** Tasks may run for a third longer than estimated. */
+    private static final Fraction ESTIMATE_MARGIN = new Fraction(4, 3);
+    /** A job counts as in time if it is expected to end within this part of its objective. */
+    private static final Fraction SAFE_PART_OF_OBJECTIVE = new Fraction(4, 5);
 
     private final ControllerContext context;
     private final ServiceLevelObjectives objectives;
@@ -33,6 +37,12 @@
     /** Machines of a pool to rent, and whether the first job that needs one is a gang. */
     record ScaleOutRequest(MachinePool pool, int count, boolean forGang) {}
 
+    private record Fraction(int numerator, int denominator) {
+        Duration of(Duration whole) {
+            return Durations.part(whole, numerator, denominator);
+        }
+    }
+
     /** What a job requires of the machines that its tasks run on. */
     private record TaskRequirement(boolean spot, Resources perTask, Optional<List<String>> types) {
         static TaskRequirement of(Submission job) {
@@ -112,9 +122,9 @@
         }
         Duration waited = Duration.between(job.arrived(), context.timeSource().wallTime());
         Duration expectedEnd = waited.plus(Durations.part(queuedWork, 1, slotCount))
-                .plus(Durations.part(submission.estimate(), 4, 3))
+                .plus(ESTIMATE_MARGIN.of(submission.estimate()))
                 .plus(IMAGE_FETCH_ALLOWANCE);
-        if (expectedEnd.compareTo(Durations.part(objective.get(), 4, 5)) < 0) {
+        if (expectedEnd.compareTo(SAFE_PART_OF_OBJECTIVE.of(objective.get())) < 0) {
             double maxPrice = markets.lowestPrice(submission) * MAX_PRICE_RATIO_OF_CHEAPEST;
             pools.removeIf(pool -> markets.price(pool) > maxPrice);
         }
