--- /dev/null
+++ b/src/test/java/org/dunespindle/api/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the interfaces for users and operators. */
+package org.dunespindle.api;
