--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -52,13 +52,13 @@
 
     /** Answers workers' heartbeats. */
     public HeartbeatHandler heartbeatHandler() {
-        return parts.heartbeatHandler;
+        return parts.workers.heartbeatHandler;
     }
 
     /** Begins to read the state store and to take part in the cell. */
     public void start() {
-        parts.replica.start();
-        parts.catalog.start();
+        parts.shared.replica.start();
+        parts.machines.catalog.start();
         parts.jobDelegation.start();
         tick();
         sendPeerHeartbeat();
@@ -71,34 +71,35 @@
 
     /** Handles another controller's heartbeat; returns the reply to it. */
     public ObjectNode onPeerHeartbeat(byte[] heartbeat) {
-        return parts.peerHeartbeats.receive(heartbeat, parts.replica.staleness(), parts.writeRateAllocator.need());
+        return parts.workers.peerHeartbeats.receive(
+                heartbeat, parts.shared.replica.staleness(), parts.workers.writeRateAllocator.need());
     }
 
     private void tick() {
-        parts.pauseDetector.tick();
-        parts.partitionDetector.tick();
+        parts.shared.pauseDetector.tick();
+        parts.workers.partitionDetector.tick();
         parts.roundScheduler.requestRound();
-        parts.timeSource.schedule(MAX_ROUND_INTERVAL, this::tick);
+        parts.shared.timeSource.schedule(MAX_ROUND_INTERVAL, this::tick);
     }
 
     private void sendPeerHeartbeat() {
-        if (parts.replica.loaded()) {
-            parts.writeRateAllocator.adjust();
-            parts.peerHeartbeats.send(
-                    parts.replica.staleness(),
-                    parts.writeRateAllocator.need(),
-                    parts.peerHeartbeats.leaderListens() ? parts.statusReporter.all() : List.of());
+        if (parts.shared.replica.loaded()) {
+            parts.workers.writeRateAllocator.adjust();
+            parts.workers.peerHeartbeats.send(
+                    parts.shared.replica.staleness(),
+                    parts.workers.writeRateAllocator.need(),
+                    parts.workers.peerHeartbeats.leaderListens() ? parts.machines.statusReporter.all() : List.of());
             forgetWhatIsGone();
         }
-        parts.timeSource.schedule(PEER_HEARTBEAT_INTERVAL, this::sendPeerHeartbeat);
+        parts.shared.timeSource.schedule(PEER_HEARTBEAT_INTERVAL, this::sendPeerHeartbeat);
     }
 
     /** Bounds memory: drops what is known of machines and jobs that no record names any more. */
     private void forgetWhatIsGone() {
-        Set<String> present = parts.replica.machines().keySet();
-        parts.peerHeartbeats.keepOnly(present);
-        parts.cancellationTracker.prune();
-        parts.crashLoopDetector.prune(parts.replica.machines()::containsKey);
-        parts.workers.evictGone(present, parts.timeSource.now());
+        Set<String> present = parts.shared.replica.machines().keySet();
+        parts.workers.peerHeartbeats.keepOnly(present);
+        parts.workers.cancellationTracker.prune();
+        parts.machines.crashLoopDetector.prune(parts.shared.replica.machines()::containsKey);
+        parts.shared.workers.evictGone(present, parts.shared.timeSource.now());
     }
 }
--- a/src/main/java/org/dunespindle/controller/ControllerHealth.java
+++ b/src/main/java/org/dunespindle/controller/ControllerHealth.java
@@ -18,16 +18,17 @@
 
     /** Whether users' requests can be served here. In an outage that all share, staying in is better than all leaving. */
     boolean isHealthy() {
-        return parts.replica.loaded()
-                && !parts.formatUpgrade.tooNew()
+        return parts.shared.replica.loaded()
+                && !parts.shared.formatUpgrade.tooNew()
                 && !awaitsCatalog()
-                && parts.membership.incarnation() > 0
+                && parts.shared.membership.incarnation() > 0
                 && !isPartitioned();
     }
 
     /** Polls need no catalog, so a cloud that stays silent must not make this controller unhealthy for good. */
     private boolean awaitsCatalog() {
-        return parts.catalog.types().isEmpty() && parts.timeSource.now().compareTo(CATALOG_TIMEOUT) < 0;
+        return parts.machines.catalog.types().isEmpty()
+                && parts.shared.timeSource.now().compareTo(CATALOG_TIMEOUT) < 0;
     }
 
     /**
@@ -36,12 +37,12 @@
      * this one.
      */
     boolean isPartitioned() {
-        if (parts.replica.staleness().compareTo(MIN_STALENESS_OF_PARTITION) < 0) {
+        if (parts.shared.replica.staleness().compareTo(MIN_STALENESS_OF_PARTITION) < 0) {
             return false;
         }
-        List<PeerState> livePeers = parts.peerHeartbeats.livePeers();
+        List<PeerState> livePeers = parts.workers.peerHeartbeats.livePeers();
         if (livePeers.isEmpty()) {
-            return !parts.settings.seeds().isEmpty();
+            return !parts.shared.settings.seeds().isEmpty();
         }
         return livePeers.stream()
                 .anyMatch(peer -> peer.replicaStaleness().compareTo(DecisionLoop.MAX_STALENESS_FOR_PLACEMENT) < 0);
--- a/src/main/java/org/dunespindle/controller/DecisionLoop.java
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -35,7 +35,7 @@
 
     private final ControllerParts parts;
     private final Consumer<String> terminate;
-    private final Histogram planTimes;
+    private final Histogram planTimes = LatencyHistograms.create();
     private Plan plan = Plan.NONE;
     private Duration lastScanAt = Duration.ZERO;
     private Duration lastPlanAt = Duration.ZERO;
@@ -46,7 +46,6 @@
     DecisionLoop(ControllerParts parts, Consumer<String> terminate) {
         this.parts = parts;
         this.terminate = terminate;
-        this.planTimes = parts.planTimes;
     }
 
     /** The last plan that was made here. */
@@ -54,6 +53,11 @@
         return plan;
     }
 
+    /** The time that plans took, with carrying them out. */
+    Histogram planTimes() {
+        return planTimes;
+    }
+
     @Override
     public Duration planningTimeSince(Duration start) {
         return lastPlanAt.compareTo(start) > 0 ? lastPlanTime : Duration.ZERO;
@@ -61,33 +65,34 @@
 
     @Override
     public void run() {
-        if (parts.formatUpgrade.tooNew()) {
-            terminate.accept("what is stored has format version " + parts.replica.formatVersion()
-                    + "; this program reads up to " + parts.formatUpgrade.newest());
+        if (parts.shared.formatUpgrade.tooNew()) {
+            terminate.accept("what is stored has format version " + parts.shared.replica.formatVersion()
+                    + "; this program reads up to " + parts.shared.formatUpgrade.newest());
             return;
         }
         // In every round, not only on the timer: after a crash of all controllers the workers' leases are about to
         // expire.
-        parts.membership.tick();
-        if (!parts.membership.leads()) {
+        parts.shared.membership.tick();
+        if (!parts.shared.membership.leads()) {
             // Also when it leads again by the next plan: it has not observed the fleet in between.
-            parts.fleetManager.standDown();
+            parts.machines.fleetManager.standDown();
         }
-        if (!parts.replica.loaded() || parts.membership.incarnation() == 0) {
+        if (!parts.shared.replica.loaded() || parts.shared.membership.incarnation() == 0) {
             return;
         }
-        parts.workerClient.pass();
+        parts.workers.workerClient.pass();
         boolean scans = scanIsDue();
         if (scans) {
-            parts.terminationWriter.store(parts.membership.leads() ? terminationsOnLostMachines() : List.of());
+            parts.jobs.terminationWriter.store(
+                    parts.shared.membership.leads() ? terminationsOnLostMachines() : List.of());
         }
-        if (parts.membership.joined()) {
+        if (parts.shared.membership.joined()) {
             runAsMember(scans);
         }
     }
 
     private boolean scanIsDue() {
-        Duration now = parts.timeSource.now();
+        Duration now = parts.shared.timeSource.now();
         if (now.minus(lastScanAt).compareTo(MIN_SCAN_INTERVAL) < 0) {
             return false;
         }
@@ -96,18 +101,18 @@
     }
 
     private void runAsMember(boolean scans) {
-        parts.shardOwnership.tick(plan);
-        if (parts.replica.staleness().compareTo(MAX_STALENESS_FOR_PLACEMENT) > 0
-                || parts.catalog.types().isEmpty()) {
+        parts.machines.shardOwnership.tick(plan);
+        if (parts.shared.replica.staleness().compareTo(MAX_STALENESS_FOR_PLACEMENT) > 0
+                || parts.machines.catalog.types().isEmpty()) {
             return; // an outage: what runs goes on, nothing new is placed
         }
-        if (parts.membership.leads()) {
-            parts.gangLifecycle.tick();
-            parts.formatUpgrade.tick();
-            parts.oversizeRecordSplitter.tick();
+        if (parts.shared.membership.leads()) {
+            parts.jobs.gangLifecycle.tick();
+            parts.shared.formatUpgrade.tick();
+            parts.shared.oversizeRecordSplitter.tick();
         }
         if (scans) {
-            parts.noticedMachineDrainer.drain();
+            parts.jobs.noticedMachineDrainer.drain();
         }
         if (planIsDue()) {
             makePlan();
@@ -117,13 +122,13 @@
 
     /** Terminations on machines that the cloud confirmed as gone, or that have no record any more, which comes later still. */
     private List<TaskTermination> terminationsOnLostMachines() {
-        var lostMachines = new ArrayList<>(parts.terminator.gone());
-        parts.replica.machinesWithAllocations().stream()
-                .filter(id -> !parts.replica.machines().containsKey(id) && !parts.terminator.isGone(id))
+        var lostMachines = new ArrayList<>(parts.machines.terminator.gone());
+        parts.shared.replica.machinesWithAllocations().stream()
+                .filter(id -> !parts.shared.replica.machines().containsKey(id) && !parts.machines.terminator.isGone(id))
                 .forEach(lostMachines::add);
         var terminations = new ArrayList<TaskTermination>();
         for (String machineId : lostMachines) {
-            for (PlacedTask placed : parts.replica.allocationsOn(machineId)) {
+            for (PlacedTask placed : parts.shared.replica.allocationsOn(machineId)) {
                 terminations.add(new TaskTermination(
                         placed.job().id(),
                         placed.allocation().task(),
@@ -136,7 +141,7 @@
     }
 
     private boolean planIsDue() {
-        Duration sincePlan = parts.timeSource.now().minus(lastPlanAt);
+        Duration sincePlan = parts.shared.timeSource.now().minus(lastPlanAt);
         Duration pause =
                 Durations.max(Duration.ofNanos(lastPlanTime.toNanos() * PAUSE_PER_PLAN_TIME), MIN_PLAN_INTERVAL);
         boolean changed = observedVersion() != plannedVersion;
@@ -144,34 +149,34 @@
     }
 
     private long observedVersion() {
-        return parts.replica.version() + parts.workerClient.version();
+        return parts.shared.replica.version() + parts.workers.workerClient.version();
     }
 
     private void makePlan() {
-        Duration start = parts.timeSource.now();
+        Duration start = parts.shared.timeSource.now();
         plannedVersion = observedVersion();
         Plan previous = plan;
-        ClusterSnapshot snapshot = parts.snapshotBuilder.build();
+        ClusterSnapshot snapshot = parts.jobs.snapshotBuilder.build();
         plan = Planner.plan(snapshot);
-        if (LOG.isDebugEnabled() && parts.membership.leads()) {
+        if (LOG.isDebugEnabled() && parts.shared.membership.leads()) {
             logChangedReasons(previous);
         }
         carryOut(snapshot);
-        lastPlanAt = parts.timeSource.now();
+        lastPlanAt = parts.shared.timeSource.now();
         lastPlanTime = lastPlanAt.minus(start);
         LatencyHistograms.record(planTimes, lastPlanTime);
     }
 
     private void carryOut(ClusterSnapshot snapshot) {
-        parts.pendingPreemptions.prune(parts.replica);
-        if (parts.membership.leads()) {
-            parts.shardOwnership.borrow(plan);
+        parts.workers.pendingPreemptions.prune(parts.shared.replica);
+        if (parts.shared.membership.leads()) {
+            parts.machines.shardOwnership.borrow(plan);
         }
         parts.jobDelegation.planned(snapshot, plan);
-        parts.taskPreemptor.preempt(plan);
-        parts.taskPreemptor.moveReplicas(plan);
-        parts.placementWriter.place(plan, snapshot.projection());
-        parts.fleetManager.tick(plan);
+        parts.jobs.taskPreemptor.preempt(plan);
+        parts.jobs.taskPreemptor.moveReplicas(plan);
+        parts.jobs.placementWriter.place(plan, snapshot.projection());
+        parts.machines.fleetManager.tick(plan);
     }
 
     private void logChangedReasons(Plan previous) {
--- a/src/main/java/org/dunespindle/controller/WaitExplainer.java
+++ b/src/main/java/org/dunespindle/controller/WaitExplainer.java
@@ -15,15 +15,15 @@
     }
 
     String explain(JobRecord job) {
-        if (parts.replica.staleness().compareTo(DecisionLoop.MAX_STALENESS_FOR_PLACEMENT) > 0) {
+        if (parts.shared.replica.staleness().compareTo(DecisionLoop.MAX_STALENESS_FOR_PLACEMENT) > 0) {
             return "the state service does not answer; nothing new is placed";
         }
         if (job.spec().isPresent() && job.submission().isGang() && job.gangPhase() == JobRecord.GangPhase.STOPPING) {
             return "its members are being stopped before it is placed again";
         }
-        if (parts.crashLoopDetector.isCrashLooping(job.id())) {
+        if (parts.machines.crashLoopDetector.isCrashLooping(job.id())) {
             return "its tasks have failed " + job.failures() + " times, on "
-                    + parts.crashLoopDetector.machinesOf(job.id()).size()
+                    + parts.machines.crashLoopDetector.machinesOf(job.id()).size()
                     + " machines seen from here, and none ended well; one is tried at a time, with growing pauses";
         }
         if (job.isDelegatedAway()) {
@@ -37,9 +37,9 @@
     }
 
     private String explainUnplanned(JobRecord job) {
-        if (job.submission().isGang() && !parts.membership.leads()) {
+        if (job.submission().isGang() && !parts.shared.membership.leads()) {
             return "the leading controller places gangs; ask "
-                    + parts.membership.leader().orElse("it");
+                    + parts.shared.membership.leader().orElse("it");
         }
         return "it is about to be placed";
     }
--- /dev/null
+++ b/src/main/java/org/dunespindle/controller/WorkerParts.java
@@ -0,0 +1,73 @@
+package org.dunespindle.controller;
+
+import java.time.Duration;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import org.dunespindle.control.ControllerContext;
+import org.dunespindle.control.WorkerRegistry;
+import org.dunespindle.peer.PeerHeartbeats;
+import org.dunespindle.peer.WriteRateAllocator;
+import org.dunespindle.protocol.Settings;
+import org.dunespindle.transport.HttpClient;
+import org.dunespindle.worker.CancellationTracker;
+import org.dunespindle.worker.HeartbeatHandler;
+import org.dunespindle.worker.PartitionDetector;
+import org.dunespindle.worker.PendingPreemptions;
+import org.dunespindle.worker.WorkerClient;
+
+/** Dealings with workers and with the other controllers. */
+final class WorkerParts {
+    final CancellationTracker cancellationTracker;
+    final PendingPreemptions pendingPreemptions = new PendingPreemptions();
+    final WorkerClient workerClient;
+    final HeartbeatHandler heartbeatHandler;
+    final PartitionDetector partitionDetector;
+    final PeerHeartbeats peerHeartbeats;
+    final WriteRateAllocator writeRateAllocator;
+
+    WorkerParts(SharedParts shared, HttpClient httpClient, BooleanSupplier isPartitioned, Runnable requestRound) {
+        Settings settings = shared.settings;
+        ControllerContext context = shared.context;
+        cancellationTracker = new CancellationTracker(settings, shared.replica, shared.timeSource);
+        workerClient = new WorkerClient(
+                context, shared.machineWriter, httpClient, pendingPreemptions, cancellationTracker, requestRound);
+        peerHeartbeats = new PeerHeartbeats(
+                settings,
+                httpClient,
+                shared.timeSource,
+                shared.membership::incarnation,
+                shared.membership::leader,
+                shared.replica,
+                new PeerListener(shared.workers));
+        heartbeatHandler = new HeartbeatHandler(
+                context,
+                shared.machineWriter,
+                workerClient,
+                cancellationTracker,
+                isPartitioned,
+                peerHeartbeats::isSuspected);
+        writeRateAllocator = new WriteRateAllocator(
+                settings, peerHeartbeats, shared.membership, shared.commitQueue, shared.stateStore, shared.timeSource);
+        partitionDetector = new PartitionDetector(context, workerClient, peerHeartbeats);
+    }
+
+    /** Passes on what the other controllers' heartbeats tell that concerns other parts. */
+    private final class PeerListener implements PeerHeartbeats.Listener {
+        private final WorkerRegistry workers;
+
+        PeerListener(WorkerRegistry workers) {
+            this.workers = workers;
+        }
+
+        @Override
+        public void imageSeen(String machineId, String image) {
+            // The images that a machine has fetched outlive a change of its owner.
+            workers.getOrCreate(machineId).fetched(image);
+        }
+
+        @Override
+        public void cancelled(String node, Duration askedAt, List<String> jobs) {
+            workerClient.cancelledElsewhere(cancellationTracker.answered(node, askedAt, jobs));
+        }
+    }
+}
--- a/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.control;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,8 +13,7 @@
 import org.dunespindle.protocol.ExitCause;
 import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.dunespindle.protocol.TaskId;
 import org.dunespindle.protocol.TaskPhase;
 import org.dunespindle.protocol.TaskStatus;
@@ -32,7 +29,17 @@
 
     private static JobRecord job(JobKind kind, int tasks, Duration checkpointTime) {
         return JobRecord.accepted(
-                SubmissionBuilder.submission("wk-000001").jobClass("c").team("t").kind(kind).priority(Priority.URGENT).tasks(tasks).image("i").estimate(Duration.ofSeconds(1)).checkpointEvery(checkpointTime).checkpointTime(Duration.ofSeconds(4)).build(),
+                SubmissionBuilder.submission("wk-000001")
+                        .jobClass("c")
+                        .team("t")
+                        .kind(kind)
+                        .priority(Priority.URGENT)
+                        .tasks(tasks)
+                        .image("i")
+                        .estimate(Duration.ofSeconds(1))
+                        .checkpointEvery(checkpointTime)
+                        .checkpointTime(Duration.ofSeconds(4))
+                        .build(),
                 Instant.EPOCH);
     }
 
--- a/src/test/java/org/dunespindle/federation/TestJobs.java
+++ b/src/test/java/org/dunespindle/federation/TestJobs.java
@@ -1,14 +1,11 @@
 package org.dunespindle.federation;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
-import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
 import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 
 /** Jobs for tests of the federation's parts. */
 final class TestJobs {
@@ -24,6 +21,12 @@
 
     static Submission of(
             String id, JobKind shape, Priority priority, int tasks, Optional<List<String>> types, boolean sameZone) {
-        return SubmissionBuilder.submission(id).kind(shape).priority(priority).tasks(tasks).types(types).sameZone(sameZone).build();
+        return SubmissionBuilder.submission(id)
+                .kind(shape)
+                .priority(priority)
+                .tasks(tasks)
+                .types(types)
+                .sameZone(sameZone)
+                .build();
     }
 }
--- a/src/test/java/org/dunespindle/protocol/SubmissionBuilder.java
+++ b/src/test/java/org/dunespindle/protocol/SubmissionBuilder.java
@@ -138,6 +138,24 @@
 
     /** The submission as set. */
     public Submission build() {
-        return new Submission(id, jobClass, team, kind, priority, tasks, perTask, types, zone, sameZone, spread, spot, image, imageGb, estimate, checkpointEvery, checkpointTime, due);
+        return new Submission(
+                id,
+                jobClass,
+                team,
+                kind,
+                priority,
+                tasks,
+                perTask,
+                types,
+                zone,
+                sameZone,
+                spread,
+                spot,
+                image,
+                imageGb,
+                estimate,
+                checkpointEvery,
+                checkpointTime,
+                due);
     }
 }
--- a/src/test/java/org/dunespindle/sim/ClusterTest.java
+++ b/src/test/java/org/dunespindle/sim/ClusterTest.java
@@ -1,17 +1,14 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Optional;
 import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -19,7 +16,17 @@
 /** Whole controllers against stand-ins in virtual time, through failures drawn from fixed seeds. */
 class ClusterTest {
     static Submission job(String id, String team, JobKind shape, int tasks, boolean sameZone, boolean spot) {
-        return SubmissionBuilder.submission(id).team(team).kind(shape).priority(shape == JobKind.GANG ? Priority.URGENT : Priority.LOW).tasks(tasks).sameZone(sameZone).spot(spot).image("image-" + tasks % 2).imageGb(2).estimate(Duration.ofSeconds(5)).build();
+        return SubmissionBuilder.submission(id)
+                .team(team)
+                .kind(shape)
+                .priority(shape == JobKind.GANG ? Priority.URGENT : Priority.LOW)
+                .tasks(tasks)
+                .sameZone(sameZone)
+                .spot(spot)
+                .image("image-" + tasks % 2)
+                .imageGb(2)
+                .estimate(Duration.ofSeconds(5))
+                .build();
     }
 
     static List<String> submitMix(SimulatedCluster cluster, int count) {
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -12,6 +10,7 @@
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -188,7 +187,16 @@
     @ValueSource(longs = {105, 106, 107, 108, 109, 110})
     void allControllersCrashWhileAGangSaves(long seed) {
         var cluster = new SimulatedCluster(seed);
-        Submission gang = SubmissionBuilder.submission("wk-000001").kind(JobKind.GANG).priority(Priority.URGENT).tasks(6).spot(true).imageGb(2).estimate(Duration.ofSeconds(25)).checkpointEvery(Duration.ofSeconds(5)).checkpointTime(Duration.ofSeconds(4)).build();
+        Submission gang = SubmissionBuilder.submission("wk-000001")
+                .kind(JobKind.GANG)
+                .priority(Priority.URGENT)
+                .tasks(6)
+                .spot(true)
+                .imageGb(2)
+                .estimate(Duration.ofSeconds(25))
+                .checkpointEvery(Duration.ofSeconds(5))
+                .checkpointTime(Duration.ofSeconds(4))
+                .build();
         cluster.submit(gang);
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.ARRAY, 5, false, true));
         while (!cluster.lastTold("wk-000001").equals("running")
@@ -238,8 +246,22 @@
         // Names far apart: every machine has a record of its own, and there are more of them than one transaction may
         // guard.
         var cluster = new SimulatedCluster(121, 90, 10);
-        cluster.submit(SubmissionBuilder.submission("wk-000001").priority(Priority.LOW).tasks(80).perTask(new Resources(4, 0, 1)).imageGb(2).estimate(Duration.ofSeconds(5)).build());
-        cluster.submit(SubmissionBuilder.submission("wk-000002").team("blue").kind(JobKind.GANG).priority(Priority.URGENT).tasks(70).perTask(new Resources(4, 0, 1)).imageGb(2).estimate(Duration.ofSeconds(5)).build());
+        cluster.submit(SubmissionBuilder.submission("wk-000001")
+                .priority(Priority.LOW)
+                .tasks(80)
+                .perTask(new Resources(4, 0, 1))
+                .imageGb(2)
+                .estimate(Duration.ofSeconds(5))
+                .build());
+        cluster.submit(SubmissionBuilder.submission("wk-000002")
+                .team("blue")
+                .kind(JobKind.GANG)
+                .priority(Priority.URGENT)
+                .tasks(70)
+                .perTask(new Resources(4, 0, 1))
+                .imageGb(2)
+                .estimate(Duration.ofSeconds(5))
+                .build());
         cluster.sim.run(Duration.ofSeconds(300));
         ClusterTest.assertAllDone(cluster, List.of("wk-000001", "wk-000002"));
     }
@@ -250,10 +272,26 @@
     void aLargeGangBeginsWithinFourMinutes(String priority) {
         var cluster = new SimulatedCluster(131);
         for (int i = 0; i < 300; i++) {
-            Submission small = SubmissionBuilder.submission("wk-%06d".formatted(i + 10)).jobClass("small").team(i % 3 == 0 ? "red" : "blue").tasks(2).image("image-1").imageGb(2).estimate(Duration.ofSeconds(5)).build();
+            Submission small = SubmissionBuilder.submission("wk-%06d".formatted(i + 10))
+                    .jobClass("small")
+                    .team(i % 3 == 0 ? "red" : "blue")
+                    .tasks(2)
+                    .image("image-1")
+                    .imageGb(2)
+                    .estimate(Duration.ofSeconds(5))
+                    .build();
             cluster.sim.after(1000L + i * 900L, () -> cluster.submit(small));
         }
-        Submission large = SubmissionBuilder.submission("wk-000001").jobClass("large").kind(JobKind.GANG).priority(Priority.valueOf(priority)).tasks(9).sameZone(true).image("image-2").imageGb(2).estimate(Duration.ofSeconds(5)).build();
+        Submission large = SubmissionBuilder.submission("wk-000001")
+                .jobClass("large")
+                .kind(JobKind.GANG)
+                .priority(Priority.valueOf(priority))
+                .tasks(9)
+                .sameZone(true)
+                .image("image-2")
+                .imageGb(2)
+                .estimate(Duration.ofSeconds(5))
+                .build();
         cluster.sim.after(30_000, () -> cluster.submit(large));
         cluster.sim.run(Duration.ofSeconds(270));
         assertEquals(List.of(), cluster.broken);
@@ -402,7 +440,25 @@
     /** A service that may run in one zone only, wherever machines would be rented otherwise. */
     private static Submission serviceIn(String zone, String id, String team, int replicas) {
         Submission anywhere = ClusterTest.job(id, team, JobKind.SERVICE, replicas, false, false);
-        return SubmissionBuilder.submission(anywhere.id()).jobClass(anywhere.jobClass()).team(anywhere.team()).kind(anywhere.kind()).priority(anywhere.priority()).tasks(anywhere.tasks()).perTask(anywhere.perTask()).types(anywhere.types()).zone(Optional.of(zone)).sameZone(anywhere.sameZone()).spread(anywhere.spread()).spot(anywhere.spot()).image(anywhere.image()).imageGb(anywhere.imageGb()).estimate(anywhere.estimate()).checkpointEvery(anywhere.checkpointEvery()).checkpointTime(anywhere.checkpointTime()).due(anywhere.due()).build();
+        return SubmissionBuilder.submission(anywhere.id())
+                .jobClass(anywhere.jobClass())
+                .team(anywhere.team())
+                .kind(anywhere.kind())
+                .priority(anywhere.priority())
+                .tasks(anywhere.tasks())
+                .perTask(anywhere.perTask())
+                .types(anywhere.types())
+                .zone(Optional.of(zone))
+                .sameZone(anywhere.sameZone())
+                .spread(anywhere.spread())
+                .spot(anywhere.spot())
+                .image(anywhere.image())
+                .imageGb(anywhere.imageGb())
+                .estimate(anywhere.estimate())
+                .checkpointEvery(anywhere.checkpointEvery())
+                .checkpointTime(anywhere.checkpointTime())
+                .due(anywhere.due())
+                .build();
     }
 
     /** Held reports arrive all at once when a cut ends; that commands did not arrive before says nothing about after. */
@@ -441,7 +497,13 @@
         cluster.provide(40);
         cluster.taskTime = Optional.of(Duration.ofMinutes(10));
         for (String id : List.of("wk-000101", "wk-000102")) {
-            cluster.submit(SubmissionBuilder.submission(id).team(id.endsWith("1") ? "red" : "blue").tasks(20).perTask(new Resources(4, 1, 1)).imageGb(2).estimate(Duration.ofSeconds(60)).build());
+            cluster.submit(SubmissionBuilder.submission(id)
+                    .team(id.endsWith("1") ? "red" : "blue")
+                    .tasks(20)
+                    .perTask(new Resources(4, 1, 1))
+                    .imageGb(2)
+                    .estimate(Duration.ofSeconds(60))
+                    .build());
         }
         cluster.sim.run(Duration.ofSeconds(70));
         cluster.taskTime = Optional.empty();
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -24,8 +22,8 @@
 import org.dunespindle.federation.Transfer;
 import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.dunespindle.storage.FormatVersion;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -38,7 +36,13 @@
     private static final String BUILD = "wk-000007";
 
     static Submission job(String id, String team, JobKind shape, Priority priority, int tasks) {
-        return SubmissionBuilder.submission(id).team(team).kind(shape).priority(priority).tasks(tasks).image("image-1").build();
+        return SubmissionBuilder.submission(id)
+                .team(team)
+                .kind(shape)
+                .priority(priority)
+                .tasks(tasks)
+                .image("image-1")
+                .build();
     }
 
     /** Cell a is filled with its own urgent work for minutes; nothing gives way to work of the same priority. */
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,9 +11,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.dunespindle.api.UserApi;
 import org.dunespindle.protocol.JobKind;
-import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 
 /** A large fleet beside a small one through a crash of all controllers: what each needs is counted, and must not grow faster than the fleet. */
@@ -32,7 +30,13 @@
         cluster.provide(machines);
         cluster.taskTime = Optional.of(Duration.ofMinutes(10));
         for (int i = 0; i < machines / TASKS; i++) {
-            Submission submission = SubmissionBuilder.submission("wk-%06d".formatted(i)).team(i % 2 == 0 ? "red" : "blue").tasks(TASKS).perTask(new Resources(4, 1, 1)).imageGb(2).estimate(Duration.ofSeconds(60)).build();
+            Submission submission = SubmissionBuilder.submission("wk-%06d".formatted(i))
+                    .team(i % 2 == 0 ? "red" : "blue")
+                    .tasks(TASKS)
+                    .perTask(new Resources(4, 1, 1))
+                    .imageGb(2)
+                    .estimate(Duration.ofSeconds(60))
+                    .build();
             cluster.sim.after(3000L + 20L * i, () -> cluster.submit(submission));
         }
         cluster.sim.run(Duration.ofSeconds(60));
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -1,21 +1,18 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.LongStream;
 import org.dunespindle.api.UserApi;
 import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -24,7 +21,15 @@
 /** What operators met on bad nights: faulty jobs, long silences, storms of questions, guests. */
 class OperationsTest {
     static Submission array(String id, String team, Priority priority, int tasks) {
-        return SubmissionBuilder.submission(id).team(team).priority(priority).tasks(tasks).spot(true).image("image-1").imageGb(2).estimate(Duration.ofSeconds(5)).build();
+        return SubmissionBuilder.submission(id)
+                .team(team)
+                .priority(priority)
+                .tasks(tasks)
+                .spot(true)
+                .image("image-1")
+                .imageGb(2)
+                .estimate(Duration.ofSeconds(5))
+                .build();
     }
 
     static LongStream faultySeeds() {
@@ -148,7 +153,16 @@
     @Test
     void aGuestsHugeArrayGivesWayAndIsServed() {
         var cluster = new SimulatedCluster(641);
-        Submission huge = SubmissionBuilder.submission("wk-000100").jobClass("guest").team("green").priority(Priority.LOW).tasks(120).spot(true).image("image-9").imageGb(0.5).estimate(Duration.ofSeconds(4)).build();
+        Submission huge = SubmissionBuilder.submission("wk-000100")
+                .jobClass("guest")
+                .team("green")
+                .priority(Priority.LOW)
+                .tasks(120)
+                .spot(true)
+                .image("image-9")
+                .imageGb(0.5)
+                .estimate(Duration.ofSeconds(4))
+                .build();
         cluster.submit(huge);
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -1,7 +1,5 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,8 +7,7 @@
 import java.util.Random;
 import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 
 /** A day of a few troubles that meet, drawn from a seed: the same seed is the same day. */
 final class RandomFaultSchedule {
@@ -101,7 +98,22 @@
             boolean apart = !gang && i % 5 == 4;
             Optional<String> zone = i % 7 == 2 && !apart ? Optional.of(i % 2 == 0 ? "east" : "west") : Optional.empty();
             Duration saves = i % 4 == 1 ? Duration.ofSeconds(5) : Duration.ZERO;
-            var job = SubmissionBuilder.submission(id).jobClass(gang ? "gang" : "array").team(i % 2 == 0 ? "red" : "blue").kind(gang ? JobKind.GANG : JobKind.ARRAY).priority(gang ? Priority.URGENT : Priority.LOW).tasks(tasks).zone(zone).sameZone(gang && i % 2 == 0).spread(apart).spot(i % 4 != 0).image("image-" + tasks % 2).imageGb(2).estimate(Duration.ofSeconds(5)).checkpointEvery(saves).checkpointTime(saves.isZero() ? saves : Duration.ofSeconds(3)).build();
+            var job = SubmissionBuilder.submission(id)
+                    .jobClass(gang ? "gang" : "array")
+                    .team(i % 2 == 0 ? "red" : "blue")
+                    .kind(gang ? JobKind.GANG : JobKind.ARRAY)
+                    .priority(gang ? Priority.URGENT : Priority.LOW)
+                    .tasks(tasks)
+                    .zone(zone)
+                    .sameZone(gang && i % 2 == 0)
+                    .spread(apart)
+                    .spot(i % 4 != 0)
+                    .image("image-" + tasks % 2)
+                    .imageGb(2)
+                    .estimate(Duration.ofSeconds(5))
+                    .checkpointEvery(saves)
+                    .checkpointTime(saves.isZero() ? saves : Duration.ofSeconds(3))
+                    .build();
             cluster.sim.after(500L + i * 3500L + random.nextInt(1500), () -> cluster.submit(job));
         }
     }
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,9 +17,9 @@
 import java.util.Random;
 import org.dunespindle.api.UserApi;
 import org.dunespindle.protocol.JobKind;
-import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -111,7 +109,19 @@
     void whatCanNeverRunIsRefused(
             String team, JobKind shape, int tasks, double gpus, String type, String zone, String zoneRules) {
         SimulatedCluster cluster = ready();
-        var job = SubmissionBuilder.submission("wk-000001").team(team).kind(shape).tasks(tasks).perTask(new Resources(1, gpus, 1)).types(type.isEmpty() ? Optional.empty() : Optional.of(List.of(type))).zone(zone.isEmpty() ? Optional.empty() : Optional.of(zone)).sameZone(zoneRules.contains("together")).spread(zoneRules.contains("apart")).spot(true).imageGb(2).estimate(Duration.ofSeconds(5)).build();
+        var job = SubmissionBuilder.submission("wk-000001")
+                .team(team)
+                .kind(shape)
+                .tasks(tasks)
+                .perTask(new Resources(1, gpus, 1))
+                .types(type.isEmpty() ? Optional.empty() : Optional.of(List.of(type)))
+                .zone(zone.isEmpty() ? Optional.empty() : Optional.of(zone))
+                .sameZone(zoneRules.contains("together"))
+                .spread(zoneRules.contains("apart"))
+                .spot(true)
+                .imageGb(2)
+                .estimate(Duration.ofSeconds(5))
+                .build();
         var answer = submit(cluster, job.toNode());
         assertEquals(422, answer.status(), answer.body().toString());
         assertTrue(!answer.body().path("error").asText().isEmpty());
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,6 +12,7 @@
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -24,7 +23,18 @@
     private static final Duration SETTLED = Duration.ofSeconds(40);
 
     private static Submission service(String id, int replicas, boolean apart, boolean spot) {
-        return SubmissionBuilder.submission(id).jobClass("service").team("blue").kind(JobKind.SERVICE).priority(Priority.CRITICAL).tasks(replicas).perTask(new Resources(1, 0, 1)).spread(apart).spot(spot).image("image-1").estimate(Duration.ZERO).build();
+        return SubmissionBuilder.submission(id)
+                .jobClass("service")
+                .team("blue")
+                .kind(JobKind.SERVICE)
+                .priority(Priority.CRITICAL)
+                .tasks(replicas)
+                .perTask(new Resources(1, 0, 1))
+                .spread(apart)
+                .spot(spot)
+                .image("image-1")
+                .estimate(Duration.ZERO)
+                .build();
     }
 
     private static List<FakeWorker.Task> replicas(SimulatedCluster cluster) {
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,12 +11,11 @@
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
 import org.dunespindle.control.Membership;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.dunespindle.storage.FormatVersion;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.Keys;
@@ -95,7 +92,15 @@
     }
 
     private static Submission array(String id, int tasks, Optional<String> zone, boolean spot) {
-        return SubmissionBuilder.submission(id).jobClass("array").priority(Priority.LOW).tasks(tasks).zone(zone).spot(spot).image("image-0").estimate(RUNS).build();
+        return SubmissionBuilder.submission(id)
+                .jobClass("array")
+                .priority(Priority.LOW)
+                .tasks(tasks)
+                .zone(zone)
+                .spot(spot)
+                .image("image-0")
+                .estimate(RUNS)
+                .build();
     }
 
     private static int allocated(SimulatedCluster cluster, String job) {
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -1,7 +1,5 @@
 package org.dunespindle.sim;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,8 +8,8 @@
 import java.util.Random;
 import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 
 /**
  * A day on which every team wants more than its limit while there is room on the machines, drawn from a seed: arrays whose
@@ -95,7 +93,16 @@
 
     private Submission draw(String id) {
         boolean gang = random.nextInt(8) == 0;
-        return SubmissionBuilder.submission(id).jobClass(gang ? "gang" : "array").team(random.nextInt(3) > 0 ? "red" : "blue").kind(gang ? JobKind.GANG : JobKind.ARRAY).priority(random.nextBoolean() ? Priority.LOW : Priority.NORMAL).tasks(gang ? 2 + random.nextInt(5) : drawTasks()).spot(true).image("image-" + random.nextInt(3)).estimate(Duration.ofSeconds(8)).build();
+        return SubmissionBuilder.submission(id)
+                .jobClass(gang ? "gang" : "array")
+                .team(random.nextInt(3) > 0 ? "red" : "blue")
+                .kind(gang ? JobKind.GANG : JobKind.ARRAY)
+                .priority(random.nextBoolean() ? Priority.LOW : Priority.NORMAL)
+                .tasks(gang ? 2 + random.nextInt(5) : drawTasks())
+                .spot(true)
+                .image("image-" + random.nextInt(3))
+                .estimate(Duration.ofSeconds(8))
+                .build();
     }
 
     /** Most arrays are small; some are as large as several machines. */
--- a/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
+++ b/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.storage;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -24,8 +22,8 @@
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 
 /** Job records divided into chunks, and records that earlier versions stored. */
@@ -39,7 +37,15 @@
         for (int i = random.nextInt(30); i > 0; i--) {
             types.add("type-\u00e9\u4e2d\"" + "x".repeat(random.nextInt(60)) + i);
         }
-        return SubmissionBuilder.submission("wk-000001").jobClass("class \uD83D\uDE00 " + "c".repeat(random.nextInt(100))).team("t").kind(random.nextInt(3) == 0 ? JobKind.GANG : JobKind.ARRAY).priority(Priority.LOW).tasks(100_000).types(random.nextBoolean() ? Optional.empty() : Optional.of(types)).estimate(Duration.ofSeconds(1)).build();
+        return SubmissionBuilder.submission("wk-000001")
+                .jobClass("class \uD83D\uDE00 " + "c".repeat(random.nextInt(100)))
+                .team("t")
+                .kind(random.nextInt(3) == 0 ? JobKind.GANG : JobKind.ARRAY)
+                .priority(Priority.LOW)
+                .tasks(100_000)
+                .types(random.nextBoolean() ? Optional.empty() : Optional.of(types))
+                .estimate(Duration.ofSeconds(1))
+                .build();
     }
 
     /** A record as long as an earlier version may have stored: tasks on few or many machines, ended at random. */
--- a/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
+++ b/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.storage;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -16,11 +14,9 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 
 /** Links of jobs to other cells: their stored form, and which jobs they keep from being placed. */
@@ -29,7 +25,11 @@
 
     private static JobRecord job(int tasks) {
         return JobRecord.accepted(
-                SubmissionBuilder.submission("wk-000001").priority(Priority.LOW).tasks(tasks).estimate(Duration.ofSeconds(1)).build(),
+                SubmissionBuilder.submission("wk-000001")
+                        .priority(Priority.LOW)
+                        .tasks(tasks)
+                        .estimate(Duration.ofSeconds(1))
+                        .build(),
                 NOW);
     }
 
--- a/src/test/java/org/dunespindle/storage/JobRecordTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordTest.java
@@ -1,7 +1,5 @@
 package org.dunespindle.storage;
 
-import org.dunespindle.protocol.SubmissionBuilder;
-
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,7 +12,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
@@ -24,15 +21,23 @@
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 
 /** Transitions of job records under generated sequences of placement, release and failure. */
 class JobRecordTest {
     private static JobRecord job(JobKind kind, int tasks) {
         return JobRecord.accepted(
-                SubmissionBuilder.submission("wk-000001").jobClass("c").team("t").kind(kind).priority(Priority.LOW).tasks(tasks).image("i").estimate(Duration.ofSeconds(1)).build(),
+                SubmissionBuilder.submission("wk-000001")
+                        .jobClass("c")
+                        .team("t")
+                        .kind(kind)
+                        .priority(Priority.LOW)
+                        .tasks(tasks)
+                        .image("i")
+                        .estimate(Duration.ofSeconds(1))
+                        .build(),
                 Instant.ofEpochMilli(1000));
     }
 
