--- a/src/main/java/org/dunespindle/job/RecordSizeLimit.java
+++ b/src/main/java/org/dunespindle/job/RecordSizeLimit.java
@@ -30,11 +30,11 @@
     Map<Integer, String> limit(JobRecord job, Map<Integer, String> places) {
         Map<Integer, String> limited = places;
         while (!limited.isEmpty() && !fits(job.withPlaced(limited))) {
-            var half = new LinkedHashMap<Integer, String>();
+            var firstHalf = new LinkedHashMap<Integer, String>();
             limited.entrySet().stream()
                     .limit(limited.size() / 2)
-                    .forEach(place -> half.put(place.getKey(), place.getValue()));
-            limited = half;
+                    .forEach(place -> firstHalf.put(place.getKey(), place.getValue()));
+            limited = firstHalf;
         }
         return limited;
     }
--- a/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -73,7 +73,7 @@
         for (MachineCapacity machine : state.withCapacity(array.submission, candidates, array.zones, withImage)) {
             while (remaining > 0
                     && machine.hasCapacity(array.submission.perTask())
-                    && array.zones.allows(machine.machine())) {
+                    && array.zones.allows(machine.snapshot())) {
                 allocate(array, machine);
                 remaining--;
             }
@@ -87,9 +87,9 @@
         int task = array.unplaced.nextInt();
         array.placed++;
         state.allocate(array.submission, machine);
-        array.zones.addTask(machine.machine().zone());
+        array.zones.addTask(machine.snapshot().zone());
         if (machine.schedulable()) {
-            array.places.put(task, machine.machine().id());
+            array.places.put(task, machine.snapshot().id());
         } else {
             state.addWaitReason(array.job, "waits for machines that are booting");
         }
--- a/src/main/java/org/dunespindle/scheduling/DemandForecast.java
+++ b/src/main/java/org/dunespindle/scheduling/DemandForecast.java
@@ -25,12 +25,9 @@
     private static final Duration ARRIVAL_WINDOW = Duration.ofSeconds(120);
     private static final Duration FORECAST_HORIZON = Duration.ofSeconds(12);
     private final Set<String> forecastClasses = new HashSet<>();
-    private final Map<String, ArrayDeque<Submission>> recent = new LinkedHashMap<>();
-    private final Map<String, ArrayDeque<Arrival>> arrivals = new LinkedHashMap<>();
+    private final Map<String, ClassHistory> histories = new LinkedHashMap<>();
     private final Set<String> seen = new HashSet<>();
 
-    private record Arrival(Instant at, int tasks) {}
-
     /**
      * The demand that a class is likely to have next.
      *
@@ -39,10 +36,79 @@
      */
     public record ForecastJob(JobRecord job, int expectedSoon) {}
 
+    private record Arrival(Instant at, int tasks) {}
+
+    /** The recent jobs and arrivals of one class. */
+    private static final class ClassHistory {
+        private final ArrayDeque<Submission> recentJobs = new ArrayDeque<>();
+        private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
+
+        void add(JobRecord job) {
+            Submission submission = job.submission();
+            recentJobs.addLast(submission);
+            if (recentJobs.size() > RECENT_JOBS_PER_CLASS) {
+                recentJobs.removeFirst();
+            }
+            arrivals.addLast(new Arrival(job.arrived(), submission.tasks()));
+        }
+
+        void forgetArrivalsBefore(Instant oldest) {
+            while (!arrivals.isEmpty() && arrivals.peekFirst().at.isBefore(oldest)) {
+                arrivals.removeFirst();
+            }
+        }
+
+        /** How many tasks are expected within the forecast horizon, by the arrival rate. */
+        int expectedTasks() {
+            int tasks = arrivals.stream().mapToInt(Arrival::tasks).sum();
+            return (int) (tasks * FORECAST_HORIZON.toMillis() / ARRIVAL_WINDOW.toMillis());
+        }
+
+        /** The image that most recent jobs use: machines that have it are worth keeping. */
+        String mostCommonImage() {
+            var counts = new LinkedHashMap<String, Integer>();
+            recentJobs.forEach(job -> counts.merge(job.image(), 1, Integer::sum));
+            return counts.entrySet().stream()
+                    .max(Map.Entry.comparingByValue())
+                    .orElseThrow()
+                    .getKey();
+        }
+
+        int medianTasks() {
+            int[] sizes =
+                    recentJobs.stream().mapToInt(Submission::tasks).sorted().toArray();
+            return sizes[sizes.length / 2];
+        }
+
+        /** A job like the latest one, with as many tasks as some jobs of median size. */
+        Submission typicalJob(String jobClass, int jobs) {
+            Submission latest = recentJobs.getLast();
+            return new Submission(
+                    FORECAST_ID_PREFIX + jobClass,
+                    jobClass,
+                    latest.team(),
+                    latest.kind(),
+                    latest.priority(),
+                    jobs * medianTasks(),
+                    latest.perTask(),
+                    latest.types(),
+                    Optional.empty(),
+                    latest.sameZone(),
+                    latest.spread(),
+                    latest.spot(),
+                    mostCommonImage(),
+                    0,
+                    latest.estimate(),
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    Optional.empty());
+        }
+    }
+
     /** Creates a forecast for the classes that have an objective for the waiting time. */
     public DemandForecast(List<Settings.Objective> objectives) {
         objectives.stream()
-                .filter(objective -> ObjectiveKind.WAIT.matches(objective))
+                .filter(ObjectiveKind.WAIT::matches)
                 .forEach(objective -> forecastClasses.add(objective.jobClass()));
     }
 
@@ -51,75 +117,31 @@
         var present = new HashSet<String>();
         for (JobRecord job : jobs) {
             present.add(job.id());
-            if (seen.add(job.id()) && forecastClasses.contains(job.submission().jobClass())) {
-                ArrayDeque<Submission> list =
-                        recent.computeIfAbsent(job.submission().jobClass(), c -> new ArrayDeque<>());
-                list.addLast(job.submission());
-                if (list.size() > RECENT_JOBS_PER_CLASS) {
-                    list.removeFirst();
-                }
-                arrivals.computeIfAbsent(job.submission().jobClass(), c -> new ArrayDeque<>())
-                        .addLast(new Arrival(job.arrived(), job.submission().tasks()));
+            boolean arrived = seen.add(job.id());
+            if (arrived && forecastClasses.contains(job.submission().jobClass())) {
+                histories
+                        .computeIfAbsent(job.submission().jobClass(), jobClass -> new ClassHistory())
+                        .add(job);
             }
         }
         seen.retainAll(present);
     }
 
-    /** The image that most recent jobs use: machines that have it are worth keeping. */
-    private static String mostCommonImage(ArrayDeque<Submission> jobs) {
-        var counts = new LinkedHashMap<String, Integer>();
-        jobs.forEach(job -> counts.merge(job.image(), 1, Integer::sum));
-        return counts.entrySet().stream()
-                .max(Map.Entry.comparingByValue())
-                .orElseThrow()
-                .getKey();
-    }
-
-    /** How many tasks of a class are expected within the forecast horizon, by its recent arrival rate. */
-    private int expectedTasks(String name, Instant now) {
-        ArrayDeque<Arrival> list = arrivals.get(name);
-        while (!list.isEmpty() && Duration.between(list.peekFirst().at, now).compareTo(ARRIVAL_WINDOW) > 0) {
-            list.removeFirst();
-        }
-        int tasks = list.stream().mapToInt(Arrival::tasks).sum();
-        return (int) (tasks * FORECAST_HORIZON.toMillis() / ARRIVAL_WINDOW.toMillis());
-    }
-
     /**
      * One forecast job per class.
      *
      * @param perClass how many jobs of median size each forecast job stands for
      */
     public List<ForecastJob> forecastJobs(int perClass, Instant now) {
-        var list = new ArrayList<ForecastJob>();
-        recent.forEach((name, jobs) -> {
-            int[] sizes = jobs.stream().mapToInt(Submission::tasks).sorted().toArray();
-            Submission submission = jobs.getLast();
-            var typical = new Submission(
-                    FORECAST_ID_PREFIX + name,
-                    name,
-                    submission.team(),
-                    submission.kind(),
-                    submission.priority(),
-                    perClass * sizes[sizes.length / 2],
-                    submission.perTask(),
-                    submission.types(),
-                    Optional.empty(),
-                    submission.sameZone(),
-                    submission.spread(),
-                    submission.spot(),
-                    mostCommonImage(jobs),
-                    0,
-                    submission.estimate(),
-                    Duration.ZERO,
-                    Duration.ZERO,
-                    Optional.empty());
-            int expectedSoon = expectedTasks(name, now);
+        var forecast = new ArrayList<ForecastJob>();
+        histories.forEach((jobClass, history) -> {
+            history.forgetArrivalsBefore(now.minus(ARRIVAL_WINDOW));
             // A class without recent arrivals is not forecast any more.
-            if (perClass > 0 && !arrivals.get(name).isEmpty()) {
-                list.add(new ForecastJob(JobRecord.accepted(typical, Instant.EPOCH), expectedSoon));
+            if (perClass > 0 && !history.arrivals.isEmpty()) {
+                JobRecord typical = JobRecord.accepted(history.typicalJob(jobClass, perClass), Instant.EPOCH);
+                forecast.add(new ForecastJob(typical, history.expectedTasks()));
             }
         });
-        return list;
+        return forecast;
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/GangPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/GangPlanner.java
@@ -74,7 +74,7 @@
         var withImage = new ArrayList<MachineCapacity>();
         int capacity = 0;
         for (MachineCapacity machine : state.machines().candidatesWithImage(job)) {
-            if (machine.machine().up() && zones.allows(machine.machine())) {
+            if (machine.snapshot().up() && zones.allows(machine.snapshot())) {
                 withImage.add(machine);
                 capacity += capacity < missing
                         ? Planner.fitCount(job.perTask(), machine.freeAfterPreemptionBy(gang), missing)
@@ -87,13 +87,13 @@
     private void fill(GangProgress progress, List<MachineCapacity> machines, ZoneRules zones) {
         Submission job = progress.gang.submission();
         for (MachineCapacity machine : machines) {
-            while (progress.remaining > 0 && machine.hasCapacity(job.perTask()) && zones.allows(machine.machine())) {
+            while (progress.remaining > 0 && machine.hasCapacity(job.perTask()) && zones.allows(machine.snapshot())) {
                 state.allocate(job, machine);
-                zones.addTask(machine.machine().zone());
+                zones.addTask(machine.snapshot().zone());
                 progress.remaining--;
                 if (machine.schedulable()) {
                     progress.places.put(
-                            progress.unplaced.next(), machine.machine().id());
+                            progress.unplaced.next(), machine.snapshot().id());
                 } else {
                     state.addWaitReason(progress.gang, "waits for machines that are booting");
                 }
--- a/src/main/java/org/dunespindle/scheduling/JobOrder.java
+++ b/src/main/java/org/dunespindle/scheduling/JobOrder.java
@@ -49,7 +49,7 @@
     List<JobRecord> jobs() {
         var ordered = new ArrayList<JobRecord>();
         for (JobRecord job : snapshot.jobs()) {
-            if (job.isOpen() && job.unplacedCount() > 0 && plannedHere(job)) {
+            if (job.isOpen() && job.unplacedCount() > 0 && isPlannedHere(job)) {
                 ordered.add(job);
                 ranks.put(job.id(), rank(job));
             }
@@ -65,7 +65,7 @@
         return ordered;
     }
 
-    private boolean plannedHere(JobRecord job) {
+    private boolean isPlannedHere(JobRecord job) {
         return snapshot.gangs()
                 || !job.submission().isGang() && !snapshot.leftAlone().contains(job.id());
     }
--- a/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
@@ -10,7 +10,7 @@
 
 /** A machine's capacity while a plan is made. */
 final class MachineCapacity {
-    private final MachineSnapshot machine;
+    private final MachineSnapshot snapshot;
     private Resources free;
     /** What tasks that are being stopped still occupy. */
     private Resources stopping = Resources.NONE;
@@ -38,12 +38,12 @@
     }
 
     MachineCapacity(MachineSnapshot machine) {
-        this.machine = machine;
+        this.snapshot = machine;
         this.free = machine.size();
     }
 
-    MachineSnapshot machine() {
-        return machine;
+    MachineSnapshot snapshot() {
+        return snapshot;
     }
 
     Resources free() {
@@ -65,7 +65,7 @@
 
     /** Whether tasks can be placed here now. */
     boolean schedulable() {
-        return machine.up() && !reserved;
+        return snapshot.up() && !reserved;
     }
 
     boolean hasCapacity(Resources perTask) {
@@ -73,7 +73,7 @@
     }
 
     boolean hasImage(String image) {
-        return machine.images().contains(image);
+        return snapshot.images().contains(image);
     }
 
     /** Images that tasks here still wait for, as far as is known. Concurrent fetches share the machine's rate. */
--- a/src/main/java/org/dunespindle/scheduling/MachineDemand.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineDemand.java
@@ -78,9 +78,9 @@
         Resources perTask = job.submission().perTask();
         int missing = tasks;
         for (MachineCapacity machine : machines) {
-            while (missing > 0 && machine.hasCapacity(perTask) && zones.allows(machine.machine())) {
+            while (missing > 0 && machine.hasCapacity(perTask) && zones.allows(machine.snapshot())) {
                 state.reserveCapacity(job.submission(), machine);
-                zones.addTask(machine.machine().zone());
+                zones.addTask(machine.snapshot().zone());
                 missing--;
             }
             if (missing == 0) {
--- a/src/main/java/org/dunespindle/scheduling/MachineIndex.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineIndex.java
@@ -74,7 +74,7 @@
     private static List<MachineCapacity> filter(List<MachineCapacity> machines, Eligibility eligibility) {
         var filtered = new ArrayList<MachineCapacity>();
         for (MachineCapacity machine : machines) {
-            if (eligibility.includes(machine.machine())) {
+            if (eligibility.includes(machine.snapshot())) {
                 filtered.add(machine);
             }
         }
@@ -84,7 +84,7 @@
     private Map<String, List<MachineCapacity>> byImage() {
         if (byImage.isEmpty()) {
             for (MachineCapacity machine : machines) {
-                for (String image : machine.machine().images()) {
+                for (String image : machine.snapshot().images()) {
                     byImage.computeIfAbsent(image, key -> new ArrayList<>()).add(machine);
                 }
             }
--- a/src/main/java/org/dunespindle/scheduling/MachineScore.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineScore.java
@@ -29,7 +29,7 @@
 
     /** The score of a machine for a task of a job; higher is better. */
     static double of(Submission job, MachineCapacity machine) {
-        MachineSnapshot snapshot = machine.machine();
+        MachineSnapshot snapshot = machine.snapshot();
         double up = snapshot.up() ? UP_SCORE : 0;
         double spot = snapshot.spot() && job.spot() ? SPOT_SCORE : 0;
         return up + spot + imageScore(job.image(), machine) + allocatedPart(machine);
@@ -55,7 +55,7 @@
     }
 
     private static double allocatedPart(MachineCapacity machine) {
-        Resources size = machine.machine().size();
+        Resources size = machine.snapshot().size();
         return size.gpus() > 0
                 ? 1 - machine.free().gpus() / size.gpus()
                 : 1 - machine.free().cpus() / Math.max(MIN_CPUS, size.cpus());
--- a/src/main/java/org/dunespindle/scheduling/PlanState.java
+++ b/src/main/java/org/dunespindle/scheduling/PlanState.java
@@ -101,7 +101,7 @@
         machine.addTaskImage(job.image());
         quota.allocate(job, 1);
         if (job.isGang()) {
-            gangMachines.add(machine.machine().id());
+            gangMachines.add(machine.snapshot().id());
         }
     }
 
@@ -109,7 +109,7 @@
     void reserveCapacity(Submission job, MachineCapacity machine) {
         machine.allocate(job.perTask());
         machine.markPlanned();
-        wantedMachines.add(machine.machine().id());
+        wantedMachines.add(machine.snapshot().id());
     }
 
     /** Binds a job's tasks to machines, by task index. */
@@ -150,8 +150,8 @@
             Submission job, Collection<MachineCapacity> candidates, ZoneRules zones, boolean upOnly) {
         var found = new ArrayList<MachineCapacity>();
         for (MachineCapacity machine : candidates) {
-            boolean usable = !upOnly || machine.machine().up();
-            if (usable && machine.hasCapacity(job.perTask()) && zones.allows(machine.machine())) {
+            boolean usable = !upOnly || machine.snapshot().up();
+            if (usable && machine.hasCapacity(job.perTask()) && zones.allows(machine.snapshot())) {
                 machine.score(MachineScore.of(job, machine));
                 found.add(machine);
             }
--- a/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
@@ -43,20 +43,20 @@
     /** Frees capacity for some tasks of a job at the least cost; returns for how many of them none could be freed. */
     int preemptFor(JobRecord job, List<MachineCapacity> candidates, ZoneRules zones, int tasks) {
         var options = new PriorityQueue<PreemptionOption>(Comparator.comparingLong(PreemptionOption::cost)
-                .thenComparing(option -> option.machine.machine().id()));
+                .thenComparing(option -> option.machine.snapshot().id()));
         for (MachineCapacity machine : candidates) {
-            if (machine.machine().up() && zones.allows(machine.machine())) {
+            if (machine.snapshot().up() && zones.allows(machine.snapshot())) {
                 option(job, machine).ifPresent(options::add);
             }
         }
         int remaining = tasks;
         while (remaining > 0 && !options.isEmpty()) {
             PreemptionOption chosen = options.poll();
-            if (!zones.allows(chosen.machine.machine())) {
+            if (!zones.allows(chosen.machine.snapshot())) {
                 continue;
             }
             apply(job, chosen);
-            zones.addTask(chosen.machine.machine().zone());
+            zones.addTask(chosen.machine.snapshot().zone());
             remaining--;
             option(job, chosen.machine).ifPresent(options::add);
         }
@@ -70,7 +70,7 @@
         state.addWaitReason(
                 job,
                 "waits for lower work to give way on "
-                        + chosen.machine.machine().id());
+                        + chosen.machine.snapshot().id());
     }
 
     /** How capacity for one task can be freed on a machine; empty if preempting lower work there does not suffice. */
--- a/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
@@ -89,9 +89,9 @@
         void allocate(MachineCapacity machine) {
             state.allocate(submission, machine);
             machine.addReplica();
-            zones.addTask(machine.machine().zone());
-            perZone.merge(machine.machine().zone(), 1, Integer::sum);
-            perMachine.merge(machine.machine().id(), 1, Integer::sum);
+            zones.addTask(machine.snapshot().zone());
+            perZone.merge(machine.snapshot().zone(), 1, Integer::sum);
+            perMachine.merge(machine.snapshot().id(), 1, Integer::sum);
             remaining--;
         }
     }
@@ -103,8 +103,9 @@
             state.addWaitReason(job, "its team's limit is used up, or its replicas fail and are tried one at a time");
         }
         List<MachineCapacity> candidates = state.machines().candidates(service.submission);
-        List<MachineCapacity> owned =
-                candidates.stream().filter(machine -> machine.machine().owned()).toList();
+        List<MachineCapacity> owned = candidates.stream()
+                .filter(machine -> machine.snapshot().owned())
+                .toList();
         boolean deferred = state.snapshot().leftAlone().contains(job.id());
         // Tasks can be bound to owned machines only; the others show whether capacity is missing in the cluster.
         fill(service, owned, true);
@@ -148,7 +149,7 @@
             MachineCapacity machine = best.get();
             service.allocate(machine);
             if (machine.schedulable()) {
-                service.places.put(service.unplaced.next(), machine.machine().id());
+                service.places.put(service.unplaced.next(), machine.snapshot().id());
             } else {
                 state.addWaitReason(service.job, "waits for machines that are booting");
             }
@@ -160,17 +161,17 @@
                 candidates,
                 machine -> (machine.schedulable() || !upOnly)
                         && machine.hasCapacity(service.submission.perTask())
-                        && service.zones.allows(machine.machine()),
+                        && service.zones.allows(machine.snapshot()),
                 machine -> score(service, machine));
     }
 
     private double score(ServiceProgress service, MachineCapacity machine) {
         double score = MachineScore.of(service.submission, machine);
-        int ownReplicas = service.perMachine.getOrDefault(machine.machine().id(), 0);
+        int ownReplicas = service.perMachine.getOrDefault(machine.snapshot().id(), 0);
         score -= SAME_SERVICE_PENALTY * ownReplicas * ownReplicas;
         score += startupScore(service.submission, machine);
         score -= SAME_ZONE_PENALTY
-                * service.perZone.getOrDefault(machine.machine().zone(), 0);
+                * service.perZone.getOrDefault(machine.snapshot().zone(), 0);
         if (machine.replicas() > 0 && machine.replicas() < MAX_SHARED_REPLICAS) {
             score += OTHER_SERVICES_SCORE;
         }
--- a/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
@@ -70,8 +70,8 @@
     private void requestCapacity(JobRecord job, Allocation leaving) {
         ZoneRules zones = zoneChooser.rulesWithout(job, leaving);
         for (MachineCapacity machine : state.machines().candidates(job.submission())) {
-            boolean boots = !machine.machine().up();
-            if (boots && machine.hasCapacity(job.submission().perTask()) && zones.allows(machine.machine())) {
+            boolean boots = !machine.snapshot().up();
+            if (boots && machine.hasCapacity(job.submission().perTask()) && zones.allows(machine.snapshot())) {
                 state.reserveCapacity(job.submission(), machine);
                 return;
             }
@@ -96,22 +96,22 @@
         ZoneRules zones = zoneChooser.rulesWithout(job, leaving);
         return MachineScore.best(
                 state.machines().candidates(submission),
-                machine -> !machine.machine().id().equals(leaving.machineId())
+                machine -> !machine.snapshot().id().equals(leaving.machineId())
                         && machine.schedulable()
                         && machine.hasCapacity(submission.perTask())
                         && (mustLeave || isWorthMoving(submission, machine, ownMachines))
-                        && zones.allows(machine.machine()),
+                        && zones.allows(machine.snapshot()),
                 machine -> score(submission, machine, ownMachines));
     }
 
     private static boolean isWorthMoving(Submission submission, MachineCapacity machine, Set<String> ownMachines) {
-        return !ownMachines.contains(machine.machine().id())
+        return !ownMachines.contains(machine.snapshot().id())
                 && isKeptForOtherWork(machine)
                 && machine.hasImage(submission.image());
     }
 
     private static double score(Submission submission, MachineCapacity machine, Set<String> ownMachines) {
-        boolean besideOwnReplica = ownMachines.contains(machine.machine().id());
+        boolean besideOwnReplica = ownMachines.contains(machine.snapshot().id());
         return MachineScore.of(submission, machine)
                 + ServicePlanner.startupScore(submission, machine)
                 - (besideOwnReplica ? SAME_SERVICE_PENALTY : 0);
--- a/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
@@ -70,8 +70,8 @@
         var byZone = new HashMap<String, ZoneCapacity>();
         for (MachineCapacity machine : state.machines().candidates(spec)) {
             int fits = Planner.fitCount(spec.perTask(), machine.free(), maxTasks);
-            ZoneCapacity capacity = byZone.computeIfAbsent(machine.machine().zone(), name -> new ZoneCapacity());
-            if (!machine.machine().up()) {
+            ZoneCapacity capacity = byZone.computeIfAbsent(machine.snapshot().zone(), name -> new ZoneCapacity());
+            if (!machine.snapshot().up()) {
                 capacity.booting += fits;
                 continue;
             }
