--- a/src/main/java/org/dunespindle/api/AdminApi.java
+++ b/src/main/java/org/dunespindle/api/AdminApi.java
@@ -64,7 +64,7 @@
             answer.accept(AdminResponse.notFound("no such path"));
             return;
         }
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             answer.accept(AdminResponse.error(
                     HttpStatus.SERVICE_UNAVAILABLE, "this controller is still reading the stored state"));
             return;
--- a/src/main/java/org/dunespindle/api/AdminChanges.java
+++ b/src/main/java/org/dunespindle/api/AdminChanges.java
@@ -85,7 +85,7 @@
 
     private Optional<String> findComplaint(JsonNode values) {
         for (Map.Entry<String, JsonNode> value : values.properties()) {
-            Optional<String> complaint = Options.complaint(value.getKey(), value.getValue());
+            Optional<String> complaint = Options.validate(value.getKey(), value.getValue());
             if (complaint.isPresent()) {
                 return complaint;
             }
@@ -109,13 +109,13 @@
             answer.accept(AdminResponse.notFound("no such machine"));
             return;
         }
-        if (machineWriter.busy(machineId)) {
+        if (machineWriter.hasPendingChange(machineId)) {
             answer.accept(AdminResponse.changeInProgress());
             return;
         }
-        machineWriter.change(
+        machineWriter.write(
                 CommitPriority.USERS,
-                machine.draining(MachineRecord.DRAINED),
+                machine.draining(MachineRecord.DRAIN_REASON_OPERATOR),
                 result -> answer.accept(afterCommit(
                         result,
                         () -> MessagePackCodec.map().put("id", machineId).put("leaving", true))));
--- a/src/main/java/org/dunespindle/api/AdminClusterRenderer.java
+++ b/src/main/java/org/dunespindle/api/AdminClusterRenderer.java
@@ -42,11 +42,11 @@
                 .put("spot", machine.spot())
                 .put("owner", machine.owner())
                 .put("token", machine.token())
-                .put("rented", machine.rented().toString())
+                .put("rented", machine.rentedAt().toString())
                 .put("tasks", replica.allocationsOn(machine.id()).size())
                 .put("leaving", machine.draining());
         membership
-                .hashed(machine.id())
+                .controllerOfMachine(machine.id())
                 .filter(home -> !home.equals(machine.owner()))
                 .ifPresent(home -> body.put("lentBy", home));
         return machine.draining() ? body.put("why", machine.drainReason()) : body;
@@ -73,7 +73,7 @@
         if (Double.isFinite(team.gpusMax())) {
             body.put("gpusMost", team.gpusMax());
         }
-        teamQuotas.show(team.name(), body.putObject("ledger"));
+        teamQuotas.writeStatus(team.name(), body.putObject("ledger"));
     }
 
     /** The live controllers and how many machines each owns. */
--- a/src/main/java/org/dunespindle/api/AdminJobRenderer.java
+++ b/src/main/java/org/dunespindle/api/AdminJobRenderer.java
@@ -18,7 +18,7 @@
     /** A job as it is listed among others. */
     ObjectNode summary(JobRecord job) {
         ObjectNode body = userStatus.render(job);
-        job.inboundDelegation().ifPresent(delegation -> body.put("visitorOf", delegation.home()));
+        job.inboundDelegation().ifPresent(delegation -> body.put("visitorOf", delegation.origin()));
         job.spec()
                 .ifPresent(submission -> body.put("class", submission.jobClass())
                         .put("team", submission.team())
--- a/src/main/java/org/dunespindle/api/JobCancellation.java
+++ b/src/main/java/org/dunespindle/api/JobCancellation.java
@@ -51,7 +51,7 @@
     }
 
     private void attempt(String id, Duration deadline, Consumer<Answer> answer) {
-        if (!replica.loaded() || stateStore.failing()) {
+        if (!replica.isLoaded() || stateStore.isFailing()) {
             answer.accept(Answer.stateServiceUnavailable());
             return;
         }
@@ -72,7 +72,7 @@
             retry(id, deadline, answer);
         } else if (job.isDelegatedAway()) {
             jobDelegation.cancel(job, outcome -> onRemoteOutcome(job, outcome, deadline, answer));
-        } else if (commitQueue.waiting(CommitPriority.USERS) >= maxTransactionsWaiting) {
+        } else if (commitQueue.pendingCount(CommitPriority.USERS) >= maxTransactionsWaiting) {
             answer.accept(Answer.retryLater("more requests wait than can be stored in time"));
         } else {
             store(job, deadline, answer);
@@ -109,7 +109,7 @@
             return;
         }
         JobRecord ended =
-                outcome == JobDelegation.Cancellation.DONE ? requested.doneElsewhere() : requested.cancelled();
+                outcome == JobDelegation.Cancellation.DONE ? requested.completedRemotely() : requested.cancelled();
         propose(ended, result -> retry(id, deadline, answer));
     }
 
--- a/src/main/java/org/dunespindle/api/JobStatusReader.java
+++ b/src/main/java/org/dunespindle/api/JobStatusReader.java
@@ -24,7 +24,7 @@
 
     /** Answers a poll of a job. */
     void poll(String id, Consumer<Answer> answer) {
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             answer.accept(Answer.notLoaded());
         } else if (!Submission.wellFormedId(id)) {
             answer.accept(Answer.error(HttpStatus.NOT_FOUND, "no such job"));
@@ -38,7 +38,7 @@
         Optional<JobRecord> known = findOwn(id);
         if (known.isPresent() && !known.get().isOpen()) {
             answer.accept(status(known.get()));
-        } else if (stateStore.failing()) {
+        } else if (stateStore.isFailing()) {
             answer.accept(Answer.stateServiceUnavailable());
         } else {
             replica.refresh(
@@ -59,7 +59,7 @@
 
     /** The answer for a job that was not found. One whose record cannot be understood is not absent: it was accepted. */
     Answer absent(String id) {
-        return replica.unreadable(Keys.job(id))
+        return replica.isUnreadable(Keys.job(id))
                 ? Answer.retryLater("the job's record cannot be read")
                 : Answer.error(HttpStatus.NOT_FOUND, "no such job");
     }
--- a/src/main/java/org/dunespindle/api/JobSubmission.java
+++ b/src/main/java/org/dunespindle/api/JobSubmission.java
@@ -60,7 +60,7 @@
             answer.accept(Answer.error(HttpStatus.BAD_REQUEST, e.getMessage()));
             return;
         }
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             answer.accept(Answer.notLoaded());
         } else if (statusReader.findOwn(job.id()).isPresent()) {
             // A job that was accepted once is never refused later, whatever the settings say by then.
@@ -76,7 +76,7 @@
         String originCell = replica.job(id)
                 .flatMap(JobRecord::inboundDelegation)
                 .orElseThrow()
-                .home();
+                .origin();
         return Answer.retryLater("the id is in use by a job of cell " + originCell);
     }
 
@@ -89,7 +89,7 @@
         Optional<String> whyNever = SubmissionFeasibility.whyNever(job, types.get(), context.settings());
         if (whyNever.isPresent()) {
             reject(job.id(), whyNever.get(), answer);
-        } else if (stateStore.failing()) {
+        } else if (stateStore.isFailing()) {
             answer.accept(Answer.stateServiceUnavailable());
         } else {
             store(job, answer);
@@ -108,11 +108,11 @@
 
     private void store(Submission job, Consumer<Answer> answer) {
         JobRecord record = JobRecord.accepted(job, context.timeSource().wallTime());
-        if (MessagePackCodec.countedSize(record.toNode()) > context.jobWriter().longestDescription()) {
+        if (MessagePackCodec.countedSize(record.toNode()) > context.jobWriter().maxDescriptionBytes()) {
             answer.accept(Answer.error(HttpStatus.BAD_REQUEST, "the job's description is too long"));
         } else if (commitQueue.isLocked(Keys.job(job.id()))) {
             answer.accept(Answer.retrySoon("the same submission is being stored"));
-        } else if (commitQueue.waiting(CommitPriority.USERS) >= maxTransactionsWaiting) {
+        } else if (commitQueue.pendingCount(CommitPriority.USERS) >= maxTransactionsWaiting) {
             answer.accept(Answer.retryLater("more submissions wait than can be stored in time"));
         } else {
             propose(record, answer);
--- a/src/main/java/org/dunespindle/control/CommitQueue.java
+++ b/src/main/java/org/dunespindle/control/CommitQueue.java
@@ -78,27 +78,27 @@
     }
 
     /** How many proposals are pending. */
-    public int waiting() {
+    public int pendingCount() {
         return pending.size();
     }
 
     /** How many proposals of this priority are pending. */
-    public int waiting(CommitPriority priority) {
+    public int pendingCount(CommitPriority priority) {
         return pending.size(priority);
     }
 
     /** How many changes were sent in transactions that conflicted with other controllers' changes. */
-    public long conflicts() {
+    public long conflictedChangeCount() {
         return statistics.conflictedChanges();
     }
 
     /** How many changes were sent so far, whatever their outcome. */
-    public long committed() {
+    public long sentChangeCount() {
         return statistics.sentChanges();
     }
 
     /** Changes sent and conflicts by type of key; counted only while debug logging is on. */
-    public Map<String, Integer> kinds() {
+    public Map<String, Integer> changeCountsByKeyType() {
         return statistics.countsByKeyType();
     }
 
@@ -133,8 +133,8 @@
     private Duration delayBeforeSending(Proposal proposal) {
         Duration backoff = nextSendAt.minus(timeSource.now());
         double requiredWrites = requiredWrites(proposal);
-        if (backoff.isNegative() && stateStore.writes().isShortOf(requiredWrites)) {
-            return stateStore.writes().timeUntil(requiredWrites);
+        if (backoff.isNegative() && stateStore.writeLimiter().isShortOf(requiredWrites)) {
+            return stateStore.writeLimiter().timeUntil(requiredWrites);
         }
         return backoff;
     }
@@ -151,7 +151,7 @@
 
     /** A batch stays within the available writes, except that its first proposal is sent whole. */
     private int maxBatchChanges(Proposal head) {
-        double affordable = Math.min(targetBatchChanges(), stateStore.writes().available());
+        double affordable = Math.min(targetBatchChanges(), stateStore.writeLimiter().available());
         return (int) Math.max(head.transaction().changeCount(), affordable);
     }
 
@@ -214,12 +214,12 @@
      * anew. The others are retried: one stale proposal must not fail the rest of its batch.
      */
     private void onConflict(ProposalBatch batch, TransactionResult.Conflict conflict) {
-        statistics.conflicted(batch.transaction(), conflict.failed());
+        statistics.conflicted(batch.transaction(), conflict.failedKeys());
         smallBatchesUntil = timeSource.now().plus(SMALL_BATCHES_AFTER_CONFLICT);
         var stale = new ArrayList<Proposal>();
         var unaffected = new ArrayList<Proposal>();
         for (Proposal proposal : batch.proposals()) {
-            boolean isStale = conflict.failed().isEmpty() || proposal.requiresAnyOf(conflict.failed());
+            boolean isStale = conflict.failedKeys().isEmpty() || proposal.requiresAnyOf(conflict.failedKeys());
             (isStale ? stale : unaffected).add(proposal);
         }
         pending.requeue(unaffected);
@@ -236,10 +236,10 @@
 
     private void onRefused(ProposalBatch batch, TransactionResult.Refused refused) {
         List<Proposal> proposals = batch.proposals();
-        if (refused.asItIs() && proposals.size() > 1) {
+        if (refused.isPermanent() && proposals.size() > 1) {
             // The proposal that the service rejects is not known: sent one by one, the others succeed.
             pending.requeue(proposals.stream().map(Proposal::asExclusive).toList());
-        } else if (refused.tooMany()) {
+        } else if (refused.isRateLimited()) {
             nextSendAt = timeSource.now().plus(RATE_LIMIT_BACKOFF);
             pending.requeue(proposals);
         } else {
--- a/src/main/java/org/dunespindle/control/FormatUpgrade.java
+++ b/src/main/java/org/dunespindle/control/FormatUpgrade.java
@@ -37,12 +37,12 @@
     }
 
     /** The newest format version that this program reads. */
-    public int newest() {
+    public int newestReadableVersion() {
         return formats.readable();
     }
 
     /** Whether the stored format is newer than this program reads. */
-    public boolean tooNew() {
+    public boolean isStoredFormatTooNew() {
         return replica.formatVersion() > formats.readable();
     }
 
--- a/src/main/java/org/dunespindle/control/MachineRecordWriter.java
+++ b/src/main/java/org/dunespindle/control/MachineRecordWriter.java
@@ -36,19 +36,19 @@
     }
 
     /** Whether a change to this machine is pending, or its page is being written. */
-    public boolean busy(String machineId) {
+    public boolean hasPendingChange(String machineId) {
         String key = Keys.machinePage(machineId);
         MachinePageEdit edit = pendingEdits.get(key);
         return commitQueue.isLocked(key) || edit != null && edit.changes(machineId);
     }
 
     /** Whether so much is pending that a change which can wait would only lock its page meanwhile. */
-    public boolean crowded() {
-        return commitQueue.waiting() >= MAX_PENDING_PROPOSALS;
+    public boolean isBacklogged() {
+        return commitQueue.pendingCount() >= MAX_PENDING_PROPOSALS;
     }
 
     /** Writes a machine's record. */
-    public void change(CommitPriority priority, MachineRecord machine, Consumer<TransactionResult> callback) {
+    public void write(CommitPriority priority, MachineRecord machine, Consumer<TransactionResult> callback) {
         edit(priority, machine.id(), Optional.of(machine), callback);
     }
 
@@ -95,7 +95,7 @@
         if (replica.modRevision(key) != edit.baseRevision() || commitQueue.isLocked(key)) {
             edit.complete(new TransactionResult.Conflict(Set.of(key)));
         } else {
-            commitQueue.propose(edit.priority(), replica.rewrite(key, edit.changes()), edit::complete);
+            commitQueue.propose(edit.priority(), replica.rewriteMachinePage(key, edit.changes()), edit::complete);
         }
     }
 }
--- a/src/main/java/org/dunespindle/control/Membership.java
+++ b/src/main/java/org/dunespindle/control/Membership.java
@@ -40,10 +40,10 @@
 
     /** Joins when this process is no member, and campaigns for leadership otherwise; called regularly. */
     public void tick() {
-        if (!replica.loaded()) {
+        if (!replica.isLoaded()) {
             return;
         }
-        if (joined()) {
+        if (isMember()) {
             election.campaign(self(), lease.leaseId().orElseThrow(), this::isAlive);
         } else if (!resigned) {
             lease.acquireIfNeeded();
@@ -67,7 +67,7 @@
     }
 
     /** Whether this process has an incarnation and a member's key. */
-    public boolean joined() {
+    public boolean isMember() {
         return lease.incarnation() > 0 && !resigned && lease.leaseId().isPresent() && isAlive(self());
     }
 
@@ -106,8 +106,8 @@
     }
 
     /** Whether this controller is the leader. */
-    public boolean leads() {
-        return joined() && election.leader().filter(self()::equals).isPresent();
+    public boolean isLeader() {
+        return isMember() && election.leader().filter(self()::equals).isPresent();
     }
 
     private LeaderRecord self() {
@@ -115,17 +115,17 @@
     }
 
     /** The live controller that a machine is assigned to. */
-    public Optional<String> hashed(String machineId) {
+    public Optional<String> controllerOfMachine(String machineId) {
         return shards.controllerOfMachine(machineId);
     }
 
     /** The live controller that a job is assigned to. */
-    public Optional<String> homeOf(String jobId) {
+    public Optional<String> controllerOfJob(String jobId) {
         return shards.controllerOfJob(jobId);
     }
 
     /** The controller that a machine would be assigned to if these were the live ones. */
-    public Optional<String> hashedAmong(Set<String> controllers, String machineId) {
+    public Optional<String> controllerOfMachineAmong(Set<String> controllers, String machineId) {
         return ShardAssignment.controllerOfMachine(controllers, machineId);
     }
 }
--- a/src/main/java/org/dunespindle/control/Options.java
+++ b/src/main/java/org/dunespindle/control/Options.java
@@ -42,7 +42,7 @@
     }
 
     /** What is wrong with a value for an option, naming what is allowed. */
-    public static Optional<String> complaint(String name, JsonNode value) {
+    public static Optional<String> validate(String name, JsonNode value) {
         return OptionDefinitions.find(name)
                 .map(option -> option.validate(value))
                 .orElseGet(() -> Optional.of("unknown option " + name + "; there are " + OptionDefinitions.names()));
@@ -69,27 +69,27 @@
     }
 
     /** How long a gang's placement may take from its first placeholder on. */
-    public Duration firstHoldTimer() {
+    public Duration gangPlacementTimeout() {
         return duration(OptionDefinitions.GANG_PLACEMENT_TIMEOUT);
     }
 
     /** How long an ordinary or spot machine may idle in a small fleet before it is terminated. */
-    public Duration idleBeforeReturn(boolean spot) {
+    public Duration idleTimeout(boolean spot) {
         return duration(spot ? OptionDefinitions.SPOT_IDLE_TIMEOUT : OptionDefinitions.IDLE_TIMEOUT);
     }
 
     /** Silence after which a machine is terminated. */
-    public Duration silentBeforeReturn() {
+    public Duration silenceTimeout() {
         return duration(OptionDefinitions.SILENCE_TIMEOUT);
     }
 
     /** Failures of different jobs after which a machine is quarantined. */
-    public int quarantineAfter() {
+    public int quarantineFailures() {
         return count(OptionDefinitions.QUARANTINE_FAILURES);
     }
 
     /** Multiple of the boot time after which a machine that has never sent a heartbeat is terminated. */
-    public int bootPatience() {
+    public int bootTimeoutMultiple() {
         return count(OptionDefinitions.BOOT_TIMEOUT_MULTIPLE);
     }
 
@@ -99,37 +99,37 @@
     }
 
     /** How many machines the leader may borrow at a time. */
-    public int borrowedMachines() {
+    public int maxBorrowedMachines() {
         return count(OptionDefinitions.MAX_BORROWED_MACHINES);
     }
 
     /** How long the leader keeps a borrowed machine after the last gang on it. */
-    public Duration borrowedAtLeast() {
+    public Duration borrowedMachineIdleTimeout() {
         return duration(OptionDefinitions.BORROWED_MACHINE_IDLE_TIMEOUT);
     }
 
     /** How long a job waits for capacity before it may be delegated to other cells. */
-    public Duration spillAfter() {
+    public Duration delegationDelay() {
         return duration(OptionDefinitions.DELEGATION_DELAY);
     }
 
     /** How long a job may wait in another cell before it is recalled. */
-    public Duration recallAfter() {
+    public Duration recallTimeout() {
         return duration(OptionDefinitions.RECALL_TIMEOUT);
     }
 
     /** How long a job that was recalled for the first time is not delegated again. */
-    public Duration spillPause() {
+    public Duration delegationBackoff() {
         return duration(OptionDefinitions.DELEGATION_BACKOFF);
     }
 
     /** How often a job may be delegated. */
-    public int mostTransfers() {
+    public int maxDelegationsPerJob() {
         return count(OptionDefinitions.MAX_DELEGATIONS_PER_JOB);
     }
 
     /** How many unfinished jobs of other cells are accepted. */
-    public int mostVisitors() {
+    public int maxInboundJobs() {
         return count(OptionDefinitions.MAX_INBOUND_JOBS);
     }
 }
--- a/src/main/java/org/dunespindle/control/OversizeRecordSplitter.java
+++ b/src/main/java/org/dunespindle/control/OversizeRecordSplitter.java
@@ -45,7 +45,7 @@
     /** Splits the first oversize record that it finds; called regularly on the leader. */
     public void tick() {
         Duration now = timeSource.now();
-        if (now.compareTo(nextScanAt) < 0 || commitQueue.waiting() > 0) {
+        if (now.compareTo(nextScanAt) < 0 || commitQueue.pendingCount() > 0) {
             return;
         }
         nextScanAt = now.plus(SCAN_INTERVAL);
@@ -72,7 +72,7 @@
 
     private void split(JobRecord job) {
         Transaction transaction = jobWriter.write(new Transaction(), job);
-        if (stateStore.writes().isShortOf(transaction.changeCount())) {
+        if (stateStore.writeLimiter().isShortOf(transaction.changeCount())) {
             return;
         }
         commitQueue.propose(CommitPriority.MAINTENANCE, transaction, result -> {
--- a/src/main/java/org/dunespindle/control/PauseDetector.java
+++ b/src/main/java/org/dunespindle/control/PauseDetector.java
@@ -38,14 +38,14 @@
     }
 
     /** How long this process has run without a pause. */
-    public Duration awake() {
+    public Duration uptimeSincePause() {
         return timeSource.now().minus(runningSince);
     }
 
     /** How long something has been silent that was last heard of at a given time, without the time before the last pause ended. */
-    public Duration silence(Duration lastHeardAt) {
+    public Duration observedSilence(Duration lastHeardAt) {
         Duration silence = timeSource.now().minus(lastHeardAt);
-        Duration uptimeSincePause = awake();
+        Duration uptimeSincePause = uptimeSincePause();
         return silence.compareTo(uptimeSincePause) < 0 ? silence : uptimeSincePause;
     }
 }
--- a/src/main/java/org/dunespindle/control/WorkerState.java
+++ b/src/main/java/org/dunespindle/control/WorkerState.java
@@ -53,7 +53,7 @@
 
     /** When the worker last gave a sign of life of any kind: a heartbeat or an answer. */
     public Optional<Duration> lastSeenAlive() {
-        return Durations.later(lastHeartbeatAt, lastAnswerAt);
+        return Durations.latest(lastHeartbeatAt, lastAnswerAt);
     }
 
     /** When the worker last sent a status that was newer than those before, be it a late copy. */
@@ -81,7 +81,7 @@
     }
 
     /** Records the status in a worker's answer to a command or an inspection. */
-    public void answered(WorkerHeartbeat status, Duration now) {
+    public void statusAnswered(WorkerHeartbeat status, Duration now) {
         acceptStatus(status, now);
         if (lastHeartbeatAt.isEmpty() || status.token() > highestAnsweredToken) {
             lastHeartbeatAt = Optional.of(now);
@@ -252,7 +252,7 @@
     }
 
     /** Records that the machine has fetched, and last used, an image. */
-    public void fetched(String image) {
+    public void imageFetched(String image) {
         images.remove(image);
         images.put(image, true); // now the latest
         if (images.size() > MAX_REMEMBERED_IMAGES) {
--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -72,7 +72,7 @@
     /** Handles another controller's heartbeat; returns the reply to it. */
     public ObjectNode onPeerHeartbeat(byte[] heartbeat) {
         return parts.workers.peerHeartbeats.receive(
-                heartbeat, parts.shared.replica.staleness(), parts.workers.writeRateAllocator.need());
+                heartbeat, parts.shared.replica.staleness(), parts.workers.writeRateAllocator.demand());
     }
 
     private void tick() {
@@ -83,12 +83,12 @@
     }
 
     private void sendPeerHeartbeat() {
-        if (parts.shared.replica.loaded()) {
+        if (parts.shared.replica.isLoaded()) {
             parts.workers.writeRateAllocator.adjust();
             parts.workers.peerHeartbeats.send(
                     parts.shared.replica.staleness(),
-                    parts.workers.writeRateAllocator.need(),
-                    parts.workers.peerHeartbeats.leaderListens() ? parts.machines.statusReporter.all() : List.of());
+                    parts.workers.writeRateAllocator.demand(),
+                    parts.workers.peerHeartbeats.hasRemoteLeader() ? parts.machines.statusReporter.all() : List.of());
             forgetWhatIsGone();
         }
         parts.shared.timeSource.schedule(PEER_HEARTBEAT_INTERVAL, this::sendPeerHeartbeat);
@@ -97,7 +97,7 @@
     /** Bounds memory: drops what is known of machines and jobs that no record names any more. */
     private void forgetWhatIsGone() {
         Set<String> present = parts.shared.replica.machines().keySet();
-        parts.workers.peerHeartbeats.keepOnly(present);
+        parts.workers.peerHeartbeats.retainMachines(present);
         parts.workers.cancellationTracker.prune();
         parts.machines.crashLoopDetector.prune(parts.shared.replica.machines()::containsKey);
         parts.shared.workers.evictGone(present, parts.shared.timeSource.now());
--- a/src/main/java/org/dunespindle/controller/ControllerHealth.java
+++ b/src/main/java/org/dunespindle/controller/ControllerHealth.java
@@ -18,8 +18,8 @@
 
     /** Whether users' requests can be served here. In an outage that all share, staying in is better than all leaving. */
     boolean isHealthy() {
-        return parts.shared.replica.loaded()
-                && !parts.shared.formatUpgrade.tooNew()
+        return parts.shared.replica.isLoaded()
+                && !parts.shared.formatUpgrade.isStoredFormatTooNew()
                 && !awaitsCatalog()
                 && parts.shared.membership.incarnation() > 0
                 && !isPartitioned();
--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -81,7 +81,7 @@
                 shared.context,
                 shared.commitQueue,
                 shared.machineWriter,
-                jobs.placementWriter.teamAccounts(),
+                jobs.placementWriter.teamQuotas(),
                 this,
                 jobDelegation,
                 latencies());
@@ -133,8 +133,8 @@
         byName.put("plan", decisionLoop.planTimes());
         byName.put("stateCall", shared.stateStore.latency());
         byName.put("cloudCall", machines.cloud.latency());
-        byName.put("holdPlacement", jobs.gangLifecycle.holdPlacement());
-        byName.put("replacement", jobs.gangLifecycle.replacement());
+        byName.put("holdPlacement", jobs.gangLifecycle.placeholderLatency());
+        byName.put("replacement", jobs.gangLifecycle.replacementLatency());
         byName.put("accept", acceptTimes);
         return byName;
     }
--- a/src/main/java/org/dunespindle/controller/DecisionLoop.java
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -65,28 +65,28 @@
 
     @Override
     public void run() {
-        if (parts.shared.formatUpgrade.tooNew()) {
+        if (parts.shared.formatUpgrade.isStoredFormatTooNew()) {
             terminate.accept("what is stored has format version " + parts.shared.replica.formatVersion()
-                    + "; this program reads up to " + parts.shared.formatUpgrade.newest());
+                    + "; this program reads up to " + parts.shared.formatUpgrade.newestReadableVersion());
             return;
         }
         // In every round, not only on the timer: after a crash of all controllers the workers' leases are about to
         // expire.
         parts.shared.membership.tick();
-        if (!parts.shared.membership.leads()) {
+        if (!parts.shared.membership.isLeader()) {
             // Also when it leads again by the next plan: it has not observed the fleet in between.
             parts.machines.fleetManager.standDown();
         }
-        if (!parts.shared.replica.loaded() || parts.shared.membership.incarnation() == 0) {
+        if (!parts.shared.replica.isLoaded() || parts.shared.membership.incarnation() == 0) {
             return;
         }
-        parts.workers.workerClient.pass();
+        parts.workers.workerClient.reconcilePending();
         boolean scans = scanIsDue();
         if (scans) {
-            parts.jobs.terminationWriter.store(
-                    parts.shared.membership.leads() ? terminationsOnLostMachines() : List.of());
+            parts.jobs.terminationWriter.storePending(
+                    parts.shared.membership.isLeader() ? terminationsOnLostMachines() : List.of());
         }
-        if (parts.shared.membership.joined()) {
+        if (parts.shared.membership.isMember()) {
             runAsMember(scans);
         }
     }
@@ -106,7 +106,7 @@
                 || parts.machines.catalog.types().isEmpty()) {
             return; // an outage: what runs goes on, nothing new is placed
         }
-        if (parts.shared.membership.leads()) {
+        if (parts.shared.membership.isLeader()) {
             parts.jobs.gangLifecycle.tick();
             parts.shared.formatUpgrade.tick();
             parts.shared.oversizeRecordSplitter.tick();
@@ -158,7 +158,7 @@
         Plan previous = plan;
         ClusterSnapshot snapshot = parts.jobs.snapshotBuilder.build();
         plan = Planner.plan(snapshot);
-        if (LOG.isDebugEnabled() && parts.shared.membership.leads()) {
+        if (LOG.isDebugEnabled() && parts.shared.membership.isLeader()) {
             logChangedReasons(previous);
         }
         carryOut(snapshot);
@@ -169,7 +169,7 @@
 
     private void carryOut(ClusterSnapshot snapshot) {
         parts.workers.pendingPreemptions.prune(parts.shared.replica);
-        if (parts.shared.membership.leads()) {
+        if (parts.shared.membership.isLeader()) {
             parts.machines.shardOwnership.borrow(plan);
         }
         parts.jobDelegation.planned(snapshot, plan);
@@ -180,8 +180,8 @@
     }
 
     private void logChangedReasons(Plan previous) {
-        plan.reasons().forEach((job, reason) -> {
-            if (!reason.equals(previous.reasons().get(job))) {
+        plan.waitReasons().forEach((job, reason) -> {
+            if (!reason.equals(previous.waitReasons().get(job))) {
                 LOG.debug("job waits job={} reason=\"{}\"", job, reason);
             }
         });
--- a/src/main/java/org/dunespindle/controller/LoadReporter.java
+++ b/src/main/java/org/dunespindle/controller/LoadReporter.java
@@ -64,12 +64,12 @@
         LOG.debug(
                 "load heartbeats={} workerCalls={} changes={} queuedChanges={} conflicts={} writeRatePerSecond={} changesByKind={}",
                 heartbeatHandler.heartbeatCount(),
-                workerClient.calls(),
-                commitQueue.committed(),
-                commitQueue.waiting(),
-                commitQueue.conflicts(),
-                Math.round(stateStore.writes().perSecond()),
-                commitQueue.kinds());
+                workerClient.callCount(),
+                commitQueue.sentChangeCount(),
+                commitQueue.pendingCount(),
+                commitQueue.conflictedChangeCount(),
+                Math.round(stateStore.writeLimiter().perSecond()),
+                commitQueue.changeCountsByKeyType());
     }
 
     private void logLatencies() {
--- a/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
+++ b/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
@@ -80,9 +80,9 @@
 
     /** Builds a snapshot of the state as it is known now. */
     ClusterSnapshot build() {
-        boolean leads = context.membership().leads();
+        boolean leads = context.membership().isLeader();
         ProjectedJobs projection = sources.placementWriter.projection();
-        List<JobRecord> jobs = projection.expected();
+        List<JobRecord> jobs = projection.records();
         demandForecast.observe(jobs);
         return new ClusterSnapshot(
                 context.timeSource().wallTime(),
@@ -92,8 +92,8 @@
                 poolsByMachine,
                 sources.provisioner.refused(),
                 maxTasksUnderWay(),
-                sources.terminationWriter.ended(),
-                sources.pacing.leftAlone(jobs),
+                sources.terminationWriter.unstoredTerminations(),
+                sources.pacing.deferredJobs(jobs),
                 leads,
                 drainingMachines(leads),
                 leads ? forecastJobs() : List.of(),
@@ -108,7 +108,7 @@
 
     /** How many tasks of an array may be under way at once: as many as its record can hold. */
     private ToIntFunction<JobRecord> maxTasksUnderWay() {
-        int bytesForTasks = context.jobWriter().capacity() - RECORD_BYTES_RESERVED;
+        int bytesForTasks = context.jobWriter().maxRecordBytes() - RECORD_BYTES_RESERVED;
         int maxTasks = Math.max(MIN_TASKS_UNDER_WAY, bytesForTasks / RECORD_BYTES_PER_TASK);
         return job -> sources.crashLoopDetector.isCrashLooping(job.id()) ? TASKS_OF_CRASH_LOOPING_JOB : maxTasks;
     }
@@ -168,7 +168,7 @@
     /** A machine that its owner hears from but gives nothing new, as after a termination notice. */
     private boolean isDrainingElsewhere(MachineRecord machine) {
         Duration maxSilence = context.settings().workers().report().multipliedBy(2);
-        Optional<ReportedMachine> reported = sources.peerHeartbeats.machine(machine);
+        Optional<ReportedMachine> reported = sources.peerHeartbeats.currentReport(machine);
         boolean closed = reported.isPresent()
                 && !reported.get().up()
                 && reported.get().silentFor().compareTo(maxSilence) < 0;
@@ -183,13 +183,13 @@
     private boolean isUpElsewhere(MachineRecord machine, Map<String, Boolean> liveOwners) {
         Boolean ownerReaches = liveOwners.get(machine.owner());
         if (ownerReaches == null) {
-            ownerReaches = sources.peerHeartbeats.heartbeat(machine.owner()).isPresent();
+            ownerReaches = sources.peerHeartbeats.recentHeartbeat(machine.owner()).isPresent();
             liveOwners.put(machine.owner(), ownerReaches);
         }
         if (!ownerReaches && !context.membership().isAlive(machine.owner(), machine.incarnation())) {
             return false;
         }
-        Optional<ReportedMachine> reported = sources.peerHeartbeats.lastTold(machine);
+        Optional<ReportedMachine> reported = sources.peerHeartbeats.lastReport(machine);
         return reported.isPresent() && reported.get().up() && !reported.get().quarantined();
     }
 
--- a/src/main/java/org/dunespindle/controller/WaitExplainer.java
+++ b/src/main/java/org/dunespindle/controller/WaitExplainer.java
@@ -32,12 +32,12 @@
         if (job.unplacedCount() == 0) {
             return "its placeholders fetch the image";
         }
-        String plannedReason = lastPlan.get().reasons().get(job.id());
+        String plannedReason = lastPlan.get().waitReasons().get(job.id());
         return plannedReason != null ? plannedReason : explainUnplanned(job);
     }
 
     private String explainUnplanned(JobRecord job) {
-        if (job.submission().isGang() && !parts.shared.membership.leads()) {
+        if (job.submission().isGang() && !parts.shared.membership.isLeader()) {
             return "the leading controller places gangs; ask "
                     + parts.shared.membership.leader().orElse("it");
         }
--- a/src/main/java/org/dunespindle/controller/WorkerParts.java
+++ b/src/main/java/org/dunespindle/controller/WorkerParts.java
@@ -60,14 +60,14 @@
         }
 
         @Override
-        public void imageSeen(String machineId, String image) {
+        public void onImageCached(String machineId, String image) {
             // The images that a machine has fetched outlive a change of its owner.
-            workers.getOrCreate(machineId).fetched(image);
+            workers.getOrCreate(machineId).imageFetched(image);
         }
 
         @Override
-        public void cancelled(String node, Duration askedAt, List<String> jobs) {
-            workerClient.cancelledElsewhere(cancellationTracker.answered(node, askedAt, jobs));
+        public void onJobsCancelled(String node, Duration askedAt, List<String> jobs) {
+            workerClient.reconcileCancelledJobs(cancellationTracker.recordAnswer(node, askedAt, jobs));
         }
     }
 }
--- a/src/main/java/org/dunespindle/federation/CapacitySurvey.java
+++ b/src/main/java/org/dunespindle/federation/CapacitySurvey.java
@@ -43,7 +43,7 @@
 
         Machine(MachineSnapshot machine) {
             this.host = machine;
-            this.free = machine.size();
+            this.free = machine.capacity();
         }
 
         /** Preemption goes by priority alone, and only tasks of gangs are exempt. */
@@ -61,7 +61,7 @@
     /** Surveys a cell by its leader's plan, and by the machine types that its cloud rents out. */
     public CapacitySurvey(ClusterSnapshot snapshot, Plan plan, List<MachineType> types) {
         this.snapshot = snapshot;
-        this.use = snapshot.projection().use();
+        this.use = snapshot.projection().usage();
         var byId = new HashMap<String, Machine>();
         for (MachineSnapshot host : snapshot.machines()) {
             var machine = new Machine(host);
@@ -70,7 +70,7 @@
         }
         types.forEach(this::addMarkets);
         snapshot.jobs().forEach(job -> occupy(job, job.allocations(), byId));
-        snapshot.projection().overtaken().forEach(job -> occupy(job.stored(), job.hidden(), byId));
+        snapshot.projection().withUnprojectedAllocations().forEach(job -> occupy(job.stored(), job.unprojectedAllocations(), byId));
         plan.bindings().forEach(booking -> book(booking, byId));
         var present = new HashMap<String, JobRecord>();
         snapshot.jobs().forEach(job -> present.put(job.id(), job));
@@ -84,7 +84,7 @@
         for (String zone : type.zones()) {
             for (boolean spot : new boolean[] {false, true}) {
                 var pool = new MachinePool(type.name(), zone, spot);
-                if (!snapshot.refused().contains(pool)) {
+                if (!snapshot.refusedPools().contains(pool)) {
                     rentable.put(pool, type);
                 }
             }
@@ -95,7 +95,7 @@
         for (Allocation allocation : allocations) {
             Machine machine = byId.get(allocation.machineId());
             boolean ended =
-                    snapshot.ended().contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
+                    snapshot.endedTasks().contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
             if (machine != null && !ended) {
                 take(machine, job, !job.submission().isGang());
             }
@@ -103,7 +103,7 @@
     }
 
     private void book(Binding booking, Map<String, Machine> byId) {
-        for (String host : booking.places().values()) {
+        for (String host : booking.machineByTask().values()) {
             Machine machine = byId.get(host);
             if (machine != null) {
                 take(machine, booking.job(), false);
--- a/src/main/java/org/dunespindle/federation/CellAbandonment.java
+++ b/src/main/java/org/dunespindle/federation/CellAbandonment.java
@@ -72,7 +72,7 @@
         var visitors = new ArrayList<JobRecord>();
         for (JobRecord job : replica.inboundJobs()) {
             boolean ended = !job.isOpen() && job.spec().isEmpty();
-            if (!ended && job.inboundDelegation().orElseThrow().home().equals(cell)) {
+            if (!ended && job.inboundDelegation().orElseThrow().origin().equals(cell)) {
                 visitors.add(job);
             }
         }
--- a/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
+++ b/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
@@ -41,7 +41,7 @@
 
     /** Whether all controllers of this cell understand what the federation stores. */
     boolean formatReady() {
-        return replica.loaded() && replica.formatVersion() >= FormatVersion.CELL_TIES;
+        return replica.isLoaded() && replica.formatVersion() >= FormatVersion.DELEGATION_LINKS;
     }
 
     /** This cell as stored; empty before it first took part. */
@@ -71,7 +71,7 @@
     /** Whether this controller leads, and its incarnation is stored: only then may it give jobs away. */
     boolean mayGiveAway() {
         return formatReady()
-                && context.membership().leads()
+                && context.membership().isLeader()
                 && stored().filter(cell -> cell.leaderStamp() == replica.modRevision(Keys.LEADER))
                         .isPresent()
                 && replica.appliedRevision() >= replica.modRevision(Keys.FEDERATION);
@@ -79,7 +79,7 @@
 
     /** The leader's part: stores an incarnation of its own. */
     void tick() {
-        boolean due = formatReady() && context.membership().leads() && !mayGiveAway();
+        boolean due = formatReady() && context.membership().isLeader() && !mayGiveAway();
         boolean readable =
                 stored().isPresent() || replica.value(Keys.FEDERATION).isEmpty();
         boolean written = stored().filter(cell -> cell.leaderStamp() == replica.modRevision(Keys.LEADER))
--- a/src/main/java/org/dunespindle/federation/DelegationRules.java
+++ b/src/main/java/org/dunespindle/federation/DelegationRules.java
@@ -89,6 +89,6 @@
     }
 
     private static Step recalled(View view, InboundJobState told) {
-        return told == InboundJobState.BEGUN ? new Step.Store(view.delegation.kept()) : new Step.SendRecall();
+        return told == InboundJobState.BEGUN ? new Step.Store(view.delegation.keptByRemote()) : new Step.SendRecall();
     }
 }
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -239,7 +239,7 @@
                         survey.get(),
                         never.get().why(),
                         open,
-                        context.options().get().mostVisitors(),
+                        context.options().get().maxInboundJobs(),
                         givesAway()));
         if (refusal.isEmpty()) {
             tookIn.put(ResourceKind.of(job), now());
@@ -248,7 +248,7 @@
     }
 
     private List<JobRecord> waitedLong() {
-        Duration patience = context.options().get().spillAfter();
+        Duration patience = context.options().get().delegationDelay();
         var jobs = new ArrayList<JobRecord>();
         lacks.forEach((id, lack) -> {
             if (now().minus(lack.since).compareTo(patience) >= 0) {
@@ -281,7 +281,7 @@
     }
 
     private void giveAway() {
-        if (survey().isEmpty() || context.commitQueue().waiting() > MOST_COMMITS_WAITING) {
+        if (survey().isEmpty() || context.commitQueue().pendingCount() > MOST_COMMITS_WAITING) {
             return;
         }
         Options options = context.options().get();
@@ -290,7 +290,7 @@
                 waitedLong(),
                 targets(),
                 List.copyOf(tookIn.keySet()),
-                options.mostTransfers(),
+                options.maxDelegationsPerJob(),
                 OFFERS_AT_ONCE);
         for (SpillPolicy.Choice choice : SpillPolicy.choose(view)) {
             gaveAway.put(ResourceKind.of(choice.job().submission()), now());
--- a/src/main/java/org/dunespindle/federation/FederationAdmin.java
+++ b/src/main/java/org/dunespindle/federation/FederationAdmin.java
@@ -125,7 +125,7 @@
         int count = 0;
         for (JobRecord job : replica.inboundJobs()) {
             count +=
-                    job.isOpen() && job.inboundDelegation().orElseThrow().home().equals(cell) ? 1 : 0;
+                    job.isOpen() && job.inboundDelegation().orElseThrow().origin().equals(cell) ? 1 : 0;
         }
         return count;
     }
@@ -141,7 +141,7 @@
             if (job.isOpen()) {
                 visitors.addObject()
                         .put("job", job.id())
-                        .put("home", job.inboundDelegation().orElseThrow().home())
+                        .put("home", job.inboundDelegation().orElseThrow().origin())
                         .put("transfer", job.inboundDelegation().get().transfer())
                         .put("begun", !job.neverPlaced());
             }
--- a/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
@@ -77,7 +77,7 @@
 
     private static boolean below(JobRecord job, String home, long floor) {
         InboundDelegation visit = job.inboundDelegation().orElseThrow();
-        return visit.home().equals(home) && visit.transfer() < floor;
+        return visit.origin().equals(home) && visit.transfer() < floor;
     }
 
     /** The leader's part: notes who asked, and drops what that cell does not need any more. */
--- a/src/main/java/org/dunespindle/federation/InboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationService.java
@@ -187,7 +187,7 @@
     private Optional<JobRecord> visitor(CellId from, Transfer transfer) {
         return replica.job(transfer.job())
                 .filter(job -> job.inboundDelegation()
-                        .filter(visit -> visit.home().equals(from.name()) && visit.transfer() == transfer.number())
+                        .filter(visit -> visit.origin().equals(from.name()) && visit.transfer() == transfer.number())
                         .isPresent());
     }
 
@@ -195,7 +195,7 @@
     private boolean closed(CellId from, Transfer transfer) {
         boolean later = replica.job(transfer.job())
                 .flatMap(JobRecord::inboundDelegation)
-                .filter(visit -> visit.home().equals(from.name()) && visit.transfer() > transfer.number())
+                .filter(visit -> visit.origin().equals(from.name()) && visit.transfer() > transfer.number())
                 .isPresent();
         return later
                 || transfer.number() < known.cell(from.name()).orElseThrow().floor();
@@ -236,7 +236,7 @@
     /** The key may hold a job of this cell's own users, for good, or a visitor from elsewhere, for a while. */
     private Optional<Verdict> occupied(CellId from, Transfer transfer) {
         Optional<JobRecord> present = replica.job(transfer.job());
-        if (replica.unreadable(Keys.job(transfer.job()))) {
+        if (replica.isUnreadable(Keys.job(transfer.job()))) {
             return Optional.of(Verdict.answer(CellReply.NotServed.of(CellReply.Reason.ID_IN_USE)));
         }
         if (present.isEmpty()) {
@@ -246,7 +246,7 @@
             return Optional.of(
                     Verdict.answer(new CellReply.Declined(transfer, Rejection.of(Rejection.Reason.ID_TAKEN))));
         }
-        boolean sameHome = present.get().inboundDelegation().get().home().equals(from.name());
+        boolean sameHome = present.get().inboundDelegation().get().origin().equals(from.name());
         boolean over = present.get().inboundDelegation().get().withdrawn();
         return sameHome && over
                 ? Optional.empty()
--- a/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
@@ -144,7 +144,7 @@
         if (step instanceof DelegationRules.Step.Contradiction contradiction) {
             contradictions.put(job.id(), contradiction.what());
         } else if (step instanceof DelegationRules.Step.StoreDone) {
-            end(job, state, job.doneElsewhere());
+            end(job, state, job.completedRemotely());
         } else if (step instanceof DelegationRules.Step.StoreCancelled) {
             end(job, state, job.cancelled());
         } else if (leads()) {
@@ -161,14 +161,14 @@
                 delegation,
                 reports.of(job).map(told -> told.report().state()),
                 now().minus(state.since),
-                options.recallAfter(),
+                options.recallTimeout(),
                 again(delegation, options));
     }
 
     /** When a job may be given away again: the pause doubles with every transfer. */
     private Instant again(OutboundDelegation delegation, Options options) {
         int doublings = Math.min(MOST_PAUSE_DOUBLINGS, delegation.transfers() - 1);
-        return context.timeSource().wallTime().plus(options.spillPause().multipliedBy(1L << doublings));
+        return context.timeSource().wallTime().plus(options.delegationBackoff().multipliedBy(1L << doublings));
     }
 
     /** Tells which cells contradict what is stored here; nothing is offered to them while they do. */
--- a/src/main/java/org/dunespindle/job/GangLifecycle.java
+++ b/src/main/java/org/dunespindle/job/GangLifecycle.java
@@ -73,12 +73,12 @@
     }
 
     /** How long gangs took until all their placeholders were assembling, in microseconds. */
-    public Histogram holdPlacement() {
+    public Histogram placeholderLatency() {
         return placeholderLatency;
     }
 
     /** How long it took until real tasks had replaced all placeholders of a gang, in microseconds. */
-    public Histogram replacement() {
+    public Histogram replacementLatency() {
         return replacementLatency;
     }
 
@@ -128,7 +128,7 @@
     }
 
     private Duration placementTimeout(boolean allPlaced) {
-        Duration timer = options.get().firstHoldTimer();
+        Duration timer = options.get().gangPlacementTimeout();
         return allPlaced ? timer.plus(settings.workers().gangWait()).plus(IMAGE_FETCH_ALLOWANCE) : timer;
     }
 
@@ -171,7 +171,7 @@
 
     private boolean isMemberIn(JobRecord job, Allocation allocation, TaskPhase phase) {
         MachineRecord machine = replica.machines().get(allocation.machineId());
-        if (machine == null || !workerClient.ready(machine)) {
+        if (machine == null || !workerClient.isReady(machine)) {
             return false;
         }
         WorkerState worker = workers.getOrCreate(machine.id());
--- a/src/main/java/org/dunespindle/job/JobTransitions.java
+++ b/src/main/java/org/dunespindle/job/JobTransitions.java
@@ -70,7 +70,7 @@
     private static JobRecord applyOne(JobRecord job, TaskTermination termination, Instant now) {
         boolean gang = job.spec().isPresent() && job.submission().isGang();
         if (gang && isDone(termination) && job.isOpen()) {
-            return job.gangDone();
+            return job.gangCompleted();
         }
         if (termination.cause() == TerminationCause.ASSEMBLY_TIMEOUT) {
             return job.withPlaceholderReplaced(termination.task());
--- a/src/main/java/org/dunespindle/job/PlacementPacing.java
+++ b/src/main/java/org/dunespindle/job/PlacementPacing.java
@@ -50,7 +50,7 @@
     }
 
     /** The ids of those jobs, arrays and services, whose placement is deferred now. */
-    public Set<String> leftAlone(List<JobRecord> jobs) {
+    public Set<String> deferredJobs(List<JobRecord> jobs) {
         var deferred = new HashSet<String>();
         var unplaced = new HashSet<String>();
         Duration batchInterval = batchInterval();
@@ -67,7 +67,7 @@
     }
 
     private Duration batchInterval() {
-        Duration interval = Durations.times(BATCH_INTERVAL_PER_QUEUED_TRANSACTION, commitQueue.waiting());
+        Duration interval = Durations.multiply(BATCH_INTERVAL_PER_QUEUED_TRANSACTION, commitQueue.pendingCount());
         return interval.compareTo(MAX_BATCH_INTERVAL) > 0 ? MAX_BATCH_INTERVAL : interval;
     }
 
@@ -103,6 +103,6 @@
 
     private boolean isHome(JobRecord job) {
         String node = context.settings().nodeName();
-        return context.membership().homeOf(job.id()).filter(node::equals).isPresent();
+        return context.membership().controllerOfJob(job.id()).filter(node::equals).isPresent();
     }
 }
--- a/src/main/java/org/dunespindle/job/PlacementWriter.java
+++ b/src/main/java/org/dunespindle/job/PlacementWriter.java
@@ -84,7 +84,7 @@
     }
 
     /** This controller's account with each team's quota. */
-    public TeamQuotas teamAccounts() {
+    public TeamQuotas teamQuotas() {
         return teamQuotas;
     }
 
@@ -96,7 +96,7 @@
     }
 
     private ProjectedJob projected(JobRecord stored) {
-        return new ProjectedJob(stored, pendingPreemptions.marked(proposedRecords.getOrDefault(stored.id(), stored)));
+        return new ProjectedJob(stored, pendingPreemptions.withPreemptions(proposedRecords.getOrDefault(stored.id(), stored)));
     }
 
     /**
@@ -111,11 +111,11 @@
         // Counts what is stored beside what is proposed: other controllers may have stored more of a job, and a new
         // reservation of its
         // team, since its placement was proposed here, so a proposed record must not stand in for the stored one.
-        TeamUsage usage = projection.use();
+        TeamUsage usage = projection.usage();
         for (Binding binding : plan.bindings()) {
             Submission submission = binding.job().submission();
             // What would only be queued is planned again later, for more tasks at once: so batches grow with the load.
-            if (commitQueue.waiting() >= maxQueuedTransactions(submission)) {
+            if (commitQueue.pendingCount() >= maxQueuedTransactions(submission)) {
                 return;
             }
             if (isLocked(binding.job())) {
@@ -140,14 +140,14 @@
     /** The places on machines that this controller commands, as many as one transaction's preconditions allow. */
     private Map<Integer, String> ownPlaces(Binding binding) {
         var places = new LinkedHashMap<Integer, String>();
-        if (binding.job().submission().isGang() && !membership.leads()) {
+        if (binding.job().submission().isGang() && !membership.isLeader()) {
             return places;
         }
         int maxPreconditions =
                 Transaction.maxPreconditions(settings.state().lowest().txnOps());
         int maxMachinePages = maxPreconditions / 2 - OTHER_PRECONDITIONS;
         var machinePages = new HashSet<String>();
-        binding.places().forEach((task, machineId) -> {
+        binding.machineByTask().forEach((task, machineId) -> {
             String machinePage = Keys.machinePage(machineId);
             if (isCommanded(machineId)
                     && (machinePages.contains(machinePage) || machinePages.size() < maxMachinePages)) {
@@ -162,7 +162,7 @@
         MachineRecord machine = replica.machines().get(machineId);
         return machine != null
                 && membership.owns(machine)
-                && !machineWriter.busy(machineId)
+                && !machineWriter.hasPendingChange(machineId)
                 && acceptsTasks.test(machine);
     }
 
--- a/src/main/java/org/dunespindle/job/RecordSizeLimit.java
+++ b/src/main/java/org/dunespindle/job/RecordSizeLimit.java
@@ -40,7 +40,7 @@
     }
 
     private boolean fits(JobRecord placed) {
-        return fits(writer.size(placed), placed.allocations().size(), writer.capacity());
+        return fits(writer.size(placed), placed.allocations().size(), writer.maxRecordBytes());
     }
 
     /** Whether a record of some size stays within the capacity however its allocations fragment. */
--- a/src/main/java/org/dunespindle/job/TaskPreemptor.java
+++ b/src/main/java/org/dunespindle/job/TaskPreemptor.java
@@ -48,7 +48,7 @@
                 || eviction.allocation().stopping()) {
             return;
         }
-        pendingPreemptions.add(PendingPreemptions.of(eviction.victim(), eviction.allocation()), machineId);
+        pendingPreemptions.add(PendingPreemptions.attemptOf(eviction.victim(), eviction.allocation()), machineId);
         workerClient.scheduleReconciliation(machineId);
         eventRecorder.record(
                 LOG,
--- a/src/main/java/org/dunespindle/job/TeamQuotas.java
+++ b/src/main/java/org/dunespindle/job/TeamQuotas.java
@@ -120,7 +120,7 @@
         transaction.requireRevision(key, account.reservationRevision);
         Optional<QuotaAdmission.Reservation> newReservation = Optional.empty();
         if (decision instanceof QuotaAdmission.Decision.AdmitWithReservation admission) {
-            transaction.write(key, admission.reservation().toNode());
+            transaction.write(key, admission.reservation().toJson());
             newReservation = Optional.of(admission.reservation());
         }
         return Optional.of(new Admission(request, account, newReservation));
@@ -140,7 +140,7 @@
     }
 
     private QuotaAdmission.Reservation reservation(String team) {
-        return QuotaAdmission.Reservation.parse(replica.value(Keys.team(team)));
+        return QuotaAdmission.Reservation.fromJson(replica.value(Keys.team(team)));
     }
 
     private AccountedUsage account(String team) {
@@ -160,7 +160,7 @@
         String key = Keys.team(request.team());
         var revocation = new Transaction()
                 .requireRevision(key, request.view().reservationRevision())
-                .write(key, withoutShares.toNode());
+                .write(key, withoutShares.toJson());
         commitQueue.propose(CommitPriority.PLACEMENT, revocation, result -> {
             if (result instanceof TransactionResult.Applied) {
                 countersOf(request.team()).onSharesRevoked();
@@ -181,7 +181,7 @@
     }
 
     /** Writes a team's reservation and this controller's account with it into an answer of the administration API. */
-    public void show(String team, ObjectNode into) {
+    public void writeStatus(String team, ObjectNode into) {
         QuotaAdmission.Reservation reservation = reservation(team);
         AccountedUsage account = account(team);
         into.put("recordRevision", account.reservationRevision)
--- a/src/main/java/org/dunespindle/job/TerminationWriter.java
+++ b/src/main/java/org/dunespindle/job/TerminationWriter.java
@@ -75,7 +75,7 @@
     }
 
     /** Task attempts whose termination is reported but not stored: the capacity that they took is free already. */
-    public Set<TaskAttempt> ended() {
+    public Set<TaskAttempt> unstoredTerminations() {
         var attempts = new HashSet<TaskAttempt>();
         for (String machineId : workerClient.machinesWithTerminations()) {
             for (TaskTermination termination : workers.getOrCreate(machineId).terminations()) {
@@ -89,12 +89,12 @@
     }
 
     /** Proposes all terminations that are due, those reported by workers and those of tasks on machines that are gone. */
-    public void store(List<TaskTermination> onGoneMachines) {
+    public void storePending(List<TaskTermination> onGoneMachines) {
         batching.checkQuotas();
         pendingByJob = pendingByJob(onGoneMachines);
         pendingByJob.forEach((id, pending) -> replica.job(id)
                 .filter(job -> !commitQueue.isLocked(Keys.job(id)) && batching.isDue(job, pending))
-                .ifPresent(this::store));
+                .ifPresent(this::storePending));
     }
 
     private Map<String, List<PendingTermination>> pendingByJob(List<TaskTermination> onGoneMachines) {
@@ -113,7 +113,7 @@
                 .add(new PendingTermination(termination, since));
     }
 
-    private void store(JobRecord job) {
+    private void storePending(JobRecord job) {
         var transaction = new Transaction();
         var applied = new ArrayList<TaskTermination>();
         JobRecord after = applyPending(job, transaction, applied);
@@ -121,7 +121,7 @@
             return;
         }
         boolean urgent = !after.isOpen() || after.submission().runsAsWhole();
-        if (!urgent && commitQueue.waiting() >= MAX_QUEUED_TRANSACTIONS) {
+        if (!urgent && commitQueue.pendingCount() >= MAX_QUEUED_TRANSACTIONS) {
             return; // it would lock the record for long; the job's next placement stores the terminations too
         }
         commitQueue.propose(
--- a/src/main/java/org/dunespindle/machine/BootDeadlines.java
+++ b/src/main/java/org/dunespindle/machine/BootDeadlines.java
@@ -32,15 +32,15 @@
 
     /** Whether more than a multiple of its boot time has passed since a machine was rented. */
     boolean exceeds(MachineRecord machine, long multipleOfBootTime) {
-        return age(machine).compareTo(Durations.times(bootTime(machine), multipleOfBootTime)) > 0;
+        return age(machine).compareTo(Durations.multiply(bootTime(machine), multipleOfBootTime)) > 0;
     }
 
     private Duration age(MachineRecord machine) {
-        return Duration.between(machine.rented(), context.timeSource().wallTime());
+        return Duration.between(machine.rentedAt(), context.timeSource().wallTime());
     }
 
     private Duration lateBootAge(MachineRecord machine) {
-        return Durations.part(bootTime(machine), LATE_BOOT_TENTHS, 10);
+        return Durations.fraction(bootTime(machine), LATE_BOOT_TENTHS, 10);
     }
 
     private Duration bootTime(MachineRecord machine) {
--- a/src/main/java/org/dunespindle/machine/CloudInventory.java
+++ b/src/main/java/org/dunespindle/machine/CloudInventory.java
@@ -83,7 +83,7 @@
             requestInFlight = false;
             if (failure != null) {
                 LOG.debug("machine list not read cause={}", failure.toString());
-            } else if (context.membership().leads()) {
+            } else if (context.membership().isLeader()) {
                 replace(machines);
                 adoptUnrecorded();
             }
@@ -115,7 +115,7 @@
 
     private boolean isUnrecorded(ListedMachine machine) {
         String id = machine.id();
-        boolean recorded = context.replica().machines().containsKey(id) || machineWriter.busy(id);
+        boolean recorded = context.replica().machines().containsKey(id) || machineWriter.hasPendingChange(id);
         return !machine.failed() && !recorded && !terminator.isGone(id);
     }
 
--- a/src/main/java/org/dunespindle/machine/FleetManager.java
+++ b/src/main/java/org/dunespindle/machine/FleetManager.java
@@ -69,13 +69,13 @@
 
     /** Whether a machine was rented but no controller has heard it yet. */
     public boolean booting(MachineRecord machine) {
-        return failureDetector.heard(machine).isEmpty();
+        return failureDetector.lastSeen(machine).isEmpty();
     }
 
     /** Called with every plan on every controller; only the leader acts. */
     public void tick(Plan plan) {
         Duration now = context.timeSource().now();
-        if (!context.membership().leads()) {
+        if (!context.membership().isLeader()) {
             standDown();
             return;
         }
@@ -113,8 +113,8 @@
         for (MachineRecord machine : List.copyOf(context.replica().machines().values())) {
             if (terminator.isGone(machine.id())
                     && context.replica().allocationsOn(machine.id()).isEmpty()
-                    && !machineWriter.busy(machine.id())
-                    && !machineWriter.crowded()) {
+                    && !machineWriter.hasPendingChange(machine.id())
+                    && !machineWriter.isBacklogged()) {
                 machineWriter.remove(machine.id(), result -> {
                     if (result instanceof TransactionResult.Applied) {
                         forget(machine.id());
@@ -132,9 +132,9 @@
     }
 
     private void evaluateAll(Duration now, Duration leadingSince, Plan plan) {
-        failureDetector.look(leadingSince, bootDeadlines::isPastBootTime);
+        failureDetector.updateOutages(leadingSince, bootDeadlines::isPastBootTime);
         for (MachineRecord machine : List.copyOf(context.replica().machines().values())) {
-            if (terminator.leaves(machine) || machineWriter.busy(machine.id())) {
+            if (terminator.leaves(machine) || machineWriter.hasPendingChange(machine.id())) {
                 continue;
             }
             evaluator.evaluate(machine, plan, now, leadingSince).ifPresent(reason -> retire(machine, reason));
@@ -144,7 +144,7 @@
     private void retire(MachineRecord machine, DrainReason reason) {
         switch (reason.procedure()) {
             case DRAIN_UNLESS_COMMITS_QUEUE -> {
-                if (!machineWriter.crowded()) {
+                if (!machineWriter.isBacklogged()) {
                     terminator.drain(machine, reason);
                 }
             }
--- a/src/main/java/org/dunespindle/machine/GangMachineAcquirer.java
+++ b/src/main/java/org/dunespindle/machine/GangMachineAcquirer.java
@@ -48,7 +48,7 @@
             }
             // Counted only once something is to be acquired: it takes a pass over all machines.
             long acquiredBefore = acquired.orElseGet(this::countOwnedAwayFromHome);
-            if (acquiredBefore >= options.get().borrowedMachines()) {
+            if (acquiredBefore >= options.get().maxBorrowedMachines()) {
                 return;
             }
             acquired = Optional.of(acquiredBefore + 1);
@@ -72,7 +72,7 @@
     private boolean isAcquirable(MachineRecord machine) {
         return !context.membership().owns(machine)
                 && !machine.draining()
-                && !machineWriter.busy(machine.id())
+                && !machineWriter.hasPendingChange(machine.id())
                 && machine.keepUntil().isBefore(context.timeSource().wallTime());
     }
 
@@ -82,7 +82,7 @@
         return context.replica().machines().values().stream()
                 .filter(membership::owns)
                 .filter(machine ->
-                        membership.hashed(machine.id()).filter(nodeName::equals).isEmpty())
+                        membership.controllerOfMachine(machine.id()).filter(nodeName::equals).isEmpty())
                 .count();
     }
 }
--- a/src/main/java/org/dunespindle/machine/IdleTracker.java
+++ b/src/main/java/org/dunespindle/machine/IdleTracker.java
@@ -47,7 +47,7 @@
      * falls with the square root of the fleet's size.
      */
     private Duration idleLimit(boolean spot) {
-        Duration configured = options.get().idleBeforeReturn(spot);
+        Duration configured = options.get().idleTimeout(spot);
         int fleetSize = Math.max(SMALL_FLEET_MACHINES, replica.machines().size());
         double part = Math.sqrt((double) SMALL_FLEET_MACHINES / fleetSize);
         Duration limit = Duration.ofMillis((long) (configured.toMillis() * part));
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -69,11 +69,11 @@
         if (quarantine.isExpired(machine)) {
             return Optional.of(DrainReason.FAILS_TASKS);
         }
-        if (failureDetector.heard(machine).isEmpty()) {
+        if (failureDetector.lastSeen(machine).isEmpty()) {
             return evaluateUnheard(machine, listed, now, leadingSince);
         }
-        Duration silence = failureDetector.of(machine, leadingSince);
-        if (failureDetector.proven(machine, silence, silenceLimit(machine))) {
+        Duration silence = failureDetector.silenceOf(machine, leadingSince);
+        if (failureDetector.hasFailed(machine, silence, silenceLimit(machine))) {
             return Optional.of(DrainReason.silentFor(silence));
         }
         if (takesNoCommands(machine, silence, leadingSince)) {
@@ -85,31 +85,31 @@
     /** Evaluates a machine that no controller has heard since it was rented. */
     private Optional<DrainReason> evaluateUnheard(
             MachineRecord machine, Optional<ListedMachine> listed, Duration now, Duration leadingSince) {
-        Duration silentLimit = options.get().silentBeforeReturn();
-        Duration leading = context.pauseDetector().silence(leadingSince);
+        Duration silentLimit = options.get().silenceTimeout();
+        Duration leading = context.pauseDetector().observedSilence(leadingSince);
         Duration unheard = now.minus(unheardSince.computeIfAbsent(machine.id(), id -> now));
-        if (leading.compareTo(silentLimit.plus(LEADER_WARM_UP)) <= 0 || failureDetector.spares(machine, leading)) {
+        if (leading.compareTo(silentLimit.plus(LEADER_WARM_UP)) <= 0 || failureDetector.isLikelyPartitioned(machine, leading)) {
             return Optional.empty();
         }
         boolean runsUnheard =
                 listed.filter(row -> row.phase().equals("running")).isPresent()
                         && unheard.compareTo(silentLimit.plus(MAX_UNHEARD_WHILE_RUNNING)) > 0;
-        boolean bootTimedOut = bootDeadlines.exceeds(machine, options.get().bootPatience());
-        if (!runsUnheard && !bootTimedOut || failureDetector.answersWhenAsked(machine)) {
+        boolean bootTimedOut = bootDeadlines.exceeds(machine, options.get().bootTimeoutMultiple());
+        if (!runsUnheard && !bootTimedOut || failureDetector.mayBeAlive(machine)) {
             return Optional.empty();
         }
         return Optional.of(runsUnheard ? DrainReason.RUNS_UNHEARD : DrainReason.BOOT_TIMED_OUT);
     }
 
     private boolean takesNoCommands(MachineRecord machine, Duration silence, Duration leadingSince) {
-        Duration silentLimit = options.get().silentBeforeReturn();
+        Duration silentLimit = options.get().silenceTimeout();
         boolean reports =
-                silence.compareTo(Durations.times(context.settings().workers().report(), 2)) < 0;
+                silence.compareTo(Durations.multiply(context.settings().workers().report(), 2)) < 0;
         return context.membership().owns(machine)
                 && reports
-                && context.pauseDetector().silence(leadingSince).compareTo(silentLimit) > 0
+                && context.pauseDetector().observedSilence(leadingSince).compareTo(silentLimit) > 0
                 && workerClient
-                        .oneWayFor(machine.id())
+                        .commandsBlockedFor(machine.id())
                         .filter(duration -> duration.compareTo(silentLimit) > 0)
                         .isPresent();
     }
@@ -119,12 +119,12 @@
      * terminated, sooner; but not for a few late reports.
      */
     private Duration silenceLimit(MachineRecord machine) {
-        Duration limit = options.get().silentBeforeReturn();
+        Duration limit = options.get().silenceTimeout();
         if (!holdsReplicas(machine)) {
             return limit;
         }
-        Duration shorter = Durations.part(limit, REPLICA_SILENCE_TENTHS, 10);
-        Duration min = Durations.times(context.settings().workers().report(), TOLERATED_LATE_REPORTS)
+        Duration shorter = Durations.fraction(limit, REPLICA_SILENCE_TENTHS, 10);
+        Duration min = Durations.multiply(context.settings().workers().report(), TOLERATED_LATE_REPORTS)
                 .plusSeconds(1);
         Duration chosen = shorter.compareTo(min) > 0 ? shorter : min;
         return chosen.compareTo(limit) < 0 ? chosen : limit;
--- a/src/main/java/org/dunespindle/machine/MachineProvisioner.java
+++ b/src/main/java/org/dunespindle/machine/MachineProvisioner.java
@@ -117,7 +117,7 @@
     /** An answer may be lost, so the same request is sent again; what it rents all the same is found in the cloud's list. */
     private void retryLater(String requestId, ScaleOutPlanner.ScaleOutRequest request, int attemptsLeft) {
         context.timeSource().schedule(RETRY_DELAY, () -> {
-            if (attemptsLeft > 1 && context.membership().leads()) {
+            if (attemptsLeft > 1 && context.membership().isLeader()) {
                 send(requestId, request, attemptsLeft - 1);
             } else {
                 requestInFlight = false;
@@ -162,7 +162,7 @@
     private void recordRented() {
         unrecorded.keySet().removeIf(id -> replica.machines().containsKey(id) || isTerminated.test(id));
         for (RentedMachine machine : List.copyOf(unrecorded.values())) {
-            if (!machineWriter.busy(machine.id)) {
+            if (!machineWriter.hasPendingChange(machine.id)) {
                 record(machine.id, "", machine.pool, machine.rentedAt, machine.forGang);
             }
         }
@@ -175,7 +175,7 @@
     void record(String id, String address, MachinePool pool, Instant rentedAt, boolean forGang) {
         Membership membership = context.membership();
         String nodeName = context.settings().nodeName();
-        String owner = forGang ? nodeName : membership.hashed(id).orElse(nodeName);
+        String owner = forGang ? nodeName : membership.controllerOfMachine(id).orElse(nodeName);
         long incarnation = membership.incarnationOf(owner).orElse(membership.incarnation());
         Optional<Long> seen = context.workers()
                 .find(id)
@@ -194,6 +194,6 @@
                 Instant.EPOCH,
                 false,
                 "");
-        machineWriter.change(CommitPriority.PLACEMENT, machine, result -> {});
+        machineWriter.write(CommitPriority.PLACEMENT, machine, result -> {});
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -78,18 +78,18 @@
         Duration lastHeartbeatAt = worker.lastHeartbeatAt().orElseThrow();
         Optional<Duration> unconfirmedBefore =
                 worker.commandsUnconfirmedSince().filter(since -> since.compareTo(lastHeartbeatAt) < 0);
-        return context.pauseDetector().silence(unconfirmedBefore.orElse(lastHeartbeatAt));
+        return context.pauseDetector().observedSilence(unconfirmedBefore.orElse(lastHeartbeatAt));
     }
 
     /** Whether new tasks may be placed on a machine owned here. */
     public boolean takesTasks(MachineRecord machine) {
-        if (!workerClient.ready(machine) || quarantine.isQuarantined(machine.id()) || terminator.leaves(machine)) {
+        if (!workerClient.isReady(machine) || quarantine.isQuarantined(machine.id()) || terminator.leaves(machine)) {
             return false;
         }
         WorkerState worker = context.workers().getOrCreate(machine.id());
         boolean noticed =
                 worker.lastHeartbeat().flatMap(heartbeat -> heartbeat.notice()).isPresent();
-        return !noticed && !workerClient.mute(worker) && isSeenAlive(worker);
+        return !noticed && !workerClient.areHeartbeatsOverdue(worker) && isSeenAlive(worker);
     }
 
     /** Whether a machine owned here will be gone soon, though what runs there may still run. */
--- a/src/main/java/org/dunespindle/machine/MachineTerminator.java
+++ b/src/main/java/org/dunespindle/machine/MachineTerminator.java
@@ -66,7 +66,7 @@
      */
     void drain(MachineRecord machine, DrainReason reason) {
         recordEvent(machine, reason);
-        machineWriter.change(CommitPriority.MAINTENANCE, machine.draining(reason.text()), result -> {});
+        machineWriter.write(CommitPriority.MAINTENANCE, machine.draining(reason.text()), result -> {});
     }
 
     /**
--- a/src/main/java/org/dunespindle/machine/Quarantine.java
+++ b/src/main/java/org/dunespindle/machine/Quarantine.java
@@ -39,7 +39,7 @@
 
     /** Whether tasks of so many different jobs failed on a machine, as far as is known here, that nothing is placed on it. */
     boolean isQuarantined(String machineId) {
-        return crashLoopDetector.jobsFailedOn(machineId) >= options.get().quarantineAfter();
+        return crashLoopDetector.jobsFailedOn(machineId) >= options.get().quarantineFailures();
     }
 
     /** Whether a machine has been in quarantine, here or as its owner reports, for so long that it is to be terminated. */
@@ -55,7 +55,7 @@
 
     private boolean isReportedQuarantined(MachineRecord machine) {
         return peerHeartbeats
-                .machine(machine)
+                .currentReport(machine)
                 .filter(ReportedMachine::quarantined)
                 .isPresent();
     }
--- a/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
+++ b/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
@@ -39,7 +39,7 @@
 
     private record Fraction(int numerator, int denominator) {
         Duration of(Duration whole) {
-            return Durations.part(whole, numerator, denominator);
+            return Durations.fraction(whole, numerator, denominator);
         }
     }
 
@@ -71,7 +71,7 @@
             Submission job = shortfall.job().submission();
             List<MachinePool> pools = markets.poolsFor(job);
             if (!job.isGang()) {
-                queuedWork = queuedWork.plus(Durations.times(job.estimate(), shortfall.tasks()));
+                queuedWork = queuedWork.plus(Durations.multiply(job.estimate(), shortfall.tasks()));
                 keepCheapestIfInTime(shortfall.job(), pools, queuedWork);
             }
             pools.stream()
@@ -106,7 +106,7 @@
         for (JobRecord job : context.replica().activeJobs()) {
             if (job.isOpen() && !job.submission().isGang()) {
                 int running = job.allocations().size();
-                sum = sum.plus(Durations.part(job.submission().estimate(), running, 2));
+                sum = sum.plus(Durations.fraction(job.submission().estimate(), running, 2));
             }
         }
         return sum;
@@ -121,7 +121,7 @@
             return;
         }
         Duration waited = Duration.between(job.arrived(), context.timeSource().wallTime());
-        Duration expectedEnd = waited.plus(Durations.part(queuedWork, 1, slotCount))
+        Duration expectedEnd = waited.plus(Durations.fraction(queuedWork, 1, slotCount))
                 .plus(ESTIMATE_MARGIN.of(submission.estimate()))
                 .plus(IMAGE_FETCH_ALLOWANCE);
         if (expectedEnd.compareTo(SAFE_PART_OF_OBJECTIVE.of(objective.get())) < 0) {
--- a/src/main/java/org/dunespindle/machine/ShardFailover.java
+++ b/src/main/java/org/dunespindle/machine/ShardFailover.java
@@ -67,7 +67,7 @@
                 .filter(gangPresence::hasGang)
                 .forEach(machine -> pagesWithGangs.add(Keys.machinePage(machine.id())));
         for (MachineRecord orphan : orphans) {
-            if (!machineWriter.busy(orphan.id())
+            if (!machineWriter.hasPendingChange(orphan.id())
                     && !(deferring && isConfiguredForPeer(orphan))
                     && failsOverHere(orphan, pagesWithGangs)) {
                 acquire(orphan);
@@ -99,7 +99,7 @@
 
     private boolean isConfiguredForPeer(MachineRecord machine) {
         return !context.membership()
-                .hashedAmong(configuredControllers, machine.id())
+                .controllerOfMachineAmong(configuredControllers, machine.id())
                 .equals(Optional.of(nodeName));
     }
 
@@ -107,7 +107,7 @@
         Membership membership = context.membership();
         Optional<String> newOwner = pagesWithGangs.contains(Keys.machinePage(machine.id()))
                 ? membership.leader()
-                : membership.hashed(machine.id());
+                : membership.controllerOfMachine(machine.id());
         return newOwner.filter(nodeName::equals).isPresent();
     }
 
--- a/src/main/java/org/dunespindle/machine/ShardRebalancer.java
+++ b/src/main/java/org/dunespindle/machine/ShardRebalancer.java
@@ -52,20 +52,20 @@
     /** Stores a machine's home as its owner if that is another controller and the machine can change hands now. */
     void releaseToHome(MachineRecord machine, Duration now) {
         Membership membership = context.membership();
-        Optional<String> home = membership.hashed(machine.id());
+        Optional<String> home = membership.controllerOfMachine(machine.id());
         if (home.isEmpty()
                 || home.get().equals(context.settings().nodeName())
-                || machineWriter.busy(machine.id())
-                || machineWriter.crowded()) {
+                || machineWriter.hasPendingChange(machine.id())
+                || machineWriter.isBacklogged()) {
             return;
         }
         Optional<Long> homeIncarnation = membership.incarnationOf(home.get());
         if (isReleasable(machine, now)
                 && isWithinPageLimit(machine)
                 && homeIncarnation.isPresent()
-                && peerHeartbeats.heartbeat(home.get()).isPresent()) {
+                && peerHeartbeats.recentHeartbeat(home.get()).isPresent()) {
             pagesReleased.add(Keys.machinePage(machine.id()));
-            machineWriter.change(
+            machineWriter.write(
                     CommitPriority.MAINTENANCE,
                     machine.ownedBy(home.get(), homeIncarnation.get(), Instant.EPOCH),
                     result -> {});
@@ -74,7 +74,7 @@
 
     /** Whether a machine is past the times for which it is to stay here, with nothing under way to its worker. */
     private boolean isReleasable(MachineRecord machine, Duration now) {
-        Duration minTimeSinceGang = context.membership().leads() ? options.get().borrowedAtLeast() : Duration.ZERO;
+        Duration minTimeSinceGang = context.membership().isLeader() ? options.get().borrowedMachineIdleTimeout() : Duration.ZERO;
         Duration lastGangAt = gangPresence.lastGangAt(machine.id()).orElse(Duration.ZERO);
         Optional<WorkerState> workerState = context.workers().find(machine.id());
         return machine.keepUntil().isBefore(context.timeSource().wallTime())
--- a/src/main/java/org/dunespindle/peer/MachineDirectory.java
+++ b/src/main/java/org/dunespindle/peer/MachineDirectory.java
@@ -92,7 +92,7 @@
         for (Map.Entry<String, PublishedMachines> published : machinesByController.entrySet()) {
             ReportedMachine report = published.getValue().machines.get(machine.id());
             if (report != null) {
-                latest = Durations.later(latest, Optional.of(seenAliveAt(published.getKey(), report, machine)));
+                latest = Durations.latest(latest, Optional.of(seenAliveAt(published.getKey(), report, machine)));
             }
         }
         return latest;
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeatCodec.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeatCodec.java
@@ -80,8 +80,8 @@
                 .put(NODE, sender.node())
                 .put(INCARNATION, sender.incarnation())
                 .put(REPLICA_STALENESS_MILLIS, sender.replicaStaleness().toMillis())
-                .put(WRITES, sender.writeDemand().writes())
-                .put(PENDING_PROPOSALS, sender.writeDemand().waiting());
+                .put(WRITES, sender.writeDemand().writesPerSecond())
+                .put(PENDING_PROPOSALS, sender.writeDemand().pendingProposals());
     }
 
     private static void encode(MachineReport report, ArrayNode row) {
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
@@ -49,14 +49,14 @@
     /** Receives what heartbeats and replies carry for other parts of the controller. */
     public interface Listener {
         /** A machine has cached an image. */
-        void imageSeen(String machineId, String image);
+        void onImageCached(String machineId, String image);
 
         /**
          * A controller knows these jobs to be cancelled, which this controller's replica may have lacked.
          *
          * @param askedAt when the heartbeat was sent that the controller replied to
          */
-        void cancelled(String node, Duration askedAt, List<String> jobs);
+        void onJobsCancelled(String node, Duration askedAt, List<String> jobs);
     }
 
     /**
@@ -85,7 +85,7 @@
     }
 
     /** The last heartbeat of a controller while it is recent. */
-    public Optional<PeerState> heartbeat(String node) {
+    public Optional<PeerState> recentHeartbeat(String node) {
         return peerView.recentHeartbeat(node);
     }
 
@@ -100,12 +100,12 @@
     }
 
     /** The owner's last report of a machine under its present token, while the owner's heartbeat is recent. */
-    public Optional<ReportedMachine> machine(MachineRecord machine) {
+    public Optional<ReportedMachine> currentReport(MachineRecord machine) {
         return machineDirectory.currentReport(machine);
     }
 
     /** The same however old it is: for an owner that is alive but can't talk to this controller. */
-    public Optional<ReportedMachine> lastTold(MachineRecord machine) {
+    public Optional<ReportedMachine> lastReport(MachineRecord machine) {
         return machineDirectory.lastReport(machine);
     }
 
@@ -115,17 +115,17 @@
     }
 
     /** When a machine was last seen alive by any other controller. */
-    public Optional<Duration> aliveAt(MachineRecord machine) {
+    public Optional<Duration> lastSeenAlive(MachineRecord machine) {
         return machineDirectory.lastSeenAlive(machine);
     }
 
     /** Drops the reports of all machines but these. */
-    public void keepOnly(Set<String> machineIds) {
+    public void retainMachines(Set<String> machineIds) {
         machineDirectory.retainMachines(machineIds);
     }
 
     /** Whether another controller leads, which is sent the statuses of our machines. */
-    public boolean leaderListens() {
+    public boolean hasRemoteLeader() {
         return leader.get().filter(node -> !node.equals(settings.nodeName())).isPresent();
     }
 
@@ -189,7 +189,7 @@
             return;
         }
         peerView.heartbeatReceived(reply.sender());
-        reply.cancelledJobs().ifPresent(jobs -> listener.cancelled(peer, askedAt, jobs));
+        reply.cancelledJobs().ifPresent(jobs -> listener.onJobsCancelled(peer, askedAt, jobs));
         acknowledgedSequences.put(peer, reply.acknowledgedSequence(incarnation.getAsLong()));
     }
 
@@ -225,7 +225,7 @@
     private void applyReports(String sender, MachineReportBatch batch) {
         machineDirectory.apply(sender, batch);
         for (MachineReport report : batch.reports()) {
-            report.images().forEach(image -> listener.imageSeen(report.machineId(), image));
+            report.images().forEach(image -> listener.onImageCached(report.machineId(), image));
         }
     }
 
@@ -234,7 +234,7 @@
      * sender relies on knowing every cancellation that was told here before.
      */
     private Optional<List<String>> cancelledJobsSince(OptionalLong revision) {
-        if (!replica.loaded() || revision.isEmpty()) {
+        if (!replica.isLoaded() || revision.isEmpty()) {
             return Optional.empty();
         }
         return Optional.of(replica.cancelledSince(revision.getAsLong()))
--- a/src/main/java/org/dunespindle/peer/PeerState.java
+++ b/src/main/java/org/dunespindle/peer/PeerState.java
@@ -7,7 +7,7 @@
  *
  * @param at when it was received, by this process's clock
  * @param replicaStaleness how old the controller's replica of the stored state was
- * @param writes the writes a second that the controller made
- * @param waiting how many proposals were pending in its commit queue
+ * @param writesPerSecond the writes a second that the controller made
+ * @param pendingProposals how many proposals were pending in its commit queue
  */
-public record PeerState(Duration at, long incarnation, Duration replicaStaleness, double writes, int waiting) {}
+public record PeerState(Duration at, long incarnation, Duration replicaStaleness, double writesPerSecond, int pendingProposals) {}
--- a/src/main/java/org/dunespindle/peer/PeerView.java
+++ b/src/main/java/org/dunespindle/peer/PeerView.java
@@ -30,8 +30,8 @@
                 timeSource.now(),
                 sender.incarnation(),
                 sender.replicaStaleness(),
-                sender.writeDemand().writes(),
-                sender.writeDemand().waiting());
+                sender.writeDemand().writesPerSecond(),
+                sender.writeDemand().pendingProposals());
         lastHeartbeats.put(sender.node(), state);
     }
 
--- a/src/main/java/org/dunespindle/peer/WriteDemand.java
+++ b/src/main/java/org/dunespindle/peer/WriteDemand.java
@@ -3,7 +3,7 @@
 /**
  * A controller's demand for the state service's write rate.
  *
- * @param writes the writes a second that it makes now
- * @param waiting how many proposals are pending in its commit queue
+ * @param writesPerSecond the writes a second that it makes now
+ * @param pendingProposals how many proposals are pending in its commit queue
  */
-public record WriteDemand(double writes, int waiting) {}
+public record WriteDemand(double writesPerSecond, int pendingProposals) {}
--- a/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
+++ b/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
@@ -53,8 +53,8 @@
     }
 
     /** This controller's demand, for the other controllers. */
-    public WriteDemand need() {
-        return new WriteDemand(writesPerSecond, commitQueue.waiting());
+    public WriteDemand demand() {
+        return new WriteDemand(writesPerSecond, commitQueue.pendingCount());
     }
 
     /** Measures this controller's writes and sets its share of the rate; called about once a second. */
@@ -64,20 +64,20 @@
         double minShare = allocatable * MIN_SHARE_FRACTION;
         double equalShare = allocatable / (settings.seeds().size() + 1);
         double divisible = allocatable;
-        double ownDemand = demandedRate(writesPerSecond, commitQueue.waiting());
+        double ownDemand = demandedRate(writesPerSecond, commitQueue.pendingCount());
         double totalDemand = ownDemand;
         for (Settings.Seed peer : settings.seeds()) {
-            Optional<PeerState> heartbeat = peerHeartbeats.heartbeat(peer.name());
+            Optional<PeerState> heartbeat = peerHeartbeats.recentHeartbeat(peer.name());
             if (heartbeat.isPresent()) {
                 totalDemand +=
-                        demandedRate(heartbeat.get().writes(), heartbeat.get().waiting());
+                        demandedRate(heartbeat.get().writesPerSecond(), heartbeat.get().pendingProposals());
             } else if (membership.incarnationOf(peer.name()).isPresent()) {
                 divisible -= equalShare; // it is alive without being reachable, and takes an equal share
             } else {
                 divisible -= minShare;
             }
         }
-        stateStore.writes().rate(Math.max(minShare, divisible * ownDemand / totalDemand));
+        stateStore.writeLimiter().setRate(Math.max(minShare, divisible * ownDemand / totalDemand));
     }
 
     private void measureWriteRate() {
@@ -86,7 +86,7 @@
         if (seconds <= MIN_MEASUREMENT_SECONDS) {
             return;
         }
-        long changes = commitQueue.committed();
+        long changes = commitQueue.sentChangeCount();
         writesPerSecond = (1 - LATEST_RATE_WEIGHT) * writesPerSecond
                 + LATEST_RATE_WEIGHT * (changes - changesAtLastMeasurement) / seconds;
         changesAtLastMeasurement = changes;
--- a/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -41,7 +41,7 @@
             this.unplacedCount = job.unplacedCount();
             int allocated = job.allocations().size() - state.endedTasks(job);
             this.maxTasks = Math.min(
-                    unplacedCount, Math.max(0, state.snapshot().mostTasks().applyAsInt(job) - allocated));
+                    unplacedCount, Math.max(0, state.snapshot().maxAllocatedTasks().applyAsInt(job) - allocated));
             this.unplaced = job.unplaced(maxTasks).iterator();
         }
 
@@ -96,7 +96,7 @@
     }
 
     private void finish(ArrayProgress array) {
-        if (!state.snapshot().leftAlone().contains(array.job.id())) {
+        if (!state.snapshot().deferredJobs().contains(array.job.id())) {
             state.bind(array.job, array.places);
         }
         int stillAllowed = array.remaining();
--- a/src/main/java/org/dunespindle/scheduling/Binding.java
+++ b/src/main/java/org/dunespindle/scheduling/Binding.java
@@ -6,6 +6,6 @@
 /**
  * Tasks of one job that are to be allocated in one transaction.
  *
- * @param places the machine of each task, by task index
+ * @param machineByTask the machine of each task, by task index
  */
-public record Binding(JobRecord job, Map<Integer, String> places) {}
+public record Binding(JobRecord job, Map<Integer, String> machineByTask) {}
--- a/src/main/java/org/dunespindle/scheduling/ClusterSnapshot.java
+++ b/src/main/java/org/dunespindle/scheduling/ClusterSnapshot.java
@@ -17,14 +17,14 @@
  * @param machines the machines that tasks may be planned on
  * @param teams the teams' quotas and guarantees, by name
  * @param pools the pool of each known machine, by machine id
- * @param refused pools for which the cloud has lately refused machines
- * @param mostTasks how many tasks of a job may be allocated at once
- * @param ended task attempts whose end is reported but not stored: their capacity is free, their quota is not
- * @param leftAlone ids of jobs whose placement this controller defers
- * @param gangs whether gangs are planned here, as on the leader
- * @param departing ids of machines that are draining or about to be terminated
+ * @param refusedPools pools for which the cloud has lately refused machines
+ * @param maxAllocatedTasks how many tasks of a job may be allocated at once
+ * @param endedTasks task attempts whose end is reported but not stored: their capacity is free, their quota is not
+ * @param deferredJobs ids of jobs whose placement this controller defers
+ * @param plansGangs whether gangs are planned here, as on the leader
+ * @param drainingMachines ids of machines that are draining or about to be terminated
  * @param forecastJobs the forecast demand, planned after all real jobs
- * @param elapsed how long a job's attempt has been running, as far as known here
+ * @param runtime how long a job's attempt has been running, as far as known here
  */
 public record ClusterSnapshot(
         Instant now,
@@ -32,17 +32,17 @@
         List<MachineSnapshot> machines,
         Map<String, Settings.Team> teams,
         Map<String, MachinePool> pools,
-        Set<MachinePool> refused,
-        ToIntFunction<JobRecord> mostTasks,
-        Set<TaskAttempt> ended,
-        Set<String> leftAlone,
-        boolean gangs,
-        Set<String> departing,
+        Set<MachinePool> refusedPools,
+        ToIntFunction<JobRecord> maxAllocatedTasks,
+        Set<TaskAttempt> endedTasks,
+        Set<String> deferredJobs,
+        boolean plansGangs,
+        Set<String> drainingMachines,
         List<DemandForecast.ForecastJob> forecastJobs,
         ServiceLevelObjectives objectives,
-        Function<JobAttempt, Duration> elapsed) {
+        Function<JobAttempt, Duration> runtime) {
     /** The projected records of the active jobs. */
     public List<JobRecord> jobs() {
-        return projection.expected();
+        return projection.records();
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/JobOrder.java
+++ b/src/main/java/org/dunespindle/scheduling/JobOrder.java
@@ -66,8 +66,8 @@
     }
 
     private boolean isPlannedHere(JobRecord job) {
-        return snapshot.gangs()
-                || !job.submission().isGang() && !snapshot.leftAlone().contains(job.id());
+        return snapshot.plansGangs()
+                || !job.submission().isGang() && !snapshot.deferredJobs().contains(job.id());
     }
 
     /** Whether two ordered jobs differ in rank by no more than their remaining work. */
@@ -93,7 +93,7 @@
         List<Duration> objectives = snapshot.objectives().all(submission);
         Instant bestCaseEnd = snapshot.now().plus(bestCase(submission));
         long remainingWork =
-                Durations.times(submission.estimate(), job.unplacedCount()).toMillis();
+                Durations.multiply(submission.estimate(), job.unplacedCount()).toMillis();
         int tier = FIRST_OBJECTIVE_TIER;
         for (Duration objective : objectives) {
             if (!bestCaseEnd.isAfter(job.arrived().plus(objective))) {
--- a/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
@@ -39,7 +39,7 @@
 
     MachineCapacity(MachineSnapshot machine) {
         this.snapshot = machine;
-        this.free = machine.size();
+        this.free = machine.capacity();
     }
 
     MachineSnapshot snapshot() {
--- a/src/main/java/org/dunespindle/scheduling/MachineScore.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineScore.java
@@ -55,7 +55,7 @@
     }
 
     private static double allocatedPart(MachineCapacity machine) {
-        Resources size = machine.snapshot().size();
+        Resources size = machine.snapshot().capacity();
         return size.gpus() > 0
                 ? 1 - machine.free().gpus() / size.gpus()
                 : 1 - machine.free().cpus() / Math.max(MIN_CPUS, size.cpus());
--- a/src/main/java/org/dunespindle/scheduling/MachineSnapshot.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineSnapshot.java
@@ -7,7 +7,7 @@
  * A machine as a plan sees it.
  *
  * @param spot whether the cloud may reclaim the machine at short notice
- * @param size what the machine offers when it is empty
+ * @param capacity what the machine offers when it is empty
  * @param up whether it accepts tasks; otherwise it is planned as a booting one
  * @param owned whether this controller owns it and so may place tasks on it
  * @param images the images that it has fetched
@@ -17,7 +17,7 @@
         String type,
         String zone,
         boolean spot,
-        Resources size,
+        Resources capacity,
         boolean up,
         boolean owned,
         Set<String> images) {}
--- a/src/main/java/org/dunespindle/scheduling/Plan.java
+++ b/src/main/java/org/dunespindle/scheduling/Plan.java
@@ -10,7 +10,7 @@
  * @param bindings tasks to be allocated, in the order of planning
  * @param evictions tasks to be preempted
  * @param shortfalls tasks that need machines which the cluster does not have
- * @param reasons why jobs wait, by job id
+ * @param waitReasons why jobs wait, by job id
  * @param wantedMachines ids of the machines that the plan uses or reserves
  * @param gangMachines ids of those of them that gangs are planned on
  * @param moves service replicas to be stopped so that they run elsewhere
@@ -19,7 +19,7 @@
         List<Binding> bindings,
         List<Eviction> evictions,
         List<Shortfall> shortfalls,
-        Map<String, String> reasons,
+        Map<String, String> waitReasons,
         Set<String> wantedMachines,
         Set<String> gangMachines,
         List<Eviction> moves) {
--- a/src/main/java/org/dunespindle/scheduling/PlanState.java
+++ b/src/main/java/org/dunespindle/scheduling/PlanState.java
@@ -33,10 +33,10 @@
     PlanState(ClusterSnapshot snapshot) {
         this.snapshot = snapshot;
         this.machines = new MachineIndex(snapshot.machines());
-        this.quota = new QuotaBudget(snapshot.teams(), snapshot.projection().use());
-        snapshot.ended().forEach(attempt -> jobsWithEndedTasks.add(attempt.job()));
+        this.quota = new QuotaBudget(snapshot.teams(), snapshot.projection().usage());
+        snapshot.endedTasks().forEach(attempt -> jobsWithEndedTasks.add(attempt.jobId()));
         snapshot.jobs().forEach(this::occupyProjected);
-        snapshot.projection().overtaken().forEach(this::occupyUnprojected);
+        snapshot.projection().withUnprojectedAllocations().forEach(this::occupyUnprojected);
     }
 
     private void occupyProjected(JobRecord job) {
@@ -51,7 +51,7 @@
 
     /** Allocations that other controllers have stored occupy capacity even if this controller's proposal for the job lacks them. */
     private void occupyUnprojected(ProjectedJob job) {
-        for (Allocation allocation : job.hidden()) {
+        for (Allocation allocation : job.unprojectedAllocations()) {
             if (!hasEnded(job.stored(), allocation)) {
                 occupy(job.stored(), allocation);
             }
@@ -67,7 +67,7 @@
 
     private boolean hasEnded(JobRecord job, Allocation allocation) {
         return jobsWithEndedTasks.contains(job.id())
-                && snapshot.ended().contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
+                && snapshot.endedTasks().contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
     }
 
     /** What the plan is made from. */
--- a/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
@@ -110,7 +110,7 @@
     private Duration lostWork(MachineCapacity.Victim victim) {
         Submission job = victim.job().submission();
         var started = new JobAttempt(victim.job().id(), victim.allocation().attemptBase());
-        Duration elapsed = state.snapshot().elapsed().apply(started);
+        Duration elapsed = state.snapshot().runtime().apply(started);
         Duration maxLost = job.checkpoints() ? job.checkpointEvery() : MAX_LOST_WORK;
         return elapsed.compareTo(maxLost) > 0 ? maxLost : elapsed;
     }
--- a/src/main/java/org/dunespindle/scheduling/ProjectedJob.java
+++ b/src/main/java/org/dunespindle/scheduling/ProjectedJob.java
@@ -26,11 +26,11 @@
      * tasks frees nothing before it is stored.
      */
     int countedTasks() {
-        return projected.allocations().size() + hidden().size();
+        return projected.allocations().size() + unprojectedAllocations().size();
     }
 
     /** Stored allocations that the projected record does not contain: it is stale, or releases them. */
-    public List<Allocation> hidden() {
+    public List<Allocation> unprojectedAllocations() {
         if (stored == projected) {
             return List.of();
         }
--- a/src/main/java/org/dunespindle/scheduling/ProjectedJobs.java
+++ b/src/main/java/org/dunespindle/scheduling/ProjectedJobs.java
@@ -17,7 +17,7 @@
         this.withUnprojectedAllocations = new ArrayList<>();
         for (ProjectedJob job : all) {
             records.add(job.projected());
-            if (!job.hidden().isEmpty()) {
+            if (!job.unprojectedAllocations().isEmpty()) {
                 withUnprojectedAllocations.add(job);
             }
         }
@@ -29,17 +29,17 @@
     }
 
     /** The projected records, in order. */
-    public List<JobRecord> expected() {
+    public List<JobRecord> records() {
         return records;
     }
 
     /** Jobs with stored allocations that the projected record does not contain. */
-    public List<ProjectedJob> overtaken() {
+    public List<ProjectedJob> withUnprojectedAllocations() {
         return withUnprojectedAllocations;
     }
 
     /** The usage that counts against the teams' quotas. */
-    public TeamUsage use() {
+    public TeamUsage usage() {
         return TeamUsage.projected(all);
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
+++ b/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
@@ -42,7 +42,7 @@
         private static final String SHARE_GPUS = "shareGpus";
 
         /** Decodes the stored form; a team without one has nothing reserved. */
-        public static Reservation parse(Optional<JsonNode> stored) {
+        public static Reservation fromJson(Optional<JsonNode> stored) {
             return stored.map(Reservation::decode).orElse(NONE);
         }
 
@@ -55,7 +55,7 @@
         }
 
         /** Encodes the stored form. */
-        public ObjectNode toNode() {
+        public ObjectNode toJson() {
             return MessagePackCodec.map()
                     .put(BOUND_CPUS, bound.cpus())
                     .put(BOUND_GPUS, bound.gpus())
--- a/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
@@ -78,7 +78,7 @@
             this.perZone = state.tasksPerZone(job);
             int allocated = job.allocations().size();
             // A crash-looping service has one replica at a time started in addition to those that run.
-            int maxNew = Math.max(1, state.snapshot().mostTasks().applyAsInt(job) - allocated);
+            int maxNew = Math.max(1, state.snapshot().maxAllocatedTasks().applyAsInt(job) - allocated);
             this.remaining = state.quota().maxTasks(submission, Resources.NONE, Math.min(maxNew, job.unplacedCount()));
             this.unplaced = job.unplaced(remaining).iterator();
             for (Allocation allocation : job.allocations()) {
@@ -106,7 +106,7 @@
         List<MachineCapacity> owned = candidates.stream()
                 .filter(machine -> machine.snapshot().owned())
                 .toList();
-        boolean deferred = state.snapshot().leftAlone().contains(job.id());
+        boolean deferred = state.snapshot().deferredJobs().contains(job.id());
         // Tasks can be bound to owned machines only; the others show whether capacity is missing in the cluster.
         fill(service, owned, true);
         fill(service, candidates, true);
--- a/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
@@ -48,7 +48,7 @@
             if (allocation.stopping()) {
                 continue;
             }
-            boolean mustLeave = state.snapshot().departing().contains(allocation.machineId());
+            boolean mustLeave = state.snapshot().drainingMachines().contains(allocation.machineId());
             if (!mustLeave && !(settled && isConsolidatable(job, allocation))) {
                 continue;
             }
@@ -86,7 +86,7 @@
         return machine.isPresent()
                 && machine.get().holdsOnlyReplicas()
                 && machine.get().replicas() <= MAX_REPLICAS_TO_CONSOLIDATE
-                && state.snapshot().elapsed().apply(started).compareTo(MIN_RUNTIME_BEFORE_CONSOLIDATION) > 0;
+                && state.snapshot().runtime().apply(started).compareTo(MIN_RUNTIME_BEFORE_CONSOLIDATION) > 0;
     }
 
     /** The best machine for a replica that leaves another, if any is worth the move. */
--- a/src/main/java/org/dunespindle/scheduling/TaskAttempt.java
+++ b/src/main/java/org/dunespindle/scheduling/TaskAttempt.java
@@ -3,7 +3,7 @@
 /**
  * One allocation of a task, as opposed to earlier and later allocations of the same task.
  *
- * @param job the id of the job
+ * @param jobId the id of the job
  * @param attemptBase the attempt base of the allocation
  */
-public record TaskAttempt(String job, int task, long attemptBase) {}
+public record TaskAttempt(String jobId, int task, long attemptBase) {}
--- a/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
@@ -94,7 +94,7 @@
                 + PREEMPTED_TASK_SCORE * preemptible
                 + booting
                 + imageScore * Math.min(missing, capacity.withImage);
-        for (MachinePool pool : state.snapshot().refused()) {
+        for (MachinePool pool : state.snapshot().refusedPools()) {
             if (pool.zone().equals(zone) && !pool.spot()) {
                 score -= MISSING_TASK_PENALTY_IN_REFUSED_POOL * (missing - free - preemptible - booting)
                         + REFUSED_POOL_PENALTY;
--- a/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
+++ b/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
@@ -32,7 +32,7 @@
     /** Replaces the chunk under a key; an empty value removes it. */
     void putChunk(String key, Optional<JsonNode> value) throws MalformedMessageException {
         int slash = key.lastIndexOf('/');
-        String id = key.substring(Math.min(slash, Keys.PART.length()), slash);
+        String id = key.substring(Math.min(slash, Keys.CHUNK.length()), slash);
         int index = chunkIndex(key.substring(slash + 1));
         Map<Integer, String> chunks = chunksByJob.computeIfAbsent(id, job -> new HashMap<>());
         if (value.isPresent()) {
--- a/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
+++ b/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.dunespindle.protocol.MalformedMessageException;
 
-/** The stored form of a job's link to another cell, from {@link FormatVersion#CELL_TIES} on. */
+/** The stored form of a job's link to another cell, from {@link FormatVersion#DELEGATION_LINKS} on. */
 final class DelegationLinkCodec {
     private static final String OUTBOUND = "away";
     private static final String INBOUND = "visit";
@@ -24,7 +24,7 @@
                     .add(outbound.transfers());
             outbound.notBefore().ifPresent(time -> row.add(time.toEpochMilli()));
         } else if (link instanceof InboundDelegation inbound) {
-            record.putArray(INBOUND).add(inbound.home()).add(inbound.transfer()).add(inbound.withdrawn());
+            record.putArray(INBOUND).add(inbound.origin()).add(inbound.transfer()).add(inbound.withdrawn());
         }
     }
 
--- a/src/main/java/org/dunespindle/storage/FormatSupport.java
+++ b/src/main/java/org/dunespindle/storage/FormatSupport.java
@@ -10,7 +10,7 @@
 public record FormatSupport(int announced, int readable) {
     /** No optional feature is enabled. */
     public static final FormatSupport STANDARD =
-            new FormatSupport(FormatVersion.WITHOUT_FEATURES, FormatVersion.NEWEST);
+            new FormatSupport(FormatVersion.NEWEST_WITHOUT_FEATURES, FormatVersion.NEWEST);
     /** The federation of cells is enabled. */
-    public static final FormatSupport FEDERATED = new FormatSupport(FormatVersion.CELL_TIES, FormatVersion.NEWEST);
+    public static final FormatSupport FEDERATED = new FormatSupport(FormatVersion.DELEGATION_LINKS, FormatVersion.NEWEST);
 }
--- a/src/main/java/org/dunespindle/storage/FormatVersion.java
+++ b/src/main/java/org/dunespindle/storage/FormatVersion.java
@@ -13,13 +13,13 @@
     /** The forms before versions were introduced: every record is one value. */
     public static final int WHOLE_RECORDS = 1;
     /** Job records that do not fit into one value may be divided into chunks. */
-    public static final int JOB_PARTS = 2;
+    public static final int CHUNKED_JOB_RECORDS = 2;
     /** Job records may be linked to other cells, see {@link DelegationLink}. */
-    public static final int CELL_TIES = 3;
+    public static final int DELEGATION_LINKS = 3;
     /** The newest version that this program can read. */
-    public static final int NEWEST = CELL_TIES;
+    public static final int NEWEST = DELEGATION_LINKS;
     /** The newest version that requires no optional feature. */
-    public static final int WITHOUT_FEATURES = JOB_PARTS;
+    public static final int NEWEST_WITHOUT_FEATURES = CHUNKED_JOB_RECORDS;
 
     private static final String VERSION_FIELD = "version";
 
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -272,12 +272,12 @@
     }
 
     /** A gang that is done; its tasks complete together. */
-    public JobRecord gangDone() {
+    public JobRecord gangCompleted() {
         return JobTransitions.complete(this);
     }
 
     /** A delegated job all of whose tasks are done, as the cell that holds it has reported. */
-    public JobRecord doneElsewhere() {
+    public JobRecord completedRemotely() {
         return JobTransitions.complete(this);
     }
 
--- a/src/main/java/org/dunespindle/storage/JobRecordWriter.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordWriter.java
@@ -83,7 +83,7 @@
     }
 
     private boolean chunksAllowed() {
-        return replica.formatVersion() >= FormatVersion.JOB_PARTS;
+        return replica.formatVersion() >= FormatVersion.CHUNKED_JOB_RECORDS;
     }
 
     /** Whether a record, as it is stored now, is longer than a value may become. */
@@ -106,7 +106,7 @@
     }
 
     /** How long a record may become by placing its tasks; never longer than was allowed before records could be chunked. */
-    public int capacity() {
+    public int maxRecordBytes() {
         if (!chunksAllowed()) {
             return lowestLimits.valueBytes();
         }
@@ -115,7 +115,7 @@
     }
 
     /** How long a new job's record may be for its description to be accepted; the announced limits do not shorten it. */
-    public int longestDescription() {
+    public int maxDescriptionBytes() {
         return currentLimits.valueBytes() / DESCRIPTION_DIVISOR;
     }
 }
--- a/src/main/java/org/dunespindle/storage/Keys.java
+++ b/src/main/java/org/dunespindle/storage/Keys.java
@@ -7,7 +7,7 @@
     /** The prefix of jobs' records, see {@link JobRecord}. */
     public static final String JOB = ROOT + "job/";
     /** The prefix of pages of machines, see {@link MachineRecord}. A change of several machines of a page costs one write. */
-    static final String PAGE = ROOT + "page/";
+    static final String MACHINE_PAGE = ROOT + "page/";
     /** The prefix of teams' quota records. */
     public static final String TEAM = ROOT + "team/";
     /** The prefix of live controllers' membership records, each attached to the controller's lease. */
@@ -21,7 +21,7 @@
     /** The key of the version of the stored forms, see {@link FormatVersion}. */
     public static final String FORMAT = ROOT + "format";
     /** The prefix of chunks of jobs' records that do not fit into one value. */
-    public static final String PART = ROOT + "part/";
+    public static final String CHUNK = ROOT + "part/";
     /** The key of this cell's identity in the federation. */
     public static final String FEDERATION = ROOT + "federation";
     /** The prefix of records of other cells. */
@@ -36,12 +36,12 @@
 
     /** The key of a chunk of a job's record, counted from 0. */
     static String chunk(String id, int index) {
-        return PART + id + "/" + index;
+        return CHUNK + id + "/" + index;
     }
 
     /** The key of the page that a machine is stored on. */
     public static String machinePage(String machineId) {
-        return PAGE + machinePageName(machineId);
+        return MACHINE_PAGE + machinePageName(machineId);
     }
 
     /** The name of a machine's page. Machines whose ids differ in the last character only share one; ids ascend. */
--- a/src/main/java/org/dunespindle/storage/MachineRecord.java
+++ b/src/main/java/org/dunespindle/storage/MachineRecord.java
@@ -25,16 +25,16 @@
         String owner,
         long incarnation,
         long token,
-        Instant rented,
+        Instant rentedAt,
         Instant keepUntil,
         boolean draining,
         String drainReason) {
 
     /** The stored drain reason of a machine that scales in because nothing runs on it. */
-    public static final String IDLE = "it is idle";
+    public static final String DRAIN_REASON_IDLE = "it is idle";
 
     /** The stored drain reason of a machine that an operator drains. */
-    public static final String DRAINED = "an operator drains it";
+    public static final String DRAIN_REASON_OPERATOR = "an operator drains it";
 
     /** The columns of a row, in their stored order. */
     private enum Column {
@@ -57,7 +57,7 @@
 
     /** Whether the machine is returned only once its tasks have ended. */
     public boolean drainsGracefully() {
-        return drainReason.equals(IDLE) || drainReason.equals(DRAINED);
+        return drainReason.equals(DRAIN_REASON_IDLE) || drainReason.equals(DRAIN_REASON_OPERATOR);
     }
 
     /** The record under a new owner and a raised fencing token. */
@@ -71,7 +71,7 @@
                 newOwner,
                 newIncarnation,
                 token + 1,
-                rented,
+                rentedAt,
                 newKeepUntil,
                 draining,
                 drainReason);
@@ -89,13 +89,13 @@
 
     private MachineRecord withToken(long newToken) {
         return new MachineRecord(
-                id, address, type, zone, spot, owner, incarnation, newToken, rented, keepUntil, draining, drainReason);
+                id, address, type, zone, spot, owner, incarnation, newToken, rentedAt, keepUntil, draining, drainReason);
     }
 
     /** The record of a machine that is being returned, with the reason. */
     public MachineRecord draining(String reason) {
         return new MachineRecord(
-                id, address, type, zone, spot, owner, incarnation, token, rented, keepUntil, true, reason);
+                id, address, type, zone, spot, owner, incarnation, token, rentedAt, keepUntil, true, reason);
     }
 
     /** The record with another address, unless that is empty. */
@@ -104,7 +104,7 @@
             return this;
         }
         return new MachineRecord(
-                id, newAddress, type, zone, spot, owner, incarnation, token, rented, keepUntil, draining, drainReason);
+                id, newAddress, type, zone, spot, owner, incarnation, token, rentedAt, keepUntil, draining, drainReason);
     }
 
     /** The row on the page that the machine is stored on; rows are positional, since a page holds several. */
@@ -118,7 +118,7 @@
                 .add(owner)
                 .add(incarnation)
                 .add(token)
-                .add(rented.toEpochMilli())
+                .add(rentedAt.toEpochMilli())
                 .add(keepUntil.toEpochMilli())
                 .add(draining)
                 .add(drainReason);
--- a/src/main/java/org/dunespindle/storage/OutboundDelegation.java
+++ b/src/main/java/org/dunespindle/storage/OutboundDelegation.java
@@ -62,7 +62,7 @@
     }
 
     /** The remote cell has placed tasks of the job and keeps it. */
-    public OutboundDelegation kept() {
+    public OutboundDelegation keptByRemote() {
         require(Phase.RECALLED, "kept");
         return withPhase(Phase.ACCEPTED);
     }
--- a/src/main/java/org/dunespindle/storage/RateLimiter.java
+++ b/src/main/java/org/dunespindle/storage/RateLimiter.java
@@ -44,7 +44,7 @@
     }
 
     /** Changes the rate from now on, as the controllers' demand for their shares changes. */
-    public void rate(double newPerSecond) {
+    public void setRate(double newPerSecond) {
         refill();
         perSecond = newPerSecond;
         tokens = Math.min(tokens, burst());
--- a/src/main/java/org/dunespindle/storage/ReplicaIndex.java
+++ b/src/main/java/org/dunespindle/storage/ReplicaIndex.java
@@ -127,9 +127,9 @@
         try {
             if (key.startsWith(Keys.JOB)) {
                 putJob(key.substring(Keys.JOB.length()), value, revision);
-            } else if (key.startsWith(Keys.PART)) {
+            } else if (key.startsWith(Keys.CHUNK)) {
                 chunkedJobs.putChunk(key, value);
-            } else if (key.startsWith(Keys.PAGE)) {
+            } else if (key.startsWith(Keys.MACHINE_PAGE)) {
                 machines.putPage(key, value);
             } else if (key.startsWith(Keys.MEMBER)) {
                 putMember(key.substring(Keys.MEMBER.length()), value);
--- a/src/main/java/org/dunespindle/storage/SnapshotLoader.java
+++ b/src/main/java/org/dunespindle/storage/SnapshotLoader.java
@@ -85,7 +85,7 @@
         }
 
         boolean holdsChunks() {
-            return entries.stream().anyMatch(entry -> entry.key().startsWith(Keys.PART));
+            return entries.stream().anyMatch(entry -> entry.key().startsWith(Keys.CHUNK));
         }
     }
 
--- a/src/main/java/org/dunespindle/storage/StateReplica.java
+++ b/src/main/java/org/dunespindle/storage/StateReplica.java
@@ -35,7 +35,7 @@
     }
 
     /** Whether everything has been read at least once. */
-    public boolean loaded() {
+    public boolean isLoaded() {
         return updater.loaded();
     }
 
@@ -115,7 +115,7 @@
      *
      * @param changes machines' new records, empty for a machine that is gone
      */
-    public Transaction rewrite(String pageKey, Map<String, Optional<MachineRecord>> changes) {
+    public Transaction rewriteMachinePage(String pageKey, Map<String, Optional<MachineRecord>> changes) {
         return index.machines().rewritePage(pageKey, modRevision(pageKey), changes);
     }
 
@@ -145,7 +145,7 @@
     }
 
     /** Whether a key's value could not be parsed: it must not pass for one that does not exist. */
-    public boolean unreadable(String key) {
+    public boolean isUnreadable(String key) {
         return index.isUnreadable(key);
     }
 
--- a/src/main/java/org/dunespindle/storage/StateStoreClient.java
+++ b/src/main/java/org/dunespindle/storage/StateStoreClient.java
@@ -30,7 +30,7 @@
     private static final byte[] NO_BODY = new byte[0];
 
     private final RateLimitedHttpClient httpClient;
-    private final RateLimiter writes;
+    private final RateLimiter writeLimiter;
     private int consecutiveFailures;
 
     /** Creates a client for the state store that the settings name. */
@@ -45,16 +45,16 @@
                 timeSource,
                 new RateLimiter(timeSource, requestShare),
                 REQUEST_TIMEOUT);
-        this.writes = new RateLimiter(timeSource, writeShare);
+        this.writeLimiter = new RateLimiter(timeSource, writeShare);
     }
 
     /** The limiter of this controller's writes; changes are charged as they are committed. */
-    public RateLimiter writes() {
-        return writes;
+    public RateLimiter writeLimiter() {
+        return writeLimiter;
     }
 
     /** Whether the last requests were not served, so that users are better refused at once than after a timeout. */
-    public boolean failing() {
+    public boolean isFailing() {
         return consecutiveFailures >= MIN_FAILURES_FOR_OUTAGE;
     }
 
@@ -108,7 +108,7 @@
     /** Commits a transaction at once and charges its changes; callers with many pace them. The future never fails. */
     public CompletableFuture<TransactionResult> commit(Transaction transaction) {
         var result = new CompletableFuture<TransactionResult>();
-        writes.charge(transaction.changeCount());
+        writeLimiter.charge(transaction.changeCount());
         call(false, "POST", "/txn", MessagePackCodec.write(transaction.toNode()))
                 .whenComplete((response, failure) -> result.complete(result(response, failure)));
         return result;
--- a/src/main/java/org/dunespindle/storage/TransactionResult.java
+++ b/src/main/java/org/dunespindle/storage/TransactionResult.java
@@ -9,22 +9,22 @@
     record Applied(long revision) implements TransactionResult {}
 
     /** Preconditions on these keys failed; nothing was changed. */
-    record Conflict(Set<String> failed) implements TransactionResult {}
+    record Conflict(Set<String> failedKeys) implements TransactionResult {}
 
     /**
      * The transaction was certainly not applied.
      *
      * @param status the HTTP status, or 0 if the request was never sent
-     * @param why the store's explanation
+     * @param reason the store's explanation
      */
-    record Refused(int status, String why) implements TransactionResult {
+    record Refused(int status, String reason) implements TransactionResult {
         /** Whether it was refused only for its rate: the same transaction may be sent again. */
-        public boolean tooMany() {
+        public boolean isRateLimited() {
             return status == HttpStatus.TOO_MANY_REQUESTS;
         }
 
         /** Whether it was refused for its content: the same transaction will be refused again. */
-        public boolean asItIs() {
+        public boolean isPermanent() {
             return status == HttpStatus.BAD_REQUEST || status == HttpStatus.CONTENT_TOO_LARGE;
         }
     }
--- a/src/main/java/org/dunespindle/time/Durations.java
+++ b/src/main/java/org/dunespindle/time/Durations.java
@@ -14,15 +14,15 @@
     private Durations() {}
 
     /** A multiple of a duration, to the millisecond; results out of range are cut off. */
-    public static Duration times(Duration duration, long factor) {
+    public static Duration multiply(Duration duration, long factor) {
         long millis = duration.toMillis();
         boolean isInRange = factor == 0 || Math.abs(millis) <= MAX_MILLIS / Math.abs(factor);
         return Duration.ofMillis(isInRange ? millis * factor : MAX_MILLIS);
     }
 
     /** A fraction of a duration, to the millisecond. */
-    public static Duration part(Duration duration, long numerator, long denominator) {
-        return Duration.ofMillis(times(duration, numerator).toMillis() / denominator);
+    public static Duration fraction(Duration duration, long numerator, long denominator) {
+        return Duration.ofMillis(multiply(duration, numerator).toMillis() / denominator);
     }
 
     /** The longer of two durations. */
@@ -31,7 +31,7 @@
     }
 
     /** The later of two times, of which either may be unknown; if only one is known, that one. */
-    public static Optional<Duration> later(Optional<Duration> first, Optional<Duration> second) {
+    public static Optional<Duration> latest(Optional<Duration> first, Optional<Duration> second) {
         if (first.isEmpty()) {
             return second;
         }
--- a/src/main/java/org/dunespindle/worker/CancellationTracker.java
+++ b/src/main/java/org/dunespindle/worker/CancellationTracker.java
@@ -46,7 +46,7 @@
      * @param requestedAt when the request was sent: later cancellations may be missing in the answer
      * @return the jobs that were not known here to be cancelled
      */
-    public List<String> answered(String controller, Duration requestedAt, List<String> cancelledJobs) {
+    public List<String> recordAnswer(String controller, Duration requestedAt, List<String> cancelledJobs) {
         answeredRequestAt.merge(controller, requestedAt, CancellationTracker::longer);
         var newlyCancelled = new ArrayList<String>();
         for (String jobId : cancelledJobs) {
@@ -61,7 +61,7 @@
     /** Cancellations that were confirmed to a user longer ago than this are known here. */
     Duration staleness() {
         Duration replicaStaleness = replica.staleness();
-        return replica.loaded() ? shorter(replicaStaleness, answerStaleness(replicaStaleness)) : replicaStaleness;
+        return replica.isLoaded() ? shorter(replicaStaleness, answerStaleness(replicaStaleness)) : replicaStaleness;
     }
 
     private Duration answerStaleness(Duration replicaStaleness) {
--- a/src/main/java/org/dunespindle/worker/EffectiveAllocations.java
+++ b/src/main/java/org/dunespindle/worker/EffectiveAllocations.java
@@ -23,7 +23,7 @@
 
     /** The allocations on a machine. */
     List<PlacedTask> on(String machineId) {
-        return pendingPreemptions.marked(
+        return pendingPreemptions.withPreemptions(
                 machineId, cancellationTracker.withCancellations(replica.allocationsOn(machineId)));
     }
 
--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -52,12 +52,12 @@
      * expects heartbeats: without them their leases expire. Another controller's machines may send heartbeats to their owner alone,
      * so an answer counts too.
      */
-    public Optional<Duration> heard(MachineRecord machine) {
+    public Optional<Duration> lastSeen(MachineRecord machine) {
         Optional<WorkerState> worker = context.workers().find(machine.id());
         Optional<Duration> seenHere = context.membership().owns(machine)
                 ? worker.flatMap(WorkerState::lastHeartbeatAt)
                 : worker.flatMap(WorkerState::lastSeenAlive);
-        return Durations.later(seenHere, peerHeartbeats.aliveAt(machine));
+        return Durations.latest(seenHere, peerHeartbeats.lastSeenAlive(machine));
     }
 
     /** Forgets all observations: those made as an earlier leader are out of date. */
@@ -78,22 +78,22 @@
      *
      * @param isLongUp whether a machine must have been up for long: one that this leader never heard counts as silent only then
      */
-    public void look(Duration leadingSince, Predicate<MachineRecord> isLongUp) {
-        outageDetector.update(leadingSince, this::heard, isLongUp);
+    public void updateOutages(Duration leadingSince, Predicate<MachineRecord> isLongUp) {
+        outageDetector.update(leadingSince, this::lastSeen, isLongUp);
     }
 
     /**
      * How long a machine has been silent. A new owner has not heard it yet, and what its earlier owner last published may be minutes
      * old, so silence counts from the change of its token at the earliest.
      */
-    public Duration of(MachineRecord machine, Duration leadingSince) {
+    public Duration silenceOf(MachineRecord machine, Duration leadingSince) {
         TokenChange change = tokenChanges.get(machine.id());
         if (change == null || change.token != machine.token()) {
             change = new TokenChange(machine.token(), context.timeSource().now());
             tokenChanges.put(machine.id(), change);
         }
-        Duration lastSeen = heard(machine).orElse(leadingSince);
-        return context.pauseDetector().silence(later(lastSeen, later(change.seenAt, leadingSince)));
+        Duration lastSeen = lastSeen(machine).orElse(leadingSince);
+        return context.pauseDetector().observedSilence(later(lastSeen, later(change.seenAt, leadingSince)));
     }
 
     private static Duration later(Duration one, Duration other) {
@@ -101,15 +101,15 @@
     }
 
     /** Whether a machine that has been silent for so long has failed. */
-    public boolean proven(MachineRecord machine, Duration silence, Duration maxSilence) {
+    public boolean hasFailed(MachineRecord machine, Duration silence, Duration maxSilence) {
         boolean ownerTalks = context.membership().owns(machine)
-                || peerHeartbeats.heartbeat(machine.owner()).isPresent();
+                || peerHeartbeats.recentHeartbeat(machine.owner()).isPresent();
         Duration limit = ownerTalks ? maxSilence : maxSilence.plus(EXTRA_SILENCE_WITHOUT_OWNER);
-        boolean heardAgain = silence.compareTo(Durations.part(limit, 1, 2)) < 0;
+        boolean heardAgain = silence.compareTo(Durations.fraction(limit, 1, 2)) < 0;
         if (heardAgain) {
             suspectInspection.forgetAnswersOlderThan(limit, machine.id());
         }
-        return silence.compareTo(limit) > 0 && !spares(machine, silence) && !answersWhenAsked(machine);
+        return silence.compareTo(limit) > 0 && !isLikelyPartitioned(machine, silence) && !mayBeAlive(machine);
     }
 
     /**
@@ -117,7 +117,7 @@
      * on. They do as long as a controller on its side may answer the worker, and then until the lease expires; replacing them
      * earlier would only lose their work.
      */
-    public boolean spares(MachineRecord machine, Duration silence) {
+    public boolean isLikelyPartitioned(MachineRecord machine, Duration silence) {
         return outageDetector.isAffected(machine)
                 && silence.compareTo(maxSilenceInOutage(context.settings().workers())) <= 0;
     }
@@ -129,7 +129,7 @@
     }
 
     /** Whether a suspected machine may be alive: its worker answers an inspection, or has just been asked. */
-    public boolean answersWhenAsked(MachineRecord machine) {
+    public boolean mayBeAlive(MachineRecord machine) {
         return suspectInspection.mayBeAlive(machine);
     }
 }
--- a/src/main/java/org/dunespindle/worker/ForgetFilter.java
+++ b/src/main/java/org/dunespindle/worker/ForgetFilter.java
@@ -42,8 +42,8 @@
             }
         }
         int withheld = commands.size() - safe.size();
-        if (withheld > MAX_WITHHELD_FORGETS && !machineWriter.busy(machine.id())) {
-            machineWriter.change(CommitPriority.MAINTENANCE, machine.withNextToken(), result -> {});
+        if (withheld > MAX_WITHHELD_FORGETS && !machineWriter.hasPendingChange(machine.id())) {
+            machineWriter.write(CommitPriority.MAINTENANCE, machine.withNextToken(), result -> {});
         }
         return safe;
     }
--- a/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
+++ b/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
@@ -67,14 +67,14 @@
             Function<MachineRecord, Optional<Duration>> lastSeen,
             Predicate<MachineRecord> isLongUp) {
         Duration maxSilence =
-                Durations.times(context.settings().workers().report(), 2).plus(MAX_HEARTBEAT_DELAY);
+                Durations.multiply(context.settings().workers().report(), 2).plus(MAX_HEARTBEAT_DELAY);
         var counts = new HashMap<Group, MachineCount>();
         for (MachineRecord machine : context.replica().machines().values()) {
             Optional<Duration> seenAt = lastSeen.apply(machine);
             if (machine.draining() || seenAt.isEmpty() && !isLongUp.test(machine)) {
                 continue;
             }
-            Duration silence = context.pauseDetector().silence(seenAt.orElse(leadingSince));
+            Duration silence = context.pauseDetector().observedSilence(seenAt.orElse(leadingSince));
             boolean isSilent = silence.compareTo(maxSilence) > 0;
             groupsOf(machine)
                     .forEach(group -> counts.computeIfAbsent(group, key -> new MachineCount())
--- a/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
@@ -13,8 +13,7 @@
 
 /**
  * Receives workers' heartbeats: records them and decides who answers, whether this controller may renew a lease now, and to which
- * controller a worker is redirected otherwise. What follows from the heartbeat for its machine is worked out by {@link
- * MachineReconciler}.
+ * controller a worker is redirected otherwise. What follows from the heartbeat for its machine is worked out by {@link * MachineReconciler}.
  */
 public final class HeartbeatHandler {
     private static final HeartbeatReply STATE_UNKNOWN =
@@ -71,7 +70,7 @@
         ReceivedHeartbeat received = record(heartbeat);
         Optional<MachineRecord> machine =
                 Optional.ofNullable(context.replica().machines().get(heartbeat.machineId()));
-        boolean replicaLoaded = context.replica().loaded();
+        boolean replicaLoaded = context.replica().isLoaded();
         Optional<HeartbeatReply> orphanReply =
                 replicaLoaded ? orphanedLeaseResponder.reply(received, machine) : Optional.empty();
         if (orphanReply.isPresent()) {
--- a/src/main/java/org/dunespindle/worker/MachineAcquisition.java
+++ b/src/main/java/org/dunespindle/worker/MachineAcquisition.java
@@ -32,6 +32,6 @@
                 .find(machine.id())
                 .flatMap(worker -> worker.lastReportedToken())
                 .orElse(0L);
-        machineWriter.change(CommitPriority.PLACEMENT, owned.withTokenAbove(seenToken), onResult);
+        machineWriter.write(CommitPriority.PLACEMENT, owned.withTokenAbove(seenToken), onResult);
     }
 }
--- a/src/main/java/org/dunespindle/worker/MachineReconciler.java
+++ b/src/main/java/org/dunespindle/worker/MachineReconciler.java
@@ -84,8 +84,8 @@
     }
 
     private void raiseTokenAbove(long seenToken, MachineRecord machine) {
-        if (!machineWriter.busy(machine.id())) {
-            machineWriter.change(
+        if (!machineWriter.hasPendingChange(machine.id())) {
+            machineWriter.write(
                     CommitPriority.PLACEMENT,
                     machine.withNextToken().withTokenAbove(seenToken),
                     result -> reconciliationQueue.add(machine.id()));
@@ -114,7 +114,7 @@
                 context.replica()
                         .job(task.task().job())
                         .flatMap(job -> job.spec())
-                        .ifPresent(spec -> worker.fetched(spec.image()));
+                        .ifPresent(spec -> worker.imageFetched(spec.image()));
             }
         }
     }
--- a/src/main/java/org/dunespindle/worker/PartitionDetector.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -67,9 +67,9 @@
     }
 
     private boolean canJudgeSilence() {
-        return context.membership().joined()
+        return context.membership().isMember()
                 && isReplicaFresh()
-                && context.pauseDetector().awake().compareTo(maxSilence) > 0
+                && context.pauseDetector().uptimeSincePause().compareTo(maxSilence) > 0
                 && isAnotherControllerServing();
     }
 
@@ -82,7 +82,7 @@
                 .anyMatch(seed ->
                         context.membership().incarnationOf(seed.name()).isPresent()
                                 && peerHeartbeats
-                                        .heartbeat(seed.name())
+                                        .recentHeartbeat(seed.name())
                                         .filter(peer -> peer.replicaStaleness().compareTo(MAX_REPLICA_STALENESS) < 0)
                                         .isPresent());
     }
@@ -95,7 +95,7 @@
             Optional<Duration> lastHeartbeatAt = lastHeartbeatUnderCommand(machine);
             if (lastHeartbeatAt.isPresent()) {
                 total++;
-                if (context.pauseDetector().silence(lastHeartbeatAt.get()).compareTo(maxSilence) > 0) {
+                if (context.pauseDetector().observedSilence(lastHeartbeatAt.get()).compareTo(maxSilence) > 0) {
                     silent.add(machine);
                 }
             }
@@ -156,7 +156,7 @@
     }
 
     private void resign(int silentMachines) {
-        if (!context.membership().joined() || !isAnotherControllerServing()) {
+        if (!context.membership().isMember() || !isAnotherControllerServing()) {
             return;
         }
         context.eventRecorder()
--- a/src/main/java/org/dunespindle/worker/PartitionedResponder.java
+++ b/src/main/java/org/dunespindle/worker/PartitionedResponder.java
@@ -48,7 +48,7 @@
     /** In a partition between zones only the own zone's workers are heard, and no other controller can answer them. */
     private boolean hearsOtherZones(Duration now) {
         Duration maxAge =
-                Durations.times(context.settings().workers().report(), 2).plus(MAX_HEARTBEAT_DELAY);
+                Durations.multiply(context.settings().workers().report(), 2).plus(MAX_HEARTBEAT_DELAY);
         return context.workers().all().stream()
                 .filter(worker -> worker.lastHeartbeatAt()
                         .filter(heardAt -> now.minus(heardAt).compareTo(maxAge) < 0)
--- a/src/main/java/org/dunespindle/worker/PendingPreemptions.java
+++ b/src/main/java/org/dunespindle/worker/PendingPreemptions.java
@@ -22,24 +22,24 @@
     /** Adds a task attempt that is to be preempted on a machine. */
     public void add(TaskAttempt victim, String machineId) {
         byMachine.computeIfAbsent(machineId, key -> new HashSet<>()).add(victim);
-        byJob.computeIfAbsent(victim.job(), key -> new HashSet<>()).add(victim);
+        byJob.computeIfAbsent(victim.jobId(), key -> new HashSet<>()).add(victim);
     }
 
     /** A machine's allocations, those to be preempted marked as stopping. */
-    public List<PlacedTask> marked(String machineId, List<PlacedTask> allocations) {
+    public List<PlacedTask> withPreemptions(String machineId, List<PlacedTask> allocations) {
         Set<TaskAttempt> victims = byMachine.get(machineId);
         if (victims == null) {
             return allocations;
         }
         return allocations.stream()
-                .map(placed -> victims.contains(of(placed.job(), placed.allocation()))
+                .map(placed -> victims.contains(attemptOf(placed.job(), placed.allocation()))
                         ? new PlacedTask(placed.job(), placed.allocation().stopped())
                         : placed)
                 .toList();
     }
 
     /** A job with its allocations that are to be preempted marked as stopping. */
-    public JobRecord marked(JobRecord job) {
+    public JobRecord withPreemptions(JobRecord job) {
         JobRecord marked = job;
         for (TaskAttempt victim : byJob.getOrDefault(job.id(), Set.of())) {
             if (isAllocated(job, victim)) {
@@ -57,13 +57,13 @@
         });
         byMachine.values().removeIf(victims -> {
             victims.removeIf(
-                    victim -> !byJob.getOrDefault(victim.job(), Set.of()).contains(victim));
+                    victim -> !byJob.getOrDefault(victim.jobId(), Set.of()).contains(victim));
             return victims.isEmpty();
         });
     }
 
     private static boolean isAllocated(StateReplica replica, TaskAttempt victim) {
-        return replica.job(victim.job()).filter(job -> isAllocated(job, victim)).isPresent();
+        return replica.job(victim.jobId()).filter(job -> isAllocated(job, victim)).isPresent();
     }
 
     private static boolean isAllocated(JobRecord job, TaskAttempt victim) {
@@ -73,7 +73,7 @@
     }
 
     /** The attempt that an allocation of a job stands for. */
-    public static TaskAttempt of(JobRecord job, Allocation allocation) {
+    public static TaskAttempt attemptOf(JobRecord job, Allocation allocation) {
         return new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase());
     }
 }
--- a/src/main/java/org/dunespindle/worker/RedirectResponder.java
+++ b/src/main/java/org/dunespindle/worker/RedirectResponder.java
@@ -74,14 +74,14 @@
         boolean ownerAlive = context.membership().isAlive(machine.owner(), machine.incarnation());
         return ownerAlive
                 ? machine.owner()
-                : context.membership().hashed(machine.id()).orElse(machine.owner());
+                : context.membership().controllerOfMachine(machine.id()).orElse(machine.owner());
     }
 
     /** The machines of a suspected controller are soon acquired together, not one by one as their workers come here. */
     private boolean mayAcquire(WorkerState worker, MachineRecord machine) {
-        return context.membership().joined()
+        return context.membership().isMember()
                 && !worker.inspectionInFlight()
-                && !machineWriter.busy(machine.id())
+                && !machineWriter.hasPendingChange(machine.id())
                 && !isSuspectedController.test(machine.owner());
     }
 
--- a/src/main/java/org/dunespindle/worker/StartFencing.java
+++ b/src/main/java/org/dunespindle/worker/StartFencing.java
@@ -38,8 +38,8 @@
         }
         if (!worker.seenAliveSinceUnansweredStart()) {
             commandSender.send(machine, worker, List.of());
-        } else if (!machineWriter.busy(machine.id())) {
-            machineWriter.change(
+        } else if (!machineWriter.hasPendingChange(machine.id())) {
+            machineWriter.write(
                     CommitPriority.PLACEMENT, machine.withNextToken(), result -> reconciliationQueue.add(machine.id()));
         }
         return false;
--- a/src/main/java/org/dunespindle/worker/UnregisteredMachineResponder.java
+++ b/src/main/java/org/dunespindle/worker/UnregisteredMachineResponder.java
@@ -30,14 +30,14 @@
 
     /** Answers a heartbeat, at once or when the machine is registered. */
     void reply(ReceivedHeartbeat received, Consumer<HeartbeatReply> replyTo) {
-        Optional<String> owner = context.membership().hashed(received.machineId());
-        if (!context.membership().joined() || owner.isEmpty()) {
+        Optional<String> owner = context.membership().controllerOfMachine(received.machineId());
+        if (!context.membership().isMember() || owner.isEmpty()) {
             replyTo.accept(new HeartbeatReply.Unavailable("not a member yet"));
         } else if (!owner.get().equals(context.settings().nodeName())) {
             replyTo.accept(new HeartbeatReply.Redirect(owner.get()));
         } else if (!received.newer()
                 || received.worker().inspectionInFlight()
-                || machineWriter.busy(received.machineId())) {
+                || machineWriter.hasPendingChange(received.machineId())) {
             replyTo.accept(new HeartbeatReply.Unavailable("machine is being taken up"));
         } else {
             inspector.inspectSender(
@@ -53,7 +53,7 @@
         MachineRecord machine = newRecord(received);
         context.eventRecorder()
                 .record(LOG, "machine {} reported without having been rented by us; taken up", machine.id());
-        machineWriter.change(CommitPriority.PLACEMENT, machine, AcquisitionReply.after(context, machine.id(), replyTo));
+        machineWriter.write(CommitPriority.PLACEMENT, machine, AcquisitionReply.after(context, machine.id(), replyTo));
     }
 
     private MachineRecord newRecord(ReceivedHeartbeat received) {
--- a/src/main/java/org/dunespindle/worker/WorkerClient.java
+++ b/src/main/java/org/dunespindle/worker/WorkerClient.java
@@ -69,7 +69,7 @@
     }
 
     /** The number of direct commands sent so far. */
-    public long calls() {
+    public long callCount() {
         return commandSender.callCount();
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** Queues the machines of jobs that other controllers say are cancelled. */
-    public void cancelledElsewhere(List<String> jobIds) {
+    public void reconcileCancelledJobs(List<String> jobIds) {
         for (String jobId : jobIds) {
             replica.job(jobId)
                     .ifPresent(job ->
@@ -101,7 +101,7 @@
     }
 
     /** One pass of reconciliation, over the machines about which something changed. */
-    public void pass() {
+    public void reconcilePending() {
         reconciler.reconcilePending();
     }
 
@@ -122,17 +122,17 @@
     }
 
     /** Whether a machine can take tasks: its last status came under the current fencing token, and commands reach it. */
-    public boolean ready(MachineRecord machine) {
+    public boolean isReady(MachineRecord machine) {
         return reachability.isReady(machine);
     }
 
     /** How long a machine has sent heartbeats without taking commands; empty while it takes them. */
-    public Optional<Duration> oneWayFor(String machineId) {
+    public Optional<Duration> commandsBlockedFor(String machineId) {
         return reachability.commandsBlockedFor(machineId);
     }
 
     /** Whether a worker's heartbeats no longer arrive, though it may answer inspections. */
-    public boolean mute(WorkerState worker) {
+    public boolean areHeartbeatsOverdue(WorkerState worker) {
         return reachability.areHeartbeatsOverdue(worker);
     }
 
--- a/src/main/java/org/dunespindle/worker/WorkerReachability.java
+++ b/src/main/java/org/dunespindle/worker/WorkerReachability.java
@@ -58,7 +58,7 @@
         return context.workers()
                 .find(machineId)
                 .flatMap(WorkerState::commandsUnconfirmedSince)
-                .map(context.pauseDetector()::silence);
+                .map(context.pauseDetector()::observedSilence);
     }
 
     /** Whether a worker has given no sign of life for two heartbeat intervals. */
@@ -81,8 +81,8 @@
 
     private boolean isOlderThan(Optional<Duration> lastSeen, Duration beyondTwoIntervals) {
         Duration limit =
-                Durations.times(context.settings().workers().report(), 2).plus(beyondTwoIntervals);
+                Durations.multiply(context.settings().workers().report(), 2).plus(beyondTwoIntervals);
         return lastSeen.isEmpty()
-                || context.pauseDetector().silence(lastSeen.get()).compareTo(limit) >= 0;
+                || context.pauseDetector().observedSilence(lastSeen.get()).compareTo(limit) >= 0;
     }
 }
--- a/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
+++ b/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
@@ -61,7 +61,7 @@
         }
         recordNotice(status);
         Optional<WorkerHeartbeat> previous = worker.lastHeartbeat();
-        worker.answered(status, context.timeSource().now());
+        worker.statusAnswered(status, context.timeSource().now());
         reconcileIfChanged(status, previous);
         return true;
     }
--- a/src/test/java/org/dunespindle/control/OptionsTest.java
+++ b/src/test/java/org/dunespindle/control/OptionsTest.java
@@ -14,7 +14,7 @@
     private static final Duration LEASE = Duration.ofSeconds(10);
 
     private static String complaint(String name, String value) {
-        return Options.complaint(name, StateServiceStub.json(value)).orElse("");
+        return Options.validate(name, StateServiceStub.json(value)).orElse("");
     }
 
     @Test
@@ -52,9 +52,9 @@
     @Test
     void theSilenceTimeoutFollowsTheWorkersLeaseUpToABound() {
         assertEquals(
-                Duration.ofSeconds(12), Options.defaults(Duration.ofSeconds(12)).silentBeforeReturn());
+                Duration.ofSeconds(12), Options.defaults(Duration.ofSeconds(12)).silenceTimeout());
         assertEquals(
-                Duration.ofSeconds(16), Options.defaults(Duration.ofSeconds(40)).silentBeforeReturn());
+                Duration.ofSeconds(16), Options.defaults(Duration.ofSeconds(40)).silenceTimeout());
     }
 
     @Test
@@ -74,7 +74,7 @@
     void aStoredValueOutOfRangeCountsAsNotSet() {
         JsonNode stored = StateServiceStub.json("{\"idle_return_s\":90000,\"spare_jobs\":3}");
         Options options = Options.of(Optional.of(stored), LEASE);
-        assertEquals(Duration.ofSeconds(25), options.idleBeforeReturn(false));
+        assertEquals(Duration.ofSeconds(25), options.idleTimeout(false));
         assertEquals(3, options.spareJobs());
     }
 }
--- a/src/test/java/org/dunespindle/control/StoredControlFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/control/StoredControlFormsCompatibilityTest.java
@@ -21,7 +21,7 @@
     private static final Duration LEASE = Duration.ofSeconds(10);
 
     private static Membership membership(StateServiceStub service) {
-        return new Membership("n0", FormatVersion.CELL_TIES, service.client, service.replica, service.process);
+        return new Membership("n0", FormatVersion.DELEGATION_LINKS, service.client, service.replica, service.process);
     }
 
     private static void run(StateServiceStub service, Membership membership) {
@@ -43,7 +43,7 @@
                         "ds/leader", "{\"node\":\"n0\",\"inc\":5}"),
                 service.written);
         assertEquals(5, membership.incarnation());
-        assertTrue(membership.leads());
+        assertTrue(membership.isLeader());
     }
 
     @Test
@@ -56,7 +56,7 @@
         run(service, membership);
         assertEquals(Optional.of("n1"), membership.leader());
         assertEquals(Optional.of(3L), membership.incarnationOf("n1"));
-        assertEquals(FormatVersion.JOB_PARTS, membership.formatVersionOf("n1"));
+        assertEquals(FormatVersion.CHUNKED_JOB_RECORDS, membership.formatVersionOf("n1"));
         assertEquals(FormatVersion.WHOLE_RECORDS, membership.formatVersionOf("n2"));
         assertEquals(
                 Map.of("ds/incarnation/n0", "{\"n\":1}", "ds/member/n0", "{\"inc\":1,\"version\":3}"),
@@ -68,12 +68,12 @@
     void quotaReservationOfATeam() {
         JsonNode stored = StateServiceStub.json("{\"cpus\":12.5,\"gpus\":3.0,\"shareCpus\":2.25,\"shareGpus\":1.0}");
         var reservation = new QuotaAdmission.Reservation(new Resources(12.5, 3, 0), new Resources(2.25, 1, 0));
-        assertEquals(stored.toString(), reservation.toNode().toString());
-        assertEquals(reservation, QuotaAdmission.Reservation.parse(Optional.of(stored)));
+        assertEquals(stored.toString(), reservation.toJson().toString());
+        assertEquals(reservation, QuotaAdmission.Reservation.fromJson(Optional.of(stored)));
         JsonNode storedWithoutShare = StateServiceStub.json("{\"cpus\":12.5,\"gpus\":3.0}");
         assertEquals(
                 new QuotaAdmission.Reservation(new Resources(12.5, 3, 0), Resources.NONE),
-                QuotaAdmission.Reservation.parse(Optional.of(storedWithoutShare)));
+                QuotaAdmission.Reservation.fromJson(Optional.of(storedWithoutShare)));
     }
 
     @Test
@@ -83,20 +83,20 @@
                          "quarantine_errors":15,"boot_patience":16,"spare_jobs":7,"borrowed_machines":18,"lent_s":19,
                          "spill_after_s":20,"recall_after_s":21,"spill_pause_s":22,"most_transfers":13,
                          "most_visitors":24}""")), LEASE);
-        assertEquals(Duration.ofSeconds(11), options.firstHoldTimer());
-        assertEquals(Duration.ofMillis(12_500), options.idleBeforeReturn(false));
-        assertEquals(Duration.ofSeconds(13), options.idleBeforeReturn(true));
-        assertEquals(Duration.ofSeconds(14), options.silentBeforeReturn());
-        assertEquals(15, options.quarantineAfter());
-        assertEquals(16, options.bootPatience());
+        assertEquals(Duration.ofSeconds(11), options.gangPlacementTimeout());
+        assertEquals(Duration.ofMillis(12_500), options.idleTimeout(false));
+        assertEquals(Duration.ofSeconds(13), options.idleTimeout(true));
+        assertEquals(Duration.ofSeconds(14), options.silenceTimeout());
+        assertEquals(15, options.quarantineFailures());
+        assertEquals(16, options.bootTimeoutMultiple());
         assertEquals(7, options.spareJobs());
-        assertEquals(18, options.borrowedMachines());
-        assertEquals(Duration.ofSeconds(19), options.borrowedAtLeast());
-        assertEquals(Duration.ofSeconds(20), options.spillAfter());
-        assertEquals(Duration.ofSeconds(21), options.recallAfter());
-        assertEquals(Duration.ofSeconds(22), options.spillPause());
-        assertEquals(13, options.mostTransfers());
-        assertEquals(24, options.mostVisitors());
+        assertEquals(18, options.maxBorrowedMachines());
+        assertEquals(Duration.ofSeconds(19), options.borrowedMachineIdleTimeout());
+        assertEquals(Duration.ofSeconds(20), options.delegationDelay());
+        assertEquals(Duration.ofSeconds(21), options.recallTimeout());
+        assertEquals(Duration.ofSeconds(22), options.delegationBackoff());
+        assertEquals(13, options.maxDelegationsPerJob());
+        assertEquals(24, options.maxInboundJobs());
         assertEquals(14, options.describe().size(), "every option is read above");
     }
 }
--- a/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
+++ b/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
@@ -217,7 +217,7 @@
                 delegation = switch (change) {
                     case 0 -> before.accepted();
                     case 1 -> before.recalled();
-                    case 2 -> before.kept();
+                    case 2 -> before.keptByRemote();
                     case 3 -> before.returned(Instant.EPOCH);
                     default -> OutboundDelegation.offer(Optional.of(before), "c", before.transfer() + 1);
                 };
--- a/src/test/java/org/dunespindle/machine/DrainReasonCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/machine/DrainReasonCompatibilityTest.java
@@ -33,6 +33,6 @@
         assertEquals(
                 DrainReason.Procedure.TERMINATE,
                 DrainReason.silentFor(Duration.ofSeconds(17)).procedure());
-        assertEquals(MachineRecord.IDLE, DrainReason.IDLE.text());
+        assertEquals(MachineRecord.DRAIN_REASON_IDLE, DrainReason.IDLE.text());
     }
 }
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
@@ -49,12 +49,12 @@
             service.replica,
             new PeerHeartbeats.Listener() {
                 @Override
-                public void imageSeen(String machineId, String image) {
+                public void onImageCached(String machineId, String image) {
                     notifications.add(machineId + " has " + image);
                 }
 
                 @Override
-                public void cancelled(String node, Duration askedAt, List<String> jobs) {
+                public void onJobsCancelled(String node, Duration askedAt, List<String> jobs) {
                     notifications.add(node + " knows of " + jobs);
                 }
             });
@@ -97,7 +97,7 @@
         assertEquals("n1 knows of [wk-000001, wk-000002]", notifications.get(0));
         assertEquals(
                 Optional.of(new PeerState(service.process.now(), 3, Duration.ofMillis(70), 1.5, 2)),
-                peerHeartbeats.heartbeat("n1"));
+                peerHeartbeats.recentHeartbeat("n1"));
     }
 
     @Test
@@ -110,13 +110,13 @@
                                 + "\"news\":[[\"i-0023\",11,true,false,40,\"10.0.0.7:7000\",\"image:7\"],"
                                 + "[\"i-0024\",12,false,true,50,\"\"]],\"upTo\":9}"));
         Duration now = service.process.now();
-        assertEquals(Optional.of(new PeerState(now, 3, Duration.ofMillis(70), 1.5, 2)), peerHeartbeats.heartbeat("n1"));
+        assertEquals(Optional.of(new PeerState(now, 3, Duration.ofMillis(70), 1.5, 2)), peerHeartbeats.recentHeartbeat("n1"));
         assertEquals(
                 Optional.of(new ReportedMachine(true, false, Duration.ofMillis(40), now, "10.0.0.7:7000", 11)),
-                peerHeartbeats.machine(machine("i-0023", 11)));
+                peerHeartbeats.currentReport(machine("i-0023", 11)));
         assertEquals(
                 Optional.of(new ReportedMachine(false, true, Duration.ofMillis(50), now, "", 12)),
-                peerHeartbeats.machine(machine("i-0024", 12)));
+                peerHeartbeats.currentReport(machine("i-0024", 12)));
         assertEquals(List.of("i-0023 has image:7"), notifications);
     }
 
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
@@ -32,10 +32,10 @@
             new StateReplica(null, virtualTime.new Process(), Duration.ofSeconds(1), () -> {}),
             new PeerHeartbeats.Listener() {
                 @Override
-                public void imageSeen(String machineId, String image) {}
+                public void onImageCached(String machineId, String image) {}
 
                 @Override
-                public void cancelled(String node, Duration askedAt, List<String> jobs) {}
+                public void onJobsCancelled(String node, Duration askedAt, List<String> jobs) {}
             });
 
     private static Settings settings() {
@@ -84,10 +84,10 @@
         receiveHeartbeat("n1", 1, 0, 1, true);
         virtualTime.run(Duration.ofSeconds(3));
         receiveHeartbeat("n1", 1, 1, 1, false);
-        assertEquals(Optional.of(Duration.ofSeconds(3)), peerHeartbeats.aliveAt(machine("n1", 3)));
-        assertTrue(peerHeartbeats.machine(machine("n1", 3)).orElseThrow().up());
+        assertEquals(Optional.of(Duration.ofSeconds(3)), peerHeartbeats.lastSeenAlive(machine("n1", 3)));
+        assertTrue(peerHeartbeats.currentReport(machine("n1", 3)).orElseThrow().up());
         virtualTime.run(Duration.ofSeconds(30));
-        assertEquals(Optional.empty(), peerHeartbeats.machine(machine("n1", 3)));
+        assertEquals(Optional.empty(), peerHeartbeats.currentReport(machine("n1", 3)));
     }
 
     /** A machine that died under its new owner counted as alive for ever, because the earlier owner's heartbeats went on. */
@@ -96,22 +96,22 @@
         receiveHeartbeat("n1", 1, 0, 1, true);
         virtualTime.run(Duration.ofSeconds(20));
         receiveHeartbeat("n1", 1, 1, 1, false);
-        assertEquals(Optional.of(Duration.ZERO), peerHeartbeats.aliveAt(machine("n0", 4)));
+        assertEquals(Optional.of(Duration.ZERO), peerHeartbeats.lastSeenAlive(machine("n0", 4)));
         assertEquals(
                 Optional.of(Duration.ZERO),
-                peerHeartbeats.aliveAt(machine("n1", 5)),
+                peerHeartbeats.lastSeenAlive(machine("n1", 5)),
                 "back under a new token, not proven yet");
-        assertEquals(Optional.empty(), peerHeartbeats.machine(machine("n1", 5)));
+        assertEquals(Optional.empty(), peerHeartbeats.currentReport(machine("n1", 5)));
     }
 
     @Test
     void reportsThatLeaveAGapAreRequestedAgain() {
         assertEquals(0, receiveHeartbeat("n1", 1, 7, 9, true).path("took").asLong());
-        assertEquals(Optional.empty(), peerHeartbeats.machine(machine("n1", 3)));
+        assertEquals(Optional.empty(), peerHeartbeats.currentReport(machine("n1", 3)));
         assertEquals(9, receiveHeartbeat("n1", 1, 0, 9, true).path("took").asLong());
         assertEquals(
                 0, receiveHeartbeat("n1", 2, 9, 9, false).path("took").asLong(), "a new process starts counting anew");
-        assertEquals(Optional.empty(), peerHeartbeats.machine(machine("n1", 3)));
+        assertEquals(Optional.empty(), peerHeartbeats.currentReport(machine("n1", 3)));
     }
 
     @Test
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -104,7 +104,7 @@
             jobs.forEach(job -> byId.put(job.id(), job));
             plan.bindings()
                     .forEach(binding ->
-                            byId.put(binding.job().id(), binding.job().withPlaced(binding.places())));
+                            byId.put(binding.job().id(), binding.job().withPlaced(binding.machineByTask())));
             plan.evictions()
                     .forEach(eviction -> byId.computeIfPresent(
                             eviction.victim().id(),
@@ -117,7 +117,7 @@
 
     private static void check(List<JobRecord> jobs, List<MachineSnapshot> machines) {
         ProjectedJobs.ofStored(jobs)
-                .use()
+                .usage()
                 .forEach((team, use) -> assertTrue(TEAMS.get(team).withinLimit(use), team + " uses " + use));
         var tasksByMachine = new HashMap<String, Integer>();
         for (JobRecord job : jobs) {
@@ -140,7 +140,7 @@
                     "apart");
         }
         machines.forEach(machine -> assertTrue(
-                tasksByMachine.getOrDefault(machine.id(), 0) <= machine.size().gpus(), "capacity of " + machine.id()));
+                tasksByMachine.getOrDefault(machine.id(), 0) <= machine.capacity().gpus(), "capacity of " + machine.id()));
     }
 
     @Test
@@ -151,7 +151,7 @@
                 List.of(running, job(2, "red", JobKind.GANG, Priority.URGENT, 4, ANYWHERE)),
                 List.of(machine("a", "east", false, 8)));
         assertEquals(List.of(), plan.bindings());
-        assertTrue(plan.reasons().get("wk-000002").contains("limit"));
+        assertTrue(plan.waitReasons().get("wk-000002").contains("limit"));
     }
 
     @Test
@@ -163,7 +163,7 @@
                         job(3, "red", JobKind.GANG, Priority.URGENT, 2, ANYWHERE),
                         job(4, "blue", JobKind.ARRAY, Priority.LOW, 1, ANYWHERE)),
                 List.of(machine("a", "east", false, 4)));
-        assertTrue(plan.reasons().get("wk-000002").contains("behind gang wk-000001"));
+        assertTrue(plan.waitReasons().get("wk-000002").contains("behind gang wk-000001"));
         assertEquals(
                 List.of("wk-000003", "wk-000001"),
                 plan.bindings().stream().map(binding -> binding.job().id()).toList());
@@ -232,11 +232,11 @@
         List<MachineSnapshot> machines = List.of(machine("a", "east", false, 3), machine("b", "east", false, 3));
         assertEquals(
                 Map.of(0, "b"),
-                plan(List.of(fetching, alone), machines).bindings().get(0).places());
+                plan(List.of(fetching, alone), machines).bindings().get(0).machineByTask());
         JobRecord same = withImage(fetching, alone.submission().image()).withPlaced(new TreeMap<>(Map.of(0, "a")));
         assertEquals(
                 Map.of(0, "a"),
-                plan(List.of(same, alone), machines).bindings().get(0).places(),
+                plan(List.of(same, alone), machines).bindings().get(0).machineByTask(),
                 "one fetch serves both");
     }
 
@@ -322,7 +322,7 @@
                 .maxTasks(3)
                 .endedTasks(ended)
                 .plan();
-        assertEquals(Set.of(3, 4), plan.bindings().get(0).places().keySet());
+        assertEquals(Set.of(3, 4), plan.bindings().get(0).machineByTask().keySet());
     }
 
     /** Capacity that urgent jobs will need within seconds is not given to work that would be preempted again. */
@@ -340,7 +340,7 @@
                 .plan();
         assertEquals(
                 List.of(1, 1),
-                plan.bindings().stream().map(binding -> binding.places().size()).toList());
+                plan.bindings().stream().map(binding -> binding.machineByTask().size()).toList());
     }
 
     /** A job of which this controller has proposed one task, while another controller has stored more of it. */
--- a/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
+++ b/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
@@ -251,8 +251,8 @@
                 if (row.path("key").asText().startsWith("ds/team/")) {
                     teams++;
                     QuotaAdmission.Reservation reservation =
-                            QuotaAdmission.Reservation.parse(Optional.of(row.path("v")));
-                    assertEquals(row.path("v").toString(), reservation.toNode().toString());
+                            QuotaAdmission.Reservation.fromJson(Optional.of(row.path("v")));
+                    assertEquals(row.path("v").toString(), reservation.toJson().toString());
                 }
             }
         }
--- a/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
@@ -79,7 +79,7 @@
     private static List<String> placesOf(Plan plan, JobRecord job) {
         return plan.bindings().stream()
                 .filter(binding -> binding.job().id().equals(job.id()))
-                .flatMap(binding -> binding.places().values().stream())
+                .flatMap(binding -> binding.machineByTask().values().stream())
                 .toList();
     }
 
@@ -184,6 +184,6 @@
         JobRecord faulty = service(1, 6);
         Plan plan = snapshot(faulty).machinesWithoutPools(machines).maxTasks(1).plan();
         assertEquals(1, placesOf(plan, faulty).size());
-        assertTrue(plan.reasons().containsKey(faulty.id()));
+        assertTrue(plan.waitReasons().containsKey(faulty.id()));
     }
 }
--- a/src/test/java/org/dunespindle/sim/ClusterSettings.java
+++ b/src/test/java/org/dunespindle/sim/ClusterSettings.java
@@ -20,7 +20,7 @@
                 TestSettings.node("n" + node, "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", seedsBeside(node));
         ((ObjectNode) file).put("area", cluster.areas[node]);
         JsonNode deployment = file.path("deployment");
-        if (cluster.nextLimits != null && cluster.formats[node] == FormatVersion.WITHOUT_FEATURES) {
+        if (cluster.nextLimits != null && cluster.formats[node] == FormatVersion.NEWEST_WITHOUT_FEATURES) {
             ((ObjectNode) deployment.path("state")).set("next", cluster.nextLimits);
         }
         deployment.path("teams").forEach(team -> limit((ObjectNode) team, cluster.shape));
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -222,13 +222,13 @@
     @Test
     void nothingIsExchangedBeforeAllControllersOfACellHaveTheFeature() {
         SimulatedFederation federation = filled(6, 2, 3, 3);
-        federation.cell("a").formats[1] = FormatVersion.WITHOUT_FEATURES;
+        federation.cell("a").formats[1] = FormatVersion.NEWEST_WITHOUT_FEATURES;
         federation.cell("a").crash(1, Duration.ofMillis(200));
         submitBuilds(federation, 2);
         run(federation, 120);
         assertFalse(federation.cell("a").state.rows().containsKey("ds/federation"));
         assertTrue(federation.calls.getOrDefault("Offer", 0) == 0);
-        federation.cell("a").formats[1] = FormatVersion.CELL_TIES;
+        federation.cell("a").formats[1] = FormatVersion.DELEGATION_LINKS;
         federation.cell("a").crash(1, Duration.ofMillis(200));
         run(federation, 150);
         assertEquals("done", federation.cell("a").lastTold("wk-000000"));
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -269,7 +269,7 @@
                     watch,
                     Optional.of(cell));
             cell.standIns = new SimulatedCluster(
-                    surroundings, ClusterShape.of(machines[index], 1).withFormat(FormatVersion.CELL_TIES));
+                    surroundings, ClusterShape.of(machines[index], 1).withFormat(FormatVersion.DELEGATION_LINKS));
             standIns.add(cell.standIns);
             cell.serve();
         }
--- a/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
@@ -75,7 +75,7 @@
 
     /** What a controller that announces a version understands: a program of an earlier version knows no later one. */
     FormatSupport formats(int announced) {
-        boolean earlier = announced < FormatVersion.WITHOUT_FEATURES;
+        boolean earlier = announced < FormatVersion.NEWEST_WITHOUT_FEATURES;
         return new FormatSupport(announced, earlier ? announced : FormatVersion.NEWEST);
     }
 }
--- a/src/test/java/org/dunespindle/sim/SimulatedFederation.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedFederation.java
@@ -98,7 +98,7 @@
                     (node, process, context) -> connect(index, node, process, context),
                     watch,
                     Optional.empty());
-            ClusterShape shape = ClusterShape.of(machines[cell], 1).withFormat(FormatVersion.CELL_TIES);
+            ClusterShape shape = ClusterShape.of(machines[cell], 1).withFormat(FormatVersion.DELEGATION_LINKS);
             cells.add(new SimulatedCluster(surroundings, stateService.of(shape)));
         }
         sim.after(500, this::watch);
--- a/src/test/java/org/dunespindle/sim/StoredAllocations.java
+++ b/src/test/java/org/dunespindle/sim/StoredAllocations.java
@@ -38,7 +38,7 @@
             change.getValue()
                     .ifPresentOrElse(
                             v -> transaction.write(change.getKey(), v), () -> transaction.remove(change.getKey()));
-            ofJobs |= change.getKey().startsWith(Keys.JOB) || change.getKey().startsWith(Keys.PART);
+            ofJobs |= change.getKey().startsWith(Keys.JOB) || change.getKey().startsWith(Keys.CHUNK);
         }
         copy.applyCommitted(transaction, revision);
         if (ofJobs) {
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -67,7 +67,7 @@
         for (int node = 0; node < 3; node++) {
             replica.applyCommitted(new Transaction().write(Keys.member("n" + node), MessagePackCodec.map()), node + 1);
         }
-        return new Membership("n0", FormatVersion.WITHOUT_FEATURES, null, replica, clock);
+        return new Membership("n0", FormatVersion.NEWEST_WITHOUT_FEATURES, null, replica, clock);
     }
 
     /** Of all names of a form, the first ones that belong to a controller. */
@@ -85,9 +85,9 @@
         var cluster = new SimulatedCluster(
                 seed, ClusterShape.of(MACHINES, NAME_STEP).withLimits(Map.of("red", LIMIT, "blue", LIMIT)));
         Membership membership = threeControllers();
-        List<String> ofWest = namesOf(west, "i-%04d", NAME_STEP, membership::hashed, 5);
+        List<String> ofWest = namesOf(west, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5);
         ofWest.forEach(id -> cluster.provide(id, "west", ofWest.indexOf(id) >= 2));
-        namesOf(east, "i-%04d", NAME_STEP, membership::hashed, 5).forEach(id -> cluster.provide(id, "east", false));
+        namesOf(east, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5).forEach(id -> cluster.provide(id, "east", false));
         return cluster;
     }
 
@@ -120,7 +120,7 @@
     void whatOthersStoredCountsWhileAnOwnPlacementOfThatJobIsUnderWay(long seed) {
         int refused = (int) (seed % 3);
         int other = (refused + 1) % 3;
-        List<String> jobs = namesOf(refused, "wk-%06d", 1, threeControllers()::homeOf, 3);
+        List<String> jobs = namesOf(refused, "wk-%06d", 1, threeControllers()::controllerOfJob, 3);
         String first = jobs.get(0);
         String shared = jobs.get(1);
         String last = jobs.get(2);
@@ -163,14 +163,14 @@
         var cluster = new SimulatedCluster(
                 seed, ClusterShape.of(MACHINES, NAME_STEP).withLimits(Map.of("red", LIMIT, "blue", LIMIT)));
         for (int node = 0; node < 3; node++) {
-            namesOf(node, "i-%04d", NAME_STEP, membership::hashed, 5).forEach(id -> cluster.provide(id, "east", false));
+            namesOf(node, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5).forEach(id -> cluster.provide(id, "east", false));
         }
         cluster.taskTime = Optional.of(RUNS);
         cluster.sim.run(Duration.ofSeconds(15));
         cluster.setOptions(0, Map.of("idle_return_s", IDLE_RETURN_SECONDS));
-        List<String> ofRestarted = namesOf(restarted, "wk-%06d", 1, membership::homeOf, 2);
+        List<String> ofRestarted = namesOf(restarted, "wk-%06d", 1, membership::controllerOfJob, 2);
         cluster.submit(
-                array(namesOf(restarted, "wk-9%05d", 1, membership::homeOf, 1).get(0), 1, Optional.empty(), true));
+                array(namesOf(restarted, "wk-9%05d", 1, membership::controllerOfJob, 1).get(0), 1, Optional.empty(), true));
         cluster.sim.run(cluster.sim.now().plusSeconds(4));
         cluster.submit(array(ofRestarted.get(0), 7, Optional.empty(), true));
         cluster.sim.run(cluster.sim.now().plusSeconds(4));
@@ -186,7 +186,7 @@
         for (int by = 1; by < 3; by++) {
             int node = (restarted + by) % 3;
             cluster.submit(
-                    array(namesOf(node, "wk-%06d", 1, membership::homeOf, 1).get(0), 7, Optional.empty(), true));
+                    array(namesOf(node, "wk-%06d", 1, membership::controllerOfJob, 1).get(0), 7, Optional.empty(), true));
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(180));
         assertEquals(List.of(), cluster.broken);
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -44,7 +44,7 @@
 
     /** Ends a controller and has the newer version come back in its place. */
     private static void upgrade(SimulatedCluster cluster, int node) {
-        cluster.formats[node] = FormatVersion.WITHOUT_FEATURES;
+        cluster.formats[node] = FormatVersion.NEWEST_WITHOUT_FEATURES;
         cluster.crash(node, Duration.ofMillis(800));
     }
 
@@ -65,7 +65,7 @@
         upgrade(cluster, 1);
         cluster.sim.run(Duration.ofSeconds(70));
         assertEquals(
-                FormatVersion.WITHOUT_FEATURES,
+                FormatVersion.NEWEST_WITHOUT_FEATURES,
                 cluster.state.rows().get("ds/format").value().path("version").asInt());
         assertEquals(List.of(), cluster.broken);
     }
--- a/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
+++ b/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
@@ -138,7 +138,7 @@
                 jobs++;
                 JobRecord job = JobRecord.parse(key.substring(Keys.JOB.length()), value);
                 assertEquals(value.toString(), job.toNode().toString());
-            } else if (key.startsWith(Keys.PAGE)) {
+            } else if (key.startsWith(Keys.MACHINE_PAGE)) {
                 pages++;
                 value.properties()
                         .forEach(machine -> assertEquals(
--- a/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
+++ b/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
@@ -92,8 +92,8 @@
     @Test
     void finishedJobsDropOutboundAndKeepInboundDelegations() {
         JobRecord delegated = job(3).withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 1));
-        assertEquals(Optional.empty(), delegated.doneElsewhere().delegationLink());
-        assertEquals(3, delegated.doneElsewhere().doneCount());
+        assertEquals(Optional.empty(), delegated.completedRemotely().delegationLink());
+        assertEquals(3, delegated.completedRemotely().doneCount());
         assertEquals(Optional.empty(), delegated.cancelled().delegationLink());
         InboundDelegation link = InboundDelegation.of("a", 7);
         JobRecord inboundJob = JobRecord.acceptedFromOrigin(job(1).submission(), NOW, link);
--- a/src/test/java/org/dunespindle/storage/MachinePageTest.java
+++ b/src/test/java/org/dunespindle/storage/MachinePageTest.java
@@ -18,7 +18,7 @@
 
     private static final int MAX_NAME_LENGTH = 20;
     private static final List<String> DRAIN_REASONS =
-            List.of("", MachineRecord.IDLE, MachineRecord.DRAINED, "it fails its tasks");
+            List.of("", MachineRecord.DRAIN_REASON_IDLE, MachineRecord.DRAIN_REASON_OPERATOR, "it fails its tasks");
 
     private static String name(Random random) {
         return "n".repeat(MAX_NAME_LENGTH - random.nextInt(3));
--- a/src/test/java/org/dunespindle/storage/StateReplicaTest.java
+++ b/src/test/java/org/dunespindle/storage/StateReplicaTest.java
@@ -106,7 +106,7 @@
     void anUnavailableLogIsReplacedByASnapshot(LogFailure kind) throws MalformedMessageException {
         StateReplica replica = replica();
         time.run(Duration.ofSeconds(3));
-        assertTrue(replica.loaded());
+        assertTrue(replica.isLoaded());
         logFailure = kind;
         revision = 50_000;
         firstLogRevision = 49_000;
@@ -142,7 +142,7 @@
         time.run(Duration.ofSeconds(3));
         outage = true;
         time.run(Duration.ofSeconds(20));
-        assertTrue(replica.loaded() && replica.value("ds/x/005").isPresent());
+        assertTrue(replica.isLoaded() && replica.value("ds/x/005").isPresent());
         outage = false;
         requests.clear();
         time.run(Duration.ofSeconds(24));
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -315,16 +315,16 @@
                 false,
                 "");
         var idle = new MachineRecord(
-                "i-0024", "", "gpu-4", "west", true, "n1", 5, 12, ARRIVED, Instant.EPOCH, true, MachineRecord.IDLE);
+                "i-0024", "", "gpu-4", "west", true, "n1", 5, 12, ARRIVED, Instant.EPOCH, true, MachineRecord.DRAIN_REASON_IDLE);
         var drained = new MachineRecord(
-                "i-0025", "", "gpu-4", "west", true, "n1", 5, 12, ARRIVED, Instant.EPOCH, true, MachineRecord.DRAINED);
+                "i-0025", "", "gpu-4", "west", true, "n1", 5, 12, ARRIVED, Instant.EPOCH, true, MachineRecord.DRAIN_REASON_OPERATOR);
         String page = """
                 {"i-0023":["10.0.0.7:7000","gpu-8","east",false,"n0",4,11,1700000000000,1700000040000,false,""],
                  "i-0024":["","gpu-4","west",true,"n1",5,12,1700000000123,0,true,"it is idle"],
                  "i-0025":["","gpu-4","west",true,"n1",5,12,1700000000123,0,true,"an operator drains it"]}""";
         StateReplica replica = replicaOf(Map.of("ds/page/i-002", page));
         assertEquals(Map.of("i-0023", ordinary, "i-0024", idle, "i-0025", drained), replica.machines());
-        JsonNode written = replica.rewrite("ds/page/i-002", Map.of())
+        JsonNode written = replica.rewriteMachinePage("ds/page/i-002", Map.of())
                 .changes()
                 .get("ds/page/i-002")
                 .value()
@@ -338,11 +338,11 @@
                 "{\"version\":1}",
                 FormatVersion.record(FormatVersion.WHOLE_RECORDS).toString());
         assertEquals(
-                "{\"version\":2}", FormatVersion.record(FormatVersion.JOB_PARTS).toString());
+                "{\"version\":2}", FormatVersion.record(FormatVersion.CHUNKED_JOB_RECORDS).toString());
         assertEquals(
-                "{\"version\":3}", FormatVersion.record(FormatVersion.CELL_TIES).toString());
+                "{\"version\":3}", FormatVersion.record(FormatVersion.DELEGATION_LINKS).toString());
         assertEquals(
-                FormatVersion.CELL_TIES,
+                FormatVersion.DELEGATION_LINKS,
                 replicaOf(Map.of("ds/format", "{\"version\":3}")).formatVersion());
         assertEquals(FormatVersion.WHOLE_RECORDS, replicaOf(Map.of()).formatVersion());
     }
