--- a/src/main/java/org/dunespindle/machine/CloudCallException.java
+++ b/src/main/java/org/dunespindle/machine/CloudCallException.java
@@ -1,7 +1,7 @@
 package org.dunespindle.machine;
 
 /** A cloud's answer that does not tell whether the request was carried out. The request may be repeated. */
-public final class CloudCallException extends Exception {
+final class CloudCallException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private CloudCallException(String message) {
--- a/src/main/java/org/dunespindle/machine/CloudClient.java
+++ b/src/main/java/org/dunespindle/machine/CloudClient.java
@@ -38,7 +38,7 @@
     private final RateLimitedHttpClient service;
 
     /** The outcome of a rental: the machines, or a refusal for want of capacity. */
-    public record RentalResult(List<String> machineIds, boolean noCapacity) {
+    record RentalResult(List<String> machineIds, boolean noCapacity) {
         private static final RentalResult REFUSED = new RentalResult(List.of(), true);
     }
 
@@ -63,13 +63,13 @@
     }
 
     /** The machine types on offer. */
-    public CompletableFuture<List<MachineType>> catalog() {
+    CompletableFuture<List<MachineType>> catalog() {
         return call("GET", "/catalog", NO_BODY)
                 .thenCompose(response -> parseOk(response, "catalog", MachineType::parseCatalog));
     }
 
     /** The whole machine list, read page by page. */
-    public CompletableFuture<List<ListedMachine>> list() {
+    CompletableFuture<List<ListedMachine>> list() {
         return listAfter("", new ArrayList<>());
     }
 
@@ -97,7 +97,7 @@
     }
 
     /** Rents machines; repeating it with the same request id is safe until it was answered with 200. */
-    public CompletableFuture<RentalResult> rent(String requestId, MachinePool pool, int count) {
+    CompletableFuture<RentalResult> rent(String requestId, MachinePool pool, int count) {
         var request = new RentalRequest(requestId, pool.type(), pool.zone(), pool.spot(), count);
         return call("POST", "/rentals", MessagePackCodec.write(request.toNode()))
                 .thenCompose(response -> isCapacityRefusal(response)
@@ -117,7 +117,7 @@
     }
 
     /** Terminates machines; once this completes, they and everything on them are gone. */
-    public CompletableFuture<Void> terminate(List<String> machineIds) {
+    CompletableFuture<Void> terminate(List<String> machineIds) {
         ObjectNode body = MessagePackCodec.map();
         machineIds.forEach(body.withArray("/hosts")::add);
         return call("POST", "/rentals/return", MessagePackCodec.write(body))
