--- a/src/main/java/org/dunespindle/control/CommitQueue.java
+++ b/src/main/java/org/dunespindle/control/CommitQueue.java
@@ -151,7 +151,8 @@
 
     /** A batch stays within the available writes, except that its first proposal is sent whole. */
     private int maxBatchChanges(Proposal head) {
-        double affordable = Math.min(targetBatchChanges(), stateStore.writeLimiter().available());
+        double affordable =
+                Math.min(targetBatchChanges(), stateStore.writeLimiter().available());
         return (int) Math.max(head.transaction().changeCount(), affordable);
     }
 
--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -88,7 +88,9 @@
             parts.workers.peerHeartbeats.send(
                     parts.shared.replica.staleness(),
                     parts.workers.writeRateAllocator.demand(),
-                    parts.workers.peerHeartbeats.hasRemoteLeader() ? parts.machines.statusReporter.all() : List.of());
+                    parts.workers.peerHeartbeats.hasRemoteLeader()
+                            ? parts.machines.statusReporter.ownedMachineStatuses()
+                            : List.of());
             forgetWhatIsGone();
         }
         parts.shared.timeSource.schedule(PEER_HEARTBEAT_INTERVAL, this::sendPeerHeartbeat);
--- a/src/main/java/org/dunespindle/controller/DecisionLoop.java
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -122,9 +122,10 @@
 
     /** Terminations on machines that the cloud confirmed as gone, or that have no record any more, which comes later still. */
     private List<TaskTermination> terminationsOnLostMachines() {
-        var lostMachines = new ArrayList<>(parts.machines.terminator.gone());
+        var lostMachines = new ArrayList<>(parts.machines.terminator.terminatedMachines());
         parts.shared.replica.machinesWithAllocations().stream()
-                .filter(id -> !parts.shared.replica.machines().containsKey(id) && !parts.machines.terminator.isGone(id))
+                .filter(id ->
+                        !parts.shared.replica.machines().containsKey(id) && !parts.machines.terminator.isTerminated(id))
                 .forEach(lostMachines::add);
         var terminations = new ArrayList<TaskTermination>();
         for (String machineId : lostMachines) {
@@ -170,7 +171,7 @@
     private void carryOut(ClusterSnapshot snapshot) {
         parts.workers.pendingPreemptions.prune(parts.shared.replica);
         if (parts.shared.membership.isLeader()) {
-            parts.machines.shardOwnership.borrow(plan);
+            parts.machines.shardOwnership.acquireForGangs(plan);
         }
         parts.jobDelegation.planned(snapshot, plan);
         parts.jobs.taskPreemptor.preempt(plan);
--- a/src/main/java/org/dunespindle/controller/JobParts.java
+++ b/src/main/java/org/dunespindle/controller/JobParts.java
@@ -31,7 +31,7 @@
                 shared.machineWriter,
                 terminationWriter,
                 workers.pendingPreemptions,
-                machines.statusReporter::takesTasks);
+                machines.statusReporter::isSchedulable);
         taskPreemptor = new TaskPreemptor(context, workers.pendingPreemptions, workerClient);
         gangLifecycle = new GangLifecycle(context, commitQueue, workerClient, shared.options);
         noticedMachineDrainer = new NoticedMachineDrainer(context, commitQueue, workerClient);
--- a/src/main/java/org/dunespindle/controller/MachineParts.java
+++ b/src/main/java/org/dunespindle/controller/MachineParts.java
@@ -38,7 +38,8 @@
         cloud = new CloudClient(httpClient, shared.settings, shared.timeSource);
         catalog = new MachineCatalog(cloud, shared.timeSource, requestRound);
         terminator = new MachineTerminator(context, machineWriter, cloud);
-        provisioner = new MachineProvisioner(context, machineWriter, cloud, catalog, objectives, terminator::isGone);
+        provisioner =
+                new MachineProvisioner(context, machineWriter, cloud, catalog, objectives, terminator::isTerminated);
         var inventory = new CloudInventory(context, machineWriter, cloud, provisioner, terminator);
         var quarantine = new Quarantine(crashLoopDetector, workers.peerHeartbeats, shared.timeSource, shared.options);
         fleetManager = new FleetManager(
@@ -48,7 +49,7 @@
                 workers.peerHeartbeats,
                 quarantine,
                 shared.options,
-                new FleetManager.Cloud(inventory, catalog, provisioner, terminator));
+                new FleetManager.CloudServices(inventory, catalog, provisioner, terminator));
         statusReporter = new MachineStatusReporter(context, workers.workerClient, quarantine, terminator);
         shardOwnership = new ShardOwnership(
                 context, workers.workerClient, machineWriter, workers.peerHeartbeats, shared.options);
--- a/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
+++ b/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
@@ -90,7 +90,7 @@
                 schedulableMachines(leads),
                 context.settings().teams(),
                 poolsByMachine,
-                sources.provisioner.refused(),
+                sources.provisioner.poolsWithoutCapacity(),
                 maxTasksUnderWay(),
                 sources.terminationWriter.unstoredTerminations(),
                 sources.pacing.deferredJobs(jobs),
@@ -126,11 +126,11 @@
                 poolsByMachine.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot()));
             }
             boolean owned = context.membership().owns(machine);
-            if ((owned || leads) && !sources.terminator.leaves(machine)) {
+            if ((owned || leads) && !sources.terminator.isTerminating(machine)) {
                 Optional<MachineType> type = sources.catalog.type(machine.type());
                 if (type.isPresent()) {
                     boolean up =
-                            owned ? sources.statusReporter.takesTasks(machine) : isUpElsewhere(machine, liveOwners);
+                            owned ? sources.statusReporter.isSchedulable(machine) : isUpElsewhere(machine, liveOwners);
                     if (up || bootsInTime(machine)) {
                         schedulable.add(snapshotOf(machine, type.get(), owned, up));
                     }
@@ -141,7 +141,7 @@
     }
 
     private boolean bootsInTime(MachineRecord machine) {
-        return sources.fleetManager.booting(machine) && sources.fleetManager.bootsInTime(machine);
+        return sources.fleetManager.isBooting(machine) && sources.fleetManager.isExpectedToBoot(machine);
     }
 
     private MachineSnapshot snapshotOf(MachineRecord machine, MachineType type, boolean owned, boolean up) {
@@ -157,7 +157,7 @@
         for (MachineRecord machine : context.replica().machines().values()) {
             if (!context.replica().allocationsOn(machine.id()).isEmpty()) {
                 boolean owned = context.membership().owns(machine);
-                if (owned ? sources.statusReporter.departs(machine) : leads && isDrainingElsewhere(machine)) {
+                if (owned ? sources.statusReporter.isDeparting(machine) : leads && isDrainingElsewhere(machine)) {
                     draining.add(machine.id());
                 }
             }
@@ -183,7 +183,8 @@
     private boolean isUpElsewhere(MachineRecord machine, Map<String, Boolean> liveOwners) {
         Boolean ownerReaches = liveOwners.get(machine.owner());
         if (ownerReaches == null) {
-            ownerReaches = sources.peerHeartbeats.recentHeartbeat(machine.owner()).isPresent();
+            ownerReaches =
+                    sources.peerHeartbeats.recentHeartbeat(machine.owner()).isPresent();
             liveOwners.put(machine.owner(), ownerReaches);
         }
         if (!ownerReaches && !context.membership().isAlive(machine.owner(), machine.incarnation())) {
--- a/src/main/java/org/dunespindle/controller/WaitExplainer.java
+++ b/src/main/java/org/dunespindle/controller/WaitExplainer.java
@@ -23,7 +23,10 @@
         }
         if (parts.machines.crashLoopDetector.isCrashLooping(job.id())) {
             return "its tasks have failed " + job.failures() + " times, on "
-                    + parts.machines.crashLoopDetector.machinesOf(job.id()).size()
+                    + parts.machines
+                            .crashLoopDetector
+                            .machinesWithFailuresOf(job.id())
+                            .size()
                     + " machines seen from here, and none ended well; one is tried at a time, with growing pauses";
         }
         if (job.isDelegatedAway()) {
--- a/src/main/java/org/dunespindle/federation/CapacitySurvey.java
+++ b/src/main/java/org/dunespindle/federation/CapacitySurvey.java
@@ -70,7 +70,9 @@
         }
         types.forEach(this::addMarkets);
         snapshot.jobs().forEach(job -> occupy(job, job.allocations(), byId));
-        snapshot.projection().withUnprojectedAllocations().forEach(job -> occupy(job.stored(), job.unprojectedAllocations(), byId));
+        snapshot.projection()
+                .withUnprojectedAllocations()
+                .forEach(job -> occupy(job.stored(), job.unprojectedAllocations(), byId));
         plan.bindings().forEach(booking -> book(booking, byId));
         var present = new HashMap<String, JobRecord>();
         snapshot.jobs().forEach(job -> present.put(job.id(), job));
@@ -94,8 +96,8 @@
     private void occupy(JobRecord job, List<Allocation> allocations, Map<String, Machine> byId) {
         for (Allocation allocation : allocations) {
             Machine machine = byId.get(allocation.machineId());
-            boolean ended =
-                    snapshot.endedTasks().contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
+            boolean ended = snapshot.endedTasks()
+                    .contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
             if (machine != null && !ended) {
                 take(machine, job, !job.submission().isGang());
             }
--- a/src/main/java/org/dunespindle/federation/FederationAdmin.java
+++ b/src/main/java/org/dunespindle/federation/FederationAdmin.java
@@ -124,8 +124,10 @@
     private int countVisitors(String cell) {
         int count = 0;
         for (JobRecord job : replica.inboundJobs()) {
-            count +=
-                    job.isOpen() && job.inboundDelegation().orElseThrow().origin().equals(cell) ? 1 : 0;
+            count += job.isOpen()
+                            && job.inboundDelegation().orElseThrow().origin().equals(cell)
+                    ? 1
+                    : 0;
         }
         return count;
     }
--- a/src/main/java/org/dunespindle/job/PlacementPacing.java
+++ b/src/main/java/org/dunespindle/job/PlacementPacing.java
@@ -103,6 +103,9 @@
 
     private boolean isHome(JobRecord job) {
         String node = context.settings().nodeName();
-        return context.membership().controllerOfJob(job.id()).filter(node::equals).isPresent();
+        return context.membership()
+                .controllerOfJob(job.id())
+                .filter(node::equals)
+                .isPresent();
     }
 }
--- a/src/main/java/org/dunespindle/job/PlacementWriter.java
+++ b/src/main/java/org/dunespindle/job/PlacementWriter.java
@@ -96,7 +96,8 @@
     }
 
     private ProjectedJob projected(JobRecord stored) {
-        return new ProjectedJob(stored, pendingPreemptions.withPreemptions(proposedRecords.getOrDefault(stored.id(), stored)));
+        return new ProjectedJob(
+                stored, pendingPreemptions.withPreemptions(proposedRecords.getOrDefault(stored.id(), stored)));
     }
 
     /**
--- a/src/main/java/org/dunespindle/job/TerminationWriter.java
+++ b/src/main/java/org/dunespindle/job/TerminationWriter.java
@@ -170,7 +170,7 @@
         if (termination.cause() == TerminationCause.ERROR) {
             recordFailure(job, termination, machineId);
         } else if (termination.cause() == TerminationCause.DONE) {
-            crashLoopDetector.succeeded(job.id(), machineId);
+            crashLoopDetector.recordSuccess(job.id(), machineId);
         } else if (job.isOpen()) {
             eventRecorder.record(
                     LOG,
@@ -190,13 +190,13 @@
                 termination.task(),
                 machineId);
         boolean wasCrashLooping = crashLoopDetector.isCrashLooping(job.id());
-        crashLoopDetector.failed(job.id(), machineId);
+        crashLoopDetector.recordFailure(job.id(), machineId);
         if (!wasCrashLooping && crashLoopDetector.isCrashLooping(job.id())) {
             eventRecorder.record(
                     LOG,
                     "job {} fails on every machine: on {} so far; it is taken for faulty and tried ever more seldom until its user cancels it",
                     job.id(),
-                    crashLoopDetector.machinesOf(job.id()));
+                    crashLoopDetector.machinesWithFailuresOf(job.id()));
         }
     }
 }
--- a/src/main/java/org/dunespindle/machine/CloudInventory.java
+++ b/src/main/java/org/dunespindle/machine/CloudInventory.java
@@ -116,7 +116,7 @@
     private boolean isUnrecorded(ListedMachine machine) {
         String id = machine.id();
         boolean recorded = context.replica().machines().containsKey(id) || machineWriter.hasPendingChange(id);
-        return !machine.failed() && !recorded && !terminator.isGone(id);
+        return !machine.failed() && !recorded && !terminator.isTerminated(id);
     }
 
     private void adopt(ListedMachine machine) {
--- a/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
+++ b/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
@@ -38,20 +38,20 @@
     }
 
     /** Records that a task of a job failed on a machine. */
-    public void failed(String jobId, String machineId) {
+    public void recordFailure(String jobId, String machineId) {
         machinesByJob.computeIfAbsent(jobId, id -> new HashSet<>()).add(machineId);
         failuresByMachine.computeIfAbsent(machineId, id -> new HashMap<>()).merge(jobId, 1, Integer::sum);
     }
 
     /** Records that a task of a job succeeded on a machine, which clears the machine of all failures before. */
-    public void succeeded(String jobId, String machineId) {
+    public void recordSuccess(String jobId, String machineId) {
         succeededJobs.add(jobId);
         failuresByMachine.remove(machineId);
     }
 
     /** Whether a job fails wherever it is tried, as far as is seen from this controller. */
     public boolean isCrashLooping(String jobId) {
-        return !succeededJobs.contains(jobId) && machinesOf(jobId).size() >= MIN_MACHINES_OF_CRASH_LOOP;
+        return !succeededJobs.contains(jobId) && machinesWithFailuresOf(jobId).size() >= MIN_MACHINES_OF_CRASH_LOOP;
     }
 
     /** How many jobs failed on a machine without being at fault themselves, as far as is known by now. */
@@ -76,7 +76,7 @@
     }
 
     /** Machines on which tasks of a job have failed. */
-    public Set<String> machinesOf(String jobId) {
+    public Set<String> machinesWithFailuresOf(String jobId) {
         return machinesByJob.getOrDefault(jobId, Set.of());
     }
 
--- a/src/main/java/org/dunespindle/machine/DrainReason.java
+++ b/src/main/java/org/dunespindle/machine/DrainReason.java
@@ -9,7 +9,8 @@
  * @param text the reason as it is stored with the machine and shown to operators
  */
 record DrainReason(Procedure procedure, String text) {
-    static final DrainReason IDLE = new DrainReason(Procedure.DRAIN_UNLESS_COMMITS_QUEUE, MachineRecord.DRAIN_REASON_IDLE);
+    static final DrainReason IDLE =
+            new DrainReason(Procedure.DRAIN_UNLESS_COMMITS_QUEUE, MachineRecord.DRAIN_REASON_IDLE);
     static final DrainReason FAILS_TASKS = new DrainReason(Procedure.DRAIN, "it fails its tasks");
     static final DrainReason FAILED = new DrainReason(Procedure.TERMINATE, "it failed");
     static final DrainReason RUNS_UNHEARD = new DrainReason(Procedure.TERMINATE, "it runs but no controller hears it");
--- a/src/main/java/org/dunespindle/machine/FleetManager.java
+++ b/src/main/java/org/dunespindle/machine/FleetManager.java
@@ -34,7 +34,7 @@
     private Duration nextEvaluationAt = Duration.ZERO;
 
     /** The leader's access to the cloud. */
-    public record Cloud(
+    public record CloudServices(
             CloudInventory inventory,
             MachineCatalog catalog,
             MachineProvisioner provisioner,
@@ -48,7 +48,7 @@
             PeerHeartbeats peerHeartbeats,
             Quarantine quarantine,
             Supplier<Options> options,
-            Cloud cloud) {
+            CloudServices cloud) {
         this.context = context;
         this.machineWriter = machineWriter;
         this.quarantine = quarantine;
@@ -59,16 +59,16 @@
         this.bootDeadlines = new BootDeadlines(context, cloud.catalog);
         this.evaluator = new MachineEvaluator(
                 context, workerClient, failureDetector, quarantine, inventory, bootDeadlines, options);
-        this.sizeReporter = new FleetSizeReporter(context.replica(), cloud.catalog, this::booting);
+        this.sizeReporter = new FleetSizeReporter(context.replica(), cloud.catalog, this::isBooting);
     }
 
     /** Whether a machine that has not reported yet is still expected to come up, so that work may be planned on it. */
-    public boolean bootsInTime(MachineRecord machine) {
+    public boolean isExpectedToBoot(MachineRecord machine) {
         return context.timeSource().now().compareTo(STARTUP_GRACE) < 0 || bootDeadlines.isWithinBootTime(machine);
     }
 
     /** Whether a machine was rented but no controller has heard it yet. */
-    public boolean booting(MachineRecord machine) {
+    public boolean isBooting(MachineRecord machine) {
         return failureDetector.lastSeen(machine).isEmpty();
     }
 
@@ -111,7 +111,7 @@
     /** Removes the records of machines that the cloud has terminated, once nothing is allocated on them any more. */
     private void removeTerminated() {
         for (MachineRecord machine : List.copyOf(context.replica().machines().values())) {
-            if (terminator.isGone(machine.id())
+            if (terminator.isTerminated(machine.id())
                     && context.replica().allocationsOn(machine.id()).isEmpty()
                     && !machineWriter.hasPendingChange(machine.id())
                     && !machineWriter.isBacklogged()) {
@@ -134,7 +134,7 @@
     private void evaluateAll(Duration now, Duration leadingSince, Plan plan) {
         failureDetector.updateOutages(leadingSince, bootDeadlines::isPastBootTime);
         for (MachineRecord machine : List.copyOf(context.replica().machines().values())) {
-            if (terminator.leaves(machine) || machineWriter.hasPendingChange(machine.id())) {
+            if (terminator.isTerminating(machine) || machineWriter.hasPendingChange(machine.id())) {
                 continue;
             }
             evaluator.evaluate(machine, plan, now, leadingSince).ifPresent(reason -> retire(machine, reason));
--- a/src/main/java/org/dunespindle/machine/GangMachineAcquirer.java
+++ b/src/main/java/org/dunespindle/machine/GangMachineAcquirer.java
@@ -81,8 +81,10 @@
         String nodeName = context.settings().nodeName();
         return context.replica().machines().values().stream()
                 .filter(membership::owns)
-                .filter(machine ->
-                        membership.controllerOfMachine(machine.id()).filter(nodeName::equals).isEmpty())
+                .filter(machine -> membership
+                        .controllerOfMachine(machine.id())
+                        .filter(nodeName::equals)
+                        .isEmpty())
                 .count();
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -88,7 +88,8 @@
         Duration silentLimit = options.get().silenceTimeout();
         Duration leading = context.pauseDetector().observedSilence(leadingSince);
         Duration unheard = now.minus(unheardSince.computeIfAbsent(machine.id(), id -> now));
-        if (leading.compareTo(silentLimit.plus(LEADER_WARM_UP)) <= 0 || failureDetector.isLikelyPartitioned(machine, leading)) {
+        if (leading.compareTo(silentLimit.plus(LEADER_WARM_UP)) <= 0
+                || failureDetector.isLikelyPartitioned(machine, leading)) {
             return Optional.empty();
         }
         boolean runsUnheard =
@@ -103,8 +104,9 @@
 
     private boolean takesNoCommands(MachineRecord machine, Duration silence, Duration leadingSince) {
         Duration silentLimit = options.get().silenceTimeout();
-        boolean reports =
-                silence.compareTo(Durations.multiply(context.settings().workers().report(), 2)) < 0;
+        boolean reports = silence.compareTo(
+                        Durations.multiply(context.settings().workers().report(), 2))
+                < 0;
         return context.membership().owns(machine)
                 && reports
                 && context.pauseDetector().observedSilence(leadingSince).compareTo(silentLimit) > 0
--- a/src/main/java/org/dunespindle/machine/MachineProvisioner.java
+++ b/src/main/java/org/dunespindle/machine/MachineProvisioner.java
@@ -71,7 +71,7 @@
     }
 
     /** Pools that had no capacity lately and are not asked yet. */
-    public Set<MachinePool> refused() {
+    public Set<MachinePool> poolsWithoutCapacity() {
         return capacityBackoff.pools();
     }
 
@@ -88,7 +88,7 @@
             return;
         }
         List<ScaleOutPlanner.ScaleOutRequest> requests =
-                new ScaleOutPlanner(context, catalog, objectives, refused()).plan(plan.shortfalls());
+                new ScaleOutPlanner(context, catalog, objectives, poolsWithoutCapacity()).plan(plan.shortfalls());
         if (!requests.isEmpty()) {
             requestInFlight = true;
             send(nextRequestId(), requests.get(0), MAX_ATTEMPTS);
--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -37,7 +37,7 @@
     }
 
     /** The owned machines that have reported, by sequence number; a status that changed since it was last published gets a new one. */
-    public List<MachineStatus> all() {
+    public List<MachineStatus> ownedMachineStatuses() {
         var statuses = new ArrayList<MachineStatus>();
         for (MachineRecord machine : context.replica().machines().values()) {
             if (context.membership().owns(machine)) {
@@ -52,7 +52,7 @@
     }
 
     private MachineStatus status(MachineRecord machine, WorkerState worker) {
-        boolean up = takesTasks(machine);
+        boolean up = isSchedulable(machine);
         boolean quarantined = quarantine.isQuarantined(machine.id());
         Duration silence = up ? Duration.ZERO : silence(worker);
         String state = up ? "u" : "d" + silence.toSeconds() / SILENCE_STEP_SECONDS;
@@ -82,8 +82,10 @@
     }
 
     /** Whether new tasks may be placed on a machine owned here. */
-    public boolean takesTasks(MachineRecord machine) {
-        if (!workerClient.isReady(machine) || quarantine.isQuarantined(machine.id()) || terminator.leaves(machine)) {
+    public boolean isSchedulable(MachineRecord machine) {
+        if (!workerClient.isReady(machine)
+                || quarantine.isQuarantined(machine.id())
+                || terminator.isTerminating(machine)) {
             return false;
         }
         WorkerState worker = context.workers().getOrCreate(machine.id());
@@ -93,7 +95,7 @@
     }
 
     /** Whether a machine owned here will be gone soon, though what runs there may still run. */
-    public boolean departs(MachineRecord machine) {
+    public boolean isDeparting(MachineRecord machine) {
         boolean noticed = context.workers()
                 .find(machine.id())
                 .flatMap(worker -> worker.lastHeartbeat())
--- a/src/main/java/org/dunespindle/machine/MachineTerminator.java
+++ b/src/main/java/org/dunespindle/machine/MachineTerminator.java
@@ -46,18 +46,18 @@
     }
 
     /** Whether the cloud confirmed a machine's termination: its allocations can be released. */
-    public boolean isGone(String machineId) {
+    public boolean isTerminated(String machineId) {
         return terminatedAt.containsKey(machineId);
     }
 
     /** All machines whose termination the cloud confirmed lately. */
-    public Set<String> gone() {
+    public Set<String> terminatedMachines() {
         return terminatedAt.keySet();
     }
 
     /** Whether a machine is being terminated, though its record may not say so. */
-    public boolean leaves(MachineRecord machine) {
-        return machine.draining() || terminatingWithoutDrain.contains(machine.id()) || isGone(machine.id());
+    public boolean isTerminating(MachineRecord machine) {
+        return machine.draining() || terminatingWithoutDrain.contains(machine.id()) || isTerminated(machine.id());
     }
 
     /**
@@ -128,7 +128,7 @@
         var machineIds = new ArrayList<String>();
         for (MachineRecord machine : replica.machines().values()) {
             boolean due = terminatingWithoutDrain.contains(machine.id()) || isDrained(machine);
-            if (due && !isGone(machine.id()) && machineIds.size() < MAX_MACHINES_PER_REQUEST) {
+            if (due && !isTerminated(machine.id()) && machineIds.size() < MAX_MACHINES_PER_REQUEST) {
                 machineIds.add(machine.id());
             }
         }
--- a/src/main/java/org/dunespindle/machine/ShardOwnership.java
+++ b/src/main/java/org/dunespindle/machine/ShardOwnership.java
@@ -73,7 +73,7 @@
     }
 
     /** Acquires the machines that gangs are planned on and those that hold gangs' placeholders. Only the leader may call this. */
-    public void borrow(Plan plan) {
+    public void acquireForGangs(Plan plan) {
         gangMachineAcquirer.acquireFor(plan);
     }
 }
--- a/src/main/java/org/dunespindle/machine/ShardRebalancer.java
+++ b/src/main/java/org/dunespindle/machine/ShardRebalancer.java
@@ -74,7 +74,8 @@
 
     /** Whether a machine is past the times for which it is to stay here, with nothing under way to its worker. */
     private boolean isReleasable(MachineRecord machine, Duration now) {
-        Duration minTimeSinceGang = context.membership().isLeader() ? options.get().borrowedMachineIdleTimeout() : Duration.ZERO;
+        Duration minTimeSinceGang =
+                context.membership().isLeader() ? options.get().borrowedMachineIdleTimeout() : Duration.ZERO;
         Duration lastGangAt = gangPresence.lastGangAt(machine.id()).orElse(Duration.ZERO);
         Optional<WorkerState> workerState = context.workers().find(machine.id());
         return machine.keepUntil().isBefore(context.timeSource().wallTime())
--- a/src/main/java/org/dunespindle/peer/PeerState.java
+++ b/src/main/java/org/dunespindle/peer/PeerState.java
@@ -10,4 +10,5 @@
  * @param writesPerSecond the writes a second that the controller made
  * @param pendingProposals how many proposals were pending in its commit queue
  */
-public record PeerState(Duration at, long incarnation, Duration replicaStaleness, double writesPerSecond, int pendingProposals) {}
+public record PeerState(
+        Duration at, long incarnation, Duration replicaStaleness, double writesPerSecond, int pendingProposals) {}
--- a/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
+++ b/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
@@ -69,8 +69,8 @@
         for (Settings.Seed peer : settings.seeds()) {
             Optional<PeerState> heartbeat = peerHeartbeats.recentHeartbeat(peer.name());
             if (heartbeat.isPresent()) {
-                totalDemand +=
-                        demandedRate(heartbeat.get().writesPerSecond(), heartbeat.get().pendingProposals());
+                totalDemand += demandedRate(
+                        heartbeat.get().writesPerSecond(), heartbeat.get().pendingProposals());
             } else if (membership.incarnationOf(peer.name()).isPresent()) {
                 divisible -= equalShare; // it is alive without being reachable, and takes an equal share
             } else {
--- a/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -41,7 +41,8 @@
             this.unplacedCount = job.unplacedCount();
             int allocated = job.allocations().size() - state.endedTasks(job);
             this.maxTasks = Math.min(
-                    unplacedCount, Math.max(0, state.snapshot().maxAllocatedTasks().applyAsInt(job) - allocated));
+                    unplacedCount,
+                    Math.max(0, state.snapshot().maxAllocatedTasks().applyAsInt(job) - allocated));
             this.unplaced = job.unplaced(maxTasks).iterator();
         }
 
--- a/src/main/java/org/dunespindle/scheduling/PlanState.java
+++ b/src/main/java/org/dunespindle/scheduling/PlanState.java
@@ -67,7 +67,8 @@
 
     private boolean hasEnded(JobRecord job, Allocation allocation) {
         return jobsWithEndedTasks.contains(job.id())
-                && snapshot.endedTasks().contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
+                && snapshot.endedTasks()
+                        .contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
     }
 
     /** What the plan is made from. */
--- a/src/main/java/org/dunespindle/scheduling/ZoneRules.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneRules.java
@@ -23,7 +23,7 @@
     /**
      * Creates the rules of a job.
      *
-     * @param tasksPerZone how many of its tasks are allocated in each zone
+     * @param allocated how many of its tasks are allocated in each zone
      * @param chosen the zone for a job that needs a single one and has no task allocated yet; if empty, its first task decides
      */
     ZoneRules(Submission job, Map<String, Integer> allocated, Optional<String> chosen) {
--- a/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
+++ b/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
@@ -24,7 +24,10 @@
                     .add(outbound.transfers());
             outbound.notBefore().ifPresent(time -> row.add(time.toEpochMilli()));
         } else if (link instanceof InboundDelegation inbound) {
-            record.putArray(INBOUND).add(inbound.origin()).add(inbound.transfer()).add(inbound.withdrawn());
+            record.putArray(INBOUND)
+                    .add(inbound.origin())
+                    .add(inbound.transfer())
+                    .add(inbound.withdrawn());
         }
     }
 
--- a/src/main/java/org/dunespindle/storage/FormatSupport.java
+++ b/src/main/java/org/dunespindle/storage/FormatSupport.java
@@ -12,5 +12,6 @@
     public static final FormatSupport STANDARD =
             new FormatSupport(FormatVersion.NEWEST_WITHOUT_FEATURES, FormatVersion.NEWEST);
     /** The federation of cells is enabled. */
-    public static final FormatSupport FEDERATED = new FormatSupport(FormatVersion.DELEGATION_LINKS, FormatVersion.NEWEST);
+    public static final FormatSupport FEDERATED =
+            new FormatSupport(FormatVersion.DELEGATION_LINKS, FormatVersion.NEWEST);
 }
--- a/src/main/java/org/dunespindle/storage/MachineRecord.java
+++ b/src/main/java/org/dunespindle/storage/MachineRecord.java
@@ -89,7 +89,18 @@
 
     private MachineRecord withToken(long newToken) {
         return new MachineRecord(
-                id, address, type, zone, spot, owner, incarnation, newToken, rentedAt, keepUntil, draining, drainReason);
+                id,
+                address,
+                type,
+                zone,
+                spot,
+                owner,
+                incarnation,
+                newToken,
+                rentedAt,
+                keepUntil,
+                draining,
+                drainReason);
     }
 
     /** The record of a machine that is being returned, with the reason. */
@@ -104,7 +115,18 @@
             return this;
         }
         return new MachineRecord(
-                id, newAddress, type, zone, spot, owner, incarnation, token, rentedAt, keepUntil, draining, drainReason);
+                id,
+                newAddress,
+                type,
+                zone,
+                spot,
+                owner,
+                incarnation,
+                token,
+                rentedAt,
+                keepUntil,
+                draining,
+                drainReason);
     }
 
     /** The row on the page that the machine is stored on; rows are positional, since a page holds several. */
--- a/src/main/java/org/dunespindle/worker/PartitionDetector.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -95,7 +95,10 @@
             Optional<Duration> lastHeartbeatAt = lastHeartbeatUnderCommand(machine);
             if (lastHeartbeatAt.isPresent()) {
                 total++;
-                if (context.pauseDetector().observedSilence(lastHeartbeatAt.get()).compareTo(maxSilence) > 0) {
+                if (context.pauseDetector()
+                                .observedSilence(lastHeartbeatAt.get())
+                                .compareTo(maxSilence)
+                        > 0) {
                     silent.add(machine);
                 }
             }
--- a/src/main/java/org/dunespindle/worker/PendingPreemptions.java
+++ b/src/main/java/org/dunespindle/worker/PendingPreemptions.java
@@ -63,7 +63,9 @@
     }
 
     private static boolean isAllocated(StateReplica replica, TaskAttempt victim) {
-        return replica.job(victim.jobId()).filter(job -> isAllocated(job, victim)).isPresent();
+        return replica.job(victim.jobId())
+                .filter(job -> isAllocated(job, victim))
+                .isPresent();
     }
 
     private static boolean isAllocated(JobRecord job, TaskAttempt victim) {
--- a/src/test/java/org/dunespindle/control/CommitQueueTest.java
+++ b/src/test/java/org/dunespindle/control/CommitQueueTest.java
@@ -103,10 +103,12 @@
                 key.contains("stale") ? TransactionResult.Conflict.class : TransactionResult.Applied.class,
                 result.getClass(),
                 key));
-        assertEquals(conflictingBatchSizes.stream().mapToInt(Integer::intValue).sum(), commitQueue.conflictedChangeCount());
+        assertEquals(
+                conflictingBatchSizes.stream().mapToInt(Integer::intValue).sum(), commitQueue.conflictedChangeCount());
         assertTrue(
                 commitQueue.conflictedChangeCount() <= 24,
-                commitQueue.conflictedChangeCount() + " changes were paid for in vain, for 6 stale ones: " + conflictingBatchSizes);
+                commitQueue.conflictedChangeCount() + " changes were paid for in vain, for 6 stale ones: "
+                        + conflictingBatchSizes);
     }
 
     /** A proposal that the service rejects for its content: the others are stored, and it is sent alone only once. */
--- a/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
+++ b/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
@@ -25,7 +25,7 @@
     /** A job's task fails, and the job's record counts it. */
     private void failed(String jobId, String machineId) {
         records.put(jobId, record(jobId).withFailures(1, Optional.empty()));
-        crashLoopDetector.failed(jobId, machineId);
+        crashLoopDetector.recordFailure(jobId, machineId);
     }
 
     private JobRecord record(String jobId) {
@@ -73,13 +73,13 @@
         failed("wk-3", "a");
         assertFalse(crashLoopDetector.isCrashLooping("wk-1"));
         assertEquals(3, crashLoopDetector.jobsFailedOn("a"));
-        crashLoopDetector.succeeded("wk-4", "a");
+        crashLoopDetector.recordSuccess("wk-4", "a");
         assertEquals(0, crashLoopDetector.jobsFailedOn("a"));
     }
 
     @Test
     void jobThatSucceededOnceIsNotCrashLoopingHoweverManyMachinesItFailsOn() {
-        crashLoopDetector.succeeded("wk-1", "z");
+        crashLoopDetector.recordSuccess("wk-1", "z");
         for (String machine : new String[] {"a", "b", "c", "d"}) {
             failed("wk-1", machine);
         }
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
@@ -110,7 +110,9 @@
                                 + "\"news\":[[\"i-0023\",11,true,false,40,\"10.0.0.7:7000\",\"image:7\"],"
                                 + "[\"i-0024\",12,false,true,50,\"\"]],\"upTo\":9}"));
         Duration now = service.process.now();
-        assertEquals(Optional.of(new PeerState(now, 3, Duration.ofMillis(70), 1.5, 2)), peerHeartbeats.recentHeartbeat("n1"));
+        assertEquals(
+                Optional.of(new PeerState(now, 3, Duration.ofMillis(70), 1.5, 2)),
+                peerHeartbeats.recentHeartbeat("n1"));
         assertEquals(
                 Optional.of(new ReportedMachine(true, false, Duration.ofMillis(40), now, "10.0.0.7:7000", 11)),
                 peerHeartbeats.currentReport(machine("i-0023", 11)));
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -140,7 +140,9 @@
                     "apart");
         }
         machines.forEach(machine -> assertTrue(
-                tasksByMachine.getOrDefault(machine.id(), 0) <= machine.capacity().gpus(), "capacity of " + machine.id()));
+                tasksByMachine.getOrDefault(machine.id(), 0)
+                        <= machine.capacity().gpus(),
+                "capacity of " + machine.id()));
     }
 
     @Test
@@ -340,7 +342,9 @@
                 .plan();
         assertEquals(
                 List.of(1, 1),
-                plan.bindings().stream().map(binding -> binding.machineByTask().size()).toList());
+                plan.bindings().stream()
+                        .map(binding -> binding.machineByTask().size())
+                        .toList());
     }
 
     /** A job of which this controller has proposed one task, while another controller has stored more of it. */
--- a/src/test/java/org/dunespindle/sim/ClusterShape.java
+++ b/src/test/java/org/dunespindle/sim/ClusterShape.java
@@ -23,7 +23,8 @@
     record StateRates(double requests, double writes) {}
 
     static ClusterShape of(int mostMachines, int nameStep) {
-        return new ClusterShape(mostMachines, nameStep, FormatVersion.NEWEST_WITHOUT_FEATURES, USUAL_LIMITS, Optional.empty());
+        return new ClusterShape(
+                mostMachines, nameStep, FormatVersion.NEWEST_WITHOUT_FEATURES, USUAL_LIMITS, Optional.empty());
     }
 
     ClusterShape withFormat(int newFormat) {
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -91,7 +91,9 @@
     Duration latestCopy = Duration.ofSeconds(25);
     /** The newest stored format that each controller announces when it starts. */
     final int[] formats = {
-        FormatVersion.NEWEST_WITHOUT_FEATURES, FormatVersion.NEWEST_WITHOUT_FEATURES, FormatVersion.NEWEST_WITHOUT_FEATURES
+        FormatVersion.NEWEST_WITHOUT_FEATURES,
+        FormatVersion.NEWEST_WITHOUT_FEATURES,
+        FormatVersion.NEWEST_WITHOUT_FEATURES
     };
     /** The limits that the state service announces, to controllers of the newest format only, or null. */
     JsonNode nextLimits;
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -87,7 +87,8 @@
         Membership membership = threeControllers();
         List<String> ofWest = namesOf(west, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5);
         ofWest.forEach(id -> cluster.provide(id, "west", ofWest.indexOf(id) >= 2));
-        namesOf(east, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5).forEach(id -> cluster.provide(id, "east", false));
+        namesOf(east, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5)
+                .forEach(id -> cluster.provide(id, "east", false));
         return cluster;
     }
 
@@ -163,14 +164,19 @@
         var cluster = new SimulatedCluster(
                 seed, ClusterShape.of(MACHINES, NAME_STEP).withLimits(Map.of("red", LIMIT, "blue", LIMIT)));
         for (int node = 0; node < 3; node++) {
-            namesOf(node, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5).forEach(id -> cluster.provide(id, "east", false));
+            namesOf(node, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5)
+                    .forEach(id -> cluster.provide(id, "east", false));
         }
         cluster.taskTime = Optional.of(RUNS);
         cluster.sim.run(Duration.ofSeconds(15));
         cluster.setOptions(0, Map.of("idle_return_s", IDLE_RETURN_SECONDS));
         List<String> ofRestarted = namesOf(restarted, "wk-%06d", 1, membership::controllerOfJob, 2);
-        cluster.submit(
-                array(namesOf(restarted, "wk-9%05d", 1, membership::controllerOfJob, 1).get(0), 1, Optional.empty(), true));
+        cluster.submit(array(
+                namesOf(restarted, "wk-9%05d", 1, membership::controllerOfJob, 1)
+                        .get(0),
+                1,
+                Optional.empty(),
+                true));
         cluster.sim.run(cluster.sim.now().plusSeconds(4));
         cluster.submit(array(ofRestarted.get(0), 7, Optional.empty(), true));
         cluster.sim.run(cluster.sim.now().plusSeconds(4));
@@ -185,8 +191,8 @@
         cluster.submit(array(ofRestarted.get(1), 7, Optional.empty(), true));
         for (int by = 1; by < 3; by++) {
             int node = (restarted + by) % 3;
-            cluster.submit(
-                    array(namesOf(node, "wk-%06d", 1, membership::controllerOfJob, 1).get(0), 7, Optional.empty(), true));
+            cluster.submit(array(
+                    namesOf(node, "wk-%06d", 1, membership::controllerOfJob, 1).get(0), 7, Optional.empty(), true));
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(180));
         assertEquals(List.of(), cluster.broken);
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -315,9 +315,31 @@
                 false,
                 "");
         var idle = new MachineRecord(
-                "i-0024", "", "gpu-4", "west", true, "n1", 5, 12, ARRIVED, Instant.EPOCH, true, MachineRecord.DRAIN_REASON_IDLE);
+                "i-0024",
+                "",
+                "gpu-4",
+                "west",
+                true,
+                "n1",
+                5,
+                12,
+                ARRIVED,
+                Instant.EPOCH,
+                true,
+                MachineRecord.DRAIN_REASON_IDLE);
         var drained = new MachineRecord(
-                "i-0025", "", "gpu-4", "west", true, "n1", 5, 12, ARRIVED, Instant.EPOCH, true, MachineRecord.DRAIN_REASON_OPERATOR);
+                "i-0025",
+                "",
+                "gpu-4",
+                "west",
+                true,
+                "n1",
+                5,
+                12,
+                ARRIVED,
+                Instant.EPOCH,
+                true,
+                MachineRecord.DRAIN_REASON_OPERATOR);
         String page = """
                 {"i-0023":["10.0.0.7:7000","gpu-8","east",false,"n0",4,11,1700000000000,1700000040000,false,""],
                  "i-0024":["","gpu-4","west",true,"n1",5,12,1700000000123,0,true,"it is idle"],
@@ -338,9 +360,11 @@
                 "{\"version\":1}",
                 FormatVersion.record(FormatVersion.WHOLE_RECORDS).toString());
         assertEquals(
-                "{\"version\":2}", FormatVersion.record(FormatVersion.CHUNKED_JOB_RECORDS).toString());
+                "{\"version\":2}",
+                FormatVersion.record(FormatVersion.CHUNKED_JOB_RECORDS).toString());
         assertEquals(
-                "{\"version\":3}", FormatVersion.record(FormatVersion.DELEGATION_LINKS).toString());
+                "{\"version\":3}",
+                FormatVersion.record(FormatVersion.DELEGATION_LINKS).toString());
         assertEquals(
                 FormatVersion.DELEGATION_LINKS,
                 replicaOf(Map.of("ds/format", "{\"version\":3}")).formatVersion());
