--- a/src/main/java/org/dunespindle/api/AdminChanges.java
+++ b/src/main/java/org/dunespindle/api/AdminChanges.java
@@ -25,7 +25,6 @@
 final class AdminChanges {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final ControllerContext context;
     private final StateReplica replica;
     private final CommitQueue commitQueue;
     private final MachineRecordWriter machineWriter;
@@ -34,7 +33,6 @@
     private record OptionsChange(long expectedRevision, JsonNode values) {}
 
     AdminChanges(ControllerContext context, CommitQueue commitQueue, MachineRecordWriter machineWriter) {
-        this.context = context;
         this.replica = context.replica();
         this.commitQueue = commitQueue;
         this.machineWriter = machineWriter;
--- a/src/main/java/org/dunespindle/control/MachineRecordWriter.java
+++ b/src/main/java/org/dunespindle/control/MachineRecordWriter.java
@@ -39,7 +39,7 @@
     public boolean hasPendingChange(String machineId) {
         String key = Keys.machinePage(machineId);
         MachinePageEdit edit = pendingEdits.get(key);
-        return commitQueue.isLocked(key) || edit != null && edit.changes(machineId);
+        return commitQueue.isLocked(key) || (edit != null && edit.changes(machineId));
     }
 
     /** Whether so much is pending that a change which can wait would only lock its page meanwhile. */
--- a/src/main/java/org/dunespindle/control/MembershipLease.java
+++ b/src/main/java/org/dunespindle/control/MembershipLease.java
@@ -54,7 +54,7 @@
 
     /** Registers this process unless it is registered or under way to be. */
     void acquireIfNeeded() {
-        if (acquiring || incarnation > 0 && leaseId.isPresent()) {
+        if (acquiring || (incarnation > 0 && leaseId.isPresent())) {
             return;
         }
         acquiring = true;
--- a/src/main/java/org/dunespindle/controller/LoadReporter.java
+++ b/src/main/java/org/dunespindle/controller/LoadReporter.java
@@ -1,6 +1,7 @@
 package org.dunespindle.controller;
 
 import java.time.Duration;
+import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import org.dunespindle.control.CommitQueue;
@@ -97,7 +98,7 @@
                 .count();
     }
 
-    private TreeMap<String, Double> acceleratorsByPhase() {
+    private Map<String, Double> acceleratorsByPhase() {
         var byPhase = new TreeMap<String, Double>();
         for (MachineRecord machine : context.replica().machines().values()) {
             if (context.membership().owns(machine)) {
@@ -110,7 +111,7 @@
         return byPhase;
     }
 
-    private void add(TreeMap<String, Double> byPhase, TaskStatus task) {
+    private void add(Map<String, Double> byPhase, TaskStatus task) {
         context.replica()
                 .job(task.task().job())
                 .flatMap(JobRecord::spec)
--- a/src/main/java/org/dunespindle/federation/CapacitySurvey.java
+++ b/src/main/java/org/dunespindle/federation/CapacitySurvey.java
@@ -208,7 +208,7 @@
             Resources room = machine.freeFor(priority);
             sum = sum.plus(room);
             boolean larger =
-                    room.gpus() > largest.gpus() || room.gpus() == largest.gpus() && room.cpus() > largest.cpus();
+                    room.gpus() > largest.gpus() || (room.gpus() == largest.gpus() && room.cpus() > largest.cpus());
             largest = larger ? room : largest;
         }
         return new CapacityHint(pool.type(), pool.zone(), pool.spot(), priority, sum, largest, more != null);
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -43,7 +43,6 @@
 
     private final DelegationContext context;
     private final StateReplica replica;
-    private final FederationSettings settings;
     private final CellIdentityKeeper self;
     private final KnownCells known;
     private final Map<String, CellConnection> contacts = new LinkedHashMap<>();
@@ -80,7 +79,6 @@
             DelegationContext context, FederationSettings settings, CellTransport transport, RandomGenerator random) {
         this.context = context;
         this.replica = context.replica();
-        this.settings = settings;
         this.self = new CellIdentityKeeper(context, settings.cell(), random);
         this.known = new KnownCells(replica);
         settings.cells()
@@ -174,8 +172,8 @@
                 return Optional.of("another cell answers by this name: it was rebuilt empty, or two bear the name");
             }
             boolean older = told.incarnation() < before.incarnation()
-                    || told.incarnation() == before.incarnation()
-                            && !told.mark().equals(before.mark());
+                    || (told.incarnation() == before.incarnation()
+                            && !told.mark().equals(before.mark()));
             return older ? Optional.of("its state was put back to an older one") : Optional.empty();
         });
     }
--- a/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
@@ -54,7 +54,7 @@
             return Optional.of(CellReply.Reason.WRONG_IDENTITY);
         }
         boolean older = from.incarnation() < before.incarnation()
-                || from.incarnation() == before.incarnation() && !from.mark().equals(before.mark());
+                || (from.incarnation() == before.incarnation() && !from.mark().equals(before.mark()));
         if (older && (hello || request instanceof CellRequest.Offer)) {
             return Optional.of(CellReply.Reason.STALE);
         }
--- a/src/main/java/org/dunespindle/federation/RemoteJobStates.java
+++ b/src/main/java/org/dunespindle/federation/RemoteJobStates.java
@@ -47,8 +47,8 @@
             return false;
         }
         return state.ended()
-                || state == InboundJobState.UNKNOWN && asked.compareTo(before.asked) > 0
-                || state.compareTo(stateBefore) >= 0 && asked.compareTo(before.asked) >= 0
+                || (state == InboundJobState.UNKNOWN && asked.compareTo(before.asked) > 0)
+                || (state.compareTo(stateBefore) >= 0 && asked.compareTo(before.asked) >= 0)
                 || state.compareTo(stateBefore) > 0;
     }
 
--- a/src/main/java/org/dunespindle/federation/SpillPolicy.java
+++ b/src/main/java/org/dunespindle/federation/SpillPolicy.java
@@ -58,11 +58,11 @@
     public static boolean due(JobRecord job, Instant now, int mostTransfers) {
         Optional<OutboundDelegation> before = job.outboundDelegation();
         return before.isEmpty()
-                || before.get().transfers() < mostTransfers
+                || (before.get().transfers() < mostTransfers
                         && before.get()
                                 .notBefore()
                                 .filter(time -> time.isAfter(now))
-                                .isEmpty();
+                                .isEmpty());
     }
 
     /** Chooses jobs of the highest priority first, and for each the cell that tells of most room for it. */
--- a/src/main/java/org/dunespindle/job/TerminationWriter.java
+++ b/src/main/java/org/dunespindle/job/TerminationWriter.java
@@ -113,6 +113,7 @@
                 .add(new PendingTermination(termination, since));
     }
 
+    @SuppressWarnings("ReferenceEquality") // a record to which nothing was applied is returned as it is
     private void storePending(JobRecord job) {
         var transaction = new Transaction();
         var applied = new ArrayList<TaskTermination>();
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -96,7 +96,7 @@
                 listed.filter(row -> row.phase().equals("running")).isPresent()
                         && unheard.compareTo(silentLimit.plus(MAX_UNHEARD_WHILE_RUNNING)) > 0;
         boolean bootTimedOut = bootDeadlines.exceeds(machine, options.get().bootTimeoutMultiple());
-        if (!runsUnheard && !bootTimedOut || failureDetector.mayBeAlive(machine)) {
+        if ((!runsUnheard && !bootTimedOut) || failureDetector.mayBeAlive(machine)) {
             return Optional.empty();
         }
         return Optional.of(runsUnheard ? DrainReason.RUNS_UNHEARD : DrainReason.BOOT_TIMED_OUT);
--- a/src/main/java/org/dunespindle/protocol/Submission.java
+++ b/src/main/java/org/dunespindle/protocol/Submission.java
@@ -100,7 +100,7 @@
         }
         for (int i = 0; i < id.length(); i++) {
             char c = id.charAt(i);
-            boolean fine = i < dash ? c >= 'a' && c <= 'z' : i == dash || c >= '0' && c <= '9';
+            boolean fine = i < dash ? c >= 'a' && c <= 'z' : i == dash || (c >= '0' && c <= '9');
             if (!fine) {
                 return false;
             }
--- a/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -135,8 +135,8 @@
         boolean kindAllowed = one.spot() || !other.spot();
         boolean zoneAllowed = one.zone().isEmpty() || one.zone().equals(other.zone());
         boolean typeAllowed = one.types().isEmpty()
-                || other.types().isPresent()
-                        && one.types().get().containsAll(other.types().get());
+                || (other.types().isPresent()
+                        && one.types().get().containsAll(other.types().get()));
         return kindAllowed && zoneAllowed && typeAllowed && !one.sameZone() && !one.spread();
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/JobOrder.java
+++ b/src/main/java/org/dunespindle/scheduling/JobOrder.java
@@ -67,7 +67,7 @@
 
     private boolean isPlannedHere(JobRecord job) {
         return snapshot.plansGangs()
-                || !job.submission().isGang() && !snapshot.deferredJobs().contains(job.id());
+                || (!job.submission().isGang() && !snapshot.deferredJobs().contains(job.id()));
     }
 
     /** Whether two ordered jobs differ in rank by no more than their remaining work. */
--- a/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
@@ -92,6 +92,7 @@
     }
 
     /** Whether the machine has tasks that may be preempted or are being stopped. */
+    @SuppressWarnings("ReferenceEquality") // the constant stands for "none is stopping", also where tasks need nothing
     boolean hasPreemptibleOrStopping() {
         return !victims.isEmpty() || stopping != Resources.NONE;
     }
--- a/src/main/java/org/dunespindle/scheduling/ProjectedJob.java
+++ b/src/main/java/org/dunespindle/scheduling/ProjectedJob.java
@@ -30,6 +30,8 @@
     }
 
     /** Stored allocations that the projected record does not contain: it is stale, or releases them. */
+    @SuppressWarnings(
+            "ReferenceEquality") // the same object stands for "nothing is projected"; comparing records would be costly
     public List<Allocation> unprojectedAllocations() {
         if (stored == projected) {
             return List.of();
--- a/src/main/java/org/dunespindle/storage/AllocationCodec.java
+++ b/src/main/java/org/dunespindle/storage/AllocationCodec.java
@@ -124,9 +124,9 @@
     }
 
     private static boolean isPlain(int character) {
-        return character >= 'a' && character <= 'z'
-                || character >= 'A' && character <= 'Z'
-                || character >= '0' && character <= '9'
+        return (character >= 'a' && character <= 'z')
+                || (character >= 'A' && character <= 'Z')
+                || (character >= '0' && character <= '9')
                 || character == '-'
                 || character == '_'
                 || character == '.';
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -214,7 +214,7 @@
         if (!submission().isGang()) {
             return allocation.attemptBase();
         }
-        boolean realTasks = gangPhase == GangPhase.RUNNING || gangPhase == GangPhase.STOPPING && gangAttempt > 0;
+        boolean realTasks = gangPhase == GangPhase.RUNNING || (gangPhase == GangPhase.STOPPING && gangAttempt > 0);
         return realTasks ? gangAttempt : allocation.attemptBase() + allocation.task();
     }
 
--- a/src/main/java/org/dunespindle/worker/ConcurrentCallLimiter.java
+++ b/src/main/java/org/dunespindle/worker/ConcurrentCallLimiter.java
@@ -29,7 +29,7 @@
 
     /** Whether no further call may start to a worker that is, or is not, unresponsive. */
     boolean isFull(boolean unresponsive) {
-        return isFull() || unresponsive && unresponsiveCallsInFlight >= maxCallsInFlight / 2;
+        return isFull() || (unresponsive && unresponsiveCallsInFlight >= maxCallsInFlight / 2);
     }
 
     /** Queues a machine until other calls have ended. */
--- a/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
+++ b/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
@@ -71,7 +71,7 @@
         var counts = new HashMap<Group, MachineCount>();
         for (MachineRecord machine : context.replica().machines().values()) {
             Optional<Duration> seenAt = lastSeen.apply(machine);
-            if (machine.draining() || seenAt.isEmpty() && !isLongUp.test(machine)) {
+            if (machine.draining() || (seenAt.isEmpty() && !isLongUp.test(machine))) {
                 continue;
             }
             Duration silence = context.pauseDetector().observedSilence(seenAt.orElse(leadingSince));
--- a/src/main/java/org/dunespindle/worker/RedirectResponder.java
+++ b/src/main/java/org/dunespindle/worker/RedirectResponder.java
@@ -95,8 +95,8 @@
         // A worker that reaches only this controller, and that no controller reaches, is accepted once it has come back
         // often enough.
         boolean accepted = alive
-                || received.worker().redirects() >= MIN_REDIRECTS_FOR_FAILOVER_WITHOUT_ANSWER
-                        && received.hasTokenOf(redirected);
+                || (received.worker().redirects() >= MIN_REDIRECTS_FOR_FAILOVER_WITHOUT_ANSWER
+                        && received.hasTokenOf(redirected));
         if (machine == null || context.membership().owns(machine) || !accepted) {
             replyTo.accept(redirect);
             return;
--- a/src/test/java/org/dunespindle/control/CommitQueueTest.java
+++ b/src/test/java/org/dunespindle/control/CommitQueueTest.java
@@ -62,7 +62,7 @@
     }
 
     private CommitQueue newCommitQueue() throws MalformedMessageException {
-        var process = virtualTime.new Process();
+        var process = virtualTime.new SimulatedProcess();
         HttpClient httpClient = (address, method, target, body, type, timeout) -> {
             var result = new CompletableFuture<HttpClientResponse>();
             virtualTime.after(10, () -> {
--- a/src/test/java/org/dunespindle/control/StateServiceStub.java
+++ b/src/test/java/org/dunespindle/control/StateServiceStub.java
@@ -36,7 +36,7 @@
     final Map<String, String> written = new LinkedHashMap<>();
 
     final VirtualTime virtualTime = new VirtualTime(1);
-    public final VirtualTime.Process process = virtualTime.new Process();
+    public final VirtualTime.SimulatedProcess process = virtualTime.new SimulatedProcess();
     public final Settings settings;
     final StateStoreClient client;
     public final StateReplica replica;
--- a/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
+++ b/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
@@ -56,7 +56,7 @@
         }
 
         InboundJobState recall(long recalled) {
-            if (recalled > number || recalled == number && state == InboundJobState.QUEUED) {
+            if (recalled > number || (recalled == number && state == InboundJobState.QUEUED)) {
                 number = recalled;
                 state = InboundJobState.WITHDRAWN;
             }
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
@@ -26,10 +26,10 @@
     private final PeerHeartbeats peerHeartbeats = new PeerHeartbeats(
             settings(),
             (address, method, target, body, type, timeout) -> new CompletableFuture<>(),
-            virtualTime.new Process(),
+            virtualTime.new SimulatedProcess(),
             () -> 1L,
             () -> Optional.of("n0"),
-            new StateReplica(null, virtualTime.new Process(), Duration.ofSeconds(1), () -> {}),
+            new StateReplica(null, virtualTime.new SimulatedProcess(), Duration.ofSeconds(1), () -> {}),
             new PeerHeartbeats.Listener() {
                 @Override
                 public void onImageCached(String machineId, String image) {}
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -377,7 +377,7 @@
                 socket.bind(new InetSocketAddress(HOST, port));
                 return port;
             } catch (BindException e) {
-                continue;
+                // Somebody else uses it: the next one is tried.
             }
         }
         throw new IOException("no free port from " + FIRST_PORT + " on");
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -112,7 +112,7 @@
                 List.of(),
                 cluster.rules.lateStarts.stream()
                         .filter(start -> start.commandedLater()
-                                || start.after().compareTo(HALT_ARRIVES) > 0 && !start.ownerPauses())
+                                || (start.after().compareTo(HALT_ARRIVES) > 0 && !start.ownerPauses()))
                         .toList());
         List<String> kept = ids.subList(4, ids.size());
         assertTrue(
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -144,12 +144,12 @@
                 federation.sim.after(millis(10_000, 60_000), () -> cell.lateWrites = 0);
             }
             case LEADER_STANDS_STILL -> cell.freeze(leader, millis(2000, 40_000));
-            case USERS_CANCEL -> cancelSome(cell);
+            case USERS_CANCEL -> cancelSome();
             default -> networkTrouble(trouble, index);
         }
     }
 
-    private void cancelSome(SimulatedCluster cell) {
+    private void cancelSome() {
         SimulatedCluster home = federation.cells.get(0);
         for (String id : builds) {
             if (random.nextInt(3) == 0 && !home.over(id) && home.told.containsKey(id)) {
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -55,7 +55,7 @@
     final FakeCloud cloud = new FakeCloud(this);
     final List<String> broken = new ArrayList<>();
     private final Controller[] nodes = new Controller[3];
-    final VirtualTime.Process[] processes = new VirtualTime.Process[3];
+    final VirtualTime.SimulatedProcess[] processes = new VirtualTime.SimulatedProcess[3];
     final Map<String, FakeWorker> workers = new TreeMap<>();
     final Map<String, Submission> jobs;
     final Map<String, Set<Integer>> done;
@@ -186,7 +186,7 @@
     }
 
     private void boot(int i) {
-        var process = sim.new Process();
+        var process = sim.new SimulatedProcess();
         processes[i] = process;
         nodes[i] = new Controller(
                 ClusterSettings.of(this, i),
@@ -349,10 +349,10 @@
     }
 
     private long delay() {
-        return 2 + slowMillis + sim.random.nextInt(15) + (sim.random.nextInt(50) == 0 ? 300 : 0);
+        return 2L + slowMillis + sim.random.nextInt(15) + (sim.random.nextInt(50) == 0 ? 300 : 0);
     }
 
-    private HttpClient caller(VirtualTime.Process owner, int from) {
+    private HttpClient caller(VirtualTime.SimulatedProcess owner, int from) {
         return (address, method, target, body, type, timeout) -> {
             var result = new CompletableFuture<HttpClientResponse>();
             count(from, address, target, body, result);
@@ -369,7 +369,7 @@
             for (int copy = 0; copy < (twice ? 2 : 1); copy++) {
                 int held = heldOnTheWay(from, address, target);
                 sim.after(
-                        delay() + held + copy * sim.random.nextInt(8000),
+                        delay() + held + (long) copy * sim.random.nextInt(8000),
                         () -> deliver(owner, from, address, method, target, body, result));
             }
             return result;
@@ -388,7 +388,7 @@
     }
 
     private void deliver(
-            VirtualTime.Process owner,
+            VirtualTime.SimulatedProcess owner,
             int from,
             String address,
             String method,
@@ -416,8 +416,8 @@
         if (address.startsWith("node") && (peersRefuse || peersBlocked.contains(from * 3 + address.charAt(5) - '0'))) {
             return;
         }
-        if (address.startsWith("state") && from == isolatedNode
-                || address.startsWith("node") && (from == isolatedNode || address.endsWith(":" + isolatedNode))) {
+        if ((address.startsWith("state") && from == isolatedNode)
+                || (address.startsWith("node") && (from == isolatedNode || address.endsWith(":" + isolatedNode)))) {
             return;
         }
         if (cloudSilent && address.startsWith("cloud")) {
@@ -516,7 +516,7 @@
             });
             return;
         }
-        VirtualTime.Process target = processes[node];
+        VirtualTime.SimulatedProcess target = processes[node];
         Controller c = nodes[node];
         sim.after(delay(), () -> {
             if (from.cut
--- a/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
@@ -44,7 +44,7 @@
 
     /** Links a controller to other cells. */
     interface Connector {
-        JobDelegation connect(int node, VirtualTime.Process process, DelegationContext context);
+        JobDelegation connect(int node, VirtualTime.SimulatedProcess process, DelegationContext context);
     }
 
     /** Watches tasks of all clusters. */
--- a/src/test/java/org/dunespindle/sim/SimulatedFederation.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedFederation.java
@@ -104,7 +104,7 @@
         sim.after(500, this::watch);
     }
 
-    private JobDelegation connect(int cell, int node, VirtualTime.Process process, DelegationContext context) {
+    private JobDelegation connect(int cell, int node, VirtualTime.SimulatedProcess process, DelegationContext context) {
         var random = new Random(sim.random.nextLong());
         federations[cell][node] = new Federation(context, settings(cell), transport(cell, process), random);
         return federations[cell][node];
@@ -124,7 +124,7 @@
         return new FederationSettings(NAMES.get(self), 0, others);
     }
 
-    private CellTransport transport(int from, VirtualTime.Process process) {
+    private CellTransport transport(int from, VirtualTime.SimulatedProcess process) {
         return (address, request, deadline) -> {
             var result = new CompletableFuture<CellReply>();
             calls.merge(request.getClass().getSimpleName(), 1, Integer::sum);
@@ -143,11 +143,16 @@
 
     private long delay() {
         boolean slow = network.nextDouble() < held;
-        return 5 + network.nextInt(30) + (slow ? network.nextInt((int) heldAtMost.toMillis()) : 0);
+        return 5L + network.nextInt(30) + (slow ? network.nextInt((int) heldAtMost.toMillis()) : 0);
     }
 
     private void arrive(
-            int from, int to, int node, byte[] body, VirtualTime.Process asker, CompletableFuture<CellReply> result) {
+            int from,
+            int to,
+            int node,
+            byte[] body,
+            VirtualTime.SimulatedProcess asker,
+            CompletableFuture<CellReply> result) {
         SimulatedCluster target = cells.get(to);
         Duration until = heldUntil[from * NAMES.size() + to];
         if (until != null && sim.now().compareTo(until) < 0) {
@@ -166,7 +171,11 @@
     }
 
     private void answer(
-            int from, int to, CellReply reply, VirtualTime.Process asker, CompletableFuture<CellReply> result) {
+            int from,
+            int to,
+            CellReply reply,
+            VirtualTime.SimulatedProcess asker,
+            CompletableFuture<CellReply> result) {
         CellReply sent = tamper.reply(to, reply);
         if (sent == null) {
             return;
--- a/src/test/java/org/dunespindle/sim/StoredAllocations.java
+++ b/src/test/java/org/dunespindle/sim/StoredAllocations.java
@@ -27,7 +27,7 @@
     }
 
     private StateReplica empty() {
-        return new StateReplica(null, cluster.sim.new Process(), Duration.ZERO, () -> {});
+        return new StateReplica(null, cluster.sim.new SimulatedProcess(), Duration.ZERO, () -> {});
     }
 
     @Override
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -62,7 +62,7 @@
 
     /** Says which controller machines and jobs belong to while all three live; that follows from their names alone. */
     private static Membership threeControllers() {
-        var clock = new VirtualTime(0).new Process();
+        var clock = new VirtualTime(0).new SimulatedProcess();
         var replica = new StateReplica(null, clock, Duration.ZERO, () -> {});
         for (int node = 0; node < 3; node++) {
             replica.applyCommitted(new Transaction().write(Keys.member("n" + node), MessagePackCodec.map()), node + 1);
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -118,7 +118,7 @@
         cluster.sim.run(Duration.ofSeconds(420));
         assertEquals(List.of(), cluster.broken);
         ids.forEach(id -> assertTrue(
-                cluster.lastTold(id).equals("done") || called.contains(id) && cluster.over(id),
+                cluster.lastTold(id).equals("done") || (called.contains(id) && cluster.over(id)),
                 id + " is " + cluster.lastTold(id)));
         assertEquals("cancelled", cluster.lastTold("wk-000900"));
         assertTrue(cluster.met.containsKey("parts"), "no record was cut");
--- a/src/test/java/org/dunespindle/sim/VirtualTime.java
+++ b/src/test/java/org/dunespindle/sim/VirtualTime.java
@@ -61,7 +61,7 @@
     }
 
     /** A process's timers: they die with it. */
-    public final class Process implements TimeSource {
+    public final class SimulatedProcess implements TimeSource {
         private boolean dead;
         private Duration frozenUntil = Duration.ZERO;
         /** How much its steady clock has lost by being suspended. */
--- a/src/test/java/org/dunespindle/storage/StateReplicaTest.java
+++ b/src/test/java/org/dunespindle/storage/StateReplicaTest.java
@@ -45,7 +45,7 @@
     private boolean outage;
 
     private StateReplica replica() throws MalformedMessageException {
-        var process = time.new Process();
+        var process = time.new SimulatedProcess();
         HttpClient httpClient = (address, method, target, body, type, timeout) -> {
             var result = new CompletableFuture<HttpClientResponse>();
             requests.add(target);
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -108,7 +108,8 @@
 
     /** A replica of some keys, as another controller wrote them. */
     private static StateReplica replicaOf(Map<String, String> stored) {
-        var replica = new StateReplica(null, new VirtualTime(1).new Process(), Duration.ofSeconds(1), () -> {});
+        var replica =
+                new StateReplica(null, new VirtualTime(1).new SimulatedProcess(), Duration.ofSeconds(1), () -> {});
         var transaction = new Transaction();
         stored.forEach((key, text) -> transaction.write(key, json(text)));
         replica.applyCommitted(transaction, 5);
--- a/src/test/java/org/dunespindle/transport/NettyHttpClientTest.java
+++ b/src/test/java/org/dunespindle/transport/NettyHttpClientTest.java
@@ -11,6 +11,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.util.Locale;
 import java.util.Optional;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -115,7 +116,7 @@
             socket.getOutputStream()
                     .write("GET /3?last HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
-            assertTrue(answer.toLowerCase().contains("connection: close"), answer);
+            assertTrue(answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
         }
     }
 }
