--- a/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
@@ -13,7 +13,7 @@
 
 /**
  * Receives workers' heartbeats: records them and decides who answers, whether this controller may renew a lease now, and to which
- * controller a worker is redirected otherwise. What follows from the heartbeat for its machine is worked out by {@link * MachineReconciler}.
+ * controller a worker is redirected otherwise. {@link MachineReconciler} works out what follows for the machine.
  */
 public final class HeartbeatHandler {
     private static final HeartbeatReply STATE_UNKNOWN =
