--- a/src/main/java/org/dunespindle/worker/package-info.java
+++ b/src/main/java/org/dunespindle/worker/package-info.java
@@ -1,5 +1,7 @@
 /**
- * The workers on machines. {@link org.dunespindle.worker.HeartbeatHandler} answers their heartbeats; {@link * org.dunespindle.worker.WorkerClient} reconciles their machines and sends them commands; {@link * org.dunespindle.worker.FailureDetector} and {@link org.dunespindle.worker.PartitionDetector} tell failed machines from
- * partitions.
+ * The workers on machines. {@link org.dunespindle.worker.HeartbeatHandler} answers their heartbeats,
+ * {@link org.dunespindle.worker.WorkerClient} reconciles their machines and sends them commands, and
+ * {@link org.dunespindle.worker.FailureDetector} and {@link org.dunespindle.worker.PartitionDetector} tell failed machines
+ * from partitions.
  */
 package org.dunespindle.worker;
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -62,6 +62,7 @@
     final Map<String, Duration> cancelled;
     final SimulatedEnvironment surroundings;
     private final SimulatedUsers users = new SimulatedUsers(this);
+    private final SimulatedOperators operators;
     final Map<String, String> told = new HashMap<>();
     /** The one controller that the state service refuses, or -1. */
     public int refusedNode = -1;
@@ -160,6 +161,7 @@
         completed = surroundings.completed();
         cancelled = surroundings.cancelled();
         sim = surroundings.sim();
+        operators = new SimulatedOperators(sim, node -> nodes[node], broken::add);
         state = new FakeStateStore(sim);
         shape.stateRates().ifPresent(rates -> {
             state.limitRates(rates.requests(), rates.writes());
@@ -395,32 +397,14 @@
             String target,
             byte[] body,
             CompletableFuture<HttpClientResponse> result) {
-        FakeWorker w = address.startsWith("worker") ? workers.get("i-" + address.substring(7)) : null;
-        if (apart(areas[from], w != null ? w.zone : address.startsWith("node") ? areas[address.charAt(5) - '0'] : "")) {
-            if (w != null && !w.dead) {
-                sim.after(
-                        500,
-                        () -> deliver(owner, from, address, method, target, body, result)); // held back, delivered late
+        FakeWorker worker = address.startsWith("worker") ? workers.get("i-" + address.substring(7)) : null;
+        if (isHeldBack(from, address, worker)) {
+            if (worker != null && !worker.dead) {
+                sim.after(500, () -> deliver(owner, from, address, method, target, body, result)); // delivered late
             }
             return;
         }
-        if (w != null && (w.cut || w.hung()) && !w.dead) {
-            sim.after(
-                    500,
-                    () -> deliver(owner, from, address, method, target, body, result)); // held back, delivered late
-            return;
-        }
-        if (w != null && (blocked.contains(from + w.id) || w.oneWay || from == deafNode)) {
-            return;
-        }
-        if (address.startsWith("node") && (peersRefuse || peersBlocked.contains(from * 3 + address.charAt(5) - '0'))) {
-            return;
-        }
-        if ((address.startsWith("state") && from == isolatedNode)
-                || (address.startsWith("node") && (from == isolatedNode || address.endsWith(":" + isolatedNode)))) {
-            return;
-        }
-        if (cloudSilent && address.startsWith("cloud")) {
+        if (isLost(from, address, worker)) {
             return;
         }
         if (lateRentals && address.startsWith("cloud") && target.equals("/rentals")) {
@@ -441,7 +425,7 @@
                                     ? null
                                     : body.length == 0 ? MessagePackCodec.map() : MessagePackCodec.read(body),
                             body,
-                            w);
+                            worker);
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
@@ -457,6 +441,26 @@
                 () -> owner.arrive(() -> result.complete(new HttpClientResponse(reply.status(), bytes))));
     }
 
+    /** Whether a message waits until a cut or a hang is over; one to a worker is then delivered late. */
+    private boolean isHeldBack(int from, String address, FakeWorker worker) {
+        String area = worker != null ? worker.zone : address.startsWith("node") ? areas[address.charAt(5) - '0'] : "";
+        return apart(areas[from], area) || (worker != null && (worker.cut || worker.hung()) && !worker.dead);
+    }
+
+    /** Whether a message never arrives. */
+    private boolean isLost(int from, String address, FakeWorker worker) {
+        if (worker != null && (blocked.contains(from + worker.id) || worker.oneWay || from == deafNode)) {
+            return true;
+        }
+        if (address.startsWith("node") && (peersRefuse || peersBlocked.contains(from * 3 + address.charAt(5) - '0'))) {
+            return true;
+        }
+        boolean toIsolated =
+                address.startsWith("node") && (from == isolatedNode || address.endsWith(":" + isolatedNode));
+        boolean fromIsolated = address.startsWith("state") && from == isolatedNode;
+        return fromIsolated || toIsolated || (cloudSilent && address.startsWith("cloud"));
+    }
+
     private void noteConflict(int from, FakeStateStore.Reply reply) {
         if (reply != null && reply.status() == CONFLICT) {
             reply.body().path("failed").forEach(key -> met("conflict of n" + from + " about " + key.asText()));
@@ -631,15 +635,7 @@
 
     /** What all controllers decided lately, in words. */
     String decisions() {
-        var text = new StringBuilder();
-        for (int n = 0; n < 3; n++) {
-            admin(n, "GET", "/v1/decisions", "")
-                    .join()
-                    .body()
-                    .path("decisions")
-                    .forEach(d -> text.append(d.path("what").asText()).append('\n'));
-        }
-        return text.toString();
+        return operators.decisions();
     }
 
     /** A cancellation at one controller, answered within the next seconds of virtual time. */
@@ -665,24 +661,12 @@
 
     /** Asks a controller's administration API; the answer comes within the next second of virtual time. */
     CompletableFuture<AdminResponse> admin(int node, String method, String path, String body) {
-        var result = new CompletableFuture<AdminResponse>();
-        nodes[node]
-                .adminApi()
-                .handle(method, path, body.getBytes(java.nio.charset.StandardCharsets.UTF_8), result::complete);
-        sim.run(sim.now().plusSeconds(1));
-        return result;
+        return operators.ask(node, method, path, body);
     }
 
     /** Has a controller store some of the operators' settings, which nobody has changed before. */
     void setOptions(int node, Map<String, Double> values) {
-        ObjectNode change = MessagePackCodec.map().put("stamp", 0);
-        ObjectNode list = change.putObject("values");
-        values.forEach(list::put);
-        nodes[node].adminApi().handle("PUT", "/v1/options", JsonCodec.write(change), answer -> {
-            if (answer.status() != 200) {
-                broken.add("options are not taken: " + answer.body());
-            }
-        });
+        operators.setOptions(node, values);
     }
 
     /** What a job's user was told last, if that was that it is cancelled, and when first. */
--- /dev/null
+++ b/src/test/java/org/dunespindle/sim/SimulatedOperators.java
@@ -0,0 +1,67 @@
+package org.dunespindle.sim;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+import java.util.function.IntFunction;
+import org.dunespindle.api.AdminResponse;
+import org.dunespindle.controller.Controller;
+import org.dunespindle.protocol.JsonCodec;
+import org.dunespindle.protocol.MessagePackCodec;
+
+/** The operators of a simulated cluster: they use the administration API of single controllers. */
+final class SimulatedOperators {
+    private static final int CONTROLLERS = 3;
+    private final VirtualTime sim;
+    private final IntFunction<Controller> controllers;
+    private final Consumer<String> broken;
+
+    /**
+     * Creates the operators.
+     *
+     * @param broken told what must not happen
+     */
+    SimulatedOperators(VirtualTime sim, IntFunction<Controller> controllers, Consumer<String> broken) {
+        this.sim = sim;
+        this.controllers = controllers;
+        this.broken = broken;
+    }
+
+    /** What all controllers decided lately, in words. */
+    String decisions() {
+        var text = new StringBuilder();
+        for (int node = 0; node < CONTROLLERS; node++) {
+            ask(node, "GET", "/v1/decisions", "")
+                    .join()
+                    .body()
+                    .path("decisions")
+                    .forEach(event -> text.append(event.path("what").asText()).append('\n'));
+        }
+        return text.toString();
+    }
+
+    /** Asks a controller's administration API; the answer comes within the next second of virtual time. */
+    CompletableFuture<AdminResponse> ask(int node, String method, String path, String body) {
+        var result = new CompletableFuture<AdminResponse>();
+        controllers
+                .apply(node)
+                .adminApi()
+                .handle(method, path, body.getBytes(StandardCharsets.UTF_8), result::complete);
+        sim.run(sim.now().plusSeconds(1));
+        return result;
+    }
+
+    /** Has a controller store some of the operators' settings, which nobody has changed before. */
+    void setOptions(int node, Map<String, Double> values) {
+        ObjectNode change = MessagePackCodec.map().put("stamp", 0);
+        ObjectNode list = change.putObject("values");
+        values.forEach(list::put);
+        controllers.apply(node).adminApi().handle("PUT", "/v1/options", JsonCodec.write(change), answer -> {
+            if (answer.status() != 200) {
+                broken.accept("options are not taken: " + answer.body());
+            }
+        });
+    }
+}
