--- a/src/test/java/org/dunespindle/api/JobStatusCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/api/JobStatusCompatibilityTest.java
@@ -15,6 +15,7 @@
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.OutboundDelegation;
 import org.junit.jupiter.api.Test;
@@ -25,25 +26,18 @@
             new MachineType("large", new Resources(8, 4, 32), 100, 1, 2, 1, Duration.ofSeconds(60), List.of("east"));
 
     private static Submission job(JobKind kind, String team, int tasks, Resources perTask, boolean sameZone) {
-        return new Submission(
-                "wk-000901",
-                "train",
-                team,
-                kind,
-                Priority.LOW,
-                tasks,
-                perTask,
-                Optional.empty(),
-                Optional.empty(),
-                sameZone,
-                true,
-                false,
-                "image",
-                2,
-                Duration.ofSeconds(4),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        return SubmissionBuilder.submission("wk-000901")
+                .jobClass("train")
+                .team(team)
+                .kind(kind)
+                .priority(Priority.LOW)
+                .tasks(tasks)
+                .perTask(perTask)
+                .sameZone(sameZone)
+                .spread(true)
+                .imageGb(2)
+                .estimate(Duration.ofSeconds(4))
+                .build();
     }
 
     private static JobRecord accepted() {
--- a/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
+++ b/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
@@ -9,10 +9,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
-import org.dunespindle.protocol.Resources;
-import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
@@ -32,25 +30,13 @@
         return records.computeIfAbsent(
                 jobId,
                 id -> JobRecord.accepted(
-                        new Submission(
-                                id,
-                                "class",
-                                "red",
-                                JobKind.ARRAY,
-                                Priority.LOW,
-                                9,
-                                new Resources(1, 1, 1),
-                                Optional.empty(),
-                                Optional.empty(),
-                                false,
-                                false,
-                                true,
-                                "image",
-                                2,
-                                Duration.ofSeconds(4),
-                                Duration.ZERO,
-                                Duration.ZERO,
-                                Optional.empty()),
+                        SubmissionBuilder.submission(id)
+                                .priority(Priority.LOW)
+                                .tasks(9)
+                                .spot(true)
+                                .imageGb(2)
+                                .estimate(Duration.ofSeconds(4))
+                                .build(),
                         Instant.EPOCH));
     }
 
--- a/src/test/java/org/dunespindle/machine/PoolDemandTest.java
+++ b/src/test/java/org/dunespindle/machine/PoolDemandTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.time.Duration;
-import java.util.Optional;
 import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 
 /** How tasks are packed onto the machines of a pool that are to be rented. */
@@ -20,25 +20,14 @@
     private final PoolDemand demand = new PoolDemand(MACHINE_SIZE);
 
     private static Submission job(JobKind kind, int tasks) {
-        return new Submission(
-                "wk-1",
-                "class",
-                "red",
-                kind,
-                Priority.LOW,
-                tasks,
-                new Resources(1, 1, 1),
-                Optional.empty(),
-                Optional.empty(),
-                false,
-                false,
-                true,
-                "image",
-                2,
-                Duration.ofSeconds(4),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.empty());
+        return SubmissionBuilder.submission("wk-1")
+                .kind(kind)
+                .priority(Priority.LOW)
+                .tasks(tasks)
+                .spot(true)
+                .imageGb(2)
+                .estimate(Duration.ofSeconds(4))
+                .build();
     }
 
     @Test
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -21,6 +21,7 @@
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
@@ -45,25 +46,18 @@
 
     private static JobRecord job(int id, String team, JobKind kind, Priority priority, int tasks, Placement placement) {
         return JobRecord.accepted(
-                new Submission(
-                        "wk-%06d".formatted(id),
-                        "c",
-                        team,
-                        kind,
-                        priority,
-                        tasks,
-                        new Resources(1, 1, 1),
-                        Optional.empty(),
-                        Optional.empty(),
-                        placement.sameZone,
-                        placement.spread,
-                        placement.spot,
-                        "i",
-                        1,
-                        Duration.ofSeconds(10),
-                        Duration.ZERO,
-                        Duration.ZERO,
-                        Optional.empty()),
+                SubmissionBuilder.submission("wk-%06d".formatted(id))
+                        .jobClass("c")
+                        .team(team)
+                        .kind(kind)
+                        .priority(priority)
+                        .tasks(tasks)
+                        .sameZone(placement.sameZone)
+                        .spread(placement.spread)
+                        .spot(placement.spot)
+                        .image("i")
+                        .estimate(Duration.ofSeconds(10))
+                        .build(),
                 Instant.ofEpochSecond(id));
     }
 
@@ -203,25 +197,25 @@
     private static JobRecord withImage(JobRecord job, String image) {
         Submission submission = job.submission();
         return JobRecord.accepted(
-                new Submission(
-                        submission.id(),
-                        submission.jobClass(),
-                        submission.team(),
-                        submission.kind(),
-                        submission.priority(),
-                        submission.tasks(),
-                        submission.perTask(),
-                        submission.types(),
-                        submission.zone(),
-                        submission.sameZone(),
-                        submission.spread(),
-                        submission.spot(),
-                        image,
-                        submission.imageGb(),
-                        submission.estimate(),
-                        submission.checkpointEvery(),
-                        submission.checkpointTime(),
-                        submission.due()),
+                SubmissionBuilder.submission(submission.id())
+                        .jobClass(submission.jobClass())
+                        .team(submission.team())
+                        .kind(submission.kind())
+                        .priority(submission.priority())
+                        .tasks(submission.tasks())
+                        .perTask(submission.perTask())
+                        .types(submission.types())
+                        .zone(submission.zone())
+                        .sameZone(submission.sameZone())
+                        .spread(submission.spread())
+                        .spot(submission.spot())
+                        .image(image)
+                        .imageGb(submission.imageGb())
+                        .estimate(submission.estimate())
+                        .checkpointEvery(submission.checkpointEvery())
+                        .checkpointTime(submission.checkpointTime())
+                        .due(submission.due())
+                        .build(),
                 job.arrived());
     }
 
@@ -261,25 +255,14 @@
 
     @Test
     void aJobWithADeadlineHasAnObjectiveForEachMultiple() {
-        Submission due = new Submission(
-                "wk-000001",
-                "d",
-                "red",
-                JobKind.ARRAY,
-                Priority.LOW,
-                1,
-                new Resources(1, 1, 1),
-                Optional.empty(),
-                Optional.empty(),
-                false,
-                false,
-                true,
-                "i",
-                1,
-                Duration.ofSeconds(10),
-                Duration.ZERO,
-                Duration.ZERO,
-                Optional.of(Duration.ofSeconds(100)));
+        Submission due = SubmissionBuilder.submission("wk-000001")
+                .jobClass("d")
+                .priority(Priority.LOW)
+                .spot(true)
+                .image("i")
+                .estimate(Duration.ofSeconds(10))
+                .due(Optional.of(Duration.ofSeconds(100)))
+                .build();
         assertEquals(List.of(Duration.ofSeconds(100), Duration.ofSeconds(150)), OBJECTIVES.all(due));
         assertEquals(
                 List.of(Duration.ofSeconds(200), Duration.ofSeconds(900)),
--- a/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
@@ -10,13 +10,12 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
 import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
@@ -35,25 +34,15 @@
     private static JobRecord job(
             int id, JobKind kind, Priority priority, int tasks, Resources perTask, boolean spread) {
         return JobRecord.accepted(
-                new Submission(
-                        "wk-%06d".formatted(id),
-                        "c",
-                        "red",
-                        kind,
-                        priority,
-                        tasks,
-                        perTask,
-                        Optional.empty(),
-                        Optional.empty(),
-                        false,
-                        spread,
-                        false,
-                        "image",
-                        1,
-                        Duration.ZERO,
-                        Duration.ZERO,
-                        Duration.ZERO,
-                        Optional.empty()),
+                SubmissionBuilder.submission("wk-%06d".formatted(id))
+                        .jobClass("c")
+                        .kind(kind)
+                        .priority(priority)
+                        .tasks(tasks)
+                        .perTask(perTask)
+                        .spread(spread)
+                        .estimate(Duration.ZERO)
+                        .build(),
                 Instant.ofEpochSecond(id));
     }
 
--- a/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
+++ b/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
@@ -14,11 +14,10 @@
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.dunespindle.protocol.JobKind;
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Settings;
-import org.dunespindle.protocol.Submission;
+import org.dunespindle.protocol.SubmissionBuilder;
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
@@ -35,25 +34,13 @@
 
     private static JobRecord array(int id, int tasks) {
         return JobRecord.accepted(
-                new Submission(
-                        "wk-%06d".formatted(id),
-                        "class",
-                        TEAM,
-                        JobKind.ARRAY,
-                        Priority.LOW,
-                        tasks,
-                        new Resources(1, 1, 1),
-                        Optional.empty(),
-                        Optional.empty(),
-                        false,
-                        false,
-                        true,
-                        "image",
-                        1,
-                        Duration.ofSeconds(4),
-                        Duration.ZERO,
-                        Duration.ZERO,
-                        Optional.empty()),
+                SubmissionBuilder.submission("wk-%06d".formatted(id))
+                        .team(TEAM)
+                        .priority(Priority.LOW)
+                        .tasks(tasks)
+                        .spot(true)
+                        .estimate(Duration.ofSeconds(4))
+                        .build(),
                 Instant.EPOCH);
     }
 
