--- a/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -9,11 +9,11 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 
-/** Places the tasks of arrays. */
+/** Places the tasks of job arrays. */
 final class ArrayPlanner {
     private final PlanState state;
     private final ZoneChooser zoneChooser;
-    /** Jobs with tasks that fit nowhere any more; free capacity only shrinks while arrays are planned. */
+    /** Jobs with tasks that fit on no machine. Stays valid, because free capacity only shrinks while arrays are planned. */
     private final List<Submission> unplaceable = new ArrayList<>();
 
     ArrayPlanner(PlanState state, ZoneChooser zoneChooser) {
@@ -21,7 +21,7 @@
         this.zoneChooser = zoneChooser;
     }
 
-    /** The state of one array while its tasks are placed. */
+    /** Placement progress of one array. */
     private final class ArrayProgress {
         final JobRecord job;
         final Submission submission;
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Places arrays of equal rank: each first on machines that have its image, in their order, and only then where the image must be fetched. On
-     * a full cluster, free capacity then goes to the array whose image is there, so that fewer fetches are needed.
+     * Places arrays of equal rank in two passes, both in the given order: first on machines that have an array's image, then on machines that
+     * must fetch it. On a full cluster, free capacity thus goes to an array whose image is present, which reduces the number of fetches.
      */
     void place(List<JobRecord> equalArrays) {
         List<ArrayProgress> arrays =
@@ -105,9 +105,7 @@
             boolean recordFull = array.placed + stillAllowed == array.maxTasks;
             state.replaceWaitReason(
                     array.job,
-                    recordFull
-                            ? "as many of its tasks are under way as its record takes"
-                            : "its team's limit is used up");
+                    recordFull ? "the job's record can hold no more allocated tasks" : "its team's limit is used up");
         }
         int waiting = state.quota()
                 .maxTasks(
@@ -118,19 +116,19 @@
             state.quota()
                     .addUnplacedUsage(
                             array.submission.team(), array.submission.perTask().times(waiting));
-            state.addWaitReason(array.job, "no room on machines it may use");
+            state.addWaitReason(array.job, "no free capacity on machines that it may use");
             state.addShortfall(array.job, waiting, array.zones.requiredZone());
         }
     }
 
-    /** Whether an earlier job of no larger tasks, which may use every machine that this one may, already found no capacity. */
+    /** Whether no capacity was found for an earlier job with tasks no larger than this job's and at least the same eligible machines. */
     private boolean isKnownUnplaceable(Submission job) {
         return unplaceable.stream()
                 .anyMatch(earlier ->
                         isAtLeastAsFlexible(earlier, job) && earlier.perTask().fitsIn(job.perTask()));
     }
 
-    /** Whether one job may use every machine that another may. */
+    /** Whether the first job may use every machine that the second one may use. */
     private static boolean isAtLeastAsFlexible(Submission one, Submission other) {
         boolean kindAllowed = one.spot() || !other.spot();
         boolean zoneAllowed = one.zone().isEmpty() || one.zone().equals(other.zone());
--- a/src/main/java/org/dunespindle/scheduling/Binding.java
+++ b/src/main/java/org/dunespindle/scheduling/Binding.java
@@ -4,8 +4,8 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Tasks of one job that are to be allocated in one transaction.
+ * A decision to allocate tasks of one job in a single transaction.
  *
- * @param machineByTask the machine of each task, by task index
+ * @param machineByTask ids of the machines, by task index
  */
 public record Binding(JobRecord job, Map<Integer, String> machineByTask) {}
--- a/src/main/java/org/dunespindle/scheduling/ClusterSnapshot.java
+++ b/src/main/java/org/dunespindle/scheduling/ClusterSnapshot.java
@@ -11,20 +11,20 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Everything that a plan depends on.
+ * The complete input of a plan.
  *
  * @param projection the active jobs, as stored and as projected
  * @param machines the machines that tasks may be planned on
  * @param teams the teams' quotas and guarantees, by name
  * @param pools the pool of each known machine, by machine id
- * @param refusedPools pools for which the cloud has lately refused machines
+ * @param refusedPools pools for which the cloud has recently refused machines
  * @param maxAllocatedTasks how many tasks of a job may be allocated at once
- * @param endedTasks task attempts whose end is reported but not stored: their capacity is free, their quota is not
+ * @param endedTasks task attempts whose termination is reported but not stored: their capacity is free, but they still count against the quota
  * @param deferredJobs ids of jobs whose placement this controller defers
- * @param plansGangs whether gangs are planned here, as on the leader
+ * @param plansGangs whether this controller plans gangs, as only the leader does
  * @param drainingMachines ids of machines that are draining or about to be terminated
  * @param forecastJobs the forecast demand, planned after all real jobs
- * @param runtime how long a job's attempt has been running, as far as known here
+ * @param runtime how long a job's attempt has been running, as observed by this controller
  */
 public record ClusterSnapshot(
         Instant now,
--- a/src/main/java/org/dunespindle/scheduling/DemandForecast.java
+++ b/src/main/java/org/dunespindle/scheduling/DemandForecast.java
@@ -15,9 +15,9 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Forecasts the demand of job classes whose jobs should start sooner than a machine boots. A forecast job is planned like a real one but never
- * bound. Tasks expected within seconds withhold free capacity from lower work, which would only be preempted again; beyond that, capacity for
- * typical jobs is reserved after all real jobs.
+ * Forecasts the demand of job classes whose jobs should start sooner than a machine boots. A forecast job is planned like a real one but its
+ * tasks are never bound. Tasks that are expected within seconds withhold free capacity from lower-priority tasks, which would soon be preempted
+ * again; for the rest of the forecast, capacity is reserved after all real jobs have been planned.
  */
 public final class DemandForecast {
     private static final String FORECAST_ID_PREFIX = "~";
@@ -29,7 +29,7 @@
     private final Set<String> seen = new HashSet<>();
 
     /**
-     * The demand that a class is likely to have next.
+     * The expected demand of a job class.
      *
      * @param job a typical job, which is not stored
      * @param expectedSoon how many tasks of the class are expected within seconds
@@ -58,13 +58,13 @@
             }
         }
 
-        /** How many tasks are expected within the forecast horizon, by the arrival rate. */
+        /** How many tasks are expected within the forecast horizon, extrapolated from the arrival rate of the window. */
         int expectedTasks() {
             int tasks = arrivals.stream().mapToInt(Arrival::tasks).sum();
             return (int) (tasks * FORECAST_HORIZON.toMillis() / ARRIVAL_WINDOW.toMillis());
         }
 
-        /** The image that most recent jobs use: machines that have it are worth keeping. */
+        /** The most frequent image among the recent jobs: machines that have it are worth keeping. */
         String mostCommonImage() {
             var counts = new LinkedHashMap<String, Integer>();
             recentJobs.forEach(job -> counts.merge(job.image(), 1, Integer::sum));
@@ -80,7 +80,7 @@
             return sizes[sizes.length / 2];
         }
 
-        /** A job like the latest one, with as many tasks as some jobs of median size. */
+        /** A job like the latest one, with as many tasks as the given number of jobs of median size. */
         Submission typicalJob(String jobClass, int jobs) {
             Submission latest = recentJobs.getLast();
             return new Submission(
@@ -105,14 +105,14 @@
         }
     }
 
-    /** Creates a forecast for the classes that have an objective for the waiting time. */
+    /** Creates a forecast for the job classes that have a waiting-time objective. */
     public DemandForecast(List<Settings.Objective> objectives) {
         objectives.stream()
                 .filter(ObjectiveKind.WAIT::matches)
                 .forEach(objective -> forecastClasses.add(objective.jobClass()));
     }
 
-    /** Observes the active jobs, and records the arrival of those not seen before. */
+    /** Records the arrival of active jobs that have not been observed before. */
     public void observe(List<JobRecord> jobs) {
         var present = new HashSet<String>();
         for (JobRecord job : jobs) {
@@ -128,7 +128,7 @@
     }
 
     /**
-     * One forecast job per class.
+     * Creates one forecast job for each class with recent arrivals.
      *
      * @param perClass how many jobs of median size each forecast job stands for
      */
@@ -136,7 +136,7 @@
         var forecast = new ArrayList<ForecastJob>();
         histories.forEach((jobClass, history) -> {
             history.forgetArrivalsBefore(now.minus(ARRIVAL_WINDOW));
-            // A class without recent arrivals is not forecast any more.
+            // A class without arrivals within the window is not forecast.
             if (perClass > 0 && !history.arrivals.isEmpty()) {
                 JobRecord typical = JobRecord.accepted(history.typicalJob(jobClass, perClass), Instant.EPOCH);
                 forecast.add(new ForecastJob(typical, history.expectedTasks()));
--- a/src/main/java/org/dunespindle/scheduling/Eviction.java
+++ b/src/main/java/org/dunespindle/scheduling/Eviction.java
@@ -4,10 +4,10 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * A task that is to be stopped so that its capacity becomes free.
+ * A decision to stop a task in order to free its capacity.
  *
  * @param victim the job of the task
- * @param allocation where the task runs
- * @param forJob the id of the job that preempts it; the victim's own id if the task is only moved
+ * @param allocation the allocation of the task
+ * @param forJob the id of the preempting job; the victim's own id if the task is only moved to another machine
  */
 public record Eviction(JobRecord victim, Allocation allocation, String forJob) {}
--- a/src/main/java/org/dunespindle/scheduling/GangPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/GangPlanner.java
@@ -8,7 +8,7 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 
-/** Places the members of a gang: on free capacity, where lower work can be preempted, and on booting machines. */
+/** Places the members of a gang: on free capacity, then by preempting lower-priority tasks, then on booting machines. */
 final class GangPlanner {
     private final PlanState state;
     private final ZoneChooser zoneChooser;
@@ -20,12 +20,12 @@
         this.preemption = new PreemptionPlanner(state);
     }
 
-    /** Places what can be placed of a gang, and requests machines for the rest. */
+    /** Places as many members of a gang as possible, and requests machines for the rest. */
     void place(JobRecord gang) {
         Submission job = gang.submission();
         int missing = gang.unplacedCount();
         if (!state.quota().allows(job, missing)) {
-            state.replaceWaitReason(gang, "its team's unused limit does not cover the whole gang");
+            state.replaceWaitReason(gang, "the remainder of its team's limit does not cover the whole gang");
             return;
         }
         ZoneRules zones = zoneChooser.rules(gang);
@@ -33,7 +33,7 @@
                 preferWithImage(gang, state.machines().candidates(job), zones, missing);
         var progress = new GangProgress(gang, missing);
         fill(progress, state.withCapacity(job, candidates, zones, true), zones);
-        // Preempting lower work is faster than waiting for a machine to boot; that machine then takes the lower work.
+        // Preemption is faster than waiting for a machine to boot; the preempted tasks can then run on that machine.
         if (progress.remaining > 0) {
             progress.remaining = preemption.preemptFor(gang, candidates, zones, progress.remaining);
         }
@@ -43,14 +43,14 @@
         if (progress.remaining > 0) {
             String where = zones.requiredZone().map(zone -> " in zone " + zone).orElse("");
             state.replaceWaitReason(
-                    gang, "no room for " + progress.remaining + " of " + job.tasks() + " members" + where);
+                    gang, "no free capacity for " + progress.remaining + " of " + job.tasks() + " members" + where);
             state.addShortfall(gang, progress.remaining, zones.requiredZone());
             state.quota().addUnplacedUsage(job.team(), job.perTask().times(progress.remaining));
         }
         state.bind(gang, progress.places);
     }
 
-    /** The state of one gang while its members are placed. */
+    /** Placement progress of one gang. */
     private static final class GangProgress {
         final JobRecord gang;
         final Iterator<Integer> unplaced;
@@ -65,8 +65,9 @@
     }
 
     /**
-     * A gang starts with its last member, so a single image fetch delays them all. Where machines that have the image have capacity for the
-     * whole gang, if need be by preemption, only those are candidates; otherwise it makes no difference which members fetch.
+     * Restricts the candidates to machines that have the gang's image, if these have capacity for the whole gang, including capacity that
+     * preemption would free. A gang starts only when its last member is ready, so a single image fetch delays all members; if any member has
+     * to fetch the image, it makes no difference which ones do.
      */
     private List<MachineCapacity> preferWithImage(
             JobRecord gang, List<MachineCapacity> candidates, ZoneRules zones, int missing) {
--- a/src/main/java/org/dunespindle/scheduling/GangQueues.java
+++ b/src/main/java/org/dunespindle/scheduling/GangQueues.java
@@ -7,12 +7,12 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * The queue of each team's gangs: only its head is placed, and gangs are queued in the order of arrival. A gang whose placeholders are all
- * allocated has left the queue, since its whole request counts as usage by then. A gang of one never holds partial capacity, so it does not
- * queue.
+ * The queue of each team's gangs, in the order of arrival; only the gang at its head is placed. A gang whose placeholders are all allocated
+ * has left the queue, since its whole request counts as usage from then on. A gang with a single task does not queue, because it never holds
+ * partial capacity.
  */
 final class GangQueues {
-    /** A gang that has waited so long for its team's quota has the quota reserved, so that the team's later work cannot use it. */
+    /** After this time the quota for a waiting gang is reserved, so that later jobs of its team cannot use it. */
     private static final Duration MAX_WAIT_BEFORE_QUOTA_RESERVATION = Duration.ofSeconds(20);
 
     private final PlanState state;
@@ -27,11 +27,11 @@
                 queue.merge(job.submission().team(), job, (one, other) -> precedes(one, other) ? one : other);
             }
         }
-        inboundHeads.forEach((team, inbound) -> heads.merge(team, inbound, GangQueues::ownOrHigher));
+        inboundHeads.forEach((team, inbound) -> heads.merge(team, inbound, GangQueues::localUnlessOutranked));
         heads.values().forEach(this::reserveQuotaFor);
     }
 
-    /** The gang of a team that is being placed. */
+    /** The gang at the head of a team's queue. */
     Optional<JobRecord> head(String team) {
         return Optional.ofNullable(heads.get(team));
     }
@@ -46,7 +46,7 @@
         return single && (state.quota().allows(head.submission(), head.unplacedCount()) || precedes(gang, head));
     }
 
-    /** A gang that backs off after failures does not queue: it would block its team's other gangs for as long. */
+    /** A gang that backs off after failures is not queued: it would block its team's other gangs until the back-off ends. */
     private boolean isQueued(JobRecord job) {
         boolean backsOff = job.gangPhase() == JobRecord.GangPhase.QUEUED
                 && job.notBefore()
@@ -70,19 +70,19 @@
         }
     }
 
-    /** The cell's own gang precedes an inbound one, unless that has a higher priority or is being placed already. */
-    private static JobRecord ownOrHigher(JobRecord own, JobRecord inbound) {
-        boolean placingOwn = own.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
+    /** A local gang precedes an inbound one, unless the inbound gang has a higher priority or is already being placed. */
+    private static JobRecord localUnlessOutranked(JobRecord local, JobRecord inbound) {
+        boolean placingLocal = local.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
         boolean placingInbound = inbound.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
-        if (placingOwn != placingInbound) {
-            return placingOwn ? own : inbound;
+        if (placingLocal != placingInbound) {
+            return placingLocal ? local : inbound;
         }
         boolean higher =
-                inbound.submission().priority().compareTo(own.submission().priority()) > 0;
-        return higher ? inbound : own;
+                inbound.submission().priority().compareTo(local.submission().priority()) > 0;
+        return higher ? inbound : local;
     }
 
-    /** A gang whose placeholders are being placed stays the head; otherwise the queue position decides. */
+    /** A gang whose placeholders are being placed stays at the head; otherwise the queue position decides. */
     private static boolean precedes(JobRecord one, JobRecord other) {
         boolean placingOne = one.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
         boolean placingOther = other.gangPhase() == JobRecord.GangPhase.PLACEHOLDERS;
--- a/src/main/java/org/dunespindle/scheduling/JobAttempt.java
+++ b/src/main/java/org/dunespindle/scheduling/JobAttempt.java
@@ -1,9 +1,9 @@
 package org.dunespindle.scheduling;
 
 /**
- * Tasks of a job that were allocated together, and so have run for the same time.
+ * Identifies the tasks of a job that were allocated in the same transaction, and therefore have run for the same time.
  *
  * @param job the id of the job
- * @param attemptBase the attempt base that their allocations share
+ * @param attemptBase the attempt base shared by their allocations
  */
 public record JobAttempt(String job, long attemptBase) {}
--- a/src/main/java/org/dunespindle/scheduling/JobOrder.java
+++ b/src/main/java/org/dunespindle/scheduling/JobOrder.java
@@ -15,9 +15,9 @@
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.time.Durations;
 
-/** The order in which jobs are planned. */
+/** Determines the order in which jobs are planned. */
 final class JobOrder {
-    /** A job that has waited so long without any task started is starving, and goes first of its priority. */
+    /** A job that has waited longer without any task started is starving, and is planned first within its priority. */
     private static final Duration MAX_WAIT_BEFORE_FIRST_TASK = Duration.ofSeconds(120);
 
     private static final int FIRST_TIER = 0;
@@ -25,14 +25,14 @@
     private static final int FIRST_OBJECTIVE_TIER = 1;
     /** The tier of jobs that miss all their objectives. */
     private static final int MISSED_ALL_OBJECTIVES_TIER = 1000;
-    /** Estimates are often too high: a job can meet an objective while this part of its estimate fits. */
+    /** Estimates are often too high, so a job counts as able to meet an objective if this fraction of its estimate fits. */
     private static final double BEST_CASE_PART_OF_ESTIMATE = 0.7;
 
     private final ClusterSnapshot snapshot;
     private final Set<String> guaranteed;
     private final Map<String, Rank> ranks = new HashMap<>();
 
-    /** A job's rank among those of its priority: by tier, then by key, the least first. */
+    /** A job's rank within its priority: ordered by tier, then by key, the lowest first. */
     private record Rank(int tier, long key) implements Comparable<Rank> {
         @Override
         public int compareTo(Rank other) {
@@ -45,7 +45,7 @@
         this.guaranteed = withinGuarantee(snapshot.jobs(), snapshot.teams());
     }
 
-    /** The jobs that this controller plans, in their order. */
+    /** The jobs that this controller plans, in planning order. */
     List<JobRecord> jobs() {
         var ordered = new ArrayList<JobRecord>();
         for (JobRecord job : snapshot.jobs()) {
@@ -54,10 +54,11 @@
                 ranks.put(job.id(), rank(job));
             }
         }
-        // Guarantees cover the oldest unfinished jobs first; jobs that miss all objectives anyway must not make others
-        // miss theirs.
+        // Guarantees cover the oldest unfinished jobs first. Jobs that miss all their objectives come later, so that
+        // they
+        // do not make other jobs miss theirs.
         ordered.sort(Comparator.comparing((JobRecord job) -> job.submission().priority(), Comparator.reverseOrder())
-                .thenComparing(job -> job.inboundDelegation().isPresent()) // the cell's own jobs first, among equals
+                .thenComparing(job -> job.inboundDelegation().isPresent()) // local jobs before inbound delegations
                 .thenComparing(job -> ranks.get(job.id()).tier() == MISSED_ALL_OBJECTIVES_TIER)
                 .thenComparing(job -> !guaranteed.contains(job.id()))
                 .thenComparing(job -> ranks.get(job.id()))
@@ -70,7 +71,7 @@
                 || (!job.submission().isGang() && !snapshot.deferredJobs().contains(job.id()));
     }
 
-    /** Whether two ordered jobs differ in rank by no more than their remaining work. */
+    /** Whether two of the ordered jobs have the same rank apart from their remaining work. */
     boolean haveEqualRank(JobRecord one, JobRecord other) {
         return one.submission().isGang() == other.submission().isGang()
                 && one.submission().priority() == other.submission().priority()
@@ -81,9 +82,9 @@
     }
 
     /**
-     * Gangs go in the order of arrival. Arrays that can still meet their first objective go least work first, so that most of them meet it
-     * when not all can; then those that can meet a later objective, then those that miss all. A starving job goes first: the largest must
-     * begin too.
+     * Ranks gangs by arrival. Arrays that can still meet their first objective are ranked by least remaining work, so that as many as possible
+     * meet it when not all can; then come those that can meet a later objective, then those that miss all. A starving job comes first, so that
+     * the largest jobs also start.
      */
     private Rank rank(JobRecord job) {
         Submission submission = job.submission();
@@ -110,7 +111,7 @@
         return Duration.ofMillis((long) (submission.estimate().toMillis() * BEST_CASE_PART_OF_ESTIMATE));
     }
 
-    /** Jobs that fit within their team's guarantee together with the team's earlier unfinished jobs. */
+    /** Ids of the jobs that fit within their team's guarantee together with the team's earlier unfinished jobs. */
     private static Set<String> withinGuarantee(List<JobRecord> jobs, Map<String, Settings.Team> teams) {
         var sums = new HashMap<String, Resources>();
         var within = new HashSet<String>();
@@ -129,7 +130,7 @@
     }
 
     private boolean isStarving(JobRecord job) {
-        boolean untouched = job.allocations().isEmpty() && job.nextTaskIndex() == 0;
-        return untouched && Duration.between(job.arrived(), snapshot.now()).compareTo(MAX_WAIT_BEFORE_FIRST_TASK) > 0;
+        boolean neverPlaced = job.allocations().isEmpty() && job.nextTaskIndex() == 0;
+        return neverPlaced && Duration.between(job.arrived(), snapshot.now()).compareTo(MAX_WAIT_BEFORE_FIRST_TASK) > 0;
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
@@ -8,26 +8,26 @@
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
-/** A machine's capacity while a plan is made. */
+/** A machine's remaining capacity while a plan is made. */
 final class MachineCapacity {
     private final MachineSnapshot snapshot;
     private Resources free;
-    /** What tasks that are being stopped still occupy. */
+    /** Resources that are still occupied by tasks that are being stopped. */
     private Resources stopping = Resources.NONE;
-    /** Whether the machine is reserved for a gang whose capacity is not free yet: nothing can be placed on it now. */
+    /** Whether capacity is reserved for a job that waits for tasks here to stop: until then nothing can be placed on the machine. */
     private boolean reserved;
-    /** Tasks that may be preempted, the latest allocated first: they have the least work to lose. */
+    /** Tasks that may be preempted, the latest allocated first, because these lose the least work. */
     private final List<Victim> victims = new ArrayList<>(2);
 
-    /** Images of the tasks on the machine, both fetched and pending ones; they are told apart on demand only. */
+    /** Images of the tasks on the machine, whether fetched or pending; {@link #pendingFetches} tells which are pending. */
     private final List<String> taskImages = new ArrayList<>(2);
-    /** Number of tasks that were allocated when the plan began. */
+    /** Number of tasks that were allocated when planning began. */
     private int tasks;
     /** Number of service replicas, both allocated and planned. */
     private int replicas;
-    /** Whether the plan uses the machine. */
+    /** Whether the plan allocates or reserves capacity on the machine. */
     private boolean planned;
-    /** How well the machine suits the job that is being planned. */
+    /** The score of the machine for the job that is being planned; see {@link MachineScore}. */
     private double score;
 
     /** A task that may be preempted. */
@@ -58,7 +58,7 @@
         score = value;
     }
 
-    /** What is free now or as soon as the tasks that are being stopped have ended. */
+    /** Free capacity, including what the tasks that are being stopped will release. */
     Resources freeAfterStopping() {
         return free.plus(stopping);
     }
@@ -76,7 +76,7 @@
         return snapshot.images().contains(image);
     }
 
-    /** Images that tasks here still wait for, as far as is known. Concurrent fetches share the machine's rate. */
+    /** Images that the machine's tasks need but that are not known to be fetched. Concurrent fetches share the machine's transfer rate. */
     Set<String> pendingFetches() {
         var fetches = new HashSet<String>();
         for (String image : taskImages) {
@@ -92,12 +92,14 @@
     }
 
     /** Whether the machine has tasks that may be preempted or are being stopped. */
-    @SuppressWarnings("ReferenceEquality") // the constant stands for "none is stopping", also where tasks need nothing
+    @SuppressWarnings(
+            "ReferenceEquality") // identity with the constant means that no task is stopping, even if a stopping task
+    // needs no resources
     boolean hasPreemptibleOrStopping() {
         return !victims.isEmpty() || stopping != Resources.NONE;
     }
 
-    /** What is free once a job has preempted all tasks that it may. */
+    /** Capacity that is free once a job has preempted all tasks that it may preempt. */
     Resources freeAfterPreemptionBy(JobRecord job) {
         Resources capacity = freeAfterStopping();
         for (Victim victim : victims) {
@@ -108,17 +110,17 @@
         return capacity;
     }
 
-    /** Allocates capacity. */
+    /** Subtracts the resources of a task from the free capacity. */
     void allocate(Resources perTask) {
         free = free.minus(perTask);
     }
 
-    /** Notes that the plan allocates or reserves capacity here. */
+    /** Marks the machine as used by the plan. */
     void markPlanned() {
         planned = true;
     }
 
-    /** Notes that the plan places a service replica here. */
+    /** Counts a service replica that the plan places here. */
     void addReplica() {
         replicas++;
     }
@@ -132,12 +134,12 @@
         return tasks > 0 || planned;
     }
 
-    /** Whether service replicas are all that is allocated here, and nothing is planned. */
+    /** Whether only service replicas are allocated here, and nothing else is planned. */
     boolean holdsOnlyReplicas() {
         return tasks > 0 && tasks == replicas && !planned;
     }
 
-    /** Adds a task that is allocated here, as a victim if it may be preempted. */
+    /** Adds a task that is allocated here; it becomes a possible victim unless it is stopping or a gang member. */
     void addAllocated(JobRecord job, Allocation allocation) {
         Resources perTask = job.submission().perTask();
         allocate(perTask);
@@ -151,14 +153,14 @@
         }
     }
 
-    /** Notes that a task here needs an image. */
+    /** Records that a task here needs an image. */
     void addTaskImage(String image) {
         if (taskImages.isEmpty() || !taskImages.get(taskImages.size() - 1).equals(image)) {
             taskImages.add(image);
         }
     }
 
-    /** Reserves for a gang what is being freed and what these victims occupy. */
+    /** Reserves the capacity that is being freed and that of the given victims for the preempting job. */
     void reserve(List<Victim> preempted) {
         reserved = true;
         free = freeAfterStopping();
--- a/src/main/java/org/dunespindle/scheduling/MachineDemand.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineDemand.java
@@ -7,11 +7,11 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 
-/** Reserves capacity, or requests machines, for jobs that are not placed now: queued gangs and forecast jobs. */
+/** Reserves capacity or requests machines for jobs that are not placed by this plan: queued gangs and forecast jobs. */
 final class MachineDemand {
     private final PlanState state;
     private final ZoneChooser zoneChooser;
-    /** By forecast job: for how many of its tasks capacity is reserved. */
+    /** Number of tasks with reserved capacity, by id of the forecast job. */
     private final Map<String, Integer> reservedTasks = new HashMap<>();
 
     MachineDemand(PlanState state, ZoneChooser zoneChooser) {
@@ -19,24 +19,27 @@
         this.zoneChooser = zoneChooser;
     }
 
-    /** Withholds from lower work what higher jobs will need within seconds, and would otherwise have to preempt again. */
-    void reserveForForecast(JobRecord lower) {
+    /** Withholds capacity from a job for higher-priority tasks that are expected within seconds and would otherwise preempt it. */
+    void reserveForForecast(JobRecord lowerPriority) {
         for (DemandForecast.ForecastJob forecast : state.snapshot().forecastJobs()) {
             JobRecord expected = forecast.job();
-            if (expected.submission().priority().compareTo(lower.submission().priority()) > 0) {
+            if (expected.submission()
+                            .priority()
+                            .compareTo(lowerPriority.submission().priority())
+                    > 0) {
                 reservedTasks.computeIfAbsent(expected.id(), id -> reserveForImminent(forecast));
             }
         }
     }
 
-    /** Reserves free capacity on machines that are up for tasks expected within seconds; returns for how many. */
+    /** Reserves free capacity on running machines for tasks that are expected within seconds; returns the number of these tasks. */
     private int reserveForImminent(DemandForecast.ForecastJob forecast) {
         Submission job = forecast.job().submission();
         int remaining = forecast.expectedSoon();
         if (remaining == 0) {
             return 0;
         }
-        // In any zone: which one the next job requires or chooses is not known.
+        // The zone of the next job is not known yet, so any zone is used.
         for (MachineCapacity machine :
                 state.withCapacity(job, state.machines().candidates(job), new ZoneRules(job), true)) {
             while (remaining > 0 && machine.hasCapacity(job.perTask())) {
@@ -48,20 +51,20 @@
     }
 
     /**
-     * Requests the machines of a gang that is queued behind another one of its team. The gang is not placed before its turn; but if machines
-     * were only provisioned then, each gang of a burst would wait for its own machines to boot.
+     * Requests machines for a gang that is queued behind another gang of its team. The gang is placed only once it is at the head of the queue;
+     * if its machines were provisioned only then, each gang of a burst would wait for its own machines to boot.
      */
     void requestForQueued(JobRecord gang) {
         Submission job = gang.submission();
         int missing = gang.unplacedCount();
         if (!state.quota().allows(job, state.quota().unplacedUsage(job.team()), missing)) {
-            return; // its turn is not near
+            return; // the quota does not cover it together with the gangs ahead of it
         }
         reserveOrRequest(gang, missing, state.machines().candidates(job));
         state.quota().addUnplacedUsage(job.team(), job.totalResources());
     }
 
-    /** Reserves or requests capacity for a forecast job; nothing is bound or preempted for it. */
+    /** Reserves or requests capacity for a forecast job, without binding or preempting any task. */
     void requestForForecast(JobRecord forecast) {
         Submission job = forecast.submission();
         int missing = job.tasks() - reservedTasks.getOrDefault(forecast.id(), 0);
@@ -72,7 +75,7 @@
         }
     }
 
-    /** Reserves capacity on some machines, in their order, and requests more where they have too little. */
+    /** Reserves capacity on the given machines, in order, and requests machines for the tasks that do not fit. */
     private void reserveOrRequest(JobRecord job, int tasks, List<MachineCapacity> machines) {
         ZoneRules zones = zoneChooser.rules(job);
         Resources perTask = job.submission().perTask();
--- a/src/main/java/org/dunespindle/scheduling/MachineIndex.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineIndex.java
@@ -8,18 +8,18 @@
 import org.dunespindle.protocol.Submission;
 
 /**
- * Finds the machines that a job may use. Each result is computed once for all jobs with equal requirements, which most jobs share; the order
- * is that of the snapshot.
+ * Finds the machines that a job may use, in the order of the snapshot. Each result is cached for all jobs with equal requirements, since most
+ * jobs share theirs with others.
  */
 final class MachineIndex {
     private final List<MachineCapacity> machines;
     private final Map<String, MachineCapacity> byId;
     private final Map<Eligibility, List<MachineCapacity>> eligible = new HashMap<>();
     private final Map<ImageEligibility, List<MachineCapacity>> eligibleWithImage = new HashMap<>();
-    /** Machines by the images that they have; filled on first use. */
+    /** Machines by image, filled on first use. */
     private final Map<String, List<MachineCapacity>> byImage = new HashMap<>();
 
-    /** A job's requirements of a machine, apart from capacity and zone rules. */
+    /** A job's requirements for a machine, apart from capacity and zone rules. */
     private record Eligibility(boolean spot, Optional<String> zone, Optional<List<String>> types) {
         static Eligibility of(Submission job) {
             return new Eligibility(job.spot(), job.zone(), job.types());
@@ -44,12 +44,12 @@
         }
     }
 
-    /** A machine of the snapshot. */
+    /** A machine by its id; empty if the snapshot does not contain it. */
     Optional<MachineCapacity> machine(String id) {
         return Optional.ofNullable(byId.get(id));
     }
 
-    /** Machines that a job may use, whatever its zone rules allow. */
+    /** Machines that a job may use, before its zone rules are applied. */
     List<MachineCapacity> candidates(Submission job) {
         var eligibility = Eligibility.of(job);
         List<MachineCapacity> known = eligible.get(eligibility);
@@ -60,7 +60,7 @@
         return known;
     }
 
-    /** Those candidates of a job that have its image. */
+    /** The candidates of a job that have its image. */
     List<MachineCapacity> candidatesWithImage(Submission job) {
         var key = new ImageEligibility(Eligibility.of(job), job.image());
         List<MachineCapacity> known = eligibleWithImage.get(key);
--- a/src/main/java/org/dunespindle/scheduling/MachineScore.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineScore.java
@@ -9,16 +9,16 @@
 import org.dunespindle.protocol.Submission;
 
 /**
- * Scores how well a machine suits a task, for bin packing: up before booting, a fetched image before a cheap machine, cheap machines before
- * expensive ones, few fetches before many, full machines before empty ones.
+ * Scores how well a machine suits a task, for best-fit bin packing. Preferred in this order: running over booting machines, machines that have
+ * the image, cheaper (spot) machines, machines with fewer image fetches, fuller machines.
  */
 final class MachineScore {
     private static final double UP_SCORE = 8;
     private static final double IMAGE_SCORE = 3;
     private static final double SPOT_SCORE = 2;
-    /** For a machine that is fetching the image already. */
+    /** Score of a machine that is already fetching the image. */
     private static final double PENDING_FETCH_SCORE = 1;
-    /** For each fetch of another image: concurrent fetches share the machine's rate. */
+    /** Penalty for each fetch of another image, because concurrent fetches share the machine's transfer rate. */
     private static final double OTHER_FETCH_PENALTY = 1.5;
 
     private static final int MAX_OTHER_FETCHES_COUNTED = 2;
@@ -32,10 +32,10 @@
         MachineSnapshot snapshot = machine.snapshot();
         double up = snapshot.up() ? UP_SCORE : 0;
         double spot = snapshot.spot() && job.spot() ? SPOT_SCORE : 0;
-        return up + spot + imageScore(job.image(), machine) + allocatedPart(machine);
+        return up + spot + imageScore(job.image(), machine) + allocatedFraction(machine);
     }
 
-    /** The machine with the highest score of those that match; the first of equal ones. */
+    /** The matching machine with the highest score; the first one among equals. */
     static Optional<MachineCapacity> best(
             List<MachineCapacity> candidates,
             Predicate<MachineCapacity> matches,
@@ -54,7 +54,7 @@
         return Optional.ofNullable(best);
     }
 
-    private static double allocatedPart(MachineCapacity machine) {
+    private static double allocatedFraction(MachineCapacity machine) {
         Resources size = machine.snapshot().capacity();
         return size.gpus() > 0
                 ? 1 - machine.free().gpus() / size.gpus()
--- a/src/main/java/org/dunespindle/scheduling/MachineSnapshot.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineSnapshot.java
@@ -4,13 +4,13 @@
 import org.dunespindle.protocol.Resources;
 
 /**
- * A machine as a plan sees it.
+ * The state of a machine as input of a plan.
  *
  * @param spot whether the cloud may reclaim the machine at short notice
- * @param capacity what the machine offers when it is empty
- * @param up whether it accepts tasks; otherwise it is planned as a booting one
- * @param owned whether this controller owns it and so may place tasks on it
- * @param images the images that it has fetched
+ * @param capacity the total resources of the machine
+ * @param up whether it accepts tasks; otherwise it is planned as a booting machine
+ * @param owned whether this controller owns it and may therefore place tasks on it
+ * @param images the images present on the machine
  */
 public record MachineSnapshot(
         String id,
--- a/src/main/java/org/dunespindle/scheduling/ObjectiveKind.java
+++ b/src/main/java/org/dunespindle/scheduling/ObjectiveKind.java
@@ -2,11 +2,11 @@
 
 import org.dunespindle.protocol.Settings;
 
-/** What a service-level objective measures. */
+/** The kinds of service-level objectives. */
 enum ObjectiveKind {
-    /** How long a job waits before it starts. */
+    /** The time that a job waits before it starts. */
     WAIT("wait"),
-    /** The time until a job has finished. */
+    /** The time until a job has finished, from its arrival. */
     FINISHED("finished"),
     /** The time until a job has finished, as a multiple of its own deadline. */
     DEADLINE("deadline");
@@ -17,7 +17,7 @@
         this.setting = setting;
     }
 
-    /** Whether an objective from the settings is of this kind. */
+    /** Whether an objective in the settings is of this kind. */
     boolean matches(Settings.Objective objective) {
         return objective.kind().equals(setting);
     }
--- a/src/main/java/org/dunespindle/scheduling/Plan.java
+++ b/src/main/java/org/dunespindle/scheduling/Plan.java
@@ -5,15 +5,15 @@
 import java.util.Set;
 
 /**
- * The outcome of planning.
+ * The decisions of one planning round.
  *
  * @param bindings tasks to be allocated, in the order of planning
- * @param evictions tasks to be preempted
- * @param shortfalls tasks that need machines which the cluster does not have
- * @param waitReasons why jobs wait, by job id
+ * @param evictions tasks to be preempted for other jobs
+ * @param shortfalls tasks that fit on no machine of the cluster, not even on a booting one
+ * @param waitReasons why jobs wait, by job id, as shown to users
  * @param wantedMachines ids of the machines that the plan uses or reserves
- * @param gangMachines ids of those of them that gangs are planned on
- * @param moves service replicas to be stopped so that they run elsewhere
+ * @param gangMachines ids of the machines, among these, on which gangs are planned
+ * @param moves service replicas to be stopped in order to be started on another machine
  */
 public record Plan(
         List<Binding> bindings,
@@ -23,6 +23,6 @@
         Set<String> wantedMachines,
         Set<String> gangMachines,
         List<Eviction> moves) {
-    /** The plan of a controller that has not planned yet. */
+    /** The empty plan, in use until the first plan is made. */
     public static final Plan NONE = new Plan(List.of(), List.of(), List.of(), Map.of(), Set.of(), Set.of(), List.of());
 }
--- a/src/main/java/org/dunespindle/scheduling/PlanRun.java
+++ b/src/main/java/org/dunespindle/scheduling/PlanRun.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import org.dunespindle.storage.JobRecord;
 
-/** Makes one plan: takes the jobs in their order and places each with the planner for its kind. */
+/** Makes one plan: goes through the jobs in planning order and places each with the planner for its kind. */
 final class PlanRun {
-    /** For how many gangs queued behind others of their team machines are requested before their turn. */
+    /** The maximum number of gangs, queued behind others of their team, for which machines are requested in advance. */
     private static final int MAX_QUEUED_GANGS_TO_PROVISION_FOR = 12;
 
     private final PlanState state;
@@ -19,7 +19,7 @@
     private final ServicePlanner services;
     private final ServiceRebalancer rebalancer;
     private final MachineDemand demand;
-    /** Arrays of equal rank, to be placed together. */
+    /** Consecutive arrays of equal rank, collected in order to be placed together. */
     private final List<JobRecord> equalArrays = new ArrayList<>();
 
     private final List<JobRecord> queuedGangs = new ArrayList<>();
@@ -36,7 +36,7 @@
         demand = new MachineDemand(state, zoneChooser);
     }
 
-    /** Makes the plan. To be called once. */
+    /** Makes the plan. Must be called only once. */
     Plan run() {
         JobRecord before = null;
         for (JobRecord job : order.jobs()) {
@@ -61,7 +61,7 @@
         Optional<Instant> backoffUntil =
                 job.notBefore().filter(until -> until.isAfter(state.snapshot().now()));
         if (backoffUntil.isPresent()) {
-            state.replaceWaitReason(job, "its tasks fail or were refused; tried again at " + backoffUntil.get());
+            state.replaceWaitReason(job, "its tasks failed or were rejected; will be retried at " + backoffUntil.get());
         } else if (job.submission().isService()) {
             services.place(job);
         } else if (gang) {
@@ -77,7 +77,7 @@
             return;
         }
         String head = queues.head(gang.submission().team()).map(JobRecord::id).orElse("another");
-        state.replaceWaitReason(gang, "behind gang " + head + " of its team");
+        state.replaceWaitReason(gang, "queued behind gang " + head + " of its team");
         queuedGangs.add(gang);
     }
 
--- a/src/main/java/org/dunespindle/scheduling/PlanState.java
+++ b/src/main/java/org/dunespindle/scheduling/PlanState.java
@@ -13,7 +13,7 @@
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
-/** A plan under construction: what is left of machines and quotas, and what has been decided so far. */
+/** A plan under construction: the remaining capacity and quotas, and the decisions made so far. */
 final class PlanState {
     private final ClusterSnapshot snapshot;
     private final MachineIndex machines;
@@ -25,9 +25,9 @@
     private final Map<String, String> waitReasons = new LinkedHashMap<>();
     private final Set<String> wantedMachines = new HashSet<>();
     private final Set<String> gangMachines = new HashSet<>();
-    /** By job: how many of its tasks have ended but are still allocated; the job's next placement releases them. */
+    /** Number of tasks, by job id, that have ended but are still allocated; the job's next placement releases them. */
     private final Map<String, Integer> endedTasks = new HashMap<>();
-    /** Jobs with ended tasks. Most jobs have none, and a lookup by job is cheaper than one by task attempt. */
+    /** Ids of jobs with ended tasks. Most jobs have none, and a lookup by job is cheaper than one by task attempt. */
     private final Set<String> jobsWithEndedTasks = new HashSet<>();
 
     PlanState(ClusterSnapshot snapshot) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Allocations that other controllers have stored occupy capacity even if this controller's proposal for the job lacks them. */
+    /** Allocations stored by other controllers occupy capacity even if this controller's proposal for the job does not contain them. */
     private void occupyUnprojected(ProjectedJob job) {
         for (Allocation allocation : job.unprojectedAllocations()) {
             if (!hasEnded(job.stored(), allocation)) {
@@ -71,27 +71,27 @@
                         .contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
     }
 
-    /** What the plan is made from. */
+    /** The input of the plan. */
     ClusterSnapshot snapshot() {
         return snapshot;
     }
 
-    /** The machines, with what is left of their capacity. */
+    /** The machines with their remaining capacity. */
     MachineIndex machines() {
         return machines;
     }
 
-    /** What is left of the teams' quotas. */
+    /** The remaining quotas of the teams. */
     QuotaBudget quota() {
         return quota;
     }
 
-    /** The plan as decided so far. */
+    /** The plan with all decisions made so far. */
     Plan plan() {
         return new Plan(bindings, evictions, shortfalls, waitReasons, wantedMachines, gangMachines, moves);
     }
 
-    /** How many of a job's allocated tasks have ended; their entries in its record are free for others. */
+    /** How many of a job's allocated tasks have ended; their entries in its record can be reused. */
     int endedTasks(JobRecord job) {
         return endedTasks.getOrDefault(job.id(), 0);
     }
@@ -106,47 +106,47 @@
         }
     }
 
-    /** Reserves capacity for a task that is not placed now. */
+    /** Reserves capacity for a task without placing it. */
     void reserveCapacity(Submission job, MachineCapacity machine) {
         machine.allocate(job.perTask());
         machine.markPlanned();
         wantedMachines.add(machine.snapshot().id());
     }
 
-    /** Binds a job's tasks to machines, by task index. */
+    /** Binds tasks of a job to machines; does nothing if there are none. */
     void bind(JobRecord job, Map<Integer, String> places) {
         if (!places.isEmpty()) {
             bindings.add(new Binding(job, places));
         }
     }
 
-    /** Preempts a task for a job. */
+    /** Decides to preempt a task for a job. */
     void evict(MachineCapacity.Victim victim, JobRecord forJob) {
         evictions.add(new Eviction(victim.job(), victim.allocation(), forJob.id()));
     }
 
-    /** Stops a replica of a service, so that it runs elsewhere. */
+    /** Decides to stop a service replica in order to start it on another machine. */
     void move(MachineCapacity.Victim replica) {
         moves.add(
                 new Eviction(replica.job(), replica.allocation(), replica.job().id()));
     }
 
-    /** Notes that some of a job's tasks fit on no machine, not even on a booting one. */
+    /** Records that some tasks of a job fit on no machine, not even on a booting one. */
     void addShortfall(JobRecord job, int tasks, Optional<String> zone) {
         shortfalls.add(new Shortfall(job, tasks, zone));
     }
 
-    /** Notes why a job waits, unless a reason has been noted before. */
+    /** Records why a job waits, unless a reason is already recorded. */
     void addWaitReason(JobRecord job, String reason) {
         waitReasons.putIfAbsent(job.id(), reason);
     }
 
-    /** Notes why a job waits, in place of any reason noted before. */
+    /** Records why a job waits, replacing any earlier reason. */
     void replaceWaitReason(JobRecord job, String reason) {
         waitReasons.put(job.id(), reason);
     }
 
-    /** Those of some machines that have capacity for a task and are allowed by its zone rules, the best first. */
+    /** The candidates that have capacity for a task and are allowed by its zone rules, ordered by descending score. */
     List<MachineCapacity> withCapacity(
             Submission job, Collection<MachineCapacity> candidates, ZoneRules zones, boolean upOnly) {
         var found = new ArrayList<MachineCapacity>();
--- a/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
@@ -10,22 +10,22 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.storage.JobRecord;
 
-/** Chooses which tasks of lower priority are preempted for a job. */
+/** Chooses the lower-priority tasks that are preempted for a job, by least cost. */
 final class PreemptionPlanner {
-    /** The cost of an image fetch, in work. */
+    /** The cost of an image fetch, as an equivalent amount of lost work. */
     private static final Duration FETCH_COST = Duration.ofSeconds(20);
 
-    /** The most that the work lost by one preempted task counts. */
+    /** The maximum cost of the work that a victim without checkpoints loses. */
     private static final Duration MAX_LOST_WORK = Duration.ofSeconds(120);
     /** The cost of stopping any task, in milliseconds of work. */
     private static final long STOP_COST_MILLIS = 1000;
 
-    /** Tasks that are being stopped already cost nothing more, and must come first: no second machine is to be emptied for them. */
+    /** Tasks that are already being stopped cost nothing more. Their machine is chosen first, so that no further victims are stopped elsewhere. */
     private static final long ALREADY_STOPPING_COST = -1;
 
     private final PlanState state;
 
-    /** A way to free capacity for one task on a machine: the victims, and the cost of preempting them. */
+    /** One way to free capacity for a task on a machine: the victims and the cost of preempting them. */
     private record PreemptionOption(MachineCapacity machine, List<MachineCapacity.Victim> victims, long cost) {}
 
     PreemptionPlanner(PlanState state) {
@@ -33,14 +33,14 @@
     }
 
     /**
-     * Whether a job may preempt a task. Priority decides both preemption and the order of planning: with different orders, lower work
-     * would take the freed capacity back at once, and the job would preempt again and again.
+     * Whether a job may preempt a task. Both preemption and the planning order depend on priority: if they differed, the preempted job could be
+     * placed on the freed capacity first, and preemption would repeat endlessly.
      */
     static boolean mayPreempt(JobRecord job, MachineCapacity.Victim victim) {
         return victim.job().submission().priority().compareTo(job.submission().priority()) < 0;
     }
 
-    /** Frees capacity for some tasks of a job at the least cost; returns for how many of them none could be freed. */
+    /** Frees capacity for tasks of a job at the least cost; returns the number of tasks for which none could be freed. */
     int preemptFor(JobRecord job, List<MachineCapacity> candidates, ZoneRules zones, int tasks) {
         var options = new PriorityQueue<PreemptionOption>(Comparator.comparingLong(PreemptionOption::cost)
                 .thenComparing(option -> option.machine.snapshot().id()));
@@ -69,11 +69,11 @@
         state.allocate(job.submission(), chosen.machine);
         state.addWaitReason(
                 job,
-                "waits for lower work to give way on "
+                "waits for lower-priority tasks to be preempted on "
                         + chosen.machine.snapshot().id());
     }
 
-    /** How capacity for one task can be freed on a machine; empty if preempting lower work there does not suffice. */
+    /** The way to free capacity for one task on a machine; empty if preempting its lower-priority tasks does not suffice. */
     private Optional<PreemptionOption> option(JobRecord job, MachineCapacity machine) {
         if (!machine.hasPreemptibleOrStopping()) {
             return Optional.empty();
@@ -106,7 +106,7 @@
         return cost;
     }
 
-    /** The work that is lost by stopping a task: what it did since its start, or at most one checkpoint interval. */
+    /** The work that is lost by stopping a task: its running time, but at most one checkpoint interval or the maximum. */
     private Duration lostWork(MachineCapacity.Victim victim) {
         Submission job = victim.job().submission();
         var started = new JobAttempt(victim.job().id(), victim.allocation().attemptBase());
--- a/src/main/java/org/dunespindle/scheduling/ProjectedJob.java
+++ b/src/main/java/org/dunespindle/scheduling/ProjectedJob.java
@@ -8,30 +8,30 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * A job as it is stored, as far as the replica has applied changes, and as this controller expects it to become. The projected record
- * may never be stored: another controller may have changed the job since. It shows where this controller's proposals lead and proves nothing
- * about the stored state.
+ * A job record as stored, according to the local replica, together with the record as it will be if this controller's proposals are stored.
+ * The projected record may never be stored, because another controller may have changed the job in the meantime; it implies nothing about
+ * the stored state.
  *
  * @param stored the record in the replica
- * @param projected the record that this controller has proposed, if any, with the tasks marked that are about to be preempted
+ * @param projected the record that this controller has proposed, or the stored one, with tasks that are about to be preempted marked as stopping
  */
 public record ProjectedJob(JobRecord stored, JobRecord projected) {
-    /** A job for which this controller has proposed nothing. */
+    /** A job without a pending proposal by this controller. */
     public static ProjectedJob unchanged(JobRecord stored) {
         return new ProjectedJob(stored, stored);
     }
 
     /**
-     * The number of tasks that count against quotas: all that are stored, and those that are proposed in addition. A proposal that releases
-     * tasks frees nothing before it is stored.
+     * The number of tasks that count against the quota: all stored ones and any that are proposed in addition. A proposal that releases tasks
+     * frees no quota before it is stored.
      */
     int countedTasks() {
         return projected.allocations().size() + unprojectedAllocations().size();
     }
 
-    /** Stored allocations that the projected record does not contain: it is stale, or releases them. */
+    /** Stored allocations that the projected record does not contain, because it is stale or releases them. */
     @SuppressWarnings(
-            "ReferenceEquality") // the same object stands for "nothing is projected"; comparing records would be costly
+            "ReferenceEquality") // identity means that nothing is proposed; comparing the records would be costly
     public List<Allocation> unprojectedAllocations() {
         if (stored == projected) {
             return List.of();
--- a/src/main/java/org/dunespindle/scheduling/ProjectedJobs.java
+++ b/src/main/java/org/dunespindle/scheduling/ProjectedJobs.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import org.dunespindle.storage.JobRecord;
 
-/** The active jobs of a snapshot, each as stored and as this controller expects it to become. */
+/** The active jobs of a snapshot, each with its stored and its projected record. */
 public final class ProjectedJobs {
     private final List<ProjectedJob> all;
     private final List<JobRecord> records;
     private final List<ProjectedJob> withUnprojectedAllocations;
 
-    /** Projects these jobs; the order is kept. */
+    /** Creates the collection; the order of the jobs is kept. */
     public ProjectedJobs(List<ProjectedJob> all) {
         this.all = all;
         this.records = new ArrayList<>(all.size());
@@ -23,17 +23,17 @@
         }
     }
 
-    /** Jobs for which this controller has proposed nothing. */
+    /** Jobs without any pending proposal by this controller. */
     public static ProjectedJobs ofStored(List<JobRecord> stored) {
         return new ProjectedJobs(stored.stream().map(ProjectedJob::unchanged).toList());
     }
 
-    /** The projected records, in order. */
+    /** The projected records, in the given order. */
     public List<JobRecord> records() {
         return records;
     }
 
-    /** Jobs with stored allocations that the projected record does not contain. */
+    /** Jobs with stored allocations that their projected record does not contain. */
     public List<ProjectedJob> withUnprojectedAllocations() {
         return withUnprojectedAllocations;
     }
--- a/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
+++ b/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
@@ -14,16 +14,19 @@
  * reservation changes, each controller may add up to one share of usage; such placements have the reservation's revision as a
  * precondition but do not write it. The bound and all shares together never exceed the quota.
  *
- * <p>A controller that has used up its share writes a new reservation. Its bound is the usage that the controller knows of, plus
- * everything the other controllers may have added that it has not seen. Where that bound is too coarse for a request, the shares are
+ * <p>A controller that has used up its share writes a new reservation. Its bound is the usage in the controller's replica, plus
+ * everything that the other controllers may have added unseen. If that bound is too coarse for a request, the shares are
  * revoked first: from then on every placement writes the reservation, so a replica that has applied the reservation's revision shows
  * the exact usage.
  */
 public final class QuotaAdmission {
-    /** Stands for an unlimited quota; sums with it stay exact enough to compare. */
+    /** Finite substitute for an unlimited quota; sums with it stay exact enough to compare. */
     private static final double UNLIMITED = 1e12;
-    /** A smaller part of the quota would be used up at once, so no shares are granted and every placement writes the reservation. */
-    private static final double MIN_SHARE_OF_QUOTA = 0.04;
+    /**
+     * The smallest share that is granted, as a fraction of the quota. A smaller one would be used up immediately, so no shares are granted
+     * then and every placement writes the reservation.
+     */
+    private static final double MIN_SHARE_FRACTION = 0.04;
 
     private QuotaAdmission() {}
 
@@ -31,7 +34,7 @@
      * A team's stored quota reservation.
      *
      * @param bound upper bound of the team's usage when the reservation was written
-     * @param share what each controller may add without writing a new reservation
+     * @param share the usage that each controller may add without writing a new reservation
      */
     public record Reservation(Resources bound, Resources share) {
         static final Reservation NONE = new Reservation(Resources.NONE, Resources.NONE);
@@ -41,7 +44,7 @@
         private static final String SHARE_CPUS = "shareCpus";
         private static final String SHARE_GPUS = "shareGpus";
 
-        /** Decodes the stored form; a team without one has nothing reserved. */
+        /** Decodes the stored form; without one, nothing is reserved. */
         public static Reservation fromJson(Optional<JsonNode> stored) {
             return stored.map(Reservation::decode).orElse(NONE);
         }
@@ -77,19 +80,19 @@
         /** Admitted together with a write of this new reservation. */
         record AdmitWithReservation(Reservation reservation) implements Decision {}
 
-        /** Not admitted yet: this reservation, which revokes the shares, has to be written first. */
+        /** Not admitted yet: this reservation, which revokes the shares, must be written first. */
         record RevokeShares(Reservation reservation) implements Decision {}
 
-        /** Not admitted now. */
+        /** Not admitted now; the request may be repeated later. */
         record Defer(DeferReason reason) implements Decision {}
     }
 
     /** Why a request is deferred. */
     public enum DeferReason {
-        /** The known usage and the request together exceed the quota. */
-        LIMIT_REACHED("its limit is used up by what is stored and under way"),
+        /** The usage in the replica and the request together exceed the quota. */
+        LIMIT_REACHED("its limit is used up by stored and proposed placements"),
         /** The replica has not applied the reservation's revision yet, so the usage it shows may be too low. */
-        REPLICA_BEHIND_RESERVATION("what is known here does not reach up to its record");
+        REPLICA_BEHIND_RESERVATION("this controller's replica has not applied the team's reservation yet");
 
         private final String text;
 
@@ -97,23 +100,23 @@
             this.text = text;
         }
 
-        /** The reason as operators read it in the administration API. */
+        /** The reason as shown to operators by the administration API. */
         public String text() {
             return text;
         }
     }
 
     /**
-     * What one controller knows of a team's quota.
+     * The state of a team's quota as seen by one controller.
      *
-     * @param controllers how many controllers there may be
+     * @param controllers the maximum number of controllers in the cell
      * @param reservationRevision the revision at which the reservation was written
      * @param appliedRevision the revision up to which this controller's replica has applied changes
      * @param mayUseShare whether this process may use its share: it was running when the reservation was written, so no earlier
-     *     process of the same name used any of it
-     * @param accountedUsage what this controller has added under this reservation
-     * @param unacknowledged what of that may or may not have been stored
-     * @param usage all stored allocations and those that this controller has proposed; never less than what was stored when the
+     *     process with the same node name can have used any of it
+     * @param accountedUsage the usage that this controller has added under this reservation
+     * @param unacknowledged the part of that usage whose transactions were not acknowledged, so that it may or may not be stored
+     * @param usage all stored allocations and those that this controller has proposed; never less than the usage stored when the
      *     reservation was written, provided that the replica has applied that revision
      */
     public record QuotaView(
@@ -134,14 +137,14 @@
             return mayUseShare && !reservation.hasNoShare() && within(accountedUsage.plus(request), reservation.share);
         }
 
-        /** An upper bound of the team's usage, whatever the other controllers have added unseen. */
+        /** An upper bound of the team's usage, including all that other controllers may have added unseen. */
         private Resources usageBound() {
             int unseenShares = mayUseShare ? controllers - 1 : controllers;
             return usage.plus(reservation.share.times(unseenShares)).plus(unacknowledged);
         }
     }
 
-    /** Decides whether tasks that need so much may be placed. */
+    /** Decides whether tasks that need the requested resources may be placed. */
     public static Decision decide(QuotaView view, Resources request) {
         if (!view.team.withinLimit(view.usage.plus(request))) {
             return new Decision.Defer(DeferReason.LIMIT_REACHED);
@@ -157,15 +160,15 @@
         if (view.team.withinLimit(newBound)) {
             return new Decision.AdmitWithReservation(reservationFor(view.team, newBound, view.controllers));
         }
-        // The known usage leaves room, so the bound is too coarse: unseen shares or unacknowledged placements are in
-        // it. A new
-        // reservation voids the transactions that are still in flight, and a replica that has applied it shows those
-        // that were
-        // stored. Without that, a team near its quota would wait forever after a few missing answers.
+        // The usage in the replica is within the limit, so the bound is too coarse: it includes unseen shares or
+        // unacknowledged placements. A new reservation fails the preconditions of transactions that are still in
+        // flight,
+        // and a replica that has applied it shows all those that were stored. Otherwise, after a few missing answers, a
+        // team near its quota would wait forever.
         return new Decision.RevokeShares(new Reservation(bound, Resources.NONE));
     }
 
-    /** A reservation whose shares are equal parts of what the bound leaves of the quota. */
+    /** A reservation that divides the quota remaining above the bound into equal shares. */
     private static Reservation reservationFor(Settings.Team team, Resources bound, int controllers) {
         double cpus = sharePerController(team.cpusMax(), bound.cpus(), controllers);
         double gpus = sharePerController(team.gpusMax(), bound.gpus(), controllers);
@@ -175,7 +178,7 @@
     private static double sharePerController(double quota, double bound, int controllers) {
         double limit = Math.min(quota, UNLIMITED);
         double share = (limit - bound) / controllers;
-        return share < limit * MIN_SHARE_OF_QUOTA ? 0 : share;
+        return share < limit * MIN_SHARE_FRACTION ? 0 : share;
     }
 
     private static boolean within(Resources sum, Resources share) {
--- a/src/main/java/org/dunespindle/scheduling/QuotaBudget.java
+++ b/src/main/java/org/dunespindle/scheduling/QuotaBudget.java
@@ -6,13 +6,13 @@
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
 
-/** What is left of the teams' quotas while a plan is made. */
+/** The remaining quotas of the teams while a plan is made. */
 final class QuotaBudget {
     private final Map<String, Settings.Team> teams;
     private final TeamUsage usage;
-    /** By team: what its unplaced tasks would add to its usage. It bounds scale-out, but keeps no other job from being placed. */
+    /** Usage that unplaced tasks would add, by team. It limits scale-out, but does not prevent the placement of other jobs. */
     private final Map<String, Resources> unplacedUsage = new HashMap<>();
-    /** By team: what a gang that has waited long needs of the quota, withheld from the team's later work. */
+    /** Quota needed by a gang that has waited long, by team; withheld from the team's later jobs. */
     private final Map<String, Resources> reserved = new HashMap<>();
 
     QuotaBudget(Map<String, Settings.Team> teams, TeamUsage usage) {
@@ -20,19 +20,19 @@
         this.usage = usage;
     }
 
-    /** Whether the quota leaves room for so many of a job's tasks. */
+    /** Whether the quota allows the given number of a job's tasks. */
     boolean allows(Submission job, int tasks) {
         return allows(job, Resources.NONE, tasks);
     }
 
-    /** Whether the quota leaves room for so many of a job's tasks in addition to some other usage. */
+    /** Whether the quota allows the given number of a job's tasks in addition to some other usage. */
     boolean allows(Submission job, Resources otherUsage, int tasks) {
         Settings.Team team = teams.get(job.team());
         Resources before = usage.of(job.team()).plus(otherUsage);
         return team != null && team.withinLimit(before.plus(job.perTask().times(tasks)));
     }
 
-    /** For how many of a job's tasks, up to a maximum, the quota leaves room in addition to some other usage; by binary search. */
+    /** The number of a job's tasks, up to a maximum, that the quota allows in addition to some other usage; found by binary search. */
     int maxTasks(Submission job, Resources otherUsage, int maximum) {
         int low = 0;
         int high = maximum;
@@ -47,12 +47,12 @@
         return low;
     }
 
-    /** Counts tasks that the plan allocates. */
+    /** Adds tasks that the plan allocates to their team's usage. */
     void allocate(Submission job, int tasks) {
         usage.add(job, tasks);
     }
 
-    /** What is withheld from a team's later work for a waiting gang. */
+    /** The quota that is withheld from a team's later jobs for a waiting gang. */
     Resources reserved(String team) {
         return reserved.getOrDefault(team, Resources.NONE);
     }
@@ -62,12 +62,12 @@
         reserved.put(team, amount);
     }
 
-    /** What the team's unplaced tasks would add to its usage. */
+    /** The usage that the team's unplaced tasks would add. */
     Resources unplacedUsage(String team) {
         return unplacedUsage.getOrDefault(team, Resources.NONE);
     }
 
-    /** Counts tasks for which no capacity was found. */
+    /** Adds the resources of tasks for which no capacity was found. */
     void addUnplacedUsage(String team, Resources amount) {
         unplacedUsage.merge(team, amount, Resources::plus);
     }
--- a/src/main/java/org/dunespindle/scheduling/ServiceLevelObjectives.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceLevelObjectives.java
@@ -9,11 +9,11 @@
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
 
-/** The times within which jobs should finish: multiples of their own deadline, or the completion objectives of their class. */
+/** The times within which jobs should finish: multiples of a job's own deadline, or the completion objectives of its class. */
 public final class ServiceLevelObjectives {
-    /** By job class, shortest first. */
+    /** Completion times by job class, shortest first. */
     private final Map<String, TreeSet<Duration>> completionTimes = new HashMap<>();
-    /** By job class, as multiples of the job's deadline, least first. */
+    /** Multiples of the job's deadline by job class, smallest first. */
     private final Map<String, TreeSet<Double>> deadlineMultiples = new HashMap<>();
 
     /** Reads the completion objectives from the settings; objectives of other kinds are ignored. */
@@ -45,7 +45,7 @@
                         .toList();
     }
 
-    /** The shortest objective of a job. */
+    /** The shortest objective of a job; empty if it has none. */
     public Optional<Duration> nearest(Submission job) {
         return all(job).stream().findFirst();
     }
--- a/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
@@ -13,29 +13,29 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Places the replicas of services, which are small and run for long. Those of one service go to different machines and, where there is a
- * choice, to different zones, so that a failure affects few of them. Those of different services share machines, since a machine that holds a
- * single replica costs as much as a full one.
+ * Places the replicas of services, which are small and long-running. Replicas of one service are spread over machines and, where possible, over
+ * zones, so that a failure affects few of them. Replicas of different services share machines, since a machine with a single replica costs as
+ * much as a full one.
  */
 final class ServicePlanner {
     /**
-     * For the service's own replicas on the machine, by the square of their number: a second one may go where the image is, because a
-     * fetch takes longer than the rest of a start; a third one goes elsewhere.
+     * Penalty for other replicas of the same service on the machine, multiplied by the square of their number. A second replica may still be
+     * placed on a machine that has the image, because a fetch takes longer than the rest of the start; a third one is placed elsewhere.
      */
     private static final double SAME_SERVICE_PENALTY = 5;
-    /** For a machine that has the image, in addition to the score that other work gets. */
+    /** Score of a machine that has the image, in addition to the score that applies to all jobs. */
     private static final double IMAGE_SCORE = 4;
-    /** For a machine with fetches in progress, which share its rate. */
+    /** Penalty for a machine with image fetches in progress, which share its transfer rate. */
     private static final double OTHER_FETCHES_PENALTY = 2;
-    /** For each of the service's replicas in the machine's zone. */
+    /** Penalty for each replica of the service in the machine's zone. */
     private static final double SAME_ZONE_PENALTY = 2;
-    /** For a machine that holds replicas of other services, but not too many. */
+    /** Score of a machine with replicas of other services, up to the maximum below. */
     private static final double OTHER_SERVICES_SCORE = 2;
-    /** A machine with so many replicas is not preferred any more: its failure would affect too many. */
+    /** A machine with this many replicas is no longer preferred, because its failure would affect too many of them. */
     private static final int MAX_SHARED_REPLICAS = 6;
-    /** For a machine on which a task that requests accelerators would no longer fit beside the replica. */
+    /** Penalty for a machine on which an accelerator task fits without the replica but not beside it. */
     private static final double ACCELERATOR_DISPLACEMENT_PENALTY = 4;
-    /** For a machine that would otherwise be unused and could be terminated. */
+    /** Penalty for a machine that is otherwise unused and could be terminated. */
     private static final double UNUSED_MACHINE_PENALTY = 1.5;
 
     private final PlanState state;
@@ -60,7 +60,7 @@
         return List.copyOf(requests);
     }
 
-    /** The state of one service while its replicas are placed. */
+    /** Placement progress of one service. */
     private final class ServiceProgress {
         final JobRecord job;
         final Submission submission;
@@ -77,7 +77,7 @@
             this.zones = zoneChooser.rules(job);
             this.perZone = state.tasksPerZone(job);
             int allocated = job.allocations().size();
-            // A crash-looping service has one replica at a time started in addition to those that run.
+            // For a crash-looping service, one replica at a time is started in addition to the running ones.
             int maxNew = Math.max(1, state.snapshot().maxAllocatedTasks().applyAsInt(job) - allocated);
             this.remaining = state.quota().maxTasks(submission, Resources.NONE, Math.min(maxNew, job.unplacedCount()));
             this.unplaced = job.unplaced(remaining).iterator();
@@ -96,18 +96,19 @@
         }
     }
 
-    /** Places what can be placed of a service, preempts lower work where capacity is missing, and requests machines for the rest. */
+    /** Places as many replicas of a service as possible, preempts lower-priority tasks for others, and requests machines for the rest. */
     void place(JobRecord job) {
         var service = new ServiceProgress(job);
         if (service.remaining < job.unplacedCount()) {
-            state.addWaitReason(job, "its team's limit is used up, or its replicas fail and are tried one at a time");
+            state.addWaitReason(job, "its team's limit is used up, or its replicas fail and are retried one at a time");
         }
         List<MachineCapacity> candidates = state.machines().candidates(service.submission);
         List<MachineCapacity> owned = candidates.stream()
                 .filter(machine -> machine.snapshot().owned())
                 .toList();
         boolean deferred = state.snapshot().deferredJobs().contains(job.id());
-        // Tasks can be bound to owned machines only; the others show whether capacity is missing in the cluster.
+        // Tasks can be bound only to owned machines; the others are included to determine whether the cluster lacks
+        // capacity.
         fill(service, owned, true);
         fill(service, candidates, true);
         if (service.remaining > 0 && !deferred) {
@@ -128,14 +129,15 @@
         int before = service.remaining;
         service.remaining = preemption.preemptFor(service.job, owned, service.zones, before);
         if (service.remaining < before) {
-            state.addWaitReason(service.job, "waits for lower work to give way");
+            state.addWaitReason(service.job, "waits for lower-priority tasks to be preempted");
         }
     }
 
     private void requestMachines(ServiceProgress service) {
         int missing = service.remaining;
         Submission submission = service.submission;
-        state.addWaitReason(service.job, "no room for " + missing + " of its replicas on machines they may use");
+        state.addWaitReason(
+                service.job, "no free capacity for " + missing + " of its replicas on machines that they may use");
         state.addShortfall(service.job, missing, service.zones.requiredZone());
         state.quota().addUnplacedUsage(submission.team(), submission.perTask().times(missing));
     }
@@ -183,7 +185,7 @@
                 : score;
     }
 
-    /** Scores how soon a replica would run on a machine, as far as image fetches decide it. */
+    /** Scores how soon a replica would run on a machine, considering only image fetches. */
     static double startupScore(Submission submission, MachineCapacity machine) {
         if (machine.hasImage(submission.image())) {
             return IMAGE_SCORE;
--- a/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
@@ -9,15 +9,16 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Moves service replicas off machines that are about to be terminated, each only if capacity is found for it elsewhere, and one at a time off
- * machines that could be terminated but for a few replicas. A replica is started elsewhere only after its end here is confirmed.
+ * Moves service replicas off machines that are draining or about to be terminated, each only if another machine has capacity for it; and, one
+ * at a time, off machines that could be terminated if they held no replicas. The replacement starts only after the end of the old replica is
+ * confirmed.
  */
 final class ServiceRebalancer {
-    /** A replica that need not move stays where it is for at least this time. */
+    /** A replica is moved for consolidation only after it has run for this time. */
     private static final Duration MIN_RUNTIME_BEFORE_CONSOLIDATION = Duration.ofSeconds(300);
-    /** With more replicas a machine is not emptied, since each move interrupts a replica. */
+    /** A machine with more replicas is not emptied, since each move interrupts a replica. */
     private static final int MAX_REPLICAS_TO_CONSOLIDATE = 1;
-    /** For a machine that holds another replica of the same service. */
+    /** Penalty for a machine that holds another replica of the same service. */
     private static final double SAME_SERVICE_PENALTY = 5;
 
     private final PlanState state;
@@ -28,7 +29,7 @@
         this.zoneChooser = zoneChooser;
     }
 
-    /** Plans which replicas move now. */
+    /** Decides which replicas are moved now. */
     void plan() {
         boolean mayConsolidate = true;
         for (JobRecord job : state.snapshot().jobs()) {
@@ -38,7 +39,7 @@
         }
     }
 
-    /** Moves replicas of one service; returns whether another machine may still be emptied, which is done one replica at a time. */
+    /** Moves replicas of one service; returns whether a further replica may be moved for consolidation, of which each plan moves at most one. */
     private boolean move(JobRecord job, boolean mayConsolidate) {
         boolean settled = mayConsolidate
                 && job.unplacedCount() == 0
@@ -66,7 +67,7 @@
         return mayStillConsolidate;
     }
 
-    /** Reserves capacity on a booting machine for a replica that has to leave, or requests a machine. */
+    /** Reserves capacity on a booting machine for a replica that must be moved, or requests a machine. */
     private void requestCapacity(JobRecord job, Allocation leaving) {
         ZoneRules zones = zoneChooser.rulesWithout(job, leaving);
         for (MachineCapacity machine : state.machines().candidates(job.submission())) {
@@ -79,7 +80,7 @@
         state.addShortfall(job, 1, zones.requiredZone());
     }
 
-    /** Whether an allocation is one of a few replicas without which their machine could be terminated, and has run for a while. */
+    /** Whether a replica has run long enough, and its machine could be terminated without the few replicas on it. */
     private boolean isConsolidatable(JobRecord job, Allocation allocation) {
         Optional<MachineCapacity> machine = state.machines().machine(allocation.machineId());
         var started = new JobAttempt(job.id(), allocation.attemptBase());
@@ -89,7 +90,7 @@
                 && state.snapshot().runtime().apply(started).compareTo(MIN_RUNTIME_BEFORE_CONSOLIDATION) > 0;
     }
 
-    /** The best machine for a replica that leaves another, if any is worth the move. */
+    /** The best machine to move a replica to; empty if no machine is suitable or worth the move. */
     private Optional<MachineCapacity> target(JobRecord job, Allocation leaving, boolean mustLeave) {
         Submission submission = job.submission();
         Set<String> ownMachines = machinesOfOthers(job, leaving);
@@ -117,7 +118,7 @@
                 - (besideOwnReplica ? SAME_SERVICE_PENALTY : 0);
     }
 
-    /** The machines of a service's replicas other than the one that leaves. */
+    /** The machines of a service's other replicas. */
     private static Set<String> machinesOfOthers(JobRecord job, Allocation leaving) {
         var machines = new HashSet<String>();
         for (Allocation allocation : job.allocations()) {
@@ -128,7 +129,7 @@
         return machines;
     }
 
-    /** Whether a machine is kept for more than a few replicas. */
+    /** Whether a machine will be kept anyway, for other jobs or for more replicas than would be consolidated. */
     private static boolean isKeptForOtherWork(MachineCapacity machine) {
         boolean otherWork = machine.isUsed() && !machine.holdsOnlyReplicas();
         return otherWork || machine.replicas() > MAX_REPLICAS_TO_CONSOLIDATE;
--- a/src/main/java/org/dunespindle/scheduling/TaskAttempt.java
+++ b/src/main/java/org/dunespindle/scheduling/TaskAttempt.java
@@ -1,7 +1,7 @@
 package org.dunespindle.scheduling;
 
 /**
- * One allocation of a task, as opposed to earlier and later allocations of the same task.
+ * Identifies one allocation of a task, as distinct from earlier and later allocations of the same task.
  *
  * @param jobId the id of the job
  * @param attemptBase the attempt base of the allocation
--- a/src/main/java/org/dunespindle/scheduling/TeamUsage.java
+++ b/src/main/java/org/dunespindle/scheduling/TeamUsage.java
@@ -8,15 +8,16 @@
 import org.dunespindle.storage.StateReplica;
 
 /**
- * What each team's tasks use of its quota. The tasks of cancelled jobs count until they are gone. A usage can only be computed from stored
- * records, or from projections that include the stored ones: a sum over this controller's proposals alone may be too low.
+ * The resources of each team's allocated tasks, which count against its quota. Tasks of cancelled jobs count until they are released. Usage
+ * is computed only from stored records, or from projections that include the stored ones: a sum over this controller's proposals alone may be
+ * too low.
  */
 public final class TeamUsage {
     private final Map<String, Resources> byTeam = new HashMap<>();
 
     private TeamUsage() {}
 
-    /** The usage as stored, as far as the replica has applied changes. */
+    /** The stored usage, according to the local replica. */
     public static TeamUsage stored(StateReplica replica) {
         var usage = new TeamUsage();
         replica.activeJobs()
@@ -25,7 +26,7 @@
         return usage;
     }
 
-    /** The usage as stored, together with what this controller has proposed; never below the stored usage. */
+    /** The stored usage together with this controller's proposals; never below the stored usage. */
     static TeamUsage projected(Iterable<ProjectedJob> jobs) {
         var usage = new TeamUsage();
         jobs.forEach(job -> job.stored().spec().ifPresent(spec -> usage.add(spec, job.countedTasks())));
@@ -42,7 +43,7 @@
         byTeam.merge(job.team(), job.perTask().times(tasks), Resources::plus);
     }
 
-    /** Visits each team that uses anything. */
+    /** Calls the visitor for each team with any usage. */
     public void forEach(BiConsumer<String, Resources> visitor) {
         byTeam.forEach(visitor);
     }
--- a/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
@@ -8,9 +8,9 @@
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
-/** Chooses a zone for jobs whose tasks must all be in one. */
+/** Chooses a zone for jobs whose tasks must all run in the same zone. */
 final class ZoneChooser {
-    /** Capacity for more tasks than this on one machine makes no difference. */
+    /** The maximum number of tasks counted per machine; capacity for more on one machine does not affect the choice. */
     private static final int MAX_TASKS_COUNTED_PER_MACHINE = 64;
 
     private static final double FREE_TASK_SCORE = 3;
@@ -21,7 +21,7 @@
     private static final double REFUSED_POOL_PENALTY = 0.1;
     private final PlanState state;
 
-    /** For how many tasks a zone has capacity. */
+    /** The number of tasks that a zone has capacity for. */
     private static final class ZoneCapacity {
         int free;
         int preemptible;
@@ -33,14 +33,14 @@
         this.state = state;
     }
 
-    /** The zone rules of a job, with a zone chosen if all its tasks must be in one zone and none is allocated yet. */
+    /** The zone rules of a job. If all its tasks must run in the same zone and none is allocated yet, the best zone is chosen. */
     ZoneRules rules(JobRecord job) {
         Map<String, Integer> perZone = state.tasksPerZone(job);
         boolean choose = job.submission().sameZone() && job.submission().zone().isEmpty() && perZone.isEmpty();
         return new ZoneRules(job.submission(), perZone, choose ? best(job, job.unplacedCount()) : Optional.empty());
     }
 
-    /** The zone rules of a job of which one task leaves its machine. */
+    /** The zone rules of a job if one of its tasks is moved off its machine. */
     ZoneRules rulesWithout(JobRecord job, Allocation leaving) {
         Map<String, Integer> perZone = state.tasksPerZone(job);
         MachinePool pool = state.snapshot().pools().get(leaving.machineId());
@@ -50,7 +50,7 @@
         return new ZoneRules(job.submission(), perZone, Optional.empty());
     }
 
-    /** The zone with the most capacity for the job: free capacity first, then preemptible, then booting. */
+    /** The zone with the highest score for the job: free capacity counts most, then preemptible, then booting capacity. */
     private Optional<String> best(JobRecord job, int missing) {
         String best = null;
         double bestScore = 0;
--- a/src/main/java/org/dunespindle/scheduling/ZoneRules.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneRules.java
@@ -5,14 +5,14 @@
 import java.util.Optional;
 import org.dunespindle.protocol.Submission;
 
-/** The zones in which a job's further tasks may be placed: a single one for all tasks, or at most half of the tasks in each. */
+/** Restricts the zones of a job's remaining tasks: the same zone for all tasks, or at most half of the tasks, rounded up, in each zone. */
 final class ZoneRules {
     private final boolean sameZone;
     private final int maxTasksPerZone;
     private final Map<String, Integer> tasksPerZone;
     private Optional<String> requiredZone;
 
-    /** Rules that only require the zone that the submission names, wherever the tasks are allocated. */
+    /** Creates rules that only require the zone given in the submission, if any, regardless of allocated tasks. */
     ZoneRules(Submission job) {
         this.sameZone = false;
         this.maxTasksPerZone = Integer.MAX_VALUE;
@@ -24,7 +24,7 @@
      * Creates the rules of a job.
      *
      * @param allocated how many of its tasks are allocated in each zone
-     * @param chosen the zone for a job that needs a single one and has no task allocated yet; if empty, its first task decides
+     * @param chosen the zone for a job that needs the same zone for all tasks and has none allocated; if empty, its first task decides
      */
     ZoneRules(Submission job, Map<String, Integer> allocated, Optional<String> chosen) {
         this.sameZone = job.sameZone();
@@ -37,7 +37,7 @@
         }
     }
 
-    /** The only zone that may still be used, if the job is bound to one. */
+    /** The only zone that may still be used, if the job is restricted to one. */
     Optional<String> requiredZone() {
         return requiredZone;
     }
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -25,7 +25,7 @@
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
-/** Decisions as a pure function of a snapshot. */
+/** Tests the planner's decisions about placement, gang queues, preemption, planning order and requested machines. */
 class PlannerTest {
     private static final Map<String, Settings.Team> TEAMS = Map.of(
             "red",
@@ -219,7 +219,7 @@
                 job.arrived());
     }
 
-    /** Fetches of several images share a machine's rate: without this a gang waited for its image beside others' fetches. */
+    /** Concurrent image fetches share a machine's transfer rate; otherwise a gang would wait for its image behind other fetches. */
     @Test
     void aMachineThatFetchesAnotherImageIsRankedLower() {
         JobRecord fetching = withImage(job(1, "red", JobKind.ARRAY, Priority.NORMAL, 1, ANYWHERE), "another")
@@ -238,9 +238,8 @@
 
     @Test
     void jobsThatMissAllObjectivesAreRankedLast() {
-        // The first is within its team's guarantee besides. Now is second 1000: it arrived at 50 and misses both
-        // objectives,
-        // the second can still meet 900 s.
+        // The current time is second 1000. The first job arrived at 50 and misses both objectives, although it is also
+        // within its team's guarantee; the second can still meet the objective of 900 s.
         JobRecord lost = begun(job(50, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE));
         JobRecord open = begun(job(600, "blue", JobKind.ARRAY, Priority.LOW, 3, ANYWHERE));
         Plan plan = plan(List.of(lost, open), List.of(machine("a", "east", false, 1)));
@@ -291,8 +290,8 @@
     }
 
     /**
-     * An array with as many allocated tasks as its record has capacity for: those that have ended free their entries at once, not only when
-     * their termination is stored.
+     * The array has as many allocated tasks as its record can hold. Tasks that have ended free their entries immediately, not only when their
+     * termination is stored.
      */
     @Test
     void endedTasksDoNotCountAgainstTheRecordsCapacity() {
@@ -310,7 +309,7 @@
         assertEquals(Set.of(3, 4), plan.bindings().get(0).machineByTask().keySet());
     }
 
-    /** Capacity that urgent jobs will need within seconds is not given to work that would be preempted again. */
+    /** Capacity that urgent jobs will need within seconds is not allocated to tasks that would then be preempted. */
     @Test
     void capacityForImminentDemandIsWithheldFromLowerWork() {
         var forecast = new DemandForecast.ForecastJob(
@@ -330,7 +329,7 @@
                         .toList());
     }
 
-    /** A job of which this controller has proposed one task, while another controller has stored more of it. */
+    /** A job for which this controller has proposed one task, while another controller has stored more tasks. */
     private static ProjectedJob staleProposal(JobRecord job, Map<Integer, String> stored) {
         return new ProjectedJob(job.withPlaced(new TreeMap<>(stored)), job.withPlaced(new TreeMap<>(Map.of(0, "b"))));
     }
@@ -373,7 +372,7 @@
         assertEquals(1, plan.shortfalls().size());
     }
 
-    /** Were machines provisioned only on a gang's turn, each gang of a burst would wait for its own machines to boot. */
+    /** If machines were provisioned only when a gang reaches the head of the queue, each gang of a burst would wait for its own machines to boot. */
     @Test
     void machinesAreRequestedBeforeAGangsTurnButNothingIsPlaced() {
         List<JobRecord> gangs = List.of(
@@ -381,7 +380,7 @@
                 job(2, "red", JobKind.GANG, Priority.URGENT, 3, new Placement(false, false, false)),
                 job(3, "red", JobKind.GANG, Priority.URGENT, 4, new Placement(false, false, false)));
         Plan empty = plan(gangs, List.of());
-        // The third would be beyond the team's limit of six together with those before it.
+        // Together with the first two, the third gang would exceed the team's limit of six.
         assertEquals(
                 List.of("wk-000001 2", "wk-000002 3"),
                 empty.shortfalls().stream()
--- a/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
+++ b/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
@@ -19,11 +19,11 @@
 import org.dunespindle.protocol.Settings;
 import org.junit.jupiter.api.Test;
 
-/** Several controllers with stale replicas, delayed transactions and restarts never exceed a team's quota together. */
+/** Checks that several controllers with stale replicas, delayed transactions and restarts never exceed a team's quota together. */
 class QuotaAdmissionTest {
     private static final int CONTROLLERS = 3;
 
-    /** A store with one team's reservation and usage, as a log that the replicas lag behind. */
+    /** A store with one team's reservation and its usage as a change log, which replicas may lag behind. */
     private static final class Store {
         final List<double[]> log = new ArrayList<>(); // by revision: change of usage, 1 if the reservation changed
         QuotaAdmission.Reservation reservation = QuotaAdmission.Reservation.NONE;
@@ -50,7 +50,7 @@
         }
     }
 
-    /** A transaction that got no answer and may still be applied. */
+    /** A transaction without an answer, which may still be applied. */
     private record UnacknowledgedTransaction(long requiredRevision, double change, QuotaAdmission.Reservation written) {
         boolean commit(Store store) {
             return store.commit(requiredRevision, change, written);
@@ -114,7 +114,7 @@
             assertTrue(store.usage <= limit + 1e-6, store.usage + " of " + limit);
         }
         assertTrue(placed > 0, "nothing was ever placed");
-        // Without further faults, what the quota leaves room for is placed, whatever answers were missing before.
+        // Without further faults, tasks within the remaining quota are placed, regardless of earlier missing answers.
         unacknowledged.forEach(transaction -> transaction.commit(store));
         double last = Math.floor(limit - store.usage);
         if (last >= 1) {
@@ -169,9 +169,10 @@
         boolean applied = store.commit(controller.reservationRevision, change, written);
         if (applied) {
             controller.accountedUsage += change;
-            // The own change is replicated at once; earlier ones of others may be unseen, which the bound allows for.
+            // The controller's own change is replicated at once; earlier changes of others may be missing, which the
+            // bound covers.
             if (written == null && random.nextBoolean()) {
-                controller.unacknowledged += change; // replicated late: counted as unacknowledged meanwhile
+                controller.unacknowledged += change; // replicated late: counted as unacknowledged until then
             } else {
                 controller.sync(store);
             }
@@ -220,12 +221,12 @@
         assertEquals(
                 new QuotaAdmission.Decision.Admit(),
                 QuotaAdmission.decide(view(team, reservation, gpus(60), Resources.NONE, gpus(60)), gpus(40)));
-        // The share is used up: the bound allows for all that the two other controllers may have placed.
+        // The share is used up: the new bound includes all that the two other controllers may have placed.
         var write = assertInstanceOf(
                 QuotaAdmission.Decision.AdmitWithReservation.class,
                 QuotaAdmission.decide(view(team, reservation, gpus(60), Resources.NONE, gpus(50)), gpus(41)));
         assertEquals(291, write.reservation().bound().gpus());
-        // A request that the coarse bound leaves no room for waits until the shares are revoked.
+        // A request that does not fit beside the coarse bound waits until the shares are revoked.
         assertInstanceOf(
                 QuotaAdmission.Decision.RevokeShares.class,
                 QuotaAdmission.decide(view(team, reservation, gpus(100), Resources.NONE, gpus(70)), gpus(60)));
@@ -241,7 +242,7 @@
         assertEquals(160, write.reservation().bound().gpus());
     }
 
-    /** Records stored by the previous version are decoded and encoded as the very same bytes. */
+    /** Records stored by the previous version are re-encoded without any change. */
     @Test
     void reservationsStoredByThePreviousVersionAreEncodedUnchanged() throws IOException {
         int teams = 0;
--- a/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
@@ -19,7 +19,7 @@
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
-/** Where service replicas are placed, and when they move. */
+/** Tests where service replicas are placed and when they are moved. */
 class ServicePlannerTest {
     private static final Map<String, Settings.Team> TEAMS =
             Map.of("red", new Settings.Team("red", 0, 100, 40, Double.POSITIVE_INFINITY));
--- a/src/test/java/org/dunespindle/scheduling/SnapshotFixture.java
+++ b/src/test/java/org/dunespindle/scheduling/SnapshotFixture.java
@@ -9,7 +9,7 @@
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.storage.JobRecord;
 
-/** Builds snapshots of a cluster as its leader sees it; whatever a test does not set is empty. */
+/** Builds the snapshot of a leader; inputs that a test does not set are empty. */
 final class SnapshotFixture {
     private static final Instant NOW = Instant.ofEpochSecond(1000);
     private static final int DEFAULT_MAX_TASKS = 100;
@@ -29,7 +29,7 @@
         this.teams = teams;
     }
 
-    /** Jobs for which the controller has proposed nothing. */
+    /** Sets jobs without pending proposals. */
     SnapshotFixture jobs(List<JobRecord> stored) {
         return jobs(ProjectedJobs.ofStored(stored));
     }
@@ -39,7 +39,7 @@
         return this;
     }
 
-    /** Machines whose pools are not known to the snapshot, so that allocations on them are in no zone. */
+    /** Sets machines without their pools, so that allocations on them count in no zone. */
     SnapshotFixture machinesWithoutPools(List<MachineSnapshot> snapshots) {
         machines = snapshots;
         pools = Map.of();
@@ -55,7 +55,7 @@
         return this;
     }
 
-    /** How many tasks of a job may be allocated at once. */
+    /** Sets how many tasks of a job may be allocated at once. */
     SnapshotFixture maxTasks(int count) {
         maxTasks = count;
         return this;
@@ -81,7 +81,7 @@
         return this;
     }
 
-    /** How long every allocated task has been running. */
+    /** Sets the running time of every allocated task. */
     SnapshotFixture runtime(Duration duration) {
         runtime = duration;
         return this;
--- a/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
+++ b/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Several controllers place tasks of a few jobs of one team, each by its own replica of the store and with placements in flight that may be
- * overtaken, refused, or remaining without an answer: the team's limit holds, and its record's bound is never below what is stored.
+ * Several controllers place tasks of one team's jobs, each using its own stale replica and with transactions in flight that may be reordered,
+ * rejected or unacknowledged. The team's limit must hold, and the bound of its reservation must never be below the stored usage.
  */
 class TeamUsageTest {
     private static final int MAX_CONTROLLERS = 3;
@@ -59,7 +59,7 @@
     /** A stored value and the revision at which it was written. */
     private record Versioned<T>(T value, long modRevision) {}
 
-    /** A controller's replica of the store, which lags behind. */
+    /** A controller's replica of the store, which may be stale. */
     private record Replica(
             Map<Integer, Versioned<JobRecord>> jobs,
             Versioned<QuotaAdmission.Reservation> reservation,
@@ -121,7 +121,7 @@
             replica = store.replicate();
         }
 
-        /** A new process of the same name writes its incarnation record, and knows nothing of the old one's transactions in flight. */
+        /** A new process with the same node name writes its incarnation record; it has no state about transactions of its predecessor in flight. */
         void restart(Store store) {
             incarnationRevision = ++store.revision;
             inFlight.clear();
@@ -193,7 +193,7 @@
             return Optional.ofNullable(proposal);
         }
 
-        /** Settles the account with a proposal's result, if the reservation is still the one under which it was made. */
+        /** Settles the account with a proposal's result, if the reservation has not changed since the proposal. */
         void settle(Proposal proposal, Store store, boolean applied, boolean answered) {
             inFlight.remove(proposal.job);
             boolean sameRecord = accountedRevision == proposal.requiredReservationRevision;
@@ -209,7 +209,7 @@
             }
         }
 
-        /** Applies an own change at once, while earlier changes of others may still be missing from the replica. */
+        /** Applies the controller's own change immediately, while earlier changes of others may still be missing from the replica. */
         private void adopt(Proposal proposal, Store store) {
             var jobs = new TreeMap<>(replica.jobs);
             proposal.after.ifPresent(after -> jobs.put(proposal.job, store.jobs.get(proposal.job)));
@@ -238,7 +238,8 @@
         History(long seed) {
             random = new Random(seed);
             team = new Settings.Team(TEAM, 0, Double.POSITIVE_INFINITY, 0, 20 + random.nextInt(100));
-            // With fewer controllers, the allowance for unseen placements hides fewer errors in the usage.
+            // With fewer controllers, the allowance for unseen placements is smaller and hides fewer errors in the
+            // usage.
             int controllerCount = 1 + random.nextInt(MAX_CONTROLLERS);
             for (int i = 0; i < controllerCount; i++) {
                 controllers.add(new Controller(controllerCount, store));
@@ -269,7 +270,7 @@
             check();
         }
 
-        /** Stores the end of some tasks. */
+        /** Stores the termination of some tasks. */
         private void end() {
             int job = random.nextInt(JOBS);
             store.revision++;
@@ -341,7 +342,7 @@
                         .gpus());
     }
 
-    /** A task runs on one machine, whichever of its two allocations is stored. */
+    /** A task runs on a single machine, regardless of which of its two allocations is stored. */
     @Test
     void aReplacedTaskCountsOnce() {
         JobRecord stored = placed(array(1, 30), 5);
--- a/src/test/java/org/dunespindle/scheduling/package-info.java
+++ b/src/test/java/org/dunespindle/scheduling/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of scheduling decisions. */
+/** Tests of scheduling decisions and quota admission. */
 package org.dunespindle.scheduling;
