--- a/src/main/java/org/dunespindle/scheduling/MachineIndex.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCandidates.java
@@ -11,7 +11,7 @@
  * Finds the machines that a job may use, in the order of the snapshot. Each result is cached for all jobs with equal requirements, since most
  * jobs share theirs with others.
  */
-final class MachineIndex {
+final class MachineCandidates {
     private final List<MachineCapacity> machines;
     private final Map<String, MachineCapacity> byId;
     private final Map<Eligibility, List<MachineCapacity>> eligible = new HashMap<>();
@@ -34,7 +34,7 @@
 
     private record ImageEligibility(Eligibility eligibility, String image) {}
 
-    MachineIndex(List<MachineSnapshot> snapshots) {
+    MachineCandidates(List<MachineSnapshot> snapshots) {
         machines = new ArrayList<>(snapshots.size());
         byId = new HashMap<>(snapshots.size() * 2);
         for (MachineSnapshot snapshot : snapshots) {
--- a/src/main/java/org/dunespindle/scheduling/PlanState.java
+++ b/src/main/java/org/dunespindle/scheduling/PlanState.java
@@ -16,7 +16,7 @@
 /** A plan under construction: the remaining capacity and quotas, and the decisions made so far. */
 final class PlanState {
     private final ClusterSnapshot snapshot;
-    private final MachineIndex machines;
+    private final MachineCandidates machines;
     private final QuotaBudget quota;
     private final List<Binding> bindings = new ArrayList<>();
     private final List<Eviction> evictions = new ArrayList<>();
@@ -32,7 +32,7 @@
 
     PlanState(ClusterSnapshot snapshot) {
         this.snapshot = snapshot;
-        this.machines = new MachineIndex(snapshot.machines());
+        this.machines = new MachineCandidates(snapshot.machines());
         this.quota = new QuotaBudget(snapshot.teams(), snapshot.projection().usage());
         snapshot.endedTasks().forEach(attempt -> jobsWithEndedTasks.add(attempt.jobId()));
         snapshot.jobs().forEach(this::occupyProjected);
@@ -77,7 +77,7 @@
     }
 
     /** The machines with their remaining capacity. */
-    MachineIndex machines() {
+    MachineCandidates machines() {
         return machines;
     }
 
