--- a/src/main/java/org/dunespindle/job/AdmissionCounters.java
+++ b/src/main/java/org/dunespindle/job/AdmissionCounters.java
@@ -12,7 +12,7 @@
     private long sharesRevoked;
     private String lastDeferReason = "";
 
-    /** Counts a placement that was stored. */
+    /** Counts a placement whose transaction was applied. */
     void onApplied(boolean withNewReservation) {
         if (withNewReservation) {
             admittedWithNewReservation++;
@@ -26,17 +26,17 @@
         rejected++;
     }
 
-    /** Counts a placement that may or may not have been stored. */
+    /** Counts a placement whose transaction may or may not have been applied. */
     void onUnacknowledged() {
         unacknowledged++;
     }
 
-    /** Counts a reservation that was written to revoke the shares. */
+    /** Counts a reservation that was written in order to revoke the shares. */
     void onSharesRevoked() {
         sharesRevoked++;
     }
 
-    /** Counts a deferred request; returns whether its reason differs from the one before. */
+    /** Counts a deferred request; returns whether its reason differs from that of the previous one. */
     boolean onDeferred(String reason) {
         deferred++;
         boolean changed = !reason.equals(lastDeferReason);
@@ -44,7 +44,7 @@
         return changed;
     }
 
-    /** Writes the counters in the form of the administration API. */
+    /** Writes the counters into an answer of the administration API. */
     void writeTo(ObjectNode into) {
         into.put("placedWithinShare", admittedWithinShare)
                 .put("placedWithNewRecord", admittedWithNewReservation)
--- a/src/main/java/org/dunespindle/job/GangLifecycle.java
+++ b/src/main/java/org/dunespindle/job/GangLifecycle.java
@@ -31,12 +31,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Advances the phases of gangs, on the leader: from placeholders to real tasks once every placeholder is assembling, and back to the queue
- * when a gang's placement times out.
+ * Advances the phases of gangs on the leader: from placeholders to real tasks once all placeholders are assembling, or back to the queue when
+ * the placement of a gang times out.
  */
 public final class GangLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(GangLifecycle.class);
-    /** How much longer than the placement timer a fully placed gang may take, for fetches of its image. */
+    /** Additional time that a fully placed gang may take beyond the placement timeout, for image fetches. */
     private static final Duration IMAGE_FETCH_ALLOWANCE = Duration.ofSeconds(30);
 
     private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
@@ -53,12 +53,12 @@
     private final Supplier<Options> options;
     private final Histogram placeholderLatency = new Histogram(MAX_LATENCY_MICROS, LATENCY_DIGITS);
     private final Histogram replacementLatency = new Histogram(MAX_LATENCY_MICROS, LATENCY_DIGITS);
-    /** By job: since when real tasks replace its placeholders. */
+    /** By job id: when the replacement of its placeholders by real tasks started. */
     private final Map<String, Duration> replacingSince = new HashMap<>();
-    /** By job: since when it has been in the placeholder phase. */
+    /** By job id: when the job was first observed in the placeholder phase. */
     private final Map<String, Duration> placeholdersSince = new HashMap<>();
 
-    /** Creates the gang life cycle of one controller. */
+    /** Creates the gang lifecycle of one controller. */
     public GangLifecycle(
             ControllerContext context, CommitQueue commitQueue, WorkerClient workerClient, Supplier<Options> options) {
         this.settings = context.settings();
@@ -72,17 +72,17 @@
         this.options = options;
     }
 
-    /** How long gangs took until all their placeholders were assembling, in microseconds. */
+    /** The time until all placeholders of a gang were assembling, in microseconds. */
     public Histogram placeholderLatency() {
         return placeholderLatency;
     }
 
-    /** How long it took until real tasks had replaced all placeholders of a gang, in microseconds. */
+    /** The time until real tasks had replaced all placeholders of a gang, in microseconds. */
     public Histogram replacementLatency() {
         return replacementLatency;
     }
 
-    /** Advances every gang that is due. To be called on the leader only. */
+    /** Advances all gangs that are due. Must be called only on the leader. */
     public void tick() {
         Duration now = timeSource.now();
         var placing = new HashSet<String>();
@@ -136,7 +136,7 @@
         recordLatency(placeholderLatency, inPhase);
         eventRecorder.record(
                 LOG,
-                "gang {}: all {} placeholders are placed; real tasks replace them",
+                "gang {}: all {} placeholders are placed; replacing them with the real tasks",
                 job.id(),
                 job.submission().tasks());
         replacingSince.put(job.id(), timeSource.now());
@@ -159,7 +159,7 @@
         commitQueue.propose(CommitPriority.PLACEMENT, jobWriter.write(transaction, changed), result -> {});
     }
 
-    /** Whether every allocated member is reported in a phase, by machines that this controller commands. */
+    /** Whether workers commanded by this controller report all allocated members in the given phase. */
     private boolean allMembersIn(JobRecord job, TaskPhase phase) {
         for (Allocation allocation : job.allocations()) {
             if (!isMemberIn(job, allocation, phase)) {
--- a/src/main/java/org/dunespindle/job/JobTransitions.java
+++ b/src/main/java/org/dunespindle/job/JobTransitions.java
@@ -11,13 +11,13 @@
 import org.dunespindle.control.TerminationCause;
 import org.dunespindle.storage.JobRecord;
 
-/** Applies task terminations to a job's record. All functions are pure. */
+/** Pure functions that apply task terminations to a job's record. */
 public final class JobTransitions {
-    /** The pause after a rejected start, and the base of the exponential backoff after failures. */
+    /** The back-off after a rejected start, and the base of the exponential back-off after failures. */
     private static final Duration MIN_BACKOFF = Duration.ofSeconds(1);
 
     private static final Duration MAX_BACKOFF = Duration.ofSeconds(30);
-    /** The backoff doubles at most so many times, so that the shift below cannot overflow. */
+    /** The maximum number of doublings of the back-off, so that the shift below cannot overflow. */
     private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
     private static final int MAX_FAILURES_WITHOUT_BACKOFF = 3;
@@ -25,10 +25,10 @@
 
     private JobTransitions() {}
 
-    /** The job's record after some terminations; those of other attempts than the allocated ones are ignored. */
+    /** The job's record after the given terminations; those of attempts that are not allocated are ignored. */
     public static JobRecord apply(JobRecord job, List<TaskTermination> terminations, Instant now) {
         JobRecord updated = job;
-        // Tasks that need no more than to be released, by whether they are done: they are released together.
+        // Tasks that are only released, mapped to whether they are done. They are released together.
         var released = new TreeMap<Integer, Boolean>();
         boolean releasesTogether = job.isOpen() && !job.submission().isGang();
         Map<Integer, Long> attemptBases = attemptBases(job);
@@ -77,7 +77,8 @@
         }
         JobRecord after = job;
         if (gang && job.isOpen() && job.gangPhase() == JobRecord.GangPhase.RUNNING) {
-            // A lost member breaks the attempt: the others exit with their peers or wait in vain, so all are stopped.
+            // Without this member the attempt fails: the others exit with it or wait for it forever, so all are
+            // stopped.
             after = after.withGangStopping();
         }
         after = after.withReleased(termination.task(), isDone(termination));
@@ -99,13 +100,16 @@
                 : failed;
     }
 
-    /** A service runs for so long that it meets faulty machines; one that fails everywhere loses all replicas at once. */
+    /**
+     * The number of failures without back-off. A service gets one more per replica: it runs long enough for some replicas to fail on faulty
+     * machines, whereas a service that fails everywhere loses all its replicas at once.
+     */
     private static int failuresWithoutBackoff(JobRecord job) {
         int replicas = job.submission().isService() ? job.submission().tasks() : 0;
         return MAX_FAILURES_WITHOUT_BACKOFF + replicas;
     }
 
-    /** A job that fails everywhere backs off, so that it does not wear out machine after machine. */
+    /** When the back-off of a failing job ends. Without a back-off, a job that fails everywhere would occupy one machine after another. */
     private static Optional<Instant> backoffUntil(int failures, int withoutBackoff, Instant now) {
         if (failures <= withoutBackoff) {
             return Optional.empty();
--- a/src/main/java/org/dunespindle/job/NoticedMachineDrainer.java
+++ b/src/main/java/org/dunespindle/job/NoticedMachineDrainer.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drains machines for which the cloud has announced termination: work that can write a checkpoint is stopped in time, gangs as a whole. Runs
- * on every controller, for the machines that it commands.
+ * Drains machines with a spot interruption notice: tasks that write checkpoints are stopped before the machine is lost, gangs as a whole. Each
+ * controller drains the machines that it commands.
  */
 public final class NoticedMachineDrainer {
     private static final Logger LOG = LoggerFactory.getLogger(NoticedMachineDrainer.class);
@@ -37,7 +37,7 @@
         this.workerClient = workerClient;
     }
 
-    /** Stops the work on machines with a termination notice. */
+    /** Stops tasks on machines with an interruption notice, if stopping them loses no work. */
     public void drain() {
         for (String machineId : workerClient.machinesWithNotice()) {
             MachineRecord machine = replica.machines().get(machineId);
@@ -70,7 +70,7 @@
         boolean gang = job.submission().isGang();
         eventRecorder.record(
                 LOG,
-                "machine {} is about to be taken away; {} stops there",
+                "machine {} has a spot interruption notice; stopping {}",
                 machine.id(),
                 gang
                         ? "gang " + job.id()
--- a/src/main/java/org/dunespindle/job/PlacementPacing.java
+++ b/src/main/java/org/dunespindle/job/PlacementPacing.java
@@ -13,25 +13,25 @@
 import org.dunespindle.time.Durations;
 
 /**
- * Defers the placement of arrays and services on this controller, either because another controller is responsible for them or because
- * more of their tasks are expected soon.
+ * Decides for which arrays and services placement is deferred on this controller, either because another controller is responsible for them or
+ * in order to place more of their tasks in one transaction.
  *
- * <p>Each job has a home controller, which places it first: when two controllers write one record concurrently, one of the transactions
- * conflicts. A record that stays unchanged with tasks to place shows that its home has no capacity, and then any controller helps. Under load,
- * the placements of a job are batched, the longer the more transactions wait in the commit queue.
+ * <p>Each job has a home controller, which is the first to place it: if two controllers write the same record concurrently, one of the
+ * transactions conflicts. If the record of a job with unplaced tasks stays unchanged, its home controller has no capacity, and any controller
+ * may place its tasks. Under load, the placements of a job are batched; the batch interval grows with the length of the commit queue.
  */
 public final class PlacementPacing {
-    /** How long only a job's home controller places it. */
+    /** For this time after a change of a job's record, only its home controller places tasks of the job. */
     private static final Duration HOME_ONLY_INTERVAL = Duration.ofMillis(900);
 
-    /** The same for a service, whose users notice every moment that a replica is missing. */
+    /** The same interval for services, which is shorter because a missing replica affects the users of a service at once. */
     private static final Duration HOME_ONLY_INTERVAL_FOR_SERVICES = Duration.ofMillis(400);
 
     private static final Duration BATCH_INTERVAL_PER_QUEUED_TRANSACTION = Duration.ofMillis(30);
     private static final Duration MAX_BATCH_INTERVAL = Duration.ofSeconds(3);
     /**
-     * With so many allocated tasks, those of an array that end are replaced in batches: each placement takes an entry of its own in the
-     * job's record, and a record of small entries holds a fraction of the tasks.
+     * From this number of allocated tasks, ended tasks of an array are replaced in batches: each placement takes an entry of its own in the
+     * job's record, and a record made up of small entries holds only a fraction of the tasks.
      */
     private static final int MIN_ALLOCATIONS_OF_LARGE_ARRAY = 200;
 
@@ -40,7 +40,7 @@
     private final CommitQueue commitQueue;
     private final Map<String, ObservedRevision> observed = new HashMap<>();
 
-    /** The revision of a job's record, and since when this controller has seen it unchanged. */
+    /** The revision of a job's record and when this controller first observed it. */
     private record ObservedRevision(long modRevision, Duration since) {}
 
     /** Creates the pacing of one controller's placements. */
@@ -49,7 +49,7 @@
         this.commitQueue = commitQueue;
     }
 
-    /** The ids of those jobs, arrays and services, whose placement is deferred now. */
+    /** The ids of the arrays and services, among the given jobs, whose placement is currently deferred. */
     public Set<String> deferredJobs(List<JobRecord> jobs) {
         var deferred = new HashSet<String>();
         var unplaced = new HashSet<String>();
@@ -82,7 +82,7 @@
         return now.minus(known.since);
     }
 
-    /** How long a job's record must have stayed unchanged before this controller places the job. */
+    /** How long a job's record must have been unchanged before this controller places tasks of the job. */
     private Duration requiredUnchanged(JobRecord job, Duration batchInterval) {
         Duration batching = batchIntervalOf(job, batchInterval);
         if (!isHome(job)) {
--- a/src/main/java/org/dunespindle/job/PlacementWriter.java
+++ b/src/main/java/org/dunespindle/job/PlacementWriter.java
@@ -36,14 +36,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out this controller's part of a plan: allocates tasks to the machines that it owns. */
+/** Executes the bindings of a plan for this controller's own machines, by writing the allocations to the state store. */
 public final class PlacementWriter {
     private static final Logger LOG = LoggerFactory.getLogger(PlacementWriter.class);
-    /** Preconditions of a transaction that are needed for other records than the machines': job, team and leader. */
+    /** Number of preconditions in a transaction for records other than machines: job, team and leader. */
     private static final int OTHER_PRECONDITIONS = 3;
-    /** With so many transactions queued no more placements are proposed: later ones then hold more tasks each. */
+    /** At this number of queued transactions no more placements are proposed, so that later ones contain more tasks each. */
     private static final int MAX_QUEUED_TRANSACTIONS = 8;
-    /** The same for gangs. */
+    /** The same limit for gangs. */
     private static final int MAX_QUEUED_TRANSACTIONS_FOR_GANGS = 24;
 
     private final Settings settings;
@@ -58,10 +58,10 @@
     private final JobRecordWriter jobWriter;
     private final RecordSizeLimit recordSizeLimit;
     private final TeamQuotas teamQuotas;
-    /** By job: records proposed but not stored yet. Their capacity is taken, or other jobs would be placed on it too. */
+    /** By job id: records that are proposed but not stored yet. Without them, a plan would place other jobs on the same capacity. */
     private final Map<String, JobRecord> proposedRecords = new HashMap<>();
 
-    /** Creates the writer of one controller; tasks go only to machines that the predicate accepts. */
+    /** Creates the writer of one controller; tasks are placed only on machines that the predicate accepts. */
     public PlacementWriter(
             ControllerContext context,
             CommitQueue commitQueue,
@@ -83,12 +83,12 @@
         this.acceptsTasks = acceptsTasks;
     }
 
-    /** This controller's account with each team's quota. */
+    /** This controller's accounting of the teams' quotas. */
     public TeamQuotas teamQuotas() {
         return teamQuotas;
     }
 
-    /** The active jobs as stored, and as they will be if what this controller has proposed is stored. */
+    /** The active jobs as stored, and as they will be if this controller's proposals are stored. */
     public ProjectedJobs projection() {
         var jobs = new ArrayList<ProjectedJob>();
         replica.activeJobs().forEach(stored -> jobs.add(projected(stored)));
@@ -103,19 +103,21 @@
     /**
      * Proposes the plan's bindings, one transaction each, with the job, its machines and its team's reservation as preconditions.
      *
-     * @param projection the jobs as the plan saw them
+     * @param projection the jobs from which the plan was made
      */
     public void place(Plan plan, ProjectedJobs projection) {
         if (plan.bindings().isEmpty()) {
             return;
         }
-        // Counts what is stored beside what is proposed: other controllers may have stored more of a job, and a new
-        // reservation of its
-        // team, since its placement was proposed here, so a proposed record must not stand in for the stored one.
+        // Counts both stored and proposed allocations. Since this controller proposed a placement, other controllers
+        // may
+        // have stored more tasks of the job and a new reservation of its team, so the proposed record must not replace
+        // the stored one here.
         TeamUsage usage = projection.usage();
         for (Binding binding : plan.bindings()) {
             Submission submission = binding.job().submission();
-            // What would only be queued is planned again later, for more tasks at once: so batches grow with the load.
+            // Instead of being queued, the tasks are planned again later, more of them at once: batches grow with the
+            // load.
             if (commitQueue.pendingCount() >= maxQueuedTransactions(submission)) {
                 return;
             }
@@ -138,7 +140,7 @@
                 || commitQueue.isLocked(Keys.team(job.submission().team()));
     }
 
-    /** The places on machines that this controller commands, as many as one transaction's preconditions allow. */
+    /** The places on machines that this controller commands, up to the number of machines that one transaction allows. */
     private Map<Integer, String> ownPlaces(Binding binding) {
         var places = new LinkedHashMap<Integer, String>();
         if (binding.job().submission().isGang() && !membership.isLeader()) {
@@ -173,7 +175,7 @@
         JobRecord withoutTerminated = terminationWriter.applyPending(job, transaction, applied);
         Map<Integer, String> places = recordSizeLimit.limit(withoutTerminated, planned);
         if (places.isEmpty()) {
-            return; // some of its tasks must end first
+            return; // the record has no space until some tasks of the job end
         }
         Resources request = job.submission().perTask().times(places.size());
         Optional<TeamQuotas.Admission> admission = teamQuotas.requestAdmission(transaction, job, usage, request);
@@ -199,7 +201,7 @@
     private static JobRecord withPlacement(JobRecord job, Map<Integer, String> places) {
         JobRecord placed = job.withPlaced(places);
         Submission submission = job.submission();
-        // The placeholder of a gang of one would be the whole gang and start, so its task runs directly.
+        // A gang with a single task needs no placeholder: the placeholder would be the whole gang and start at once.
         return submission.isGang() && submission.tasks() == 1 ? placed.withGangRunning() : placed;
     }
 
--- a/src/main/java/org/dunespindle/job/QuotaRequest.java
+++ b/src/main/java/org/dunespindle/job/QuotaRequest.java
@@ -5,24 +5,23 @@
 import org.dunespindle.scheduling.QuotaAdmission;
 
 /**
- * A request for quota with everything that the decision about it rests on.
+ * A request for quota together with the state on which the decision is based.
  *
  * @param job the id of the job whose tasks are to be placed
- * @param amount what the tasks need
- * @param view what this controller knew of the team's quota
+ * @param amount the resources of these tasks
+ * @param view the state of the team's quota as seen by this controller
  */
 record QuotaRequest(String job, Resources amount, QuotaAdmission.QuotaView view) {
-    /** The team's name. */
     String team() {
         return view.team().name();
     }
 
-    /** A new reservation as key-value pairs of a log line. */
+    /** Formats a new reservation as key-value pairs for a log line. */
     String describeNew(QuotaAdmission.Reservation reservation) {
         return "newBound=" + format(reservation.bound()) + " newShare=" + format(reservation.share());
     }
 
-    /** An amount of those resources that the team's quota limits. */
+    /** Formats the resources that the team's quota limits. */
     private String format(Resources resources) {
         Settings.Team team = view.team();
         boolean limitsGpus = Double.isFinite(team.gpusMax());
@@ -35,7 +34,7 @@
         return limitsCpus ? cpus : gpus;
     }
 
-    /** The request as key-value pairs of a log line. */
+    /** Formats the request as key-value pairs for a log line. */
     @Override
     public String toString() {
         return "team=" + team()
--- a/src/main/java/org/dunespindle/job/RecordSizeLimit.java
+++ b/src/main/java/org/dunespindle/job/RecordSizeLimit.java
@@ -6,15 +6,15 @@
 import org.dunespindle.storage.JobRecordWriter;
 
 /**
- * Limits how many tasks are placed at once, so that a job's record stays within the size that the store accepts whatever becomes of its tasks:
- * a record that has outgrown it could never be written again.
+ * Limits how many tasks are placed at once, so that a job's record stays within the maximum size that the store accepts, in whatever order its
+ * tasks end: a record that exceeds this size could never be written again.
  */
 final class RecordSizeLimit {
-    /** The part of the capacity that placements may fill: stopping tasks splits groups of allocations and so takes more. */
+    /** The fraction of the maximum size that placements may use: stopping tasks splits groups of allocations and needs more space. */
     private static final double MAX_FILL_BY_PLACEMENT = 0.7;
     /**
-     * How many bytes a task may add when a run of tasks on one machine breaks up. A run is short in the record, and at its longest
-     * when every other task of it has left and is to start again.
+     * The maximum number of bytes that a task adds when a run of consecutive tasks on one machine becomes fragmented. A complete run is encoded
+     * in few bytes; the encoding is longest when every second task of it has been released and is to start again.
      */
     private static final int MAX_BYTES_PER_FRAGMENTED_TASK = 6;
 
@@ -26,7 +26,7 @@
         this.writer = writer;
     }
 
-    /** Of these places the first ones that the job's record has capacity for; found by halving, so not always the most. */
+    /** The first places that fit into the job's record; found by halving, so the result may be smaller than the possible maximum. */
     Map<Integer, String> limit(JobRecord job, Map<Integer, String> places) {
         Map<Integer, String> limited = places;
         while (!limited.isEmpty() && !fits(job.withPlaced(limited))) {
@@ -43,7 +43,7 @@
         return fits(writer.size(placed), placed.allocations().size(), writer.maxRecordBytes());
     }
 
-    /** Whether a record of some size stays within the capacity however its allocations fragment. */
+    /** Whether a record stays within the capacity, in bytes, however its allocations become fragmented. */
     static boolean fits(int size, int allocations, int capacity) {
         return size <= capacity * MAX_FILL_BY_PLACEMENT
                 && size + MAX_BYTES_PER_FRAGMENTED_TASK * allocations <= capacity * MAX_FILL_WHEN_FRAGMENTED;
--- a/src/main/java/org/dunespindle/job/TaskPreemptor.java
+++ b/src/main/java/org/dunespindle/job/TaskPreemptor.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Stops those tasks of a plan that are preempted or moved, as far as they run on machines that this controller owns. */
+/** Stops the tasks that a plan preempts or moves, if they run on machines that this controller owns. */
 public final class TaskPreemptor {
     private static final Logger LOG = LoggerFactory.getLogger(TaskPreemptor.class);
     private final StateReplica replica;
@@ -30,12 +30,12 @@
         this.workerClient = workerClient;
     }
 
-    /** Stops service replicas that are to run elsewhere, where the plan has found capacity for them. */
+    /** Stops service replicas that the plan moves to other machines. */
     public void moveReplicas(Plan plan) {
         plan.moves().forEach(eviction -> stop(eviction, "moves to another machine"));
     }
 
-    /** Stops preempted tasks once the leader holds their machine: its owner would fill the capacity with other work at once. */
+    /** Stops preempted tasks once the leader owns their machine; any other owner would immediately place other tasks on the freed capacity. */
     public void preempt(Plan plan) {
         plan.evictions().forEach(eviction -> stop(eviction, "gives way to " + eviction.forJob()));
     }
--- a/src/main/java/org/dunespindle/job/TeamQuotas.java
+++ b/src/main/java/org/dunespindle/job/TeamQuotas.java
@@ -20,20 +20,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks for quota before tasks are placed, and accounts for what this controller has placed under each team's stored reservation, including
- * placements whose outcome is unknown. Each change of a reservation is logged with what the decision rested on; the rate of these log lines is
- * bounded by the write rate of the state service.
+ * Requests quota before tasks are placed, and accounts for the tasks that this controller has placed under each team's stored reservation,
+ * including placements with an unknown outcome. Each change of a reservation is logged with the inputs of the decision; the rate of these log
+ * lines is bounded by the write rate of the state store.
  */
 public final class TeamQuotas {
     private static final Logger LOG = LoggerFactory.getLogger(TeamQuotas.class);
-    private static final String DEFERRED_UNTIL_REVOKED = "its shares are being closed";
+    private static final String DEFERRED_UNTIL_REVOKED = "its quota shares are being revoked";
     private final Settings settings;
     private final StateReplica replica;
     private final CommitQueue commitQueue;
     private final Map<String, AccountedUsage> accounts = new HashMap<>();
     private final Map<String, AdmissionCounters> counters = new HashMap<>();
 
-    /** What this controller has placed under one revision of a team's reservation. */
+    /** The resources that this controller has placed under one revision of a team's reservation. */
     private static final class AccountedUsage {
         private final long reservationRevision;
         private Resources placed = Resources.NONE;
@@ -69,7 +69,7 @@
             this.newReservation = newReservation;
         }
 
-        /** Accounts for the transaction, which has just been proposed. */
+        /** Accounts for the transaction. Must be called when it is proposed. */
         void onProposed() {
             account.onProposed(request.amount());
         }
@@ -100,9 +100,10 @@
     }
 
     /**
-     * Requests quota for some tasks of a job, and adds to the transaction what the admission needs. Empty if they may not be placed now.
+     * Requests quota for tasks of a job, and adds the necessary preconditions and writes to the transaction. Empty if the tasks may not be placed
+     * now.
      *
-     * @param usage what all teams use, as stored and as proposed by this controller
+     * @param usage the usage of all teams, both stored and proposed by this controller
      */
     Optional<Admission> requestAdmission(Transaction transaction, JobRecord job, TeamUsage usage, Resources requested) {
         String team = job.submission().team();
@@ -151,7 +152,7 @@
                         known != null && known.reservationRevision == revision ? known : new AccountedUsage(revision));
     }
 
-    /** A process that started after the reservation was written cannot know what an earlier one of its name placed under it. */
+    /** A process that started after the reservation was written has no record of what an earlier process with its node name placed under it. */
     private boolean mayUseShare(AccountedUsage account) {
         return account.reservationRevision > replica.modRevision(Keys.INCARNATION + settings.nodeName());
     }
@@ -180,7 +181,7 @@
         return counters.computeIfAbsent(team, name -> new AdmissionCounters());
     }
 
-    /** Writes a team's reservation and this controller's account with it into an answer of the administration API. */
+    /** Writes a team's reservation and this controller's accounting into an answer of the administration API. */
     public void writeStatus(String team, ObjectNode into) {
         QuotaAdmission.Reservation reservation = reservation(team);
         AccountedUsage account = account(team);
--- a/src/main/java/org/dunespindle/job/TerminationBatching.java
+++ b/src/main/java/org/dunespindle/job/TerminationBatching.java
@@ -16,19 +16,19 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * Decides how long the terminations of a job's tasks are collected before they are stored. Each write of a record costs the same however many
- * of them it holds; what ends a job, or requeues its tasks, is stored at once.
+ * Decides how long the terminations of a job's tasks are collected before they are stored. A write of a record costs the same regardless of the
+ * number of terminations in it. Terminations that end a job are stored at once, those that requeue tasks after a short delay.
  */
 final class TerminationBatching {
-    /** While more of the job's tasks are to be placed or run here: the next placement usually stores the terminations earlier. */
+    /** Delay while more of the job's tasks are unplaced or run here; the next placement usually stores the terminations earlier. */
     private static final Duration MAX_DELAY = Duration.ofSeconds(15);
-    /** Once no more of the job's tasks run here: other controllers may wait to store its last task. */
+    /** Delay once no more of the job's tasks run here, because other controllers may be waiting to store the termination of its last task. */
     private static final Duration MAX_DELAY_OF_LAST_TASKS = Duration.ofMillis(400);
-    /** While the team is near its quota, which counts tasks until their termination is stored. */
+    /** Delay while the team is near its quota, since tasks count against it until their termination is stored. */
     private static final Duration MAX_DELAY_NEAR_QUOTA = Duration.ofMillis(1500);
 
     private static final Duration QUOTA_CHECK_INTERVAL = Duration.ofSeconds(1);
-    /** A team that uses more than this part of its quota is near it. */
+    /** The fraction of its quota above which a team is near it. */
     private static final double NEAR_QUOTA = 0.75;
 
     private final Settings settings;
@@ -45,7 +45,7 @@
         this.timeSource = context.timeSource();
     }
 
-    /** Notes which teams are near their quota, at most once per interval. */
+    /** Updates the set of teams near their quota, at most once per interval. */
     void checkQuotas() {
         if (timeSource.now().compareTo(nextQuotaCheckAt) < 0) {
             return;
@@ -64,7 +64,7 @@
         return usage.gpus() > NEAR_QUOTA * team.gpusMax() || usage.cpus() > NEAR_QUOTA * team.cpusMax();
     }
 
-    /** Whether a job's pending terminations are to be stored now. */
+    /** Whether a job's pending terminations must be stored now. */
     boolean isDue(JobRecord job, List<PendingTermination> pending) {
         boolean urgent =
                 job.spec().isEmpty() || !job.isOpen() || job.submission().runsAsWhole();
--- a/src/main/java/org/dunespindle/job/TerminationWriter.java
+++ b/src/main/java/org/dunespindle/job/TerminationWriter.java
@@ -31,14 +31,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores task terminations in their jobs' records, in batches. Each write has the machines' ownership as a precondition, as it was when the
- * terminations were reported.
+ * Stores task terminations in the records of their jobs, in batches. Each write has the machines' pages as preconditions, so it fails if
+ * the ownership of a machine has changed since the terminations were reported.
  */
 public final class TerminationWriter {
     private static final Logger LOG = LoggerFactory.getLogger(TerminationWriter.class);
-    /** With more transactions queued than this, terminations wait for the job's next placement instead of locking its record. */
+    /** From this number of queued transactions, terminations wait for the job's next placement instead of locking its record. */
     private static final int MAX_QUEUED_TRANSACTIONS = 6;
-    /** Preconditions of a transaction that are needed for other records than the machines'. */
+    /** Number of preconditions in a transaction for records other than machines. */
     private static final int OTHER_PRECONDITIONS = 6;
 
     private static final String UNKNOWN_MACHINE = "?";
@@ -74,12 +74,12 @@
         this.maxMachinesPerTransaction = Math.max(1, maxPreconditions / 2 - OTHER_PRECONDITIONS);
     }
 
-    /** Task attempts whose termination is reported but not stored: the capacity that they took is free already. */
+    /** Task attempts whose termination is reported but not stored; their capacity is already free. */
     public Set<TaskAttempt> unstoredTerminations() {
         var attempts = new HashSet<TaskAttempt>();
         for (String machineId : workerClient.machinesWithTerminations()) {
             for (TaskTermination termination : workers.getOrCreate(machineId).terminations()) {
-                // A placeholder that timed out is placed again where it was, so its capacity is not free.
+                // A placeholder that timed out is replaced on the same machine, so its capacity is not free.
                 if (termination.cause() != TerminationCause.ASSEMBLY_TIMEOUT) {
                     attempts.add(new TaskAttempt(termination.job(), termination.task(), termination.attemptBase()));
                 }
@@ -88,22 +88,22 @@
         return attempts;
     }
 
-    /** Proposes all terminations that are due, those reported by workers and those of tasks on machines that are gone. */
-    public void storePending(List<TaskTermination> onGoneMachines) {
+    /** Proposes all terminations that are due, both those reported by workers and the given ones of tasks on lost machines. */
+    public void storePending(List<TaskTermination> onLostMachines) {
         batching.checkQuotas();
-        pendingByJob = pendingByJob(onGoneMachines);
+        pendingByJob = pendingByJob(onLostMachines);
         pendingByJob.forEach((id, pending) -> replica.job(id)
                 .filter(job -> !commitQueue.isLocked(Keys.job(id)) && batching.isDue(job, pending))
                 .ifPresent(this::storePending));
     }
 
-    private Map<String, List<PendingTermination>> pendingByJob(List<TaskTermination> onGoneMachines) {
+    private Map<String, List<PendingTermination>> pendingByJob(List<TaskTermination> onLostMachines) {
         var byJob = new LinkedHashMap<String, List<PendingTermination>>();
         for (String machineId : workerClient.machinesWithTerminations()) {
             WorkerState worker = workers.getOrCreate(machineId);
             worker.terminations().forEach(termination -> addPending(byJob, termination, worker.terminationsSince()));
         }
-        onGoneMachines.forEach(termination -> addPending(byJob, termination, Duration.ZERO));
+        onLostMachines.forEach(termination -> addPending(byJob, termination, Duration.ZERO));
         return byJob;
     }
 
@@ -113,7 +113,7 @@
                 .add(new PendingTermination(termination, since));
     }
 
-    @SuppressWarnings("ReferenceEquality") // a record to which nothing was applied is returned as it is
+    @SuppressWarnings("ReferenceEquality") // the same record is returned if nothing was applied
     private void storePending(JobRecord job) {
         var transaction = new Transaction();
         var applied = new ArrayList<TaskTermination>();
@@ -123,7 +123,7 @@
         }
         boolean urgent = !after.isOpen() || after.submission().runsAsWhole();
         if (!urgent && commitQueue.pendingCount() >= MAX_QUEUED_TRANSACTIONS) {
-            return; // it would lock the record for long; the job's next placement stores the terminations too
+            return; // it would lock the record for a long time; the job's next placement also stores the terminations
         }
         commitQueue.propose(
                 urgent ? CommitPriority.PLACEMENT : CommitPriority.MAINTENANCE,
@@ -137,7 +137,7 @@
 
     /**
      * Applies a job's pending terminations to its record, which the caller is about to write, and adds the preconditions to the transaction.
-     * Only as many are applied as half of a transaction's preconditions allow; the others follow once these are stored.
+     * The number of machines is limited to what half of a transaction's preconditions allow; the other terminations are stored later.
      *
      * @param applied receives the terminations that were applied
      */
@@ -148,7 +148,7 @@
             Optional<Allocation> allocation = job.allocation(termination.task())
                     .filter(allocated -> allocated.attemptBase() == termination.attemptBase());
             if (allocation.isEmpty()) {
-                continue; // placed again since
+                continue; // the task has been placed again or released
             }
             String machinePage = Keys.machinePage(allocation.get().machineId());
             if (machinePages.contains(machinePage) || machinePages.size() < maxMachinesPerTransaction) {
@@ -161,9 +161,9 @@
     }
 
     /**
-     * Records a stored termination as an event, and for the detection of crash loops.
+     * Records a stored termination as an event and reports it to the crash loop detector.
      *
-     * @param job the job before the termination was applied
+     * @param job the job record before the termination was applied
      */
     void recordTermination(JobRecord job, TaskTermination termination) {
         String machineId =
@@ -186,7 +186,7 @@
     private void recordFailure(JobRecord job, TaskTermination termination, String machineId) {
         eventRecorder.record(
                 LOG,
-                "task {}/{} failed on machine {}; it is started again elsewhere or later",
+                "task {}/{} failed on machine {}; it will be started again on another machine or later",
                 job.id(),
                 termination.task(),
                 machineId);
@@ -195,7 +195,7 @@
         if (!wasCrashLooping && crashLoopDetector.isCrashLooping(job.id())) {
             eventRecorder.record(
                     LOG,
-                    "job {} fails on every machine: on {} so far; it is taken for faulty and tried ever more seldom until its user cancels it",
+                    "job {} fails on every machine: on {} so far; it is taken for faulty and retried with increasing back-off until it is cancelled",
                     job.id(),
                     crashLoopDetector.machinesWithFailuresOf(job.id()));
         }
--- a/src/main/java/org/dunespindle/job/package-info.java
+++ b/src/main/java/org/dunespindle/job/package-info.java
@@ -1,2 +1,2 @@
-/** What becomes of jobs: placements, terminations, quota reservations, the gang life cycle. */
+/** Changes to the state of jobs: placements, terminations, preemption, quota reservations and the gang lifecycle. */
 package org.dunespindle.job;
--- a/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -130,11 +130,11 @@
 
     /** Whether the first job may use every machine that the second one may use. */
     private static boolean isAtLeastAsFlexible(Submission one, Submission other) {
-        boolean kindAllowed = one.spot() || !other.spot();
+        boolean spotAllowed = one.spot() || !other.spot();
         boolean zoneAllowed = one.zone().isEmpty() || one.zone().equals(other.zone());
         boolean typeAllowed = one.types().isEmpty()
                 || (other.types().isPresent()
                         && one.types().get().containsAll(other.types().get()));
-        return kindAllowed && zoneAllowed && typeAllowed && !one.sameZone() && !one.spread();
+        return spotAllowed && zoneAllowed && typeAllowed && !one.sameZone() && !one.spread();
     }
 }
--- a/src/main/java/org/dunespindle/scheduling/DemandForecast.java
+++ b/src/main/java/org/dunespindle/scheduling/DemandForecast.java
@@ -26,7 +26,7 @@
     private static final Duration FORECAST_HORIZON = Duration.ofSeconds(12);
     private final Set<String> forecastClasses = new HashSet<>();
     private final Map<String, ClassHistory> histories = new LinkedHashMap<>();
-    private final Set<String> seen = new HashSet<>();
+    private final Set<String> observedJobIds = new HashSet<>();
 
     /**
      * The expected demand of a job class.
@@ -52,7 +52,7 @@
             arrivals.addLast(new Arrival(job.arrived(), submission.tasks()));
         }
 
-        void forgetArrivalsBefore(Instant oldest) {
+        void removeArrivalsBefore(Instant oldest) {
             while (!arrivals.isEmpty() && arrivals.peekFirst().at.isBefore(oldest)) {
                 arrivals.removeFirst();
             }
@@ -117,14 +117,14 @@
         var present = new HashSet<String>();
         for (JobRecord job : jobs) {
             present.add(job.id());
-            boolean arrived = seen.add(job.id());
+            boolean arrived = observedJobIds.add(job.id());
             if (arrived && forecastClasses.contains(job.submission().jobClass())) {
                 histories
                         .computeIfAbsent(job.submission().jobClass(), jobClass -> new ClassHistory())
                         .add(job);
             }
         }
-        seen.retainAll(present);
+        observedJobIds.retainAll(present);
     }
 
     /**
@@ -135,7 +135,7 @@
     public List<ForecastJob> forecastJobs(int perClass, Instant now) {
         var forecast = new ArrayList<ForecastJob>();
         histories.forEach((jobClass, history) -> {
-            history.forgetArrivalsBefore(now.minus(ARRIVAL_WINDOW));
+            history.removeArrivalsBefore(now.minus(ARRIVAL_WINDOW));
             // A class without arrivals within the window is not forecast.
             if (perClass > 0 && !history.arrivals.isEmpty()) {
                 JobRecord typical = JobRecord.accepted(history.typicalJob(jobClass, perClass), Instant.EPOCH);
--- a/src/main/java/org/dunespindle/scheduling/JobOrder.java
+++ b/src/main/java/org/dunespindle/scheduling/JobOrder.java
@@ -20,13 +20,13 @@
     /** A job that has waited longer without any task started is starving, and is planned first within its priority. */
     private static final Duration MAX_WAIT_BEFORE_FIRST_TASK = Duration.ofSeconds(120);
 
-    private static final int FIRST_TIER = 0;
+    private static final int TOP_TIER = 0;
     /** The tier of jobs that can meet their first objective, or have none; each later objective has the next tier. */
     private static final int FIRST_OBJECTIVE_TIER = 1;
     /** The tier of jobs that miss all their objectives. */
     private static final int MISSED_ALL_OBJECTIVES_TIER = 1000;
     /** Estimates are often too high, so a job counts as able to meet an objective if this fraction of its estimate fits. */
-    private static final double BEST_CASE_PART_OF_ESTIMATE = 0.7;
+    private static final double BEST_CASE_ESTIMATE_FRACTION = 0.7;
 
     private final ClusterSnapshot snapshot;
     private final Set<String> guaranteed;
@@ -89,7 +89,7 @@
     private Rank rank(JobRecord job) {
         Submission submission = job.submission();
         if (submission.isGang() || isStarving(job)) {
-            return new Rank(FIRST_TIER, job.arrived().toEpochMilli());
+            return new Rank(TOP_TIER, job.arrived().toEpochMilli());
         }
         List<Duration> objectives = snapshot.objectives().all(submission);
         Instant bestCaseEnd = snapshot.now().plus(bestCase(submission));
@@ -108,7 +108,7 @@
     }
 
     private static Duration bestCase(Submission submission) {
-        return Duration.ofMillis((long) (submission.estimate().toMillis() * BEST_CASE_PART_OF_ESTIMATE));
+        return Duration.ofMillis((long) (submission.estimate().toMillis() * BEST_CASE_ESTIMATE_FRACTION));
     }
 
     /** Ids of the jobs that fit within their team's guarantee together with the team's earlier unfinished jobs. */
--- a/src/main/java/org/dunespindle/scheduling/MachineCandidates.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCandidates.java
@@ -26,9 +26,9 @@
         }
 
         boolean includes(MachineSnapshot machine) {
-            boolean kindAllowed = spot || !machine.spot();
+            boolean spotAllowed = spot || !machine.spot();
             boolean zoneAllowed = zone.isEmpty() || zone.get().equals(machine.zone());
-            return kindAllowed && zoneAllowed && (types.isEmpty() || types.get().contains(machine.type()));
+            return spotAllowed && zoneAllowed && (types.isEmpty() || types.get().contains(machine.type()));
         }
     }
 
--- a/src/main/java/org/dunespindle/scheduling/PlanRun.java
+++ b/src/main/java/org/dunespindle/scheduling/PlanRun.java
@@ -9,7 +9,7 @@
 /** Makes one plan: goes through the jobs in planning order and places each with the planner for its kind. */
 final class PlanRun {
     /** The maximum number of gangs, queued behind others of their team, for which machines are requested in advance. */
-    private static final int MAX_QUEUED_GANGS_TO_PROVISION_FOR = 12;
+    private static final int MAX_GANGS_PROVISIONED_IN_ADVANCE = 12;
 
     private final PlanState state;
     private final JobOrder order;
@@ -38,16 +38,16 @@
 
     /** Makes the plan. Must be called only once. */
     Plan run() {
-        JobRecord before = null;
+        JobRecord previous = null;
         for (JobRecord job : order.jobs()) {
-            if (before != null && !order.haveEqualRank(before, job)) {
+            if (previous != null && !order.haveEqualRank(previous, job)) {
                 placeArrays();
             }
-            before = job;
+            previous = job;
             plan(job);
         }
         placeArrays();
-        queuedGangs.stream().limit(MAX_QUEUED_GANGS_TO_PROVISION_FOR).forEach(demand::requestForQueued);
+        queuedGangs.stream().limit(MAX_GANGS_PROVISIONED_IN_ADVANCE).forEach(demand::requestForQueued);
         rebalancer.plan();
         state.snapshot().forecastJobs().forEach(forecast -> demand.requestForForecast(forecast.job()));
         return state.plan();
--- a/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
+++ b/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
@@ -129,7 +129,7 @@
             Resources accountedUsage,
             Resources unacknowledged,
             Resources usage) {
-        private boolean coversReservation() {
+        private boolean hasAppliedReservation() {
             return appliedRevision >= reservationRevision;
         }
 
@@ -152,7 +152,7 @@
         if (view.shareCovers(request)) {
             return new Decision.Admit();
         }
-        if (!view.coversReservation()) {
+        if (!view.hasAppliedReservation()) {
             return new Decision.Defer(DeferReason.REPLICA_BEHIND_RESERVATION);
         }
         Resources bound = view.usageBound();
--- a/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
@@ -34,13 +34,13 @@
         boolean mayConsolidate = true;
         for (JobRecord job : state.snapshot().jobs()) {
             if (job.isOpen() && job.submission().isService()) {
-                mayConsolidate = move(job, mayConsolidate);
+                mayConsolidate = moveReplicas(job, mayConsolidate);
             }
         }
     }
 
     /** Moves replicas of one service; returns whether a further replica may be moved for consolidation, of which each plan moves at most one. */
-    private boolean move(JobRecord job, boolean mayConsolidate) {
+    private boolean moveReplicas(JobRecord job, boolean mayConsolidate) {
         boolean settled = mayConsolidate
                 && job.unplacedCount() == 0
                 && job.allocations().stream().noneMatch(Allocation::stopping);
@@ -49,18 +49,18 @@
             if (allocation.stopping()) {
                 continue;
             }
-            boolean mustLeave = state.snapshot().drainingMachines().contains(allocation.machineId());
-            if (!mustLeave && !(settled && isConsolidatable(job, allocation))) {
+            boolean mustMove = state.snapshot().drainingMachines().contains(allocation.machineId());
+            if (!mustMove && !(settled && isConsolidatable(job, allocation))) {
                 continue;
             }
-            Optional<MachineCapacity> target = target(job, allocation, mustLeave);
+            Optional<MachineCapacity> target = target(job, allocation, mustMove);
             if (target.isPresent()) {
                 state.allocate(job.submission(), target.get());
                 target.get().addReplica();
                 state.move(new MachineCapacity.Victim(job, allocation));
                 settled = false;
-                mayStillConsolidate &= mustLeave;
-            } else if (mustLeave) {
+                mayStillConsolidate &= mustMove;
+            } else if (mustMove) {
                 requestCapacity(job, allocation);
             }
         }
@@ -71,8 +71,8 @@
     private void requestCapacity(JobRecord job, Allocation leaving) {
         ZoneRules zones = zoneChooser.rulesWithout(job, leaving);
         for (MachineCapacity machine : state.machines().candidates(job.submission())) {
-            boolean boots = !machine.snapshot().up();
-            if (boots && machine.hasCapacity(job.submission().perTask()) && zones.allows(machine.snapshot())) {
+            boolean booting = !machine.snapshot().up();
+            if (booting && machine.hasCapacity(job.submission().perTask()) && zones.allows(machine.snapshot())) {
                 state.reserveCapacity(job.submission(), machine);
                 return;
             }
@@ -91,7 +91,7 @@
     }
 
     /** The best machine to move a replica to; empty if no machine is suitable or worth the move. */
-    private Optional<MachineCapacity> target(JobRecord job, Allocation leaving, boolean mustLeave) {
+    private Optional<MachineCapacity> target(JobRecord job, Allocation leaving, boolean mustMove) {
         Submission submission = job.submission();
         Set<String> ownMachines = machinesOfOthers(job, leaving);
         ZoneRules zones = zoneChooser.rulesWithout(job, leaving);
@@ -100,7 +100,7 @@
                 machine -> !machine.snapshot().id().equals(leaving.machineId())
                         && machine.schedulable()
                         && machine.hasCapacity(submission.perTask())
-                        && (mustLeave || isWorthMoving(submission, machine, ownMachines))
+                        && (mustMove || isWorthMoving(submission, machine, ownMachines))
                         && zones.allows(machine.snapshot()),
                 machine -> score(submission, machine, ownMachines));
     }
--- a/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
+++ b/src/main/java/org/dunespindle/scheduling/ZoneChooser.java
@@ -17,7 +17,7 @@
     private static final double PREEMPTED_TASK_SCORE = 2;
     private static final double IMAGE_FOR_ALL_TASKS_SCORE = 1.5;
     private static final double IMAGE_FOR_SOME_TASKS_SCORE = 0.1;
-    private static final double MISSING_TASK_PENALTY_IN_REFUSED_POOL = 0.5;
+    private static final double REFUSED_POOL_PENALTY_PER_MISSING_TASK = 0.5;
     private static final double REFUSED_POOL_PENALTY = 0.1;
     private final PlanState state;
 
@@ -96,7 +96,7 @@
                 + imageScore * Math.min(missing, capacity.withImage);
         for (MachinePool pool : state.snapshot().refusedPools()) {
             if (pool.zone().equals(zone) && !pool.spot()) {
-                score -= MISSING_TASK_PENALTY_IN_REFUSED_POOL * (missing - free - preemptible - booting)
+                score -= REFUSED_POOL_PENALTY_PER_MISSING_TASK * (missing - free - preemptible - booting)
                         + REFUSED_POOL_PENALTY;
             }
         }
--- a/src/test/java/org/dunespindle/job/ArrayJobs.java
+++ b/src/test/java/org/dunespindle/job/ArrayJobs.java
@@ -7,11 +7,11 @@
 import org.dunespindle.protocol.SubmissionBuilder;
 import org.dunespindle.storage.JobRecord;
 
-/** Records of arrays for tests. */
+/** Creates job records of arrays for tests. */
 final class ArrayJobs {
     private ArrayJobs() {}
 
-    /** An accepted array without any allocation. */
+    /** An accepted array without allocations. */
     static JobRecord array(int tasks) {
         return JobRecord.accepted(
                 SubmissionBuilder.submission("wk-000001")
--- a/src/test/java/org/dunespindle/job/JobTransitionsTest.java
+++ b/src/test/java/org/dunespindle/job/JobTransitionsTest.java
@@ -14,9 +14,9 @@
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
-/** Terminations applied to a job's record. */
+/** Tests how task terminations change a job's record. */
 class JobTransitionsTest {
-    /** The record is the same whether terminations are applied in a batch or one after the other. */
+    /** Applying terminations in a batch must give the same record as applying them one after the other. */
     @Property(seed = "72", tries = 100)
     void terminationsAppliedTogetherEqualThoseAppliedOneByOne(@ForAll long seed) {
         var random = new Random(seed);
--- a/src/test/java/org/dunespindle/job/RecordSizeLimitTest.java
+++ b/src/test/java/org/dunespindle/job/RecordSizeLimitTest.java
@@ -11,11 +11,11 @@
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
-/** How much of a large array is placed at once. */
+/** Checks that the record of a large array never exceeds the maximum size of a stored value, which could not be written again. */
 class RecordSizeLimitTest {
     private static final int MAX_VALUE_BYTES = 8192;
 
-    /** Many or few tasks on a machine, ending, failing and placed again in any order. */
+    /** Many or few tasks per machine end, fail and are placed again in random order. */
     @Property(seed = "71", tries = 60)
     void aRecordNeverExceedsTheValueLimit(@ForAll long seed) {
         var random = new Random(seed);
--- a/src/test/java/org/dunespindle/job/package-info.java
+++ b/src/test/java/org/dunespindle/job/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of placements. */
+/** Tests of job state transitions and record sizes. */
 package org.dunespindle.job;
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -74,7 +74,7 @@
     }
 
     @Property(seed = "21", tries = 200)
-    void noPlanBreaksARule(@ForAll long seed) {
+    void noPlanExceedsQuotasOrCapacityOrViolatesZoneConstraints(@ForAll long seed) {
         var random = new Random(seed);
         var jobs = new ArrayList<JobRecord>();
         for (int i = 0; i < 8; i++) {
@@ -105,11 +105,11 @@
                             (id, job) -> job.withReleased(eviction.allocation().task(), false)));
             jobs.clear();
             jobs.addAll(byId.values());
-            check(jobs, machines);
+            assertConstraintsHold(jobs, machines);
         }
     }
 
-    private static void check(List<JobRecord> jobs, List<MachineSnapshot> machines) {
+    private static void assertConstraintsHold(List<JobRecord> jobs, List<MachineSnapshot> machines) {
         ProjectedJobs.ofStored(jobs)
                 .usage()
                 .forEach((team, use) -> assertTrue(TEAMS.get(team).withinLimit(use), team + " uses " + use));
@@ -167,11 +167,11 @@
 
     @Test
     void aFullyPlacedGangAndGangsOfOneDoNotBlockTheQueue() {
-        JobRecord booked = job(1, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE)
+        JobRecord fullyPlaced = job(1, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE)
                 .withPlaced(new TreeMap<>(Map.of(0, "a", 1, "a")));
         Plan plan = plan(
                 List.of(
-                        booked,
+                        fullyPlaced,
                         job(2, "blue", JobKind.GANG, Priority.URGENT, 2, ANYWHERE),
                         job(3, "blue", JobKind.GANG, Priority.URGENT, 1, ANYWHERE)),
                 List.of(machine("a", "east", false, 5)));
@@ -240,15 +240,15 @@
     void jobsThatMissAllObjectivesAreRankedLast() {
         // The current time is second 1000. The first job arrived at 50 and misses both objectives, although it is also
         // within its team's guarantee; the second can still meet the objective of 900 s.
-        JobRecord lost = begun(job(50, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE));
-        JobRecord open = begun(job(600, "blue", JobKind.ARRAY, Priority.LOW, 3, ANYWHERE));
-        Plan plan = plan(List.of(lost, open), List.of(machine("a", "east", false, 1)));
+        JobRecord missesAll = partlyDone(job(50, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE));
+        JobRecord canMeetLater = partlyDone(job(600, "blue", JobKind.ARRAY, Priority.LOW, 3, ANYWHERE));
+        Plan plan = plan(List.of(missesAll, canMeetLater), List.of(machine("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000600"),
                 plan.bindings().stream().map(binding -> binding.job().id()).toList());
     }
 
-    private static JobRecord begun(JobRecord job) {
+    private static JobRecord partlyDone(JobRecord job) {
         return job.withPlaced(new TreeMap<>(Map.of(0, "gone"))).withReleased(0, true);
     }
 
@@ -272,7 +272,7 @@
     @Test
     void aStarvingArrayStartsBeforeSmallerOnes() {
         JobRecord large = job(50, "blue", JobKind.ARRAY, Priority.LOW, 9, ANYWHERE);
-        JobRecord small = begun(job(990, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE));
+        JobRecord small = partlyDone(job(990, "blue", JobKind.ARRAY, Priority.LOW, 2, ANYWHERE));
         Plan plan = plan(List.of(large, small), List.of(machine("a", "east", false, 1)));
         assertEquals(
                 List.of("wk-000050"),
--- a/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/ServicePlannerTest.java
@@ -28,7 +28,7 @@
     private static final Resources TRAINING = new Resources(21, 2, 100);
 
     private final List<MachineSnapshot> machines = new ArrayList<>();
-    private final Set<String> departing = new HashSet<>();
+    private final Set<String> draining = new HashSet<>();
     private Duration runtime = Duration.ZERO;
 
     private static JobRecord job(
@@ -61,7 +61,7 @@
     private SnapshotFixture snapshot(JobRecord... jobs) {
         return new SnapshotFixture(TEAMS)
                 .jobs(List.of(jobs))
-                .departingMachines(departing)
+                .drainingMachines(draining)
                 .runtime(runtime);
     }
 
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void theZoneLimitHoldsForEachStartGivenWhereTheOthersAre() {
+    void theZoneLimitIncludesReplicasThatAreAlreadyAllocated() {
         machine("a", "east");
         machine("b", "east");
         JobRecord job = job(1, JobKind.SERVICE, Priority.CRITICAL, 5, REPLICA, true);
@@ -145,9 +145,9 @@
     }
 
     @Test
-    void aReplicaLeavesADepartingMachineOnlyIfThereIsCapacityElsewhere() {
+    void aReplicaLeavesADrainingMachineOnlyIfThereIsCapacityElsewhere() {
         machine("b", "east", "image");
-        departing.add("a");
+        draining.add("a");
         JobRecord replica = service(1, 1).withPlaced(Map.of(0, "a"));
         assertEquals(1, plan(replica).moves().size());
         machines.clear();
--- a/src/test/java/org/dunespindle/scheduling/SnapshotFixture.java
+++ b/src/test/java/org/dunespindle/scheduling/SnapshotFixture.java
@@ -20,7 +20,7 @@
     private Map<String, MachinePool> pools = Map.of();
     private int maxTasks = DEFAULT_MAX_TASKS;
     private Set<TaskAttempt> endedTasks = Set.of();
-    private Set<String> departingMachines = Set.of();
+    private Set<String> drainingMachines = Set.of();
     private List<DemandForecast.ForecastJob> forecastJobs = List.of();
     private ServiceLevelObjectives objectives = new ServiceLevelObjectives(List.of());
     private Duration runtime = Duration.ZERO;
@@ -66,8 +66,8 @@
         return this;
     }
 
-    SnapshotFixture departingMachines(Set<String> ids) {
-        departingMachines = ids;
+    SnapshotFixture drainingMachines(Set<String> ids) {
+        drainingMachines = ids;
         return this;
     }
 
@@ -99,7 +99,7 @@
                 endedTasks,
                 Set.of(),
                 true,
-                departingMachines,
+                drainingMachines,
                 forecastJobs,
                 objectives,
                 attempt -> runtime));
--- a/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
+++ b/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
@@ -30,7 +30,7 @@
     private static final int JOBS = 4;
     private static final int STEPS = 500;
     private static final String TEAM = "red";
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private static JobRecord array(int id, int tasks) {
         return JobRecord.accepted(
@@ -91,7 +91,7 @@
             return true;
         }
 
-        double use() {
+        double usage() {
             return jobs.values().stream()
                     .mapToInt(versioned -> versioned.value.allocations().size())
                     .sum();
@@ -129,7 +129,7 @@
             replica = store.replicate();
         }
 
-        TeamUsage use() {
+        TeamUsage usage() {
             var jobs = new ArrayList<ProjectedJob>();
             replica.jobs.forEach((id, versioned) -> {
                 Optional<JobRecord> proposed =
@@ -150,7 +150,7 @@
                 accountedUsage = 0;
                 unacknowledged = 0;
             }
-            Resources used = use().of(TEAM);
+            Resources used = usage().of(TEAM);
             var view = new QuotaAdmission.QuotaView(
                     team,
                     controllerCount,
@@ -196,21 +196,21 @@
         /** Settles the account with a proposal's result, if the reservation has not changed since the proposal. */
         void settle(Proposal proposal, Store store, boolean applied, boolean answered) {
             inFlight.remove(proposal.job);
-            boolean sameRecord = accountedRevision == proposal.requiredReservationRevision;
+            boolean sameReservation = accountedRevision == proposal.requiredReservationRevision;
             if (!answered) {
-                unacknowledged += sameRecord ? proposal.tasks : 0;
+                unacknowledged += sameReservation ? proposal.tasks : 0;
             } else if (!applied) {
-                accountedUsage -= sameRecord ? proposal.tasks : 0;
+                accountedUsage -= sameReservation ? proposal.tasks : 0;
             }
             if (!answered || !applied) {
                 replica = store.replicate();
             } else {
-                adopt(proposal, store);
+                applyOwnChange(proposal, store);
             }
         }
 
         /** Applies the controller's own change immediately, while earlier changes of others may still be missing from the replica. */
-        private void adopt(Proposal proposal, Store store) {
+        private void applyOwnChange(Proposal proposal, Store store) {
             var jobs = new TreeMap<>(replica.jobs);
             proposal.after.ifPresent(after -> jobs.put(proposal.job, store.jobs.get(proposal.job)));
             replica = new Replica(
@@ -250,7 +250,7 @@
             Controller controller = controllers.get(random.nextInt(controllers.size()));
             switch (random.nextInt(12)) {
                 case 0, 1, 2 -> controller.replica = store.replicate();
-                case 3 -> end();
+                case 3 -> storeTerminations();
                 case 4 -> {
                     if (random.nextInt(10) == 0) {
                         unacknowledgedTransactions.addAll(controller.inFlight.values());
@@ -271,7 +271,7 @@
         }
 
         /** Stores the termination of some tasks. */
-        private void end() {
+        private void storeTerminations() {
             int job = random.nextInt(JOBS);
             store.revision++;
             store.jobs.computeIfPresent(
@@ -299,14 +299,16 @@
             boolean applied = store.apply(proposal);
             if (applied && proposal.reservation.isPresent()) {
                 double bound = store.reservation.value.bound().gpus();
-                assertTrue(store.use() <= bound + ROUNDING, store.use() + " stored under a bound of " + bound);
+                assertTrue(
+                        store.usage() <= bound + ROUNDING_TOLERANCE,
+                        store.usage() + " stored under a bound of " + bound);
             }
             stored += applied ? proposal.tasks : 0;
             return applied;
         }
 
         private void check() {
-            assertTrue(store.use() <= team.gpusMax(), store.use() + " of " + team.gpusMax());
+            assertTrue(store.usage() <= team.gpusMax(), store.usage() + " of " + team.gpusMax());
         }
     }
 
