--- a/src/main/java/org/dunespindle/controller/DecisionLoop.java
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -112,7 +112,7 @@
             parts.shared.oversizeRecordSplitter.tick();
         }
         if (scans) {
-            parts.jobs.noticedMachineDrainer.drain();
+            parts.jobs.interruptionNoticeDrainer.drain();
         }
         if (planIsDue()) {
             makePlan();
--- a/src/main/java/org/dunespindle/controller/JobParts.java
+++ b/src/main/java/org/dunespindle/controller/JobParts.java
@@ -3,7 +3,7 @@
 import org.dunespindle.control.CommitQueue;
 import org.dunespindle.control.ControllerContext;
 import org.dunespindle.job.GangLifecycle;
-import org.dunespindle.job.NoticedMachineDrainer;
+import org.dunespindle.job.InterruptionNoticeDrainer;
 import org.dunespindle.job.PlacementPacing;
 import org.dunespindle.job.PlacementWriter;
 import org.dunespindle.job.TaskPreemptor;
@@ -17,7 +17,7 @@
     final PlacementWriter placementWriter;
     final TaskPreemptor taskPreemptor;
     final GangLifecycle gangLifecycle;
-    final NoticedMachineDrainer noticedMachineDrainer;
+    final InterruptionNoticeDrainer interruptionNoticeDrainer;
     final SnapshotBuilder snapshotBuilder;
 
     JobParts(SharedParts shared, WorkerParts workers, MachineParts machines, ServiceLevelObjectives objectives) {
@@ -34,7 +34,7 @@
                 machines.statusReporter::isSchedulable);
         taskPreemptor = new TaskPreemptor(context, workers.pendingPreemptions, workerClient);
         gangLifecycle = new GangLifecycle(context, commitQueue, workerClient, shared.options);
-        noticedMachineDrainer = new NoticedMachineDrainer(context, commitQueue, workerClient);
+        interruptionNoticeDrainer = new InterruptionNoticeDrainer(context, commitQueue, workerClient);
         var sources = new SnapshotBuilder.Sources(
                 machines.catalog,
                 machines.fleetManager,
--- a/src/main/java/org/dunespindle/job/NoticedMachineDrainer.java
+++ b/src/main/java/org/dunespindle/job/InterruptionNoticeDrainer.java
@@ -20,8 +20,8 @@
  * Drains machines with a spot interruption notice: tasks that write checkpoints are stopped before the machine is lost, gangs as a whole. Each
  * controller drains the machines that it commands.
  */
-public final class NoticedMachineDrainer {
-    private static final Logger LOG = LoggerFactory.getLogger(NoticedMachineDrainer.class);
+public final class InterruptionNoticeDrainer {
+    private static final Logger LOG = LoggerFactory.getLogger(InterruptionNoticeDrainer.class);
     private final StateReplica replica;
     private final JobRecordWriter jobWriter;
     private final EventRecorder eventRecorder;
@@ -29,7 +29,7 @@
     private final WorkerClient workerClient;
 
     /** Creates the drainer of one controller. */
-    public NoticedMachineDrainer(ControllerContext context, CommitQueue commitQueue, WorkerClient workerClient) {
+    public InterruptionNoticeDrainer(ControllerContext context, CommitQueue commitQueue, WorkerClient workerClient) {
         this.replica = context.replica();
         this.jobWriter = context.jobWriter();
         this.eventRecorder = context.eventRecorder();
