--- a/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
+++ b/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Several controllers place tasks of a few jobs of one team, each by its own replica of the store and with placements in flight that may be
- * overtaken, refused, or remaining without an answer: the team's limit holds, and its record's bound is never below what is stored.
+ * Several controllers place tasks of one team's jobs, each using its own stale replica and with transactions in flight that may be reordered,
+ * rejected or unacknowledged. The team's limit must hold, and the bound of its reservation must never be below the stored usage.
  */
 class TeamUsageTest {
     private static final int MAX_CONTROLLERS = 3;
     private static final int JOBS = 4;
     private static final int STEPS = 500;
     private static final String TEAM = "red";
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private static JobRecord array(int id, int tasks) {
         return JobRecord.accepted(
@@ -59,7 +59,7 @@
     /** A stored value and the revision at which it was written. */
     private record Versioned<T>(T value, long modRevision) {}
 
-    /** A controller's replica of the store, which lags behind. */
+    /** A controller's replica of the store, which may be stale. */
     private record Replica(
             Map<Integer, Versioned<JobRecord>> jobs,
             Versioned<QuotaAdmission.Reservation> reservation,
@@ -91,7 +91,7 @@
             return true;
         }
 
-        double use() {
+        double usage() {
             return jobs.values().stream()
                     .mapToInt(versioned -> versioned.value.allocations().size())
                     .sum();
@@ -121,7 +121,7 @@
             replica = store.replicate();
         }
 
-        /** A new process of the same name writes its incarnation record, and knows nothing of the old one's transactions in flight. */
+        /** A new process with the same node name writes its incarnation record; it has no state about transactions of its predecessor in flight. */
         void restart(Store store) {
             incarnationRevision = ++store.revision;
             inFlight.clear();
@@ -129,7 +129,7 @@
             replica = store.replicate();
         }
 
-        TeamUsage use() {
+        TeamUsage usage() {
             var jobs = new ArrayList<ProjectedJob>();
             replica.jobs.forEach((id, versioned) -> {
                 Optional<JobRecord> proposed =
@@ -150,7 +150,7 @@
                 accountedUsage = 0;
                 unacknowledged = 0;
             }
-            Resources used = use().of(TEAM);
+            Resources used = usage().of(TEAM);
             var view = new QuotaAdmission.QuotaView(
                     team,
                     controllerCount,
@@ -193,24 +193,24 @@
             return Optional.ofNullable(proposal);
         }
 
-        /** Settles the account with a proposal's result, if the reservation is still the one under which it was made. */
+        /** Settles the account with a proposal's result, if the reservation has not changed since the proposal. */
         void settle(Proposal proposal, Store store, boolean applied, boolean answered) {
             inFlight.remove(proposal.job);
-            boolean sameRecord = accountedRevision == proposal.requiredReservationRevision;
+            boolean sameReservation = accountedRevision == proposal.requiredReservationRevision;
             if (!answered) {
-                unacknowledged += sameRecord ? proposal.tasks : 0;
+                unacknowledged += sameReservation ? proposal.tasks : 0;
             } else if (!applied) {
-                accountedUsage -= sameRecord ? proposal.tasks : 0;
+                accountedUsage -= sameReservation ? proposal.tasks : 0;
             }
             if (!answered || !applied) {
                 replica = store.replicate();
             } else {
-                adopt(proposal, store);
+                applyOwnChange(proposal, store);
             }
         }
 
-        /** Applies an own change at once, while earlier changes of others may still be missing from the replica. */
-        private void adopt(Proposal proposal, Store store) {
+        /** Applies the controller's own change immediately, while earlier changes of others may still be missing from the replica. */
+        private void applyOwnChange(Proposal proposal, Store store) {
             var jobs = new TreeMap<>(replica.jobs);
             proposal.after.ifPresent(after -> jobs.put(proposal.job, store.jobs.get(proposal.job)));
             replica = new Replica(
@@ -238,7 +238,8 @@
         History(long seed) {
             random = new Random(seed);
             team = new Settings.Team(TEAM, 0, Double.POSITIVE_INFINITY, 0, 20 + random.nextInt(100));
-            // With fewer controllers, the allowance for unseen placements hides fewer errors in the usage.
+            // With fewer controllers, the allowance for unseen placements is smaller and hides fewer errors in the
+            // usage.
             int controllerCount = 1 + random.nextInt(MAX_CONTROLLERS);
             for (int i = 0; i < controllerCount; i++) {
                 controllers.add(new Controller(controllerCount, store));
@@ -249,7 +250,7 @@
             Controller controller = controllers.get(random.nextInt(controllers.size()));
             switch (random.nextInt(12)) {
                 case 0, 1, 2 -> controller.replica = store.replicate();
-                case 3 -> end();
+                case 3 -> storeTerminations();
                 case 4 -> {
                     if (random.nextInt(10) == 0) {
                         unacknowledgedTransactions.addAll(controller.inFlight.values());
@@ -269,8 +270,8 @@
             check();
         }
 
-        /** Stores the end of some tasks. */
-        private void end() {
+        /** Stores the termination of some tasks. */
+        private void storeTerminations() {
             int job = random.nextInt(JOBS);
             store.revision++;
             store.jobs.computeIfPresent(
@@ -298,14 +299,16 @@
             boolean applied = store.apply(proposal);
             if (applied && proposal.reservation.isPresent()) {
                 double bound = store.reservation.value.bound().gpus();
-                assertTrue(store.use() <= bound + ROUNDING, store.use() + " stored under a bound of " + bound);
+                assertTrue(
+                        store.usage() <= bound + ROUNDING_TOLERANCE,
+                        store.usage() + " stored under a bound of " + bound);
             }
             stored += applied ? proposal.tasks : 0;
             return applied;
         }
 
         private void check() {
-            assertTrue(store.use() <= team.gpusMax(), store.use() + " of " + team.gpusMax());
+            assertTrue(store.usage() <= team.gpusMax(), store.usage() + " of " + team.gpusMax());
         }
     }
 
@@ -341,7 +344,7 @@
                         .gpus());
     }
 
-    /** A task runs on one machine, whichever of its two allocations is stored. */
+    /** A task runs on a single machine, regardless of which of its two allocations is stored. */
     @Test
     void aReplacedTaskCountsOnce() {
         JobRecord stored = placed(array(1, 30), 5);
