--- a/src/main/java/org/dunespindle/worker/AcquisitionReply.java
+++ b/src/main/java/org/dunespindle/worker/AcquisitionReply.java
@@ -6,13 +6,14 @@
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.TransactionResult;
 
-/** Answers a worker's heartbeat once the transaction that makes this controller its machine's owner has ended. */
+/** Answers a worker's heartbeat after the transaction that makes this controller its machine's owner. */
 final class AcquisitionReply {
-    static final HeartbeatReply FAILED = new HeartbeatReply.Unavailable("machine could not be taken up");
+    static final HeartbeatReply FAILED =
+            new HeartbeatReply.Unavailable("this controller could not become the owner of the machine");
 
     private AcquisitionReply() {}
 
-    /** A listener for the transaction's result that answers the heartbeat. */
+    /** A callback for the transaction's result that answers the heartbeat. */
     static Consumer<TransactionResult> after(
             ControllerContext context, String machineId, Consumer<HeartbeatReply> replyTo) {
         return result -> {
--- a/src/main/java/org/dunespindle/worker/CancellationTracker.java
+++ b/src/main/java/org/dunespindle/worker/CancellationTracker.java
@@ -17,22 +17,23 @@
  * The cancellations known to this controller, and the staleness of that knowledge.
  *
  * <p>The replica contains every cancellation stored before its last read was requested. While the state service cannot be read, the
- * other controllers are asked: each answers with the cancelled jobs that it knows and the asker's replica may lack. A controller
- * confirms a cancellation to a user only once its own replica has it, so one that has answered had confirmed no other when it was
- * asked; one that was restarted answers only after its replica is loaded, and what its predecessor confirmed had been stored before.
- * So the staleness is that of the <em>oldest</em> of the last answers of all others, each counted from the request. A controller
- * that does not answer may have confirmed cancellations since, so then the staleness grows, whoever else answers.
+ * other controllers are asked: each answers with the cancelled jobs in its replica that the requester's replica may lack. A controller
+ * confirms a cancellation to a user only once its own replica contains it, so its answer is complete up to the time of the request. A
+ * restarted controller answers only after its replica is loaded, and every cancellation that its predecessor confirmed was stored
+ * before. The staleness is therefore that of the <em>oldest</em> of the last answers of all other controllers, each counted from its
+ * request. A controller that does not answer may have confirmed cancellations since, so the staleness then grows even if all the
+ * others answer.
  */
 public final class CancellationTracker {
     private final StateReplica replica;
     private final TimeSource timeSource;
     private final List<String> otherControllers;
-    /** When the last request was sent that a controller has answered. */
+    /** The time of the last request that each controller has answered. */
     private final Map<String, Duration> answeredRequestAt = new HashMap<>();
-    /** Jobs that other controllers say are cancelled; the replica may still have them as open. */
+    /** Jobs that other controllers reported as cancelled; they may still be open in the replica. */
     private final Set<String> cancelledElsewhere = new HashSet<>();
 
-    /** Creates a tracker that knows of the cancellations in the replica. */
+    /** Creates a tracker without answers from other controllers: it knows the cancellations in the replica. */
     public CancellationTracker(Settings settings, StateReplica replica, TimeSource timeSource) {
         this.replica = replica;
         this.timeSource = timeSource;
@@ -43,14 +44,14 @@
     /**
      * Records another controller's complete answer.
      *
-     * @param requestedAt when the request was sent: later cancellations may be missing in the answer
-     * @return the jobs that were not known here to be cancelled
+     * @param requestedAt when the request was sent: the answer may lack later cancellations
+     * @return the jobs that this controller did not know to be cancelled
      */
     public List<String> recordAnswer(String controller, Duration requestedAt, List<String> cancelledJobs) {
         answeredRequestAt.merge(controller, requestedAt, CancellationTracker::longer);
         var newlyCancelled = new ArrayList<String>();
         for (String jobId : cancelledJobs) {
-            // No task of a job that the replica lacks was started from here.
+            // A job that the replica lacks has no tasks that this controller started.
             if (!isClosed(jobId) && cancelledElsewhere.add(jobId)) {
                 newlyCancelled.add(jobId);
             }
@@ -58,7 +59,7 @@
         return newlyCancelled;
     }
 
-    /** Cancellations that were confirmed to a user longer ago than this are known here. */
+    /** Every cancellation that was confirmed to a user longer ago than this is known here. */
     Duration staleness() {
         Duration replicaStaleness = replica.staleness();
         return replica.isLoaded() ? shorter(replicaStaleness, answerStaleness(replicaStaleness)) : replicaStaleness;
@@ -91,7 +92,7 @@
         return job.isOpen() && cancelledElsewhere.contains(job.id());
     }
 
-    /** A machine's allocations with the cancellations applied that only other controllers know. */
+    /** A machine's allocations, with the cancellations reported by other controllers applied. */
     List<PlacedTask> withCancellations(List<PlacedTask> allocations) {
         if (cancelledElsewhere.isEmpty()) {
             return allocations;
@@ -103,7 +104,7 @@
                 .toList();
     }
 
-    /** Forgets the cancellations that the replica has by now. */
+    /** Removes the cancellations that the replica contains. */
     public void prune() {
         cancelledElsewhere.removeIf(this::isClosed);
     }
--- a/src/main/java/org/dunespindle/worker/ConcurrentCallLimiter.java
+++ b/src/main/java/org/dunespindle/worker/ConcurrentCallLimiter.java
@@ -4,12 +4,12 @@
 import java.util.function.Consumer;
 
 /**
- * Bounds the number of calls to workers in flight, and further that of calls to unresponsive workers: in a network partition those
- * hang by the hundred, and each holds a socket. A machine that exceeds the bound is queued; what its worker is sent is decided when
- * its turn comes.
+ * Limits the number of calls to workers in flight, with a lower limit for calls to unresponsive workers: in a network partition
+ * hundreds of these wait for their timeout, and each holds a socket. A machine above the limit is queued; the content of its call is
+ * decided when a call becomes available.
  */
 final class ConcurrentCallLimiter {
-    /** Calls to workers may use one socket in so many; calls to unresponsive ones half of these. */
+    /** One call to a worker is allowed per this many sockets; calls to unresponsive workers may use half of the limit. */
     private static final int SOCKETS_PER_CALL = 8;
 
     private static final int MIN_CALL_LIMIT = 16;
@@ -22,17 +22,17 @@
         this.maxCallsInFlight = Math.max(MIN_CALL_LIMIT, sockets / SOCKETS_PER_CALL);
     }
 
-    /** Whether no further call may start. */
+    /** Whether the limit of calls in flight is reached. */
     boolean isFull() {
         return callsInFlight >= maxCallsInFlight;
     }
 
-    /** Whether no further call may start to a worker that is, or is not, unresponsive. */
+    /** Whether the limit is reached for a worker that is, or is not, unresponsive. */
     boolean isFull(boolean unresponsive) {
         return isFull() || (unresponsive && unresponsiveCallsInFlight >= maxCallsInFlight / 2);
     }
 
-    /** Queues a machine until other calls have ended. */
+    /** Queues a machine until other calls end. */
     void enqueue(String machineId) {
         queuedMachines.add(machineId);
     }
@@ -43,7 +43,7 @@
         unresponsiveCallsInFlight += unresponsive ? 1 : 0;
     }
 
-    /** Records that a call has ended, and passes on the queued machines that may be called now. */
+    /** Records that a call has ended, and passes the queued machines that may be called now to the consumer. */
     void callEnded(boolean unresponsive, Consumer<String> nextMachine) {
         callsInFlight--;
         unresponsiveCallsInFlight -= unresponsive ? 1 : 0;
--- a/src/main/java/org/dunespindle/worker/EffectiveAllocations.java
+++ b/src/main/java/org/dunespindle/worker/EffectiveAllocations.java
@@ -8,7 +8,7 @@
 import org.dunespindle.storage.PlacedTask;
 import org.dunespindle.storage.StateReplica;
 
-/** Machines' allocations with the preemptions and cancellations applied that are known here but not in the replica's records. */
+/** Machines' allocations, with those preemptions and cancellations applied that the replica's records do not contain yet. */
 final class EffectiveAllocations {
     private final StateReplica replica;
     private final PendingPreemptions pendingPreemptions;
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Commands that halt the reported tasks of cancelled jobs. They are right under any fencing token and whatever else is in
+     * Commands that halt the reported tasks of cancelled jobs. They are safe under any fencing token and whatever other call is in
      * flight.
      */
     List<WorkerCommand> haltsOfCancelledTasks(WorkerHeartbeat heartbeat) {
--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -14,11 +14,11 @@
 import org.dunespindle.time.Durations;
 
 /**
- * Decides whether a silent machine has failed. Silence has many causes that are not the machine's: its zone is partitioned, its owner
- * does not reach its workers or the leader, the machine has just changed its owner, or this process was paused.
+ * Decides whether a machine without heartbeats has failed. Heartbeats can be missing although the machine is healthy: its zone is
+ * partitioned, its owner does not reach its workers or the leader, the machine has just changed its owner, or this process was paused.
  */
 public final class FailureDetector {
-    /** Added to the permitted silence while the machine's owner does not talk to this controller. */
+    /** Added to the heartbeat timeout while no heartbeats arrive from the machine's owner. */
     private static final Duration EXTRA_SILENCE_WITHOUT_OWNER = Duration.ofSeconds(25);
 
     private final ControllerContext context;
@@ -27,7 +27,7 @@
     private final SuspectInspection suspectInspection;
     private final Map<String, TokenChange> tokenChanges = new HashMap<>();
 
-    /** Since when a machine has had its present fencing token, as seen here. */
+    /** When this controller first saw a machine's current fencing token. */
     private record TokenChange(long token, Duration seenAt) {}
 
     /**
@@ -48,9 +48,9 @@
     }
 
     /**
-     * When any controller last had a sign of life from a machine that could not be a late copy. Of its own machines a controller
-     * expects heartbeats: without them their leases expire. Another controller's machines may send heartbeats to their owner alone,
-     * so an answer counts too.
+     * When a machine last gave a sign of life to any controller, late copies of heartbeats excluded. For machines that this controller
+     * owns only heartbeats count: without them the leases expire. Other machines may send heartbeats to their owner alone, so answers
+     * to inspections count too.
      */
     public Optional<Duration> lastSeen(MachineRecord machine) {
         Optional<WorkerState> worker = context.workers().find(machine.id());
@@ -60,31 +60,31 @@
         return Durations.latest(seenHere, peerHeartbeats.lastSeenAlive(machine));
     }
 
-    /** Forgets all observations: those made as an earlier leader are out of date. */
+    /** Discards all observations: those from an earlier term as leader are out of date. */
     public void reset() {
         outageDetector.reset();
         tokenChanges.clear();
         suspectInspection.reset();
     }
 
-    /** Forgets a machine that has been removed. */
+    /** Discards the observations of a removed machine. */
     public void forget(String machineId) {
         tokenChanges.remove(machineId);
         suspectInspection.forget(machineId);
     }
 
     /**
-     * Finds zones and controllers most of whose machines are silent.
+     * Finds zones and controllers with outages: most of their machines send no heartbeats.
      *
-     * @param isLongUp whether a machine must have been up for long: one that this leader never heard counts as silent only then
+     * @param isLongUp whether a machine is past its boot time: one that was never seen counts as unresponsive only then
      */
     public void updateOutages(Duration leadingSince, Predicate<MachineRecord> isLongUp) {
         outageDetector.update(leadingSince, this::lastSeen, isLongUp);
     }
 
     /**
-     * How long a machine has been silent. A new owner has not heard it yet, and what its earlier owner last published may be minutes
-     * old, so silence counts from the change of its token at the earliest.
+     * The time since a machine last gave a sign of life. A new owner has received no heartbeat yet, and the last report of the earlier
+     * owner may be minutes old, so the time counts from the change of the machine's token at the earliest.
      */
     public Duration silenceOf(MachineRecord machine, Duration leadingSince) {
         TokenChange change = tokenChanges.get(machine.id());
@@ -100,7 +100,7 @@
         return one.compareTo(other) > 0 ? one : other;
     }
 
-    /** Whether a machine that has been silent for so long has failed. */
+    /** Whether a machine that gave no sign of life for this long has failed. */
     public boolean hasFailed(MachineRecord machine, Duration silence, Duration maxSilence) {
         boolean ownerTalks = context.membership().owns(machine)
                 || peerHeartbeats.recentHeartbeat(machine.owner()).isPresent();
@@ -113,8 +113,8 @@
     }
 
     /**
-     * Whether a silent machine is likely to be partitioned, with most of its zone or of its owner's machines, and its tasks to run
-     * on. They do as long as a controller on its side may answer the worker, and then until the lease expires; replacing them
+     * Whether a machine is likely to be partitioned together with most machines of its zone or owner, while its tasks still run. They
+     * run as long as a controller on its side of the partition may answer the worker, and then until the lease expires; replacing them
      * earlier would only lose their work.
      */
     public boolean isLikelyPartitioned(MachineRecord machine, Duration silence) {
@@ -128,7 +128,7 @@
                 : timing.lease().multipliedBy(3).dividedBy(2);
     }
 
-    /** Whether a suspected machine may be alive: its worker answers an inspection, or has just been asked. */
+    /** Whether a suspected machine may be alive: its worker answers inspections, or an inspection has just been started. */
     public boolean mayBeAlive(MachineRecord machine) {
         return suspectInspection.mayBeAlive(machine);
     }
--- a/src/main/java/org/dunespindle/worker/ForgetFilter.java
+++ b/src/main/java/org/dunespindle/worker/ForgetFilter.java
@@ -14,9 +14,9 @@
 import org.dunespindle.storage.MachineRecord;
 
 /**
- * Withholds {@code forget} commands that are not safe yet. A worker that has forgotten an attempt would start it again on a late copy
- * of its {@code run}. So an attempt that ended without being done stays in the worker's status until a higher fencing token has
- * voided all copies; when several are withheld, the token is raised.
+ * Withholds {@code forget} commands that are not safe yet. A worker that has forgotten an attempt would start it again when a late
+ * copy of its {@code run} command arrives. An attempt that ended without success therefore stays in the worker's status until a
+ * higher fencing token invalidates all copies; when too many commands are withheld, the token is raised.
  */
 final class ForgetFilter {
     private static final int MAX_WITHHELD_FORGETS = 6;
@@ -26,7 +26,7 @@
         this.machineWriter = machineWriter;
     }
 
-    /** The commands without those that are not safe yet. */
+    /** Removes the {@code forget} commands that are not safe yet. */
     List<WorkerCommand> withoutUnsafeForgets(MachineRecord machine, WorkerState worker, List<WorkerCommand> commands) {
         if (!worker.hasStartsUnder(machine.token()) || commands.isEmpty()) {
             return commands;
@@ -48,7 +48,7 @@
         return safe;
     }
 
-    /** The attempts that ended as done: a worker does not start these again. */
+    /** The attempts that succeeded: a worker does not start these again. */
     private static Set<WorkerCommand.Run> doneAttempts(WorkerState worker) {
         return worker.lastHeartbeat().map(WorkerHeartbeat::tasks).orElse(List.of()).stream()
                 .filter(ForgetFilter::isDone)
--- a/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
+++ b/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
@@ -12,14 +12,14 @@
 import org.dunespindle.time.Durations;
 
 /**
- * Finds zones and controllers most of whose machines are silent at once: these are partitioned rather than all of their machines
- * dead.
+ * Finds zones and controllers with outages. When most machines of a zone or of an owner send no heartbeats at the same time, a
+ * network partition is more likely than the failure of all of these machines.
  */
 final class GroupOutageDetector {
     private static final int MIN_MACHINES_FOR_OUTAGE = 4;
     /** How late, beyond two heartbeat intervals, the next sign of life of a healthy worker may be. */
     private static final Duration MAX_HEARTBEAT_DELAY = Duration.ofSeconds(2);
-    /** When an outage ends, some machines are heard later than others. */
+    /** After an outage, the heartbeats of some machines resume later than those of others. */
     private static final Duration RECOVERY_TIME = Duration.ofSeconds(5);
 
     private final ControllerContext context;
@@ -50,17 +50,17 @@
         this.context = context;
     }
 
-    /** Forgets all outages. */
+    /** Discards all outages. */
     void reset() {
         lastOutageAt.clear();
     }
 
     /**
-     * Counts the silent machines of each zone and owner.
+     * Counts the unresponsive machines of each zone and owner, and records the outages.
      *
-     * @param leadingSince since when this controller leads: silence before does not count
+     * @param leadingSince when this controller became the leader: missing heartbeats before that do not count
      * @param lastSeen when a machine last gave a sign of life
-     * @param isLongUp whether a machine must have been up for long: one that was never heard counts as silent only then
+     * @param isLongUp whether a machine is past its boot time: one that was never seen counts as unresponsive only then
      */
     void update(
             Duration leadingSince,
@@ -90,7 +90,7 @@
         });
     }
 
-    /** Whether a machine's zone or owner had an outage until a moment ago. */
+    /** Whether a machine's zone or owner has an outage, or had one until a few seconds ago. */
     boolean isAffected(MachineRecord machine) {
         return groupsOf(machine).stream().anyMatch(lastOutageAt::containsKey);
     }
--- a/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
@@ -12,12 +12,12 @@
 import org.dunespindle.storage.MachineRecord;
 
 /**
- * Receives workers' heartbeats: records them and decides who answers, whether this controller may renew a lease now, and to which
- * controller a worker is redirected otherwise. {@link MachineReconciler} works out what follows for the machine.
+ * Receives workers' heartbeats: records them and decides whether this controller may renew the lease, and to which controller the
+ * worker is redirected otherwise. {@link MachineReconciler} derives the commands and terminations.
  */
 public final class HeartbeatHandler {
-    private static final HeartbeatReply STATE_UNKNOWN =
-            new HeartbeatReply.Unavailable("this controller does not know the present state");
+    private static final HeartbeatReply STATE_UNKNOWN = new HeartbeatReply.Unavailable(
+            "this controller has not joined yet, or its replica of the stored state is too old");
     private final ControllerContext context;
     private final WorkerClient workerClient;
     private final BooleanSupplier isPartitioned;
@@ -32,8 +32,8 @@
     /**
      * Creates a handler.
      *
-     * @param isPartitioned whether this controller alone does not reach the state service
-     * @param isSuspectedController whether a controller of that name is suspected to have ended
+     * @param isPartitioned whether this controller, but not all others, is partitioned from the state service
+     * @param isSuspectedController whether a controller of that name is suspected to have failed
      */
     public HeartbeatHandler(
             ControllerContext context,
@@ -63,7 +63,7 @@
     /**
      * Receives a heartbeat.
      *
-     * @param replyTo receives the reply, at once or after an inspection of the worker or a transaction
+     * @param replyTo receives the reply, immediately or after an inspection of the worker or a transaction
      */
     public void onHeartbeat(WorkerHeartbeat heartbeat, Consumer<HeartbeatReply> replyTo) {
         heartbeatCount++;
@@ -88,15 +88,15 @@
         boolean wasSuspected = workerClient.reachability().isSuspected(worker);
         boolean newer = workerClient.statusRecorder().recordHeartbeat(heartbeat, worker);
         if (newer && wasSuspected && worker.commandsUnconfirmedSince().isPresent()) {
-            // After a partition, or when the worker has just found this controller: that no command arrived before does
-            // not show that none does now.
+            // The partition has ended, or the worker has just found this controller: commands that failed before may
+            // succeed now.
             worker.commandRetryDue(context.timeSource().now());
             workerClient.reconciliationQueue().addAndWake(heartbeat.machineId());
         }
         return new ReceivedHeartbeat(heartbeat, worker, newer);
     }
 
-    /** A heartbeat of a worker whose commands go unanswered is a reason to try again sooner than planned. */
+    /** Shortens the retry delay when a heartbeat arrives from a worker that left commands unanswered. */
     private void retryCommandsSoon(ReceivedHeartbeat received) {
         Duration now = context.timeSource().now();
         WorkerState worker = received.worker();
--- a/src/main/java/org/dunespindle/worker/HeartbeatReply.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatReply.java
@@ -14,7 +14,7 @@
     /** Encodes the body of the reply. */
     ObjectNode body();
 
-    /** Renews the worker's lease under a fencing token and passes it commands. */
+    /** Renews the worker's lease under a fencing token and carries commands. */
     record Commands(long token, List<WorkerCommand> commands) implements HeartbeatReply {
         @Override
         public int status() {
@@ -27,7 +27,7 @@
         }
     }
 
-    /** Sends the worker to the controller that owns its machine. */
+    /** Redirects the worker to the controller that owns its machine. */
     record Redirect(String controller) implements HeartbeatReply {
         @Override
         public int status() {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Neither renews the worker's lease nor names another controller. */
+    /** Rejects the heartbeat: the lease is not renewed, and no other controller is named. */
     record Unavailable(String error) implements HeartbeatReply {
         @Override
         public int status() {
--- a/src/main/java/org/dunespindle/worker/LeaseRenewal.java
+++ b/src/main/java/org/dunespindle/worker/LeaseRenewal.java
@@ -8,11 +8,11 @@
 import org.dunespindle.storage.MachineRecord;
 
 /**
- * Renews workers' leases. Unless the replica itself is fresh, none is renewed while this controller's knowledge of cancellations is
- * too old: a cancellation confirmed elsewhere may be unknown here, and must end its tasks in time.
+ * Renews workers' leases. No lease is renewed while this controller's knowledge of cancellations is too old: a cancellation that
+ * another controller confirmed may be unknown here, and its tasks must end in time. A fresh replica is knowledge enough.
  */
 final class LeaseRenewal {
-    /** How long a task may outlive its lease: clock drift and messages in flight. */
+    /** How long a task may outlive its lease because of clock drift and messages in flight. */
     private static final Duration LEASE_EXPIRY_MARGIN = Duration.ofSeconds(4);
 
     private static final Duration MIN_CANCELLATION_STALENESS_LIMIT = Duration.ofSeconds(2);
@@ -34,22 +34,22 @@
         return limit.compareTo(MIN_CANCELLATION_STALENESS_LIMIT) < 0 ? MIN_CANCELLATION_STALENESS_LIMIT : limit;
     }
 
-    /** Whether leases may be renewed, as far as this controller's knowledge of cancellations goes. */
+    /** Whether this controller's knowledge of cancellations is fresh enough to renew leases. */
     boolean isAllowed() {
         return cancellationTracker.staleness().compareTo(maxCancellationStaleness) <= 0;
     }
 
-    /** Whether the state service has not been read for so long that no task may be started. */
+    /** Whether the replica is too old for tasks to be started. */
     boolean isReplicaStale() {
         return context.replica().staleness().compareTo(MachineReconciler.MAX_REPLICA_STALENESS_FOR_START) >= 0;
     }
 
-    /** A reply that renews a worker's lease and halts tasks of cancelled jobs, nothing else. */
+    /** A reply that only renews a worker's lease and halts tasks of cancelled jobs. */
     HeartbeatReply renew(ReceivedHeartbeat received, MachineRecord machine) {
         return reply(machine, allocations.haltsOfCancelledTasks(received.heartbeat()));
     }
 
-    /** A reply that renews a worker's lease, with as many commands as one message may hold. */
+    /** A reply that renews a worker's lease and carries commands, up to the limit of one message. */
     HeartbeatReply reply(MachineRecord machine, List<WorkerCommand> commands) {
         return new HeartbeatReply.Commands(
                 machine.token(),
--- a/src/main/java/org/dunespindle/worker/MachineAcquisition.java
+++ b/src/main/java/org/dunespindle/worker/MachineAcquisition.java
@@ -19,10 +19,10 @@
     }
 
     /**
-     * Becomes a machine's owner under a fencing token higher than any that its worker is known to have seen.
+     * Makes this controller a machine's owner, under a fencing token higher than any that its worker is known to have seen.
      *
-     * @param address where the worker is reached: it can be commanded before it sends a heartbeat here
-     * @param keepUntil until when the machine is not released to another controller
+     * @param address the worker's address, so that commands can be sent before its first heartbeat here
+     * @param keepUntil the time before which the machine is not released to another controller
      */
     void acquire(MachineRecord machine, String address, Instant keepUntil, Consumer<TransactionResult> onResult) {
         MachineRecord owned = machine.ownedBy(
--- a/src/main/java/org/dunespindle/worker/MachineReconciler.java
+++ b/src/main/java/org/dunespindle/worker/MachineReconciler.java
@@ -14,11 +14,11 @@
 import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.storage.MachineRecord;
 
-/** Reconciles the machines of this controller with their workers' status: sends commands and records terminations. */
+/** Reconciles this controller's machines with their workers' status: sends commands and records task terminations. */
 final class MachineReconciler {
-    /** With an older replica tasks are halted but not started: it may miss a cancellation. */
+    /** With an older replica, tasks are halted but not started: the replica may lack a cancellation. */
     static final Duration MAX_REPLICA_STALENESS_FOR_START = Duration.ofSeconds(3);
-    /** Tasks that cannot be started on a machine because it takes no commands are released after this time. */
+    /** After this time without answers to commands, a machine's tasks that were never started are released. */
     private static final Duration MIN_BLOCKED_TIME_FOR_RELEASE = Duration.ofSeconds(5);
 
     private final ControllerContext context;
@@ -48,7 +48,7 @@
         this.startFencing = new StartFencing(machineWriter, commandSender, reconciliationQueue);
     }
 
-    /** Reconciles the machines that are queued and those whose records or allocations changed. */
+    /** Reconciles the queued machines and those whose records or allocations changed. */
     void reconcilePending() {
         reconciliationQueue.addAll(context.replica().drainChangedMachines());
         reconciliationQueue.drain().forEach(this::reconcile);
@@ -67,7 +67,7 @@
 
     private void reconcileOwned(MachineRecord machine, WorkerState worker) {
         if (worker.callInFlight()) {
-            return; // the end of the call queues the machine again
+            return; // the machine is queued again when the call ends
         }
         if (!startFencing.isFenced(machine, worker)) {
             return;
@@ -102,7 +102,7 @@
             commands = commands.stream().filter(command -> !isStart(command)).toList();
         }
         if (worker.commandsUnconfirmedSince().isPresent()) {
-            commandSender.send(machine, worker, List.of()); // nothing is started before a command is known to arrive
+            commandSender.send(machine, worker, List.of()); // no task is started until a command has been answered
         } else if (commands.stream().anyMatch(command -> !(command instanceof WorkerCommand.Forget))) {
             commandSender.send(machine, worker, commands);
         }
--- a/src/main/java/org/dunespindle/worker/OrphanedLeaseResponder.java
+++ b/src/main/java/org/dunespindle/worker/OrphanedLeaseResponder.java
@@ -6,7 +6,8 @@
 
 /**
  * Renews the leases of workers whose controller has ended, under the stored token, until another controller owns their machines:
- * after a crash of all, failover takes longer than is left of the leases. Without commands, an equal token does nothing but renew.
+ * after a crash of all controllers, failover takes longer than the rest of the leases. A reply with an equal token and no commands
+ * has no effect other than the renewal.
  */
 final class OrphanedLeaseResponder {
     private final ControllerContext context;
--- a/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
+++ b/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
@@ -18,14 +18,14 @@
     /** The reply to a heartbeat from a machine that this controller owns. */
     HeartbeatReply reply(ReceivedHeartbeat received, MachineRecord machine) {
         if (!received.acceptsTokenOf(machine)) {
-            return new HeartbeatReply.Unavailable("its token is being raised");
+            return new HeartbeatReply.Unavailable("the fencing token of the machine is being raised");
         }
         return isProof(received, machine)
                 ? leaseRenewal.reply(machine, commands(received, machine))
                 : leaseRenewal.renew(received, machine);
     }
 
-    /** Whether the heartbeat proves what runs on the machine and what is to run there is known. */
+    /** Whether the heartbeat is a conclusive status of the machine, and this controller may send commands to it. */
     private boolean isProof(ReceivedHeartbeat received, MachineRecord machine) {
         WorkerState worker = received.worker();
         return received.newer()
@@ -36,8 +36,8 @@
     }
 
     /**
-     * The commands for the reply: halts reach a worker that reaches this controller but cannot be reached, and forgets are not
-     * urgent. Starts are sent only by direct command.
+     * The commands for the reply. Halts in a reply reach a worker that this controller cannot reach, and forgets are not urgent. Starts
+     * are sent only by direct command.
      */
     private List<WorkerCommand> commands(ReceivedHeartbeat received, MachineRecord machine) {
         return workerClient
--- a/src/main/java/org/dunespindle/worker/PartitionDetector.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notices when this controller is partitioned from its workers while it still reaches the state service and the other controllers.
- * Then it resigns before its workers' leases expire: the others take over its machines, and the leadership, as after a crash. As a
- * member it would hold machines that it cannot command, and take them for failed.
+ * Detects that this controller is partitioned from its workers while it still reaches the state service and the other controllers.
+ * It then resigns before its workers' leases expire, and the others acquire its machines and the leadership as after a crash. If it
+ * stayed a member, it would own machines that it cannot command, and declare them failed.
  */
 public final class PartitionDetector {
     private static final Logger LOG = LoggerFactory.getLogger(PartitionDetector.class);
@@ -34,12 +34,12 @@
     private Optional<Duration> resignedAt = Optional.empty();
     private Duration nextCheckAt = Duration.ZERO;
 
-    /** Creates a detector for a controller that takes part. */
+    /** Creates a detector for a controller that has not resigned. */
     public PartitionDetector(ControllerContext context, WorkerClient workerClient, PeerHeartbeats peerHeartbeats) {
         this.context = context;
         this.workerClient = workerClient;
         this.peerHeartbeats = peerHeartbeats;
-        // Workers send heartbeats at this interval, give or take a quarter.
+        // The interval between a worker's heartbeats varies by up to a quarter.
         this.maxSilence = context.settings()
                 .workers()
                 .report()
@@ -87,7 +87,7 @@
                                         .isPresent());
     }
 
-    /** The silent ones of the machines that have sent heartbeats under this controller's command; none unless nearly all are. */
+    /** The unresponsive machines among those that sent heartbeats under their current token; empty unless nearly all are unresponsive. */
     private List<MachineRecord> silentMachinesIfNearlyAll() {
         var silent = new ArrayList<MachineRecord>();
         int total = 0;
@@ -118,7 +118,7 @@
                 .flatMap(WorkerState::lastHeartbeatAt);
     }
 
-    /** The machines of any controller whose workers have been heard here. */
+    /** The machines, of any owner, whose workers have sent heartbeats or answers to this controller. */
     private List<MachineRecord> machinesHeardHere() {
         return context.replica().machines().values().stream()
                 .filter(machine -> context.workers().lastHeartbeat(machine.id()).isPresent())
@@ -135,8 +135,8 @@
     }
 
     /**
-     * Inspects own machines and others. Only if none at all answers is it this controller that is partitioned, rather than some
-     * machines gone.
+     * Inspects a sample of the unresponsive machines and of all machines seen here. Only if none answers
+     * is this controller partitioned; otherwise some machines have failed.
      */
     private void resignIfNoneAnswers(List<MachineRecord> silent) {
         var sample = new LinkedHashSet<>(evenSample(silent));
@@ -174,7 +174,7 @@
     private void rejoinIfPossible(Duration sinceResignation) {
         boolean noOtherMember = context.replica().members().isEmpty() && isReplicaFresh();
         if (noOtherMember || sinceResignation.compareTo(MAX_TIME_RESIGNED) > 0) {
-            rejoin("nobody else serves");
+            rejoin("no other controller is a member, or the resignation lasted too long");
             return;
         }
         inspect(evenSample(machinesHeardHere()), answered -> {
--- a/src/main/java/org/dunespindle/worker/PartitionedResponder.java
+++ b/src/main/java/org/dunespindle/worker/PartitionedResponder.java
@@ -8,13 +8,17 @@
 import org.dunespindle.time.Durations;
 
 /**
- * Answers heartbeats while this controller reaches neither the state service nor a controller that does. Whoever can act becomes the
- * owner of its machines, so its workers are sent to find that one. A worker that comes back was rejected everywhere: its lease is
- * rather renewed than left to expire, as long as no cancellation can have been missed.
+ * Answers heartbeats while this controller reaches neither the state service nor a controller that does. A controller that still
+ * reaches the state service becomes the owner of its machines, so its workers are rejected and look for that controller. A worker
+ * that returns after a rejection found none: its lease is renewed instead of left to expire, as long as no cancellation can have
+ * been missed.
  */
 final class PartitionedResponder {
+    /** How long a rejection counts when the worker sends heartbeats here again. */
     private static final Duration REJECTION_RETENTION = Duration.ofSeconds(40);
+    /** A heartbeat earlier than this after the rejection is a retry, not a return after a search for other controllers. */
     private static final Duration MIN_TIME_TO_COME_BACK = Duration.ofMillis(1500);
+
     private static final Duration MAX_HEARTBEAT_DELAY = Duration.ofSeconds(1);
     private final ControllerContext context;
     private final LeaseRenewal leaseRenewal;
@@ -24,7 +28,7 @@
         this.leaseRenewal = leaseRenewal;
     }
 
-    /** The reply to a heartbeat, from whatever machine. */
+    /** The reply to a heartbeat from any machine, with a record or without. */
     HeartbeatReply reply(ReceivedHeartbeat received, Optional<MachineRecord> machine) {
         Duration now = context.timeSource().now();
         WorkerState worker = received.worker();
@@ -42,10 +46,14 @@
         if (sinceRejection.isEmpty()) {
             worker.rejectedWhilePartitioned(now);
         }
-        return new HeartbeatReply.Unavailable("this controller is cut off from the state service and the others");
+        return new HeartbeatReply.Unavailable(
+                "this controller is partitioned from the state service and the other controllers");
     }
 
-    /** In a partition between zones only the own zone's workers are heard, and no other controller can answer them. */
+    /**
+     * Whether heartbeats arrive from other zones. In a partition between zones only workers of this controller's zone reach it, and no
+     * other controller can answer them.
+     */
     private boolean hearsOtherZones(Duration now) {
         Duration maxAge =
                 Durations.multiply(context.settings().workers().report(), 2).plus(MAX_HEARTBEAT_DELAY);
--- a/src/main/java/org/dunespindle/worker/PendingPreemptions.java
+++ b/src/main/java/org/dunespindle/worker/PendingPreemptions.java
@@ -12,20 +12,20 @@
 import org.dunespindle.storage.StateReplica;
 
 /**
- * Tasks that are to be preempted. The decisions are kept in memory only: stopping a task needs no record, only its termination does.
- * A decision that is lost with the process is taken anew by the next leader, if it still makes sense.
+ * Tasks selected for preemption. The decisions are kept in memory only: stopping a task needs no stored record, only its termination
+ * does. A decision that is lost with the process is made again by the next leader if it still applies.
  */
 public final class PendingPreemptions {
     private final Map<String, Set<TaskAttempt>> byMachine = new HashMap<>();
     private final Map<String, Set<TaskAttempt>> byJob = new HashMap<>();
 
-    /** Adds a task attempt that is to be preempted on a machine. */
+    /** Adds a task attempt to preempt on a machine. */
     public void add(TaskAttempt victim, String machineId) {
         byMachine.computeIfAbsent(machineId, key -> new HashSet<>()).add(victim);
         byJob.computeIfAbsent(victim.jobId(), key -> new HashSet<>()).add(victim);
     }
 
-    /** A machine's allocations, those to be preempted marked as stopping. */
+    /** A machine's allocations with the preempted ones marked as stopping. */
     public List<PlacedTask> withPreemptions(String machineId, List<PlacedTask> allocations) {
         Set<TaskAttempt> victims = byMachine.get(machineId);
         if (victims == null) {
@@ -38,7 +38,7 @@
                 .toList();
     }
 
-    /** A job with its allocations that are to be preempted marked as stopping. */
+    /** A job with its preempted allocations marked as stopping. */
     public JobRecord withPreemptions(JobRecord job) {
         JobRecord marked = job;
         for (TaskAttempt victim : byJob.getOrDefault(job.id(), Set.of())) {
@@ -49,7 +49,7 @@
         return marked;
     }
 
-    /** Forgets the attempts that are no longer allocated. */
+    /** Removes the attempts that are no longer allocated. */
     public void prune(StateReplica replica) {
         byJob.values().removeIf(victims -> {
             victims.removeIf(victim -> !isAllocated(replica, victim));
@@ -74,7 +74,7 @@
                 .isPresent();
     }
 
-    /** The attempt that an allocation of a job stands for. */
+    /** The task attempt that an allocation of a job was made for. */
     public static TaskAttempt attemptOf(JobRecord job, Allocation allocation) {
         return new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase());
     }
--- a/src/main/java/org/dunespindle/worker/ReconciliationQueue.java
+++ b/src/main/java/org/dunespindle/worker/ReconciliationQueue.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * The machines to reconcile in the next pass. A machine is reconciled when something about it changed, not periodically: there are
- * many, and most have not changed.
+ * The machines to reconcile in the next pass. A machine is reconciled after a change, not periodically: there are many machines, and
+ * most have not changed.
  */
 final class ReconciliationQueue {
     private final Runnable wakeEventLoop;
@@ -27,18 +27,18 @@
         pending.addAll(machineIds);
     }
 
-    /** Adds a machine to the next pass and has that pass begin soon. */
+    /** Adds a machine to the next pass and schedules that pass soon. */
     void addAndWake(String machineId) {
         add(machineId);
         wake();
     }
 
-    /** Has the next pass begin soon. */
+    /** Schedules the next pass soon. */
     void wake() {
         wakeEventLoop.run();
     }
 
-    /** Takes all machines; what is added from now on is for the pass after. */
+    /** Removes and returns all machines; machines added from now on belong to the following pass. */
     Set<String> drain() {
         if (pending.isEmpty()) {
             return Set.of();
@@ -48,12 +48,12 @@
         return drained;
     }
 
-    /** Records that the capacity of machines, or the state of their tasks, may have changed. */
+    /** Records that the capacity of machines or the state of their tasks may have changed. */
     void incrementVersion() {
         version++;
     }
 
-    /** Grows whenever the capacity of machines, or the state of their tasks, may have changed. */
+    /** A version that increases whenever the capacity of machines or the state of their tasks may have changed. */
     long version() {
         return version;
     }
--- a/src/main/java/org/dunespindle/worker/RedirectResponder.java
+++ b/src/main/java/org/dunespindle/worker/RedirectResponder.java
@@ -12,15 +12,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers heartbeats of workers whose machines another controller owns: they are redirected to it. A worker that comes back soon
- * could not reach the owner (a partitioned zone, a crash): then this controller becomes the owner. Late copies of heartbeats do not
- * count, and the worker itself is asked before its machine's token is raised.
+ * Answers heartbeats of workers whose machines another controller owns, by a redirect to the owner. A worker that returns soon could
+ * not reach the owner (its zone is partitioned, or the owner crashed): this controller then becomes the owner. Late copies of
+ * heartbeats do not count, and the worker is inspected before its machine's token is raised.
  */
 final class RedirectResponder {
     private static final Logger LOG = LoggerFactory.getLogger(RedirectResponder.class);
     private static final int MIN_REDIRECTS_FOR_FAILOVER = 2;
     private static final int MIN_REDIRECTS_FOR_FAILOVER_WITHOUT_ANSWER = 4;
-    /** For how long an acquired machine is not released to the controller that its worker cannot reach. */
+    /** How long an acquired machine is kept before it may be released to the controller that its worker could not reach. */
     private static final Duration MIN_OWNERSHIP_TIME = Duration.ofSeconds(40);
 
     private final ControllerContext context;
@@ -42,7 +42,7 @@
         this.isSuspectedController = isSuspectedController;
     }
 
-    /** Answers a heartbeat, at once or when this controller has tried to become the machine's owner. */
+    /** Answers a heartbeat, immediately or once an attempt to become the machine's owner has ended. */
     void reply(ReceivedHeartbeat received, MachineRecord machine, Consumer<HeartbeatReply> replyTo) {
         var redirect = new HeartbeatReply.Redirect(redirectTarget(machine));
         if (!received.newer()) {
@@ -55,8 +55,8 @@
                 context.timeSource().now());
         boolean failoverDue = worker.redirects() >= MIN_REDIRECTS_FOR_FAILOVER;
         if (failoverDue && leaseRenewal.isReplicaStale() && received.acceptsTokenOf(machine)) {
-            // In an outage of the state service no controller can become the owner of a machine whose controller has
-            // ended; until then its worker's lease is renewed.
+            // During an outage of the state service no controller can become the owner of a machine whose owner has
+            // crashed; the worker's lease is renewed until one can.
             replyTo.accept(leaseRenewal.renew(received, machine));
         } else if (failoverDue && mayAcquire(worker, machine)) {
             workerClient
@@ -77,7 +77,10 @@
                 : context.membership().controllerOfMachine(machine.id()).orElse(machine.owner());
     }
 
-    /** The machines of a suspected controller are soon acquired together, not one by one as their workers come here. */
+    /**
+     * Whether this controller may try to become the machine's owner. The machines of a suspected controller are acquired together soon,
+     * so they are not acquired one by one as their workers send heartbeats here.
+     */
     private boolean mayAcquire(WorkerState worker, MachineRecord machine) {
         return context.membership().isMember()
                 && !worker.inspectionInFlight()
@@ -92,8 +95,8 @@
             HeartbeatReply redirect,
             Consumer<HeartbeatReply> replyTo) {
         MachineRecord machine = context.replica().machines().get(redirected.id());
-        // A worker that reaches only this controller, and that no controller reaches, is accepted once it has come back
-        // often enough.
+        // A worker that reaches only this controller, and that no controller reaches, is accepted after enough
+        // redirects.
         boolean accepted = alive
                 || (received.worker().redirects() >= MIN_REDIRECTS_FOR_FAILOVER_WITHOUT_ANSWER
                         && received.hasTokenOf(redirected));
--- a/src/main/java/org/dunespindle/worker/StartFencing.java
+++ b/src/main/java/org/dunespindle/worker/StartFencing.java
@@ -7,8 +7,8 @@
 import org.dunespindle.storage.MachineRecord;
 
 /**
- * Fences {@code run} commands that went unanswered. Such a command may still take effect; a higher fencing token, once the worker
- * has seen it, rules that out.
+ * Fences {@code run} commands that went unanswered. Such a command may still take effect until the worker has seen a higher fencing
+ * token.
  */
 final class StartFencing {
     private final MachineRecordWriter machineWriter;
@@ -25,8 +25,9 @@
     }
 
     /**
-     * Whether no start is unanswered under a machine's current token; if one is, the next step towards that is taken. A machine
-     * that gives no sign of life needs no new token: it is terminated.
+     * Whether no start is unanswered under a machine's current token. If one is, takes the next step towards that state: it calls the
+     * worker until it gives a sign of life, then raises the token. A machine without signs of life needs no new token: it is
+     * terminated.
      */
     boolean isFenced(MachineRecord machine, WorkerState worker) {
         if (worker.unansweredStartToken().isEmpty()) {
--- a/src/main/java/org/dunespindle/worker/StatusReconciliation.java
+++ b/src/main/java/org/dunespindle/worker/StatusReconciliation.java
@@ -8,7 +8,7 @@
 import org.dunespindle.protocol.WorkerHeartbeat;
 import org.dunespindle.storage.MachineRecord;
 
-/** Compares machines' effective allocations with their workers' status, and withholds the commands that are not safe yet. */
+/** Compares machines' effective allocations with their workers' status, and withholds commands that are not safe yet. */
 final class StatusReconciliation {
     private final EffectiveAllocations allocations;
     private final ForgetFilter forgetFilter;
@@ -18,7 +18,7 @@
         this.forgetFilter = forgetFilter;
     }
 
-    /** What follows from a status that is proof of what runs on a machine. */
+    /** The commands and terminations that follow from a conclusive status of a machine. */
     ReconciliationResult reconcile(MachineRecord machine, WorkerState worker, WorkerHeartbeat status) {
         ReconciliationResult result = HeartbeatReconciler.reconcile(allocations.on(machine.id()), status);
         List<WorkerCommand> safeCommands = forgetFilter.withoutUnsafeForgets(machine, worker, result.commands());
--- a/src/main/java/org/dunespindle/worker/SuspectInspection.java
+++ b/src/main/java/org/dunespindle/worker/SuspectInspection.java
@@ -10,14 +10,16 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * Asks the workers of suspected machines before these are declared failed. A machine's owner may be unable to talk to this
- * controller, or may not reach the machine; then another controller will be found to command it.
+ * Inspects the workers of suspected machines before the machines are declared failed. A machine's owner may be unable to reach this
+ * controller or the machine; in the second case another controller becomes its owner.
  */
 final class SuspectInspection {
-    /** A worker that answers again and again but whose heartbeats reach no controller is of no use. */
+    /** A machine fails after this many answers to inspections without a heartbeat at any controller: its lease cannot be renewed. */
     private static final int MAX_ANSWERS_WITHOUT_HEARTBEAT = 3;
 
+    /** How long a machine counts as failed after an unanswered inspection, before its worker is inspected again. */
     private static final Duration FAILURE_RETENTION = Duration.ofSeconds(12);
+
     private final TimeSource timeSource;
     private final WorkerClient workerClient;
     private final PeerHeartbeats peerHeartbeats;
@@ -47,19 +49,19 @@
         this.listedAddress = listedAddress;
     }
 
-    /** Forgets all results. */
+    /** Discards all results. */
     void reset() {
         answers.clear();
         unansweredAt.clear();
     }
 
-    /** Forgets the results for a machine. */
+    /** Discards the results for a machine. */
     void forget(String machineId) {
         answers.remove(machineId);
         unansweredAt.remove(machineId);
     }
 
-    /** Forgets the answers of a machine that is heard again, if the last is older than this. */
+    /** Discards the answers of a machine whose heartbeats resumed, if the last answer is older than this. */
     void forgetAnswersOlderThan(Duration age, String machineId) {
         Answers earlier = answers.get(machineId);
         if (earlier != null && timeSource.now().minus(earlier.lastAt).compareTo(age) > 0) {
@@ -67,7 +69,7 @@
         }
     }
 
-    /** Whether a suspected machine may be alive: its worker answers, or has just been asked. */
+    /** Whether a suspected machine may be alive: its worker answers inspections, or an inspection has just been started. */
     boolean mayBeAlive(MachineRecord machine) {
         if (hasFailedLately(machine.id()) || hasAnsweredTooOften(machine.id())) {
             return false;
--- a/src/main/java/org/dunespindle/worker/TerminationTracker.java
+++ b/src/main/java/org/dunespindle/worker/TerminationTracker.java
@@ -7,7 +7,7 @@
 import org.dunespindle.control.WorkerState;
 import org.dunespindle.time.TimeSource;
 
-/** Keeps track of the machines with terminations that are not stored yet. */
+/** Tracks the machines with task terminations that are not stored yet. */
 final class TerminationTracker {
     private final TimeSource timeSource;
     private final ReconciliationQueue reconciliationQueue;
@@ -18,7 +18,7 @@
         this.reconciliationQueue = reconciliationQueue;
     }
 
-    /** The machines with terminations that are not stored yet. */
+    /** The machines with task terminations that are not stored yet. */
     Set<String> machinesWithTerminations() {
         return machinesWithTerminations;
     }
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Drops a machine's terminations: it is not this controller's to conclude from, or its status proves nothing now. */
+    /** Discards a machine's terminations: this controller does not own the machine, or its status is not conclusive now. */
     void clear(String machineId, WorkerState worker) {
         record(machineId, worker, List.of());
     }
--- a/src/main/java/org/dunespindle/worker/UnregisteredMachineResponder.java
+++ b/src/main/java/org/dunespindle/worker/UnregisteredMachineResponder.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers heartbeats from machines without a record, and registers these. The heartbeat may be a late copy and its machine long gone,
- * so the worker itself is asked first.
+ * Answers heartbeats from machines without a stored record, and registers the machines. A heartbeat may be a late copy from a machine
+ * that was terminated long ago, so the worker is inspected first.
  */
 final class UnregisteredMachineResponder {
     private static final Logger LOG = LoggerFactory.getLogger(UnregisteredMachineResponder.class);
@@ -28,7 +28,7 @@
         this.inspector = inspector;
     }
 
-    /** Answers a heartbeat, at once or when the machine is registered. */
+    /** Answers a heartbeat, immediately or once the machine is registered. */
     void reply(ReceivedHeartbeat received, Consumer<HeartbeatReply> replyTo) {
         Optional<String> owner = context.membership().controllerOfMachine(received.machineId());
         if (!context.membership().isMember() || owner.isEmpty()) {
@@ -38,7 +38,7 @@
         } else if (!received.newer()
                 || received.worker().inspectionInFlight()
                 || machineWriter.hasPendingChange(received.machineId())) {
-            replyTo.accept(new HeartbeatReply.Unavailable("machine is being taken up"));
+            replyTo.accept(new HeartbeatReply.Unavailable("machine is being registered"));
         } else {
             inspector.inspectSender(
                     received.heartbeat(), received.worker(), alive -> registerIfAlive(received, alive, replyTo));
@@ -52,7 +52,7 @@
         }
         MachineRecord machine = newRecord(received);
         context.eventRecorder()
-                .record(LOG, "machine {} reported without having been rented by us; taken up", machine.id());
+                .record(LOG, "machine {} sent a heartbeat but has no record; registering it", machine.id());
         machineWriter.write(CommitPriority.PLACEMENT, machine, AcquisitionReply.after(context, machine.id(), replyTo));
     }
 
--- a/src/main/java/org/dunespindle/worker/WorkerClient.java
+++ b/src/main/java/org/dunespindle/worker/WorkerClient.java
@@ -14,7 +14,7 @@
 import org.dunespindle.storage.TransactionResult;
 import org.dunespindle.transport.HttpClient;
 
-/** What the other parts of a controller use of the workers: reconciliation, reachability and ownership of their machines. */
+/** The worker operations that other packages use: reconciliation, reachability and ownership of the workers' machines. */
 public final class WorkerClient {
     private final StateReplica replica;
     private final ReconciliationQueue reconciliationQueue;
@@ -31,7 +31,7 @@
     /**
      * Creates a client for the workers.
      *
-     * @param wakeEventLoop has the next pass over the queued machines begin soon
+     * @param wakeEventLoop schedules the next reconciliation pass soon
      */
     public WorkerClient(
             ControllerContext context,
@@ -63,7 +63,7 @@
         this.acquisition = new MachineAcquisition(context, machineWriter);
     }
 
-    /** Grows whenever the capacity of machines here, or the state of their tasks, may have changed. */
+    /** A version that increases whenever the capacity of this controller's machines, or the state of their tasks, may have changed. */
     public long version() {
         return reconciliationQueue.version();
     }
@@ -73,22 +73,22 @@
         return commandSender.callCount();
     }
 
-    /** The machines with terminations that are not stored yet. */
+    /** The machines with task terminations that are not stored yet. */
     public Set<String> machinesWithTerminations() {
         return terminationTracker.machinesWithTerminations();
     }
 
-    /** The machines that their cloud is about to reclaim, according to their last status. */
+    /** The machines whose last status carries a spot interruption notice: their cloud is about to reclaim them. */
     public Set<String> machinesWithNotice() {
         return statusRecorder.machinesWithNotice();
     }
 
-    /** Queues a machine for the next pass of reconciliation. */
+    /** Queues a machine for the next reconciliation pass. */
     public void scheduleReconciliation(String machineId) {
         reconciliationQueue.add(machineId);
     }
 
-    /** Queues the machines of jobs that other controllers say are cancelled. */
+    /** Queues the machines of jobs that other controllers reported as cancelled. */
     public void reconcileCancelledJobs(List<String> jobIds) {
         for (String jobId : jobIds) {
             replica.job(jobId)
@@ -100,38 +100,38 @@
         }
     }
 
-    /** One pass of reconciliation, over the machines about which something changed. */
+    /** Runs one reconciliation pass over the machines whose status, record or allocations changed. */
     public void reconcilePending() {
         reconciler.reconcilePending();
     }
 
-    /** Becomes a machine's owner by raising its fencing token. */
+    /** Makes this controller a machine's owner by raising the machine's fencing token. */
     public void acquire(MachineRecord machine, Instant keepUntil, Consumer<TransactionResult> onResult) {
         acquire(machine, reachability.address(machine), keepUntil, onResult);
     }
 
-    /** Becomes the owner of a machine whose worker's address another controller knows. */
+    /** Makes this controller a machine's owner, with a worker address that another controller reported. */
     public void acquire(
             MachineRecord machine, String address, Instant keepUntil, Consumer<TransactionResult> onResult) {
         acquisition.acquire(machine, address, keepUntil, onResult);
     }
 
-    /** Whether this controller may command a machine and draw conclusions about it now. */
+    /** Whether this controller may send commands to a machine and act on its status now. */
     public boolean inCommand(MachineRecord machine) {
         return reachability.inCommand(machine);
     }
 
-    /** Whether a machine can take tasks: its last status came under the current fencing token, and commands reach it. */
+    /** Whether a machine accepts tasks: its last status carries the current fencing token, and commands reach it. */
     public boolean isReady(MachineRecord machine) {
         return reachability.isReady(machine);
     }
 
-    /** How long a machine has sent heartbeats without taking commands; empty while it takes them. */
+    /** How long commands to a machine have gone unanswered; empty while they are answered. */
     public Optional<Duration> commandsBlockedFor(String machineId) {
         return reachability.commandsBlockedFor(machineId);
     }
 
-    /** Whether a worker's heartbeats no longer arrive, though it may answer inspections. */
+    /** Whether a worker's heartbeats no longer arrive, although it may still answer inspections. */
     public boolean areHeartbeatsOverdue(WorkerState worker) {
         return reachability.areHeartbeatsOverdue(worker);
     }
--- a/src/main/java/org/dunespindle/worker/WorkerCommandSender.java
+++ b/src/main/java/org/dunespindle/worker/WorkerCommandSender.java
@@ -14,13 +14,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends direct commands to workers, one call per worker at a time, and paces the retries. */
+/** Sends direct commands to workers, one call per worker at a time, and delays retries. */
 final class WorkerCommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerCommandSender.class);
     static final int MAX_COMMANDS_PER_MESSAGE = 200;
     static final Duration RETRY_DELAY_AFTER_REFUSAL = Duration.ofMillis(200);
     private static final Duration RETRY_DELAY_AFTER_FAILURE = Duration.ofMillis(1000);
-    /** Unresponsive workers are called seldom; their next heartbeat ends the delay. */
+    /** Unresponsive workers are retried less often; their next heartbeat ends the delay. */
     private static final Duration RETRY_DELAY_WHILE_UNRESPONSIVE = Duration.ofSeconds(6);
 
     private static final Duration COMMAND_TIMEOUT = Duration.ofMillis(2500);
@@ -65,13 +65,13 @@
     }
 
     /**
-     * Sends commands to a machine's worker, as many as one message may hold. Without any, the call tells the worker the current
-     * token, halts tasks of cancelled jobs, and shows whether commands arrive.
+     * Sends commands to a machine's worker, up to the limit of one message. A call without commands carries the current fencing
+     * token, halts tasks of cancelled jobs, and shows whether commands reach the worker.
      */
     void send(MachineRecord machine, WorkerState worker, List<WorkerCommand> requested) {
         String address = reachability.address(machine);
         if (address.isEmpty() || worker.callDelayed(context.timeSource().now())) {
-            return; // a timer reconciles the machine again
+            return; // a timer schedules the next reconciliation
         }
         boolean unresponsive = reachability.isUnresponsive(worker);
         if (callLimiter.isFull(unresponsive)) {
@@ -125,7 +125,7 @@
 
     private void handleFailure(Call call, HttpClientResponse response, Throwable failure) {
         if (call.worker.lastHeartbeat().isPresent()) {
-            call.worker.callUnanswered(context.timeSource().now()); // one without any status may still be booting
+            call.worker.callUnanswered(context.timeSource().now()); // a worker without any status may still be booting
         }
         boolean mayHaveTakenEffect =
                 response == null ? mayHaveBeenSent(failure) : response.status() >= MIN_SERVER_ERROR;
@@ -144,7 +144,7 @@
         context.eventRecorder()
                 .record(
                         LOG,
-                        "machine {} did not answer a start; it is fenced before anything is concluded",
+                        "machine {} did not answer a start; it is fenced before its status is used",
                         call.machineId);
     }
 
--- a/src/main/java/org/dunespindle/worker/WorkerInspector.java
+++ b/src/main/java/org/dunespindle/worker/WorkerInspector.java
@@ -10,7 +10,7 @@
 import org.dunespindle.transport.HttpClient;
 import org.dunespindle.transport.HttpClientResponse;
 
-/** Asks workers for their status: only an answer shows that a worker is up and that calls from here reach it. */
+/** Inspects workers, that is, requests their status: only an answer shows that a worker is up and that calls from here reach it. */
 final class WorkerInspector {
     private static final Duration INSPECTION_TIMEOUT = Duration.ofMillis(1500);
     private static final byte[] NO_BODY = new byte[0];
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Asks the sender of a heartbeat, which may be a late copy.
+     * Inspects the sender of a heartbeat, which may be a late copy.
      *
-     * @param onResult receives whether the worker answered; false at once if too many calls are in flight
+     * @param onResult receives whether the worker answered; false immediately if too many calls are in flight
      */
     void inspectSender(WorkerHeartbeat heartbeat, WorkerState worker, Consumer<Boolean> onResult) {
         if (callLimiter.isFull()) {
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Asks a machine's worker, unless it has no known address, is being asked already, or too many calls are in flight.
+     * Inspects a machine's worker, unless its address is unknown, an inspection is in flight already, or too many calls are.
      *
-     * @param onResult receives whether the worker answered; not called if it is not asked
+     * @param onResult receives whether the worker answered; not called if no request is sent
      */
     void inspect(MachineRecord machine, String address, Consumer<Boolean> onResult) {
         WorkerState worker = workers.getOrCreate(machine.id());
--- a/src/main/java/org/dunespindle/worker/WorkerReachability.java
+++ b/src/main/java/org/dunespindle/worker/WorkerReachability.java
@@ -9,11 +9,11 @@
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.time.Durations;
 
-/** Whether workers are heard here, and whether commands from here reach them. */
+/** Whether workers' heartbeats reach this controller, and whether its commands reach the workers. */
 final class WorkerReachability {
     /** How late, beyond two heartbeat intervals, the next sign of life of a healthy worker may be. */
     private static final Duration MAX_HEARTBEAT_DELAY = Duration.ofSeconds(2);
-    /** How late it may be when the worker first has to find another controller. */
+    /** How late it may be when the worker has to find another controller first. */
     private static final Duration MAX_FAILOVER_DELAY = Duration.ofSeconds(6);
 
     private final ControllerContext context;
@@ -22,7 +22,7 @@
         this.context = context;
     }
 
-    /** The address at which a machine's worker is reached: the one that it reported last, else the stored one. */
+    /** The address of a machine's worker: the last reported one, or the stored one if none was reported. */
     String address(MachineRecord machine) {
         return context.workers()
                 .lastHeartbeat(machine.id())
@@ -31,15 +31,15 @@
     }
 
     /**
-     * Whether this controller may command a machine and draw conclusions about it: it owns the machine, and its replica has caught
-     * up with the record that made it the owner.
+     * Whether this controller may send commands to a machine and act on its status: it owns the machine, and its replica contains the
+     * change that made it the owner.
      */
     boolean inCommand(MachineRecord machine) {
         return context.membership().owns(machine)
                 && context.replica().appliedRevision() >= context.replica().modRevision(Keys.machinePage(machine.id()));
     }
 
-    /** Whether a machine can take tasks: its last status came under the current fencing token, and commands reach it. */
+    /** Whether a machine accepts tasks: its last status carries the current fencing token, and commands reach it. */
     boolean isReady(MachineRecord machine) {
         Optional<WorkerState> worker = context.workers().find(machine.id());
         return worker.isPresent()
@@ -53,7 +53,7 @@
                 && worker.get().commandsUnconfirmedSince().isEmpty();
     }
 
-    /** How long a machine has sent heartbeats without taking commands; empty while it takes them. */
+    /** How long commands to a machine have gone unanswered; empty while they are answered. */
     Optional<Duration> commandsBlockedFor(String machineId) {
         return context.workers()
                 .find(machineId)
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Whether a worker's heartbeats no longer arrive, though it may answer inspections: then its lease is about to expire. A worker
-     * whose controller does not answer, or whose machine has a new owner, needs some seconds to find that one.
+     * Whether a worker's heartbeats no longer arrive, although it may answer inspections: its lease is then about to expire. A worker
+     * whose controller does not answer, or whose machine has a new owner, needs some seconds to find the right controller.
      */
     boolean areHeartbeatsOverdue(WorkerState worker) {
         return isOlderThan(worker.lastHeartbeatAt(), MAX_FAILOVER_DELAY);
--- a/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
+++ b/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Records the status that workers send, in heartbeats and in answers, and schedules reconciliation of a machine whose status
- * changed. This must happen whatever way the status came and however it is answered: the next one may be the same, and would then be
- * no change.
+ * Records the status that workers send, in heartbeats and in answers, and schedules reconciliation of a machine whose status changed.
+ * This must happen for every status, regardless of its source and of the reply: if the next status is the same, it no longer counts
+ * as a change.
  */
 final class WorkerStatusRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerStatusRecorder.class);
@@ -30,7 +30,7 @@
     /**
      * Records a heartbeat.
      *
-     * @return whether it is newer than what was known
+     * @return whether it is newer than the last recorded status
      */
     boolean recordHeartbeat(WorkerHeartbeat heartbeat, WorkerState worker) {
         Optional<WorkerHeartbeat> previous = worker.lastHeartbeat();
@@ -52,11 +52,11 @@
         try {
             status = WorkerHeartbeat.parse(MessagePackCodec.read(body));
         } catch (MalformedMessageException e) {
-            LOG.debug("malformed answer from worker machine={} error={}", machineId, e.getMessage());
+            LOG.debug("malformed worker status ignored machine={} error={}", machineId, e.getMessage());
             return false;
         }
         if (!status.machineId().equals(machineId)) {
-            LOG.debug("answer from another machine machine={} answered={}", machineId, status.machineId());
+            LOG.debug("worker status of another machine ignored machine={} sender={}", machineId, status.machineId());
             return false;
         }
         recordNotice(status);
@@ -66,7 +66,7 @@
         return true;
     }
 
-    /** The machines that their cloud is about to reclaim, according to their last status. */
+    /** The machines whose last status carries a spot interruption notice: their cloud is about to reclaim them. */
     Set<String> machinesWithNotice() {
         machinesWithNotice.removeIf(machineId -> context.workers()
                 .lastHeartbeat(machineId)
--- a/src/test/java/org/dunespindle/worker/ConcurrentCallLimiterTest.java
+++ b/src/test/java/org/dunespindle/worker/ConcurrentCallLimiterTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How many calls to workers may be in flight, and whose turn it is when one ends. */
+/** Limits on calls to workers in flight, and the order in which queued machines are called when a call ends. */
 class ConcurrentCallLimiterTest {
     private static final int SOCKETS = 160;
     private static final int MAX_CALLS = 20;
--- a/src/test/java/org/dunespindle/worker/HeartbeatReplyTest.java
+++ b/src/test/java/org/dunespindle/worker/HeartbeatReplyTest.java
@@ -8,7 +8,7 @@
 import org.dunespindle.protocol.WorkerCommand;
 import org.junit.jupiter.api.Test;
 
-/** The status and body of each kind of reply to a heartbeat. */
+/** The HTTP status and the body of each kind of reply to a heartbeat. */
 class HeartbeatReplyTest {
     private static final TaskId TASK = new TaskId("wk-000001", 0);
 
--- a/src/test/java/org/dunespindle/worker/package-info.java
+++ b/src/test/java/org/dunespindle/worker/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the dealings with workers. */
+/** Tests of the communication with workers. */
 package org.dunespindle.worker;
