--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -19,7 +19,7 @@
  */
 public final class FailureDetector {
     /** Added to the heartbeat timeout while no heartbeats arrive from the machine's owner. */
-    private static final Duration EXTRA_SILENCE_WITHOUT_OWNER = Duration.ofSeconds(25);
+    private static final Duration EXTRA_TIMEOUT_WITHOUT_OWNER = Duration.ofSeconds(25);
 
     private final ControllerContext context;
     private final PeerHeartbeats peerHeartbeats;
@@ -54,10 +54,10 @@
      */
     public Optional<Duration> lastSeen(MachineRecord machine) {
         Optional<WorkerState> worker = context.workers().find(machine.id());
-        Optional<Duration> seenHere = context.membership().owns(machine)
+        Optional<Duration> seenByThisController = context.membership().owns(machine)
                 ? worker.flatMap(WorkerState::lastHeartbeatAt)
                 : worker.flatMap(WorkerState::lastSeenAlive);
-        return Durations.latest(seenHere, peerHeartbeats.lastSeenAlive(machine));
+        return Durations.latest(seenByThisController, peerHeartbeats.lastSeenAlive(machine));
     }
 
     /** Discards all observations: those from an earlier term as leader are out of date. */
@@ -76,10 +76,10 @@
     /**
      * Finds zones and controllers with outages: most of their machines send no heartbeats.
      *
-     * @param isLongUp whether a machine is past its boot time: one that was never seen counts as unresponsive only then
+     * @param isPastBootTime whether a machine is past its boot time: one that was never seen counts as unresponsive only then
      */
-    public void updateOutages(Duration leadingSince, Predicate<MachineRecord> isLongUp) {
-        outageDetector.update(leadingSince, this::lastSeen, isLongUp);
+    public void updateOutages(Duration leadingSince, Predicate<MachineRecord> isPastBootTime) {
+        outageDetector.update(leadingSince, this::lastSeen, isPastBootTime);
     }
 
     /**
@@ -101,15 +101,17 @@
     }
 
     /** Whether a machine that gave no sign of life for this long has failed. */
-    public boolean hasFailed(MachineRecord machine, Duration silence, Duration maxSilence) {
-        boolean ownerTalks = context.membership().owns(machine)
+    public boolean hasFailed(MachineRecord machine, Duration sinceLastSeen, Duration timeout) {
+        boolean ownerReachable = context.membership().owns(machine)
                 || peerHeartbeats.recentHeartbeat(machine.owner()).isPresent();
-        Duration limit = ownerTalks ? maxSilence : maxSilence.plus(EXTRA_SILENCE_WITHOUT_OWNER);
-        boolean heardAgain = silence.compareTo(Durations.fraction(limit, 1, 2)) < 0;
-        if (heardAgain) {
-            suspectInspection.forgetAnswersOlderThan(limit, machine.id());
+        Duration limit = ownerReachable ? timeout : timeout.plus(EXTRA_TIMEOUT_WITHOUT_OWNER);
+        boolean heartbeatsResumed = sinceLastSeen.compareTo(Durations.fraction(limit, 1, 2)) < 0;
+        if (heartbeatsResumed) {
+            suspectInspection.discardAnswersOlderThan(limit, machine.id());
         }
-        return silence.compareTo(limit) > 0 && !isLikelyPartitioned(machine, silence) && !mayBeAlive(machine);
+        return sinceLastSeen.compareTo(limit) > 0
+                && !isLikelyPartitioned(machine, sinceLastSeen)
+                && !mayBeAlive(machine);
     }
 
     /**
@@ -117,12 +119,14 @@
      * run as long as a controller on its side of the partition may answer the worker, and then until the lease expires; replacing them
      * earlier would only lose their work.
      */
-    public boolean isLikelyPartitioned(MachineRecord machine, Duration silence) {
+    public boolean isLikelyPartitioned(MachineRecord machine, Duration sinceLastSeen) {
         return outageDetector.isAffected(machine)
-                && silence.compareTo(maxSilenceInOutage(context.settings().workers())) <= 0;
+                && sinceLastSeen.compareTo(
+                                timeoutDuringOutage(context.settings().workers()))
+                        <= 0;
     }
 
-    private static Duration maxSilenceInOutage(Settings.Workers timing) {
+    private static Duration timeoutDuringOutage(Settings.Workers timing) {
         return timing.cancel().compareTo(timing.lease()) > 0
                 ? timing.cancel().plus(timing.lease().dividedBy(2))
                 : timing.lease().multipliedBy(3).dividedBy(2);
--- a/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
+++ b/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
@@ -34,15 +34,15 @@
 
     private static final class MachineCount {
         private int total;
-        private int silent;
+        private int unresponsive;
 
-        void add(boolean isSilent) {
+        void add(boolean isUnresponsive) {
             total++;
-            silent += isSilent ? 1 : 0;
+            unresponsive += isUnresponsive ? 1 : 0;
         }
 
         boolean isOutage() {
-            return total >= MIN_MACHINES_FOR_OUTAGE && silent * 2 > total;
+            return total >= MIN_MACHINES_FOR_OUTAGE && unresponsive * 2 > total;
         }
     }
 
@@ -60,28 +60,28 @@
      *
      * @param leadingSince when this controller became the leader: missing heartbeats before that do not count
      * @param lastSeen when a machine last gave a sign of life
-     * @param isLongUp whether a machine is past its boot time: one that was never seen counts as unresponsive only then
+     * @param isPastBootTime whether a machine is past its boot time: one that was never seen counts as unresponsive only then
      */
     void update(
             Duration leadingSince,
             Function<MachineRecord, Optional<Duration>> lastSeen,
-            Predicate<MachineRecord> isLongUp) {
-        Duration maxSilence =
+            Predicate<MachineRecord> isPastBootTime) {
+        Duration timeout =
                 Durations.multiply(context.settings().workers().report(), 2).plus(MAX_HEARTBEAT_DELAY);
         var counts = new HashMap<Group, MachineCount>();
         for (MachineRecord machine : context.replica().machines().values()) {
             Optional<Duration> seenAt = lastSeen.apply(machine);
-            if (machine.draining() || (seenAt.isEmpty() && !isLongUp.test(machine))) {
+            if (machine.draining() || (seenAt.isEmpty() && !isPastBootTime.test(machine))) {
                 continue;
             }
-            Duration silence = context.pauseDetector().observedSilence(seenAt.orElse(leadingSince));
-            boolean isSilent = silence.compareTo(maxSilence) > 0;
+            Duration sinceLastSeen = context.pauseDetector().observedSilence(seenAt.orElse(leadingSince));
+            boolean isUnresponsive = sinceLastSeen.compareTo(timeout) > 0;
             groupsOf(machine)
                     .forEach(group -> counts.computeIfAbsent(group, key -> new MachineCount())
-                            .add(isSilent));
+                            .add(isUnresponsive));
         }
         Duration now = context.timeSource().now();
-        Duration maxAge = maxSilence.plus(RECOVERY_TIME);
+        Duration maxAge = timeout.plus(RECOVERY_TIME);
         lastOutageAt.values().removeIf(outageAt -> now.minus(outageAt).compareTo(maxAge) > 0);
         counts.forEach((group, count) -> {
             if (count.isOutage()) {
--- a/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
+++ b/src/main/java/org/dunespindle/worker/HeartbeatHandler.java
@@ -32,7 +32,7 @@
     /**
      * Creates a handler.
      *
-     * @param isPartitioned whether this controller, but not all others, is partitioned from the state service
+     * @param isPartitioned whether this controller is partitioned from the state service, as opposed to an outage of the service
      * @param isSuspectedController whether a controller of that name is suspected to have failed
      */
     public HeartbeatHandler(
--- a/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
+++ b/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
@@ -20,13 +20,13 @@
         if (!received.acceptsTokenOf(machine)) {
             return new HeartbeatReply.Unavailable("the fencing token of the machine is being raised");
         }
-        return isProof(received, machine)
+        return isConclusive(received, machine)
                 ? leaseRenewal.reply(machine, commands(received, machine))
                 : leaseRenewal.renew(received, machine);
     }
 
     /** Whether the heartbeat is a conclusive status of the machine, and this controller may send commands to it. */
-    private boolean isProof(ReceivedHeartbeat received, MachineRecord machine) {
+    private boolean isConclusive(ReceivedHeartbeat received, MachineRecord machine) {
         WorkerState worker = received.worker();
         return received.newer()
                 && received.hasTokenOf(machine)
--- a/src/main/java/org/dunespindle/worker/PartitionDetector.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -24,13 +24,13 @@
     private static final Duration MAX_HEARTBEAT_DELAY = Duration.ofMillis(800);
     private static final Duration MAX_REPLICA_STALENESS = Duration.ofSeconds(3);
     private static final Duration MIN_INSPECTION_INTERVAL = Duration.ofSeconds(2);
-    private static final Duration MAX_TIME_RESIGNED = Duration.ofSeconds(60);
+    private static final Duration MAX_RESIGNATION_TIME = Duration.ofSeconds(60);
     private static final int MAX_SAMPLE_SIZE = 5;
-    private static final double MIN_SILENT_FRACTION = 0.8;
+    private static final double MIN_UNRESPONSIVE_FRACTION = 0.8;
     private final ControllerContext context;
     private final WorkerClient workerClient;
     private final PeerHeartbeats peerHeartbeats;
-    private final Duration maxSilence;
+    private final Duration heartbeatTimeout;
     private Optional<Duration> resignedAt = Optional.empty();
     private Duration nextCheckAt = Duration.ZERO;
 
@@ -40,7 +40,7 @@
         this.workerClient = workerClient;
         this.peerHeartbeats = peerHeartbeats;
         // The interval between a worker's heartbeats varies by up to a quarter.
-        this.maxSilence = context.settings()
+        this.heartbeatTimeout = context.settings()
                 .workers()
                 .report()
                 .multipliedBy(5)
@@ -57,19 +57,19 @@
         if (resignedAt.isPresent()) {
             nextCheckAt = now.plus(MIN_INSPECTION_INTERVAL);
             rejoinIfPossible(now.minus(resignedAt.get()));
-        } else if (canJudgeSilence()) {
-            List<MachineRecord> silent = silentMachinesIfNearlyAll();
-            if (!silent.isEmpty()) {
+        } else if (canDetectPartition()) {
+            List<MachineRecord> unresponsive = unresponsiveMachinesIfNearlyAll();
+            if (!unresponsive.isEmpty()) {
                 nextCheckAt = now.plus(MIN_INSPECTION_INTERVAL);
-                resignIfNoneAnswers(silent);
+                resignIfNoneAnswers(unresponsive);
             }
         }
     }
 
-    private boolean canJudgeSilence() {
+    private boolean canDetectPartition() {
         return context.membership().isMember()
                 && isReplicaFresh()
-                && context.pauseDetector().uptimeSincePause().compareTo(maxSilence) > 0
+                && context.pauseDetector().uptimeSincePause().compareTo(heartbeatTimeout) > 0
                 && isAnotherControllerServing();
     }
 
@@ -88,25 +88,27 @@
     }
 
     /** The unresponsive machines among those that sent heartbeats under their current token; empty unless nearly all are unresponsive. */
-    private List<MachineRecord> silentMachinesIfNearlyAll() {
-        var silent = new ArrayList<MachineRecord>();
+    private List<MachineRecord> unresponsiveMachinesIfNearlyAll() {
+        var unresponsive = new ArrayList<MachineRecord>();
         int total = 0;
         for (MachineRecord machine : context.replica().machines().values()) {
-            Optional<Duration> lastHeartbeatAt = lastHeartbeatUnderCommand(machine);
+            Optional<Duration> lastHeartbeatAt = lastHeartbeatUnderCurrentToken(machine);
             if (lastHeartbeatAt.isPresent()) {
                 total++;
                 if (context.pauseDetector()
                                 .observedSilence(lastHeartbeatAt.get())
-                                .compareTo(maxSilence)
+                                .compareTo(heartbeatTimeout)
                         > 0) {
-                    silent.add(machine);
+                    unresponsive.add(machine);
                 }
             }
         }
-        return !silent.isEmpty() && silent.size() >= MIN_SILENT_FRACTION * total ? silent : List.of();
+        return !unresponsive.isEmpty() && unresponsive.size() >= MIN_UNRESPONSIVE_FRACTION * total
+                ? unresponsive
+                : List.of();
     }
 
-    private Optional<Duration> lastHeartbeatUnderCommand(MachineRecord machine) {
+    private Optional<Duration> lastHeartbeatUnderCurrentToken(MachineRecord machine) {
         if (!context.membership().owns(machine) || machine.draining()) {
             return Optional.empty();
         }
@@ -119,7 +121,7 @@
     }
 
     /** The machines, of any owner, whose workers have sent heartbeats or answers to this controller. */
-    private List<MachineRecord> machinesHeardHere() {
+    private List<MachineRecord> machinesSeenHere() {
         return context.replica().machines().values().stream()
                 .filter(machine -> context.workers().lastHeartbeat(machine.id()).isPresent())
                 .toList();
@@ -138,14 +140,14 @@
      * Inspects a sample of the unresponsive machines and of all machines seen here. Only if none answers
      * is this controller partitioned; otherwise some machines have failed.
      */
-    private void resignIfNoneAnswers(List<MachineRecord> silent) {
-        var sample = new LinkedHashSet<>(evenSample(silent));
-        sample.addAll(evenSample(machinesHeardHere()));
-        var survey = new Survey(sample.size());
+    private void resignIfNoneAnswers(List<MachineRecord> unresponsive) {
+        var sample = new LinkedHashSet<>(evenSample(unresponsive));
+        sample.addAll(evenSample(machinesSeenHere()));
+        var round = new InspectionRound(sample.size());
         inspect(sample, answered -> {
-            survey.record(answered);
-            if (survey.isCompleteWithoutAnswer()) {
-                resign(silent.size());
+            round.record(answered);
+            if (round.isCompleteWithoutAnswer()) {
+                resign(unresponsive.size());
             }
         });
     }
@@ -158,7 +160,7 @@
         }
     }
 
-    private void resign(int silentMachines) {
+    private void resign(int unresponsiveMachines) {
         if (!context.membership().isMember() || !isAnotherControllerServing()) {
             return;
         }
@@ -166,18 +168,18 @@
                 .record(
                         LOG,
                         "none of {} workers is heard or reached from here; this controller steps aside",
-                        silentMachines);
+                        unresponsiveMachines);
         resignedAt = Optional.of(context.timeSource().now());
         context.membership().resign();
     }
 
     private void rejoinIfPossible(Duration sinceResignation) {
         boolean noOtherMember = context.replica().members().isEmpty() && isReplicaFresh();
-        if (noOtherMember || sinceResignation.compareTo(MAX_TIME_RESIGNED) > 0) {
+        if (noOtherMember || sinceResignation.compareTo(MAX_RESIGNATION_TIME) > 0) {
             rejoin("no other controller is a member, or the resignation lasted too long");
             return;
         }
-        inspect(evenSample(machinesHeardHere()), answered -> {
+        inspect(evenSample(machinesSeenHere()), answered -> {
             if (answered) {
                 rejoin("workers answer again");
             }
@@ -193,11 +195,11 @@
     }
 
     /** Counts the results of inspections that were started together. */
-    private static final class Survey {
+    private static final class InspectionRound {
         private int outstanding;
         private boolean anyAnswer;
 
-        Survey(int inspections) {
+        InspectionRound(int inspections) {
             this.outstanding = inspections;
         }
 
--- a/src/main/java/org/dunespindle/worker/PartitionedResponder.java
+++ b/src/main/java/org/dunespindle/worker/PartitionedResponder.java
@@ -17,7 +17,7 @@
     /** How long a rejection counts when the worker sends heartbeats here again. */
     private static final Duration REJECTION_RETENTION = Duration.ofSeconds(40);
     /** A heartbeat earlier than this after the rejection is a retry, not a return after a search for other controllers. */
-    private static final Duration MIN_TIME_TO_COME_BACK = Duration.ofMillis(1500);
+    private static final Duration MIN_RETURN_DELAY = Duration.ofMillis(1500);
 
     private static final Duration MAX_HEARTBEAT_DELAY = Duration.ofSeconds(1);
     private final ControllerContext context;
@@ -35,12 +35,12 @@
         Optional<Duration> sinceRejection = worker.rejectedWhilePartitionedAt()
                 .map(now::minus)
                 .filter(elapsed -> elapsed.compareTo(REJECTION_RETENTION) < 0);
-        boolean cameBack = sinceRejection
-                .filter(elapsed -> elapsed.compareTo(MIN_TIME_TO_COME_BACK) > 0)
+        boolean hasReturned = sinceRejection
+                .filter(elapsed -> elapsed.compareTo(MIN_RETURN_DELAY) > 0)
                 .isPresent();
         Optional<MachineRecord> renewable =
                 machine.filter(record -> context.membership().owns(record) && received.acceptsTokenOf(record));
-        if (renewable.isPresent() && (cameBack || !hearsOtherZones(now))) {
+        if (renewable.isPresent() && (hasReturned || !receivesFromOtherZones(now))) {
             return leaseRenewal.renew(received, renewable.get());
         }
         if (sinceRejection.isEmpty()) {
@@ -54,12 +54,12 @@
      * Whether heartbeats arrive from other zones. In a partition between zones only workers of this controller's zone reach it, and no
      * other controller can answer them.
      */
-    private boolean hearsOtherZones(Duration now) {
+    private boolean receivesFromOtherZones(Duration now) {
         Duration maxAge =
                 Durations.multiply(context.settings().workers().report(), 2).plus(MAX_HEARTBEAT_DELAY);
         return context.workers().all().stream()
                 .filter(worker -> worker.lastHeartbeatAt()
-                        .filter(heardAt -> now.minus(heardAt).compareTo(maxAge) < 0)
+                        .filter(receivedAt -> now.minus(receivedAt).compareTo(maxAge) < 0)
                         .isPresent())
                 .flatMap(worker -> worker.lastHeartbeat().stream())
                 .anyMatch(status -> !status.zone().equals(context.settings().zone()));
--- a/src/main/java/org/dunespindle/worker/SuspectInspection.java
+++ b/src/main/java/org/dunespindle/worker/SuspectInspection.java
@@ -62,7 +62,7 @@
     }
 
     /** Discards the answers of a machine whose heartbeats resumed, if the last answer is older than this. */
-    void forgetAnswersOlderThan(Duration age, String machineId) {
+    void discardAnswersOlderThan(Duration age, String machineId) {
         Answers earlier = answers.get(machineId);
         if (earlier != null && timeSource.now().minus(earlier.lastAt).compareTo(age) > 0) {
             answers.remove(machineId);
@@ -71,7 +71,7 @@
 
     /** Whether a suspected machine may be alive: its worker answers inspections, or an inspection has just been started. */
     boolean mayBeAlive(MachineRecord machine) {
-        if (hasFailedLately(machine.id()) || hasAnsweredTooOften(machine.id())) {
+        if (hasRecentFailure(machine.id()) || hasAnsweredTooOften(machine.id())) {
             return false;
         }
         String address = address(machine);
@@ -82,7 +82,7 @@
         return true;
     }
 
-    private boolean hasFailedLately(String machineId) {
+    private boolean hasRecentFailure(String machineId) {
         Duration failedAt = unansweredAt.get(machineId);
         return failedAt != null && timeSource.now().minus(failedAt).compareTo(FAILURE_RETENTION) < 0;
     }
--- a/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
+++ b/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
@@ -35,7 +35,7 @@
     boolean recordHeartbeat(WorkerHeartbeat heartbeat, WorkerState worker) {
         Optional<WorkerHeartbeat> previous = worker.lastHeartbeat();
         boolean newer = worker.acceptHeartbeat(heartbeat, context.timeSource().now());
-        recordNotice(heartbeat);
+        recordInterruptionNotice(heartbeat);
         if (newer) {
             reconcileIfChanged(heartbeat, previous);
         }
@@ -59,7 +59,7 @@
             LOG.debug("worker status of another machine ignored machine={} sender={}", machineId, status.machineId());
             return false;
         }
-        recordNotice(status);
+        recordInterruptionNotice(status);
         Optional<WorkerHeartbeat> previous = worker.lastHeartbeat();
         worker.statusAnswered(status, context.timeSource().now());
         reconcileIfChanged(status, previous);
@@ -75,7 +75,7 @@
         return machinesWithNotice;
     }
 
-    private void recordNotice(WorkerHeartbeat status) {
+    private void recordInterruptionNotice(WorkerHeartbeat status) {
         if (status.notice().isPresent()) {
             machinesWithNotice.add(status.machineId());
         }
