--- a/src/main/java/org/dunespindle/peer/MachineDirectory.java
+++ b/src/main/java/org/dunespindle/peer/MachineDirectory.java
@@ -9,13 +9,13 @@
 import org.dunespindle.time.Durations;
 import org.dunespindle.time.TimeSource;
 
-/** What the other controllers have published about their machines. */
+/** The last machine reports received from the other controllers. */
 final class MachineDirectory {
     private final TimeSource timeSource;
     private final PeerView peerView;
     private final Map<String, PublishedMachines> machinesByController = new HashMap<>();
 
-    /** The machines that one incarnation of a controller has published. */
+    /** The machines that one incarnation of a controller has reported. */
     private static final class PublishedMachines {
         final long incarnation;
         final Map<String, ReportedMachine> machines = new HashMap<>();
@@ -31,7 +31,7 @@
         this.peerView = peerView;
     }
 
-    /** Discards what earlier incarnations of a controller have published. */
+    /** Discards the reports of a controller's earlier incarnations. */
     void beginIncarnation(String controller, long incarnation) {
         PublishedMachines published = machinesByController.get(controller);
         if (published == null || published.incarnation != incarnation) {
@@ -39,12 +39,12 @@
         }
     }
 
-    /** Whether a batch continues what is known of a controller's machines; applied out of order it would leave gaps. */
+    /** Whether a batch continues the applied reports of a controller; a batch applied out of order would leave gaps. */
     boolean continues(String controller, MachineReportBatch batch) {
         return batch.afterSequence() <= appliedSequence(controller);
     }
 
-    /** Stores the reports of a batch. */
+    /** Replaces the last reports of the machines in a batch. */
     void apply(String controller, MachineReportBatch batch) {
         PublishedMachines published = machinesByController.get(controller);
         batch.reports().forEach(report -> published.machines.put(report.machineId(), toReportedMachine(report)));
@@ -66,17 +66,17 @@
         return machinesByController.get(controller).appliedSequence;
     }
 
-    /** The owner's last report of a machine under its present token, while the owner's heartbeat is recent. */
+    /** The owner's last report of a machine under its current token; empty if the owner's last heartbeat is not recent. */
     Optional<ReportedMachine> currentReport(MachineRecord machine) {
         return peerView.recentHeartbeat(machine.owner()).isEmpty() ? Optional.empty() : lastReport(machine);
     }
 
-    /** The owner's last report of a machine under its present token, however old it is. */
+    /** The owner's last report of a machine under its current token, of any age. */
     Optional<ReportedMachine> lastReport(MachineRecord machine) {
         return lastReportUnderAnyToken(machine).filter(report -> report.token() == machine.token());
     }
 
-    /** The address of a machine, if its owner has published one. */
+    /** The address of a machine, if its owner has reported one. */
     Optional<String> address(MachineRecord machine) {
         return lastReportUnderAnyToken(machine).map(ReportedMachine::address).filter(address -> !address.isEmpty());
     }
@@ -99,9 +99,9 @@
     }
 
     /**
-     * When the machine of a report was last alive. A machine that is up is reported once and counts as alive for as long as the
-     * owner's heartbeats go on. That holds for the present owner only: a report of an earlier one says nothing about
-     * what came after it.
+     * When the machine of a report was last alive. A machine that is up is reported once and counts as alive as long as the owner's
+     * heartbeats continue. This applies to the current owner only: a report of an earlier owner does not cover the time after the
+     * change of ownership.
      */
     private Duration seenAliveAt(String reporter, ReportedMachine report, MachineRecord machine) {
         Duration reportedAlive = report.reportedAt().minus(report.silentFor());
@@ -112,7 +112,7 @@
         return peerView.lastHeartbeatAt(reporter).orElse(reportedAlive);
     }
 
-    /** Drops all machines but these. */
+    /** Discards the reports of all machines except these. */
     void retainMachines(Set<String> machineIds) {
         machinesByController
                 .values()
--- a/src/main/java/org/dunespindle/peer/MachineReport.java
+++ b/src/main/java/org/dunespindle/peer/MachineReport.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 
-/** The status of a machine as a heartbeat carries it from its owner to the leader. */
+/** The status of a machine in a heartbeat from its owner to the leader; see {@link MachineStatus} for the fields. */
 record MachineReport(
         String machineId,
         long token,
@@ -12,9 +12,10 @@
         Duration silentFor,
         String address,
         List<String> images) {
-    /** Upper bound of the characters that brackets, numbers and separators take. */
+    /** Upper bound of the number of characters for brackets, numbers and separators. */
     private static final int MAX_ROW_OVERHEAD = 64;
 
+    /** Two quotes and a comma. */
     private static final int IMAGE_OVERHEAD = 3;
 
     /** The approximate length of the encoded report in characters. */
--- a/src/main/java/org/dunespindle/peer/MachineStatus.java
+++ b/src/main/java/org/dunespindle/peer/MachineStatus.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 
 /**
- * The status of a machine as its owner publishes it.
+ * The status of a machine that its owner reports to the leader.
  *
- * @param sequence grows with every change of any machine of this owner
- * @param token the fencing token that the owner commands the machine with
+ * @param sequence increases with every change of any machine of this owner
+ * @param token the fencing token in the owner's commands to the machine
  * @param up whether the machine accepts tasks
- * @param silentFor how long the machine has been silent; zero while it is up
+ * @param silentFor the time since the machine's last sign of life; zero while it is up
  * @param images the images that the machine has cached
  */
 public record MachineStatus(
@@ -23,7 +23,7 @@
         String address,
         Set<String> images) {
 
-    /** The part of the status that is sent. */
+    /** The part of the status that is sent to the leader. */
     MachineReport toReport() {
         return new MachineReport(machineId, token, up, quarantined, silentFor, address, List.copyOf(images));
     }
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeat.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeat.java
@@ -6,7 +6,7 @@
 /**
  * A heartbeat that one controller sends to another.
  *
- * @param appliedRevision the revision that the sender's replica has applied; the reply names the jobs cancelled since
- * @param machineReports changes of the sender's machines; sent to the leader only
+ * @param appliedRevision the revision that the sender's replica has applied; the reply lists the jobs cancelled after it
+ * @param machineReports changed reports of the sender's machines; absent in heartbeats to controllers that do not lead
  */
 record PeerHeartbeat(SenderStatus sender, OptionalLong appliedRevision, Optional<MachineReportBatch> machineReports) {}
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeatCodec.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeatCodec.java
@@ -14,8 +14,8 @@
 import org.dunespindle.protocol.MessagePackCodec;
 
 /**
- * Heartbeats and replies as JSON. Controllers of different versions exchange them during an upgrade: keys that are missing are
- * read as absent, and a machine report is a row whose columns are given by position.
+ * Encodes and decodes heartbeats and replies as JSON. Controllers of different versions exchange them during an upgrade: missing keys
+ * are read as absent values, and a machine report is a row with columns in a fixed order.
  */
 final class PeerHeartbeatCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -58,7 +58,7 @@
         try {
             return JSON.writeValueAsBytes(node);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a JSON tree can always be written", e);
+            throw new IllegalStateException("JSON tree could not be written", e);
         }
     }
 
@@ -94,7 +94,7 @@
         report.images().forEach(row::add);
     }
 
-    /** Decodes a heartbeat; fails if it is no JSON or names no sender. */
+    /** Decodes a heartbeat; fails if it is not valid JSON or lacks the sender's name. */
     static PeerHeartbeat decodeHeartbeat(byte[] body) throws IOException {
         JsonNode node = decodeMessage(body);
         long revision = node.path(APPLIED_REVISION).asLong(NO_REVISION);
@@ -104,7 +104,7 @@
                 node.has(MACHINE_REPORTS) ? Optional.of(decodeMachineReports(node)) : Optional.empty());
     }
 
-    /** Decodes a reply; fails if it is no JSON or names no sender. */
+    /** Decodes a reply; fails if it is not valid JSON or lacks the sender's name. */
     static PeerHeartbeatReply decodeReply(byte[] body) throws IOException {
         JsonNode node = decodeMessage(body);
         var acknowledgement = new PeerHeartbeatReply.Acknowledgement(
@@ -120,7 +120,7 @@
     private static JsonNode decodeMessage(byte[] body) throws IOException {
         JsonNode node = JSON.readTree(body);
         if (node == null || !node.path(NODE).isTextual()) {
-            throw new IOException("peer message names no sender");
+            throw new IOException("peer message without the name of its sender: field " + NODE + " must be a string");
         }
         return node;
     }
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeatReply.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeatReply.java
@@ -7,12 +7,12 @@
  * The reply to a {@link PeerHeartbeat}.
  *
  * @param acknowledgement absent if the heartbeat was unreadable
- * @param cancelledJobs all jobs known to be cancelled since the revision that the heartbeat named; absent if that can't be told
+ * @param cancelledJobs all jobs cancelled after the revision in the heartbeat; absent if the list cannot be complete
  */
 record PeerHeartbeatReply(
         SenderStatus sender, Optional<Acknowledgement> acknowledgement, Optional<List<String>> cancelledJobs) {
 
-    /** Up to which sequence the machine reports of a sender's incarnation have been applied. */
+    /** The sequence up to which the machine reports of a sender's incarnation have been applied. */
     record Acknowledgement(long sequence, long incarnation) {}
 
     /** The reply to an unreadable heartbeat. */
@@ -20,7 +20,7 @@
         return new PeerHeartbeatReply(sender, Optional.empty(), Optional.empty());
     }
 
-    /** The sequence acknowledged to an incarnation; 0 if the reply is to an earlier one, which counted differently. */
+    /** The sequence acknowledged to an incarnation; 0 if the reply is to an earlier one, whose sequence is unrelated. */
     long acknowledgedSequence(long incarnation) {
         return acknowledgement
                 .filter(ack -> ack.incarnation() == incarnation)
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
@@ -21,9 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exchanges heartbeats with the other controllers, about once a second. A heartbeat carries the staleness of the sender's
- * replica, its write demand and, to the leader only, changes of the sender's machines. All of it is advisory: decisions rest on
- * the state service and on the workers.
+ * Exchanges heartbeats with the other controllers, about once a second. A heartbeat carries the staleness of the sender's replica,
+ * its write demand and, to the leader only, changes of the sender's machines. All of it is advisory: safety depends only on the state
+ * service and on the workers' status.
  */
 public final class PeerHeartbeats {
     private static final Logger LOG = LoggerFactory.getLogger(PeerHeartbeats.class);
@@ -31,7 +31,7 @@
     private static final String CONTENT_TYPE = "application/json";
     private static final int OK = 200;
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1500);
-    /** A reply with more cancelled jobs than this omits them; the sender then goes by the staleness of its replica. */
+    /** A reply omits a longer list of cancelled jobs; the sender then uses the staleness of its replica. */
     private static final int MAX_CANCELLED_JOBS = 2000;
 
     private final Settings settings;
@@ -43,27 +43,27 @@
     private final Listener listener;
     private final PeerView peerView;
     private final MachineDirectory machineDirectory;
-    /** The sequence of machine statuses up to which each controller has applied ours. */
+    /** The sequence up to which each controller has applied this controller's machine reports. */
     private final Map<String, Long> acknowledgedSequences = new HashMap<>();
 
-    /** Receives what heartbeats and replies carry for other parts of the controller. */
+    /** Receives the contents of heartbeats and replies that other parts of the controller process. */
     public interface Listener {
-        /** A machine has cached an image. */
+        /** Called for each image in a machine report: the machine has it cached. */
         void onImageCached(String machineId, String image);
 
         /**
-         * A controller knows these jobs to be cancelled, which this controller's replica may have lacked.
+         * Called with the complete list of cancelled jobs in a controller's reply; this controller's replica may lack them.
          *
-         * @param askedAt when the heartbeat was sent that the controller replied to
+         * @param requestedAt when the heartbeat was sent that the controller replied to
          */
-        void onJobsCancelled(String node, Duration askedAt, List<String> jobs);
+        void onJobsCancelled(String node, Duration requestedAt, List<String> jobs);
     }
 
     /**
      * Creates the exchange; nothing is sent before {@link #send}.
      *
      * @param incarnation this process's incarnation
-     * @param leader the present leader's name
+     * @param leader the current leader's name
      */
     public PeerHeartbeats(
             Settings settings,
@@ -84,12 +84,12 @@
         this.machineDirectory = new MachineDirectory(timeSource, peerView);
     }
 
-    /** The last heartbeat of a controller while it is recent. */
+    /** The last heartbeat of a controller; empty if it is not recent. */
     public Optional<PeerState> recentHeartbeat(String node) {
         return peerView.recentHeartbeat(node);
     }
 
-    /** Whether a controller has fallen silent so recently that it may have ended without its lease having expired. */
+    /** Whether a controller's heartbeats stopped so recently that it may have crashed without its lease having expired. */
     public boolean isSuspected(String node) {
         return peerView.isSuspected(node);
     }
@@ -99,17 +99,17 @@
         return peerView.livePeers();
     }
 
-    /** The owner's last report of a machine under its present token, while the owner's heartbeat is recent. */
+    /** The owner's last report of a machine under its current token; empty if the owner's last heartbeat is not recent. */
     public Optional<ReportedMachine> currentReport(MachineRecord machine) {
         return machineDirectory.currentReport(machine);
     }
 
-    /** The same however old it is: for an owner that is alive but can't talk to this controller. */
+    /** The owner's last report of a machine under its current token, of any age: for an owner that is alive but partitioned from here. */
     public Optional<ReportedMachine> lastReport(MachineRecord machine) {
         return machineDirectory.lastReport(machine);
     }
 
-    /** The address of a machine, if its owner has published one. */
+    /** The address of a machine, if its owner has reported one. */
     public Optional<String> address(MachineRecord machine) {
         return machineDirectory.address(machine);
     }
@@ -119,12 +119,12 @@
         return machineDirectory.lastSeenAlive(machine);
     }
 
-    /** Drops the reports of all machines but these. */
+    /** Discards the reports of all machines except these. */
     public void retainMachines(Set<String> machineIds) {
         machineDirectory.retainMachines(machineIds);
     }
 
-    /** Whether another controller leads, which is sent the statuses of our machines. */
+    /** Whether another controller is the leader, so that the statuses of this controller's machines are sent to it. */
     public boolean hasRemoteLeader() {
         return leader.get().filter(node -> !node.equals(settings.nodeName())).isPresent();
     }
@@ -132,14 +132,14 @@
     /**
      * Sends a heartbeat to every other controller.
      *
-     * @param statuses the statuses of our machines in order of their sequence
+     * @param statuses the statuses of this controller's machines, sorted by sequence
      */
     public void send(Duration replicaStaleness, WriteDemand writeDemand, List<MachineStatus> statuses) {
         SenderStatus sender = status(replicaStaleness, writeDemand);
         for (Settings.Seed peer : settings.seeds()) {
             var heartbeat = new PeerHeartbeat(
                     sender, OptionalLong.of(replica.appliedRevision()), unacknowledgedReports(peer.name(), statuses));
-            Duration askedAt = timeSource.now();
+            Duration requestedAt = timeSource.now();
             httpClient
                     .send(
                             peer.address(),
@@ -148,7 +148,7 @@
                             PeerHeartbeatCodec.encode(heartbeat),
                             CONTENT_TYPE,
                             REQUEST_TIMEOUT)
-                    .whenComplete((response, failure) -> onResponse(peer.name(), askedAt, response, failure));
+                    .whenComplete((response, failure) -> onResponse(peer.name(), requestedAt, response, failure));
         }
     }
 
@@ -163,17 +163,17 @@
         return Optional.of(MachineReportBatch.select(statuses, acknowledgedSequences.getOrDefault(peer, 0L)));
     }
 
-    private void onResponse(String peer, Duration askedAt, HttpClientResponse response, Throwable failure) {
+    private void onResponse(String peer, Duration requestedAt, HttpClientResponse response, Throwable failure) {
         if (response == null) {
             LOG.debug("peer heartbeat failed peer={} reason={}", peer, String.valueOf(failure));
         } else if (response.status() != OK) {
             LOG.debug("peer heartbeat refused peer={} status={}", peer, response.status());
         } else {
-            onReply(peer, askedAt, response.body());
+            onReply(peer, requestedAt, response.body());
         }
     }
 
-    private void onReply(String peer, Duration askedAt, byte[] body) {
+    private void onReply(String peer, Duration requestedAt, byte[] body) {
         PeerHeartbeatReply reply;
         try {
             reply = PeerHeartbeatCodec.decodeReply(body);
@@ -183,17 +183,17 @@
         }
         if (!reply.sender().node().equals(peer)) {
             LOG.debug(
-                    "reply of another controller ignored peer={} sender={}",
+                    "peer heartbeat answered by another controller, reply ignored peer={} sender={}",
                     peer,
                     reply.sender().node());
             return;
         }
         peerView.heartbeatReceived(reply.sender());
-        reply.cancelledJobs().ifPresent(jobs -> listener.onJobsCancelled(peer, askedAt, jobs));
+        reply.cancelledJobs().ifPresent(jobs -> listener.onJobsCancelled(peer, requestedAt, jobs));
         acknowledgedSequences.put(peer, reply.acknowledgedSequence(incarnation.getAsLong()));
     }
 
-    /** Processes another controller's heartbeat and returns the encoded reply; an unreadable heartbeat counts as none. */
+    /** Processes another controller's heartbeat and returns the encoded reply; an unreadable heartbeat has no effect. */
     public ObjectNode receive(byte[] body, Duration replicaStaleness, WriteDemand writeDemand) {
         SenderStatus self = status(replicaStaleness, writeDemand);
         PeerHeartbeatReply reply;
@@ -210,8 +210,8 @@
         SenderStatus sender = heartbeat.sender();
         peerView.heartbeatReceived(sender);
         machineDirectory.beginIncarnation(sender.node(), sender.incarnation());
-        // A batch that does not continue what is known is ignored; the acknowledgement tells the sender where to
-        // resume.
+        // A batch that does not continue the applied reports is ignored; the acknowledgement contains the sequence to
+        // resume from.
         heartbeat
                 .machineReports()
                 .filter(batch -> machineDirectory.continues(sender.node(), batch))
@@ -230,8 +230,8 @@
     }
 
     /**
-     * The jobs cancelled since a revision: only from a completely loaded replica, and either all of them or none, since the
-     * sender relies on knowing every cancellation that was told here before.
+     * The jobs cancelled after a revision: only from a completely loaded replica, and either all of them or none, because the sender
+     * relies on the list containing every cancellation that this controller has confirmed before.
      */
     private Optional<List<String>> cancelledJobsSince(OptionalLong revision) {
         if (!replica.isLoaded() || revision.isEmpty()) {
--- a/src/main/java/org/dunespindle/peer/PeerView.java
+++ b/src/main/java/org/dunespindle/peer/PeerView.java
@@ -8,13 +8,13 @@
 import java.util.Optional;
 import org.dunespindle.time.TimeSource;
 
-/** The liveness of the other controllers, as their heartbeats and replies show it. */
+/** The liveness of the other controllers, derived from their heartbeats and replies. */
 final class PeerView {
-    /** How long a heartbeat counts as present. */
+    /** How long a heartbeat counts as recent. */
     private static final Duration HEARTBEAT_VALIDITY = Duration.ofSeconds(4);
-    /** Silence after which a controller is suspected to have ended. */
+    /** Time without heartbeats after which a controller is suspected to have crashed. */
     private static final Duration SUSPICION_TIMEOUT = Duration.ofMillis(1700);
-    /** Silence after which the suspicion ends: the lease of a controller that has ended has expired by then. */
+    /** Time without heartbeats after which the suspicion ends: the lease of a crashed controller has expired by that time. */
     private static final Duration LEASE_EXPIRY_BOUND = Duration.ofMillis(6500);
 
     private final TimeSource timeSource;
@@ -24,7 +24,7 @@
         this.timeSource = timeSource;
     }
 
-    /** Notes that a controller has just sent this status. */
+    /** Records a status that has just been received from a controller. */
     void heartbeatReceived(SenderStatus sender) {
         var state = new PeerState(
                 timeSource.now(),
@@ -35,13 +35,13 @@
         lastHeartbeats.put(sender.node(), state);
     }
 
-    /** The last heartbeat of a controller while it is recent. */
+    /** The last heartbeat of a controller; empty if it is not recent. */
     Optional<PeerState> recentHeartbeat(String node) {
         return Optional.ofNullable(lastHeartbeats.get(node))
                 .filter(peer -> timeSource.now().minus(peer.at()).compareTo(HEARTBEAT_VALIDITY) < 0);
     }
 
-    /** When a controller sent its last heartbeat, however long ago. */
+    /** When the last heartbeat of a controller was received, of any age. */
     Optional<Duration> lastHeartbeatAt(String node) {
         return Optional.ofNullable(lastHeartbeats.get(node)).map(PeerState::at);
     }
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Whether a controller has fallen silent so recently that it may have ended without its lease having expired. A member
-     * that has been silent for longer is alive, but can't talk to this controller.
+     * Whether a controller's heartbeats stopped so recently that it may have crashed without its lease having expired. A controller that
+     * is still a member after a longer time is alive, but cannot reach this controller.
      */
     boolean isSuspected(String node) {
         Optional<Duration> lastHeartbeatAt = lastHeartbeatAt(node);
--- a/src/main/java/org/dunespindle/peer/ReportedMachine.java
+++ b/src/main/java/org/dunespindle/peer/ReportedMachine.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * A machine as another controller has reported it.
+ * The last report of a machine from another controller.
  *
  * @param up whether the machine accepted tasks
- * @param silentFor how long the machine had been silent when it was reported
- * @param reportedAt when the report was received, by this process's clock
- * @param token the fencing token that the reporting controller commanded the machine with
+ * @param silentFor the time from the machine's last sign of life to the report
+ * @param reportedAt when the report was received, on this process's clock
+ * @param token the fencing token in the reporting controller's commands to the machine
  */
 public record ReportedMachine(
         boolean up, boolean quarantined, Duration silentFor, Duration reportedAt, String address, long token) {}
--- a/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
+++ b/src/main/java/org/dunespindle/peer/WriteRateAllocator.java
@@ -9,20 +9,20 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * Divides the state service's write rate among the controllers in proportion to the demand that they tell one another. The leader
- * writes most: with equal shares it would be short while the others' shares went unused. The shares are a matter of
- * pacing only: the service refuses what exceeds its rate, and it is sent again.
+ * Divides the state service's write rate among the controllers in proportion to the demand in their heartbeats. The leader writes
+ * most: with equal shares it would run short while the shares of the others stayed unused. The shares only pace the writes: the service
+ * rejects writes above its rate limit, and they are sent again.
  */
 public final class WriteRateAllocator {
-    /** Controllers learn of one another's demand late, so part of the rate is left unallocated. */
+    /** Part of the rate stays unallocated, because controllers receive each other's demand with a delay. */
     private static final double ALLOCATED_FRACTION = 0.92;
-    /** The share of the allocated rate that every controller has, also one that is not running. */
+    /** The minimum share of the allocated rate, reserved for each controller whether it is running or not. */
     private static final double MIN_SHARE_FRACTION = 0.08;
-    /** A shorter time does not give a meaningful rate. */
+    /** A rate measured over a shorter time is not meaningful. */
     private static final double MIN_MEASUREMENT_SECONDS = 0.1;
     /** The weight of the latest measurement in the moving average. */
     private static final double LATEST_RATE_WEIGHT = 0.5;
-    /** Pending proposals that add one write a second to the demand. */
+    /** The number of pending proposals that add one write per second to the demand. */
     private static final double PENDING_PROPOSALS_PER_WRITE = 2.0;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -36,7 +36,7 @@
     private Duration lastMeasurementAt = Duration.ZERO;
     private double writesPerSecond;
 
-    /** Creates an allocator; the share of this controller stays as it is until {@link #adjust}. */
+    /** Creates an allocator; this controller's share does not change before {@link #adjust}. */
     public WriteRateAllocator(
             Settings settings,
             PeerHeartbeats peerHeartbeats,
@@ -52,7 +52,7 @@
         this.timeSource = timeSource;
     }
 
-    /** This controller's demand, for the other controllers. */
+    /** This controller's demand, to be sent to the other controllers. */
     public WriteDemand demand() {
         return new WriteDemand(writesPerSecond, commitQueue.pendingCount());
     }
@@ -72,7 +72,7 @@
                 totalDemand += demandedRate(
                         heartbeat.get().writesPerSecond(), heartbeat.get().pendingProposals());
             } else if (membership.incarnationOf(peer.name()).isPresent()) {
-                divisible -= equalShare; // it is alive without being reachable, and takes an equal share
+                divisible -= equalShare; // alive but unreachable, so it takes an equal share
             } else {
                 divisible -= minShare;
             }
@@ -93,7 +93,7 @@
         lastMeasurementAt = now;
     }
 
-    /** What a controller would write if it could: what it writes now, and part of what is pending. */
+    /** A controller's demand in writes per second: its current write rate and a fraction of its pending proposals. */
     private static double demandedRate(double writesPerSecond, int pendingProposals) {
         return Math.max(1, writesPerSecond + pendingProposals / PENDING_PROPOSALS_PER_WRITE);
     }
--- a/src/main/java/org/dunespindle/peer/package-info.java
+++ b/src/main/java/org/dunespindle/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Heartbeats between controllers and what is derived from them: liveness, machine status, shares of the write rate. */
+/** Heartbeats between controllers, and the data derived from them: liveness, machine status, shares of the write rate. */
 package org.dunespindle.peer;
--- a/src/test/java/org/dunespindle/peer/MachineReportBatchTest.java
+++ b/src/test/java/org/dunespindle/peer/MachineReportBatchTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Which machine statuses one heartbeat carries. */
+/** The selection of machine reports for one heartbeat, and its limits. */
 class MachineReportBatchTest {
     private static MachineStatus status(long sequence, Set<String> images) {
         return new MachineStatus("i-" + sequence, sequence, 1, true, false, Duration.ZERO, "10.0.0.7:7000", images);
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Heartbeats and replies exactly as they are sent: during an upgrade controllers of both versions exchange them, so they may not
- * change with the names in the sources.
+ * The exact messages of heartbeats and replies. Controllers of both versions exchange them during an upgrade, so renames in the sources
+ * must not change them.
  */
 class PeerHeartbeatCompatibilityTest {
     private static final Duration REPLICA_STALENESS = Duration.ofMillis(250);
     private static final WriteDemand WRITE_DEMAND = new WriteDemand(12.5, 4);
 
-    /** One of the two jobs was cancelled, at revision 5. */
+    /** Of the two jobs one was cancelled, at revision 5. */
     private final StateServiceStub service = new StateServiceStub(Map.of(
             "ds/job/wk-000007", "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"next\":0}",
             "ds/job/wk-000008", "{\"at\":1700000000123,\"end\":\"DONE\",\"next\":3}"));
@@ -54,7 +54,7 @@
                 }
 
                 @Override
-                public void onJobsCancelled(String node, Duration askedAt, List<String> jobs) {
+                public void onJobsCancelled(String node, Duration requestedAt, List<String> jobs) {
                     notifications.add(node + " knows of " + jobs);
                 }
             });
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
@@ -20,7 +20,7 @@
 import org.dunespindle.storage.StateReplica;
 import org.junit.jupiter.api.Test;
 
-/** Machine reports and liveness as the heartbeats of other controllers show them, and how long they hold. */
+/** Machine reports and liveness derived from the heartbeats of other controllers, and how long they remain valid. */
 class PeerHeartbeatsTest {
     private final VirtualTime virtualTime = new VirtualTime(1);
     private final PeerHeartbeats peerHeartbeats = new PeerHeartbeats(
@@ -35,7 +35,7 @@
                 public void onImageCached(String machineId, String image) {}
 
                 @Override
-                public void onJobsCancelled(String node, Duration askedAt, List<String> jobs) {}
+                public void onJobsCancelled(String node, Duration requestedAt, List<String> jobs) {}
             });
 
     private static Settings settings() {
@@ -90,7 +90,7 @@
         assertEquals(Optional.empty(), peerHeartbeats.currentReport(machine("n1", 3)));
     }
 
-    /** A machine that died under its new owner counted as alive for ever, because the earlier owner's heartbeats went on. */
+    /** Guards against a machine that failed under a new owner and counted as alive as long as the earlier owner's heartbeats continued. */
     @Test
     void reportsOfAnEarlierOwnerDoNotKeepAMachineAlive() {
         receiveHeartbeat("n1", 1, 0, 1, true);
@@ -100,7 +100,7 @@
         assertEquals(
                 Optional.of(Duration.ZERO),
                 peerHeartbeats.lastSeenAlive(machine("n1", 5)),
-                "back under a new token, not proven yet");
+                "owned again under a new token, without a report under it");
         assertEquals(Optional.empty(), peerHeartbeats.currentReport(machine("n1", 5)));
     }
 
@@ -110,7 +110,9 @@
         assertEquals(Optional.empty(), peerHeartbeats.currentReport(machine("n1", 3)));
         assertEquals(9, receiveHeartbeat("n1", 1, 0, 9, true).path("took").asLong());
         assertEquals(
-                0, receiveHeartbeat("n1", 2, 9, 9, false).path("took").asLong(), "a new process starts counting anew");
+                0,
+                receiveHeartbeat("n1", 2, 9, 9, false).path("took").asLong(),
+                "a new incarnation starts a new sequence");
         assertEquals(Optional.empty(), peerHeartbeats.currentReport(machine("n1", 3)));
     }
 
@@ -122,7 +124,7 @@
         assertEquals(Set.of(), Set.copyOf(peerHeartbeats.livePeers()));
     }
 
-    /** Its lease expires within seconds if it has ended; until then its machines are not acquired one by one. */
+    /** If it has crashed, its lease expires within seconds; until then its machines are not acquired one by one. */
     @Test
     void aControllerThatFellSilentRecentlyIsSuspected() {
         assertEquals(false, peerHeartbeats.isSuspected("n1"));
@@ -131,6 +133,6 @@
         virtualTime.run(Duration.ofSeconds(3));
         assertEquals(true, peerHeartbeats.isSuspected("n1"));
         virtualTime.run(Duration.ofSeconds(9));
-        assertEquals(false, peerHeartbeats.isSuspected("n1"), "it lives, or its machines have been taken by now");
+        assertEquals(false, peerHeartbeats.isSuspected("n1"), "it is alive, or its machines have been acquired by now");
     }
 }
