--- a/src/main/java/org/dunespindle/peer/MachineDirectory.java
+++ b/src/main/java/org/dunespindle/peer/MachineDirectory.java
@@ -12,30 +12,30 @@
 /** The last machine reports received from the other controllers. */
 final class MachineDirectory {
     private final TimeSource timeSource;
-    private final PeerView peerView;
-    private final Map<String, PublishedMachines> machinesByController = new HashMap<>();
+    private final PeerLiveness peerLiveness;
+    private final Map<String, ReportedMachines> machinesByController = new HashMap<>();
 
     /** The machines that one incarnation of a controller has reported. */
-    private static final class PublishedMachines {
+    private static final class ReportedMachines {
         final long incarnation;
         final Map<String, ReportedMachine> machines = new HashMap<>();
         long appliedSequence;
 
-        PublishedMachines(long incarnation) {
+        ReportedMachines(long incarnation) {
             this.incarnation = incarnation;
         }
     }
 
-    MachineDirectory(TimeSource timeSource, PeerView peerView) {
+    MachineDirectory(TimeSource timeSource, PeerLiveness peerLiveness) {
         this.timeSource = timeSource;
-        this.peerView = peerView;
+        this.peerLiveness = peerLiveness;
     }
 
     /** Discards the reports of a controller's earlier incarnations. */
     void beginIncarnation(String controller, long incarnation) {
-        PublishedMachines published = machinesByController.get(controller);
-        if (published == null || published.incarnation != incarnation) {
-            machinesByController.put(controller, new PublishedMachines(incarnation));
+        ReportedMachines reported = machinesByController.get(controller);
+        if (reported == null || reported.incarnation != incarnation) {
+            machinesByController.put(controller, new ReportedMachines(incarnation));
         }
     }
 
@@ -46,9 +46,9 @@
 
     /** Replaces the last reports of the machines in a batch. */
     void apply(String controller, MachineReportBatch batch) {
-        PublishedMachines published = machinesByController.get(controller);
-        batch.reports().forEach(report -> published.machines.put(report.machineId(), toReportedMachine(report)));
-        published.appliedSequence = Math.max(published.appliedSequence, batch.throughSequence());
+        ReportedMachines reported = machinesByController.get(controller);
+        batch.reports().forEach(report -> reported.machines.put(report.machineId(), toReportedMachine(report)));
+        reported.appliedSequence = Math.max(reported.appliedSequence, batch.throughSequence());
     }
 
     private ReportedMachine toReportedMachine(MachineReport report) {
@@ -68,7 +68,7 @@
 
     /** The owner's last report of a machine under its current token; empty if the owner's last heartbeat is not recent. */
     Optional<ReportedMachine> currentReport(MachineRecord machine) {
-        return peerView.recentHeartbeat(machine.owner()).isEmpty() ? Optional.empty() : lastReport(machine);
+        return peerLiveness.recentHeartbeat(machine.owner()).isEmpty() ? Optional.empty() : lastReport(machine);
     }
 
     /** The owner's last report of a machine under its current token, of any age. */
@@ -83,16 +83,16 @@
 
     private Optional<ReportedMachine> lastReportUnderAnyToken(MachineRecord machine) {
         return Optional.ofNullable(machinesByController.get(machine.owner()))
-                .map(published -> published.machines.get(machine.id()));
+                .map(reported -> reported.machines.get(machine.id()));
     }
 
     /** When a machine was last seen alive by any other controller. */
     Optional<Duration> lastSeenAlive(MachineRecord machine) {
         Optional<Duration> latest = Optional.empty();
-        for (Map.Entry<String, PublishedMachines> published : machinesByController.entrySet()) {
-            ReportedMachine report = published.getValue().machines.get(machine.id());
+        for (Map.Entry<String, ReportedMachines> reported : machinesByController.entrySet()) {
+            ReportedMachine report = reported.getValue().machines.get(machine.id());
             if (report != null) {
-                latest = Durations.latest(latest, Optional.of(seenAliveAt(published.getKey(), report, machine)));
+                latest = Durations.latest(latest, Optional.of(seenAliveAt(reported.getKey(), report, machine)));
             }
         }
         return latest;
@@ -109,13 +109,13 @@
         if (!report.up() || !fromPresentOwner) {
             return reportedAlive;
         }
-        return peerView.lastHeartbeatAt(reporter).orElse(reportedAlive);
+        return peerLiveness.lastHeartbeatAt(reporter).orElse(reportedAlive);
     }
 
     /** Discards the reports of all machines except these. */
     void retainMachines(Set<String> machineIds) {
         machinesByController
                 .values()
-                .forEach(published -> published.machines.keySet().retainAll(machineIds));
+                .forEach(reported -> reported.machines.keySet().retainAll(machineIds));
     }
 }
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeats.java
@@ -41,7 +41,7 @@
     private final Supplier<Optional<String>> leader;
     private final StateReplica replica;
     private final Listener listener;
-    private final PeerView peerView;
+    private final PeerLiveness peerLiveness;
     private final MachineDirectory machineDirectory;
     /** The sequence up to which each controller has applied this controller's machine reports. */
     private final Map<String, Long> acknowledgedSequences = new HashMap<>();
@@ -80,23 +80,23 @@
         this.leader = leader;
         this.replica = replica;
         this.listener = listener;
-        this.peerView = new PeerView(timeSource);
-        this.machineDirectory = new MachineDirectory(timeSource, peerView);
+        this.peerLiveness = new PeerLiveness(timeSource);
+        this.machineDirectory = new MachineDirectory(timeSource, peerLiveness);
     }
 
     /** The last heartbeat of a controller; empty if it is not recent. */
     public Optional<PeerState> recentHeartbeat(String node) {
-        return peerView.recentHeartbeat(node);
+        return peerLiveness.recentHeartbeat(node);
     }
 
     /** Whether a controller's heartbeats stopped so recently that it may have crashed without its lease having expired. */
     public boolean isSuspected(String node) {
-        return peerView.isSuspected(node);
+        return peerLiveness.isSuspected(node);
     }
 
     /** The last heartbeats of all controllers whose heartbeat is recent. */
     public List<PeerState> livePeers() {
-        return peerView.livePeers();
+        return peerLiveness.livePeers();
     }
 
     /** The owner's last report of a machine under its current token; empty if the owner's last heartbeat is not recent. */
@@ -188,7 +188,7 @@
                     reply.sender().node());
             return;
         }
-        peerView.heartbeatReceived(reply.sender());
+        peerLiveness.heartbeatReceived(reply.sender());
         reply.cancelledJobs().ifPresent(jobs -> listener.onJobsCancelled(peer, requestedAt, jobs));
         acknowledgedSequences.put(peer, reply.acknowledgedSequence(incarnation.getAsLong()));
     }
@@ -208,7 +208,7 @@
 
     private PeerHeartbeatReply onHeartbeat(PeerHeartbeat heartbeat, SenderStatus self) {
         SenderStatus sender = heartbeat.sender();
-        peerView.heartbeatReceived(sender);
+        peerLiveness.heartbeatReceived(sender);
         machineDirectory.beginIncarnation(sender.node(), sender.incarnation());
         // A batch that does not continue the applied reports is ignored; the acknowledgement contains the sequence to
         // resume from.
--- a/src/main/java/org/dunespindle/peer/PeerView.java
+++ b/src/main/java/org/dunespindle/peer/PeerLiveness.java
@@ -9,7 +9,7 @@
 import org.dunespindle.time.TimeSource;
 
 /** The liveness of the other controllers, derived from their heartbeats and replies. */
-final class PeerView {
+final class PeerLiveness {
     /** How long a heartbeat counts as recent. */
     private static final Duration HEARTBEAT_VALIDITY = Duration.ofSeconds(4);
     /** Time without heartbeats after which a controller is suspected to have crashed. */
@@ -20,7 +20,7 @@
     private final TimeSource timeSource;
     private final Map<String, PeerState> lastHeartbeats = new HashMap<>();
 
-    PeerView(TimeSource timeSource) {
+    PeerLiveness(TimeSource timeSource) {
         this.timeSource = timeSource;
     }
 
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatsTest.java
@@ -126,7 +126,7 @@
 
     /** If it has crashed, its lease expires within seconds; until then its machines are not acquired one by one. */
     @Test
-    void aControllerThatFellSilentRecentlyIsSuspected() {
+    void aControllerIsSuspectedForSecondsAfterItsHeartbeatsStop() {
         assertEquals(false, peerHeartbeats.isSuspected("n1"));
         receiveHeartbeat("n1", 1, 0, 1, true);
         assertEquals(false, peerHeartbeats.isSuspected("n1"));
