--- a/src/main/java/org/dunespindle/control/PauseDetector.java
+++ b/src/main/java/org/dunespindle/control/PauseDetector.java
@@ -42,10 +42,10 @@
         return timeSource.now().minus(runningSince);
     }
 
-    /** The time since a sign of life, without the time before the end of the last pause. */
-    public Duration observedSilence(Duration lastHeardAt) {
-        Duration silence = timeSource.now().minus(lastHeardAt);
+    /** The time elapsed since an earlier time, without the part before the end of the last pause. */
+    public Duration observedTimeSince(Duration time) {
+        Duration elapsed = timeSource.now().minus(time);
         Duration uptimeSincePause = uptimeSincePause();
-        return silence.compareTo(uptimeSincePause) < 0 ? silence : uptimeSincePause;
+        return elapsed.compareTo(uptimeSincePause) < 0 ? elapsed : uptimeSincePause;
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -86,7 +86,7 @@
     private Optional<DrainReason> evaluateUnheard(
             MachineRecord machine, Optional<ListedMachine> listed, Duration now, Duration leadingSince) {
         Duration silentLimit = options.get().silenceTimeout();
-        Duration leading = context.pauseDetector().observedSilence(leadingSince);
+        Duration leading = context.pauseDetector().observedTimeSince(leadingSince);
         Duration unheard = now.minus(unheardSince.computeIfAbsent(machine.id(), id -> now));
         if (leading.compareTo(silentLimit.plus(LEADER_WARM_UP)) <= 0
                 || failureDetector.isLikelyPartitioned(machine, leading)) {
@@ -109,7 +109,7 @@
                 < 0;
         return context.membership().owns(machine)
                 && reports
-                && context.pauseDetector().observedSilence(leadingSince).compareTo(silentLimit) > 0
+                && context.pauseDetector().observedTimeSince(leadingSince).compareTo(silentLimit) > 0
                 && workerClient
                         .commandsBlockedFor(machine.id())
                         .filter(duration -> duration.compareTo(silentLimit) > 0)
--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -78,7 +78,7 @@
         Duration lastHeartbeatAt = worker.lastHeartbeatAt().orElseThrow();
         Optional<Duration> unconfirmedBefore =
                 worker.commandsUnconfirmedSince().filter(since -> since.compareTo(lastHeartbeatAt) < 0);
-        return context.pauseDetector().observedSilence(unconfirmedBefore.orElse(lastHeartbeatAt));
+        return context.pauseDetector().observedTimeSince(unconfirmedBefore.orElse(lastHeartbeatAt));
     }
 
     /** Whether new tasks may be placed on a machine owned here. */
--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -93,7 +93,7 @@
             tokenChanges.put(machine.id(), change);
         }
         Duration lastSeen = lastSeen(machine).orElse(leadingSince);
-        return context.pauseDetector().observedSilence(later(lastSeen, later(change.seenAt, leadingSince)));
+        return context.pauseDetector().observedTimeSince(later(lastSeen, later(change.seenAt, leadingSince)));
     }
 
     private static Duration later(Duration one, Duration other) {
--- a/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
+++ b/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
@@ -74,7 +74,7 @@
             if (machine.draining() || (seenAt.isEmpty() && !isPastBootTime.test(machine))) {
                 continue;
             }
-            Duration sinceLastSeen = context.pauseDetector().observedSilence(seenAt.orElse(leadingSince));
+            Duration sinceLastSeen = context.pauseDetector().observedTimeSince(seenAt.orElse(leadingSince));
             boolean isUnresponsive = sinceLastSeen.compareTo(timeout) > 0;
             groupsOf(machine)
                     .forEach(group -> counts.computeIfAbsent(group, key -> new MachineCount())
--- a/src/main/java/org/dunespindle/worker/PartitionDetector.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -96,7 +96,7 @@
             if (lastHeartbeatAt.isPresent()) {
                 total++;
                 if (context.pauseDetector()
-                                .observedSilence(lastHeartbeatAt.get())
+                                .observedTimeSince(lastHeartbeatAt.get())
                                 .compareTo(heartbeatTimeout)
                         > 0) {
                     unresponsive.add(machine);
--- a/src/main/java/org/dunespindle/worker/WorkerReachability.java
+++ b/src/main/java/org/dunespindle/worker/WorkerReachability.java
@@ -58,7 +58,7 @@
         return context.workers()
                 .find(machineId)
                 .flatMap(WorkerState::commandsUnconfirmedSince)
-                .map(context.pauseDetector()::observedSilence);
+                .map(context.pauseDetector()::observedTimeSince);
     }
 
     /** Whether a worker has given no sign of life for two heartbeat intervals. */
@@ -83,6 +83,6 @@
         Duration limit =
                 Durations.multiply(context.settings().workers().report(), 2).plus(beyondTwoIntervals);
         return lastSeen.isEmpty()
-                || context.pauseDetector().observedSilence(lastSeen.get()).compareTo(limit) >= 0;
+                || context.pauseDetector().observedTimeSince(lastSeen.get()).compareTo(limit) >= 0;
     }
 }
