--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -72,7 +72,7 @@
         if (failureDetector.lastSeen(machine).isEmpty()) {
             return evaluateUnheard(machine, listed, now, leadingSince);
         }
-        Duration silence = failureDetector.silenceOf(machine, leadingSince);
+        Duration silence = failureDetector.timeSinceLastSeen(machine, leadingSince);
         if (failureDetector.hasFailed(machine, silence, silenceLimit(machine))) {
             return Optional.of(DrainReason.silentFor(silence));
         }
--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -86,7 +86,7 @@
      * The time since a machine last gave a sign of life. A new owner has received no heartbeat yet, and the last report of the earlier
      * owner may be minutes old, so the time counts from the change of the machine's token at the earliest.
      */
-    public Duration silenceOf(MachineRecord machine, Duration leadingSince) {
+    public Duration timeSinceLastSeen(MachineRecord machine, Duration leadingSince) {
         TokenChange change = tokenChanges.get(machine.id());
         if (change == null || change.token != machine.token()) {
             change = new TokenChange(machine.token(), context.timeSource().now());
