--- a/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
+++ b/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
@@ -171,7 +171,7 @@
         Optional<ReportedMachine> reported = sources.peerHeartbeats.currentReport(machine);
         boolean closed = reported.isPresent()
                 && !reported.get().up()
-                && reported.get().silentFor().compareTo(maxSilence) < 0;
+                && reported.get().timeSinceLastSeen().compareTo(maxSilence) < 0;
         return machine.draining() || closed;
     }
 
--- a/src/main/java/org/dunespindle/peer/MachineDirectory.java
+++ b/src/main/java/org/dunespindle/peer/MachineDirectory.java
@@ -55,7 +55,7 @@
         return new ReportedMachine(
                 report.up(),
                 report.quarantined(),
-                report.silentFor(),
+                report.timeSinceLastSeen(),
                 timeSource.now(),
                 report.address(),
                 report.token());
@@ -104,7 +104,7 @@
      * change of ownership.
      */
     private Duration seenAliveAt(String reporter, ReportedMachine report, MachineRecord machine) {
-        Duration reportedAlive = report.reportedAt().minus(report.silentFor());
+        Duration reportedAlive = report.reportedAt().minus(report.timeSinceLastSeen());
         boolean fromPresentOwner = reporter.equals(machine.owner()) && report.token() == machine.token();
         if (!report.up() || !fromPresentOwner) {
             return reportedAlive;
--- a/src/main/java/org/dunespindle/peer/MachineReport.java
+++ b/src/main/java/org/dunespindle/peer/MachineReport.java
@@ -9,7 +9,7 @@
         long token,
         boolean up,
         boolean quarantined,
-        Duration silentFor,
+        Duration timeSinceLastSeen,
         String address,
         List<String> images) {
     /** Upper bound of the number of characters for brackets, numbers and separators. */
--- a/src/main/java/org/dunespindle/peer/MachineStatus.java
+++ b/src/main/java/org/dunespindle/peer/MachineStatus.java
@@ -10,7 +10,7 @@
  * @param sequence increases with every change of any machine of this owner
  * @param token the fencing token in the owner's commands to the machine
  * @param up whether the machine accepts tasks
- * @param silentFor the time since the machine's last sign of life; zero while it is up
+ * @param timeSinceLastSeen the time since the machine's last sign of life; zero while it is up
  * @param images the images that the machine has cached
  */
 public record MachineStatus(
@@ -19,12 +19,12 @@
         long token,
         boolean up,
         boolean quarantined,
-        Duration silentFor,
+        Duration timeSinceLastSeen,
         String address,
         Set<String> images) {
 
     /** The part of the status that is sent to the leader. */
     MachineReport toReport() {
-        return new MachineReport(machineId, token, up, quarantined, silentFor, address, List.copyOf(images));
+        return new MachineReport(machineId, token, up, quarantined, timeSinceLastSeen, address, List.copyOf(images));
     }
 }
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeatCodec.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeatCodec.java
@@ -89,7 +89,7 @@
                 .add(report.token())
                 .add(report.up())
                 .add(report.quarantined())
-                .add(report.silentFor().toMillis())
+                .add(report.timeSinceLastSeen().toMillis())
                 .add(report.address());
         report.images().forEach(row::add);
     }
