--- a/src/main/java/org/dunespindle/control/WorkerRegistry.java
+++ b/src/main/java/org/dunespindle/control/WorkerRegistry.java
@@ -40,7 +40,7 @@
      *
      * @param machineIds the machines that have a record
      */
-    public void evictGone(Set<String> machineIds, Duration now) {
+    public void evictRemoved(Set<String> machineIds, Duration now) {
         byMachine
                 .entrySet()
                 .removeIf(entry -> !machineIds.contains(entry.getKey()) && isExpired(entry.getValue(), now));
--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -102,6 +102,6 @@
         parts.workers.peerHeartbeats.retainMachines(present);
         parts.workers.cancellationTracker.prune();
         parts.machines.crashLoopDetector.prune(parts.shared.replica.machines()::containsKey);
-        parts.shared.workers.evictGone(present, parts.shared.timeSource.now());
+        parts.shared.workers.evictRemoved(present, parts.shared.timeSource.now());
     }
 }
