--- a/src/main/java/org/dunespindle/job/NoticedMachineDrainer.java
+++ b/src/main/java/org/dunespindle/job/NoticedMachineDrainer.java
@@ -41,7 +41,7 @@
     public void drain() {
         for (String machineId : workerClient.machinesWithNotice()) {
             MachineRecord machine = replica.machines().get(machineId);
-            if (machine != null && workerClient.inCommand(machine)) {
+            if (machine != null && workerClient.canCommand(machine)) {
                 drain(machine);
             }
         }
--- a/src/main/java/org/dunespindle/worker/MachineReconciler.java
+++ b/src/main/java/org/dunespindle/worker/MachineReconciler.java
@@ -58,7 +58,7 @@
         MachineRecord machine = context.replica().machines().get(machineId);
         if (machine == null || !context.membership().owns(machine)) {
             context.workers().find(machineId).ifPresent(worker -> terminationTracker.clear(machineId, worker));
-        } else if (!reachability.inCommand(machine)) {
+        } else if (!reachability.canCommand(machine)) {
             reconciliationQueue.add(machineId); // until the replica has caught up
         } else {
             reconcileOwned(machine, context.workers().getOrCreate(machineId));
--- a/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
+++ b/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
@@ -32,7 +32,7 @@
                 && received.hasTokenOf(machine)
                 && worker.unansweredStartToken().isEmpty()
                 && !worker.callInFlight()
-                && workerClient.inCommand(machine);
+                && workerClient.canCommand(machine);
     }
 
     /**
--- a/src/main/java/org/dunespindle/worker/WorkerClient.java
+++ b/src/main/java/org/dunespindle/worker/WorkerClient.java
@@ -117,8 +117,8 @@
     }
 
     /** Whether this controller may send commands to a machine and act on its status now. */
-    public boolean inCommand(MachineRecord machine) {
-        return reachability.inCommand(machine);
+    public boolean canCommand(MachineRecord machine) {
+        return reachability.canCommand(machine);
     }
 
     /** Whether a machine accepts tasks: its last status carries the current fencing token, and commands reach it. */
--- a/src/main/java/org/dunespindle/worker/WorkerReachability.java
+++ b/src/main/java/org/dunespindle/worker/WorkerReachability.java
@@ -34,7 +34,7 @@
      * Whether this controller may send commands to a machine and act on its status: it owns the machine, and its replica contains the
      * change that made it the owner.
      */
-    boolean inCommand(MachineRecord machine) {
+    boolean canCommand(MachineRecord machine) {
         return context.membership().owns(machine)
                 && context.replica().appliedRevision() >= context.replica().modRevision(Keys.machinePage(machine.id()));
     }
@@ -43,7 +43,7 @@
     boolean isReady(MachineRecord machine) {
         Optional<WorkerState> worker = context.workers().find(machine.id());
         return worker.isPresent()
-                && inCommand(machine)
+                && canCommand(machine)
                 && !machine.draining()
                 && worker.get()
                         .lastReportedToken()
