--- a/src/main/java/org/dunespindle/job/NoticedMachineDrainer.java
+++ b/src/main/java/org/dunespindle/job/NoticedMachineDrainer.java
@@ -39,7 +39,7 @@
 
     /** Stops the work on machines with a termination notice. */
     public void drain() {
-        for (String machineId : workerClient.machinesWithNotice()) {
+        for (String machineId : workerClient.machinesWithInterruptionNotice()) {
             MachineRecord machine = replica.machines().get(machineId);
             if (machine != null && workerClient.canCommand(machine)) {
                 drain(machine);
--- a/src/main/java/org/dunespindle/worker/WorkerClient.java
+++ b/src/main/java/org/dunespindle/worker/WorkerClient.java
@@ -79,8 +79,8 @@
     }
 
     /** The machines whose last status carries a spot interruption notice: their cloud is about to reclaim them. */
-    public Set<String> machinesWithNotice() {
-        return statusRecorder.machinesWithNotice();
+    public Set<String> machinesWithInterruptionNotice() {
+        return statusRecorder.machinesWithInterruptionNotice();
     }
 
     /** Queues a machine for the next reconciliation pass. */
--- a/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
+++ b/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
@@ -20,7 +20,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(WorkerStatusRecorder.class);
     private final ControllerContext context;
     private final ReconciliationQueue reconciliationQueue;
-    private final Set<String> machinesWithNotice = new LinkedHashSet<>();
+    private final Set<String> machinesWithInterruptionNotice = new LinkedHashSet<>();
 
     WorkerStatusRecorder(ControllerContext context, ReconciliationQueue reconciliationQueue) {
         this.context = context;
@@ -67,17 +67,17 @@
     }
 
     /** The machines whose last status carries a spot interruption notice: their cloud is about to reclaim them. */
-    Set<String> machinesWithNotice() {
-        machinesWithNotice.removeIf(machineId -> context.workers()
+    Set<String> machinesWithInterruptionNotice() {
+        machinesWithInterruptionNotice.removeIf(machineId -> context.workers()
                 .lastHeartbeat(machineId)
                 .flatMap(WorkerHeartbeat::notice)
                 .isEmpty());
-        return machinesWithNotice;
+        return machinesWithInterruptionNotice;
     }
 
     private void recordInterruptionNotice(WorkerHeartbeat status) {
         if (status.notice().isPresent()) {
-            machinesWithNotice.add(status.machineId());
+            machinesWithInterruptionNotice.add(status.machineId());
         }
     }
 
