--- a/src/main/java/org/dunespindle/control/WorkerState.java
+++ b/src/main/java/org/dunespindle/control/WorkerState.java
@@ -203,7 +203,7 @@
     }
 
     /** Whether the last status is conclusive: it carries this token, and no {@code run} command may still take effect. */
-    public boolean isProofUnder(long token) {
+    public boolean isConclusiveUnder(long token) {
         return !callInFlight
                 && unansweredStartToken.isEmpty()
                 && lastHeartbeat.isPresent()
--- a/src/main/java/org/dunespindle/worker/MachineReconciler.java
+++ b/src/main/java/org/dunespindle/worker/MachineReconciler.java
@@ -75,7 +75,7 @@
         long seenToken = worker.lastReportedToken().orElse(machine.token());
         if (seenToken > machine.token()) {
             raiseTokenAbove(seenToken, machine);
-        } else if (worker.isProofUnder(machine.token())) {
+        } else if (worker.isConclusiveUnder(machine.token())) {
             reconcileWithStatus(machine, worker, worker.lastHeartbeat().orElseThrow());
         } else {
             terminationTracker.clear(machine.id(), worker);
