--- a/src/main/java/org/dunespindle/job/InterruptionNoticeDrainer.java
+++ b/src/main/java/org/dunespindle/job/InterruptionNoticeDrainer.java
@@ -39,9 +39,9 @@
 
     /** Stops tasks on machines with an interruption notice, if stopping them loses no work. */
     public void drain() {
-        for (String machineId : workerClient.machinesWithNotice()) {
+        for (String machineId : workerClient.machinesWithInterruptionNotice()) {
             MachineRecord machine = replica.machines().get(machineId);
-            if (machine != null && workerClient.inCommand(machine)) {
+            if (machine != null && workerClient.canCommand(machine)) {
                 drain(machine);
             }
         }
--- a/src/main/java/org/dunespindle/peer/MachineReport.java
+++ b/src/main/java/org/dunespindle/peer/MachineReport.java
@@ -3,18 +3,19 @@
 import java.time.Duration;
 import java.util.List;
 
-/** The status of a machine as a heartbeat carries it from its owner to the leader. */
+/** The status of a machine in a heartbeat from its owner to the leader; see {@link MachineStatus} for the fields. */
 record MachineReport(
         String machineId,
         long token,
         boolean up,
         boolean quarantined,
-        Duration silentFor,
+        Duration timeSinceLastSeen,
         String address,
         List<String> images) {
-    /** Upper bound of the characters that brackets, numbers and separators take. */
+    /** Upper bound of the number of characters for brackets, numbers and separators. */
     private static final int MAX_ROW_OVERHEAD = 64;
 
+    /** Two quotes and a comma. */
     private static final int IMAGE_OVERHEAD = 3;
 
     /** The approximate length of the encoded report in characters. */
--- a/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
+++ b/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
@@ -12,15 +12,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Records the status that workers send, in heartbeats and in answers, and schedules reconciliation of a machine whose status
- * changed. This must happen whatever way the status came and however it is answered: the next one may be the same, and would then be
- * no change.
+ * Records the status that workers send, in heartbeats and in answers, and schedules reconciliation of a machine whose status changed.
+ * This must happen for every status, regardless of its source and of the reply: if the next status is the same, it no longer counts
+ * as a change.
  */
 final class WorkerStatusRecorder {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerStatusRecorder.class);
     private final ControllerContext context;
     private final ReconciliationQueue reconciliationQueue;
-    private final Set<String> machinesWithNotice = new LinkedHashSet<>();
+    private final Set<String> machinesWithInterruptionNotice = new LinkedHashSet<>();
 
     WorkerStatusRecorder(ControllerContext context, ReconciliationQueue reconciliationQueue) {
         this.context = context;
@@ -30,12 +30,12 @@
     /**
      * Records a heartbeat.
      *
-     * @return whether it is newer than what was known
+     * @return whether it is newer than the last recorded status
      */
     boolean recordHeartbeat(WorkerHeartbeat heartbeat, WorkerState worker) {
         Optional<WorkerHeartbeat> previous = worker.lastHeartbeat();
         boolean newer = worker.acceptHeartbeat(heartbeat, context.timeSource().now());
-        recordNotice(heartbeat);
+        recordInterruptionNotice(heartbeat);
         if (newer) {
             reconcileIfChanged(heartbeat, previous);
         }
@@ -52,32 +52,32 @@
         try {
             status = WorkerHeartbeat.parse(MessagePackCodec.read(body));
         } catch (MalformedMessageException e) {
-            LOG.debug("malformed answer from worker machine={} error={}", machineId, e.getMessage());
+            LOG.debug("malformed worker status ignored machine={} error={}", machineId, e.getMessage());
             return false;
         }
         if (!status.machineId().equals(machineId)) {
-            LOG.debug("answer from another machine machine={} answered={}", machineId, status.machineId());
+            LOG.debug("worker status of another machine ignored machine={} sender={}", machineId, status.machineId());
             return false;
         }
-        recordNotice(status);
+        recordInterruptionNotice(status);
         Optional<WorkerHeartbeat> previous = worker.lastHeartbeat();
         worker.statusAnswered(status, context.timeSource().now());
         reconcileIfChanged(status, previous);
         return true;
     }
 
-    /** The machines that their cloud is about to reclaim, according to their last status. */
-    Set<String> machinesWithNotice() {
-        machinesWithNotice.removeIf(machineId -> context.workers()
+    /** The machines whose last status carries a spot interruption notice: their cloud is about to reclaim them. */
+    Set<String> machinesWithInterruptionNotice() {
+        machinesWithInterruptionNotice.removeIf(machineId -> context.workers()
                 .lastHeartbeat(machineId)
                 .flatMap(WorkerHeartbeat::notice)
                 .isEmpty());
-        return machinesWithNotice;
+        return machinesWithInterruptionNotice;
     }
 
-    private void recordNotice(WorkerHeartbeat status) {
+    private void recordInterruptionNotice(WorkerHeartbeat status) {
         if (status.notice().isPresent()) {
-            machinesWithNotice.add(status.machineId());
+            machinesWithInterruptionNotice.add(status.machineId());
         }
     }
 
