--- a/src/main/java/org/dunespindle/machine/BootDeadlines.java
+++ b/src/main/java/org/dunespindle/machine/BootDeadlines.java
@@ -6,10 +6,10 @@
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.time.Durations;
 
-/** How long machines that were rented may take to boot. */
+/** Boot deadlines of rented machines, as multiples of the boot time that the catalog states for their type. */
 final class BootDeadlines {
     private static final Duration DEFAULT_BOOT_TIME = Duration.ofSeconds(60);
-    /** In tenths of the boot time. Most machines are up by then; nothing is planned any more on the others. */
+    /** In tenths of the boot time. Most machines are up by then; no work is planned on those that are not. */
     private static final int LATE_BOOT_TENTHS = 16;
 
     private final ControllerContext context;
@@ -20,17 +20,17 @@
         this.catalog = catalog;
     }
 
-    /** Whether a machine was rented so short a time ago that it is expected to come up. */
+    /** Whether a machine is still within its expected boot time, so that work may be planned on it. */
     boolean isWithinBootTime(MachineRecord machine) {
         return age(machine).compareTo(lateBootAge(machine)) < 0;
     }
 
-    /** Whether a machine should long have come up. */
+    /** Whether a machine has exceeded its expected boot time. */
     boolean isPastBootTime(MachineRecord machine) {
         return age(machine).compareTo(lateBootAge(machine)) > 0;
     }
 
-    /** Whether more than a multiple of its boot time has passed since a machine was rented. */
+    /** Whether the time since a machine was rented exceeds a multiple of its boot time. */
     boolean exceeds(MachineRecord machine, long multipleOfBootTime) {
         return age(machine).compareTo(Durations.multiply(bootTime(machine), multipleOfBootTime)) > 0;
     }
--- a/src/main/java/org/dunespindle/machine/CapacityBackoff.java
+++ b/src/main/java/org/dunespindle/machine/CapacityBackoff.java
@@ -8,7 +8,7 @@
 import org.dunespindle.scheduling.MachinePool;
 import org.dunespindle.time.TimeSource;
 
-/** Exponential back-off from pools that have no capacity. */
+/** Exponential back-off for rental requests to pools that have no capacity. */
 final class CapacityBackoff {
     private static final Duration INITIAL_PAUSE = Duration.ofSeconds(6);
     private static final Duration MAX_PAUSE = Duration.ofSeconds(25);
@@ -16,14 +16,14 @@
     private final TimeSource timeSource;
     private final Map<MachinePool, Backoff> backoffs = new HashMap<>();
 
-    /** When a pool is asked again, and the pause until then. */
+    /** The time of the next request to a pool, and the length of the back-off until then. */
     private record Backoff(Duration until, Duration pause) {}
 
     CapacityBackoff(TimeSource timeSource) {
         this.timeSource = timeSource;
     }
 
-    /** A pool had no capacity; returns how long it is not asked again, which doubles with each time in a row. */
+    /** Starts a back-off after a pool had no capacity, and returns its length, which doubles with each consecutive failure. */
     Duration backOff(MachinePool pool) {
         Backoff previous = backoffs.get(pool);
         Duration doubled = previous == null ? INITIAL_PAUSE : previous.pause.multipliedBy(2);
@@ -32,12 +32,12 @@
         return pause;
     }
 
-    /** A pool had capacity. */
+    /** Ends the back-off of a pool that had capacity. */
     void reset(MachinePool pool) {
         backoffs.remove(pool);
     }
 
-    /** The pools that are not to be asked yet. */
+    /** The pools whose back-off has not ended yet. */
     Set<MachinePool> pools() {
         Duration now = timeSource.now();
         var pools = new HashSet<MachinePool>();
--- a/src/main/java/org/dunespindle/machine/CloudCallException.java
+++ b/src/main/java/org/dunespindle/machine/CloudCallException.java
@@ -1,6 +1,6 @@
 package org.dunespindle.machine;
 
-/** A cloud's answer that does not tell whether the request was carried out. The request may be repeated. */
+/** A response of the cloud from which the outcome of a request is unknown. The request is idempotent and may be retried. */
 final class CloudCallException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -8,12 +8,12 @@
         super(message, null, false, false);
     }
 
-    /** The cloud answered with another status than expected. */
+    /** The response has an unexpected HTTP status. */
     static CloudCallException unexpectedStatus(int status) {
         return new CloudCallException("unexpected status " + status);
     }
 
-    /** The cloud's answer could not be decoded. */
+    /** The response body could not be decoded. */
     static CloudCallException malformedResponse(String what) {
         return new CloudCallException("malformed " + what);
     }
--- a/src/main/java/org/dunespindle/machine/CloudClient.java
+++ b/src/main/java/org/dunespindle/machine/CloudClient.java
@@ -21,28 +21,28 @@
 import org.dunespindle.transport.HttpClient;
 import org.dunespindle.transport.HttpClientResponse;
 
-/** A client of the cloud's API that keeps to its rate limit. */
+/** A client of the cloud's API that stays within its rate limit. */
 public final class CloudClient {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
     private static final int LIST_PAGE_SIZE = 500;
-    /** Only the leader makes more than a rare call, so it gets most of the rate; the others read the catalog with the rest. */
+    /** Only the leader calls the cloud often, so it gets most of the rate; the other controllers read the catalog with the rest. */
     private static final double LEADER_RATE_SHARE = 0.7;
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
-    /** Part of the answer by which the cloud refuses a rental for want of machines. */
+    /** Part of the response body that marks a rental refused for lack of capacity. */
     private static final String NO_CAPACITY = "no capacity";
 
     private static final byte[] NO_BODY = new byte[0];
 
     private final RateLimitedHttpClient service;
 
-    /** The outcome of a rental: the machines, or a refusal for want of capacity. */
+    /** The outcome of a rental: the machines, or a refusal for lack of capacity. */
     record RentalResult(List<String> machineIds, boolean noCapacity) {
         private static final RentalResult REFUSED = new RentalResult(List.of(), true);
     }
 
-    /** One page of the machine list. */
+    /** One page of the machine list, and whether more pages follow. */
     private record ListPage(List<ListedMachine> machines, boolean more) {}
 
     @FunctionalInterface
@@ -50,14 +50,14 @@
         T parse(JsonNode node) throws MalformedMessageException;
     }
 
-    /** Creates a client for the cloud that the settings name. */
+    /** Creates a client for the cloud address in the settings. */
     public CloudClient(HttpClient httpClient, Settings settings, TimeSource timeSource) {
         double rate = LEADER_RATE_SHARE * settings.cloud().rps();
         this.service = new RateLimitedHttpClient(
                 httpClient, settings.cloudAddress(), timeSource, new RateLimiter(timeSource, rate), CALL_TIMEOUT);
     }
 
-    /** How long calls took, in microseconds. */
+    /** Latency of the calls, in microseconds. */
     public Histogram latency() {
         return service.latency();
     }
@@ -96,7 +96,7 @@
         return new ListPage(machines, body.path("more").asBoolean(false));
     }
 
-    /** Rents machines; repeating it with the same request id is safe until it was answered with 200. */
+    /** Rents machines. The request id makes retries idempotent until one is answered with status 200. */
     CompletableFuture<RentalResult> rent(String requestId, MachinePool pool, int count) {
         var request = new RentalRequest(requestId, pool.type(), pool.zone(), pool.spot(), count);
         return call("POST", "/rentals", MessagePackCodec.write(request.toNode()))
@@ -116,7 +116,7 @@
         return new RentalResult(machineIds, false);
     }
 
-    /** Terminates machines; once this completes, they and everything on them are gone. */
+    /** Terminates machines. Once the future completes, the machines and all tasks on them are gone. */
     CompletableFuture<Void> terminate(List<String> machineIds) {
         ObjectNode body = MessagePackCodec.map();
         machineIds.forEach(body.withArray("/hosts")::add);
--- a/src/main/java/org/dunespindle/machine/CloudInventory.java
+++ b/src/main/java/org/dunespindle/machine/CloudInventory.java
@@ -13,11 +13,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud's list of machines as the leader last read it. Machines in the list without a record are adopted. */
+/** The cloud's list of machines as last read by the leader. Listed machines without a stored record are adopted. */
 public final class CloudInventory {
     private static final Logger LOG = LoggerFactory.getLogger(CloudInventory.class);
     private static final Duration LIST_INTERVAL = Duration.ofSeconds(4);
-    /** Beyond twice the list's lag, the list surely does not name machines terminated by an earlier leader any more. */
+    /** Added to twice the list's lag, after which the list no longer contains machines that an earlier leader terminated. */
     private static final Duration LIST_LAG_MARGIN = Duration.ofSeconds(2);
 
     private final ControllerContext context;
@@ -26,14 +26,14 @@
     private final MachineProvisioner provisioner;
     private final MachineTerminator terminator;
     private Map<String, ListedMachine> listedById = Map.of();
-    /** Since when this controller leads; empty while it does not, or has not begun to. */
+    /** When this controller became the leader; empty while it is not. */
     private Optional<Duration> leadingSince = Optional.empty();
 
     private Duration nextListAt = Duration.ZERO;
     private boolean isFirstLeaderEver;
     private boolean requestInFlight;
 
-    /** Creates an inventory that is still empty. */
+    /** Creates an empty inventory; the first call of {@link #tick} as the leader reads the list. */
     public CloudInventory(
             ControllerContext context,
             MachineRecordWriter machineWriter,
@@ -47,31 +47,32 @@
         this.terminator = terminator;
     }
 
-    /** A machine's row in the list. */
+    /** The list entry of a machine; empty if the machine is not listed. */
     Optional<ListedMachine> find(String machineId) {
         return Optional.ofNullable(listedById.get(machineId));
     }
 
-    /** A machine's address by the list; the record of a rented machine lacks it until the machine reports. */
+    /** A machine's listed address. The record of a rented machine lacks the address until its first heartbeat. */
     Optional<String> address(String machineId) {
         return find(machineId).map(ListedMachine::address).filter(address -> !address.isEmpty());
     }
 
-    /** This controller has begun to lead. */
+    /** Called when this controller becomes the leader. */
     void beginToLead() {
         leadingSince = Optional.of(context.timeSource().now());
         nextListAt = context.timeSource().now();
-        // While no machine is recorded at all this is the first leader ever, and nothing in the list was terminated.
+        // Without any machine record this is the cell's first leader, so no earlier leader can have terminated a listed
+        // machine.
         isFirstLeaderEver = context.replica().machines().isEmpty();
     }
 
-    /** This controller does not lead now: a list requested before is not adopted from once it leads again. */
+    /** Called when this controller is no longer the leader. A list requested before is not used to adopt machines in a later term. */
     void standDown() {
         leadingSince = Optional.empty();
         isFirstLeaderEver = false;
     }
 
-    /** Reads the list when it is due. */
+    /** Requests the list if the list interval has elapsed. */
     void tick() {
         Duration now = context.timeSource().now();
         if (requestInFlight || now.compareTo(nextListAt) < 0) {
@@ -97,8 +98,9 @@
     }
 
     /**
-     * Adopts machines that no record names: rented by a request whose answer was lost, or there from the start. The list lags and may
-     * still name what an earlier leader terminated, so a new leader waits until it cannot any more.
+     * Adopts listed machines without a record: they were rented by a request whose response was lost, or existed before the cell
+     * started. The list lags and may still contain machines that an earlier leader terminated, so a new leader waits until the lag
+     * has passed.
      */
     private void adoptUnrecorded() {
         Duration minLead = context.settings().cloud().listLag().multipliedBy(2).plus(LIST_LAG_MARGIN);
@@ -108,7 +110,7 @@
         }
     }
 
-    /** Whether a leader has led for so long that a list names nothing that an earlier one terminated. */
+    /** Whether a leader has led long enough that the list contains no machine that an earlier leader terminated. */
     static boolean hasLedFor(Duration minLead, Optional<Duration> leadingSince, Duration now) {
         return leadingSince.isPresent() && now.minus(leadingSince.get()).compareTo(minLead) >= 0;
     }
--- a/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
+++ b/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
@@ -10,28 +10,28 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Tells faulty machines from crash-looping jobs by which tasks failed where. A job submitted with a mistake fails on every machine: held
- * against the machines, it would put one after the other in quarantine. A machine is faulty when different jobs fail on it; a job is
- * crash-looping when it fails on different machines and none of its tasks ever succeeded. A controller sees failures on its own machines
- * only, but every job's record counts all failures of the job.
+ * Distinguishes faulty machines from crash-looping jobs by the machines on which tasks failed. A job with a faulty submission fails on
+ * every machine; if its failures counted against the machines, they would be quarantined one after another. A machine is faulty if
+ * different jobs fail on it; a job is crash-looping if it fails on different machines and none of its tasks ever succeeded. A controller
+ * observes failures on its own machines only, but every job's record counts all failures of the job.
  */
 public final class CrashLoopDetector {
-    /** A job that failed on so many machines without any success is crash-looping. */
+    /** A job that failed on at least this many machines without any success is crash-looping. */
     private static final int MIN_MACHINES_OF_CRASH_LOOP = 2;
-    /** So many failures elsewhere, with no task done, show the same of a job that failed on one machine here. */
+    /** A job without a completed task that failed at least this often elsewhere does not count against the machine here. */
     private static final int MIN_FAILURES_ELSEWHERE = 2;
 
     private final Function<String, Optional<JobRecord>> jobRecords;
     private final Map<String, Set<String>> machinesByJob = new HashMap<>();
-    /** How often each job failed on a machine since any task last succeeded there. */
+    /** By machine and job, the failures since a task last succeeded on the machine. */
     private final Map<String, Map<String, Integer>> failuresByMachine = new HashMap<>();
 
     private final Set<String> succeededJobs = new HashSet<>();
 
     /**
-     * Creates a detector that has seen nothing.
+     * Creates a detector without observations.
      *
-     * @param jobRecords the stored record of a job
+     * @param jobRecords looks up the stored record of a job by its id
      */
     public CrashLoopDetector(Function<String, Optional<JobRecord>> jobRecords) {
         this.jobRecords = jobRecords;
@@ -43,18 +43,18 @@
         failuresByMachine.computeIfAbsent(machineId, id -> new HashMap<>()).merge(jobId, 1, Integer::sum);
     }
 
-    /** Records that a task of a job succeeded on a machine, which clears the machine of all failures before. */
+    /** Records that a task of a job succeeded on a machine, which clears all earlier failures of the machine. */
     public void recordSuccess(String jobId, String machineId) {
         succeededJobs.add(jobId);
         failuresByMachine.remove(machineId);
     }
 
-    /** Whether a job fails wherever it is tried, as far as is seen from this controller. */
+    /** Whether a job fails on every machine that this controller has observed it on. */
     public boolean isCrashLooping(String jobId) {
         return !succeededJobs.contains(jobId) && machinesWithFailuresOf(jobId).size() >= MIN_MACHINES_OF_CRASH_LOOP;
     }
 
-    /** How many jobs failed on a machine without being at fault themselves, as far as is known by now. */
+    /** The number of jobs that failed on a machine and are not themselves known to be faulty. */
     int jobsFailedOn(String machineId) {
         Map<String, Integer> failuresByJob = failuresByMachine.getOrDefault(machineId, Map.of());
         int count = 0;
@@ -80,7 +80,7 @@
         return machinesByJob.getOrDefault(jobId, Set.of());
     }
 
-    /** Forgets jobs that have ended and machines that are gone. */
+    /** Drops jobs that have ended and machines that no longer exist. */
     public void prune(Predicate<String> isPresentMachine) {
         Predicate<String> hasEnded =
                 jobId -> jobRecords.apply(jobId).filter(JobRecord::isOpen).isEmpty();
--- a/src/main/java/org/dunespindle/machine/DrainReason.java
+++ b/src/main/java/org/dunespindle/machine/DrainReason.java
@@ -4,9 +4,10 @@
 import org.dunespindle.storage.MachineRecord;
 
 /**
- * Why a machine is to be terminated, and how.
+ * Why a machine is to be terminated, and by which procedure.
  *
- * @param text the reason as it is stored with the machine and shown to operators
+ * @param procedure how the machine is taken out of service
+ * @param text the reason as stored in the machine record and shown to operators; part of the stored format
  */
 record DrainReason(Procedure procedure, String text) {
     static final DrainReason IDLE =
@@ -20,15 +21,15 @@
 
     /** How a machine is taken out of service. */
     enum Procedure {
-        /** Drained, but only while the commit queue is short: this is not urgent. */
+        /** Drain, but only while the commit queue is short, since the termination is not urgent. */
         DRAIN_UNLESS_COMMITS_QUEUE,
-        /** Recorded as draining first, so that nothing more is placed on it, then terminated. */
+        /** Store the machine as draining first, so that no further task is placed on it, then terminate it. */
         DRAIN,
-        /** Terminated without recording that first. */
+        /** Terminate without storing the machine as draining first. */
         TERMINATE
     }
 
-    /** A machine that no controller has heard for too long. */
+    /** The reason for a machine from which no controller has received a heartbeat for the given time. */
     static DrainReason silentFor(Duration silence) {
         return new DrainReason(Procedure.TERMINATE, "it has been silent for " + silence.toSeconds() + " s");
     }
--- a/src/main/java/org/dunespindle/machine/FleetManager.java
+++ b/src/main/java/org/dunespindle/machine/FleetManager.java
@@ -14,10 +14,10 @@
 import org.dunespindle.worker.FailureDetector;
 import org.dunespindle.worker.WorkerClient;
 
-/** The leader's management of the fleet: rents machines, evaluates them, terminates them and removes their records. */
+/** Manages the fleet on the leader: rents, evaluates and terminates machines and removes their records. */
 public final class FleetManager {
     private static final Duration EVALUATION_INTERVAL = Duration.ofMillis(900);
-    /** A controller that has just started has heard no machine yet, which says nothing about the machines. */
+    /** During this time after its start, a controller does not treat a missing first heartbeat as a failed boot. */
     private static final Duration STARTUP_GRACE = Duration.ofSeconds(15);
 
     private final ControllerContext context;
@@ -33,7 +33,7 @@
     private Optional<Duration> leadingSince = Optional.empty();
     private Duration nextEvaluationAt = Duration.ZERO;
 
-    /** The leader's access to the cloud. */
+    /** The services through which the leader uses the cloud. */
     public record CloudServices(
             CloudInventory inventory,
             MachineCatalog catalog,
@@ -62,17 +62,17 @@
         this.sizeReporter = new FleetSizeReporter(context.replica(), cloud.catalog, this::isBooting);
     }
 
-    /** Whether a machine that has not reported yet is still expected to come up, so that work may be planned on it. */
+    /** Whether a machine without a heartbeat so far is still expected to boot, so that work may be planned on it. */
     public boolean isExpectedToBoot(MachineRecord machine) {
         return context.timeSource().now().compareTo(STARTUP_GRACE) < 0 || bootDeadlines.isWithinBootTime(machine);
     }
 
-    /** Whether a machine was rented but no controller has heard it yet. */
+    /** Whether no controller has received a heartbeat of a machine since it was rented. */
     public boolean isBooting(MachineRecord machine) {
         return failureDetector.lastSeen(machine).isEmpty();
     }
 
-    /** Called with every plan on every controller; only the leader acts. */
+    /** Runs the management that is due. Called with every plan on every controller; only the leader acts. */
     public void tick(Plan plan) {
         Duration now = context.timeSource().now();
         if (!context.membership().isLeader()) {
@@ -95,7 +95,7 @@
         provisioner.rent(plan);
     }
 
-    /** This controller does not lead now: what it observed as the leader is not valid once it leads again. */
+    /** Discards the leader's observations, which are not valid in a later term. Called while this controller is not the leader. */
     public void standDown() {
         if (leadingSince.isPresent()) {
             leadingSince = Optional.empty();
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Removes the records of machines that the cloud has terminated, once nothing is allocated on them any more. */
+    /** Removes the records of terminated machines that have no allocations left. */
     private void removeTerminated() {
         for (MachineRecord machine : List.copyOf(context.replica().machines().values())) {
             if (terminator.isTerminated(machine.id())
--- a/src/main/java/org/dunespindle/machine/FleetSizeReporter.java
+++ b/src/main/java/org/dunespindle/machine/FleetSizeReporter.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs, at debug level, how large the fleet is and what it is used for. */
+/** Logs the size and the use of the fleet at debug level. */
 final class FleetSizeReporter {
     private static final Logger LOG = LoggerFactory.getLogger(FleetSizeReporter.class);
     private static final Duration LOG_INTERVAL = Duration.ofSeconds(10);
@@ -28,7 +28,7 @@
         this.isBooting = isBooting;
     }
 
-    /** Logs the fleet's size when it is due. */
+    /** Logs the fleet's size if the log interval has elapsed. */
     void tick(Duration now) {
         if (!LOG.isDebugEnabled() || now.compareTo(nextLogAt) < 0) {
             return;
--- a/src/main/java/org/dunespindle/machine/GangMachineAcquirer.java
+++ b/src/main/java/org/dunespindle/machine/GangMachineAcquirer.java
@@ -14,7 +14,7 @@
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.worker.WorkerClient;
 
-/** The leader's acquisition of other controllers' machines for gangs, which only the leader places. */
+/** Acquires other controllers' machines for gangs on the leader, since only the leader places gangs. */
 final class GangMachineAcquirer {
     private final ControllerContext context;
     private final WorkerClient workerClient;
@@ -38,7 +38,7 @@
         this.options = options;
     }
 
-    /** Acquires what gangs need of other controllers' machines, up to the operators' limit of acquired machines. */
+    /** Acquires the machines of other controllers that gangs need, up to the configured limit of acquired machines. */
     void acquireFor(Plan plan) {
         Optional<Long> acquired = Optional.empty();
         for (String machineId : machinesForGangs(plan)) {
@@ -46,7 +46,7 @@
             if (machine == null || !isAcquirable(machine)) {
                 continue;
             }
-            // Counted only once something is to be acquired: it takes a pass over all machines.
+            // Counted lazily, since it iterates over all machines.
             long acquiredBefore = acquired.orElseGet(this::countOwnedAwayFromHome);
             if (acquiredBefore >= options.get().maxBorrowedMachines()) {
                 return;
@@ -59,9 +59,10 @@
     }
 
     /**
-     * The machines that gangs are planned on, then those that hold placeholders. Another live controller may own such a machine: it led
-     * when the placeholders were placed, and lost the lead without ending. It keeps the machine while a gang is on it, and the leader
-     * cannot see there that all placeholders are ready; without this the gang would wait for its timer although it is placed whole.
+     * The machines that gangs are planned on, then those that hold placeholders. A machine with a placeholder may belong to a former
+     * leader that lost the leadership but is still alive. It keeps the machine while a gang is on it, and the current leader cannot
+     * observe there that all placeholders are ready. Unless the leader acquires the machine, the gang waits for its timeout although
+     * all its placeholders are placed.
      */
     private Set<String> machinesForGangs(Plan plan) {
         var machineIds = new LinkedHashSet<>(plan.gangMachines());
--- a/src/main/java/org/dunespindle/machine/GangPresence.java
+++ b/src/main/java/org/dunespindle/machine/GangPresence.java
@@ -11,7 +11,7 @@
 import org.dunespindle.storage.PlacedTask;
 import org.dunespindle.storage.StateReplica;
 
-/** Which machines hold gangs, and when a gang was last seen or planned on each machine owned here. */
+/** Tracks which machines hold gangs, and when a gang was last present or planned on each machine owned by this controller. */
 final class GangPresence {
     private final StateReplica replica;
     private final Map<String, Duration> lastGangAt = new HashMap<>();
@@ -30,7 +30,7 @@
         return false;
     }
 
-    /** Machines with placeholders of gangs that do not run yet, in the order of their names. */
+    /** Machines with placeholders of gangs that are not running yet, sorted by machine id. */
     Set<String> machinesWithPlaceholders() {
         var machineIds = new TreeSet<String>();
         for (JobRecord job : replica.activeJobs()) {
@@ -41,17 +41,17 @@
         return machineIds;
     }
 
-    /** Records that a gang is, or is planned to be, on a machine. */
+    /** Records that a gang is present or planned on a machine. */
     void recordGang(String machineId, Duration now) {
         lastGangAt.put(machineId, now);
     }
 
-    /** When a gang was last recorded on a machine. */
+    /** When a gang was last recorded on a machine; empty if never. */
     Optional<Duration> lastGangAt(String machineId) {
         return Optional.ofNullable(lastGangAt.get(machineId));
     }
 
-    /** Forgets all other machines. */
+    /** Drops the records of all machines other than the given ones. */
     void retainMachines(Set<String> machineIds) {
         lastGangAt.keySet().retainAll(machineIds);
     }
--- a/src/main/java/org/dunespindle/machine/IdleTracker.java
+++ b/src/main/java/org/dunespindle/machine/IdleTracker.java
@@ -9,9 +9,9 @@
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.storage.StateReplica;
 
-/** How long machines have been idle, and how long they may be. */
+/** Tracks how long machines have been idle and applies the idle timeout. */
 final class IdleTracker {
-    /** In fleets of up to this size, machines may be idle for as long as the options say. */
+    /** Up to this fleet size the configured idle timeout applies unchanged. */
     private static final int SMALL_FLEET_MACHINES = 30;
 
     private static final Duration MIN_IDLE_LIMIT = Duration.ofSeconds(8);
@@ -25,7 +25,7 @@
         this.options = options;
     }
 
-    /** Notes whether a machine is idle: nothing is allocated on it, and the plan does not need it. */
+    /** Updates whether a machine is idle, that is, has no allocations and is not needed by the plan. */
     void observe(MachineRecord machine, Plan plan, Duration now) {
         boolean idle = replica.allocationsOn(machine.id()).isEmpty()
                 && !plan.wantedMachines().contains(machine.id());
@@ -36,15 +36,15 @@
         }
     }
 
-    /** Whether a machine has been idle for longer than it may. */
+    /** Whether a machine has been idle for longer than its idle timeout. */
     boolean isIdleTooLong(MachineRecord machine, Duration now) {
         Duration idle = now.minus(idleSince.getOrDefault(machine.id(), now));
         return idle.compareTo(idleLimit(machine.spot())) > 0;
     }
 
     /**
-     * The larger the fleet, the sooner another machine is free for the next job, and the shorter each has to be kept for it: the limit
-     * falls with the square root of the fleet's size.
+     * The idle timeout, which is inversely proportional to the square root of the fleet's size: in a larger fleet another machine
+     * becomes free sooner for the next job, so idle machines need not be kept as long.
      */
     private Duration idleLimit(boolean spot) {
         Duration configured = options.get().idleTimeout(spot);
@@ -57,12 +57,12 @@
         return configured.compareTo(MIN_IDLE_LIMIT) > 0 ? MIN_IDLE_LIMIT : configured;
     }
 
-    /** A machine's record is removed. */
+    /** Drops the state of a machine whose record was removed. */
     void forget(String machineId) {
         idleSince.remove(machineId);
     }
 
-    /** Forgets everything: what was observed as an earlier leader is no longer valid. */
+    /** Discards all observations, since those of an earlier term as leader are no longer valid. */
     void clear() {
         idleSince.clear();
     }
--- a/src/main/java/org/dunespindle/machine/MachineCatalog.java
+++ b/src/main/java/org/dunespindle/machine/MachineCatalog.java
@@ -10,11 +10,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud's machine types, refreshed from time to time since prices change. */
+/** The cloud's machine types, refreshed periodically since prices change. */
 public final class MachineCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineCatalog.class);
     private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(60);
-    /** Until the catalog was read for the first time. */
+    /** Retry interval until the catalog has been read for the first time. */
     private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(800);
 
     private final CloudClient cloud;
@@ -24,9 +24,9 @@
     private Map<String, MachineType> typesByName = Map.of();
 
     /**
-     * Creates a catalog that is still unknown.
+     * Creates a catalog that is not loaded yet.
      *
-     * @param onChange called whenever the catalog was read
+     * @param onChange called after every successful read of the catalog
      */
     public MachineCatalog(CloudClient cloud, TimeSource timeSource, Runnable onChange) {
         this.cloud = cloud;
@@ -34,7 +34,7 @@
         this.onChange = onChange;
     }
 
-    /** Reads the catalog, and refreshes it from then on. */
+    /** Reads the catalog and schedules its periodic refresh. */
     public void start() {
         cloud.catalog().whenComplete((read, failure) -> {
             if (failure == null) {
@@ -54,12 +54,12 @@
         onChange.run();
     }
 
-    /** All machine types; empty until the cloud has answered. */
+    /** All machine types; empty until the catalog has been read. */
     public Optional<List<MachineType>> types() {
         return types;
     }
 
-    /** A machine type, if the cloud offers it. */
+    /** A machine type by name; empty if the cloud does not offer it. */
     public Optional<MachineType> type(String name) {
         return Optional.ofNullable(typesByName.get(name));
     }
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -14,15 +14,15 @@
 import org.dunespindle.worker.FailureDetector;
 import org.dunespindle.worker.WorkerClient;
 
-/** Decides for the leader whether a machine is to be drained or terminated, and why. */
+/** Decides on the leader whether a machine is to be drained or terminated, and for which reason. */
 final class MachineEvaluator {
-    /** How long, beyond the limit of silence, a new leader waits before it judges machines that no controller has heard. */
+    /** Added to the heartbeat timeout: how long a new leader waits before it evaluates machines without any heartbeat. */
     private static final Duration LEADER_WARM_UP = Duration.ofSeconds(15);
-    /** How long, beyond the limit of silence, a machine that the cloud lists as running may go unheard. */
+    /** Added to the heartbeat timeout: how long a machine that the cloud lists as running may send no heartbeat. */
     private static final Duration MAX_UNHEARD_WHILE_RUNNING = Duration.ofSeconds(20);
-    /** Part, in tenths, of the limit of silence that applies to machines that hold replicas of services. */
+    /** Tenths of the heartbeat timeout that apply to machines that hold service replicas. */
     private static final int REPLICA_SILENCE_TENTHS = 6;
-    /** So many missed reports in a row may be chance. */
+    /** This many consecutive heartbeats may be missed by chance. */
     private static final int TOLERATED_LATE_REPORTS = 3;
 
     private final ControllerContext context;
@@ -33,7 +33,7 @@
     private final BootDeadlines bootDeadlines;
     private final IdleTracker idleTracker;
     private final Supplier<Options> options;
-    /** Since when this leader has known each machine that no controller has heard yet. */
+    /** By machine that has sent no heartbeat yet, when this leader first evaluated it. */
     private final Map<String, Duration> unheardSince = new HashMap<>();
 
     MachineEvaluator(
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Why a machine is to be drained or terminated; empty if it is to stay.
+     * Returns why a machine is to be drained or terminated; empty if it is to be kept.
      *
-     * @param plan the latest plan: a machine that it needs is not idle
-     * @param leadingSince since when this controller has led
+     * @param plan the latest plan; a machine that it needs is not idle
+     * @param leadingSince when this controller became the leader
      */
     Optional<DrainReason> evaluate(MachineRecord machine, Plan plan, Duration now, Duration leadingSince) {
         idleTracker.observe(machine, plan, now);
@@ -82,7 +82,7 @@
         return idleTracker.isIdleTooLong(machine, now) ? Optional.of(DrainReason.IDLE) : Optional.empty();
     }
 
-    /** Evaluates a machine that no controller has heard since it was rented. */
+    /** Evaluates a machine from which no controller has received a heartbeat since it was rented. */
     private Optional<DrainReason> evaluateUnheard(
             MachineRecord machine, Optional<ListedMachine> listed, Duration now, Duration leadingSince) {
         Duration silentLimit = options.get().silenceTimeout();
@@ -117,8 +117,8 @@
     }
 
     /**
-     * How long a machine may be silent. Users miss replicas of services at once, so machines that hold some are called, and
-     * terminated, sooner; but not for a few late reports.
+     * The time without a heartbeat after which a machine may be declared failed. Users notice the loss of service replicas at once, so
+     * machines that hold some are probed and terminated sooner, but not because of a few late heartbeats.
      */
     private Duration silenceLimit(MachineRecord machine) {
         Duration limit = options.get().silenceTimeout();
@@ -138,13 +138,13 @@
                         && placed.job().submission().isService());
     }
 
-    /** A machine's record is removed. */
+    /** Drops the state of a machine whose record was removed. */
     void forget(String machineId) {
         unheardSince.remove(machineId);
         idleTracker.forget(machineId);
     }
 
-    /** Forgets everything: what was observed as an earlier leader is no longer valid. */
+    /** Discards all observations, since those of an earlier term as leader are no longer valid. */
     void clear() {
         unheardSince.clear();
         idleTracker.clear();
--- a/src/main/java/org/dunespindle/machine/MachineMarkets.java
+++ b/src/main/java/org/dunespindle/machine/MachineMarkets.java
@@ -13,7 +13,7 @@
 import org.dunespindle.scheduling.Planner;
 import org.dunespindle.storage.StateReplica;
 
-/** The pools of the cloud in which machines for a job can be rented, and what they cost. */
+/** The cloud's machine pools with capacity in which machines for a job can be rented, and their prices. */
 final class MachineMarkets {
     private static final int MAX_TASKS_PER_MACHINE = 128;
 
@@ -22,9 +22,9 @@
     private final Map<String, Integer> machinesPerZone = new HashMap<>();
 
     /**
-     * Reads which pools are on offer now.
+     * Creates a view of the pools that are currently on offer.
      *
-     * @param poolsWithoutCapacity pools that had no capacity lately and are left out
+     * @param poolsWithoutCapacity pools to exclude because they recently had no capacity
      */
     MachineMarkets(StateReplica replica, MachineCatalog catalog, Set<MachinePool> poolsWithoutCapacity) {
         this.catalog = catalog;
@@ -32,7 +32,7 @@
         replica.machines().values().forEach(machine -> machinesPerZone.merge(machine.zone(), 1, Integer::sum));
     }
 
-    /** The pools that a job allows, cheapest first, among equally cheap ones the zone with the fewest machines first. */
+    /** The pools that a job allows, sorted by price, then by the number of machines in the pool's zone. */
     List<MachinePool> poolsFor(Submission job) {
         var pools = new ArrayList<MachinePool>();
         for (MachineType type : types()) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** The lowest price of a machine of a type that the job allows, whether it is to be had now or not; 0 if there is none. */
+    /** The lowest price of a machine type that the job allows, regardless of current capacity; 0 if the job allows no type. */
     double lowestPrice(Submission job) {
         return types().stream()
                 .filter(type -> allows(job, type))
@@ -79,7 +79,7 @@
         return catalog.type(pool.type()).orElseThrow().size();
     }
 
-    /** How many tasks of one size fit on an empty machine of a type. */
+    /** The number of tasks of one size that fit on an empty machine of a type, up to {@link #MAX_TASKS_PER_MACHINE}. */
     int tasksPerMachine(Resources perTask, String typeName) {
         Resources size = catalog.type(typeName).map(MachineType::size).orElse(Resources.NONE);
         return Planner.fitCount(perTask, size, MAX_TASKS_PER_MACHINE);
--- a/src/main/java/org/dunespindle/machine/MachineProvisioner.java
+++ b/src/main/java/org/dunespindle/machine/MachineProvisioner.java
@@ -24,11 +24,11 @@
 public final class MachineProvisioner {
     private static final Logger LOG = LoggerFactory.getLogger(MachineProvisioner.class);
     private static final Duration RETRY_DELAY = Duration.ofMillis(700);
-    /** With an older replica, too much might be rented. */
+    /** Nothing is rented with an older replica, since it may lack machines rented already. */
     private static final Duration MAX_REPLICA_STALENESS = Duration.ofSeconds(3);
 
     private static final int MAX_ATTEMPTS = 4;
-    /** The cloud accepts no larger request. */
+    /** The cloud's limit of machines per rental request. */
     private static final int MAX_MACHINES_PER_REQUEST = 50;
 
     private final ControllerContext context;
@@ -39,19 +39,19 @@
     private final ServiceLevelObjectives objectives;
     private final Predicate<String> isTerminated;
     private final CapacityBackoff capacityBackoff;
-    /** Machines rented here whose records are not stored yet; nothing more is rented until they count as capacity. */
+    /** Machines rented by this controller without a stored record yet. Nothing more is rented until they count as capacity. */
     private final Map<String, RentedMachine> unrecorded = new LinkedHashMap<>();
 
     private boolean requestInFlight;
     private long requestCount;
 
-    /** What is known of a machine when it has been rented. */
+    /** A rented machine whose record is still to be written. */
     private record RentedMachine(String id, MachinePool pool, Instant rentedAt, boolean forGang) {}
 
     /**
-     * Creates a provisioner of machines.
+     * Creates a provisioner without rentals in progress.
      *
-     * @param isTerminated whether the cloud has confirmed a machine's termination
+     * @param isTerminated whether the cloud has confirmed the termination of a machine id
      */
     public MachineProvisioner(
             ControllerContext context,
@@ -70,17 +70,17 @@
         this.capacityBackoff = new CapacityBackoff(context.timeSource());
     }
 
-    /** Pools that had no capacity lately and are not asked yet. */
+    /** Pools in back-off because they recently had no capacity. */
     public Set<MachinePool> poolsWithoutCapacity() {
         return capacityBackoff.pools();
     }
 
-    /** Forgets what is not recorded yet: the next leader learns of it from the cloud's list. */
+    /** Discards machines that are not recorded yet; the next leader finds them in the cloud's list. */
     void standDown() {
         unrecorded.clear();
     }
 
-    /** Rents what a plan lacks most urgently. */
+    /** Rents machines for the most urgent shortfall of a plan, unless a rental is in progress. */
     void rent(Plan plan) {
         recordRented();
         boolean stale = replica.staleness().compareTo(MAX_REPLICA_STALENESS) > 0;
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Ids contain the incarnation, so that none is ever used twice. */
+    /** Request ids contain the controller's incarnation, so that they are unique across restarts. */
     private String nextRequestId() {
         requestCount++;
         return "r-" + context.settings().nodeName() + "-" + context.membership().incarnation() + "-" + requestCount;
@@ -114,7 +114,7 @@
         });
     }
 
-    /** An answer may be lost, so the same request is sent again; what it rents all the same is found in the cloud's list. */
+    /** Retries with the same request id, since the response may be lost. Machines rented after the last attempt are found in the cloud's list. */
     private void retryLater(String requestId, ScaleOutPlanner.ScaleOutRequest request, int attemptsLeft) {
         context.timeSource().schedule(RETRY_DELAY, () -> {
             if (attemptsLeft > 1 && context.membership().isLeader()) {
@@ -169,8 +169,8 @@
     }
 
     /**
-     * Records a machine. One that is rented for a gang belongs to the leader from the start: acquiring it later would cost another
-     * write.
+     * Stores the record of a machine. A machine rented for a gang is owned by the leader from the start, which saves the write that a
+     * later acquisition would cost.
      */
     void record(String id, String address, MachinePool pool, Instant rentedAt, boolean forGang) {
         Membership membership = context.membership();
--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -11,21 +11,21 @@
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.worker.WorkerClient;
 
-/** The status of the machines owned here, for planning here and for the heartbeats to the leader. */
+/** The status of the machines that this controller owns, for its own planning and for its heartbeats to the leader. */
 public final class MachineStatusReporter {
-    /** A machine's status changes only with every step of this length for which it is silent. */
+    /** The published time without a heartbeat is rounded down to this step, to limit the number of status changes. */
     private static final int SILENCE_STEP_SECONDS = 3;
 
     private final ControllerContext context;
     private final WorkerClient workerClient;
     private final Quarantine quarantine;
     private final MachineTerminator terminator;
-    /** A machine on which tasks are placed has been seen alive within this time. */
+    /** Tasks are placed only on machines that were last known to be alive within this time. */
     private final Duration maxSilenceForPlacement;
 
     private long lastSequence;
 
-    /** Creates a reporter that has published nothing. */
+    /** Creates a reporter; sequence numbers start at 1. */
     public MachineStatusReporter(
             ControllerContext context, WorkerClient workerClient, Quarantine quarantine, MachineTerminator terminator) {
         this.context = context;
@@ -36,7 +36,7 @@
                 context.settings().workers().report().multipliedBy(3).plusSeconds(1);
     }
 
-    /** The owned machines that have reported, by sequence number; a status that changed since it was last published gets a new one. */
+    /** The status of every owned machine with a heartbeat, sorted by sequence number. A changed status gets a new sequence number. */
     public List<MachineStatus> ownedMachineStatuses() {
         var statuses = new ArrayList<MachineStatus>();
         for (MachineRecord machine : context.replica().machines().values()) {
@@ -94,7 +94,7 @@
         return !noticed && !workerClient.areHeartbeatsOverdue(worker) && isSeenAlive(worker);
     }
 
-    /** Whether a machine owned here will be gone soon, though what runs there may still run. */
+    /** Whether an owned machine is about to be terminated, while tasks may still run on it. */
     public boolean isDeparting(MachineRecord machine) {
         boolean noticed = context.workers()
                 .find(machine.id())
--- a/src/main/java/org/dunespindle/machine/MachineTerminator.java
+++ b/src/main/java/org/dunespindle/machine/MachineTerminator.java
@@ -17,14 +17,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Terminates machines, which returns them to the cloud. Only the cloud's confirmation proves that a machine and everything on it are
- * gone.
+ * Terminates machines, which returns them to the cloud. Only the cloud's confirmation proves that a machine and all tasks on it have
+ * ended.
  */
 public final class MachineTerminator {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTerminator.class);
     private static final Duration RETRY_DELAY = Duration.ofMillis(700);
     private static final Duration TERMINATED_RETENTION = Duration.ofSeconds(300);
-    /** The cloud accepts no longer list. */
+    /** The cloud's limit of machines per termination request. */
     private static final int MAX_MACHINES_PER_REQUEST = 100;
 
     private final ControllerContext context;
@@ -32,12 +32,12 @@
     private final MachineRecordWriter machineWriter;
     private final CloudClient cloud;
     private final Map<String, Duration> terminatedAt = new HashMap<>();
-    /** Machines to terminate whose records do not say so. */
+    /** Machines to terminate whose records are not marked as draining. */
     private final Set<String> terminatingWithoutDrain = new HashSet<>();
 
     private boolean requestInFlight;
 
-    /** Creates a terminator of machines. */
+    /** Creates a terminator without terminations in progress. */
     public MachineTerminator(ControllerContext context, MachineRecordWriter machineWriter, CloudClient cloud) {
         this.context = context;
         this.replica = context.replica();
@@ -45,24 +45,24 @@
         this.cloud = cloud;
     }
 
-    /** Whether the cloud confirmed a machine's termination: its allocations can be released. */
+    /** Whether the cloud has confirmed a machine's termination, so that its allocations can be released. */
     public boolean isTerminated(String machineId) {
         return terminatedAt.containsKey(machineId);
     }
 
-    /** All machines whose termination the cloud confirmed lately. */
+    /** All machines with a confirmed termination that has not been pruned yet. */
     public Set<String> terminatedMachines() {
         return terminatedAt.keySet();
     }
 
-    /** Whether a machine is being terminated, though its record may not say so. */
+    /** Whether a machine is being or has been terminated, even if its record is not marked as draining. */
     public boolean isTerminating(MachineRecord machine) {
         return machine.draining() || terminatingWithoutDrain.contains(machine.id()) || isTerminated(machine.id());
     }
 
     /**
-     * Records that a machine is draining. It is terminated once no placement can come any more and, where the reason allows that, its
-     * tasks have ended.
+     * Stores a machine as draining. It is terminated once no further placement is possible and, if the reason permits a graceful drain,
+     * its tasks have ended.
      */
     void drain(MachineRecord machine, DrainReason reason) {
         recordEvent(machine, reason);
@@ -70,9 +70,9 @@
     }
 
     /**
-     * Terminates a machine without recording that first, which halves the writes during a mass failure. This is safe for machines
-     * that are not heard: nothing is placed on them, and should its owner hear one again at the last moment, what it places there ends
-     * with the machine.
+     * Terminates a machine without storing it as draining first, which halves the writes during a mass failure. This is safe for machines
+     * without heartbeats: no task is placed on them, and if the owner receives a heartbeat again just before the termination, tasks that
+     * it places there end with the machine.
      */
     void terminateWithoutDrain(MachineRecord machine, DrainReason reason) {
         recordEvent(machine, reason);
@@ -83,17 +83,17 @@
         context.eventRecorder().record(LOG, "machine {} is given back: {}", machine.id(), reason.text());
     }
 
-    /** Drops decisions that were not carried out: those of an earlier leader are no longer valid. */
+    /** Drops pending terminations, since decisions of an earlier term as leader are no longer valid. */
     void standDown() {
         terminatingWithoutDrain.clear();
     }
 
-    /** A machine's record is removed. */
+    /** Drops the state of a machine whose record was removed. */
     void forget(String machineId) {
         terminatingWithoutDrain.remove(machineId);
     }
 
-    /** Forgets terminated machines whose records were removed long ago. */
+    /** Drops machines that were terminated longer ago than the retention time and have no record any more. */
     void prune() {
         Duration now = context.timeSource().now();
         terminatedAt
@@ -102,7 +102,7 @@
                         && !replica.machines().containsKey(entry.getKey()));
     }
 
-    /** Terminates the machines that are due, many with one request. */
+    /** Terminates the machines that are due, in one request; the next one is sent once it is answered. */
     void terminateDue() {
         if (requestInFlight) {
             return;
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Placements have the machine's record as a precondition: once it says draining and the replica has applied everything up to that
-     * revision, no new placement can come.
+     * Whether no further placement is possible. Placements have the revision of the machine's record as a precondition, so none can
+     * commit after the record was marked as draining; once the replica has applied that revision, it contains all earlier placements.
      */
     private boolean isDrainRevisionApplied(MachineRecord machine) {
         return replica.appliedRevision() >= replica.modRevision(Keys.machinePage(machine.id()));
--- a/src/main/java/org/dunespindle/machine/PoolDemand.java
+++ b/src/main/java/org/dunespindle/machine/PoolDemand.java
@@ -4,19 +4,19 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.scheduling.Planner;
 
-/** The machines of one pool that are to be rented, packed with the tasks that need them. */
+/** The number of machines to rent from one pool, determined by bin packing of the tasks that need them. */
 final class PoolDemand {
     private final Resources machineSize;
     private int machines;
     private boolean forGang;
-    /** Capacity left on the machine that was added last. */
+    /** Free capacity of the machine that was added last. */
     private Resources freeOnLastMachine = Resources.NONE;
 
     PoolDemand(Resources machineSize) {
         this.machineSize = machineSize;
     }
 
-    /** Packs tasks of a job onto the last machine as far as they fit, and onto additional machines beyond that. */
+    /** Packs tasks of a job onto the last machine as far as they fit, and the rest onto additional machines. */
     void add(Submission job, int tasks, int tasksPerMachine) {
         forGang |= machines == 0 && job.isGang() && job.tasks() > 1;
         int fitting = Planner.fitCount(job.perTask(), freeOnLastMachine, tasks);
@@ -30,12 +30,12 @@
         }
     }
 
-    /** How many machines are needed. */
+    /** The number of machines needed for all added tasks. */
     int machines() {
         return machines;
     }
 
-    /** Whether the first job that needs a machine is a gang of several members. */
+    /** Whether the first job that needs a machine is a gang with several members. */
     boolean isForGang() {
         return forGang;
     }
--- a/src/main/java/org/dunespindle/machine/Quarantine.java
+++ b/src/main/java/org/dunespindle/machine/Quarantine.java
@@ -11,21 +11,21 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * Machines on which tasks of different jobs keep failing. Nothing new is placed on a machine in quarantine, and one that stays in
- * quarantine is terminated.
+ * Quarantine of machines on which tasks of different jobs repeatedly fail. No new task is placed on a quarantined machine, and a machine
+ * that stays in quarantine is terminated.
  */
 public final class Quarantine {
-    /** A machine is not terminated at once: the jobs that failed on it may turn out to fail elsewhere too. */
+    /** A delay before termination, since the jobs that failed on a machine may turn out to fail on other machines too. */
     private static final Duration DURATION_BEFORE_TERMINATION = Duration.ofSeconds(15);
 
     private final CrashLoopDetector crashLoopDetector;
     private final PeerHeartbeats peerHeartbeats;
     private final TimeSource timeSource;
     private final Supplier<Options> options;
-    /** Since when this controller, as the leader, has seen each machine in quarantine. */
+    /** By machine, when this controller as the leader first observed it in quarantine. */
     private final Map<String, Duration> quarantinedSince = new HashMap<>();
 
-    /** Creates a quarantine without machines. */
+    /** Creates an empty quarantine. */
     public Quarantine(
             CrashLoopDetector crashLoopDetector,
             PeerHeartbeats peerHeartbeats,
@@ -37,12 +37,12 @@
         this.options = options;
     }
 
-    /** Whether tasks of so many different jobs failed on a machine, as far as is known here, that nothing is placed on it. */
+    /** Whether the number of jobs that failed on a machine, as observed by this controller, reaches the configured limit. */
     boolean isQuarantined(String machineId) {
         return crashLoopDetector.jobsFailedOn(machineId) >= options.get().quarantineFailures();
     }
 
-    /** Whether a machine has been in quarantine, here or as its owner reports, for so long that it is to be terminated. */
+    /** Whether a machine, quarantined by this controller or by its owner's report, has been so long enough to be terminated. */
     boolean isExpired(MachineRecord machine) {
         if (!isReportedQuarantined(machine) && !isQuarantined(machine.id())) {
             quarantinedSince.remove(machine.id());
@@ -60,12 +60,12 @@
                 .isPresent();
     }
 
-    /** A machine's record is removed. */
+    /** Drops the state of a machine whose record was removed. */
     void forget(String machineId) {
         quarantinedSince.remove(machineId);
     }
 
-    /** Forgets everything: what was observed as an earlier leader is no longer valid. */
+    /** Discards all observations, since those of an earlier term as leader are no longer valid. */
     void clear() {
         quarantinedSince.clear();
     }
--- a/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
+++ b/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
@@ -18,14 +18,14 @@
 import org.dunespindle.storage.MachineRecord;
 import org.dunespindle.time.Durations;
 
-/** Decides which machines to rent for the tasks that a plan found no capacity for. Each instance plans once. */
+/** Decides which machines to rent for tasks that a plan found no capacity for. An instance is used for one plan only. */
 final class ScaleOutPlanner {
     private static final Duration IMAGE_FETCH_ALLOWANCE = Duration.ofSeconds(12);
-    /** A pool whose price is up to this multiple of the lowest one counts as cheapest too. */
+    /** Pools with a price of up to this multiple of the lowest price also count as cheapest. */
     private static final double MAX_PRICE_RATIO_OF_CHEAPEST = 1.2;
-    /** Tasks may run for a third longer than estimated. */
+    /** Allows for tasks that run a third longer than estimated. */
     private static final Fraction ESTIMATE_MARGIN = new Fraction(4, 3);
-    /** A job counts as in time if it is expected to end within this part of its objective. */
+    /** A job is considered in time if it is expected to end within this part of its service-level objective. */
     private static final Fraction SAFE_PART_OF_OBJECTIVE = new Fraction(4, 5);
 
     private final ControllerContext context;
@@ -34,7 +34,7 @@
     private final Map<TaskRequirement, Integer> slots = new HashMap<>();
     private final Map<MachinePool, PoolDemand> demandByPool = new LinkedHashMap<>();
 
-    /** Machines of a pool to rent, and whether the first job that needs one is a gang. */
+    /** The number of machines to rent from a pool, and whether the first job that needs one is a gang. */
     record ScaleOutRequest(MachinePool pool, int count, boolean forGang) {}
 
     private record Fraction(int numerator, int denominator) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** What a job requires of the machines that its tasks run on. */
+    /** The machine requirements of a job's tasks. */
     private record TaskRequirement(boolean spot, Resources perTask, Optional<List<String>> types) {
         static TaskRequirement of(Submission job) {
             return new TaskRequirement(job.spot(), job.perTask(), job.types());
@@ -64,7 +64,7 @@
         this.markets = new MachineMarkets(context.replica(), catalog, poolsWithoutCapacity);
     }
 
-    /** Packs what found no capacity into machines of the cheapest pools that may serve it, the most urgent request first. */
+    /** Packs the shortfalls into machines of the cheapest pools that the jobs allow, and returns the most urgent request first. */
     List<ScaleOutRequest> plan(List<Shortfall> shortfalls) {
         Duration queuedWork = estimateRunningWork();
         for (Shortfall shortfall : shortfalls) {
@@ -100,7 +100,7 @@
         return requests;
     }
 
-    /** What remains of running tasks that are not in gangs, by estimate: half of each on average. */
+    /** The estimated remaining work of running tasks outside gangs: half of each task's estimate on average. */
     private Duration estimateRunningWork() {
         Duration sum = Duration.ZERO;
         for (JobRecord job : context.replica().activeJobs()) {
@@ -112,7 +112,7 @@
         return sum;
     }
 
-    /** Work that ends in time even if it queues for the cheapest pools does not justify a more expensive machine. */
+    /** Removes more expensive pools if the job is expected to end in time even when it queues for the cheapest pools. */
     private void keepCheapestIfInTime(JobRecord job, List<MachinePool> pools, Duration queuedWork) {
         Submission submission = job.submission();
         Optional<Duration> objective = objectives.nearest(submission);
@@ -130,7 +130,7 @@
         }
     }
 
-    /** How many tasks fit on all machines of the fleet that meet the requirement. */
+    /** The number of tasks that fit on all machines of the fleet that meet the requirement, if these were empty. */
     private int countSlots(TaskRequirement requirement) {
         var slotsPerType = new HashMap<String, Integer>();
         int sum = 0;
--- a/src/main/java/org/dunespindle/machine/ShardFailover.java
+++ b/src/main/java/org/dunespindle/machine/ShardFailover.java
@@ -18,12 +18,12 @@
 import org.dunespindle.worker.WorkerClient;
 
 /**
- * Failover of machines whose controller is gone. A page of machine records is taken over by one controller as a whole, by the leader
- * if a gang is on it: of two controllers that rewrite one page at once, one fails with a conflict.
+ * Failover of machines whose controller has failed. All machines of a page of records fail over to the same controller, or to the leader
+ * if a gang is on one of them, because concurrent writes of one page by two controllers conflict.
  */
 final class ShardFailover {
     private static final Duration MAX_DEFERRAL_TO_RESTARTED_PEERS = Duration.ofSeconds(4);
-    /** Workers must hear from a controller before their leases end, so only this part of a lease may pass first. */
+    /** The deferral is at most this part of a lease, since workers need a new controller before their leases expire. */
     private static final int LEASE_PARTS_PER_DEFERRAL = 4;
 
     private final ControllerContext context;
@@ -32,7 +32,7 @@
     private final MachineRecordWriter machineWriter;
     private final PeerHeartbeats peerHeartbeats;
     private final GangPresence gangPresence;
-    /** The controllers of this cell by its settings, whether they live or not. */
+    /** All controllers in this cell's settings, alive or not. */
     private final Set<String> configuredControllers = new TreeSet<>();
 
     private final Duration deferralToPeers;
@@ -58,7 +58,7 @@
                 : MAX_DEFERRAL_TO_RESTARTED_PEERS;
     }
 
-    /** Acquires the machines without a live owner that are to fail over to this controller. */
+    /** Acquires the machines without a live owner that fail over to this controller. */
     void takeOverOrphans() {
         boolean deferring = defersToPeers();
         List<MachineRecord> orphans = orphansMostUrgentFirst();
@@ -75,7 +75,7 @@
         }
     }
 
-    /** After a crash of all controllers, those that restart first leave the others' pages to them for a moment. */
+    /** After a crash of all controllers, those that restart first briefly leave the other controllers' pages to them. */
     private boolean defersToPeers() {
         Duration now = context.timeSource().now();
         if (firstCheckAt.isEmpty()) {
@@ -84,7 +84,7 @@
         return now.minus(firstCheckAt.get()).compareTo(deferralToPeers) < 0;
     }
 
-    /** Machines with allocations come first: their workers' leases are about to end, whereas idle machines can wait. */
+    /** Machines without a live owner, those with allocations first: their workers' leases are about to expire. */
     private List<MachineRecord> orphansMostUrgentFirst() {
         var orphans = new ArrayList<MachineRecord>();
         for (MachineRecord machine : context.replica().machines().values()) {
@@ -112,7 +112,7 @@
     }
 
     private void acquire(MachineRecord machine) {
-        // The record of a machine that was rented lately may lack its address; its owner reported it.
+        // The record of a recently rented machine may lack its address, but its owner's heartbeats contain it.
         peerHeartbeats
                 .address(machine)
                 .ifPresentOrElse(
--- a/src/main/java/org/dunespindle/machine/ShardOwnership.java
+++ b/src/main/java/org/dunespindle/machine/ShardOwnership.java
@@ -12,8 +12,8 @@
 
 /**
  * Assigns machines to controllers. Machines are sharded by hash among the live controllers, and the leader acquires those that gangs
- * are placed on. An acquired machine stays with the leader while gangs come back to it and is released after a time without one, since
- * every change of owner costs writes and a call.
+ * are placed on. Every change of owner costs writes and a call, so the leader keeps an acquired machine while gangs reuse it and releases
+ * it only after a time without one.
  */
 public final class ShardOwnership {
     private static final Duration OWNERSHIP_CHECK_INTERVAL = Duration.ofMillis(250);
@@ -27,7 +27,7 @@
     private Duration nextCheckAt = Duration.ZERO;
     private Duration nextRebalanceAt = Duration.ZERO;
 
-    /** Creates the assignment; it acts only when called. */
+    /** Creates the assignment; {@link #tick} and {@link #acquireForGangs} carry it out. */
     public ShardOwnership(
             ControllerContext context,
             WorkerClient workerClient,
@@ -42,7 +42,7 @@
                 new GangMachineAcquirer(context, workerClient, machineWriter, peerHeartbeats, gangPresence, options);
     }
 
-    /** Takes over machines whose controller is gone, and releases those whose home is another controller. */
+    /** Takes over machines whose controller has failed, and releases machines that the hash assigns to another controller. */
     public void tick(Plan plan) {
         Duration now = context.timeSource().now();
         if (now.compareTo(nextCheckAt) < 0) {
--- a/src/main/java/org/dunespindle/machine/ShardRebalancer.java
+++ b/src/main/java/org/dunespindle/machine/ShardRebalancer.java
@@ -16,11 +16,11 @@
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.MachineRecord;
 
-/** Rebalancing: releases machines owned here whose home by hash is another live controller. */
+/** Rebalances shards: releases machines of this controller that the hash assigns to another live controller. */
 final class ShardRebalancer {
     /**
-     * Pages released with one check. After a controller came back there are many, and even load is less urgent than all else that is
-     * written.
+     * Limits the pages released in one check. After a controller rejoins there are many, and rebalancing is less urgent than all other
+     * writes.
      */
     private static final int MAX_PAGES_PER_CHECK = 6;
 
@@ -44,12 +44,12 @@
         this.options = options;
     }
 
-    /** Starts a new check, with its own limit of pages. */
+    /** Starts a new check, which resets the page limit. */
     void beginCheck() {
         pagesReleased.clear();
     }
 
-    /** Stores a machine's home as its owner if that is another controller and the machine can change hands now. */
+    /** Stores the controller that the hash assigns a machine to as its owner, if that is another one and the machine is releasable. */
     void releaseToHome(MachineRecord machine, Duration now) {
         Membership membership = context.membership();
         Optional<String> home = membership.controllerOfMachine(machine.id());
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Whether a machine is past the times for which it is to stay here, with nothing under way to its worker. */
+    /** Whether a machine's retention times have passed and no call to its worker is in progress. */
     private boolean isReleasable(MachineRecord machine, Duration now) {
         Duration minTimeSinceGang =
                 context.membership().isLeader() ? options.get().borrowedMachineIdleTimeout() : Duration.ZERO;
--- a/src/test/java/org/dunespindle/machine/CapacityBackoffTest.java
+++ b/src/test/java/org/dunespindle/machine/CapacityBackoffTest.java
@@ -9,14 +9,14 @@
 import org.dunespindle.time.TimeSource;
 import org.junit.jupiter.api.Test;
 
-/** How long pools without capacity are not asked again. */
+/** Back-off times of pools without capacity. */
 class CapacityBackoffTest {
     private static final MachinePool POOL = new MachinePool("large", "a", true);
 
     private final ManualTime time = new ManualTime();
     private final CapacityBackoff backoff = new CapacityBackoff(time);
 
-    /** A clock that stands still until a test sets it. */
+    /** A clock that advances only when a test sets it. */
     private static final class ManualTime implements TimeSource {
         private Duration now = Duration.ZERO;
 
--- a/src/test/java/org/dunespindle/machine/CloudInventoryTest.java
+++ b/src/test/java/org/dunespindle/machine/CloudInventoryTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** When machines are adopted that the cloud lists but no record names. */
+/** When listed machines without a stored record are adopted. */
 class CloudInventoryTest {
     private static final Duration MIN_LEAD = Duration.ofSeconds(12);
 
@@ -19,7 +19,7 @@
         assertTrue(CloudInventory.hasLedFor(MIN_LEAD, Optional.of(since), since.plus(MIN_LEAD)));
     }
 
-    /** A list requested in an earlier term of leadership may arrive before the new term: time does not count from the earlier one. */
+    /** A list requested in an earlier term may arrive while this controller is not the leader; the earlier term does not count. */
     @Test
     void controllerThatDoesNotLeadNeverAdopts() {
         assertFalse(CloudInventory.hasLedFor(MIN_LEAD, Optional.empty(), Duration.ofDays(1)));
--- a/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
+++ b/src/test/java/org/dunespindle/machine/CrashLoopDetectorTest.java
@@ -20,7 +20,7 @@
     private final CrashLoopDetector crashLoopDetector =
             new CrashLoopDetector(id -> Optional.ofNullable(records.get(id)));
 
-    /** A job's task fails, and the job's record counts it. */
+    /** Records a failed task with the detector and in the job's record. */
     private void failed(String jobId, String machineId) {
         records.put(jobId, record(jobId).withFailures(1, Optional.empty()));
         crashLoopDetector.recordFailure(jobId, machineId);
@@ -73,7 +73,7 @@
         assertEquals(1, crashLoopDetector.jobsFailedOn("a"));
     }
 
-    /** Two faulty jobs that ran on one machine first: they failed on other controllers' machines too, and their records count that. */
+    /** A controller observes only its own machines; failures on other controllers' machines are counted in the job's record. */
     @Test
     void jobThatFailsElsewhereTooDoesNotCountAgainstTheMachine() {
         failed("wk-1", "a");
--- a/src/test/java/org/dunespindle/machine/DrainReasonCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/machine/DrainReasonCompatibilityTest.java
@@ -6,7 +6,7 @@
 import org.dunespindle.storage.MachineRecord;
 import org.junit.jupiter.api.Test;
 
-/** The texts of drain reasons are stored with machines and shown to operators, so none may change with the names in the sources. */
+/** Drain reasons are stored in machine records and shown to operators, so their texts must not change with identifiers. */
 class DrainReasonCompatibilityTest {
     @Test
     void reasonsAreStoredInTheseWords() {
@@ -21,7 +21,7 @@
                 DrainReason.silentFor(Duration.ofMillis(17_900)).text());
     }
 
-    /** Only idle machines are worth no extra write while commits queue, and only machines that are heard are recorded as draining. */
+    /** Only machines with heartbeats are stored as draining, and idle ones only while no commits queue. */
     @Test
     void onlyMachinesThatAreHeardAreDrainedFirst() {
         assertEquals(DrainReason.Procedure.DRAIN_UNLESS_COMMITS_QUEUE, DrainReason.IDLE.procedure());
--- a/src/test/java/org/dunespindle/machine/PoolDemandTest.java
+++ b/src/test/java/org/dunespindle/machine/PoolDemandTest.java
@@ -12,7 +12,7 @@
 import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 
-/** How tasks are packed onto the machines of a pool that are to be rented. */
+/** Bin packing of tasks onto the machines to rent from a pool. */
 class PoolDemandTest {
     private static final Resources MACHINE_SIZE = new Resources(4, 4, 4);
     private static final int TASKS_PER_MACHINE = 4;
