--- a/src/main/java/org/dunespindle/storage/AllocationCodec.java
+++ b/src/main/java/org/dunespindle/storage/AllocationCodec.java
@@ -21,7 +21,8 @@
  *
  * <p>JSON, in a record that is one value: {@code [[17,false,{"i-002":{"3":"1-3","4":"6"}}]]}. Text, in a chunked record,
  * where JSON's quotes would have to be escaped: {@code 17:i-002/3=1-3/4=6;i-003/0=5|18!:...}, with {@code !} where the
- * tasks are being stopped. Machine ids that hold one of these signs leave the JSON form in a chunked record too.
+ * tasks are being stopped. If a machine id contains any character other than ASCII letters, digits and {@code -_.}, a
+ * chunked record uses the JSON form too.
  */
 final class AllocationCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -36,10 +37,10 @@
 
     private AllocationCodec() {}
 
-    /** What allocations that were bound together have in common. */
+    /** The common fields of allocations that are grouped in the stored forms. */
     private record Binding(long attemptBase, boolean stopping) {}
 
-    /** The allocations as JSON. */
+    /** Formats allocations in the JSON form. */
     static ArrayNode toJson(List<Allocation> allocations) {
         ArrayNode list = JsonNodeFactory.instance.arrayNode();
         group(allocations).forEach((binding, tasksByMachine) -> {
@@ -77,7 +78,7 @@
         }
     }
 
-    /** The allocations as text. */
+    /** Formats allocations in the text form, or in the JSON form if a machine id requires that. */
     static String toText(List<Allocation> allocations) {
         for (Allocation allocation : allocations) {
             if (!isPlain(allocation.machineId())) {
@@ -118,7 +119,7 @@
         }
     }
 
-    /** Whether a machine id holds none of the signs that the text form uses. */
+    /** Whether a machine id consists only of characters that the text form does not use as separators. */
     private static boolean isPlain(String machineId) {
         return !machineId.isEmpty() && machineId.chars().allMatch(AllocationCodec::isPlain);
     }
--- a/src/main/java/org/dunespindle/storage/AllocationIndex.java
+++ b/src/main/java/org/dunespindle/storage/AllocationIndex.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The allocations of all jobs by machine, kept current as job records change. */
+/** Index of the allocations of all jobs by machine, updated whenever a job record changes. */
 final class AllocationIndex {
     private final Map<String, List<PlacedTask>> tasksByMachine = new HashMap<>();
     private final Consumer<String> onMachineChanged;
@@ -16,13 +16,13 @@
     /**
      * Creates an empty index.
      *
-     * @param onMachineChanged called with each machine on which other tasks should run from now on
+     * @param onMachineChanged called with each machine whose desired tasks have changed
      */
     AllocationIndex(Consumer<String> onMachineChanged) {
         this.onMachineChanged = onMachineChanged;
     }
 
-    /** Machines that allocations are on. */
+    /** Machines with at least one allocation. */
     Set<String> machines() {
         return tasksByMachine.keySet();
     }
@@ -36,7 +36,7 @@
         tasksByMachine.clear();
     }
 
-    /** Replaces a job's allocations; a machine is reported only if what should run on it changed. */
+    /** Replaces a job's allocations and reports the machines whose desired tasks have changed. */
     void update(String jobId, Optional<JobRecord> before, Optional<JobRecord> after) {
         Map<String, List<Allocation>> oldByMachine = byMachine(before);
         Map<String, List<Allocation>> newByMachine = byMachine(after);
@@ -67,7 +67,7 @@
         });
     }
 
-    /** Whether the same allocations require something else of the workers than before. */
+    /** Whether the job's state changed so that workers must run something else under the same allocations. */
     private static boolean stateChanged(Optional<JobRecord> before, Optional<JobRecord> after) {
         if (before.isEmpty() || after.isEmpty()) {
             return before.isPresent() != after.isPresent();
--- a/src/main/java/org/dunespindle/storage/ChangeLogReader.java
+++ b/src/main/java/org/dunespindle/storage/ChangeLogReader.java
@@ -8,7 +8,7 @@
 import org.dunespindle.transport.HttpStatus;
 import org.dunespindle.transport.ResponseTooLongException;
 
-/** Reads the state store's change log and classifies why it could not be read. */
+/** Reads the state store's change log and classifies failures. */
 final class ChangeLogReader {
     private final StateStoreClient stateStore;
 
@@ -16,23 +16,23 @@
         this.stateStore = stateStore;
     }
 
-    /** The outcome of a read. */
+    /** The outcome of a read: either {@link Changes} or a {@link Failure}. */
     sealed interface Result {}
 
-    /** All changes since the requested revision, and the revision that they reach. */
+    /** All changes after the requested revision, and the revision up to which they are complete. */
     record Changes(StateMessages.Entries log) implements Result {}
 
-    /** Why there are no changes to apply. */
+    /** Why a read returned no changes. */
     enum Failure implements Result {
-        /** The log is longer than an answer may be. It only grows, so that another attempt fails too. */
+        /** The log exceeds the maximum response length. It only grows, so a retry fails too. */
         TOO_LONG(true),
-        /** The log no longer reaches back to the requested revision. */
+        /** The log has been compacted beyond the requested revision. */
         COMPACTED(true),
-        /** The answer cannot be parsed. */
+        /** The response cannot be parsed. */
         MALFORMED(true),
-        /** The store refused the request, for its rate or because it is unavailable; this says nothing about the log. */
+        /** The store rejected the request because of its rate limit or an outage, which does not imply a problem with the log. */
         REFUSED(false),
-        /** No answer arrived in time. */
+        /** No response arrived before the timeout. */
         UNANSWERED(false);
 
         private final boolean permanent;
@@ -41,7 +41,7 @@
             this.permanent = permanent;
         }
 
-        /** Whether the log since the requested revision cannot be had by another attempt. */
+        /** Whether a retry from the same revision would fail too. */
         boolean isPermanent() {
             return permanent;
         }
--- a/src/main/java/org/dunespindle/storage/ChunkedJobRecordCodec.java
+++ b/src/main/java/org/dunespindle/storage/ChunkedJobRecordCodec.java
@@ -11,17 +11,17 @@
 import org.dunespindle.protocol.Submission;
 
 /**
- * The stored form of a job's record that does not fit into one value. The main value holds the job's progress; everything
- * whose length varies becomes one text, which is divided between the main value and the chunks.
+ * The stored form of a job's record that does not fit into one value. The main value contains the fields of fixed length; the
+ * fields of variable length are joined into one text, which is split between the main value and the chunks.
  */
 final class ChunkedJobRecordCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String TEXT = "text";
     private static final String CHUNK_COUNT = "parts";
     private static final String TEXT_LENGTH = "length";
-    /** Bytes of a chunk beside its text: {@code {"text":""}}. */
+    /** An upper bound of the bytes of a chunk besides its text: {@code {"text":""}}. */
     private static final int CHUNK_OVERHEAD_BYTES = 16;
-    /** Separates description, allocations and requeued tasks in the text. JSON text holds no line break. */
+    /** Separates submission, allocations and requeued tasks in the text. The JSON in the text contains no line break. */
     private static final String SECTION_SEPARATOR = "\n";
 
     private static final int SECTIONS = 3;
@@ -29,20 +29,20 @@
     private ChunkedJobRecordCodec() {}
 
     /**
-     * A record divided into chunks.
+     * A record split into a main value and chunks.
      *
      * @param main the main value, with the beginning of the text
      * @param chunks the rest of the text, in order
      */
     record ChunkedRecord(ObjectNode main, List<String> chunks) {}
 
-    /** Divides a record so that no value is longer than a limit. */
+    /** Splits a record so that no value exceeds a limit. */
     static ChunkedRecord split(JobRecord job, int maxValueBytes) {
         ObjectNode main = MessagePackCodec.map();
         JobRecordCodec.putEnvelope(main, job);
         JobRecordCodec.putProgress(main, job);
         String text = text(job);
-        // The size of the main value is measured with the longest number of chunks.
+        // The size of the main value is computed with the longest possible chunk count.
         main.put(TEXT_LENGTH, text.length()).put(CHUNK_COUNT, Integer.MAX_VALUE).put(TEXT, "");
         int mainEnd = endWithin(text, 0, maxValueBytes - MessagePackCodec.countedSize(main));
         main.put(TEXT, text.substring(0, mainEnd));
@@ -51,7 +51,9 @@
     }
 
     private static String text(JobRecord job) {
-        // The description never changes, and a cancellation only drops what is requeued: what changes comes last.
+        // Sections that change come last, so that few chunks are rewritten: the submission never changes, and a
+        // cancellation only
+        // removes the requeued tasks.
         return String.join(
                 SECTION_SEPARATOR,
                 job.submission().toNode().toString(),
@@ -70,7 +72,7 @@
         return chunks;
     }
 
-    /** The end of the longest substring from a position on that takes at most so many bytes as a JSON string. */
+    /** The end of the longest substring from {@code start} whose JSON string encoding is at most {@code maxBytes} long. */
     private static int endWithin(String text, int start, int maxBytes) {
         int bytesLeft = maxBytes;
         int end = start;
@@ -85,7 +87,7 @@
         return end;
     }
 
-    /** The size of a character in a JSON string in UTF-8, at most. */
+    /** An upper bound of a character's size in a JSON string in UTF-8. */
     private static int escapedBytes(char character) {
         if (character == '"' || character == '\\') {
             return 2;
@@ -104,34 +106,36 @@
         return MessagePackCodec.map().put(TEXT, text);
     }
 
-    /** The text that a chunk's stored value holds. */
+    /** Extracts the text from the stored value of a chunk, or from a main value. */
     static String chunkText(JsonNode chunk) {
         return chunk.path(TEXT).asText();
     }
 
-    /** Whether a main value is that of a chunked record. */
+    /** Whether a job's main value belongs to a chunked record. */
     static boolean isChunked(JsonNode main) {
         return main.has(CHUNK_COUNT);
     }
 
-    /** The number of chunks that belong to a main value; 0 for a record that is one value. */
+    /** The number of chunks of a main value; 0 for a record stored as one value. */
     static int chunkCount(JsonNode main) {
         return main.path(CHUNK_COUNT).asInt(0);
     }
 
-    /** Parses a chunked record; chunks that do not belong together are refused. */
+    /** Parses a chunked record. Rejects chunks that are not consistent with the main value. */
     static JobRecord parse(String id, JsonNode main, List<String> chunks) throws MalformedMessageException {
         String text = chunkText(main) + String.join("", chunks);
         String[] sections = text.split(SECTION_SEPARATOR, -1);
         if (text.length() != main.path(TEXT_LENGTH).asInt() || sections.length != SECTIONS) {
-            throw new MalformedMessageException("chunks do not belong together");
+            throw new MalformedMessageException(
+                    "chunks do not match the main value: text length " + text.length() + " in " + sections.length
+                            + " sections, expected " + main.path(TEXT_LENGTH).asInt() + " in " + SECTIONS);
         }
         try {
             Submission spec = Submission.parse(JSON.readTree(sections[0]));
             List<Allocation> allocations = AllocationCodec.parseText(sections[1]);
             return JobRecordCodec.parseUnfinished(id, main, spec, allocations, sections[2]);
         } catch (IOException | NumberFormatException e) {
-            throw new MalformedMessageException("malformed text in chunks");
+            throw new MalformedMessageException("malformed submission, allocations or requeued tasks in chunked text");
         }
     }
 }
--- a/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
+++ b/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
@@ -10,14 +10,14 @@
 import java.util.TreeSet;
 import org.dunespindle.protocol.MalformedMessageException;
 
-/** The main values and chunks of job records that do not fit into one value, as they are stored. */
+/** The stored main values and chunks of job records that do not fit into one value. */
 final class ChunkedJobRecords {
     private final Map<String, JsonNode> mains = new HashMap<>();
     private final Map<String, Map<Integer, String>> chunksByJob = new HashMap<>();
-    /** Jobs to assemble again; sorted, so that the order is deterministic. */
+    /** Jobs whose record must be reassembled, sorted for a deterministic order. */
     private Set<String> changed = new TreeSet<>();
 
-    /** Replaces a job's main value; one that is whole, or removed, has no chunks. */
+    /** Replaces a job's main value. A value that is removed or not chunked drops the job from this collection. */
     void putMain(String id, Optional<JsonNode> value) {
         Optional<JsonNode> main = value.filter(ChunkedJobRecordCodec::isChunked);
         if (main.isPresent()) {
@@ -52,18 +52,18 @@
         try {
             return Integer.parseInt(text);
         } catch (NumberFormatException e) {
-            throw new MalformedMessageException("no chunk index in key");
+            throw new MalformedMessageException("chunk index is not a number: " + text);
         }
     }
 
-    /** Jobs whose chunked record changed since the last call. */
+    /** Returns the jobs whose chunked record changed since the last call. */
     Set<String> drainChanged() {
         Set<String> drained = changed;
         changed = new TreeSet<>();
         return drained;
     }
 
-    /** The texts of a job's chunks, in order up to the first one missing. */
+    /** The texts of a job's chunks by index, up to the first missing one. */
     List<String> chunks(String id) {
         Map<Integer, String> known = chunksByJob.getOrDefault(id, Map.of());
         var chunks = new ArrayList<String>();
--- a/src/main/java/org/dunespindle/storage/CommittedTransaction.java
+++ b/src/main/java/org/dunespindle/storage/CommittedTransaction.java
@@ -1,4 +1,4 @@
 package org.dunespindle.storage;
 
-/** A transaction of this process that the state store committed at a revision. */
+/** A transaction of this process and the revision at which the state store committed it. */
 record CommittedTransaction(Transaction transaction, long revision) {}
--- a/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
+++ b/src/main/java/org/dunespindle/storage/DelegationLinkCodec.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 import org.dunespindle.protocol.MalformedMessageException;
 
-/** The stored form of a job's link to another cell, from {@link FormatVersion#DELEGATION_LINKS} on. */
+/** The stored form of a job's link to another cell, used since {@link FormatVersion#DELEGATION_LINKS}. */
 final class DelegationLinkCodec {
     private static final String OUTBOUND = "away";
     private static final String INBOUND = "visit";
 
     private DelegationLinkCodec() {}
 
-    /** Adds a link to a job's record. */
+    /** Adds a link to the stored form of a job's record. */
     static void put(ObjectNode record, DelegationLink link) {
         if (link instanceof OutboundDelegation outbound) {
             ArrayNode row = record.putArray(OUTBOUND)
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Parses the link in a job's record, if there is one. */
+    /** Parses the link in the stored form of a job's record; empty if it has none. */
     static Optional<DelegationLink> parse(JsonNode record) throws MalformedMessageException {
         if (record.has(OUTBOUND)) {
             return Optional.of(parseOutbound(record.get(OUTBOUND)));
@@ -40,9 +40,11 @@
     }
 
     private static OutboundDelegation parseOutbound(JsonNode row) throws MalformedMessageException {
-        require(row.path(0).isTextual()
-                && row.path(1).isIntegralNumber()
-                && row.path(3).isIntegralNumber());
+        require(
+                row.path(0).isTextual()
+                        && row.path(1).isIntegralNumber()
+                        && row.path(3).isIntegralNumber(),
+                "[cell, transfer, phase, transfers, notBefore?]");
         Optional<Instant> notBefore =
                 row.has(4) ? Optional.of(Instant.ofEpochMilli(row.get(4).longValue())) : Optional.empty();
         return new OutboundDelegation(
@@ -63,16 +65,18 @@
     }
 
     private static InboundDelegation parseInbound(JsonNode row) throws MalformedMessageException {
-        require(row.path(0).isTextual()
-                && row.path(1).isIntegralNumber()
-                && row.path(2).isBoolean());
+        require(
+                row.path(0).isTextual()
+                        && row.path(1).isIntegralNumber()
+                        && row.path(2).isBoolean(),
+                "[origin, transfer, withdrawn]");
         return new InboundDelegation(
                 row.get(0).textValue(), row.get(1).longValue(), row.get(2).booleanValue());
     }
 
-    private static void require(boolean wellFormed) throws MalformedMessageException {
+    private static void require(boolean wellFormed, String expected) throws MalformedMessageException {
         if (!wellFormed) {
-            throw new MalformedMessageException("malformed delegation link");
+            throw new MalformedMessageException("malformed delegation link, expected " + expected);
         }
     }
 }
--- a/src/main/java/org/dunespindle/storage/FormatVersion.java
+++ b/src/main/java/org/dunespindle/storage/FormatVersion.java
@@ -6,15 +6,15 @@
 import org.dunespindle.protocol.MessagePackCodec;
 
 /**
- * Versions of the stored forms. Each controller announces the newest version that it can read; the stored version is raised
- * once all of them have announced it, is never lowered, and permits the forms that came with it.
+ * Versions of the stored format. Each controller announces the newest version that it supports. The stored version is raised
+ * once all controllers have announced it and is never lowered; it permits the forms introduced up to that version.
  */
 public final class FormatVersion {
-    /** The forms before versions were introduced: every record is one value. */
+    /** The format before versions were introduced: every record is one value. */
     public static final int WHOLE_RECORDS = 1;
-    /** Job records that do not fit into one value may be divided into chunks. */
+    /** Job records that do not fit into one value may be split into chunks. */
     public static final int CHUNKED_JOB_RECORDS = 2;
-    /** Job records may be linked to other cells, see {@link DelegationLink}. */
+    /** Job records may contain a link to another cell, see {@link DelegationLink}. */
     public static final int DELEGATION_LINKS = 3;
     /** The newest version that this program can read. */
     public static final int NEWEST = DELEGATION_LINKS;
@@ -25,7 +25,7 @@
 
     private FormatVersion() {}
 
-    /** Reads the version from a record; it is the first one if there is none. */
+    /** Reads the version from a record; {@link #WHOLE_RECORDS} if the record or the field is absent. */
     public static int of(Optional<JsonNode> record) {
         return record.map(node -> node.path(VERSION_FIELD).asInt(WHOLE_RECORDS)).orElse(WHOLE_RECORDS);
     }
--- a/src/main/java/org/dunespindle/storage/InboundDelegation.java
+++ b/src/main/java/org/dunespindle/storage/InboundDelegation.java
@@ -1,19 +1,19 @@
 package org.dunespindle.storage;
 
 /**
- * The link of a job that was accepted from another cell, its origin.
+ * The link of a job that this cell accepted from another cell, its origin.
  *
- * @param origin the origin, which accepted the job from its user
- * @param transfer the number of the delegation: a fencing token, higher with every delegation by the origin
- * @param withdrawn whether the origin withdrew the job, or was refused, before any task was placed
+ * @param origin the cell that accepted the job from its user
+ * @param transfer the number of the delegation, a fencing token that increases with every delegation by the origin
+ * @param withdrawn whether the delegation ended, by a withdrawal or a declined offer, before any task was placed
  */
 public record InboundDelegation(String origin, long transfer, boolean withdrawn) implements DelegationLink {
-    /** A delegation in progress. */
-    public static InboundDelegation of(String home, long transfer) {
-        return new InboundDelegation(home, transfer, false);
+    /** The link of a delegation in progress. */
+    public static InboundDelegation of(String origin, long transfer) {
+        return new InboundDelegation(origin, transfer, false);
     }
 
-    /** The same delegation, ended without any task having been placed. */
+    /** The link of the same delegation, ended before any task was placed. */
     InboundDelegation withdraw() {
         return new InboundDelegation(origin, transfer, true);
     }
--- a/src/main/java/org/dunespindle/storage/JobIndex.java
+++ b/src/main/java/org/dunespindle/storage/JobIndex.java
@@ -10,12 +10,12 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The replica's job records, with indexes of those that are active, inbound, cancelled and allocated. */
+/** The replica's job records, with indexes of active, inbound and cancelled jobs and of allocations. */
 final class JobIndex {
     private final Map<String, JobRecord> jobs = new HashMap<>();
     private final Map<String, JobRecord> activeJobs = new LinkedHashMap<>();
     private final Map<String, JobRecord> inboundJobs = new LinkedHashMap<>();
-    /** Cancelled jobs by the revision at which this replica first showed the cancellation; it happened then or before. */
+    /** Cancelled jobs by the revision at which this replica first applied the cancellation, which was committed then or earlier. */
     private final TreeMap<Long, List<String>> cancelledByRevision = new TreeMap<>();
 
     private final AllocationIndex allocations;
@@ -23,13 +23,13 @@
     /**
      * Creates an empty index.
      *
-     * @param onMachineChanged called with each machine on which other tasks should run from now on
+     * @param onMachineChanged called with each machine whose desired tasks have changed
      */
     JobIndex(Consumer<String> onMachineChanged) {
         this.allocations = new AllocationIndex(onMachineChanged);
     }
 
-    /** A job's record. */
+    /** A job's record; empty if the job is unknown. */
     Optional<JobRecord> job(String id) {
         return Optional.ofNullable(jobs.get(id));
     }
@@ -44,19 +44,19 @@
         return activeJobs.values();
     }
 
-    /** Jobs whose origin is another cell, ended ones included. */
+    /** Jobs whose origin is another cell, including ended ones. */
     Iterable<JobRecord> inbound() {
         return inboundJobs.values();
     }
 
-    /** Jobs whose cancellation was first seen after a revision. */
+    /** Jobs whose cancellation was first applied after a revision. */
     List<String> cancelledSince(long revision) {
         var ids = new ArrayList<String>();
         cancelledByRevision.tailMap(revision, false).values().forEach(ids::addAll);
         return ids;
     }
 
-    /** Machines that allocations are on. */
+    /** Machines with at least one allocation. */
     Set<String> machinesWithAllocations() {
         return allocations.machines();
     }
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -14,18 +14,18 @@
  * The stored state of a job. The record is immutable: each transition returns a new one.
  *
  * <p>The tasks of an array start in index order, so {@code nextTaskIndex}, {@code requeued} and {@code allocations} suffice:
- * every other task below {@code nextTaskIndex} is done. The record's size is bounded by the tasks in progress, never by the
- * number of tasks.
+ * every other task below {@code nextTaskIndex} is done. The record's size is bounded by the number of tasks in progress, not by
+ * the total number of tasks.
  *
- * @param spec empty for a finished job without allocations: only its outcome is kept
- * @param attemptCounter source of attempt numbers; only increases
+ * @param spec the submission; empty for a finished job without allocations, of which only the outcome is kept
+ * @param attemptCounter the source of attempt numbers; only increases
  * @param nextTaskIndex the first task of an array that was never placed
- * @param requeued tasks below {@code nextTaskIndex} that have to be placed again, in the order in which they should start
- * @param gangAttempt a gang's common attempt, while {@link GangPhase#RUNNING}
- * @param queuePosition place in the team's queue of gangs: arrival in milliseconds, later after a requeue
- * @param failures how often its tasks have failed
- * @param notBefore when the next task may be placed, after a failure
- * @param delegationLink how the job is linked to another cell: delegated to it, or accepted from it
+ * @param requeued tasks below {@code nextTaskIndex} that must be placed again, in start order
+ * @param gangAttempt the common attempt of a gang's real tasks, while {@link GangPhase#RUNNING}
+ * @param queuePosition the position in the team's queue of gangs: the arrival in milliseconds, a later time after a requeue
+ * @param failures the total number of task failures
+ * @param notBefore the earliest time of the next placement, after a failure
+ * @param delegationLink the link to the cell that the job was delegated to or accepted from
  */
 public record JobRecord(
         String id,
@@ -43,16 +43,16 @@
         Optional<Instant> notBefore,
         Optional<DelegationLink> delegationLink) {
 
-    /** The attempt counter of a job none of whose tasks was ever placed; every placement raises it. */
+    /** The attempt counter of a job before its first placement; every placement increases it. */
     private static final long FIRST_ATTEMPT = 1;
 
-    /** How a job ended, if it did. */
+    /** The outcome of a job; {@link #OPEN} until it ends. */
     public enum Outcome {
         /** Neither done nor cancelled yet. */
         OPEN,
         /** All of its tasks are done. */
         DONE,
-        /** Its user or an operator cancelled it, or it was withdrawn; tasks may still be stopping. */
+        /** Its user or an operator cancelled it, or its origin cell withdrew it; tasks may still be stopping. */
         CANCELLED
     }
 
@@ -60,7 +60,7 @@
     public enum GangPhase {
         /** No task is placed. */
         QUEUED("IDLE"),
-        /** Placeholders hold capacity until every task has a machine. */
+        /** Placeholders reserve capacity until every task has a machine. */
         PLACEHOLDERS("HOLD"),
         /** The real tasks run. */
         RUNNING("REAL"),
@@ -73,7 +73,7 @@
             this.stored = stored;
         }
 
-        /** The name in the stored record, which differs from the constant's. */
+        /** The name in the stored record, which differs from the name of the constant. */
         String stored() {
             return stored;
         }
@@ -89,7 +89,7 @@
         }
     }
 
-    /** The record of a job that has just been accepted. */
+    /** The record of a newly accepted job. */
     public static JobRecord accepted(Submission spec, Instant now) {
         return new JobRecord(
                 spec.id(),
@@ -108,21 +108,21 @@
                 Optional.empty());
     }
 
-    /** The record of a job accepted from another cell, which keeps the time at which it arrived there. */
+    /** The record of a job accepted from its origin cell, with the time at which it arrived there. */
     public static JobRecord acceptedFromOrigin(Submission spec, Instant arrived, InboundDelegation link) {
         return accepted(spec, arrived).withDelegationLink(link);
     }
 
     /**
-     * The record of a delegation that ended before its job arrived: an offer of it that is still under way is refused.
+     * The record of a delegation that ended before its job arrived, so that an offer still in transit is declined.
      *
-     * @param cancelled whether the job was cancelled, rather than withdrawn by its origin
+     * @param cancelled true if the job was cancelled, false if its origin withdrew it
      */
     public static JobRecord tombstone(String id, Instant now, InboundDelegation link, boolean cancelled) {
         return finished(id, now, Outcome.CANCELLED, 0, Optional.of(cancelled ? link : link.withdraw()));
     }
 
-    /** The record of a job without allocations that has ended: only its outcome and the number of tasks done are kept. */
+    /** The record of an ended job without allocations, of which only the outcome and the number of completed tasks are kept. */
     static JobRecord finished(
             String id, Instant arrived, Outcome outcome, int tasksDone, Optional<DelegationLink> delegationLink) {
         return new JobRecord(
@@ -157,7 +157,7 @@
         return outcome == Outcome.OPEN;
     }
 
-    /** The link to the cell that this cell, as the origin, delegated the job to. */
+    /** The link to the remote cell that this cell, as the origin, delegated the job to. */
     public Optional<OutboundDelegation> outboundDelegation() {
         return delegationLink.filter(OutboundDelegation.class::isInstance).map(OutboundDelegation.class::cast);
     }
@@ -167,22 +167,22 @@
         return delegationLink.filter(InboundDelegation.class::isInstance).map(InboundDelegation.class::cast);
     }
 
-    /** Whether another cell may hold the job, so that none of its tasks may be placed here. */
+    /** Whether a remote cell may hold the job, in which case none of its tasks may be placed in this cell. */
     public boolean isDelegatedAway() {
         return outboundDelegation().filter(OutboundDelegation::outstanding).isPresent();
     }
 
-    /** Whether none of its tasks was ever placed, let alone started. */
+    /** Whether no task of the job was ever placed. */
     public boolean neverPlaced() {
         return attemptCounter == FIRST_ATTEMPT && allocations.isEmpty() && failures == 0;
     }
 
-    /** What the user submitted; only present while the job is open or has allocations. */
+    /** The submission, which must be present: the job is open or has allocations. */
     public Submission submission() {
         return spec.orElseThrow();
     }
 
-    /** Tasks done, for display. */
+    /** The number of completed tasks, for display. */
     public int doneCount() {
         if (spec.isEmpty()) {
             return nextTaskIndex;
@@ -193,23 +193,23 @@
         return nextTaskIndex - requeued.size() - allocations.size();
     }
 
-    /** Tasks running, for display; a gang's placeholders do not count. */
+    /** The number of running tasks, for display; a gang's placeholders do not count. */
     public int runningCount() {
         boolean placeholders = spec.isPresent() && submission().isGang() && gangPhase != GangPhase.RUNNING;
         return isOpen() && !placeholders ? allocations.size() : 0;
     }
 
-    /** The indices of tasks that still need a machine, at most so many, in the order in which they should start. */
+    /** The indices of up to {@code maxCount} tasks that still need a machine, in start order. */
     public IntArrayList unplaced(int maxCount) {
         return UnplacedTasks.first(this, maxCount);
     }
 
-    /** How many tasks still need a machine. */
+    /** The number of tasks that still need a machine. */
     public int unplacedCount() {
         return UnplacedTasks.count(this);
     }
 
-    /** The attempt under which an allocation's task should run on its machine. */
+    /** The attempt number under which an allocation's task is to run on its machine. */
     public long expectedAttempt(Allocation allocation) {
         if (!submission().isGang()) {
             return allocation.attemptBase();
@@ -218,7 +218,7 @@
         return realTasks ? gangAttempt : allocation.attemptBase() + allocation.task();
     }
 
-    /** The allocation of one task, if it has one. */
+    /** The allocation of a task; empty if the task is not placed. */
     public Optional<Allocation> allocation(int task) {
         for (Allocation allocation : allocations) {
             if (allocation.task() == task) {
@@ -229,25 +229,25 @@
     }
 
     /**
-     * Places tasks on machines, each under a new attempt.
+     * Places tasks on machines under new attempts.
      *
-     * @param machineIds the machine for each task
+     * @param machineIds the machine id by task index
      */
     public JobRecord withPlaced(Map<Integer, String> machineIds) {
         return JobTransitions.place(this, machineIds);
     }
 
-    /** Starts the real tasks of a gang, all of whose placeholders are ready, under one new common attempt. */
+    /** Starts the real tasks of a gang under a new common attempt, once all its placeholders are ready. */
     public JobRecord withGangRunning() {
         return JobTransitions.runGang(this);
     }
 
-    /** Places a placeholder on its machine again, under a new attempt, after it ended by itself. */
+    /** Places a placeholder that ended unexpectedly on the same machine again, under a new attempt. */
     public JobRecord withPlaceholderReplaced(int task) {
         return JobTransitions.replacePlaceholder(this, task);
     }
 
-    /** Stops a whole gang: it is queued again once every task is released. */
+    /** Stops all tasks of a gang, which is queued again once every task is released. */
     public JobRecord withGangStopping() {
         return JobTransitions.stopGang(this);
     }
@@ -257,46 +257,46 @@
         return JobTransitions.stopTask(this, task);
     }
 
-    /** Releases the allocation of a task that is proven to have ended; an array's task is requeued unless it is done. */
+    /** Releases the allocation of a task that has provably ended. An array's task is requeued unless it is done. */
     public JobRecord withReleased(int task, boolean done) {
         return withReleased(Map.of(task, done));
     }
 
     /**
-     * Releases several allocations in one pass, which matters for large arrays.
+     * Releases several allocations in one pass, since a pass per task would be slow for large arrays.
      *
-     * @param doneByTask whether each of the ended tasks is done
+     * @param doneByTask by index of an ended task, whether it is done
      */
     public JobRecord withReleased(Map<Integer, Boolean> doneByTask) {
         return JobTransitions.release(this, doneByTask);
     }
 
-    /** A gang that is done; its tasks complete together. */
+    /** Completes a gang, whose tasks are all done. */
     public JobRecord gangCompleted() {
         return JobTransitions.complete(this);
     }
 
-    /** A delegated job all of whose tasks are done, as the cell that holds it has reported. */
+    /** Completes a delegated job, all of whose tasks are done according to the remote cell. */
     public JobRecord completedRemotely() {
         return JobTransitions.complete(this);
     }
 
-    /** A cancelled job; its allocations stay until each task is proven to have ended. */
+    /** Cancels the job. Its allocations remain until each task has provably ended. */
     public JobRecord cancelled() {
         return JobTransitions.cancel(this);
     }
 
-    /** Ends a job accepted from another cell before any of its tasks was placed; its origin may place it again. */
+    /** Ends a job accepted from another cell before any of its tasks was placed, so that its origin may place it. */
     public JobRecord withdrawn() {
         return withDelegationLink(inboundDelegation().orElseThrow().withdraw()).cancelled();
     }
 
-    /** The job with another link to another cell. */
+    /** Replaces the link to another cell. */
     public JobRecord withDelegationLink(DelegationLink link) {
         return copy().delegationLink(Optional.of(link)).build();
     }
 
-    /** Counts failures and delays the next attempt. */
+    /** Adds task failures and sets the earliest time of the next placement. */
     public JobRecord withFailures(int more, Optional<Instant> retryAt) {
         return copy().failures(failures + more).notBefore(retryAt).build();
     }
@@ -306,7 +306,7 @@
         return copy().queuePosition(position).build();
     }
 
-    /** A builder of a changed copy. */
+    /** Returns a builder initialized with this record. */
     JobRecordBuilder copy() {
         return new JobRecordBuilder(this);
     }
--- a/src/main/java/org/dunespindle/storage/JobRecordBuilder.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordBuilder.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.dunespindle.protocol.Submission;
 
-/** Copies a job's record with some of its fields changed; what is not set stays as it is. */
+/** Builds a copy of a job's record with some fields changed. Fields that are not set keep their values. */
 final class JobRecordBuilder {
     private final String id;
     private final Optional<Submission> spec;
--- a/src/main/java/org/dunespindle/storage/JobRecordCodec.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordCodec.java
@@ -12,8 +12,8 @@
 import org.dunespindle.protocol.Submission;
 
 /**
- * The stored form of a job's record as one value. A record without a submission, that of a finished job, is stored with a
- * few fields only.
+ * The stored form of a job's record as one value. The record of a finished job has no submission and is stored with a few
+ * fields only.
  */
 final class JobRecordCodec {
     private static final String ARRIVED = "at";
@@ -31,7 +31,7 @@
 
     private JobRecordCodec() {}
 
-    /** The record as one value. */
+    /** Formats a record as one value. */
     static ObjectNode toNode(JobRecord job) {
         ObjectNode node = MessagePackCodec.map();
         putEnvelope(node, job);
@@ -46,7 +46,7 @@
         return node;
     }
 
-    /** Adds the fields that every form begins with. */
+    /** Adds the fields that all forms start with. */
     static void putEnvelope(ObjectNode node, JobRecord job) {
         node.put(ARRIVED, job.arrived().toEpochMilli())
                 .put(OUTCOME, job.outcome().name());
@@ -64,12 +64,12 @@
         job.delegationLink().ifPresent(link -> DelegationLinkCodec.put(node, link));
     }
 
-    /** The requeued tasks as text. */
+    /** Formats the requeued tasks as index ranges. */
     static String formatRequeued(JobRecord job) {
         return TaskIndexSet.format(new IntArrayList(new IntRBTreeSet(job.requeued())));
     }
 
-    /** Parses a record that is one value. */
+    /** Parses a record stored as one value. */
     static JobRecord parse(String id, JsonNode node) throws MalformedMessageException {
         if (!node.has(SUBMISSION)) {
             return parseFinished(id, node);
@@ -88,7 +88,7 @@
                 DelegationLinkCodec.parse(node));
     }
 
-    /** Parses the progress of a record whose fields of varying length have been parsed already. */
+    /** Parses a record whose submission and allocations have been parsed already. */
     static JobRecord parseUnfinished(
             String id, JsonNode node, Submission spec, List<Allocation> allocations, String requeued)
             throws MalformedMessageException {
--- a/src/main/java/org/dunespindle/storage/JobRecordWriter.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordWriter.java
@@ -6,34 +6,34 @@
 import org.dunespindle.protocol.Settings;
 
 /**
- * Adds job records to transactions in the form that the stored format version and the state store's limits allow: whole
- * while a record fits into one value, else in chunks, of which only those that changed are written.
+ * Adds job records to transactions in the form that the stored format version and the state store's limits permit: as one
+ * value if the record fits, otherwise in chunks, of which only the changed ones are written.
  */
 public final class JobRecordWriter {
-    /** Changes of a transaction that are left to others when a task is placed: its team's record, and one to spare. */
+    /** Changes per transaction that a placement needs besides the job's record: the team's record, and one in reserve. */
     private static final int RESERVED_CHANGES = 2;
-    /** A description may take a value's size divided by this; the rest is left for the job's progress. */
+    /** The submission may take the maximum value size divided by this; the rest is reserved for the job's progress. */
     private static final int DESCRIPTION_DIVISOR = 2;
 
     private final StateReplica replica;
     private final Settings.State currentLimits;
     private final Settings.State lowestLimits;
 
-    /** Creates a writer for the limits that the settings name. */
+    /** Creates a writer for the current and announced limits in the settings. */
     public JobRecordWriter(StateReplica replica, Settings.State limits) {
         this.replica = replica;
         this.currentLimits = limits;
         this.lowestLimits = limits.lowest();
     }
 
-    /** A record in the form in which it is to be written. */
+    /** A record in the form to be written. */
     private sealed interface StoredForm {
         record Whole(ObjectNode value) implements StoredForm {}
 
         record Chunked(ChunkedJobRecordCodec.ChunkedRecord values) implements StoredForm {}
     }
 
-    /** Adds a job's new record to a transaction, with the revision of the one that it was made from as a precondition. */
+    /** Adds a job's new record to a transaction, with the revision of the previous record as a precondition. */
     public Transaction write(Transaction transaction, JobRecord after) {
         String key = Keys.job(after.id());
         transaction.requireRevision(key, replica.modRevision(key));
@@ -86,12 +86,12 @@
         return replica.formatVersion() >= FormatVersion.CHUNKED_JOB_RECORDS;
     }
 
-    /** Whether a record, as it is stored now, is longer than a value may become. */
+    /** Whether a record that is stored as one value exceeds the lowest announced value size. */
     public boolean isOversize(JobRecord job) {
         return replica.chunksOf(job.id()).isEmpty() && needsChunks(job, job.toNode());
     }
 
-    /** The size of a record in the form in which it would be written, in bytes. */
+    /** The size in bytes of a record in the form in which it would be written. */
     public int size(JobRecord job) {
         StoredForm form = storedForm(job);
         if (form instanceof StoredForm.Whole whole) {
@@ -105,7 +105,7 @@
         return size;
     }
 
-    /** How long a record may become by placing its tasks; never longer than was allowed before records could be chunked. */
+    /** The maximum size in bytes of a record after a placement, at most the limit that applied before records could be chunked. */
     public int maxRecordBytes() {
         if (!chunksAllowed()) {
             return lowestLimits.valueBytes();
@@ -114,7 +114,7 @@
         return (int) Math.min(currentLimits.valueBytes(), (long) lowestLimits.valueBytes() * values);
     }
 
-    /** How long a new job's record may be for its description to be accepted; the announced limits do not shorten it. */
+    /** The maximum size in bytes of a new job's record at submission. Announced lower limits do not reduce it. */
     public int maxDescriptionBytes() {
         return currentLimits.valueBytes() / DESCRIPTION_DIVISOR;
     }
--- a/src/main/java/org/dunespindle/storage/JobTransitions.java
+++ b/src/main/java/org/dunespindle/storage/JobTransitions.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** How placement, termination and cancellation of tasks change a job's record. */
+/** Transitions of a job's record: placement, stop, release, completion and cancellation. */
 final class JobTransitions {
     private JobTransitions() {}
 
@@ -36,7 +36,7 @@
             requeued.remove(task);
             nextTaskIndex = Math.max(nextTaskIndex, task + 1);
         }
-        // Indices skipped below the new next one still have to run; without this they would count as done.
+        // Skipped indices below the new nextTaskIndex must be requeued, or they would count as done.
         for (int i = job.nextTaskIndex(); i < nextTaskIndex; i++) {
             if (!placed.contains(i)) {
                 requeued.add(i);
@@ -57,7 +57,7 @@
                 .build();
     }
 
-    /** Places a gang's placeholder on its machine again. */
+    /** Places a gang's placeholder on its machine again under a new attempt. */
     static JobRecord replacePlaceholder(JobRecord job, int task) {
         UnaryOperator<Allocation> renewed =
                 allocation -> new Allocation(task, allocation.machineId(), job.attemptCounter(), allocation.stopping());
@@ -67,7 +67,7 @@
                 .build();
     }
 
-    /** Begins to stop all tasks of a gang; real tasks keep their common attempt until they are released. */
+    /** Starts to stop all tasks of a gang. Real tasks keep their common attempt until they are released. */
     static JobRecord stopGang(JobRecord job) {
         boolean realTasks =
                 job.gangPhase() == JobRecord.GangPhase.RUNNING || job.gangPhase() == JobRecord.GangPhase.STOPPING;
@@ -77,7 +77,7 @@
                 .build();
     }
 
-    /** Begins to stop one task. */
+    /** Marks the allocation of one task as stopping. */
     static JobRecord stopTask(JobRecord job, int task) {
         return job.copy()
                 .allocations(replaceAllocation(job, task, Allocation::stopped))
@@ -92,7 +92,7 @@
         return allocations;
     }
 
-    /** Releases allocations of tasks that have ended. */
+    /** Releases the allocations of ended tasks. */
     static JobRecord release(JobRecord job, Map<Integer, Boolean> doneByTask) {
         var allocations = new ArrayList<Allocation>(job.allocations().size());
         for (Allocation allocation : job.allocations()) {
@@ -115,7 +115,7 @@
         var requeued = new ArrayList<>(job.requeued());
         doneByTask.forEach((task, done) -> {
             if (!done || job.submission().isService()) {
-                requeued.add(task); // a service's task that ends is started again: only its user ends a service
+                requeued.add(task); // replicas are always restarted: a service ends only by cancellation
             }
         });
         boolean allPlaced = job.nextTaskIndex() == job.submission().tasks() && requeued.isEmpty();
@@ -125,7 +125,7 @@
                 .build());
     }
 
-    /** Ends a job all of whose tasks are done. */
+    /** Completes a job, all of whose tasks are done. */
     static JobRecord complete(JobRecord job) {
         return compact(job.copy()
                 .outcome(JobRecord.Outcome.DONE)
@@ -135,7 +135,7 @@
                 .build());
     }
 
-    /** Cancels a job. */
+    /** Cancels a job and drops its requeued tasks. Its allocations remain until they are released. */
     static JobRecord cancel(JobRecord job) {
         return compact(job.copy()
                 .outcome(JobRecord.Outcome.CANCELLED)
@@ -143,7 +143,7 @@
                 .build());
     }
 
-    /** Drops all that a finished job without allocations does not need, in particular an outbound delegation. */
+    /** Reduces the record of a finished job without allocations to its outcome, completed tasks and inbound delegation. */
     private static JobRecord compact(JobRecord job) {
         if (job.isOpen() || !job.allocations().isEmpty()) {
             return job;
--- a/src/main/java/org/dunespindle/storage/Keys.java
+++ b/src/main/java/org/dunespindle/storage/Keys.java
@@ -6,19 +6,19 @@
     public static final String ROOT = "ds/";
     /** The prefix of jobs' records, see {@link JobRecord}. */
     public static final String JOB = ROOT + "job/";
-    /** The prefix of pages of machines, see {@link MachineRecord}. A change of several machines of a page costs one write. */
+    /** The prefix of pages of machine records, see {@link MachineRecord}. Changes of several machines on a page cost one write. */
     static final String MACHINE_PAGE = ROOT + "page/";
     /** The prefix of teams' quota records. */
     public static final String TEAM = ROOT + "team/";
-    /** The prefix of live controllers' membership records, each attached to the controller's lease. */
+    /** The prefix of live controllers' membership records, each of which is removed when the controller's lease expires. */
     static final String MEMBER = ROOT + "member/";
     /** The prefix of controllers' incarnation numbers. */
     public static final String INCARNATION = ROOT + "incarnation/";
     /** The key of the leader's record. */
     public static final String LEADER = ROOT + "leader";
-    /** The key of the options that operators set. */
+    /** The key of the runtime options set by operators. */
     public static final String OPTIONS = ROOT + "options";
-    /** The key of the version of the stored forms, see {@link FormatVersion}. */
+    /** The key of the stored format version, see {@link FormatVersion}. */
     public static final String FORMAT = ROOT + "format";
     /** The prefix of chunks of jobs' records that do not fit into one value. */
     public static final String CHUNK = ROOT + "part/";
@@ -34,17 +34,17 @@
         return JOB + id;
     }
 
-    /** The key of a chunk of a job's record, counted from 0. */
+    /** The key of a chunk of a job's record; chunk indices start at 0. */
     static String chunk(String id, int index) {
         return CHUNK + id + "/" + index;
     }
 
-    /** The key of the page that a machine is stored on. */
+    /** The key of the page that contains a machine's record. */
     public static String machinePage(String machineId) {
         return MACHINE_PAGE + machinePageName(machineId);
     }
 
-    /** The name of a machine's page. Machines whose ids differ in the last character only share one; ids ascend. */
+    /** The name of a machine's page. Machine ids ascend, and ids that differ only in the last character share a page. */
     public static String machinePageName(String machineId) {
         return machineId.length() > 1 ? machineId.substring(0, machineId.length() - 1) : machineId;
     }
--- a/src/main/java/org/dunespindle/storage/MachineIndex.java
+++ b/src/main/java/org/dunespindle/storage/MachineIndex.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 import org.dunespindle.protocol.MessagePackCodec;
 
-/** The replica's machine records, by machine and by the page that they are stored on. */
+/** The replica's machine records, by machine and by page. */
 final class MachineIndex {
     private final Map<String, MachineRecord> machines = new TreeMap<>();
     private final Map<String, Map<String, MachineRecord>> pages = new HashMap<>();
-    /** In the order in which they changed, so that the reconciliation is deterministic. */
+    /** Changed machines in order of change, so that reconciliation is deterministic. */
     private Set<String> changed = new LinkedHashSet<>();
 
     /** All machines by id. */
@@ -22,7 +22,7 @@
         return machines;
     }
 
-    /** Machines that were marked as changed since the last call. */
+    /** Returns the machines marked as changed since the last call. */
     Set<String> drainChanged() {
         Set<String> drained = changed;
         changed = new LinkedHashSet<>();
@@ -53,7 +53,7 @@
             if (!record.equals(before.get(id))) {
                 machines.put(id, record);
             }
-            // The page's revision is new for all of them, and decisions about a machine depend on it.
+            // The page has a new revision, on which decisions about each of its machines depend.
             changed.add(id);
         });
         if (after.isEmpty()) {
@@ -71,10 +71,10 @@
     }
 
     /**
-     * A transaction that changes machines of a page.
+     * Creates a transaction that changes machine records of a page.
      *
-     * @param requiredRevision the page's revision as a precondition
-     * @param changes machines' new records, empty for a machine that is gone
+     * @param requiredRevision the revision of the page that is required as a precondition
+     * @param changes the new record by machine id; empty removes the record
      */
     Transaction rewritePage(String pageKey, long requiredRevision, Map<String, Optional<MachineRecord>> changes) {
         var records = new TreeMap<>(pages.getOrDefault(pageKey, Map.of()));
@@ -89,7 +89,7 @@
         return transaction.write(pageKey, page);
     }
 
-    /** Removes all machines; each of them counts as changed. */
+    /** Removes all machines and marks them as changed. */
     void clear() {
         markAllChanged();
         machines.clear();
--- a/src/main/java/org/dunespindle/storage/MachineRecord.java
+++ b/src/main/java/org/dunespindle/storage/MachineRecord.java
@@ -6,15 +6,16 @@
 import java.time.Instant;
 
 /**
- * The stored state of a machine: which controller owns it, under which fencing token, and what it is. Every change of owner
- * raises the token, so that a transaction with the record's revision as a precondition can only come from the present owner.
+ * The stored state of a machine: its owning controller, fencing token and properties. Every change of owner increases the token
+ * and the record's revision, so that a transaction with that revision as a precondition can only come from the current owner.
  *
  * @param owner the name of the owning controller
- * @param incarnation of the owning controller
+ * @param incarnation the incarnation of the owning controller
  * @param token the fencing token that commands to the machine's worker carry
- * @param keepUntil no rebalancing before then: the owner took the machine over because its worker could not reach the other
- * @param draining whether it is being returned to the cloud; nothing may be placed on it any more
- * @param drainReason why it is draining, empty while it is not
+ * @param keepUntil until when rebalancing is suspended, since the owner took the machine over because its worker could not
+ *     reach the previous owner
+ * @param draining whether the machine is to be terminated; no further task may be placed on it
+ * @param drainReason why the machine is draining; empty while it is not
  */
 public record MachineRecord(
         String id,
@@ -30,7 +31,7 @@
         boolean draining,
         String drainReason) {
 
-    /** The stored drain reason of a machine that scales in because nothing runs on it. */
+    /** The stored drain reason of an idle machine that is scaled in. */
     public static final String DRAIN_REASON_IDLE = "it is idle";
 
     /** The stored drain reason of a machine that an operator drains. */
@@ -55,12 +56,12 @@
         }
     }
 
-    /** Whether the machine is returned only once its tasks have ended. */
+    /** Whether the machine is terminated only after its tasks have ended. */
     public boolean drainsGracefully() {
         return drainReason.equals(DRAIN_REASON_IDLE) || drainReason.equals(DRAIN_REASON_OPERATOR);
     }
 
-    /** The record under a new owner and a raised fencing token. */
+    /** The record with a new owner and the next fencing token. */
     public MachineRecord ownedBy(String newOwner, long newIncarnation, Instant newKeepUntil) {
         return new MachineRecord(
                 id,
@@ -77,12 +78,12 @@
                 drainReason);
     }
 
-    /** The same owner under a higher token: commands still under way with the old one become void. */
+    /** The record with the same owner and the next token, which invalidates commands in transit with the old one. */
     public MachineRecord withNextToken() {
         return withToken(token + 1);
     }
 
-    /** The record under a token that the worker has not seen yet, should it know a higher one than was stored. */
+    /** The record, with its token raised if necessary above the highest one that the worker has seen. */
     public MachineRecord withTokenAbove(long seen) {
         return token > seen ? this : withToken(seen + 1);
     }
@@ -103,7 +104,7 @@
                 drainReason);
     }
 
-    /** The record of a machine that is being returned, with the reason. */
+    /** The record marked as draining, with the reason. */
     public MachineRecord draining(String reason) {
         return new MachineRecord(
                 id, address, type, zone, spot, owner, incarnation, token, rentedAt, keepUntil, true, reason);
@@ -129,7 +130,7 @@
                 drainReason);
     }
 
-    /** The row on the page that the machine is stored on; rows are positional, since a page holds several. */
+    /** The stored form of the record: a row of positional columns, which keeps pages with several rows small. */
     ArrayNode toRow() {
         return JsonNodeFactory.instance
                 .arrayNode()
--- a/src/main/java/org/dunespindle/storage/OutboundDelegation.java
+++ b/src/main/java/org/dunespindle/storage/OutboundDelegation.java
@@ -4,26 +4,26 @@
 import java.util.Optional;
 
 /**
- * The link of a job to the remote cell that it was delegated to, as its origin stores it. Only the methods here change the
- * phase; a transition that the present phase does not permit is an {@link IllegalStateException}.
+ * The link of a job to the remote cell that it was delegated to, as stored by its origin. The phase changes only by the methods
+ * of this record, which throw an {@link IllegalStateException} if the current phase does not permit the transition.
  *
  * @param cell the remote cell of the latest transfer
  * @param transfer the number of the latest transfer, which serves as its fencing token
- * @param transfers how often the job has been delegated so far
- * @param notBefore when it may be delegated again, after it was returned
+ * @param transfers the number of times that the job has been delegated
+ * @param notBefore the earliest time of the next delegation, after the job was returned
  */
 public record OutboundDelegation(String cell, long transfer, Phase phase, int transfers, Optional<Instant> notBefore)
         implements DelegationLink {
 
-    /** The phases of a transfer. In all but the first the remote cell may hold the job. */
+    /** The phases of a transfer. In all phases except {@link #HOME} the remote cell may hold the job. */
     public enum Phase {
-        /** The job is at its origin: the transfer is proven to have ended without any task having been placed. */
+        /** The job is held by its origin: the transfer has provably ended without any task placed by the remote cell. */
         HOME,
-        /** The offer may have been sent any number of times; whether it was accepted is not known. */
+        /** The offer may have been sent any number of times; it is unknown whether it was accepted. */
         OFFERED,
         /** The remote cell has stored the job. */
         ACCEPTED,
-        /** The origin recalls the job; whether the remote cell returns it is not known. */
+        /** The origin recalls the job; it is unknown whether the remote cell returns it. */
         RECALLED
     }
 
@@ -32,7 +32,7 @@
         return phase != Phase.HOME;
     }
 
-    /** The intent to offer a job, which is stored before the offer is sent. */
+    /** The link for a new offer, which is stored before the offer is sent. */
     public static OutboundDelegation offer(Optional<OutboundDelegation> before, String cell, long transfer) {
         before.ifPresent(earlier -> {
             earlier.require(Phase.HOME, "offered again");
@@ -44,7 +44,7 @@
         return new OutboundDelegation(cell, transfer, Phase.OFFERED, transfers, Optional.empty());
     }
 
-    /** The remote cell has confirmed that it stored the job; a recall remains in effect. */
+    /** The transition after the remote cell confirmed that it stored the job. A recall remains in effect. */
     public OutboundDelegation accepted() {
         return switch (phase) {
             case OFFERED -> withPhase(Phase.ACCEPTED);
@@ -53,7 +53,7 @@
         };
     }
 
-    /** The origin recalls the job. */
+    /** The transition when the origin recalls the job. */
     public OutboundDelegation recalled() {
         if (!outstanding()) {
             throw illegalTransition("recalled");
@@ -61,13 +61,13 @@
         return withPhase(Phase.RECALLED);
     }
 
-    /** The remote cell has placed tasks of the job and keeps it. */
+    /** The transition after the remote cell answered a recall that it keeps the job, since it has placed tasks of it. */
     public OutboundDelegation keptByRemote() {
         require(Phase.RECALLED, "kept");
         return withPhase(Phase.ACCEPTED);
     }
 
-    /** The remote cell has confirmed that this transfer ended there without any task having been placed. */
+    /** The transition after the remote cell confirmed that it ended this transfer without having placed any task. */
     public OutboundDelegation returned(Instant retryAt) {
         if (!outstanding()) {
             throw illegalTransition("returned");
--- a/src/main/java/org/dunespindle/storage/PlacedTask.java
+++ b/src/main/java/org/dunespindle/storage/PlacedTask.java
@@ -1,4 +1,4 @@
 package org.dunespindle.storage;
 
-/** An allocation together with its job. */
+/** An allocation and the job that it belongs to. */
 public record PlacedTask(JobRecord job, Allocation allocation) {}
--- a/src/main/java/org/dunespindle/storage/RateLimitedHttpClient.java
+++ b/src/main/java/org/dunespindle/storage/RateLimitedHttpClient.java
@@ -8,7 +8,7 @@
 import org.dunespindle.transport.HttpClient;
 import org.dunespindle.transport.HttpClientResponse;
 
-/** Calls one external service within a rate limit and records its latency. */
+/** Client of one external service that applies a rate limit and records call latency. */
 public final class RateLimitedHttpClient {
     private static final long MAX_RECORDED_LATENCY_MICROS = 60_000_000L;
     private static final int LATENCY_SIGNIFICANT_DIGITS = 2;
@@ -32,12 +32,12 @@
         this.timeout = timeout;
     }
 
-    /** How long calls took, in microseconds. */
+    /** Latency of the calls, in microseconds. */
     public Histogram latency() {
         return latency;
     }
 
-    /** Sends a MessagePack request once the rate limit allows; urgent calls (lease renewals) go first. */
+    /** Sends a MessagePack request once the rate limit permits; urgent calls (lease renewals) are sent first. */
     public CompletableFuture<HttpClientResponse> call(boolean urgent, String method, String target, byte[] body) {
         var result = new CompletableFuture<HttpClientResponse>();
         rateLimiter.submit(urgent, COST_OF_CALL, () -> send(method, target, body, result));
--- a/src/main/java/org/dunespindle/storage/RateLimiter.java
+++ b/src/main/java/org/dunespindle/storage/RateLimiter.java
@@ -5,14 +5,14 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * A token bucket: this controller's share of a service's rate. Work waits its turn in order; urgent work (lease renewals)
- * goes first, because a lost lease costs more than any late request.
+ * A token bucket for this controller's share of a service's rate limit. Work runs in order of submission, but urgent work
+ * (lease renewals) runs first, because an expired lease costs more than any delayed request.
  */
 public final class RateLimiter {
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Tokens accrue as floating-point numbers: work may run although its cost is missing by so much. */
+    /** Tokens are floating-point numbers, so work may run if its cost exceeds the available tokens by this rounding error. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
-    /** Added to each wait, so that the tokens have accrued for certain when it ends. */
+    /** Added to each wait, so that the tokens have accrued despite rounding when it ends. */
     private static final long WAIT_MARGIN_NANOS = 1_000_000;
 
     private final TimeSource timeSource;
@@ -25,7 +25,7 @@
 
     private record QueuedWork(double cost, Runnable work) {}
 
-    /** Creates a limiter for so many units a second, with a burst of one second. */
+    /** Creates a limiter for a rate in units per second, with a burst of one second. */
     public RateLimiter(TimeSource timeSource, double perSecond) {
         this.timeSource = timeSource;
         this.perSecond = perSecond;
@@ -33,48 +33,48 @@
         this.refilledAt = timeSource.now();
     }
 
-    /** The most tokens that accrue: one second's worth, as the services allow. */
+    /** The capacity of the bucket: one second's worth of tokens, which is the burst that the services allow. */
     private double burst() {
         return Math.max(perSecond, 1);
     }
 
-    /** The present rate in units a second. */
+    /** The current rate in units per second. */
     public double perSecond() {
         return perSecond;
     }
 
-    /** Changes the rate from now on, as the controllers' demand for their shares changes. */
+    /** Sets a new rate. Controllers' shares of the rate limit change with their demand. */
     public void setRate(double newPerSecond) {
         refill();
         perSecond = newPerSecond;
         tokens = Math.min(tokens, burst());
     }
 
-    /** What may be spent now; negative while a large charge is being paid off. */
+    /** The tokens available now; at most 0 while work is queued, and negative after a charge above the balance. */
     public double available() {
         refill();
         return urgentWork.isEmpty() && normalWork.isEmpty() ? tokens : Math.min(tokens, 0);
     }
 
-    /** Whether this cost cannot be spent yet; one above the burst only needs a full bucket. */
+    /** Whether too few tokens are available for a cost. A cost above the burst requires only a full bucket. */
     public boolean isShortOf(double cost) {
         return requiredTokens(cost) > available() + ROUNDING_TOLERANCE;
     }
 
-    /** Charges for work that runs at once, if need be to be paid off later. */
+    /** Charges for work that runs immediately; the balance may become negative. */
     void charge(double cost) {
         refill();
         tokens -= cost;
     }
 
-    /** How long to wait until a cost can be spent, at least a millisecond. */
+    /** The time until enough tokens for a cost have accrued, at least a millisecond. */
     public Duration timeUntil(double cost) {
         refill();
         double missing = Math.max(0, requiredTokens(cost) - tokens);
         return Duration.ofNanos((long) (missing / perSecond * NANOS_PER_SECOND) + WAIT_MARGIN_NANOS);
     }
 
-    /** Runs work once its cost can be spent. What costs more than the burst runs at a full bucket and is paid off afterwards. */
+    /** Runs work once enough tokens for its cost have accrued. A cost above the burst runs at a full bucket and leaves a debt. */
     public void submit(boolean urgent, double cost, Runnable work) {
         (urgent ? urgentWork : normalWork).addLast(new QueuedWork(cost, work));
         drain();
--- a/src/main/java/org/dunespindle/storage/ReplicaIndex.java
+++ b/src/main/java/org/dunespindle/storage/ReplicaIndex.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The replica's contents: parses the value of each key and keeps it in the index of its kind. */
+/** The replica's contents. Parses the value of each key and stores it in the index for its key prefix. */
 final class ReplicaIndex {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaIndex.class);
 
@@ -22,7 +22,7 @@
     private final ChunkedJobRecords chunkedJobs = new ChunkedJobRecords();
     private final Map<String, JsonNode> members = new TreeMap<>();
     private final Map<String, JsonNode> otherValues = new HashMap<>();
-    /** The revision of each key's last change; negative for a key that was removed then. */
+    /** The revision of each key's last change; negated if that change removed the key. */
     private final Map<String, Long> modRevisions = new HashMap<>();
 
     private final Set<String> unreadableKeys = new HashSet<>();
@@ -42,12 +42,12 @@
         return members;
     }
 
-    /** The value of a key without an index of its own. */
+    /** The value of a key that belongs to no other index. */
     Optional<JsonNode> value(String key) {
         return Optional.ofNullable(otherValues.get(key));
     }
 
-    /** The texts that the chunks of a job's record hold, in order. */
+    /** The texts of the chunks of a job's record, in order. */
     List<String> chunksOf(String jobId) {
         return chunkedJobs.chunks(jobId);
     }
@@ -78,7 +78,7 @@
         assembleChunkedJobs();
     }
 
-    /** Applies a transaction of this process. */
+    /** Applies a transaction that this process committed. */
     void apply(CommittedTransaction commit) {
         putChanges(commit);
         assembleChunkedJobs();
@@ -87,9 +87,9 @@
     /**
      * Replaces the contents.
      *
-     * @param entries the store's entries, followed by the log of what changed while they were read
-     * @param commits transactions of this process that the entries may not show. Users were already answered on the
-     *     strength of them: a replica that shows an older state, even for a moment, would contradict that answer.
+     * @param entries the store's entries, followed by the changes made while they were read
+     * @param commits transactions of this process that the entries may lack. Requests were already answered based on them, so
+     *     the replica must not return to an older state, even briefly.
      */
     void replaceAll(List<StateMessages.Entry> entries, List<CommittedTransaction> commits) {
         clear();
@@ -120,7 +120,7 @@
     private void put(String key, Optional<JsonNode> value, long revision) {
         Long known = modRevisions.get(key);
         if (known != null && Math.abs(known) >= revision) {
-            return; // a transaction of this process that was applied before the log showed it
+            return; // already applied as a transaction of this process
         }
         modRevisions.put(key, value.isPresent() ? revision : -revision);
         version++;
@@ -144,7 +144,7 @@
     private void putJob(String id, Optional<JsonNode> value, long revision) throws MalformedMessageException {
         chunkedJobs.putMain(id, value);
         if (value.filter(ChunkedJobRecordCodec::isChunked).isPresent()) {
-            return; // assembled once all changes of the same revision are in
+            return; // assembled once all changes of the same revision are applied
         }
         Optional<JobRecord> job =
                 value.isEmpty() ? Optional.empty() : Optional.of(JobRecordCodec.parse(id, value.get()));
@@ -162,7 +162,7 @@
         machines.markAllChanged();
     }
 
-    /** Assembles the records of which a chunk or the main value changed, once all changes of a revision are in. */
+    /** Assembles the records whose chunks or main value changed. Called once all changes of a revision are applied. */
     private void assembleChunkedJobs() {
         for (String id : chunkedJobs.drainChanged()) {
             String key = Keys.job(id);
@@ -174,7 +174,7 @@
         }
     }
 
-    /** Without a revision every precondition on the key fails: nobody overwrites what could not be parsed. */
+    /** Drops the key's revision, so that every precondition on it fails and no controller overwrites the unreadable record. */
     private void markUnreadable(String key, Exception cause) {
         LOG.error("stored record is unreadable key={} cause={}", key, cause.toString());
         unreadableKeys.add(key);
--- a/src/main/java/org/dunespindle/storage/ReplicaUpdater.java
+++ b/src/main/java/org/dunespindle/storage/ReplicaUpdater.java
@@ -9,14 +9,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a replica current: loads a snapshot, then follows the change log, and loads a snapshot again where the log does not
- * serve. At most one read is under way; whoever asks for a refresh meanwhile waits for the next one.
+ * Updates a replica: loads a snapshot, then follows the change log, and loads a new snapshot if the log is unavailable. At most
+ * one read is in progress; a refresh requested meanwhile is served by the next read.
  */
 final class ReplicaUpdater {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaUpdater.class);
-    /** After so many unanswered reads in a row the log may be too long to arrive in time, so that a snapshot is tried. */
+    /** After this many consecutive timeouts the log may be too long to arrive in time, so a snapshot is loaded instead. */
     private static final int MAX_UNANSWERED_LOG_READS = 3;
-    /** The staleness of a replica that holds nothing yet. */
+    /** The staleness reported before the first load. */
     private static final Duration STALENESS_BEFORE_FIRST_LOAD = Duration.ofDays(1);
 
     private final TimeSource timeSource;
@@ -27,18 +27,18 @@
     private final SnapshotLoader snapshotLoader;
 
     private long appliedRevision = -1;
-    /** When the last successful read began. */
+    /** When the last successful read started. */
     private Duration asOf = Duration.ZERO;
 
     private boolean reading;
     private boolean timerSet;
     private int unansweredLogReads;
-    /** Whether a snapshot is needed although there has been one. */
+    /** Whether the log cannot be followed any more, so that another snapshot is needed. */
     private boolean logLost;
 
     private List<Waiter> waiters = new ArrayList<>();
 
-    /** Someone who waits for a read that begins after the request. */
+    /** The callbacks of a refresh, to be served by a read that starts after it was requested. */
     private record Waiter(Runnable served, Runnable failed) {}
 
     ReplicaUpdater(
@@ -55,12 +55,12 @@
         this.snapshotLoader = new SnapshotLoader(stateStore, changeLog, timeSource);
     }
 
-    /** Begins to read, and keeps reading at the interval. */
+    /** Starts the first read; later reads follow at the interval. */
     void start() {
         read();
     }
 
-    /** Whether everything has been read at least once. */
+    /** Whether a snapshot has been loaded. */
     boolean loaded() {
         return appliedRevision >= 0;
     }
@@ -70,12 +70,12 @@
         return appliedRevision;
     }
 
-    /** The time since the last successful read began. */
+    /** The time since the start of the last successful read. */
     Duration staleness() {
         return loaded() ? timeSource.now().minus(asOf) : STALENESS_BEFORE_FIRST_LOAD;
     }
 
-    /** Runs {@code served} once a read that begins after this call was applied, or {@code failed} if it failed. */
+    /** Runs {@code served} once a read that starts after this call has been applied, or {@code failed} if that read fails. */
     void refresh(Runnable served, Runnable failed) {
         waiters.add(new Waiter(served, failed));
         if (!reading) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Applies a transaction of this process. */
+    /** Applies a transaction that this process committed. */
     void applyCommitted(CommittedTransaction commit) {
         snapshotLoader.addCommit(commit);
         index.apply(commit);
@@ -126,8 +126,9 @@
     }
 
     /**
-     * A log that cannot be applied must not be requested for ever: after a long partition it may hold thousands of changes,
-     * and only grows. A single unanswered read proves nothing about the log; several in a row may be due to its length.
+     * Falls back to a snapshot if the log cannot be applied: after a long network partition it may contain thousands of changes,
+     * and it only grows, so retries would fail indefinitely. A single timeout is not evidence of that, but several consecutive
+     * timeouts may be due to the log's length.
      */
     private void onLogFailure(ChangeLogReader.Failure failure) {
         if (failure.isPermanent()) {
@@ -146,7 +147,7 @@
                 return;
             }
             if (((SnapshotLoader.Failed) result).storeUnavailable()) {
-                unansweredLogReads = 0; // the log was not to blame, and is tried again if it may still serve
+                unansweredLogReads = 0; // the timeouts were due to an outage: retry the log unless it is lost
             }
             finishRead(waitersOfRead, false);
         });
@@ -166,7 +167,7 @@
             finishRead(waitersOfRead, true);
             return;
         }
-        // What changed while the pages were read is in the log: whoever waits is served from there.
+        // Changes made while the pages were read are still missing, so the waiters are served by a read of the log.
         waiters.addAll(0, waitersOfRead);
         finishRead(List.of(), true);
     }
--- a/src/main/java/org/dunespindle/storage/SnapshotLoader.java
+++ b/src/main/java/org/dunespindle/storage/SnapshotLoader.java
@@ -9,8 +9,8 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * Reads everything from the state store, page by page. What has been read survives a failure: only the page that failed is
- * requested again by the next attempt.
+ * Reads the complete state store page by page. A failure keeps the pages read so far; the next attempt continues with the page
+ * that failed.
  */
 final class SnapshotLoader {
     private static final int MAX_KEYS_PER_PAGE = 500;
@@ -18,9 +18,9 @@
     private final StateStoreClient stateStore;
     private final ChangeLogReader changeLog;
     private final TimeSource timeSource;
-    /** What has been read so far, while a load is under way. */
+    /** The pages read so far; empty while no load is in progress. */
     private Optional<PartialSnapshot> partial = Optional.empty();
-    /** Transactions of this process since the load began: pages read before them do not show them. */
+    /** Transactions of this process since the load started, which pages read before them lack. */
     private final List<CommittedTransaction> commits = new ArrayList<>();
 
     SnapshotLoader(StateStoreClient stateStore, ChangeLogReader changeLog, TimeSource timeSource) {
@@ -33,13 +33,13 @@
     sealed interface Result {}
 
     /**
-     * Everything was read.
+     * A complete snapshot.
      *
-     * @param entries entries of all pages, then the changes from the log if it was read too
-     * @param commits transactions of this process that the entries may not show
-     * @param revision the revision that the entries reach
-     * @param asOf when the read that reached this revision began
-     * @param caughtUp whether the log was read too; else changes made while the pages were read are still missing
+     * @param entries entries of all pages, followed by the changes from the log if it was read too
+     * @param commits transactions of this process that the entries may lack
+     * @param revision the revision up to which the entries are complete
+     * @param asOf when the read that reached this revision started
+     * @param caughtUp whether the log was read too; otherwise changes made while the pages were read are still missing
      */
     record Loaded(
             List<StateMessages.Entry> entries,
@@ -50,20 +50,20 @@
             implements Result {}
 
     /**
-     * The attempt failed.
+     * A failed attempt.
      *
-     * @param storeUnavailable whether the store did not serve a request. That is what an outage looks like, after which
-     *     the log may do again.
+     * @param storeUnavailable whether a request was not served, which indicates an outage. The log may be usable again after
+     *     the outage.
      */
     record Failed(boolean storeUnavailable) implements Result {}
 
-    /** Everything that has been read so far. */
+    /** The entries read so far. */
     private static final class PartialSnapshot {
         private final List<StateMessages.Entry> entries = new ArrayList<>();
         private final Duration begun;
         private String lastKey = "";
         private boolean complete;
-        /** Of the first page: pages are read at different revisions, and the log is followed from the first one's. */
+        /** The revision of the first page. Pages are read at different revisions, so the log is followed from the first one. */
         private long revision = -1;
 
         PartialSnapshot(Duration begun) {
@@ -89,23 +89,23 @@
         }
     }
 
-    /** Records a transaction of this process while a load is under way. */
+    /** Records a transaction of this process if a load is in progress. */
     void addCommit(CommittedTransaction commit) {
         if (partial.isPresent()) {
             commits.add(commit);
         }
     }
 
-    /** Drops what has been read so far, because the log turned out to be enough. */
+    /** Discards the pages read so far, after the log was read successfully or the load is complete. */
     void abandon() {
         partial = Optional.empty();
         commits.clear();
     }
 
     /**
-     * Continues the load under way, or begins one.
+     * Continues the load in progress, or starts one.
      *
-     * @param now when this attempt begins
+     * @param now the start of this attempt
      */
     void load(Duration now, Consumer<Result> onResult) {
         PartialSnapshot snapshot = partial.orElseGet(() -> new PartialSnapshot(now));
@@ -135,8 +135,8 @@
     }
 
     /**
-     * Reads the log since the first page. Chunked records need it up to one revision for all of them: a page may hold the
-     * newer chunk of a record whose older chunk was on an earlier page.
+     * Reads the log since the first page, so that all entries are of one revision. Chunked records require that: a page may
+     * contain a newer chunk of a record of which an older chunk was on an earlier page.
      */
     private void catchUp(PartialSnapshot snapshot, Consumer<Result> onResult) {
         Duration begun = timeSource.now();
--- a/src/main/java/org/dunespindle/storage/StateReplica.java
+++ b/src/main/java/org/dunespindle/storage/StateReplica.java
@@ -9,11 +9,11 @@
 import org.dunespindle.time.TimeSource;
 
 /**
- * A local replica of everything in the state store, kept current by following the store's change log.
+ * A local replica of the complete state store, which follows the store's change log.
  *
- * <p>A read of the log that began after a query arrived answers that query as the store itself would, and serves all
- * queries that wait for it at once. This process's own transactions are applied as soon as they are committed, at the
- * revision that the store assigned to them.
+ * <p>Reads are linearizable after a {@link #refresh}: a read of the log that started after a query arrived reflects all earlier
+ * commits, and one such read serves all queries waiting for it. Transactions of this process are applied as soon as they are
+ * committed, at the revision that the store assigned to them.
  */
 public final class StateReplica {
     private final ReplicaIndex index = new ReplicaIndex();
@@ -22,19 +22,19 @@
     /**
      * Creates an empty replica; nothing is read before {@link #start}.
      *
-     * @param interval how long to wait between two reads of the change log
-     * @param onChange runs after changes were applied
+     * @param interval the delay between two reads of the change log
+     * @param onChange called after changes were applied
      */
     public StateReplica(StateStoreClient stateStore, TimeSource timeSource, Duration interval, Runnable onChange) {
         this.updater = new ReplicaUpdater(stateStore, timeSource, interval, index, onChange);
     }
 
-    /** Loads everything, then follows the change log at the given interval. */
+    /** Loads a snapshot, then follows the change log at the given interval. */
     public void start() {
         updater.start();
     }
 
-    /** Whether everything has been read at least once. */
+    /** Whether a snapshot has been loaded. */
     public boolean isLoaded() {
         return updater.loaded();
     }
@@ -44,12 +44,12 @@
         return updater.appliedRevision();
     }
 
-    /** An upper bound of the replica's age: the time since the last successful read began. */
+    /** An upper bound of the replica's age: the time since the start of the last successful read. */
     public Duration staleness() {
         return updater.staleness();
     }
 
-    /** Runs {@code served} once a read that began after this call was applied, or {@code failed} if it failed. */
+    /** Runs {@code served} once a read that starts after this call has been applied, or {@code failed} if that read fails. */
     public void refresh(Runnable served, Runnable failed) {
         updater.refresh(served, failed);
     }
@@ -59,12 +59,12 @@
         updater.applyCommitted(new CommittedTransaction(transaction, revision));
     }
 
-    /** A job's record. */
+    /** A job's record; empty if the job is unknown. */
     public Optional<JobRecord> job(String id) {
         return index.jobs().job(id);
     }
 
-    /** All jobs by id, finished ones included. */
+    /** All jobs by id, including finished ones. */
     public Map<String, JobRecord> jobs() {
         return index.jobs().all();
     }
@@ -74,17 +74,17 @@
         return index.jobs().active();
     }
 
-    /** Jobs accepted or refused on behalf of other cells; ended ones stay until their origin has acknowledged that. */
+    /** Jobs accepted from or declined to other cells. Ended ones remain until their origin has acknowledged the end. */
     public Iterable<JobRecord> inboundJobs() {
         return index.jobs().inbound();
     }
 
-    /** Jobs that a replica which has only applied changes up to a revision may not show as cancelled. */
+    /** Cancelled jobs whose cancellation may be missing in a replica that has applied changes only up to a revision. */
     public List<String> cancelledSince(long revision) {
         return index.jobs().cancelledSince(revision);
     }
 
-    /** The texts that the chunks of a job's record hold, in order; none for a record that is one value. */
+    /** The texts of the chunks of a job's record, in order; empty for a record stored as one value. */
     List<String> chunksOf(String jobId) {
         return index.chunksOf(jobId);
     }
@@ -104,16 +104,15 @@
         return index.machines().all();
     }
 
-    /** Machines whose record or allocations changed since the last call. */
+    /** Returns the machines whose record or desired tasks changed since the last call. */
     public Set<String> drainChangedMachines() {
         return index.machines().drainChanged();
     }
 
     /**
-     * A transaction that changes a page of machines, and that only succeeds if nobody else changed the page since it was
-     * read here.
+     * Creates a transaction that changes machine records of a page, with the page's revision in this replica as a precondition.
      *
-     * @param changes machines' new records, empty for a machine that is gone
+     * @param changes the new record by machine id; empty removes the record
      */
     public Transaction rewriteMachinePage(String pageKey, Map<String, Optional<MachineRecord>> changes) {
         return index.machines().rewritePage(pageKey, modRevision(pageKey), changes);
@@ -134,17 +133,17 @@
         return index.value(key);
     }
 
-    /** The version of the stored forms. */
+    /** The stored format version, see {@link FormatVersion}. */
     public int formatVersion() {
         return FormatVersion.of(value(Keys.FORMAT));
     }
 
-    /** The revision of a key's last change, for use as a precondition: 0 while the key does not exist. */
+    /** The revision of a key's last change, for use as a precondition; 0 while the key does not exist. */
     public long modRevision(String key) {
         return index.modRevision(key);
     }
 
-    /** Whether a key's value could not be parsed: it must not pass for one that does not exist. */
+    /** Whether a key's value could not be parsed. Such a key must not be treated as absent. */
     public boolean isUnreadable(String key) {
         return index.isUnreadable(key);
     }
--- a/src/main/java/org/dunespindle/storage/StateStoreClient.java
+++ b/src/main/java/org/dunespindle/storage/StateStoreClient.java
@@ -23,7 +23,7 @@
 public final class StateStoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateStoreClient.class);
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1800);
-    /** Controllers' clocks differ a little, so their shares leave some of the rate unused. */
+    /** The part of the rate limit that the controllers use in total, since their clocks run at slightly different rates. */
     private static final double USABLE_RATE_FRACTION = 0.9;
 
     private static final int MIN_FAILURES_FOR_OUTAGE = 2;
@@ -33,7 +33,7 @@
     private final RateLimiter writeLimiter;
     private int consecutiveFailures;
 
-    /** Creates a client for the state store that the settings name. */
+    /** Creates a client for the state store address in the settings. */
     public StateStoreClient(HttpClient httpClient, Settings settings, TimeSource timeSource) {
         Settings.State limits = settings.state().lowest();
         int controllers = settings.seeds().size() + 1;
@@ -48,26 +48,26 @@
         this.writeLimiter = new RateLimiter(timeSource, writeShare);
     }
 
-    /** The limiter of this controller's writes; changes are charged as they are committed. */
+    /** The rate limiter of this controller's writes, which {@link #commit} charges per change. */
     public RateLimiter writeLimiter() {
         return writeLimiter;
     }
 
-    /** Whether the last requests were not served, so that users are better refused at once than after a timeout. */
+    /** Whether the latest requests were not served, in which case users' requests are rejected at once instead of timing out. */
     public boolean isFailing() {
         return consecutiveFailures >= MIN_FAILURES_FOR_OUTAGE;
     }
 
-    /** How long calls took, in microseconds. */
+    /** Latency of the calls, in microseconds. */
     public Histogram latency() {
         return httpClient.latency();
     }
 
     /**
-     * Reads a page of keys and their values; fails unless the store serves it.
+     * Reads a page of keys and their values. The future fails unless the store answers with status 200.
      *
-     * @param prefix of all keys
-     * @param after the last key of the page before, empty for the first page
+     * @param prefix the common prefix of the keys
+     * @param after the last key of the previous page, empty for the first page
      */
     public CompletableFuture<StateMessages.Entries> list(String prefix, String after, int maxKeys) {
         String since = after.isEmpty() ? "" : "&since=" + after;
@@ -75,18 +75,18 @@
         return requireOk(call(false, "GET", target, NO_BODY)).thenApply(StateMessages::page);
     }
 
-    /** Reads all changes after a revision, without waiting for any; status 410 when the revision is too old. */
+    /** Reads all changes after a revision without waiting for new ones; the status is 410 if the revision has been compacted. */
     public CompletableFuture<HttpClientResponse> changes(String prefix, long revision) {
         return call(false, "GET", "/watch?under=" + prefix + "&since=" + revision + "&holdMs=0", NO_BODY);
     }
 
-    /** Grants a new lease and returns the store's id of it. */
+    /** Requests a new lease and returns the id that the store assigned to it. */
     public CompletableFuture<OptionalLong> openLease(Duration ttl) {
         return requireOk(call(true, "POST", "/holds", MessagePackCodec.write(StateMessages.lease(ttl))))
                 .thenApply(StateMessages::leaseId);
     }
 
-    /** Renews a lease; false when it has ended. */
+    /** Renews a lease; false if it has expired. */
     public CompletableFuture<Boolean> renewLease(long lease) {
         return call(true, "POST", "/holds/" + lease + "/renew", MessagePackCodec.write(MessagePackCodec.map()))
                 .thenCompose(response -> switch (response.status()) {
@@ -96,7 +96,7 @@
                 });
     }
 
-    /** Ends a lease and removes the keys attached to it. A failure is only logged: the lease then ends by itself. */
+    /** Revokes a lease and removes the keys attached to it. A failure is only logged, since the lease then expires. */
     public void endLease(long lease) {
         call(true, "DELETE", "/holds/" + lease, NO_BODY).whenComplete((response, failure) -> {
             if (failure != null) {
@@ -105,7 +105,7 @@
         });
     }
 
-    /** Commits a transaction at once and charges its changes; callers with many pace them. The future never fails. */
+    /** Commits a transaction immediately and charges its changes; callers with many must pace them. The future never fails. */
     public CompletableFuture<TransactionResult> commit(Transaction transaction) {
         var result = new CompletableFuture<TransactionResult>();
         writeLimiter.charge(transaction.changeCount());
@@ -164,18 +164,18 @@
             try {
                 return CompletableFuture.completedFuture(MessagePackCodec.read(response.body()));
             } catch (MalformedMessageException e) {
-                return CompletableFuture.failedFuture(new HttpCallException("unreadable answer", true));
+                return CompletableFuture.failedFuture(new HttpCallException("response is not valid MessagePack", true));
             }
         });
     }
 
     private static HttpCallException unexpectedStatus(HttpClientResponse response) {
-        return new HttpCallException("status " + response.status(), true);
+        return new HttpCallException("unexpected status " + response.status(), true);
     }
 
     private CompletableFuture<HttpClientResponse> call(boolean urgent, String method, String target, byte[] body) {
         return httpClient.call(urgent, method, target, body).whenComplete((response, failure) -> {
-            // A refusal for the rate alone shows that the store is available.
+            // A response that reports an exceeded rate limit still shows that the store is available.
             boolean served = response != null && response.status() != HttpStatus.SERVICE_UNAVAILABLE;
             consecutiveFailures = served ? 0 : consecutiveFailures + 1;
         });
--- a/src/main/java/org/dunespindle/storage/TaskIndexSet.java
+++ b/src/main/java/org/dunespindle/storage/TaskIndexSet.java
@@ -3,7 +3,7 @@
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.ints.IntList;
 
-/** Sets of task indices as text ranges, {@code 0-15,17}, so that a record stays small. */
+/** Formats sets of task indices as ranges such as {@code 0-15,17}, which keeps records small. */
 final class TaskIndexSet {
     private TaskIndexSet() {}
 
--- a/src/main/java/org/dunespindle/storage/Transaction.java
+++ b/src/main/java/org/dunespindle/storage/Transaction.java
@@ -11,11 +11,11 @@
 import org.dunespindle.protocol.StateMessages;
 import org.dunespindle.protocol.StateMessages.Change;
 
-/** An atomic compare-and-swap under construction: preconditions on revisions of keys, writes and removals. */
+/** A mutable compare-and-swap transaction: preconditions on the revisions of keys, writes and removals. */
 public final class Transaction {
-    /** The state store accepts 64 KiB; the rest is left for what surrounds keys and values. */
+    /** The state store accepts 64 KiB; the difference is reserved for encoding overhead. */
     private static final int MAX_BYTES = 60 << 10;
-    /** An upper bound of what an entry takes beside its key and value. */
+    /** An upper bound of an entry's encoded size besides its key and value. */
     private static final int ENTRY_OVERHEAD_BYTES = 48;
 
     private static final int MAX_PRECONDITIONS_PER_CHANGE = 4;
@@ -24,7 +24,7 @@
     private final Map<String, Change> changes = new LinkedHashMap<>();
     private int bytes;
 
-    /** Requires that a key was last changed at a revision; 0 means that the key does not exist. */
+    /** Adds the precondition that a key was last changed at a revision; 0 requires that the key does not exist. */
     public Transaction requireRevision(String key, long revision) {
         if (preconditions.put(key, revision) == null) {
             bytes += key.length() + ENTRY_OVERHEAD_BYTES;
@@ -37,7 +37,7 @@
         return put(key, new Change(Optional.of(value), OptionalLong.empty()));
     }
 
-    /** Adds a write of a key that is removed when its lease ends. */
+    /** Adds a write of a key that is removed when a lease expires or is revoked. */
     public Transaction writeWithLease(String key, JsonNode value, long lease) {
         return put(key, new Change(Optional.of(value), OptionalLong.of(lease)));
     }
@@ -54,32 +54,32 @@
         return this;
     }
 
-    /** How many keys it writes or removes. */
+    /** The number of keys that the transaction writes or removes. */
     public int changeCount() {
         return changes.size();
     }
 
-    /** The revisions that it requires, by key. */
+    /** The required revisions by key. */
     public Map<String, Long> preconditions() {
         return preconditions;
     }
 
-    /** What it writes or removes, by key. */
+    /** The writes and removals by key. */
     public Map<String, Change> changes() {
         return changes;
     }
 
-    /** How many preconditions a transaction may have where it may have so many changes. */
+    /** The maximum number of preconditions of a transaction, given the maximum number of changes. */
     public static int maxPreconditions(int maxChanges) {
         return MAX_PRECONDITIONS_PER_CHANGE * maxChanges;
     }
 
-    /** Whether the state store accepts it; what does not fit must be split by whoever proposes it, or it would never be stored. */
+    /** Whether the transaction is within the state store's limits. Proposers must split larger ones, which are always rejected. */
     public boolean fits(int maxChanges) {
         return fits(changes.size(), preconditions.size(), bytes, maxChanges);
     }
 
-    /** Merges another transaction into this one; false, and nothing done, if the two conflict or exceed a limit together. */
+    /** Merges another transaction into this one. Returns false without changes if the two conflict or together exceed a limit. */
     public boolean tryMerge(Transaction other, int maxChanges) {
         if (conflictsWith(other)) {
             return false;
@@ -95,7 +95,7 @@
         return true;
     }
 
-    /** Whether the two require different revisions of a key, or change the same key. */
+    /** Whether the transactions require different revisions of a key or change the same key. */
     private boolean conflictsWith(Transaction other) {
         for (Map.Entry<String, Long> precondition : other.preconditions.entrySet()) {
             Long required = preconditions.get(precondition.getKey());
--- a/src/main/java/org/dunespindle/storage/TransactionResult.java
+++ b/src/main/java/org/dunespindle/storage/TransactionResult.java
@@ -5,30 +5,30 @@
 
 /** The outcome of a transaction. */
 public sealed interface TransactionResult {
-    /** The transaction was applied, at this revision. */
+    /** The transaction was committed at this revision. */
     record Applied(long revision) implements TransactionResult {}
 
-    /** Preconditions on these keys failed; nothing was changed. */
+    /** The preconditions on these keys failed; no change was applied. */
     record Conflict(Set<String> failedKeys) implements TransactionResult {}
 
     /**
-     * The transaction was certainly not applied.
+     * The transaction was rejected and is guaranteed not to have been applied.
      *
      * @param status the HTTP status, or 0 if the request was never sent
      * @param reason the store's explanation
      */
     record Refused(int status, String reason) implements TransactionResult {
-        /** Whether it was refused only for its rate: the same transaction may be sent again. */
+        /** Whether it was rejected because of the rate limit, so that the same transaction may be retried. */
         public boolean isRateLimited() {
             return status == HttpStatus.TOO_MANY_REQUESTS;
         }
 
-        /** Whether it was refused for its content: the same transaction will be refused again. */
+        /** Whether it was rejected because of its content, so that a retry would be rejected too. */
         public boolean isPermanent() {
             return status == HttpStatus.BAD_REQUEST || status == HttpStatus.CONTENT_TOO_LARGE;
         }
     }
 
-    /** The transaction may have been applied, or may yet be. */
+    /** It is unknown whether the transaction was or will be applied. */
     record Unknown() implements TransactionResult {}
 }
--- a/src/main/java/org/dunespindle/storage/UnplacedTasks.java
+++ b/src/main/java/org/dunespindle/storage/UnplacedTasks.java
@@ -3,11 +3,11 @@
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import java.util.BitSet;
 
-/** Derives from a job's record which of its tasks still need a machine. */
+/** Determines which tasks of a job's record still need a machine. */
 final class UnplacedTasks {
     private UnplacedTasks() {}
 
-    /** The first indices to start, in that order. */
+    /** The first {@code maxCount} indices to place, in start order. */
     static IntArrayList first(JobRecord job, int maxCount) {
         if (!isPlaceable(job)) {
             return new IntArrayList();
@@ -40,7 +40,7 @@
         return indices;
     }
 
-    /** How many tasks still need a machine. */
+    /** The number of tasks that still need a machine. */
     static int count(JobRecord job) {
         if (!isPlaceable(job)) {
             return 0;
--- a/src/main/java/org/dunespindle/time/Durations.java
+++ b/src/main/java/org/dunespindle/time/Durations.java
@@ -4,23 +4,23 @@
 import java.util.Optional;
 
 /**
- * Arithmetic on durations for what is computed for every machine or job in every plan. The standard library multiplies and divides
- * durations as decimals, which costs more than the rest of such a comparison.
+ * Arithmetic on durations for computations per machine or job in every plan. {@link Duration} multiplies and divides with decimal
+ * arithmetic, which costs more than the rest of such a computation.
  */
 public final class Durations {
-    /** Greater results are cut off here, which leaves a margin for sums of a few of them. */
+    /** The maximum result in milliseconds, which leaves a margin so that sums of a few results do not overflow. */
     private static final long MAX_MILLIS = Long.MAX_VALUE / 4;
 
     private Durations() {}
 
-    /** A multiple of a duration, to the millisecond; results out of range are cut off. */
+    /** A multiple of a duration in whole milliseconds; a result out of range is replaced by the maximum. */
     public static Duration multiply(Duration duration, long factor) {
         long millis = duration.toMillis();
         boolean isInRange = factor == 0 || Math.abs(millis) <= MAX_MILLIS / Math.abs(factor);
         return Duration.ofMillis(isInRange ? millis * factor : MAX_MILLIS);
     }
 
-    /** A fraction of a duration, to the millisecond. */
+    /** A fraction of a duration in whole milliseconds, rounded towards zero. */
     public static Duration fraction(Duration duration, long numerator, long denominator) {
         return Duration.ofMillis(multiply(duration, numerator).toMillis() / denominator);
     }
@@ -30,7 +30,7 @@
         return one.compareTo(other) >= 0 ? one : other;
     }
 
-    /** The later of two times, of which either may be unknown; if only one is known, that one. */
+    /** The later of two times; if only one is present, that one. */
     public static Optional<Duration> latest(Optional<Duration> first, Optional<Duration> second) {
         if (first.isEmpty()) {
             return second;
--- a/src/main/java/org/dunespindle/time/TimeSource.java
+++ b/src/main/java/org/dunespindle/time/TimeSource.java
@@ -4,14 +4,14 @@
 import java.time.Instant;
 
 /**
- * The clocks and timers of a process, passed in so that tests control the time. Safety rests on {@link #now} alone, which is
- * monotonic; {@link #wallTime} is shown and stored, but never compared where safety depends on it.
+ * The clocks and timers of a process, injected so that tests control the time. Safety depends only on {@link #now}, which is
+ * monotonic; {@link #wallTime} is displayed and stored, but never compared where safety depends on the result.
  */
 public interface TimeSource {
-    /** The monotonic time since an arbitrary origin that stays the same for this process. */
+    /** The monotonic time since an arbitrary origin that is fixed for the lifetime of the process. */
     Duration now();
 
-    /** The wall-clock time, which may be off by as much as the settings allow. */
+    /** The wall-clock time, which may deviate by up to the clock skew in the settings. */
     Instant wallTime();
 
     /** Runs a task on the process's event loop after a delay. */
--- a/src/main/java/org/dunespindle/time/package-info.java
+++ b/src/main/java/org/dunespindle/time/package-info.java
@@ -1,2 +1,2 @@
-/** Clock, timers and durations, passed in so that tests decide what time it is. */
+/** Clocks, timers and arithmetic on durations. */
 package org.dunespindle.time;
--- a/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
+++ b/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
@@ -26,7 +26,7 @@
 import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 
-/** Job records divided into chunks, and records that earlier versions stored. */
+/** The chunked form of job records, and compatibility with records stored by earlier versions. */
 class ChunkedJobRecordCodecTest {
     private static final int MAX_WHOLE_VALUE_BYTES = 8192;
     private static final int MAX_VALUE_BYTES = 2048;
@@ -48,7 +48,7 @@
                 .build();
     }
 
-    /** A record as long as an earlier version may have stored: tasks on few or many machines, ended at random. */
+    /** A record of up to the given size, the limit of earlier versions, after random placements, releases and stops on few or many machines. */
     private static JobRecord randomJob(int maxBytes, Random random) {
         JobRecord job = JobRecord.accepted(description(random), Instant.ofEpochMilli(1_700_000_000_000L));
         JobRecord longestFitting = job;
@@ -110,7 +110,7 @@
         assertTrue(1 + Math.max(before.size(), after.size()) <= MAX_CHANGES_PER_TRANSACTION);
     }
 
-    /** Chunks of different writes are rejected instead of being assembled to a wrong record. */
+    /** Chunks of different writes must be rejected, not assembled into an inconsistent record. */
     @Test
     void chunksThatDoNotBelongTogetherAreRejected() {
         JobRecord job = randomJob(MAX_WHOLE_VALUE_BYTES, new Random(3));
@@ -125,7 +125,7 @@
                 MalformedMessageException.class, () -> ChunkedJobRecordCodec.parse("wk-000001", chunked.main(), mixed));
     }
 
-    /** Values of each kind and gang phase that the previous version stored are parsed, and written again as the same bytes. */
+    /** Recorded values of each job kind and gang phase of the previous version are parsed and written back unchanged. */
     @Test
     void valuesOfThePreviousVersionAreWrittenUnchanged() throws IOException, MalformedMessageException {
         int jobs = 0;
--- a/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
+++ b/src/test/java/org/dunespindle/storage/DelegationLinkTest.java
@@ -19,7 +19,7 @@
 import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 
-/** Links of jobs to other cells: their stored form, and which jobs they keep from being placed. */
+/** The stored form of delegation links, and their effect on placement. */
 class DelegationLinkTest {
     private static final Instant NOW = Instant.ofEpochMilli(1_700_000_000_123L);
 
@@ -57,7 +57,7 @@
         JsonNode stored = job(3).toNode();
         assertFalse(stored.has("away") || stored.has("visit"));
         JsonNode before = new ObjectMapper()
-                .readTree("{\"at\":1700000000123,\"end\":\"DONE\",\"next\":3}"); // as the version before stored it
+                .readTree("{\"at\":1700000000123,\"end\":\"DONE\",\"next\":3}"); // as stored by the previous version
         assertEquals(Optional.empty(), JobRecord.parse("wk-000001", before).delegationLink());
         assertEquals(
                 before.toString(), JobRecord.parse("wk-000001", before).toNode().toString());
--- a/src/test/java/org/dunespindle/storage/JobRecordTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordTest.java
@@ -81,7 +81,7 @@
         }
         assertEquals(JobRecord.Outcome.DONE, job.outcome());
         assertEquals(tasks, done.size());
-        assertTrue(job.spec().isEmpty(), "a finished job keeps only its end");
+        assertTrue(job.spec().isEmpty(), "a finished job keeps only its outcome");
     }
 
     @Test
@@ -111,7 +111,7 @@
                         .map(running::expectedAttempt)
                         .distinct()
                         .count());
-        assertTrue(running.gangAttempt() > after, "the common attempt is new");
+        assertTrue(running.gangAttempt() > after, "the common attempt must be new");
     }
 
     @Test
@@ -145,7 +145,7 @@
         assertTrue(MessagePackCodec.countedSize(job.withPlaced(places).toNode()) < 8 << 10);
     }
 
-    /** A gang as large as a team's quota: 800 accelerators on 400 machines, placed as capacity appeared and partly being stopped. */
+    /** A gang as large as a team's quota: 800 accelerators on 400 machines, placed in several steps and partly stopping. */
     @Property(seed = "13", tries = 30)
     void recordsOfTheLargestGangsFitOneValue(@ForAll long seed) throws MalformedMessageException {
         var random = new Random(seed);
@@ -171,7 +171,7 @@
                         .allocations()));
     }
 
-    /** However a huge array's allocations come about, within the number that a plan allows at once, the record can be written. */
+    /** A huge array's record fits one value after any sequence of transitions within the allocations that one plan allows. */
     @Property(seed = "14", tries = 12)
     void recordsStayWritableInAnyOrderOfEvents(@ForAll long seed) {
         var random = new Random(seed);
@@ -186,7 +186,7 @@
                 }
                 after = job.withPlaced(places);
                 if (MessagePackCodec.countedSize(after.toNode()) > (8 << 10) * 0.7) {
-                    after = job; // as placing does
+                    after = job; // placement skips records above this part of the limit too
                 } else {
                     written++;
                 }
--- a/src/test/java/org/dunespindle/storage/MachinePageTest.java
+++ b/src/test/java/org/dunespindle/storage/MachinePageTest.java
@@ -10,10 +10,10 @@
 import net.jqwik.api.Property;
 import org.dunespindle.protocol.MessagePackCodec;
 
-/** The size of a page of machines. */
+/** The maximum size of a page of machine records. */
 class MachinePageTest {
     private static final int LOWERED_MAX_VALUE_BYTES = 2048;
-    /** Machine ids are numbered, and those that differ in the last digit share a page. */
+    /** Machine ids end with a number, and ids that differ only in the last digit share a page. */
     private static final int MACHINES_PER_PAGE = 10;
 
     private static final int MAX_NAME_LENGTH = 20;
@@ -24,7 +24,7 @@
         return "n".repeat(MAX_NAME_LENGTH - random.nextInt(3));
     }
 
-    /** With the longest address, names of twenty characters and any stored reason a full page fits the lowered limit. */
+    /** With the longest address, names of 20 characters and any stored drain reason, a full page fits the lowered limit. */
     @Property(seed = "93", tries = 200)
     void aFullPageFitsALoweredValue(@ForAll long seed) {
         var random = new Random(seed);
--- a/src/test/java/org/dunespindle/storage/StateReplicaTest.java
+++ b/src/test/java/org/dunespindle/storage/StateReplicaTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A replica that cannot apply the change log recovers by loading pages, and does not request the same log for ever. */
+/** A replica that cannot apply the change log must load a snapshot, instead of requesting the same log indefinitely. */
 class StateReplicaTest {
     private static final int ROWS = 40;
     private static final int ROWS_PER_PAGE = 10;
@@ -37,7 +37,7 @@
     private final VirtualTime time = new VirtualTime(1);
     private final List<String> requests = new ArrayList<>();
     private long revision = 100;
-    /** The log is available from this revision on only. */
+    /** The log is available only from this revision on. */
     private long firstLogRevision;
 
     private LogFailure logFailure = LogFailure.COMPACTED;
@@ -95,7 +95,7 @@
                         .put("stamp", revision)
                         .set("v", MessagePackCodec.map().put("at", revision));
             }
-            revision++; // others go on writing while pages are read
+            revision++; // other clients write while pages are read
             result.complete(
                     new HttpClientResponse(200, MessagePackCodec.write(n.put("more", from + ROWS_PER_PAGE < ROWS))));
         }
@@ -149,6 +149,6 @@
         assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0);
         assertTrue(
                 requests.stream().noneMatch(t -> t.startsWith("/keys")),
-                "everything was read again after a mere outage");
+                "a snapshot was loaded although the log was available after the outage");
     }
 }
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pins the stored forms: every record here is written as the text beside it, and that text is parsed as the record. The names
- * of fields and constants in the sources may change; the text may not, since running cells have stored it.
+ * Pins the stored forms: every record is written as the text beside it, and that text is parsed as the record. Identifiers in the
+ * sources may change, but the text must not, since running cells have stored it.
  */
 class StoredFormsCompatibilityTest {
     private static final String ID = "wk-000412";
@@ -106,7 +106,7 @@
         assertEquals(job, JobRecord.parse(ID, json(text)));
     }
 
-    /** A replica of some keys, as another controller wrote them. */
+    /** A replica that contains the given values by key. */
     private static StateReplica replicaOf(Map<String, String> stored) {
         var replica =
                 new StateReplica(null, new VirtualTime(1).new SimulatedProcess(), Duration.ofSeconds(1), () -> {});
@@ -236,7 +236,7 @@
                 JobRecord.tombstone(ID, ARRIVED, InboundDelegation.of("a", 12), false));
     }
 
-    /** Stored values are MessagePack; one example pins the encoding. */
+    /** Pins the MessagePack encoding of stored values by one example. */
     @Test
     void bytesOfAValue() {
         assertEquals(
@@ -246,7 +246,7 @@
                                 .toNode())));
     }
 
-    /** A chunked record, and the one that a replica assembles from the values stored under its keys. */
+    /** Asserts the chunked form of a record, and that a replica assembles the record from these values. */
     private static void assertChunked(JobRecord record, String main, String... chunks) {
         ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(record, 300);
         var stored = new HashMap<String, String>(Map.of("ds/job/wk-000412", main));
