--- a/src/main/java/org/dunespindle/machine/BootDeadlines.java
+++ b/src/main/java/org/dunespindle/machine/BootDeadlines.java
@@ -10,7 +10,7 @@
 final class BootDeadlines {
     private static final Duration DEFAULT_BOOT_TIME = Duration.ofSeconds(60);
     /** In tenths of the boot time. Most machines are up by then; no work is planned on those that are not. */
-    private static final int LATE_BOOT_TENTHS = 16;
+    private static final int BOOT_TIME_LIMIT_TENTHS = 16;
 
     private final ControllerContext context;
     private final MachineCatalog catalog;
@@ -20,14 +20,14 @@
         this.catalog = catalog;
     }
 
-    /** Whether a machine is still within its expected boot time, so that work may be planned on it. */
+    /** Whether a machine is still within its boot time limit, so that work may be planned on it. */
     boolean isWithinBootTime(MachineRecord machine) {
-        return age(machine).compareTo(lateBootAge(machine)) < 0;
+        return age(machine).compareTo(bootTimeLimit(machine)) < 0;
     }
 
-    /** Whether a machine has exceeded its expected boot time. */
+    /** Whether a machine has exceeded its boot time limit. */
     boolean isPastBootTime(MachineRecord machine) {
-        return age(machine).compareTo(lateBootAge(machine)) > 0;
+        return age(machine).compareTo(bootTimeLimit(machine)) > 0;
     }
 
     /** Whether the time since a machine was rented exceeds a multiple of its boot time. */
@@ -39,8 +39,8 @@
         return Duration.between(machine.rentedAt(), context.timeSource().wallTime());
     }
 
-    private Duration lateBootAge(MachineRecord machine) {
-        return Durations.fraction(bootTime(machine), LATE_BOOT_TENTHS, 10);
+    private Duration bootTimeLimit(MachineRecord machine) {
+        return Durations.fraction(bootTime(machine), BOOT_TIME_LIMIT_TENTHS, 10);
     }
 
     private Duration bootTime(MachineRecord machine) {
--- a/src/main/java/org/dunespindle/machine/CloudCallException.java
+++ b/src/main/java/org/dunespindle/machine/CloudCallException.java
@@ -14,7 +14,7 @@
     }
 
     /** The response body could not be decoded. */
-    static CloudCallException malformedResponse(String what) {
-        return new CloudCallException("malformed " + what);
+    static CloudCallException malformedResponse(String responseName) {
+        return new CloudCallException("malformed " + responseName);
     }
 }
--- a/src/main/java/org/dunespindle/machine/CloudClient.java
+++ b/src/main/java/org/dunespindle/machine/CloudClient.java
@@ -126,14 +126,15 @@
                         : CompletableFuture.failedFuture(CloudCallException.unexpectedStatus(response.status())));
     }
 
-    private static <T> CompletableFuture<T> parseOk(HttpClientResponse response, String what, Parser<T> parser) {
+    private static <T> CompletableFuture<T> parseOk(
+            HttpClientResponse response, String responseName, Parser<T> parser) {
         if (response.status() != OK) {
             return CompletableFuture.failedFuture(CloudCallException.unexpectedStatus(response.status()));
         }
         try {
             return CompletableFuture.completedFuture(parser.parse(MessagePackCodec.read(response.body())));
         } catch (MalformedMessageException e) {
-            return CompletableFuture.failedFuture(CloudCallException.malformedResponse(what));
+            return CompletableFuture.failedFuture(CloudCallException.malformedResponse(responseName));
         }
     }
 
--- a/src/main/java/org/dunespindle/machine/CloudInventory.java
+++ b/src/main/java/org/dunespindle/machine/CloudInventory.java
@@ -58,7 +58,7 @@
     }
 
     /** Called when this controller becomes the leader. */
-    void beginToLead() {
+    void onLeadershipAcquired() {
         leadingSince = Optional.of(context.timeSource().now());
         nextListAt = context.timeSource().now();
         // Without any machine record this is the cell's first leader, so no earlier leader can have terminated a listed
@@ -67,7 +67,7 @@
     }
 
     /** Called when this controller is no longer the leader. A list requested before is not used to adopt machines in a later term. */
-    void standDown() {
+    void onLeadershipLost() {
         leadingSince = Optional.empty();
         isFirstLeaderEver = false;
     }
--- a/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
+++ b/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
@@ -17,7 +17,7 @@
  */
 public final class CrashLoopDetector {
     /** A job that failed on at least this many machines without any success is crash-looping. */
-    private static final int MIN_MACHINES_OF_CRASH_LOOP = 2;
+    private static final int MIN_CRASH_LOOP_MACHINES = 2;
     /** A job without a completed task that failed at least this often elsewhere does not count against the machine here. */
     private static final int MIN_FAILURES_ELSEWHERE = 2;
 
@@ -51,7 +51,7 @@
 
     /** Whether a job fails on every machine that this controller has observed it on. */
     public boolean isCrashLooping(String jobId) {
-        return !succeededJobs.contains(jobId) && machinesWithFailuresOf(jobId).size() >= MIN_MACHINES_OF_CRASH_LOOP;
+        return !succeededJobs.contains(jobId) && machinesWithFailuresOf(jobId).size() >= MIN_CRASH_LOOP_MACHINES;
     }
 
     /** The number of jobs that failed on a machine and are not themselves known to be faulty. */
--- a/src/main/java/org/dunespindle/machine/DrainReason.java
+++ b/src/main/java/org/dunespindle/machine/DrainReason.java
@@ -14,9 +14,10 @@
             new DrainReason(Procedure.DRAIN_UNLESS_COMMITS_QUEUE, MachineRecord.DRAIN_REASON_IDLE);
     static final DrainReason FAILS_TASKS = new DrainReason(Procedure.DRAIN, "it fails its tasks");
     static final DrainReason FAILED = new DrainReason(Procedure.TERMINATE, "it failed");
-    static final DrainReason RUNS_UNHEARD = new DrainReason(Procedure.TERMINATE, "it runs but no controller hears it");
+    static final DrainReason RUNNING_WITHOUT_HEARTBEAT =
+            new DrainReason(Procedure.TERMINATE, "it runs but no controller hears it");
     static final DrainReason BOOT_TIMED_OUT = new DrainReason(Procedure.TERMINATE, "it did not come up in time");
-    static final DrainReason TAKES_NO_COMMANDS =
+    static final DrainReason UNREACHABLE_FOR_COMMANDS =
             new DrainReason(Procedure.TERMINATE, "it reports but takes no commands");
 
     /** How a machine is taken out of service. */
@@ -30,7 +31,7 @@
     }
 
     /** The reason for a machine from which no controller has received a heartbeat for the given time. */
-    static DrainReason silentFor(Duration silence) {
-        return new DrainReason(Procedure.TERMINATE, "it has been silent for " + silence.toSeconds() + " s");
+    static DrainReason noHeartbeatFor(Duration heartbeatAge) {
+        return new DrainReason(Procedure.TERMINATE, "it has been silent for " + heartbeatAge.toSeconds() + " s");
     }
 }
--- a/src/main/java/org/dunespindle/machine/FleetManager.java
+++ b/src/main/java/org/dunespindle/machine/FleetManager.java
@@ -81,14 +81,14 @@
         }
         if (leadingSince.isEmpty()) {
             leadingSince = Optional.of(now);
-            inventory.beginToLead();
+            inventory.onLeadershipAcquired();
         }
         terminator.prune();
         inventory.tick();
         if (now.compareTo(nextEvaluationAt) >= 0) {
             nextEvaluationAt = now.plus(EVALUATION_INTERVAL);
             sizeReporter.tick(now);
-            removeTerminated();
+            removeTerminatedMachines();
             evaluateAll(now, leadingSince.get(), plan);
             terminator.terminateDue();
         }
@@ -99,17 +99,17 @@
     public void standDown() {
         if (leadingSince.isPresent()) {
             leadingSince = Optional.empty();
-            provisioner.standDown();
-            inventory.standDown();
+            provisioner.onLeadershipLost();
+            inventory.onLeadershipLost();
             evaluator.clear();
             quarantine.clear();
             failureDetector.reset();
-            terminator.standDown();
+            terminator.onLeadershipLost();
         }
     }
 
     /** Removes the records of terminated machines that have no allocations left. */
-    private void removeTerminated() {
+    private void removeTerminatedMachines() {
         for (MachineRecord machine : List.copyOf(context.replica().machines().values())) {
             if (terminator.isTerminated(machine.id())
                     && context.replica().allocationsOn(machine.id()).isEmpty()
--- a/src/main/java/org/dunespindle/machine/GangMachineAcquirer.java
+++ b/src/main/java/org/dunespindle/machine/GangMachineAcquirer.java
@@ -47,7 +47,7 @@
                 continue;
             }
             // Counted lazily, since it iterates over all machines.
-            long acquiredBefore = acquired.orElseGet(this::countOwnedAwayFromHome);
+            long acquiredBefore = acquired.orElseGet(this::countAcquiredMachines);
             if (acquiredBefore >= options.get().maxBorrowedMachines()) {
                 return;
             }
@@ -77,7 +77,7 @@
                 && machine.keepUntil().isBefore(context.timeSource().wallTime());
     }
 
-    private long countOwnedAwayFromHome() {
+    private long countAcquiredMachines() {
         Membership membership = context.membership();
         String nodeName = context.settings().nodeName();
         return context.replica().machines().values().stream()
--- a/src/main/java/org/dunespindle/machine/IdleTracker.java
+++ b/src/main/java/org/dunespindle/machine/IdleTracker.java
@@ -14,7 +14,7 @@
     /** Up to this fleet size the configured idle timeout applies unchanged. */
     private static final int SMALL_FLEET_MACHINES = 30;
 
-    private static final Duration MIN_IDLE_LIMIT = Duration.ofSeconds(8);
+    private static final Duration MIN_IDLE_TIMEOUT = Duration.ofSeconds(8);
 
     private final StateReplica replica;
     private final Supplier<Options> options;
@@ -39,22 +39,22 @@
     /** Whether a machine has been idle for longer than its idle timeout. */
     boolean isIdleTooLong(MachineRecord machine, Duration now) {
         Duration idle = now.minus(idleSince.getOrDefault(machine.id(), now));
-        return idle.compareTo(idleLimit(machine.spot())) > 0;
+        return idle.compareTo(idleTimeout(machine.spot())) > 0;
     }
 
     /**
      * The idle timeout, which is inversely proportional to the square root of the fleet's size: in a larger fleet another machine
      * becomes free sooner for the next job, so idle machines need not be kept as long.
      */
-    private Duration idleLimit(boolean spot) {
+    private Duration idleTimeout(boolean spot) {
         Duration configured = options.get().idleTimeout(spot);
         int fleetSize = Math.max(SMALL_FLEET_MACHINES, replica.machines().size());
-        double part = Math.sqrt((double) SMALL_FLEET_MACHINES / fleetSize);
-        Duration limit = Duration.ofMillis((long) (configured.toMillis() * part));
-        if (limit.compareTo(MIN_IDLE_LIMIT) > 0) {
-            return limit;
+        double factor = Math.sqrt((double) SMALL_FLEET_MACHINES / fleetSize);
+        Duration timeout = Duration.ofMillis((long) (configured.toMillis() * factor));
+        if (timeout.compareTo(MIN_IDLE_TIMEOUT) > 0) {
+            return timeout;
         }
-        return configured.compareTo(MIN_IDLE_LIMIT) > 0 ? MIN_IDLE_LIMIT : configured;
+        return configured.compareTo(MIN_IDLE_TIMEOUT) > 0 ? MIN_IDLE_TIMEOUT : configured;
     }
 
     /** Drops the state of a machine whose record was removed. */
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -19,11 +19,11 @@
     /** Added to the heartbeat timeout: how long a new leader waits before it evaluates machines without any heartbeat. */
     private static final Duration LEADER_WARM_UP = Duration.ofSeconds(15);
     /** Added to the heartbeat timeout: how long a machine that the cloud lists as running may send no heartbeat. */
-    private static final Duration MAX_UNHEARD_WHILE_RUNNING = Duration.ofSeconds(20);
+    private static final Duration EXTRA_TIMEOUT_WHILE_RUNNING = Duration.ofSeconds(20);
     /** Tenths of the heartbeat timeout that apply to machines that hold service replicas. */
-    private static final int REPLICA_SILENCE_TENTHS = 6;
+    private static final int REPLICA_TIMEOUT_TENTHS = 6;
     /** This many consecutive heartbeats may be missed by chance. */
-    private static final int TOLERATED_LATE_REPORTS = 3;
+    private static final int MAX_MISSED_HEARTBEATS = 3;
 
     private final ControllerContext context;
     private final WorkerClient workerClient;
@@ -34,7 +34,7 @@
     private final IdleTracker idleTracker;
     private final Supplier<Options> options;
     /** By machine that has sent no heartbeat yet, when this leader first evaluated it. */
-    private final Map<String, Duration> unheardSince = new HashMap<>();
+    private final Map<String, Duration> withoutHeartbeatSince = new HashMap<>();
 
     MachineEvaluator(
             ControllerContext context,
@@ -66,53 +66,54 @@
         if (listed.filter(ListedMachine::failed).isPresent()) {
             return Optional.of(DrainReason.FAILED);
         }
-        if (quarantine.isExpired(machine)) {
+        if (quarantine.isTerminationDue(machine)) {
             return Optional.of(DrainReason.FAILS_TASKS);
         }
         if (failureDetector.lastSeen(machine).isEmpty()) {
-            return evaluateUnheard(machine, listed, now, leadingSince);
+            return evaluateWithoutHeartbeat(machine, listed, now, leadingSince);
         }
-        Duration silence = failureDetector.silenceOf(machine, leadingSince);
-        if (failureDetector.hasFailed(machine, silence, silenceLimit(machine))) {
-            return Optional.of(DrainReason.silentFor(silence));
+        Duration heartbeatAge = failureDetector.silenceOf(machine, leadingSince);
+        if (failureDetector.hasFailed(machine, heartbeatAge, heartbeatTimeout(machine))) {
+            return Optional.of(DrainReason.noHeartbeatFor(heartbeatAge));
         }
-        if (takesNoCommands(machine, silence, leadingSince)) {
-            return Optional.of(DrainReason.TAKES_NO_COMMANDS);
+        if (isUnreachableForCommands(machine, heartbeatAge, leadingSince)) {
+            return Optional.of(DrainReason.UNREACHABLE_FOR_COMMANDS);
         }
         return idleTracker.isIdleTooLong(machine, now) ? Optional.of(DrainReason.IDLE) : Optional.empty();
     }
 
     /** Evaluates a machine from which no controller has received a heartbeat since it was rented. */
-    private Optional<DrainReason> evaluateUnheard(
+    private Optional<DrainReason> evaluateWithoutHeartbeat(
             MachineRecord machine, Optional<ListedMachine> listed, Duration now, Duration leadingSince) {
-        Duration silentLimit = options.get().silenceTimeout();
-        Duration leading = context.pauseDetector().observedSilence(leadingSince);
-        Duration unheard = now.minus(unheardSince.computeIfAbsent(machine.id(), id -> now));
-        if (leading.compareTo(silentLimit.plus(LEADER_WARM_UP)) <= 0
-                || failureDetector.isLikelyPartitioned(machine, leading)) {
+        Duration heartbeatTimeout = options.get().silenceTimeout();
+        Duration leadingFor = context.pauseDetector().observedSilence(leadingSince);
+        Duration withoutHeartbeatFor = now.minus(withoutHeartbeatSince.computeIfAbsent(machine.id(), id -> now));
+        if (leadingFor.compareTo(heartbeatTimeout.plus(LEADER_WARM_UP)) <= 0
+                || failureDetector.isLikelyPartitioned(machine, leadingFor)) {
             return Optional.empty();
         }
-        boolean runsUnheard =
+        boolean runningWithoutHeartbeat =
                 listed.filter(row -> row.phase().equals("running")).isPresent()
-                        && unheard.compareTo(silentLimit.plus(MAX_UNHEARD_WHILE_RUNNING)) > 0;
+                        && withoutHeartbeatFor.compareTo(heartbeatTimeout.plus(EXTRA_TIMEOUT_WHILE_RUNNING)) > 0;
         boolean bootTimedOut = bootDeadlines.exceeds(machine, options.get().bootTimeoutMultiple());
-        if ((!runsUnheard && !bootTimedOut) || failureDetector.mayBeAlive(machine)) {
+        if ((!runningWithoutHeartbeat && !bootTimedOut) || failureDetector.mayBeAlive(machine)) {
             return Optional.empty();
         }
-        return Optional.of(runsUnheard ? DrainReason.RUNS_UNHEARD : DrainReason.BOOT_TIMED_OUT);
+        return Optional.of(
+                runningWithoutHeartbeat ? DrainReason.RUNNING_WITHOUT_HEARTBEAT : DrainReason.BOOT_TIMED_OUT);
     }
 
-    private boolean takesNoCommands(MachineRecord machine, Duration silence, Duration leadingSince) {
-        Duration silentLimit = options.get().silenceTimeout();
-        boolean reports = silence.compareTo(
+    private boolean isUnreachableForCommands(MachineRecord machine, Duration heartbeatAge, Duration leadingSince) {
+        Duration heartbeatTimeout = options.get().silenceTimeout();
+        boolean sendsHeartbeats = heartbeatAge.compareTo(
                         Durations.multiply(context.settings().workers().report(), 2))
                 < 0;
         return context.membership().owns(machine)
-                && reports
-                && context.pauseDetector().observedSilence(leadingSince).compareTo(silentLimit) > 0
+                && sendsHeartbeats
+                && context.pauseDetector().observedSilence(leadingSince).compareTo(heartbeatTimeout) > 0
                 && workerClient
                         .commandsBlockedFor(machine.id())
-                        .filter(duration -> duration.compareTo(silentLimit) > 0)
+                        .filter(duration -> duration.compareTo(heartbeatTimeout) > 0)
                         .isPresent();
     }
 
@@ -120,16 +121,16 @@
      * The time without a heartbeat after which a machine may be declared failed. Users notice the loss of service replicas at once, so
      * machines that hold some are probed and terminated sooner, but not because of a few late heartbeats.
      */
-    private Duration silenceLimit(MachineRecord machine) {
+    private Duration heartbeatTimeout(MachineRecord machine) {
         Duration limit = options.get().silenceTimeout();
         if (!holdsReplicas(machine)) {
             return limit;
         }
-        Duration shorter = Durations.fraction(limit, REPLICA_SILENCE_TENTHS, 10);
-        Duration min = Durations.multiply(context.settings().workers().report(), TOLERATED_LATE_REPORTS)
+        Duration shorter = Durations.fraction(limit, REPLICA_TIMEOUT_TENTHS, 10);
+        Duration min = Durations.multiply(context.settings().workers().report(), MAX_MISSED_HEARTBEATS)
                 .plusSeconds(1);
-        Duration chosen = shorter.compareTo(min) > 0 ? shorter : min;
-        return chosen.compareTo(limit) < 0 ? chosen : limit;
+        Duration bounded = shorter.compareTo(min) > 0 ? shorter : min;
+        return bounded.compareTo(limit) < 0 ? bounded : limit;
     }
 
     private boolean holdsReplicas(MachineRecord machine) {
@@ -140,13 +141,13 @@
 
     /** Drops the state of a machine whose record was removed. */
     void forget(String machineId) {
-        unheardSince.remove(machineId);
+        withoutHeartbeatSince.remove(machineId);
         idleTracker.forget(machineId);
     }
 
     /** Discards all observations, since those of an earlier term as leader are no longer valid. */
     void clear() {
-        unheardSince.clear();
+        withoutHeartbeatSince.clear();
         idleTracker.clear();
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineProvisioner.java
+++ b/src/main/java/org/dunespindle/machine/MachineProvisioner.java
@@ -72,11 +72,11 @@
 
     /** Pools in back-off because they recently had no capacity. */
     public Set<MachinePool> poolsWithoutCapacity() {
-        return capacityBackoff.pools();
+        return capacityBackoff.poolsInBackoff();
     }
 
     /** Discards machines that are not recorded yet; the next leader finds them in the cloud's list. */
-    void standDown() {
+    void onLeadershipLost() {
         unrecorded.clear();
     }
 
@@ -148,7 +148,7 @@
     }
 
     private void backOff(MachinePool pool) {
-        Duration pause = capacityBackoff.backOff(pool);
+        Duration duration = capacityBackoff.backOff(pool);
         context.eventRecorder()
                 .record(
                         LOG,
@@ -156,7 +156,7 @@
                         pool.type(),
                         pool.zone(),
                         market(pool),
-                        pause.toSeconds());
+                        duration.toSeconds());
     }
 
     private void recordRented() {
--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -14,14 +14,14 @@
 /** The status of the machines that this controller owns, for its own planning and for its heartbeats to the leader. */
 public final class MachineStatusReporter {
     /** The published time without a heartbeat is rounded down to this step, to limit the number of status changes. */
-    private static final int SILENCE_STEP_SECONDS = 3;
+    private static final int HEARTBEAT_AGE_STEP_SECONDS = 3;
 
     private final ControllerContext context;
     private final WorkerClient workerClient;
     private final Quarantine quarantine;
     private final MachineTerminator terminator;
     /** Tasks are placed only on machines that were last known to be alive within this time. */
-    private final Duration maxSilenceForPlacement;
+    private final Duration placementTimeout;
 
     private long lastSequence;
 
@@ -32,7 +32,7 @@
         this.workerClient = workerClient;
         this.quarantine = quarantine;
         this.terminator = terminator;
-        this.maxSilenceForPlacement =
+        this.placementTimeout =
                 context.settings().workers().report().multipliedBy(3).plusSeconds(1);
     }
 
@@ -54,8 +54,8 @@
     private MachineStatus status(MachineRecord machine, WorkerState worker) {
         boolean up = isSchedulable(machine);
         boolean quarantined = quarantine.isQuarantined(machine.id());
-        Duration silence = up ? Duration.ZERO : silence(worker);
-        String state = up ? "u" : "d" + silence.toSeconds() / SILENCE_STEP_SECONDS;
+        Duration heartbeatAge = up ? Duration.ZERO : heartbeatAge(worker);
+        String state = up ? "u" : "d" + heartbeatAge.toSeconds() / HEARTBEAT_AGE_STEP_SECONDS;
         String fingerprint =
                 machine.token() + state + quarantined + worker.images().hashCode();
         if (!fingerprint.equals(worker.lastPublished())) {
@@ -69,12 +69,12 @@
                 machine.token(),
                 up,
                 quarantined,
-                silence,
+                heartbeatAge,
                 address,
                 worker.images());
     }
 
-    private Duration silence(WorkerState worker) {
+    private Duration heartbeatAge(WorkerState worker) {
         Duration lastHeartbeatAt = worker.lastHeartbeatAt().orElseThrow();
         Optional<Duration> unconfirmedBefore =
                 worker.commandsUnconfirmedSince().filter(since -> since.compareTo(lastHeartbeatAt) < 0);
@@ -89,24 +89,24 @@
             return false;
         }
         WorkerState worker = context.workers().getOrCreate(machine.id());
-        boolean noticed =
+        boolean hasInterruptionNotice =
                 worker.lastHeartbeat().flatMap(heartbeat -> heartbeat.notice()).isPresent();
-        return !noticed && !workerClient.areHeartbeatsOverdue(worker) && isSeenAlive(worker);
+        return !hasInterruptionNotice && !workerClient.areHeartbeatsOverdue(worker) && isSeenAlive(worker);
     }
 
     /** Whether an owned machine is about to be terminated, while tasks may still run on it. */
     public boolean isDeparting(MachineRecord machine) {
-        boolean noticed = context.workers()
+        boolean hasInterruptionNotice = context.workers()
                 .find(machine.id())
                 .flatMap(worker -> worker.lastHeartbeat())
                 .flatMap(heartbeat -> heartbeat.notice())
                 .isPresent();
-        return noticed || machine.draining() || quarantine.isQuarantined(machine.id());
+        return hasInterruptionNotice || machine.draining() || quarantine.isQuarantined(machine.id());
     }
 
     private boolean isSeenAlive(WorkerState worker) {
         Optional<Duration> lastSeen = worker.lastSeenAlive();
         return lastSeen.isPresent()
-                && context.timeSource().now().minus(lastSeen.get()).compareTo(maxSilenceForPlacement) < 0;
+                && context.timeSource().now().minus(lastSeen.get()).compareTo(placementTimeout) < 0;
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineTerminator.java
+++ b/src/main/java/org/dunespindle/machine/MachineTerminator.java
@@ -84,7 +84,7 @@
     }
 
     /** Drops pending terminations, since decisions of an earlier term as leader are no longer valid. */
-    void standDown() {
+    void onLeadershipLost() {
         terminatingWithoutDrain.clear();
     }
 
@@ -136,7 +136,7 @@
     }
 
     private boolean isDrained(MachineRecord machine) {
-        return machine.draining() && isDrainRevisionApplied(machine) && mayEndAllocations(machine);
+        return machine.draining() && isDrainRevisionApplied(machine) && isClearForTermination(machine);
     }
 
     /**
@@ -147,7 +147,7 @@
         return replica.appliedRevision() >= replica.modRevision(Keys.machinePage(machine.id()));
     }
 
-    private boolean mayEndAllocations(MachineRecord machine) {
+    private boolean isClearForTermination(MachineRecord machine) {
         return !machine.drainsGracefully()
                 || replica.allocationsOn(machine.id()).isEmpty();
     }
--- a/src/main/java/org/dunespindle/machine/Quarantine.java
+++ b/src/main/java/org/dunespindle/machine/Quarantine.java
@@ -16,7 +16,7 @@
  */
 public final class Quarantine {
     /** A delay before termination, since the jobs that failed on a machine may turn out to fail on other machines too. */
-    private static final Duration DURATION_BEFORE_TERMINATION = Duration.ofSeconds(15);
+    private static final Duration TERMINATION_DELAY = Duration.ofSeconds(15);
 
     private final CrashLoopDetector crashLoopDetector;
     private final PeerHeartbeats peerHeartbeats;
@@ -43,14 +43,14 @@
     }
 
     /** Whether a machine, quarantined by this controller or by its owner's report, has been so long enough to be terminated. */
-    boolean isExpired(MachineRecord machine) {
+    boolean isTerminationDue(MachineRecord machine) {
         if (!isReportedQuarantined(machine) && !isQuarantined(machine.id())) {
             quarantinedSince.remove(machine.id());
             return false;
         }
         Duration now = timeSource.now();
         Duration since = quarantinedSince.computeIfAbsent(machine.id(), id -> now);
-        return now.minus(since).compareTo(DURATION_BEFORE_TERMINATION) > 0;
+        return now.minus(since).compareTo(TERMINATION_DELAY) > 0;
     }
 
     private boolean isReportedQuarantined(MachineRecord machine) {
--- a/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
+++ b/src/main/java/org/dunespindle/machine/ScaleOutPlanner.java
@@ -22,11 +22,11 @@
 final class ScaleOutPlanner {
     private static final Duration IMAGE_FETCH_ALLOWANCE = Duration.ofSeconds(12);
     /** Pools with a price of up to this multiple of the lowest price also count as cheapest. */
-    private static final double MAX_PRICE_RATIO_OF_CHEAPEST = 1.2;
+    private static final double MAX_CHEAPEST_PRICE_RATIO = 1.2;
     /** Allows for tasks that run a third longer than estimated. */
     private static final Fraction ESTIMATE_MARGIN = new Fraction(4, 3);
     /** A job is considered in time if it is expected to end within this part of its service-level objective. */
-    private static final Fraction SAFE_PART_OF_OBJECTIVE = new Fraction(4, 5);
+    private static final Fraction SAFE_OBJECTIVE_FRACTION = new Fraction(4, 5);
 
     private final ControllerContext context;
     private final ServiceLevelObjectives objectives;
@@ -124,8 +124,8 @@
         Duration expectedEnd = waited.plus(Durations.fraction(queuedWork, 1, slotCount))
                 .plus(ESTIMATE_MARGIN.of(submission.estimate()))
                 .plus(IMAGE_FETCH_ALLOWANCE);
-        if (expectedEnd.compareTo(SAFE_PART_OF_OBJECTIVE.of(objective.get())) < 0) {
-            double maxPrice = markets.lowestPrice(submission) * MAX_PRICE_RATIO_OF_CHEAPEST;
+        if (expectedEnd.compareTo(SAFE_OBJECTIVE_FRACTION.of(objective.get())) < 0) {
+            double maxPrice = markets.lowestPrice(submission) * MAX_CHEAPEST_PRICE_RATIO;
             pools.removeIf(pool -> markets.price(pool) > maxPrice);
         }
     }
--- a/src/main/java/org/dunespindle/machine/ShardFailover.java
+++ b/src/main/java/org/dunespindle/machine/ShardFailover.java
@@ -22,9 +22,9 @@
  * if a gang is on one of them, because concurrent writes of one page by two controllers conflict.
  */
 final class ShardFailover {
-    private static final Duration MAX_DEFERRAL_TO_RESTARTED_PEERS = Duration.ofSeconds(4);
+    private static final Duration MAX_DEFERRAL_TO_PEERS = Duration.ofSeconds(4);
     /** The deferral is at most this part of a lease, since workers need a new controller before their leases expire. */
-    private static final int LEASE_PARTS_PER_DEFERRAL = 4;
+    private static final int DEFERRAL_LEASE_DIVISOR = 4;
 
     private final ControllerContext context;
     private final String nodeName;
@@ -52,10 +52,9 @@
         this.gangPresence = gangPresence;
         configuredControllers.add(nodeName);
         context.settings().seeds().forEach(seed -> configuredControllers.add(seed.name()));
-        Duration partOfLease = context.settings().workers().lease().dividedBy(LEASE_PARTS_PER_DEFERRAL);
-        this.deferralToPeers = partOfLease.compareTo(MAX_DEFERRAL_TO_RESTARTED_PEERS) < 0
-                ? partOfLease
-                : MAX_DEFERRAL_TO_RESTARTED_PEERS;
+        Duration leaseFraction = context.settings().workers().lease().dividedBy(DEFERRAL_LEASE_DIVISOR);
+        this.deferralToPeers =
+                leaseFraction.compareTo(MAX_DEFERRAL_TO_PEERS) < 0 ? leaseFraction : MAX_DEFERRAL_TO_PEERS;
     }
 
     /** Acquires the machines without a live owner that fail over to this controller. */
@@ -68,8 +67,8 @@
                 .forEach(machine -> pagesWithGangs.add(Keys.machinePage(machine.id())));
         for (MachineRecord orphan : orphans) {
             if (!machineWriter.hasPendingChange(orphan.id())
-                    && !(deferring && isConfiguredForPeer(orphan))
-                    && failsOverHere(orphan, pagesWithGangs)) {
+                    && !(deferring && isAssignedToConfiguredPeer(orphan))
+                    && failsOverToThisController(orphan, pagesWithGangs)) {
                 acquire(orphan);
             }
         }
@@ -97,13 +96,13 @@
         return orphans;
     }
 
-    private boolean isConfiguredForPeer(MachineRecord machine) {
+    private boolean isAssignedToConfiguredPeer(MachineRecord machine) {
         return !context.membership()
                 .controllerOfMachineAmong(configuredControllers, machine.id())
                 .equals(Optional.of(nodeName));
     }
 
-    private boolean failsOverHere(MachineRecord machine, Set<String> pagesWithGangs) {
+    private boolean failsOverToThisController(MachineRecord machine, Set<String> pagesWithGangs) {
         Membership membership = context.membership();
         Optional<String> newOwner = pagesWithGangs.contains(Keys.machinePage(machine.id()))
                 ? membership.leader()
--- a/src/main/java/org/dunespindle/machine/ShardOwnership.java
+++ b/src/main/java/org/dunespindle/machine/ShardOwnership.java
@@ -67,7 +67,7 @@
             if (gangPresence.hasGang(machine) || plan.gangMachines().contains(machine.id())) {
                 gangPresence.recordGang(machine.id(), now);
             } else if (rebalanceDue) {
-                rebalancer.releaseToHome(machine, now);
+                rebalancer.releaseToAssignedController(machine, now);
             }
         }
     }
--- a/src/main/java/org/dunespindle/machine/ShardRebalancer.java
+++ b/src/main/java/org/dunespindle/machine/ShardRebalancer.java
@@ -50,36 +50,36 @@
     }
 
     /** Stores the controller that the hash assigns a machine to as its owner, if that is another one and the machine is releasable. */
-    void releaseToHome(MachineRecord machine, Duration now) {
+    void releaseToAssignedController(MachineRecord machine, Duration now) {
         Membership membership = context.membership();
-        Optional<String> home = membership.controllerOfMachine(machine.id());
-        if (home.isEmpty()
-                || home.get().equals(context.settings().nodeName())
+        Optional<String> assigned = membership.controllerOfMachine(machine.id());
+        if (assigned.isEmpty()
+                || assigned.get().equals(context.settings().nodeName())
                 || machineWriter.hasPendingChange(machine.id())
                 || machineWriter.isBacklogged()) {
             return;
         }
-        Optional<Long> homeIncarnation = membership.incarnationOf(home.get());
+        Optional<Long> assignedIncarnation = membership.incarnationOf(assigned.get());
         if (isReleasable(machine, now)
                 && isWithinPageLimit(machine)
-                && homeIncarnation.isPresent()
-                && peerHeartbeats.recentHeartbeat(home.get()).isPresent()) {
+                && assignedIncarnation.isPresent()
+                && peerHeartbeats.recentHeartbeat(assigned.get()).isPresent()) {
             pagesReleased.add(Keys.machinePage(machine.id()));
             machineWriter.write(
                     CommitPriority.MAINTENANCE,
-                    machine.ownedBy(home.get(), homeIncarnation.get(), Instant.EPOCH),
+                    machine.ownedBy(assigned.get(), assignedIncarnation.get(), Instant.EPOCH),
                     result -> {});
         }
     }
 
     /** Whether a machine's retention times have passed and no call to its worker is in progress. */
     private boolean isReleasable(MachineRecord machine, Duration now) {
-        Duration minTimeSinceGang =
+        Duration idleTimeout =
                 context.membership().isLeader() ? options.get().borrowedMachineIdleTimeout() : Duration.ZERO;
         Duration lastGangAt = gangPresence.lastGangAt(machine.id()).orElse(Duration.ZERO);
         Optional<WorkerState> workerState = context.workers().find(machine.id());
         return machine.keepUntil().isBefore(context.timeSource().wallTime())
-                && now.minus(lastGangAt).compareTo(minTimeSinceGang) > 0
+                && now.minus(lastGangAt).compareTo(idleTimeout) > 0
                 && workerState
                         .filter(worker -> worker.callInFlight()
                                 || worker.unansweredStartToken().isPresent()
--- a/src/test/java/org/dunespindle/machine/CapacityBackoffTest.java
+++ b/src/test/java/org/dunespindle/machine/CapacityBackoffTest.java
@@ -37,23 +37,23 @@
     }
 
     @Test
-    void poolIsAskedAgainAfterThePause() {
-        Duration pause = backoff.backOff(POOL);
-        assertEquals(Duration.ofSeconds(6), pause);
-        time.now = pause.minusMillis(1);
-        assertEquals(Set.of(POOL), backoff.pools());
-        time.now = pause;
-        assertEquals(Set.of(), backoff.pools());
+    void poolIsInBackoffUntilItsDurationHasElapsed() {
+        Duration duration = backoff.backOff(POOL);
+        assertEquals(Duration.ofSeconds(6), duration);
+        time.now = duration.minusMillis(1);
+        assertEquals(Set.of(POOL), backoff.poolsInBackoff());
+        time.now = duration;
+        assertEquals(Set.of(), backoff.poolsInBackoff());
     }
 
     @Test
-    void pauseDoublesUpToItsLimitUntilThePoolHasCapacity() {
+    void backoffDoublesUpToTheMaximumAndIsResetByCapacity() {
         assertEquals(Duration.ofSeconds(6), backoff.backOff(POOL));
         assertEquals(Duration.ofSeconds(12), backoff.backOff(POOL));
         assertEquals(Duration.ofSeconds(24), backoff.backOff(POOL));
         assertEquals(Duration.ofSeconds(25), backoff.backOff(POOL));
         backoff.reset(POOL);
-        assertEquals(Set.of(), backoff.pools());
+        assertEquals(Set.of(), backoff.poolsInBackoff());
         assertEquals(Duration.ofSeconds(6), backoff.backOff(POOL));
     }
 }
--- a/src/test/java/org/dunespindle/machine/DrainReasonCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/machine/DrainReasonCompatibilityTest.java
@@ -9,30 +9,30 @@
 /** Drain reasons are stored in machine records and shown to operators, so their texts must not change with identifiers. */
 class DrainReasonCompatibilityTest {
     @Test
-    void reasonsAreStoredInTheseWords() {
+    void drainReasonTextsAreStable() {
         assertEquals("it is idle", DrainReason.IDLE.text());
         assertEquals("it fails its tasks", DrainReason.FAILS_TASKS.text());
         assertEquals("it failed", DrainReason.FAILED.text());
-        assertEquals("it runs but no controller hears it", DrainReason.RUNS_UNHEARD.text());
+        assertEquals("it runs but no controller hears it", DrainReason.RUNNING_WITHOUT_HEARTBEAT.text());
         assertEquals("it did not come up in time", DrainReason.BOOT_TIMED_OUT.text());
-        assertEquals("it reports but takes no commands", DrainReason.TAKES_NO_COMMANDS.text());
+        assertEquals("it reports but takes no commands", DrainReason.UNREACHABLE_FOR_COMMANDS.text());
         assertEquals(
                 "it has been silent for 17 s",
-                DrainReason.silentFor(Duration.ofMillis(17_900)).text());
+                DrainReason.noHeartbeatFor(Duration.ofMillis(17_900)).text());
     }
 
     /** Only machines with heartbeats are stored as draining, and idle ones only while no commits queue. */
     @Test
-    void onlyMachinesThatAreHeardAreDrainedFirst() {
+    void onlyMachinesWithHeartbeatsAreDrainedFirst() {
         assertEquals(DrainReason.Procedure.DRAIN_UNLESS_COMMITS_QUEUE, DrainReason.IDLE.procedure());
         assertEquals(DrainReason.Procedure.DRAIN, DrainReason.FAILS_TASKS.procedure());
         assertEquals(DrainReason.Procedure.TERMINATE, DrainReason.FAILED.procedure());
-        assertEquals(DrainReason.Procedure.TERMINATE, DrainReason.RUNS_UNHEARD.procedure());
+        assertEquals(DrainReason.Procedure.TERMINATE, DrainReason.RUNNING_WITHOUT_HEARTBEAT.procedure());
         assertEquals(DrainReason.Procedure.TERMINATE, DrainReason.BOOT_TIMED_OUT.procedure());
-        assertEquals(DrainReason.Procedure.TERMINATE, DrainReason.TAKES_NO_COMMANDS.procedure());
+        assertEquals(DrainReason.Procedure.TERMINATE, DrainReason.UNREACHABLE_FOR_COMMANDS.procedure());
         assertEquals(
                 DrainReason.Procedure.TERMINATE,
-                DrainReason.silentFor(Duration.ofSeconds(17)).procedure());
+                DrainReason.noHeartbeatFor(Duration.ofSeconds(17)).procedure());
         assertEquals(MachineRecord.DRAIN_REASON_IDLE, DrainReason.IDLE.text());
     }
 }
