--- a/src/main/java/org/dunespindle/controller/DecisionLoop.java
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -75,7 +75,7 @@
         parts.shared.membership.tick();
         if (!parts.shared.membership.isLeader()) {
             // Also when it leads again by the next plan: it has not observed the fleet in between.
-            parts.machines.fleetManager.standDown();
+            parts.machines.fleetManager.discardLeaderState();
         }
         if (!parts.shared.replica.isLoaded() || parts.shared.membership.incarnation() == 0) {
             return;
--- a/src/main/java/org/dunespindle/machine/FleetManager.java
+++ b/src/main/java/org/dunespindle/machine/FleetManager.java
@@ -76,7 +76,7 @@
     public void tick(Plan plan) {
         Duration now = context.timeSource().now();
         if (!context.membership().isLeader()) {
-            standDown();
+            discardLeaderState();
             return;
         }
         if (leadingSince.isEmpty()) {
@@ -96,7 +96,7 @@
     }
 
     /** Discards the leader's observations, which are not valid in a later term. Called while this controller is not the leader. */
-    public void standDown() {
+    public void discardLeaderState() {
         if (leadingSince.isPresent()) {
             leadingSince = Optional.empty();
             provisioner.onLeadershipLost();
