--- a/src/main/java/org/dunespindle/storage/AllocationCodec.java
+++ b/src/main/java/org/dunespindle/storage/AllocationCodec.java
@@ -16,8 +16,8 @@
 import org.dunespindle.protocol.MalformedMessageException;
 
 /**
- * The two stored forms of a job's allocations. Both group them by binding, then by page and machine, with ranges of task
- * indices, so that a gang as large as its team's quota still fits into one value.
+ * The two stored forms of a job's allocations. Both group them by attempt base and stopping state, then by page and machine,
+ * with ranges of task indices, so that a gang as large as its team's quota still fits into one value.
  *
  * <p>JSON, in a record that is one value: {@code [[17,false,{"i-002":{"3":"1-3","4":"6"}}]]}. Text, in a chunked record,
  * where JSON's quotes would have to be escaped: {@code 17:i-002/3=1-3/4=6;i-003/0=5|18!:...}, with {@code !} where the
@@ -28,9 +28,9 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String JSON_START = "[";
 
-    private static final char BINDING_SEPARATOR = '|';
-    private static final char BINDING_END = ':';
-    private static final char STOPPING_MARK = '!';
+    private static final char GROUP_SEPARATOR = '|';
+    private static final char GROUP_KEY_END = ':';
+    private static final char STOPPING_SUFFIX = '!';
     private static final char PAGE_SEPARATOR = ';';
     private static final char MACHINE_SEPARATOR = '/';
     private static final char TASKS_START = '=';
@@ -38,16 +38,14 @@
     private AllocationCodec() {}
 
     /** The common fields of allocations that are grouped in the stored forms. */
-    private record Binding(long attemptBase, boolean stopping) {}
+    private record GroupKey(long attemptBase, boolean stopping) {}
 
     /** Formats allocations in the JSON form. */
     static ArrayNode toJson(List<Allocation> allocations) {
         ArrayNode list = JsonNodeFactory.instance.arrayNode();
-        group(allocations).forEach((binding, tasksByMachine) -> {
-            ObjectNode pages = list.addArray()
-                    .add(binding.attemptBase)
-                    .add(binding.stopping)
-                    .addObject();
+        group(allocations).forEach((key, tasksByMachine) -> {
+            ObjectNode pages =
+                    list.addArray().add(key.attemptBase).add(key.stopping).addObject();
             tasksByMachine.forEach((machineId, tasks) -> {
                 String page = Keys.machinePageName(machineId);
                 ObjectNode rows = pages.get(page) instanceof ObjectNode known ? known : pages.putObject(page);
@@ -60,19 +58,19 @@
     /** Parses the form that {@link #toJson} writes. */
     static List<Allocation> parseJson(JsonNode list) {
         var allocations = new ArrayList<Allocation>();
-        list.forEach(binding -> parseBinding(binding, allocations));
+        list.forEach(group -> parseGroup(group, allocations));
         return allocations;
     }
 
-    private static void parseBinding(JsonNode binding, List<Allocation> into) {
-        for (Map.Entry<String, JsonNode> page : binding.path(2).properties()) {
+    private static void parseGroup(JsonNode group, List<Allocation> into) {
+        for (Map.Entry<String, JsonNode> page : group.path(2).properties()) {
             for (Map.Entry<String, JsonNode> row : page.getValue().properties()) {
                 for (int task : TaskIndexSet.parse(row.getValue().textValue())) {
                     into.add(new Allocation(
                             task,
                             page.getKey() + row.getKey(),
-                            binding.get(0).longValue(),
-                            binding.get(1).booleanValue()));
+                            group.get(0).longValue(),
+                            group.get(1).booleanValue()));
                 }
             }
         }
@@ -81,20 +79,20 @@
     /** Formats allocations in the text form, or in the JSON form if a machine id requires that. */
     static String toText(List<Allocation> allocations) {
         for (Allocation allocation : allocations) {
-            if (!isPlain(allocation.machineId())) {
+            if (!isUnreserved(allocation.machineId())) {
                 return toJson(allocations).toString();
             }
         }
         var text = new StringBuilder();
-        group(allocations).forEach((binding, tasksByMachine) -> {
+        group(allocations).forEach((key, tasksByMachine) -> {
             if (!text.isEmpty()) {
-                text.append(BINDING_SEPARATOR);
+                text.append(GROUP_SEPARATOR);
             }
-            text.append(binding.attemptBase);
-            if (binding.stopping) {
-                text.append(STOPPING_MARK);
+            text.append(key.attemptBase);
+            if (key.stopping) {
+                text.append(STOPPING_SUFFIX);
             }
-            text.append(BINDING_END);
+            text.append(GROUP_KEY_END);
             appendMachines(text, tasksByMachine);
         });
         return text.toString();
@@ -120,11 +118,11 @@
     }
 
     /** Whether a machine id consists only of characters that the text form does not use as separators. */
-    private static boolean isPlain(String machineId) {
-        return !machineId.isEmpty() && machineId.chars().allMatch(AllocationCodec::isPlain);
+    private static boolean isUnreserved(String machineId) {
+        return !machineId.isEmpty() && machineId.chars().allMatch(AllocationCodec::isUnreserved);
     }
 
-    private static boolean isPlain(int character) {
+    private static boolean isUnreserved(int character) {
         return (character >= 'a' && character <= 'z')
                 || (character >= 'A' && character <= 'Z')
                 || (character >= '0' && character <= '9')
@@ -142,27 +140,26 @@
         if (text.isEmpty()) {
             return allocations;
         }
-        for (String binding : text.split("\\" + BINDING_SEPARATOR)) {
-            parseBinding(binding, allocations);
+        for (String group : text.split("\\" + GROUP_SEPARATOR)) {
+            parseGroup(group, allocations);
         }
         return allocations;
     }
 
-    private static void parseBinding(String text, List<Allocation> into) throws MalformedMessageException {
-        int end = text.indexOf(BINDING_END);
+    private static void parseGroup(String text, List<Allocation> into) throws MalformedMessageException {
+        int end = text.indexOf(GROUP_KEY_END);
         if (end < 1) {
             throw malformed();
         }
-        boolean stopping = text.charAt(end - 1) == STOPPING_MARK;
+        boolean stopping = text.charAt(end - 1) == STOPPING_SUFFIX;
         long attemptBase = Long.parseLong(text.substring(0, stopping ? end - 1 : end));
-        var binding = new Binding(attemptBase, stopping);
+        var key = new GroupKey(attemptBase, stopping);
         for (String page : text.substring(end + 1).split(String.valueOf(PAGE_SEPARATOR))) {
-            parsePage(page, binding, into);
+            parsePage(page, key, into);
         }
     }
 
-    private static void parsePage(String text, Binding binding, List<Allocation> into)
-            throws MalformedMessageException {
+    private static void parsePage(String text, GroupKey key, List<Allocation> into) throws MalformedMessageException {
         String[] pageAndMachines = text.split(String.valueOf(MACHINE_SEPARATOR));
         for (int i = 1; i < pageAndMachines.length; i++) {
             String machine = pageAndMachines[i];
@@ -172,7 +169,7 @@
             }
             String machineId = pageAndMachines[0] + machine.substring(0, tasksStart);
             for (int task : TaskIndexSet.parse(machine.substring(tasksStart + 1))) {
-                into.add(new Allocation(task, machineId, binding.attemptBase, binding.stopping));
+                into.add(new Allocation(task, machineId, key.attemptBase, key.stopping));
             }
         }
     }
@@ -181,11 +178,11 @@
         return new MalformedMessageException("malformed allocations");
     }
 
-    private static Map<Binding, Map<String, IntRBTreeSet>> group(List<Allocation> allocations) {
-        var groups = new LinkedHashMap<Binding, Map<String, IntRBTreeSet>>();
+    private static Map<GroupKey, Map<String, IntRBTreeSet>> group(List<Allocation> allocations) {
+        var groups = new LinkedHashMap<GroupKey, Map<String, IntRBTreeSet>>();
         for (Allocation allocation : allocations) {
             groups.computeIfAbsent(
-                            new Binding(allocation.attemptBase(), allocation.stopping()), binding -> new TreeMap<>())
+                            new GroupKey(allocation.attemptBase(), allocation.stopping()), key -> new TreeMap<>())
                     .computeIfAbsent(allocation.machineId(), machineId -> new IntRBTreeSet())
                     .add(allocation.task());
         }
--- a/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
+++ b/src/main/java/org/dunespindle/storage/ChunkedJobRecords.java
@@ -65,10 +65,10 @@
 
     /** The texts of a job's chunks by index, up to the first missing one. */
     List<String> chunks(String id) {
-        Map<Integer, String> known = chunksByJob.getOrDefault(id, Map.of());
+        Map<Integer, String> chunksByIndex = chunksByJob.getOrDefault(id, Map.of());
         var chunks = new ArrayList<String>();
-        for (int i = 0; known.containsKey(i); i++) {
-            chunks.add(known.get(i));
+        for (int i = 0; chunksByIndex.containsKey(i); i++) {
+            chunks.add(chunksByIndex.get(i));
         }
         return chunks;
     }
--- a/src/main/java/org/dunespindle/storage/JobRecordWriter.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordWriter.java
@@ -13,7 +13,7 @@
     /** Changes per transaction that a placement needs besides the job's record: the team's record, and one in reserve. */
     private static final int RESERVED_CHANGES = 2;
     /** The submission may take the maximum value size divided by this; the rest is reserved for the job's progress. */
-    private static final int DESCRIPTION_DIVISOR = 2;
+    private static final int SUBMISSION_DIVISOR = 2;
 
     private final StateReplica replica;
     private final Settings.State currentLimits;
@@ -116,6 +116,6 @@
 
     /** The maximum size in bytes of a new job's record at submission. Announced lower limits do not reduce it. */
     public int maxDescriptionBytes() {
-        return currentLimits.valueBytes() / DESCRIPTION_DIVISOR;
+        return currentLimits.valueBytes() / SUBMISSION_DIVISOR;
     }
 }
--- a/src/main/java/org/dunespindle/storage/OutboundDelegation.java
+++ b/src/main/java/org/dunespindle/storage/OutboundDelegation.java
@@ -79,13 +79,13 @@
         return new OutboundDelegation(cell, transfer, next, transfers, notBefore);
     }
 
-    private void require(Phase required, String change) {
+    private void require(Phase required, String transition) {
         if (phase != required) {
-            throw illegalTransition(change);
+            throw illegalTransition(transition);
         }
     }
 
-    private IllegalStateException illegalTransition(String change) {
-        return new IllegalStateException("a transfer that is " + phase + " cannot be " + change);
+    private IllegalStateException illegalTransition(String transition) {
+        return new IllegalStateException("a transfer that is " + phase + " cannot be " + transition);
     }
 }
--- a/src/main/java/org/dunespindle/storage/RateLimitedHttpClient.java
+++ b/src/main/java/org/dunespindle/storage/RateLimitedHttpClient.java
@@ -45,11 +45,11 @@
     }
 
     private void send(String method, String target, byte[] body, CompletableFuture<HttpClientResponse> result) {
-        Duration begun = timeSource.now();
+        Duration startedAt = timeSource.now();
         httpClient
                 .send(address, method, target, body, MessagePackCodec.TYPE, timeout)
                 .whenComplete((response, failure) -> {
-                    recordLatency(timeSource.now().minus(begun));
+                    recordLatency(timeSource.now().minus(startedAt));
                     if (failure != null) {
                         result.completeExceptionally(failure);
                     } else {
--- a/src/main/java/org/dunespindle/storage/RateLimiter.java
+++ b/src/main/java/org/dunespindle/storage/RateLimiter.java
@@ -21,7 +21,7 @@
     private double perSecond;
     private double tokens;
     private Duration refilledAt;
-    private boolean timerSet;
+    private boolean drainScheduled;
 
     private record QueuedWork(double cost, Runnable work) {}
 
@@ -110,12 +110,12 @@
     }
 
     private void scheduleDrain(Duration delay) {
-        if (timerSet) {
+        if (drainScheduled) {
             return;
         }
-        timerSet = true;
+        drainScheduled = true;
         timeSource.schedule(delay, () -> {
-            timerSet = false;
+            drainScheduled = false;
             drain();
         });
     }
--- a/src/main/java/org/dunespindle/storage/ReplicaIndex.java
+++ b/src/main/java/org/dunespindle/storage/ReplicaIndex.java
@@ -118,8 +118,8 @@
     }
 
     private void put(String key, Optional<JsonNode> value, long revision) {
-        Long known = modRevisions.get(key);
-        if (known != null && Math.abs(known) >= revision) {
+        Long appliedRevision = modRevisions.get(key);
+        if (appliedRevision != null && Math.abs(appliedRevision) >= revision) {
             return; // already applied as a transaction of this process
         }
         modRevisions.put(key, value.isPresent() ? revision : -revision);
--- a/src/main/java/org/dunespindle/storage/ReplicaUpdater.java
+++ b/src/main/java/org/dunespindle/storage/ReplicaUpdater.java
@@ -31,15 +31,15 @@
     private Duration asOf = Duration.ZERO;
 
     private boolean reading;
-    private boolean timerSet;
+    private boolean readScheduled;
     private int unansweredLogReads;
     /** Whether the log cannot be followed any more, so that another snapshot is needed. */
     private boolean logLost;
 
-    private List<Waiter> waiters = new ArrayList<>();
+    private List<PendingRefresh> pendingRefreshes = new ArrayList<>();
 
     /** The callbacks of a refresh, to be served by a read that starts after it was requested. */
-    private record Waiter(Runnable served, Runnable failed) {}
+    private record PendingRefresh(Runnable onSuccess, Runnable onFailure) {}
 
     ReplicaUpdater(
             StateStoreClient stateStore,
@@ -75,9 +75,9 @@
         return loaded() ? timeSource.now().minus(asOf) : STALENESS_BEFORE_FIRST_LOAD;
     }
 
-    /** Runs {@code served} once a read that starts after this call has been applied, or {@code failed} if that read fails. */
-    void refresh(Runnable served, Runnable failed) {
-        waiters.add(new Waiter(served, failed));
+    /** Runs {@code onSuccess} once a read that starts after this call has been applied, or {@code onFailure} if that read fails. */
+    void refresh(Runnable onSuccess, Runnable onFailure) {
+        pendingRefreshes.add(new PendingRefresh(onSuccess, onFailure));
         if (!reading) {
             read();
         }
@@ -92,34 +92,34 @@
 
     private void read() {
         reading = true;
-        List<Waiter> waitersOfRead = waiters;
-        waiters = new ArrayList<>();
+        List<PendingRefresh> refreshes = pendingRefreshes;
+        pendingRefreshes = new ArrayList<>();
         if (!loaded() || logLost || unansweredLogReads >= MAX_UNANSWERED_LOG_READS) {
-            loadSnapshot(waitersOfRead);
+            loadSnapshot(refreshes);
         } else {
-            followLog(waitersOfRead);
+            followLog(refreshes);
         }
     }
 
-    private void followLog(List<Waiter> waitersOfRead) {
-        Duration begun = timeSource.now();
+    private void followLog(List<PendingRefresh> refreshes) {
+        Duration startedAt = timeSource.now();
         changeLog.read(appliedRevision, result -> {
             if (result instanceof ChangeLogReader.Changes changes) {
-                applyLog(changes.log(), begun);
-                finishRead(waitersOfRead, true);
+                applyLog(changes.log(), startedAt);
+                finishRead(refreshes, true);
             } else {
                 onLogFailure((ChangeLogReader.Failure) result);
-                finishRead(waitersOfRead, false);
+                finishRead(refreshes, false);
             }
         });
     }
 
-    private void applyLog(StateMessages.Entries log, Duration begun) {
+    private void applyLog(StateMessages.Entries log, Duration startedAt) {
         index.apply(log.entries());
         appliedRevision = Math.max(appliedRevision, log.revision());
-        asOf = begun;
+        asOf = startedAt;
         unansweredLogReads = 0;
-        snapshotLoader.abandon();
+        snapshotLoader.discard();
         if (!log.entries().isEmpty()) {
             onChange.run();
         }
@@ -139,17 +139,17 @@
         }
     }
 
-    private void loadSnapshot(List<Waiter> waitersOfRead) {
+    private void loadSnapshot(List<PendingRefresh> refreshes) {
         snapshotLoader.load(timeSource.now(), result -> {
             if (result instanceof SnapshotLoader.Loaded snapshot) {
                 install(snapshot);
-                finishLoad(waitersOfRead, snapshot.caughtUp());
+                finishSnapshot(refreshes, snapshot.caughtUp());
                 return;
             }
             if (((SnapshotLoader.Failed) result).storeUnavailable()) {
                 unansweredLogReads = 0; // the timeouts were due to an outage: retry the log unless it is lost
             }
-            finishRead(waitersOfRead, false);
+            finishRead(refreshes, false);
         });
     }
 
@@ -162,23 +162,23 @@
         onChange.run();
     }
 
-    private void finishLoad(List<Waiter> waitersOfRead, boolean caughtUp) {
+    private void finishSnapshot(List<PendingRefresh> refreshes, boolean caughtUp) {
         if (caughtUp) {
-            finishRead(waitersOfRead, true);
+            finishRead(refreshes, true);
             return;
         }
-        // Changes made while the pages were read are still missing, so the waiters are served by a read of the log.
-        waiters.addAll(0, waitersOfRead);
+        // Changes made while the pages were read are still missing, so the refreshes are served by a read of the log.
+        pendingRefreshes.addAll(0, refreshes);
         finishRead(List.of(), true);
     }
 
-    private void finishRead(List<Waiter> waitersOfRead, boolean successful) {
+    private void finishRead(List<PendingRefresh> refreshes, boolean successful) {
         reading = false;
-        for (Waiter waiter : waitersOfRead) {
-            (successful ? waiter.served : waiter.failed).run();
+        for (PendingRefresh refresh : refreshes) {
+            (successful ? refresh.onSuccess : refresh.onFailure).run();
         }
-        // A waiter may have started the next read already.
-        if (!reading && successful && !waiters.isEmpty()) {
+        // A callback may have started the next read already.
+        if (!reading && successful && !pendingRefreshes.isEmpty()) {
             read();
         } else {
             scheduleRead();
@@ -186,12 +186,12 @@
     }
 
     private void scheduleRead() {
-        if (timerSet) {
+        if (readScheduled) {
             return;
         }
-        timerSet = true;
+        readScheduled = true;
         timeSource.schedule(interval, () -> {
-            timerSet = false;
+            readScheduled = false;
             if (!reading) {
                 read();
             }
--- a/src/main/java/org/dunespindle/storage/SnapshotLoader.java
+++ b/src/main/java/org/dunespindle/storage/SnapshotLoader.java
@@ -60,14 +60,14 @@
     /** The entries read so far. */
     private static final class PartialSnapshot {
         private final List<StateMessages.Entry> entries = new ArrayList<>();
-        private final Duration begun;
+        private final Duration startedAt;
         private String lastKey = "";
         private boolean complete;
         /** The revision of the first page. Pages are read at different revisions, so the log is followed from the first one. */
         private long revision = -1;
 
-        PartialSnapshot(Duration begun) {
-            this.begun = begun;
+        PartialSnapshot(Duration startedAt) {
+            this.startedAt = startedAt;
         }
 
         void add(StateMessages.Entries page) {
@@ -84,7 +84,7 @@
             revision = Math.max(revision, changes.log().revision());
         }
 
-        boolean holdsChunks() {
+        boolean containsChunks() {
             return entries.stream().anyMatch(entry -> entry.key().startsWith(Keys.CHUNK));
         }
     }
@@ -97,7 +97,7 @@
     }
 
     /** Discards the pages read so far, after the log was read successfully or the load is complete. */
-    void abandon() {
+    void discard() {
         partial = Optional.empty();
         commits.clear();
     }
@@ -126,10 +126,10 @@
             snapshot.add(page);
             if (!snapshot.complete) {
                 loadNextPage(snapshot, onResult);
-            } else if (snapshot.holdsChunks()) {
+            } else if (snapshot.containsChunks()) {
                 catchUp(snapshot, onResult);
             } else {
-                onResult.accept(finish(snapshot, snapshot.begun, false));
+                onResult.accept(finish(snapshot, snapshot.startedAt, false));
             }
         });
     }
@@ -139,11 +139,11 @@
      * contain a newer chunk of a record of which an older chunk was on an earlier page.
      */
     private void catchUp(PartialSnapshot snapshot, Consumer<Result> onResult) {
-        Duration begun = timeSource.now();
+        Duration startedAt = timeSource.now();
         changeLog.read(snapshot.revision, result -> {
             if (result instanceof ChangeLogReader.Changes changes) {
                 snapshot.add(changes);
-                onResult.accept(finish(snapshot, begun, true));
+                onResult.accept(finish(snapshot, startedAt, true));
                 return;
             }
             var failure = (ChangeLogReader.Failure) result;
@@ -156,7 +156,7 @@
 
     private Loaded finish(PartialSnapshot snapshot, Duration asOf, boolean caughtUp) {
         var loaded = new Loaded(snapshot.entries, List.copyOf(commits), snapshot.revision, asOf, caughtUp);
-        abandon();
+        discard();
         return loaded;
     }
 }
--- a/src/main/java/org/dunespindle/storage/StateReplica.java
+++ b/src/main/java/org/dunespindle/storage/StateReplica.java
@@ -49,9 +49,9 @@
         return updater.staleness();
     }
 
-    /** Runs {@code served} once a read that starts after this call has been applied, or {@code failed} if that read fails. */
-    public void refresh(Runnable served, Runnable failed) {
-        updater.refresh(served, failed);
+    /** Runs {@code onSuccess} once a read that starts after this call has been applied, or {@code onFailure} if that read fails. */
+    public void refresh(Runnable onSuccess, Runnable onFailure) {
+        updater.refresh(onSuccess, onFailure);
     }
 
     /** Applies a transaction of this process that the store committed at the given revision. */
--- a/src/main/java/org/dunespindle/storage/StateStoreClient.java
+++ b/src/main/java/org/dunespindle/storage/StateStoreClient.java
@@ -26,7 +26,7 @@
     /** The part of the rate limit that the controllers use in total, since their clocks run at slightly different rates. */
     private static final double USABLE_RATE_FRACTION = 0.9;
 
-    private static final int MIN_FAILURES_FOR_OUTAGE = 2;
+    private static final int MIN_CONSECUTIVE_FAILURES_FOR_OUTAGE = 2;
     private static final byte[] NO_BODY = new byte[0];
 
     private final RateLimitedHttpClient httpClient;
@@ -55,7 +55,7 @@
 
     /** Whether the latest requests were not served, in which case users' requests are rejected at once instead of timing out. */
     public boolean isFailing() {
-        return consecutiveFailures >= MIN_FAILURES_FOR_OUTAGE;
+        return consecutiveFailures >= MIN_CONSECUTIVE_FAILURES_FOR_OUTAGE;
     }
 
     /** Latency of the calls, in microseconds. */
--- a/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
+++ b/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
@@ -32,7 +32,7 @@
     private static final int MAX_VALUE_BYTES = 2048;
     private static final int MAX_CHANGES_PER_TRANSACTION = 5;
 
-    private static Submission description(Random random) {
+    private static Submission submission(Random random) {
         var types = new ArrayList<String>();
         for (int i = random.nextInt(30); i > 0; i--) {
             types.add("type-\u00e9\u4e2d\"" + "x".repeat(random.nextInt(60)) + i);
@@ -50,17 +50,17 @@
 
     /** A record of up to the given size, the limit of earlier versions, after random placements, releases and stops on few or many machines. */
     private static JobRecord randomJob(int maxBytes, Random random) {
-        JobRecord job = JobRecord.accepted(description(random), Instant.ofEpochMilli(1_700_000_000_000L));
+        JobRecord job = JobRecord.accepted(submission(random), Instant.ofEpochMilli(1_700_000_000_000L));
         JobRecord longestFitting = job;
         String prefix = random.nextInt(4) == 0 ? "machine:with=signs/" : "i-";
         for (int step = 0; step < 40; step++) {
-            var places = new LinkedHashMap<Integer, String>();
+            var machineIds = new LinkedHashMap<Integer, String>();
             int perMachine = 1 + random.nextInt(20);
             int i = 0;
             for (int task : job.unplaced(1 + random.nextInt(60))) {
-                places.put(task, prefix + "%06d".formatted(random.nextInt(3) + step + i++ / perMachine));
+                machineIds.put(task, prefix + "%06d".formatted(random.nextInt(3) + step + i++ / perMachine));
             }
-            job = job.withPlaced(places);
+            job = job.withPlaced(machineIds);
             var ended = new TreeMap<Integer, Boolean>();
             for (Allocation allocation : job.allocations()) {
                 if (random.nextInt(4) == 0) {
@@ -84,7 +84,7 @@
     }
 
     @Property(seed = "91", tries = 200)
-    void whateverFitsOneWholeValueFitsOneTransactionInChunks(@ForAll long seed) throws MalformedMessageException {
+    void recordsThatFitOneWholeValueFitOneTransactionInChunks(@ForAll long seed) throws MalformedMessageException {
         JobRecord job = randomJob(MAX_WHOLE_VALUE_BYTES, new Random(seed));
         ChunkedJobRecordCodec.ChunkedRecord chunked = ChunkedJobRecordCodec.split(job, MAX_VALUE_BYTES);
         assertTrue(
--- a/src/test/java/org/dunespindle/storage/JobRecordTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordTest.java
@@ -50,17 +50,17 @@
         var attempts = new HashMap<Integer, Set<Long>>();
         for (int step = 0; step < 5000 && job.isOpen(); step++) {
             if (random.nextBoolean() && job.unplacedCount() > 0) {
-                var places = new LinkedHashMap<Integer, String>();
+                var machineIds = new LinkedHashMap<Integer, String>();
                 for (int t : job.unplaced(1 + random.nextInt(5))) {
                     if (random.nextInt(4) > 0) {
-                        places.put(t, "h" + random.nextInt(3));
+                        machineIds.put(t, "h" + random.nextInt(3));
                     }
                 }
-                if (!places.isEmpty()) {
-                    job = job.withPlaced(places);
+                if (!machineIds.isEmpty()) {
+                    job = job.withPlaced(machineIds);
                 }
                 for (Allocation allocation : job.allocations()) {
-                    if (places.containsKey(allocation.task())) {
+                    if (machineIds.containsKey(allocation.task())) {
                         assertTrue(
                                 attempts.computeIfAbsent(allocation.task(), t -> new HashSet<>())
                                         .add(allocation.attemptBase()),
@@ -70,11 +70,11 @@
             } else if (!job.allocations().isEmpty()) {
                 Allocation allocation =
                         job.allocations().get(random.nextInt(job.allocations().size()));
-                boolean good = random.nextInt(3) > 0;
-                if (good) {
+                boolean succeeds = random.nextInt(3) > 0;
+                if (succeeds) {
                     assertTrue(done.add(allocation.task()), "done twice");
                 }
-                job = job.withReleased(allocation.task(), good);
+                job = job.withReleased(allocation.task(), succeeds);
             }
             job = JobRecord.parse(job.id(), MessagePackCodec.read(MessagePackCodec.write(job.toNode())));
             assertEquals(done.size(), job.doneCount());
@@ -138,11 +138,11 @@
     @Test
     void recordsOfHugeArraysStaySmall() {
         JobRecord job = job(JobKind.ARRAY, Submission.MAX_TASKS);
-        var places = new LinkedHashMap<Integer, String>();
+        var machineIds = new LinkedHashMap<Integer, String>();
         for (int i = 0; i < 250; i++) {
-            places.put(i, "i-%06d".formatted(i % 30));
+            machineIds.put(i, "i-%06d".formatted(i % 30));
         }
-        assertTrue(MessagePackCodec.countedSize(job.withPlaced(places).toNode()) < 8 << 10);
+        assertTrue(MessagePackCodec.countedSize(job.withPlaced(machineIds).toNode()) < 8 << 10);
     }
 
     /** A gang as large as a team's quota: 800 accelerators on 400 machines, placed in several steps and partly stopping. */
@@ -153,11 +153,11 @@
         JobRecord job = job(JobKind.GANG, tasks);
         int next = 0;
         while (next < tasks) {
-            var places = new LinkedHashMap<Integer, String>();
-            for (int most = Math.min(tasks, next + 2 + 2 * random.nextInt(100)); next < most; next++) {
-                places.put(next, "i-%06d".formatted(200 + next / 2));
+            var machineIds = new LinkedHashMap<Integer, String>();
+            for (int end = Math.min(tasks, next + 2 + 2 * random.nextInt(100)); next < end; next++) {
+                machineIds.put(next, "i-%06d".formatted(200 + next / 2));
             }
-            job = job.withPlaced(places);
+            job = job.withPlaced(machineIds);
         }
         for (int t = 0; t < tasks; t += 2) {
             job = random.nextBoolean() && t < 100 ? job.withTaskStopping(t) : job;
@@ -173,18 +173,18 @@
 
     /** A huge array's record fits one value after any sequence of transitions within the allocations that one plan allows. */
     @Property(seed = "14", tries = 12)
-    void recordsStayWritableInAnyOrderOfEvents(@ForAll long seed) {
+    void recordsFitOneValueAfterAnySequenceOfTransitions(@ForAll long seed) {
         var random = new Random(seed);
         JobRecord job = job(JobKind.ARRAY, Submission.MAX_TASKS);
         int written = 0;
         for (int step = 0; step < 300; step++) {
             JobRecord after = job;
             if (random.nextInt(3) > 0 && job.allocations().size() < 290) {
-                var places = new LinkedHashMap<Integer, String>();
+                var machineIds = new LinkedHashMap<Integer, String>();
                 for (int t : job.unplaced(1 + random.nextInt(6))) {
-                    places.put(t, "i-%06d".formatted(random.nextInt(1300)));
+                    machineIds.put(t, "i-%06d".formatted(random.nextInt(1300)));
                 }
-                after = job.withPlaced(places);
+                after = job.withPlaced(machineIds);
                 if (MessagePackCodec.countedSize(after.toNode()) > (8 << 10) * 0.7) {
                     after = job; // placement skips records above this part of the limit too
                 } else {
--- a/src/test/java/org/dunespindle/storage/MachinePageTest.java
+++ b/src/test/java/org/dunespindle/storage/MachinePageTest.java
@@ -26,7 +26,7 @@
 
     /** With the longest address, names of 20 characters and any stored drain reason, a full page fits the lowered limit. */
     @Property(seed = "93", tries = 200)
-    void aFullPageFitsALoweredValue(@ForAll long seed) {
+    void aFullPageFitsTheLoweredValueSize(@ForAll long seed) {
         var random = new Random(seed);
         ObjectNode page = MessagePackCodec.map();
         String type = name(random);
--- a/src/test/java/org/dunespindle/storage/StateReplicaTest.java
+++ b/src/test/java/org/dunespindle/storage/StateReplicaTest.java
@@ -68,9 +68,9 @@
         } else if (target.startsWith("/watch")) {
             long since = Long.parseLong(target.replaceAll(".*since=(\\d+).*", "$1"));
             if (since >= firstLogRevision) {
-                ObjectNode n = MessagePackCodec.map().put("epoch", revision);
-                n.putArray("log");
-                result.complete(new HttpClientResponse(200, MessagePackCodec.write(n)));
+                ObjectNode node = MessagePackCodec.map().put("epoch", revision);
+                node.putArray("log");
+                result.complete(new HttpClientResponse(200, MessagePackCodec.write(node)));
                 return;
             }
             switch (logFailure) {
@@ -86,8 +86,8 @@
             result.complete(new HttpClientResponse(503, MessagePackCodec.write(MessagePackCodec.map())));
         } else {
             String since = target.contains("since=") ? target.replaceAll(".*since=([^&]+).*", "$1") : "";
-            ObjectNode n = MessagePackCodec.map().put("epoch", revision);
-            var rows = n.putArray("rows");
+            ObjectNode node = MessagePackCodec.map().put("epoch", revision);
+            var rows = node.putArray("rows");
             int from = since.isEmpty() ? 0 : Integer.parseInt(since.substring(since.lastIndexOf('/') + 1)) + 1;
             for (int i = from; i < Math.min(ROWS, from + ROWS_PER_PAGE); i++) {
                 rows.addObject()
@@ -97,7 +97,7 @@
             }
             revision++; // other clients write while pages are read
             result.complete(
-                    new HttpClientResponse(200, MessagePackCodec.write(n.put("more", from + ROWS_PER_PAGE < ROWS))));
+                    new HttpClientResponse(200, MessagePackCodec.write(node.put("more", from + ROWS_PER_PAGE < ROWS))));
         }
     }
 
@@ -126,14 +126,15 @@
         pagesToFail = 6;
         time.run(Duration.ofSeconds(12));
         assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0, "staleness " + replica.staleness());
-        long first = requests.stream()
+        long firstPageReads = requests.stream()
                 .filter(t -> t.startsWith("/keys") && !t.contains("since="))
                 .count();
-        long good = requests.stream().filter(t -> t.startsWith("/keys")).count() - 6;
+        long successfulReads =
+                requests.stream().filter(t -> t.startsWith("/keys")).count() - 6;
         assertEquals(
                 ROWS / ROWS_PER_PAGE,
-                good,
-                "pages read more than once; the first one " + first + " times: " + requests);
+                successfulReads,
+                "pages read more than once; the first one " + firstPageReads + " times: " + requests);
     }
 
     @Test
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -29,13 +29,13 @@
 class StoredFormsCompatibilityTest {
     private static final String ID = "wk-000412";
     private static final Instant ARRIVED = Instant.ofEpochMilli(1_700_000_000_123L);
-    private static final String DESCRIPTION = """
+    private static final String SUBMISSION = """
             {"id":"wk-000412","jobclass":"train","owner":"red","shape":"%s","rank":"urgent","pieces":9,
              "vcpus":2.0,"accelerators":1.0,"ramGb":16.5,"hulls":["gpu-8","gpu-4"],"dune":"east",
              "samePlace":true,"apart":false,"driftwood":true,"bundle":"image:7","imageGb":2.5,
              "guessS":300.0,"snapshotS":30.0,"flushS":2.0,"dueS":3600.0}""";
 
-    private static Submission description(JobKind kind) {
+    private static Submission submission(JobKind kind) {
         return new Submission(
                 ID,
                 "train",
@@ -60,7 +60,7 @@
     private static JobRecord open(JobKind kind, JobRecord.GangPhase phase, List<Allocation> allocations) {
         return new JobRecord(
                 ID,
-                Optional.of(description(kind)),
+                Optional.of(submission(kind)),
                 ARRIVED,
                 JobRecord.Outcome.OPEN,
                 21,
@@ -135,10 +135,10 @@
     @Test
     void acceptedJobs() throws MalformedMessageException {
         for (JobKind kind : JobKind.values()) {
-            String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted(kind.wire())
+            String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + SUBMISSION.formatted(kind.wire())
                     + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
                     + "\"again\":\"\",\"claims\":[]}";
-            assertStored(text, JobRecord.accepted(description(kind), ARRIVED));
+            assertStored(text, JobRecord.accepted(submission(kind), ARRIVED));
         }
     }
 
@@ -156,7 +156,7 @@
                 JobRecord.GangPhase.STOPPING, "STOP");
         assertEquals(Set.of(JobRecord.GangPhase.values()), phases.keySet());
         for (Map.Entry<JobRecord.GangPhase, String> phase : phases.entrySet()) {
-            String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted("group")
+            String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + SUBMISSION.formatted("group")
                     + ",\"gen\":21,\"next\":7,\"mode\":\"" + phase.getValue()
                     + "\",\"try\":17,\"order\":1700000000456,\"fails\":3,\"wait\":1700000009000,"
                     + "\"again\":\"0-2,5\",\"claims\":[[17,false,{\"i-002\":{\"3\":\"3-4\"},\"i-003\":{\"1\":\"6\"}}],"
@@ -182,10 +182,10 @@
     }
 
     @Test
-    void aCancelledJobThatStillRuns() throws MalformedMessageException {
+    void cancelledJobsWithAllocations() throws MalformedMessageException {
         JobRecord running =
                 open(JobKind.ARRAY, JobRecord.GangPhase.QUEUED, List.of(new Allocation(6, "i-0023", 17, false)));
-        String text = "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"job\":" + DESCRIPTION.formatted("array")
+        String text = "{\"at\":1700000000123,\"end\":\"CANCELLED\",\"job\":" + SUBMISSION.formatted("array")
                 + ",\"gen\":21,\"next\":7,\"mode\":\"IDLE\",\"try\":17,\"order\":1700000000456,\"fails\":3,"
                 + "\"wait\":1700000009000,\"again\":\"\",\"claims\":[[17,false,{\"i-002\":{\"3\":\"6\"}}]]}";
         assertStored(text, running.cancelled());
@@ -200,10 +200,10 @@
                 OutboundDelegation.Phase.RECALLED, "RECALLED");
         assertEquals(Set.of(OutboundDelegation.Phase.values()), phases.keySet());
         for (Map.Entry<OutboundDelegation.Phase, String> phase : phases.entrySet()) {
-            String head = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted("array")
+            String head = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + SUBMISSION.formatted("array")
                     + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
                     + "\"away\":[\"b\",12,\"" + phase.getValue() + "\",2";
-            JobRecord job = JobRecord.accepted(description(JobKind.ARRAY), ARRIVED);
+            JobRecord job = JobRecord.accepted(submission(JobKind.ARRAY), ARRIVED);
             assertStored(
                     head + "],\"again\":\"\",\"claims\":[]}",
                     job.withDelegationLink(new OutboundDelegation("b", 12, phase.getKey(), 2, Optional.empty())));
@@ -215,12 +215,12 @@
     }
 
     @Test
-    void jobsOfOtherCells() throws MalformedMessageException {
+    void inboundJobs() throws MalformedMessageException {
         assertStored(
-                "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + DESCRIPTION.formatted("daemon")
+                "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + SUBMISSION.formatted("daemon")
                         + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
                         + "\"visit\":[\"a\",12,false],\"again\":\"\",\"claims\":[]}",
-                JobRecord.acceptedFromOrigin(description(JobKind.SERVICE), ARRIVED, InboundDelegation.of("a", 12)));
+                JobRecord.acceptedFromOrigin(submission(JobKind.SERVICE), ARRIVED, InboundDelegation.of("a", 12)));
         assertStored(
                 "{\"at\":1700000000123,\"end\":\"DONE\",\"visit\":[\"a\",12,false],\"next\":9}",
                 finished(JobRecord.Outcome.DONE, 9, Optional.of(InboundDelegation.of("a", 12))));
