--- a/src/main/java/org/dunespindle/machine/ShardFailover.java
+++ b/src/main/java/org/dunespindle/machine/ShardFailover.java
@@ -18,13 +18,13 @@
 import org.dunespindle.worker.WorkerClient;
 
 /**
- * Failover of machines whose controller is gone. A page of machine records is taken over by one controller as a whole, by the leader
- * if a gang is on it: of two controllers that rewrite one page at once, one fails with a conflict.
+ * Failover of machines whose controller has failed. All machines of a page of records fail over to the same controller, or to the leader
+ * if a gang is on one of them, because concurrent writes of one page by two controllers conflict.
  */
 final class ShardFailover {
-    private static final Duration MAX_DEFERRAL_TO_RESTARTED_PEERS = Duration.ofSeconds(4);
-    /** Workers must hear from a controller before their leases end, so only this part of a lease may pass first. */
-    private static final int LEASE_PARTS_PER_DEFERRAL = 4;
+    private static final Duration MAX_DEFERRAL_TO_PEERS = Duration.ofSeconds(4);
+    /** The deferral is at most this part of a lease, since workers need a new controller before their leases expire. */
+    private static final int DEFERRAL_LEASE_DIVISOR = 4;
 
     private final ControllerContext context;
     private final String nodeName;
@@ -32,7 +32,7 @@
     private final MachineRecordWriter machineWriter;
     private final PeerHeartbeats peerHeartbeats;
     private final GangPresence gangPresence;
-    /** The controllers of this cell by its settings, whether they live or not. */
+    /** All controllers in this cell's settings, alive or not. */
     private final Set<String> configuredControllers = new TreeSet<>();
 
     private final Duration deferralToPeers;
@@ -52,13 +52,12 @@
         this.gangPresence = gangPresence;
         configuredControllers.add(nodeName);
         context.settings().seeds().forEach(seed -> configuredControllers.add(seed.name()));
-        Duration partOfLease = context.settings().workers().lease().dividedBy(LEASE_PARTS_PER_DEFERRAL);
-        this.deferralToPeers = partOfLease.compareTo(MAX_DEFERRAL_TO_RESTARTED_PEERS) < 0
-                ? partOfLease
-                : MAX_DEFERRAL_TO_RESTARTED_PEERS;
+        Duration leaseFraction = context.settings().workers().lease().dividedBy(DEFERRAL_LEASE_DIVISOR);
+        this.deferralToPeers =
+                leaseFraction.compareTo(MAX_DEFERRAL_TO_PEERS) < 0 ? leaseFraction : MAX_DEFERRAL_TO_PEERS;
     }
 
-    /** Acquires the machines without a live owner that are to fail over to this controller. */
+    /** Acquires the machines without a live owner that fail over to this controller. */
     void takeOverOrphans() {
         boolean deferring = defersToPeers();
         List<MachineRecord> orphans = orphansMostUrgentFirst();
@@ -68,14 +67,14 @@
                 .forEach(machine -> pagesWithGangs.add(Keys.machinePage(machine.id())));
         for (MachineRecord orphan : orphans) {
             if (!machineWriter.hasPendingChange(orphan.id())
-                    && !(deferring && isConfiguredForPeer(orphan))
-                    && failsOverHere(orphan, pagesWithGangs)) {
+                    && !(deferring && isAssignedToConfiguredPeer(orphan))
+                    && failsOverToThisController(orphan, pagesWithGangs)) {
                 acquire(orphan);
             }
         }
     }
 
-    /** After a crash of all controllers, those that restart first leave the others' pages to them for a moment. */
+    /** After a crash of all controllers, those that restart first briefly leave the other controllers' pages to them. */
     private boolean defersToPeers() {
         Duration now = context.timeSource().now();
         if (firstCheckAt.isEmpty()) {
@@ -84,7 +83,7 @@
         return now.minus(firstCheckAt.get()).compareTo(deferralToPeers) < 0;
     }
 
-    /** Machines with allocations come first: their workers' leases are about to end, whereas idle machines can wait. */
+    /** Machines without a live owner, those with allocations first: their workers' leases are about to expire. */
     private List<MachineRecord> orphansMostUrgentFirst() {
         var orphans = new ArrayList<MachineRecord>();
         for (MachineRecord machine : context.replica().machines().values()) {
@@ -97,13 +96,13 @@
         return orphans;
     }
 
-    private boolean isConfiguredForPeer(MachineRecord machine) {
+    private boolean isAssignedToConfiguredPeer(MachineRecord machine) {
         return !context.membership()
                 .controllerOfMachineAmong(configuredControllers, machine.id())
                 .equals(Optional.of(nodeName));
     }
 
-    private boolean failsOverHere(MachineRecord machine, Set<String> pagesWithGangs) {
+    private boolean failsOverToThisController(MachineRecord machine, Set<String> pagesWithGangs) {
         Membership membership = context.membership();
         Optional<String> newOwner = pagesWithGangs.contains(Keys.machinePage(machine.id()))
                 ? membership.leader()
@@ -112,7 +111,7 @@
     }
 
     private void acquire(MachineRecord machine) {
-        // The record of a machine that was rented lately may lack its address; its owner reported it.
+        // The record of a recently rented machine may lack its address, but its owner's heartbeats contain it.
         peerHeartbeats
                 .address(machine)
                 .ifPresentOrElse(
--- a/src/main/java/org/dunespindle/storage/ReplicaUpdater.java
+++ b/src/main/java/org/dunespindle/storage/ReplicaUpdater.java
@@ -9,14 +9,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a replica current: loads a snapshot, then follows the change log, and loads a snapshot again where the log does not
- * serve. At most one read is under way; whoever asks for a refresh meanwhile waits for the next one.
+ * Updates a replica: loads a snapshot, then follows the change log, and loads a new snapshot if the log is unavailable. At most
+ * one read is in progress; a refresh requested meanwhile is served by the next read.
  */
 final class ReplicaUpdater {
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaUpdater.class);
-    /** After so many unanswered reads in a row the log may be too long to arrive in time, so that a snapshot is tried. */
+    /** After this many consecutive timeouts the log may be too long to arrive in time, so a snapshot is loaded instead. */
     private static final int MAX_UNANSWERED_LOG_READS = 3;
-    /** The staleness of a replica that holds nothing yet. */
+    /** The staleness reported before the first load. */
     private static final Duration STALENESS_BEFORE_FIRST_LOAD = Duration.ofDays(1);
 
     private final TimeSource timeSource;
@@ -27,19 +27,19 @@
     private final SnapshotLoader snapshotLoader;
 
     private long appliedRevision = -1;
-    /** When the last successful read began. */
+    /** When the last successful read started. */
     private Duration asOf = Duration.ZERO;
 
     private boolean reading;
-    private boolean timerSet;
+    private boolean readScheduled;
     private int unansweredLogReads;
-    /** Whether a snapshot is needed although there has been one. */
+    /** Whether the log cannot be followed any more, so that another snapshot is needed. */
     private boolean logLost;
 
-    private List<Waiter> waiters = new ArrayList<>();
+    private List<PendingRefresh> pendingRefreshes = new ArrayList<>();
 
-    /** Someone who waits for a read that begins after the request. */
-    private record Waiter(Runnable served, Runnable failed) {}
+    /** The callbacks of a refresh, to be served by a read that starts after it was requested. */
+    private record PendingRefresh(Runnable onSuccess, Runnable onFailure) {}
 
     ReplicaUpdater(
             StateStoreClient stateStore,
@@ -55,12 +55,12 @@
         this.snapshotLoader = new SnapshotLoader(stateStore, changeLog, timeSource);
     }
 
-    /** Begins to read, and keeps reading at the interval. */
+    /** Starts the first read; later reads follow at the interval. */
     void start() {
         read();
     }
 
-    /** Whether everything has been read at least once. */
+    /** Whether a snapshot has been loaded. */
     boolean loaded() {
         return appliedRevision >= 0;
     }
@@ -70,20 +70,20 @@
         return appliedRevision;
     }
 
-    /** The time since the last successful read began. */
+    /** The time since the start of the last successful read. */
     Duration staleness() {
         return loaded() ? timeSource.now().minus(asOf) : STALENESS_BEFORE_FIRST_LOAD;
     }
 
-    /** Runs {@code served} once a read that begins after this call was applied, or {@code failed} if it failed. */
-    void refresh(Runnable served, Runnable failed) {
-        waiters.add(new Waiter(served, failed));
+    /** Runs {@code onSuccess} once a read that starts after this call has been applied, or {@code onFailure} if that read fails. */
+    void refresh(Runnable onSuccess, Runnable onFailure) {
+        pendingRefreshes.add(new PendingRefresh(onSuccess, onFailure));
         if (!reading) {
             read();
         }
     }
 
-    /** Applies a transaction of this process. */
+    /** Applies a transaction that this process committed. */
     void applyCommitted(CommittedTransaction commit) {
         snapshotLoader.addCommit(commit);
         index.apply(commit);
@@ -92,42 +92,43 @@
 
     private void read() {
         reading = true;
-        List<Waiter> waitersOfRead = waiters;
-        waiters = new ArrayList<>();
+        List<PendingRefresh> refreshes = pendingRefreshes;
+        pendingRefreshes = new ArrayList<>();
         if (!loaded() || logLost || unansweredLogReads >= MAX_UNANSWERED_LOG_READS) {
-            loadSnapshot(waitersOfRead);
+            loadSnapshot(refreshes);
         } else {
-            followLog(waitersOfRead);
+            followLog(refreshes);
         }
     }
 
-    private void followLog(List<Waiter> waitersOfRead) {
-        Duration begun = timeSource.now();
+    private void followLog(List<PendingRefresh> refreshes) {
+        Duration startedAt = timeSource.now();
         changeLog.read(appliedRevision, result -> {
             if (result instanceof ChangeLogReader.Changes changes) {
-                applyLog(changes.log(), begun);
-                finishRead(waitersOfRead, true);
+                applyLog(changes.log(), startedAt);
+                finishRead(refreshes, true);
             } else {
                 onLogFailure((ChangeLogReader.Failure) result);
-                finishRead(waitersOfRead, false);
+                finishRead(refreshes, false);
             }
         });
     }
 
-    private void applyLog(StateMessages.Entries log, Duration begun) {
+    private void applyLog(StateMessages.Entries log, Duration startedAt) {
         index.apply(log.entries());
         appliedRevision = Math.max(appliedRevision, log.revision());
-        asOf = begun;
+        asOf = startedAt;
         unansweredLogReads = 0;
-        snapshotLoader.abandon();
+        snapshotLoader.discard();
         if (!log.entries().isEmpty()) {
             onChange.run();
         }
     }
 
     /**
-     * A log that cannot be applied must not be requested for ever: after a long partition it may hold thousands of changes,
-     * and only grows. A single unanswered read proves nothing about the log; several in a row may be due to its length.
+     * Falls back to a snapshot if the log cannot be applied: after a long network partition it may contain thousands of changes,
+     * and it only grows, so retries would fail indefinitely. A single timeout is not evidence of that, but several consecutive
+     * timeouts may be due to the log's length.
      */
     private void onLogFailure(ChangeLogReader.Failure failure) {
         if (failure.isPermanent()) {
@@ -138,17 +139,17 @@
         }
     }
 
-    private void loadSnapshot(List<Waiter> waitersOfRead) {
+    private void loadSnapshot(List<PendingRefresh> refreshes) {
         snapshotLoader.load(timeSource.now(), result -> {
             if (result instanceof SnapshotLoader.Loaded snapshot) {
                 install(snapshot);
-                finishLoad(waitersOfRead, snapshot.caughtUp());
+                finishSnapshot(refreshes, snapshot.caughtUp());
                 return;
             }
             if (((SnapshotLoader.Failed) result).storeUnavailable()) {
-                unansweredLogReads = 0; // the log was not to blame, and is tried again if it may still serve
+                unansweredLogReads = 0; // the timeouts were due to an outage: retry the log unless it is lost
             }
-            finishRead(waitersOfRead, false);
+            finishRead(refreshes, false);
         });
     }
 
@@ -161,23 +162,23 @@
         onChange.run();
     }
 
-    private void finishLoad(List<Waiter> waitersOfRead, boolean caughtUp) {
+    private void finishSnapshot(List<PendingRefresh> refreshes, boolean caughtUp) {
         if (caughtUp) {
-            finishRead(waitersOfRead, true);
+            finishRead(refreshes, true);
             return;
         }
-        // What changed while the pages were read is in the log: whoever waits is served from there.
-        waiters.addAll(0, waitersOfRead);
+        // Changes made while the pages were read are still missing, so the refreshes are served by a read of the log.
+        pendingRefreshes.addAll(0, refreshes);
         finishRead(List.of(), true);
     }
 
-    private void finishRead(List<Waiter> waitersOfRead, boolean successful) {
+    private void finishRead(List<PendingRefresh> refreshes, boolean successful) {
         reading = false;
-        for (Waiter waiter : waitersOfRead) {
-            (successful ? waiter.served : waiter.failed).run();
+        for (PendingRefresh refresh : refreshes) {
+            (successful ? refresh.onSuccess : refresh.onFailure).run();
         }
-        // A waiter may have started the next read already.
-        if (!reading && successful && !waiters.isEmpty()) {
+        // A callback may have started the next read already.
+        if (!reading && successful && !pendingRefreshes.isEmpty()) {
             read();
         } else {
             scheduleRead();
@@ -185,12 +186,12 @@
     }
 
     private void scheduleRead() {
-        if (timerSet) {
+        if (readScheduled) {
             return;
         }
-        timerSet = true;
+        readScheduled = true;
         timeSource.schedule(interval, () -> {
-            timerSet = false;
+            readScheduled = false;
             if (!reading) {
                 read();
             }
--- a/src/test/java/org/dunespindle/machine/CapacityBackoffTest.java
+++ b/src/test/java/org/dunespindle/machine/CapacityBackoffTest.java
@@ -9,14 +9,14 @@
 import org.dunespindle.time.TimeSource;
 import org.junit.jupiter.api.Test;
 
-/** How long pools without capacity are not asked again. */
+/** Back-off times of pools without capacity. */
 class CapacityBackoffTest {
     private static final MachinePool POOL = new MachinePool("large", "a", true);
 
     private final ManualTime time = new ManualTime();
     private final CapacityBackoff backoff = new CapacityBackoff(time);
 
-    /** A clock that stands still until a test sets it. */
+    /** A clock that advances only when a test sets it. */
     private static final class ManualTime implements TimeSource {
         private Duration now = Duration.ZERO;
 
@@ -37,23 +37,23 @@
     }
 
     @Test
-    void poolIsAskedAgainAfterThePause() {
-        Duration pause = backoff.backOff(POOL);
-        assertEquals(Duration.ofSeconds(6), pause);
-        time.now = pause.minusMillis(1);
-        assertEquals(Set.of(POOL), backoff.pools());
-        time.now = pause;
-        assertEquals(Set.of(), backoff.pools());
+    void poolIsInBackoffUntilItsDurationHasElapsed() {
+        Duration duration = backoff.backOff(POOL);
+        assertEquals(Duration.ofSeconds(6), duration);
+        time.now = duration.minusMillis(1);
+        assertEquals(Set.of(POOL), backoff.poolsInBackoff());
+        time.now = duration;
+        assertEquals(Set.of(), backoff.poolsInBackoff());
     }
 
     @Test
-    void pauseDoublesUpToItsLimitUntilThePoolHasCapacity() {
+    void backoffDoublesUpToTheMaximumAndIsResetByCapacity() {
         assertEquals(Duration.ofSeconds(6), backoff.backOff(POOL));
         assertEquals(Duration.ofSeconds(12), backoff.backOff(POOL));
         assertEquals(Duration.ofSeconds(24), backoff.backOff(POOL));
         assertEquals(Duration.ofSeconds(25), backoff.backOff(POOL));
         backoff.reset(POOL);
-        assertEquals(Set.of(), backoff.pools());
+        assertEquals(Set.of(), backoff.poolsInBackoff());
         assertEquals(Duration.ofSeconds(6), backoff.backOff(POOL));
     }
 }
--- a/src/test/java/org/dunespindle/storage/StateReplicaTest.java
+++ b/src/test/java/org/dunespindle/storage/StateReplicaTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A replica that cannot apply the change log recovers by loading pages, and does not request the same log for ever. */
+/** A replica that cannot apply the change log must load a snapshot, instead of requesting the same log indefinitely. */
 class StateReplicaTest {
     private static final int ROWS = 40;
     private static final int ROWS_PER_PAGE = 10;
@@ -37,7 +37,7 @@
     private final VirtualTime time = new VirtualTime(1);
     private final List<String> requests = new ArrayList<>();
     private long revision = 100;
-    /** The log is available from this revision on only. */
+    /** The log is available only from this revision on. */
     private long firstLogRevision;
 
     private LogFailure logFailure = LogFailure.COMPACTED;
@@ -68,9 +68,9 @@
         } else if (target.startsWith("/watch")) {
             long since = Long.parseLong(target.replaceAll(".*since=(\\d+).*", "$1"));
             if (since >= firstLogRevision) {
-                ObjectNode n = MessagePackCodec.map().put("epoch", revision);
-                n.putArray("log");
-                result.complete(new HttpClientResponse(200, MessagePackCodec.write(n)));
+                ObjectNode node = MessagePackCodec.map().put("epoch", revision);
+                node.putArray("log");
+                result.complete(new HttpClientResponse(200, MessagePackCodec.write(node)));
                 return;
             }
             switch (logFailure) {
@@ -86,8 +86,8 @@
             result.complete(new HttpClientResponse(503, MessagePackCodec.write(MessagePackCodec.map())));
         } else {
             String since = target.contains("since=") ? target.replaceAll(".*since=([^&]+).*", "$1") : "";
-            ObjectNode n = MessagePackCodec.map().put("epoch", revision);
-            var rows = n.putArray("rows");
+            ObjectNode node = MessagePackCodec.map().put("epoch", revision);
+            var rows = node.putArray("rows");
             int from = since.isEmpty() ? 0 : Integer.parseInt(since.substring(since.lastIndexOf('/') + 1)) + 1;
             for (int i = from; i < Math.min(ROWS, from + ROWS_PER_PAGE); i++) {
                 rows.addObject()
@@ -95,9 +95,9 @@
                         .put("stamp", revision)
                         .set("v", MessagePackCodec.map().put("at", revision));
             }
-            revision++; // others go on writing while pages are read
+            revision++; // other clients write while pages are read
             result.complete(
-                    new HttpClientResponse(200, MessagePackCodec.write(n.put("more", from + ROWS_PER_PAGE < ROWS))));
+                    new HttpClientResponse(200, MessagePackCodec.write(node.put("more", from + ROWS_PER_PAGE < ROWS))));
         }
     }
 
@@ -126,14 +126,15 @@
         pagesToFail = 6;
         time.run(Duration.ofSeconds(12));
         assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0, "staleness " + replica.staleness());
-        long first = requests.stream()
+        long firstPageReads = requests.stream()
                 .filter(t -> t.startsWith("/keys") && !t.contains("since="))
                 .count();
-        long good = requests.stream().filter(t -> t.startsWith("/keys")).count() - 6;
+        long successfulReads =
+                requests.stream().filter(t -> t.startsWith("/keys")).count() - 6;
         assertEquals(
                 ROWS / ROWS_PER_PAGE,
-                good,
-                "pages read more than once; the first one " + first + " times: " + requests);
+                successfulReads,
+                "pages read more than once; the first one " + firstPageReads + " times: " + requests);
     }
 
     @Test
@@ -149,6 +150,6 @@
         assertTrue(replica.staleness().compareTo(Duration.ofSeconds(1)) < 0);
         assertTrue(
                 requests.stream().noneMatch(t -> t.startsWith("/keys")),
-                "everything was read again after a mere outage");
+                "a snapshot was loaded although the log was available after the outage");
     }
 }
