--- a/src/main/java/org/dunespindle/FederationExtension.java
+++ b/src/main/java/org/dunespindle/FederationExtension.java
@@ -14,13 +14,13 @@
 import org.dunespindle.federation.grpc.GrpcCellTransport;
 import org.dunespindle.storage.FormatSupport;
 
-/** Links a daemon to other cells over gRPC. */
+/** Connects a daemon to the federation over gRPC. */
 public final class FederationExtension implements Daemon.Extension {
     private final FederationSettings settings;
     private GrpcCellTransport transport;
     private GrpcCellServer server;
 
-    /** Creates the link that a features file describes. */
+    /** Creates the extension for the settings of a features file; {@link #connect} starts it. */
     public FederationExtension(FederationSettings settings) {
         this.settings = settings;
     }
@@ -32,7 +32,7 @@
 
     @Override
     public JobDelegation connect(DelegationContext context, NioEventLoopGroup group) {
-        EventLoop loop = group.next(); // the group has one loop, the controller's
+        EventLoop loop = group.next(); // the group's only event loop, which is the controller's
         transport = new GrpcCellTransport(group, loop);
         var federation = new Federation(context, settings, transport, new SecureRandom());
         String host = context.settings().peerListen().getHostString();
@@ -44,7 +44,7 @@
         return federation;
     }
 
-    /** The port that other cells reach. */
+    /** The bound port for requests of other cells. */
     public int port() {
         return server.port();
     }
--- a/src/main/java/org/dunespindle/federation/AdmissionPolicy.java
+++ b/src/main/java/org/dunespindle/federation/AdmissionPolicy.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 import org.dunespindle.protocol.Submission;
 
-/** Whether a cell takes a job of another one, by its leader's latest plan. Pure. */
+/** Decides from the leader's latest plan whether a cell accepts a job of another cell. A pure function. */
 public final class AdmissionPolicy {
     private AdmissionPolicy() {}
 
     /**
-     * What the decision rests on.
+     * The input of the decision.
      *
-     * @param never why the job can never run here, if so
-     * @param visitors unfinished jobs of other cells that are here already
-     * @param givesAway kinds of work that this cell gives away
+     * @param never why the job can never run here; empty if it can
+     * @param visitors the number of unfinished jobs accepted from other cells
+     * @param givesAway the kinds of work that this cell delegates to other cells
      */
     public record View(
             CapacitySurvey room,
@@ -22,7 +22,7 @@
             int mostVisitors,
             Collection<ResourceKind> givesAway) {}
 
-    /** Why the job is not taken; empty if it is. */
+    /** Why the job is declined; empty if it is accepted. */
     public static Optional<Rejection.Reason> refusal(Submission job, View view) {
         ResourceKind kind = ResourceKind.of(job);
         if (view.never.isPresent()) {
--- a/src/main/java/org/dunespindle/federation/CancellationCall.java
+++ b/src/main/java/org/dunespindle/federation/CancellationCall.java
@@ -5,7 +5,7 @@
 import org.dunespindle.api.JobDelegation;
 import org.dunespindle.storage.JobRecord;
 
-/** Asks one controller of a cell after another to store that a job is cancelled, until one tells that it has. */
+/** Requests a job's cancellation from up to two controllers of a cell in turn, until one reports the transfer's stored state. */
 final class CancellationCall {
     private final CellConnection contact;
     private final CellRequest request;
@@ -29,9 +29,10 @@
     }
 
     /**
-     * Begins to ask.
+     * Sends the first request.
      *
-     * @param heard told how the transfer stands, as soon as that is known
+     * @param heard receives the transfer's status as soon as the remote cell reports it
+     * @param then receives the outcome; {@code UNKNOWN} if no controller reported one
      */
     static void start(
             CellConnection contact,
--- a/src/main/java/org/dunespindle/federation/CapacityHint.java
+++ b/src/main/java/org/dunespindle/federation/CapacityHint.java
@@ -5,11 +5,12 @@
 import org.dunespindle.protocol.Submission;
 
 /**
- * Room for work of a priority on machines of one kind. A hint: by the time that a job arrives it may be gone.
+ * The capacity for work of one priority on the machines of one type, zone and market. It is only a hint: the capacity may be
+ * allocated before an offered job arrives.
  *
- * @param free what is free, or held by work that would give way, on all such machines together
- * @param largest the same on the machine that has most, or the size of one that may be rented
- * @param rentable whether more such machines may be had, as far as the cell knows
+ * @param free the free or preemptible resources of all such machines together
+ * @param largest the free or preemptible resources of the machine that has most, or the size of a machine that can be rented
+ * @param rentable whether more such machines can be rented, as far as the cell knows
  */
 public record CapacityHint(
         String type,
@@ -20,14 +21,14 @@
         Resources largest,
         boolean rentable) {
 
-    /** Whether the hint is about machines that a job may use, and about its priority. */
+    /** Whether the hint covers machines that a job may use, at the job's priority. */
     public boolean concerns(Submission job) {
         boolean type = job.types().map(list -> list.contains(this.type)).orElse(true);
         boolean zone = job.zone().map(this.zone::equals).orElse(true);
         return type && zone && (job.spot() || !spot) && priority == job.priority();
     }
 
-    /** About how many tasks like those of a job find room, however many it has. */
+    /** An estimate of how many tasks of a job's size fit, regardless of the job's own number of tasks. */
     public int tasks(Submission job) {
         if (!job.perTask().fitsIn(largest)) {
             return 0;
--- a/src/main/java/org/dunespindle/federation/CapacitySurvey.java
+++ b/src/main/java/org/dunespindle/federation/CapacitySurvey.java
@@ -22,18 +22,18 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * What room a plan leaves in a cell: for each priority what is free or held by work that would give way, after what the plan books.
- * Pure, and made once a plan, for hints to other cells and for deciding whether to take a job of theirs.
+ * The capacity that a plan leaves in a cell: for each priority, the resources that are free or preemptible once the plan's bindings
+ * are placed. A pure computation, done once for each plan; used for capacity hints to other cells and for deciding on their offers.
  */
 public final class CapacitySurvey {
-    /** Of an array, room for this part of its tasks is enough to begin with. */
+    /** An array may start once capacity for this fraction of its tasks (one in four) is available. */
     private static final int ARRAY_PART = 4;
 
     private final ClusterSnapshot snapshot;
     private final List<Machine> machines = new ArrayList<>();
     private final TeamUsage use;
     private final List<JobRecord> lacking = new ArrayList<>();
-    /** What may be rented, as far as is known: markets that the cloud did not refuse lately. */
+    /** The pools that can be rented from, as far as known: those that the cloud did not refuse recently. */
     private final Map<MachinePool, MachineType> rentable = new LinkedHashMap<>();
 
     private static final class Machine {
@@ -46,7 +46,7 @@
             this.free = machine.capacity();
         }
 
-        /** Preemption goes by priority alone, and only tasks of gangs are exempt. */
+        /** The free and preemptible resources: preemption depends on priority alone, and only tasks of gangs are exempt from it. */
         Resources freeFor(Priority priority) {
             Resources sum = free;
             for (Map.Entry<Priority, Resources> held : heldBy.entrySet()) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Surveys a cell by its leader's plan, and by the machine types that its cloud rents out. */
+    /** Computes the capacity that the leader's plan leaves, given the machine types that the cloud rents out. */
     public CapacitySurvey(ClusterSnapshot snapshot, Plan plan, List<MachineType> types) {
         this.snapshot = snapshot;
         this.use = snapshot.projection().usage();
@@ -121,19 +121,19 @@
         }
     }
 
-    /** The cell's own jobs, and those it took in, that the plan found no room for. */
+    /** The open jobs, both the cell's own and those accepted from other cells, that the plan could not place. */
     public List<JobRecord> lacking() {
         return lacking;
     }
 
-    /** Whether work of a priority, or of a higher one, already waits for machines that work of a kind could use. */
+    /** Whether a job of at least this priority already waits for machines that work of this kind could use. */
     public boolean lacks(ResourceKind kind, Priority priority) {
         return lacking.stream()
                 .anyMatch(job -> job.submission().priority().compareTo(priority) >= 0
                         && ResourceKind.of(job.submission()).overlaps(kind));
     }
 
-    /** Whether a job finds room, as far as the plan tells, and its team's limit allows it. */
+    /** Whether a job fits into the remaining capacity and its team's limit. */
     public boolean hasRoomFor(Submission job) {
         int wanted = job.isGang() ? job.tasks() : Math.max(1, job.tasks() / ARRAY_PART);
         Settings.Team team = snapshot.teams().get(job.team());
@@ -182,7 +182,7 @@
         return tasks;
     }
 
-    /** What other cells are told. */
+    /** The capacity hints for other cells, one for each pool and priority. */
     public List<CapacityHint> hints() {
         var byMarket = new LinkedHashMap<MachinePool, List<Machine>>();
         rentable.keySet().forEach(pool -> byMarket.put(pool, new ArrayList<>()));
--- a/src/main/java/org/dunespindle/federation/CellAbandonment.java
+++ b/src/main/java/org/dunespindle/federation/CellAbandonment.java
@@ -13,8 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives a cell up by an operator's word: jobs given to it come home, its own jobs here are cancelled, and what is stored of it is
- * dropped at last, so that it may be met anew. If the cell still runs those jobs, they run twice: nobody but the operator can know.
+ * Abandons a remote cell on an operator's request: jobs delegated to it return to this cell, jobs accepted from it are cancelled, and
+ * finally its stored record is removed, so that a later contact starts afresh. If the remote cell still runs the returned jobs, they
+ * run twice; only the operator can rule that out.
  */
 final class CellAbandonment {
     private static final Logger LOG = LoggerFactory.getLogger(CellAbandonment.class);
@@ -32,7 +33,7 @@
         this.known = known;
     }
 
-    /** The leader's part, for one cell. */
+    /** Takes the next step for one cell; called on the leader only. */
     void tick(String cell, List<JobRecord> away) {
         Optional<FederationRecords.KnownCell> stored = known.cell(cell);
         if (stored.filter(FederationRecords.KnownCell::abandoned).isEmpty()) {
@@ -43,7 +44,7 @@
         String key = Keys.cell(cell);
         boolean over = changes.isEmpty() && visitorsOf(cell).isEmpty();
         if (over && !context.commitQueue().isLocked(key)) {
-            context.eventRecorder().record(LOG, "cell {} is abandoned and forgotten", cell);
+            context.eventRecorder().record(LOG, "cell abandoned, its stored record is removed cell={}", cell);
             Transaction transaction = self.guarded(new Transaction())
                     .requireRevision(key, replica.modRevision(key))
                     .remove(key);
--- a/src/main/java/org/dunespindle/federation/CellConnection.java
+++ b/src/main/java/org/dunespindle/federation/CellConnection.java
@@ -9,14 +9,14 @@
 import java.util.function.Consumer;
 import org.dunespindle.time.TimeSource;
 
-/** What this controller knows of another cell from talking to it. Nothing here is stored. */
+/** This controller's connection to a remote cell: the calls in flight and the latest replies. Kept in memory only. */
 final class CellConnection {
     static final Duration DEADLINE = Duration.ofMillis(1500);
     private static final int MOST_UNDER_WAY = 6;
-    /** Of requests that users wait for. */
+    /** The limit for requests that users wait for, which is above the limit for background calls. */
     private static final int MOST_FOR_USERS = 24;
 
-    /** Room told longer ago than this is not offered into. */
+    /** Capacity hints older than this are not used for offers. */
     private static final Duration FRESH = Duration.ofSeconds(8);
 
     private final FederationSettings.RemoteCell cell;
@@ -32,7 +32,7 @@
     private Optional<String> contradiction = Optional.empty();
     private final Map<ResourceKind, Refused> refusals = new HashMap<>();
 
-    /** A refusal that was told, and until when the cell is not asked again. */
+    /** Why the cell declined work of a kind, and until when no such work is offered to it. */
     record Refused(Rejection.Reason reason, Duration until) {}
 
     CellConnection(FederationSettings.RemoteCell cell, CellTransport transport, TimeSource timeSource) {
@@ -46,17 +46,17 @@
         return cell.name();
     }
 
-    /** Whether another request may be sent now. */
+    /** Whether the limit on background calls permits another one. */
     boolean free() {
         return underWay < MOST_UNDER_WAY;
     }
 
-    /** Whether another request that a user waits for may be sent now. */
+    /** Whether the limit on calls for users permits another one. */
     boolean freeForUsers() {
         return underWay < MOST_FOR_USERS;
     }
 
-    /** Sends a request to the controller that is thought to lead; nothing is told if no answer comes. */
+    /** Sends a request to the presumed leader. Exactly one of the callbacks runs: the first on a reply, the second on a failure. */
     void call(CellRequest request, Consumer<CellReply> answered, Runnable silent) {
         int asked = preferred;
         underWay++;
@@ -95,7 +95,7 @@
         }
     }
 
-    /** How many controllers the cell has. */
+    /** The number of the cell's configured controllers. */
     int controllerCount() {
         return controllers.size();
     }
@@ -105,7 +105,7 @@
         greetedAt = asked;
     }
 
-    /** What its leader told last, while it is fresh. */
+    /** The latest greeting, if a leader sent it and it has not expired. */
     Optional<CellReply.Greeting> freshGreeting() {
         return greeting.filter(told -> told.leads() && age().compareTo(FRESH) < 0);
     }
@@ -114,34 +114,34 @@
         return greeting;
     }
 
-    /** How old what was told last is. */
+    /** The time since the latest greeting was requested. */
     Duration age() {
         return timeSource.now().minus(greetedAt);
     }
 
-    /** How long no controller of the cell has answered; empty if none ever did. */
+    /** The time since any controller of the cell last replied; empty if none ever did. */
     Optional<Duration> silentFor() {
         return answeredAt.map(at -> timeSource.now().minus(at));
     }
 
-    /** Why nothing is offered to the cell, if only an operator can tell what is true. */
+    /** The problem that needs an operator; nothing is offered to the cell while there is one. */
     Optional<String> trouble() {
         return greetingTrouble.or(() -> contradiction);
     }
 
-    /** What is wrong with the cell by its latest greeting. */
+    /** The problem that the reply to the latest hello revealed. */
     Optional<String> greetingTrouble() {
         return greetingTrouble;
     }
 
-    /** Notes what is wrong with the cell by its latest greeting; tells whether that is new. */
+    /** Sets the problem that the reply to the latest hello revealed; returns whether it changed. */
     boolean greetingTrouble(Optional<String> now) {
         boolean news = !greetingTrouble.equals(now);
         greetingTrouble = now;
         return news;
     }
 
-    /** Notes what the cell tells of some job that cannot be; tells whether that is new. */
+    /** Sets the contradiction between the cell's reports and the stored state; returns whether it changed. */
     boolean contradiction(Optional<String> now) {
         boolean news = !contradiction.equals(now);
         contradiction = now;
@@ -152,7 +152,7 @@
         refusals.put(kind, new Refused(refusal.reason(), timeSource.now().plus(refusal.retryAfter())));
     }
 
-    /** A refusal of work of some kind that still holds. */
+    /** The latest rejection of work of a kind, if it has not expired. */
     Optional<Refused> refusal(ResourceKind kind) {
         refusals.values().removeIf(refused -> refused.until.compareTo(timeSource.now()) <= 0);
         return Optional.ofNullable(refusals.get(kind));
--- a/src/main/java/org/dunespindle/federation/CellId.java
+++ b/src/main/java/org/dunespindle/federation/CellId.java
@@ -1,14 +1,16 @@
 package org.dunespindle.federation;
 
 /**
- * Which cell speaks, and which state it speaks from.
+ * A cell's identity and the incarnation of its state.
  *
- * @param identity drawn once, when the cell first took part; another one under the same name is another cell
- * @param incarnation raised by each new leader of the cell
- * @param mark drawn with each incarnation: a cell whose state was put back to an older one repeats a number, but not its mark
+ * @param identity a random token, generated when the cell joined the federation: a cell with the same name but a different identity
+ *     is a different cell
+ * @param incarnation incremented by each new leader of the cell
+ * @param mark a random token, generated with each incarnation: a cell whose state was restored from an older one may repeat an
+ *     incarnation number, but not its token
  */
 public record CellId(String name, String identity, long incarnation, String mark) {
-    /** Whether both are the same cell, whoever leads it. */
+    /** Whether both are the same cell, in any incarnation. */
     public boolean sameCell(CellId other) {
         return name.equals(other.name) && identity.equals(other.identity);
     }
--- a/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
+++ b/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
@@ -15,12 +15,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This cell's identity, and the numbers of its transfers. Each leader raises the incarnation before it gives anything away; a
- * number is built on it, so none is ever used twice, and none of an earlier leader's is higher.
+ * Maintains this cell's identity and generates transfer numbers. Each new leader increments the incarnation before it delegates a job.
+ * The incarnation forms the high bits of a transfer number, so numbers are unique and increase from one leader to the next.
  */
 final class CellIdentityKeeper {
     private static final Logger LOG = LoggerFactory.getLogger(CellIdentityKeeper.class);
-    /** Transfers of one incarnation take so many bits of their number. */
+    /** The number of low bits of a transfer number that count the transfers of one incarnation. */
     private static final int COUNTER_BITS = 20;
 
     private final DelegationContext context;
@@ -39,12 +39,12 @@
         this.random = random;
     }
 
-    /** Whether all controllers of this cell understand what the federation stores. */
+    /** Whether all controllers of this cell support the storage format of the federation. */
     boolean formatReady() {
         return replica.isLoaded() && replica.formatVersion() >= FormatVersion.DELEGATION_LINKS;
     }
 
-    /** This cell as stored; empty before it first took part. */
+    /** This cell's stored identity; empty until the first leader has stored one. */
     Optional<CellId> id() {
         return stored().map(FederationRecords.OwnCell::id);
     }
@@ -58,7 +58,7 @@
                     return Optional.of(FederationRecords.readOwn(value));
                 } catch (MalformedMessageException e) {
                     LOG.error(
-                            "the record {} cannot be read: {}; this cell takes no part",
+                            "stored cell identity is unreadable, federation disabled key={} cause={}",
                             Keys.FEDERATION,
                             e.getMessage());
                     return Optional.empty();
@@ -68,7 +68,7 @@
         return read;
     }
 
-    /** Whether this controller leads, and its incarnation is stored: only then may it give jobs away. */
+    /** Whether this controller leads and its incarnation is stored; only then may it delegate or accept jobs. */
     boolean mayGiveAway() {
         return formatReady()
                 && context.membership().isLeader()
@@ -77,7 +77,7 @@
                 && replica.appliedRevision() >= replica.modRevision(Keys.FEDERATION);
     }
 
-    /** The leader's part: stores an incarnation of its own. */
+    /** Stores a new incarnation if this controller has become the leader. */
     void tick() {
         boolean due = formatReady() && context.membership().isLeader() && !mayGiveAway();
         boolean readable =
@@ -97,12 +97,13 @@
         Transaction transaction = guarded(new Transaction()).write(Keys.FEDERATION, FederationRecords.write(next));
         context.commitQueue().propose(CommitPriority.PLACEMENT, transaction, result -> {
             if (result instanceof TransactionResult.Applied) {
-                context.eventRecorder().record(LOG, "cell {} is in incarnation {}", name, incarnation);
+                context.eventRecorder()
+                        .record(LOG, "cell incarnation stored cell={} incarnation={}", name, incarnation);
             }
         });
     }
 
-    /** Guards a change by the leadership and the incarnation under which it was decided. */
+    /** Adds the preconditions that the leader, the incarnation and the format version are unchanged. */
     Transaction guarded(Transaction transaction) {
         return transaction
                 .requireRevision(Keys.FEDERATION, replica.modRevision(Keys.FEDERATION))
@@ -114,7 +115,7 @@
         return Long.toHexString(random.nextLong());
     }
 
-    /** A number for the next transfer; empty if this incarnation has used all of its own. */
+    /** Allocates the next transfer number; empty if this incarnation has used up its numbers. */
     OptionalLong nextTransfer() {
         long number = unusedTransfer();
         if (counter >= 1L << COUNTER_BITS) {
@@ -124,7 +125,7 @@
         return OptionalLong.of(number);
     }
 
-    /** The lowest number that has not been used. */
+    /** The lowest transfer number that has not been allocated. */
     long unusedTransfer() {
         long incarnation = id().orElseThrow().incarnation();
         if (incarnation != countedIncarnation) {
--- a/src/main/java/org/dunespindle/federation/CellMessageCodec.java
+++ b/src/main/java/org/dunespindle/federation/CellMessageCodec.java
@@ -16,10 +16,10 @@
 import org.dunespindle.protocol.Resources;
 import org.dunespindle.protocol.Submission;
 
-/** The JSON form of what cells say to one another. What cannot be understood is a {@link MalformedMessageException}. */
+/** Encodes and decodes the messages between cells as JSON. Invalid input causes a {@link MalformedMessageException}. */
 public final class CellMessageCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** More transfers than this are asked about in several requests. */
+    /** The maximum number of transfers in a message; a larger set is requested in several messages. */
     static final int MOST_TRANSFERS = 200;
 
     private static final int MOST_HINTS = 4000;
@@ -27,7 +27,7 @@
 
     private CellMessageCodec() {}
 
-    /** The form of a request. */
+    /** Encodes a request. */
     public static byte[] write(CellRequest request) {
         ObjectNode node = JSON.createObjectNode();
         FederationRecords.putId(node.putObject("from"), request.from());
@@ -49,7 +49,7 @@
         return bytes(node);
     }
 
-    /** Reads a request. */
+    /** Decodes a request. */
     public static CellRequest readRequest(byte[] body) throws MalformedMessageException {
         JsonNode node = tree(body);
         CellId from = FederationRecords.readId(node.path("from"));
@@ -68,13 +68,13 @@
         Submission job = Submission.parse(node.path("submission"));
         Transfer transfer = transfer(node);
         if (!transfer.job().equals(job.id())) {
-            throw new MalformedMessageException("the transfer names another job");
+            throw new MalformedMessageException("job differs from the id in submission");
         }
         Instant arrived = Instant.ofEpochMilli(FederationRecords.whole(node, "arrived"));
         return new CellRequest.Offer(from, FederationRecords.readId(node.path("to")), transfer, arrived, job);
     }
 
-    /** The form of an answer. */
+    /** Encodes a reply. */
     public static byte[] write(CellReply reply) {
         ObjectNode node = JSON.createObjectNode();
         if (reply instanceof CellReply.Greeting greeting) {
@@ -99,7 +99,7 @@
         return bytes(node);
     }
 
-    /** Reads an answer. */
+    /** Decodes a reply. */
     public static CellReply readReply(byte[] body) throws MalformedMessageException {
         JsonNode node = tree(body);
         return switch (FederationRecords.text(node, KIND)) {
--- a/src/main/java/org/dunespindle/federation/CellReply.java
+++ b/src/main/java/org/dunespindle/federation/CellReply.java
@@ -3,27 +3,27 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a cell answers another. */
+/** A reply to a request from another cell. */
 public sealed interface CellReply {
     /**
-     * Who is there.
+     * The reply to a hello: the cell's identity, its leader and its capacity hints.
      *
-     * @param leads whether the answering controller leads its cell; only the leader knows of room and takes offers
-     * @param leader the name of the controller that leads, as far as known
-     * @param room empty unless the answering controller leads and has planned
+     * @param leads whether the replying controller leads its cell; only the leader has capacity hints and accepts offers
+     * @param leader the name of the leading controller; empty if unknown
+     * @param room the capacity hints; empty unless the replying controller leads and has a current plan
      */
     record Greeting(CellId self, boolean leads, Optional<String> leader, Optional<List<CapacityHint>> room)
             implements CellReply {}
 
-    /** How transfers stand, as stored: an offer, a recall or a cancellation is answered only after its effect is stored. */
+    /** The stored status of transfers. An offer, a recall or a cancellation is answered only after its effect is stored. */
     record Reports(List<InboundJobStatus> reports) implements CellReply {}
 
-    /** The job is not taken, and that is stored: the transfer has ended. */
+    /** The job was declined. The rejection is stored, so the transfer has ended. */
     record Declined(Transfer transfer, Rejection refusal) implements CellReply {}
 
-    /** Nothing was changed, and nothing about any transfer can be concluded. */
+    /** The request was not served: nothing was changed, and the reply implies nothing about any transfer. */
     record NotServed(Reason reason, Optional<String> leader) implements CellReply {
-        /** Without anybody to turn to instead. */
+        /** A reply that names no leader to retry with. */
         static NotServed of(Reason reason) {
             return new NotServed(reason, Optional.empty());
         }
@@ -48,12 +48,12 @@
             this.words = words;
         }
 
-        /** The reason in words that follow the answering cell's name. */
+        /** The reason as a phrase whose subject is the replying cell. */
         public String words() {
             return words;
         }
 
-        /** Whether only an operator can tell what is true. */
+        /** Whether the cause is an inconsistency that only an operator can resolve. */
         public boolean needsOperator() {
             return this == WRONG_IDENTITY
                     || this == STALE
--- a/src/main/java/org/dunespindle/federation/CellRequest.java
+++ b/src/main/java/org/dunespindle/federation/CellRequest.java
@@ -4,23 +4,27 @@
 import java.util.List;
 import org.dunespindle.protocol.Submission;
 
-/** What one cell asks of another. Every request may arrive late, twice, or after newer ones. */
+/** A request from one cell to another. Requests may be delayed, duplicated or reordered. */
 public sealed interface CellRequest {
-    /** Who asks. */
+    /** The requesting cell. */
     CellId from();
 
-    /** Asks who is there and how much room it has, and tells which transfers have ended for good. */
+    /**
+     * Requests the cell's identity and capacity hints.
+     *
+     * @param floor the requester's lowest open transfer: all of its transfers with lower numbers have ended
+     */
     record Hello(CellId from, long floor) implements CellRequest {}
 
-    /** Offers a job. Only taken by the very incarnation that it is meant for. */
+    /** Offers a job. Only the incarnation that the offer is addressed to may accept it. */
     record Offer(CellId from, CellId to, Transfer transfer, Instant arrived, Submission job) implements CellRequest {}
 
-    /** Wants a job back, if none of its tasks was ever booked. */
+    /** Recalls a job, which takes effect only if none of its tasks was ever placed. */
     record Recall(CellId from, String toIdentity, Transfer transfer) implements CellRequest {}
 
-    /** Wants a job cancelled. */
+    /** Cancels a job. */
     record Cancel(CellId from, String toIdentity, Transfer transfer) implements CellRequest {}
 
-    /** Asks how jobs stand. */
+    /** Requests the status of transfers. */
     record Progress(CellId from, String toIdentity, List<Transfer> transfers) implements CellRequest {}
 }
--- a/src/main/java/org/dunespindle/federation/CellTransport.java
+++ b/src/main/java/org/dunespindle/federation/CellTransport.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Carries requests to controllers of other cells. Results arrive on the controller's one thread. */
+/** Sends requests to controllers of other cells. Futures complete on the controller's event loop. */
 public interface CellTransport {
     /**
-     * Sends a request. The result fails with {@link CellCallException} if no usable answer comes within the deadline; the request may
-     * have been carried out, or may yet be.
+     * Sends a request. The result fails with {@link CellCallException} if no valid reply arrives before the deadline. The request may
+     * nevertheless have been executed, or may still be.
      */
     CompletableFuture<CellReply> call(String address, CellRequest request, Duration deadline);
 }
--- a/src/main/java/org/dunespindle/federation/DelegationRules.java
+++ b/src/main/java/org/dunespindle/federation/DelegationRules.java
@@ -6,19 +6,19 @@
 import org.dunespindle.storage.OutboundDelegation;
 
 /**
- * What a job's own cell does next about a transfer, by what the other cell told of it. Pure. A job comes home only by an answer that
- * tells that the transfer has ended; silence and clocks lead to nothing but further questions.
+ * Decides the origin's next step for a transfer from the state that the remote cell reported. A pure function. A job returns to its
+ * origin only after the remote cell has confirmed that the transfer ended; missing replies and elapsed time only cause further requests.
  */
 public final class DelegationRules {
     private DelegationRules() {}
 
     /**
-     * What is known of a transfer.
+     * The known state of a transfer.
      *
-     * @param told what the other cell told of this very transfer last, if anything
-     * @param waited how long it has been in its phase, or has waited in the other cell without a task, as seen from here
-     * @param patience how long that may take before the job is wanted back
-     * @param again when the job may be given away again, should it come home now
+     * @param told the state of exactly this transfer that the remote cell reported last; empty if it reported none
+     * @param waited the time since this controller first saw the transfer in its present phase
+     * @param patience the time limit for a phase without progress, after which the job is recalled
+     * @param again when the job may be delegated again, should it return now
      */
     public record View(
             OutboundDelegation delegation,
@@ -31,15 +31,15 @@
         }
     }
 
-    /** What to do next. */
+    /** The next step for a transfer. */
     public sealed interface Step {
-        /** Sends the offer, for the first time or again. */
+        /** Sends or resends the offer. */
         record SendOffer() implements Step {}
 
-        /** Asks for the job to be given back. */
+        /** Sends or resends the recall. */
         record SendRecall() implements Step {}
 
-        /** Asks how the job stands. */
+        /** Requests the job's status. */
         record Ask() implements Step {}
 
         /** Stores the transfer's new phase. */
@@ -48,10 +48,10 @@
         /** Stores that the job is done. */
         record StoreDone() implements Step {}
 
-        /** Stores that the job is cancelled, as its user wished. */
+        /** Stores that the job is cancelled, as its user requested. */
         record StoreCancelled() implements Step {}
 
-        /** What the other cell tells cannot be; nothing is concluded until an operator has looked. */
+        /** The remote cell's report contradicts the stored state; the transfer stays as it is until an operator resolves it. */
         record Contradiction(String what) implements Step {}
     }
 
@@ -68,7 +68,7 @@
                     case OFFERED -> offered(view, told);
                     case ACCEPTED -> accepted(view, told);
                     case RECALLED -> recalled(view, told);
-                    case HOME -> throw new IllegalArgumentException("the job is at home");
+                    case HOME -> throw new IllegalArgumentException("the job has no outstanding transfer");
                 };
         };
     }
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -26,16 +26,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller's part in a federation of cells: answers other cells, and gives away what finds no room in this one. */
+/** Connects a controller to a federation of cells: serves requests of other cells, and delegates jobs that this cell cannot place. */
 public final class Federation implements JobDelegation {
     private static final Logger LOG = LoggerFactory.getLogger(Federation.class);
     private static final Duration TICK = Duration.ofMillis(500);
     private static final Duration HELLO_EVERY = Duration.ofSeconds(2);
-    /** A plan older than this tells nothing of room. */
+    /** Plans older than this are not used to estimate capacity. */
     private static final Duration PLAN_FRESH = Duration.ofSeconds(5);
-    /** A job that a plan found room for this long ago no longer counts as one that waits without a break. */
+    /** A job that no plan reported as a shortfall for this long no longer counts as waiting without interruption. */
     private static final Duration LACK_FORGOTTEN = Duration.ofSeconds(5);
-    /** How long a cell that gave work of a kind away, or took it in, does not do the opposite. */
+    /** After delegating or accepting work of a kind, a cell does not do the opposite for this long. */
     private static final Duration SAME_DIRECTION = Duration.ofSeconds(60);
 
     private static final int OFFERS_AT_ONCE = 4;
@@ -57,7 +57,7 @@
     private final Map<ResourceKind, Duration> tookIn = new HashMap<>();
     private final Map<String, Duration> saidHelloAt = new HashMap<>();
 
-    /** The latest plan, surveyed when somebody asks. */
+    /** The latest plan, with a survey that is computed on first use. */
     private static final class Planned {
         final ClusterSnapshot snapshot;
         final Plan plan;
@@ -71,10 +71,10 @@
         }
     }
 
-    /** Since when, and until when, the plans found no room for a job. */
+    /** The period over which successive plans could not place a job. */
     private record Lack(Duration since, Duration last) {}
 
-    /** Creates a controller's part; nothing is sent before {@link #start}. */
+    /** Creates the federation of one controller; no request is sent before {@link #start}. */
     public Federation(
             DelegationContext context, FederationSettings settings, CellTransport transport, RandomGenerator random) {
         this.context = context;
@@ -89,7 +89,7 @@
         this.admin = new FederationAdmin(context, self, known, contacts, delegations);
     }
 
-    /** Answers another cell's request. */
+    /** Serves a request of another cell. The reply may be passed on after this method returns. */
     public void handle(CellRequest request, Consumer<CellReply> reply) {
         visitors.handle(request, reply);
     }
@@ -99,7 +99,7 @@
         try {
             tick();
         } catch (RuntimeException e) {
-            LOG.error("a round of the federation failed and is repeated", e);
+            LOG.error("federation round failed, retrying with the next one", e);
         }
         context.timeSource().schedule(TICK, this::start);
     }
@@ -162,7 +162,7 @@
         }
     }
 
-    /** What is wrong with a cell's identity, compared with what is stored. */
+    /** A problem with a cell's identity compared with the stored one; empty if they agree. */
     private Optional<String> identityTrouble(String name, CellId told) {
         if (!told.name().equals(name)) {
             return Optional.of("a cell named " + told.name() + " answers at its address");
@@ -178,7 +178,7 @@
         });
     }
 
-    /** Stores a cell's identity when it is met first; nothing is offered before. */
+    /** Stores a cell's identity at first contact. Nothing is offered to the cell before that is stored. */
     private void remember(CellId cell) {
         String key = Keys.cell(cell.name());
         if (!context.commitQueue().isLocked(key)) {
@@ -189,7 +189,7 @@
         }
     }
 
-    // Room, and who waits for it
+    // Capacity, and the jobs that wait for it
 
     @Override
     public void planned(ClusterSnapshot snapshot, Plan plan) {
@@ -256,7 +256,7 @@
         return jobs;
     }
 
-    /** Kinds of work that this cell gives away: what waits for it, what is on its way, and what went a moment ago. */
+    /** Kinds of work that this cell delegates: of jobs that are due for it, have an unconfirmed transfer, or were delegated recently. */
     private List<ResourceKind> givesAway() {
         gaveAway.values().removeIf(at -> now().minus(at).compareTo(SAME_DIRECTION) > 0);
         var kinds = new ArrayList<>(gaveAway.keySet());
@@ -313,7 +313,7 @@
         return targets;
     }
 
-    // What users and operators ask
+    // Requests of users and operators
 
     @Override
     public void cancel(JobRecord job, Consumer<Cancellation> then) {
--- a/src/main/java/org/dunespindle/federation/FederationAdmin.java
+++ b/src/main/java/org/dunespindle/federation/FederationAdmin.java
@@ -18,7 +18,7 @@
 import org.dunespindle.storage.Transaction;
 import org.dunespindle.storage.TransactionResult;
 
-/** The federation's part of the administration API: {@code cells}, {@code delegations}, and abandoning a cell. */
+/** The federation's endpoints of the administration API: {@code cells}, {@code delegations}, and abandoning a cell. */
 final class FederationAdmin {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String CELLS = "cells";
@@ -53,7 +53,7 @@
         this.delegations = delegations;
     }
 
-    /** Answers a request; false if it concerns something else. */
+    /** Handles a request; returns false if the path is none of the federation's. */
     boolean handle(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         boolean read = method.equals("GET") && (path.equals(CELLS) || path.equals(DELEGATIONS));
         boolean abandon = method.equals("POST") && path.startsWith(CELLS + "/") && path.endsWith(ABANDON);
@@ -170,7 +170,7 @@
         whyWaits(job).ifPresent(why -> node.put("waits", why));
     }
 
-    /** Why a job that other cells were asked to take waits. */
+    /** Why an open job that was offered to other cells waits; empty for other jobs. */
     Optional<String> whyWaits(JobRecord job) {
         Optional<OutboundDelegation> delegation = job.isOpen() ? job.outboundDelegation() : Optional.empty();
         if (delegation.isEmpty()) {
@@ -206,7 +206,7 @@
                 .orElse("in " + cell + ", which has not told yet how it stands");
     }
 
-    /** Stores that a cell is given up, if the caller names it in the body as well. */
+    /** Stores that a cell is abandoned, if the request's body repeats the cell's name as a confirmation. */
     private void abandon(String name, byte[] body, Consumer<AdminResponse> answer) {
         String key = Keys.cell(name);
         Optional<FederationRecords.KnownCell> cell = known.cell(name);
--- a/src/main/java/org/dunespindle/federation/FederationRecords.java
+++ b/src/main/java/org/dunespindle/federation/FederationRecords.java
@@ -5,7 +5,7 @@
 import org.dunespindle.protocol.MalformedMessageException;
 import org.dunespindle.protocol.MessagePackCodec;
 
-/** Reads and writes what is stored about cells. */
+/** Encodes and decodes the stored records of this cell and of remote cells. */
 final class FederationRecords {
     private static final String NAME = "name";
     private static final String IDENTITY = "identity";
@@ -18,17 +18,17 @@
     private FederationRecords() {}
 
     /**
-     * This cell, as its leader stored it.
+     * This cell, as stored by its leader.
      *
-     * @param leaderStamp the stamp of the leader's key when it did: a newer leader raises the incarnation
+     * @param leaderStamp the revision of the leader key at that time: under a newer leader it differs, and the incarnation is raised
      */
     record OwnCell(CellId id, long leaderStamp) {}
 
     /**
-     * Another cell, as it told of itself.
+     * A remote cell, as it described itself.
      *
-     * @param floor its transfers below this number have ended for good
-     * @param abandoned whether an operator has given it up
+     * @param floor the cell's lowest open transfer: all of its transfers with lower numbers have ended
+     * @param abandoned whether an operator has abandoned the cell
      */
     record KnownCell(CellId id, long floor, boolean abandoned) {
         KnownCell abandon() {
--- a/src/main/java/org/dunespindle/federation/FederationSettings.java
+++ b/src/main/java/org/dunespindle/federation/FederationSettings.java
@@ -10,10 +10,10 @@
 import org.dunespindle.protocol.MalformedMessageException;
 
 /**
- * The table {@code federation} of a features file, checked.
+ * The validated {@code federation} table of a features file.
  *
  * @param cell this cell's name
- * @param port where this controller listens for other cells, at the host of its {@code peer_listen}
+ * @param port the port on which this controller serves other cells, at the host of its {@code peer_listen}; 0 for any free port
  */
 public record FederationSettings(String cell, int port, List<RemoteCell> cells) {
     private static final String AT = "federation.";
@@ -25,13 +25,13 @@
     private static final int MOST_PORT = 65_535;
 
     /**
-     * Another cell.
+     * A remote cell.
      *
-     * @param controllers where each of its controllers listens for other cells, by the controller's name
+     * @param controllers the addresses at which its controllers serve other cells, by controller name
      */
     public record RemoteCell(String name, Map<String, String> controllers) {}
 
-    /** Reads the table; empty if it is missing or switched off. The message of a failure names the field. */
+    /** Parses the table; empty if it is missing or disabled. The message of an exception names the field. */
     public static Optional<FederationSettings> parse(JsonNode table) throws MalformedMessageException {
         if (table.isMissingNode()) {
             return Optional.empty();
--- a/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps what is stored of the cells that ask here. A cell tells its floor: the number below which all of its transfers have ended
- * for good. What is kept of those is dropped, in the same transaction that raises the stored floor; from then on anything late
- * about them is refused by its number alone.
+ * Maintains the stored records of the cells that send requests here. A hello carries the cell's lowest open transfer: all of its
+ * transfers with lower numbers have ended. Their records are removed in the same transaction that raises the stored number; later
+ * messages about them are refused by their transfer number alone.
  */
 final class InboundDelegationCleanup {
     private static final Logger LOG = LoggerFactory.getLogger(InboundDelegationCleanup.class);
@@ -38,7 +38,7 @@
         this.known = known;
     }
 
-    /** Why a cell is not served for what it is, or for the state that it speaks from. */
+    /** Why a cell is not served because of its identity or its incarnation; empty if it is served. */
     Optional<CellReply.Reason> objection(CellRequest request) {
         CellId from = request.from();
         Optional<FederationRecords.KnownCell> stored = known.cell(from.name());
@@ -80,7 +80,7 @@
         return visit.origin().equals(home) && visit.transfer() < floor;
     }
 
-    /** The leader's part: notes who asked, and drops what that cell does not need any more. */
+    /** Stores the requesting cell's identity, and removes the records of its ended transfers; called on the leader only. */
     void heard(CellRequest.Hello hello) {
         CellId from = hello.from();
         String key = Keys.cell(from.name());
@@ -99,7 +99,12 @@
                 .write(key, FederationRecords.write(new FederationRecords.KnownCell(from, hello.floor(), false)));
         ended.forEach(job -> remove(transaction, job));
         if (news) {
-            context.eventRecorder().record(LOG, "cell {} is known in incarnation {}", from.name(), from.incarnation());
+            context.eventRecorder()
+                    .record(
+                            LOG,
+                            "remote cell incarnation stored cell={} incarnation={}",
+                            from.name(),
+                            from.incarnation());
         }
         context.commitQueue().propose(CommitPriority.MAINTENANCE, transaction, result -> {});
     }
@@ -114,7 +119,7 @@
         return last != null && context.timeSource().now().minus(last).compareTo(EVERY) < 0;
     }
 
-    /** As many ended visitors as one transaction takes beside the cell's own record. */
+    /** Ended inbound jobs, at most as many as one transaction can remove beside writing the cell's record. */
     private List<JobRecord> endedBelow(String home, long floor) {
         int most = context.settings().state().lowest().txnOps() - 1;
         var ended = new ArrayList<JobRecord>();
--- a/src/main/java/org/dunespindle/federation/InboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationService.java
@@ -20,13 +20,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers other cells. Every answer about a transfer rests on a reading of the state service that began after the request came, and
- * an effect is stored before it is answered. One key, the job's own, holds whatever is known of a transfer, so that an offer and a
- * recall that meet at two controllers can't both succeed.
+ * Serves the requests of other cells. Every reply about a transfer is based on a read of the state store that began after the request
+ * arrived, and an effect is stored before it is confirmed. All state of a transfer is under one key, the job's own, so that of an offer
+ * and a recall that arrive at two controllers at the same time only one can succeed.
  */
 final class InboundDelegationService {
     private static final Logger LOG = LoggerFactory.getLogger(InboundDelegationService.class);
-    /** The asker's deadline is not much longer. */
+    /** Slightly less than the deadline of the requesting cell, {@link CellConnection#DEADLINE}. */
     private static final Duration PATIENCE = Duration.ofMillis(1200);
 
     private static final Duration LOCK_WAIT = Duration.ofMillis(40);
@@ -40,10 +40,10 @@
     private final Function<Submission, Optional<Rejection.Reason>> admission;
     private final java.util.function.Supplier<Optional<List<CapacityHint>>> room;
 
-    /** A change that a request asks for, and what is answered once it is stored. */
+    /** A requested change, and the reply to send once it is stored. */
     private record Change(JobRecord record, CellReply reply) {}
 
-    /** What is to be done about a request: an answer at once, or a change first. */
+    /** The decision on a request: either an immediate reply, or a change that has to be stored first. */
     private record Verdict(Optional<Change> change, Optional<CellReply> reply) {
         static Verdict answer(CellReply reply) {
             return new Verdict(Optional.empty(), Optional.of(reply));
@@ -57,8 +57,8 @@
     /**
      * Creates the service.
      *
-     * @param admission why a job is not taken, by the leader's latest plan
-     * @param room what this controller can tell of the cell's room, if it leads
+     * @param admission why an offered job is declined by the leader's latest plan; empty if it is accepted
+     * @param room the capacity hints of this cell; empty without a current plan
      */
     InboundDelegationService(
             DelegationContext context,
@@ -77,7 +77,7 @@
         this.cleanup = new InboundDelegationCleanup(context, self, known);
     }
 
-    /** Answers a request. */
+    /** Serves a request; the reply may be passed on after this method returns. */
     void handle(CellRequest request, Consumer<CellReply> reply) {
         if (!self.formatReady() || self.id().isEmpty()) {
             reply.accept(CellReply.NotServed.of(CellReply.Reason.NOT_READY));
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Why a request is not served whatever it asks for. */
+    /** Why a request is not served because of its sender or its addressee; empty if it is served. */
     private Optional<CellReply.Reason> objection(CellRequest request) {
         CellId from = request.from();
         CellId here = self.id().orElseThrow();
@@ -183,7 +183,7 @@
         };
     }
 
-    /** What is stored of exactly this transfer. */
+    /** The stored record of exactly this transfer. */
     private Optional<JobRecord> visitor(CellId from, Transfer transfer) {
         return replica.job(transfer.job())
                 .filter(job -> job.inboundDelegation()
@@ -191,7 +191,7 @@
                         .isPresent());
     }
 
-    /** Whether the job's own cell has moved on from a transfer: it ended it, or made a later one. */
+    /** Whether the origin has ended a transfer or made a later one of the same job. */
     private boolean closed(CellId from, Transfer transfer) {
         boolean later = replica.job(transfer.job())
                 .flatMap(JobRecord::inboundDelegation)
@@ -215,7 +215,8 @@
                     CellReply.Reason.NOT_LEADER, context.membership().leader()));
         }
         if (!offer.to().equals(self.id().orElseThrow())) {
-            return Verdict.answer(CellReply.NotServed.of(CellReply.Reason.NOT_READY)); // meant for an earlier leader
+            return Verdict.answer(
+                    CellReply.NotServed.of(CellReply.Reason.NOT_READY)); // addressed to an earlier incarnation
         }
         Optional<Verdict> occupied = occupied(offer.from(), transfer);
         if (occupied.isPresent()) {
@@ -233,7 +234,7 @@
                 taken, new CellReply.Reports(List.of(InboundJobStatus.of(transfer, InboundJobState.QUEUED))));
     }
 
-    /** The key may hold a job of this cell's own users, for good, or a visitor from elsewhere, for a while. */
+    /** The decision if the job's key is in use: permanently by a job of this cell, or temporarily by a job of another cell. */
     private Optional<Verdict> occupied(CellId from, Transfer transfer) {
         Optional<JobRecord> present = replica.job(transfer.job());
         if (replica.isUnreadable(Keys.job(transfer.job()))) {
@@ -277,7 +278,7 @@
         return tombstone(cancel.from(), transfer, true);
     }
 
-    /** Stores that a transfer is over of which nothing has come here yet. */
+    /** Stores that a transfer has ended whose offer has not arrived, so that a later offer is refused. */
     private Verdict tombstone(CellId from, Transfer transfer, boolean cancelled) {
         if (closed(from, transfer)) {
             return answer(InboundJobStatus.of(transfer, InboundJobState.CLOSED));
@@ -308,8 +309,8 @@
     }
 
     /**
-     * Stores a change and answers then. What was decided rests on the state of the job's key and on what is known of the asker's cell:
-     * both are guarded, so that a late copy of the transaction cannot be applied after the transfer has ended.
+     * Stores a change and then replies. The decision depends on the job's key and on the stored record of the requesting cell: the
+     * revisions of both are preconditions, so that a delayed copy of the transaction cannot be applied after the transfer has ended.
      */
     private void carryOut(
             CellRequest request, Transfer transfer, Verdict verdict, Duration until, Consumer<CellReply> reply) {
@@ -342,10 +343,10 @@
         String job = change.record.id();
         String cell = request.from().name();
         if (change.record.isOpen()) {
-            context.eventRecorder().record(LOG, "job {} of cell {} is taken in", job, cell);
+            context.eventRecorder().record(LOG, "inbound job accepted job={} origin={}", job, cell);
         } else if (change.reply instanceof CellReply.Declined declined) {
             LOG.debug(
-                    "job {} of cell {} is not taken: {}",
+                    "inbound job declined job={} origin={} reason={}",
                     job,
                     cell,
                     declined.refusal().reason());
@@ -353,12 +354,12 @@
             context.eventRecorder()
                     .record(
                             LOG,
-                            "job {} of cell {} is {} again",
-                            job,
-                            cell,
+                            "inbound job {} job={} origin={}",
                             change.record.inboundDelegation().orElseThrow().withdrawn()
-                                    ? "at home"
-                                    : "cancelled by its user, and not wanted");
+                                    ? "returned to its origin"
+                                    : "cancelled by its user",
+                            job,
+                            cell);
         }
     }
 
--- a/src/main/java/org/dunespindle/federation/InboundJobState.java
+++ b/src/main/java/org/dunespindle/federation/InboundJobState.java
@@ -1,23 +1,23 @@
 package org.dunespindle.federation;
 
-/** How a transfer stands in the cell that it went to. */
+/** The state of a transfer in the cell that the job was offered to. */
 public enum InboundJobState {
-    /** Nothing is stored of it; an offer may still be under way. */
+    /** No record is stored; an offer may still arrive. */
     UNKNOWN,
-    /** Accepted, and no task was ever booked. */
+    /** Accepted, and no task was ever placed. */
     QUEUED,
-    /** Accepted, and at least one task was booked at some time. */
+    /** Accepted, and at least one task was placed at some time. */
     BEGUN,
     /** All tasks are done. */
     DONE,
-    /** Cancelled at the wish of the job's user. */
+    /** Cancelled at the request of the job's user. */
     CANCELLED,
-    /** Ended before any task was booked; an offer that arrives later is refused. */
+    /** Ended before any task was placed; an offer that arrives later is refused. */
     WITHDRAWN,
-    /** So old that its own cell has counted it as ended. */
+    /** The transfer's number shows that the origin counts it as ended, or has made a later one. */
     CLOSED;
 
-    /** Whether nothing of the transfer runs there any more, or ever will. */
+    /** Whether the state is final: no task of the transfer runs there, now or later. */
     public boolean ended() {
         return this == DONE || this == CANCELLED || this == WITHDRAWN || this == CLOSED;
     }
--- a/src/main/java/org/dunespindle/federation/InboundJobStatus.java
+++ b/src/main/java/org/dunespindle/federation/InboundJobStatus.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 
 /**
- * What the cell that a job was given to tells of it.
+ * The status of a transfer, as the remote cell reports it.
  *
- * @param waits why not all of its tasks run
+ * @param waits why not all tasks run; empty if all are placed
  */
 public record InboundJobStatus(
         Transfer transfer, InboundJobState state, int done, int running, int failures, Optional<String> waits) {
-    /** A report that tells only the state. */
+    /** A status without task counts. */
     public static InboundJobStatus of(Transfer transfer, InboundJobState state) {
         return new InboundJobStatus(transfer, state, 0, 0, 0, Optional.empty());
     }
--- a/src/main/java/org/dunespindle/federation/KnownCells.java
+++ b/src/main/java/org/dunespindle/federation/KnownCells.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What is stored of other cells, read once for each version of the record. */
+/** The stored records of remote cells. Each revision of a record is parsed once. */
 final class KnownCells {
     private static final Logger LOG = LoggerFactory.getLogger(KnownCells.class);
     private final StateReplica replica;
@@ -21,7 +21,7 @@
         this.replica = replica;
     }
 
-    /** A cell as stored; empty if it was never heard of, or its record cannot be read. */
+    /** A cell's stored record; empty if there is none or it cannot be parsed. */
     Optional<FederationRecords.KnownCell> cell(String name) {
         String key = Keys.cell(name);
         long stamp = replica.modRevision(key);
@@ -33,7 +33,7 @@
         return known.cell;
     }
 
-    /** Whether there is a record that cannot be read: nobody writes over it. */
+    /** Whether a record exists that cannot be parsed. Such a record is never overwritten. */
     boolean unreadable(String name) {
         return replica.value(Keys.cell(name)).isPresent() && cell(name).isEmpty();
     }
--- a/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
@@ -24,16 +24,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives jobs away and follows those that are away until they have ended or come home. Each step is decided by
- * {@link DelegationRules}; this class asks, stores, and asks again. Only the leader offers and recalls. Any controller asks
- * how jobs stand, for its own users' polls.
+ * Delegates jobs to other cells and tracks them until they have ended or returned. {@link DelegationRules} decides each step; this
+ * class sends the requests, stores the results and retries. Only the leader offers and recalls jobs. Every controller polls their
+ * progress, to answer the polls of its own users.
  */
 final class OutboundDelegationService {
     private static final Logger LOG = LoggerFactory.getLogger(OutboundDelegationService.class);
     private static final Duration RESEND = Duration.ofSeconds(2);
     private static final Duration ASK_EVERY_AS_LEADER = Duration.ofSeconds(1);
     private static final Duration ASK_EVERY = Duration.ofSeconds(3);
-    /** An end that the leader has not stored by then is stored by whoever knows of it. */
+    /** A reported end that the leader has not stored after this time is stored by any controller that has received it. */
     private static final Duration LEADER_FIRST = Duration.ofSeconds(5);
 
     private static final int MOST_PAUSE_DOUBLINGS = 6;
@@ -45,7 +45,7 @@
     private final Map<String, CellConnection> contacts;
     private final RemoteJobStates reports = new RemoteJobStates();
     private final Map<String, Followed> followed = new HashMap<>();
-    /** Intents whose outcome is not known: they may yet be applied, until their job's record changes. */
+    /** Stored intents with an unknown commit result: they may still be applied, until their job's record changes. */
     private final Map<String, Unsettled> unsettled = new HashMap<>();
 
     private final Map<String, Duration> askedAt = new HashMap<>();
@@ -53,7 +53,7 @@
 
     private record Unsettled(long transfer, long stamp) {}
 
-    /** A transfer's phase, since when it is known here, and when something was sent about it last. */
+    /** A transfer's phase, when this controller first saw it, and when it last sent a request about it. */
     private static final class Followed {
         final OutboundDelegation delegation;
         final Duration since;
@@ -88,7 +88,7 @@
         return self.mayGiveAway();
     }
 
-    /** Jobs of this cell that another one may hold. */
+    /** Jobs of this cell that a remote cell may hold. */
     List<JobRecord> away() {
         var away = new ArrayList<JobRecord>();
         for (JobRecord job : replica.activeJobs()) {
@@ -99,7 +99,7 @@
         return away;
     }
 
-    /** The number below which all of this cell's transfers have ended for good. */
+    /** The lowest open transfer: all transfers of this cell with lower numbers have ended. */
     long floor() {
         unsettled.entrySet().removeIf(entry -> replica.modRevision(Keys.job(entry.getKey())) != entry.getValue().stamp);
         long floor = self.unusedTransfer();
@@ -112,7 +112,7 @@
         return floor;
     }
 
-    /** Takes the next step with every job that is away. */
+    /** Takes the next step for every job that a remote cell may hold. */
     void tick() {
         List<JobRecord> away = away();
         Set<String> ids = new HashSet<>();
@@ -165,13 +165,13 @@
                 again(delegation, options));
     }
 
-    /** When a job may be given away again: the pause doubles with every transfer. */
+    /** When a job may be delegated again: an exponential back-off, which doubles with every transfer. */
     private Instant again(OutboundDelegation delegation, Options options) {
         int doublings = Math.min(MOST_PAUSE_DOUBLINGS, delegation.transfers() - 1);
         return context.timeSource().wallTime().plus(options.delegationBackoff().multipliedBy(1L << doublings));
     }
 
-    /** Tells which cells contradict what is stored here; nothing is offered to them while they do. */
+    /** Records which cells contradict the stored state; nothing is offered to them while they do. */
     private void tellContradictions(List<JobRecord> away) {
         for (CellConnection contact : contacts.values()) {
             Optional<JobRecord> job = away.stream()
@@ -181,7 +181,7 @@
             Optional<String> what = job.map(one -> contradictions.get(one.id()));
             if (contact.contradiction(what)) {
                 String told = what.map(text -> text + " (job " + job.get().id() + "); nothing more is offered to it")
-                        .orElse("what it tells agrees again with what is stored here");
+                        .orElse("its reports agree with the stored state again");
                 context.eventRecorder().record(LOG, "cell {}: {}", contact.name(), told);
             }
         }
@@ -234,7 +234,7 @@
                 () -> state.sending = false);
     }
 
-    /** Takes in what another cell told of a job, and goes on with it at once. */
+    /** Processes a reply about a job, and takes the job's next step immediately. */
     private void answered(JobRecord job, CellConnection contact, CellReply reply, Duration asked) {
         OutboundDelegation.Phase phase = job.outboundDelegation().orElseThrow().phase();
         if (reply instanceof CellReply.Reports told) {
@@ -297,7 +297,7 @@
                 () -> {});
     }
 
-    /** Stores an end that another cell told. The leader does so at once; others only if it does not. */
+    /** Stores an end that a remote cell reported: the leader immediately, other controllers only if the leader does not in time. */
     private void end(JobRecord job, Followed state, JobRecord ended) {
         if (state.endKnownAt.isEmpty()) {
             state.endKnownAt = Optional.of(now());
@@ -324,25 +324,30 @@
         OutboundDelegation transfer = before.outboundDelegation().orElseThrow();
         if (!after.isOpen()) {
             context.eventRecorder()
-                    .record(LOG, "job {} ended in cell {}: {}", before.id(), transfer.cell(), after.outcome());
+                    .record(
+                            LOG,
+                            "delegated job ended job={} cell={} outcome={}",
+                            before.id(),
+                            transfer.cell(),
+                            after.outcome());
         } else if (!after.isDelegatedAway()) {
             context.eventRecorder()
                     .record(
                             LOG,
-                            "job {} is back from cell {}, transfer {}",
+                            "delegated job returned job={} cell={} transfers={}",
                             before.id(),
                             transfer.cell(),
                             transfer.transfers());
         } else {
             LOG.debug(
-                    "{} in cell {}: {}",
+                    "delegated job changed phase job={} cell={} phase={}",
                     before.id(),
                     transfer.cell(),
                     after.outboundDelegation().orElseThrow().phase());
         }
     }
 
-    /** Stores the intent to offer a job, before anything is said to the other cell. */
+    /** Stores the intent to offer a job, which precedes the first offer to the remote cell. */
     void give(SpillPolicy.Choice choice) {
         JobRecord job = choice.job();
         String key = Keys.job(job.id());
@@ -362,22 +367,22 @@
             }
             if (result instanceof TransactionResult.Applied) {
                 context.eventRecorder()
-                        .record(LOG, "job {} found no room here and is offered to cell {}", job.id(), choice.cell());
+                        .record(LOG, "job cannot be placed here, offering it job={} cell={}", job.id(), choice.cell());
             }
         });
     }
 
-    /** What was told of a job that is away. */
+    /** The latest status that the remote cell reported of a delegated job. */
     Optional<RemoteJobStates.Told> told(JobRecord job) {
         return reports.of(job);
     }
 
-    /** What another cell told of a job that cannot be. */
+    /** How a remote cell's report of a job contradicts the stored state; empty if it does not. */
     Optional<String> contradiction(String job) {
         return Optional.ofNullable(contradictions.get(job));
     }
 
-    /** Takes in what a cancellation was answered. */
+    /** Records the status that a cancellation returned. */
     void heard(JobRecord job, InboundJobStatus report, Duration asked) {
         reports.take(report, job.outboundDelegation().orElseThrow().phase(), asked);
     }
--- a/src/main/java/org/dunespindle/federation/Rejection.java
+++ b/src/main/java/org/dunespindle/federation/Rejection.java
@@ -3,22 +3,22 @@
 import java.time.Duration;
 
 /**
- * Why a cell does not take a job.
+ * Why a cell declines a job.
  *
- * @param retryAfter when asking again may help
+ * @param retryAfter the time after which work of the same kind may be offered again
  */
 public record Rejection(Reason reason, Duration retryAfter) {
     private static final Duration SOON = Duration.ofSeconds(20);
     private static final Duration LATER = Duration.ofMinutes(2);
     private static final Duration MUCH_LATER = Duration.ofMinutes(30);
 
-    /** What stands in the way. */
+    /** The reasons for declining a job. */
     public enum Reason {
         NO_ROOM("has no room for it", SOON),
-        NEVER_FITS("can never run it: its team, machine types or zones do not fit there", MUCH_LATER),
-        TOO_MANY_VISITORS("holds as many jobs of other cells as it takes", LATER),
-        GIVES_AWAY("gives away work of this kind itself", LATER),
-        ID_TAKEN("has a job of the same id", MUCH_LATER);
+        NEVER_FITS("can never run it: the job's team, machine types or zone do not fit that cell", MUCH_LATER),
+        TOO_MANY_VISITORS("has reached its limit of jobs accepted from other cells", LATER),
+        GIVES_AWAY("delegates work of this kind to other cells itself", LATER),
+        ID_TAKEN("has a job of its own with the same id", MUCH_LATER);
 
         private final String words;
         private final Duration retryAfter;
@@ -28,13 +28,13 @@
             this.retryAfter = retryAfter;
         }
 
-        /** The reason in words that follow the cell's name. */
+        /** The reason as a phrase whose subject is the declining cell. */
         public String words() {
             return words;
         }
     }
 
-    /** A refusal with the usual time to ask again. */
+    /** A rejection with the reason's default retry interval. */
     public static Rejection of(Reason reason) {
         return new Rejection(reason, reason.retryAfter);
     }
--- a/src/main/java/org/dunespindle/federation/RemoteJobStates.java
+++ b/src/main/java/org/dunespindle/federation/RemoteJobStates.java
@@ -9,20 +9,20 @@
 import org.dunespindle.storage.OutboundDelegation;
 
 /**
- * What other cells told of this cell's jobs. Answers may arrive out of order, so what was told once of a transfer is never replaced by
- * an earlier state of it.
+ * The latest status of this cell's delegated jobs, as reported by the remote cells. Replies may arrive out of order, so a recorded
+ * status is never replaced by an earlier state of the same transfer.
  */
 final class RemoteJobStates {
     private final Map<String, Told> told = new HashMap<>();
 
-    /** A report and when it was asked for. */
+    /** A report and the time of its request. */
     record Told(InboundJobStatus report, Duration asked) {}
 
     /**
-     * Takes a report in.
+     * Records a report unless it is older than the recorded one.
      *
-     * @param phase the transfer's phase when it was asked about: that a cell does not know a transfer means something only if it had
-     *     stored it before the question
+     * @param phase the transfer's phase at the time of the request: the report that a cell has no record of a transfer is meaningful
+     *     only if the cell had already stored it by then
      */
     void take(InboundJobStatus report, OutboundDelegation.Phase phase, Duration asked) {
         boolean known = phase == OutboundDelegation.Phase.ACCEPTED;
@@ -52,7 +52,7 @@
                 || state.compareTo(stateBefore) > 0;
     }
 
-    /** What was told of a job's present transfer. */
+    /** The latest report of a job's present transfer. */
     Optional<Told> of(JobRecord job) {
         long transfer =
                 job.outboundDelegation().map(OutboundDelegation::transfer).orElse(-1L);
@@ -60,7 +60,7 @@
                 .filter(known -> known.report.transfer().number() == transfer);
     }
 
-    /** Forgets all jobs but these. */
+    /** Removes the reports of all other jobs. */
     void keepOnly(Set<String> jobs) {
         told.keySet().retainAll(jobs);
     }
--- a/src/main/java/org/dunespindle/federation/ResourceKind.java
+++ b/src/main/java/org/dunespindle/federation/ResourceKind.java
@@ -5,9 +5,9 @@
 import org.dunespindle.protocol.Submission;
 
 /**
- * Work that competes for the same machines. A cell gives away or takes in work of a kind, never both at a time.
+ * A kind of work, by the machines that it competes for. A cell delegates or accepts work of a kind, but never both at a time.
  *
- * @param types the machine types that it may use; empty for any
+ * @param types the machine types that the work may use, sorted; empty for any
  */
 public record ResourceKind(Optional<List<String>> types) {
     /** The kind of a job's work. */
@@ -15,7 +15,7 @@
         return new ResourceKind(job.types().map(list -> list.stream().sorted().toList()));
     }
 
-    /** Whether there may be a machine that both could use. */
+    /** Whether both kinds may compete for the same machine. */
     public boolean overlaps(ResourceKind other) {
         return types.isEmpty() || other.types.isEmpty() || types.get().stream().anyMatch(other.types.get()::contains);
     }
--- a/src/main/java/org/dunespindle/federation/SpillPolicy.java
+++ b/src/main/java/org/dunespindle/federation/SpillPolicy.java
@@ -13,17 +13,18 @@
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.OutboundDelegation;
 
-/** Which waiting jobs are offered to which cells. Pure. */
+/** Chooses which waiting jobs are offered to which cells. A pure function. */
 public final class SpillPolicy {
-    /** Of an array, room for this part of its tasks is enough to begin with. */
+    /** An array may be offered to a cell with capacity for this fraction of its tasks (one in four). */
     private static final int ARRAY_PART = 4;
 
     private SpillPolicy() {}
 
     /**
-     * A cell that may be asked.
+     * A cell that jobs may be offered to.
      *
-     * @param refuses kinds of work that it refused lately
+     * @param room the cell's capacity hints
+     * @param refuses whether the cell recently declined work of a kind
      */
     public record Target(String cell, List<CapacityHint> room, Predicate<ResourceKind> refuses) {}
 
@@ -31,11 +32,12 @@
     public record Choice(JobRecord job, String cell) {}
 
     /**
-     * What the choice rests on.
+     * The input of the choice.
      *
-     * @param waiting jobs that have waited long enough for room here
-     * @param takesIn kinds of work that this cell takes in, and so does not give away
-     * @param most how many offers may be made now
+     * @param waiting jobs that this cell could not place for the delegation delay
+     * @param takesIn the kinds of work that this cell accepts from others, and so does not delegate
+     * @param mostTransfers how often a job may be delegated in all
+     * @param most the maximum number of offers to make now
      */
     public record View(
             Instant now,
@@ -45,7 +47,7 @@
             int mostTransfers,
             int most) {}
 
-    /** Whether a job could be given away at all: as a whole, and with no task ever booked. */
+    /** Whether a job may be delegated at all: it belongs to this cell, and none of its tasks was ever placed. */
     public static boolean movable(JobRecord job) {
         return job.isOpen()
                 && !job.submission().isService()
@@ -54,7 +56,7 @@
                 && !job.isDelegatedAway();
     }
 
-    /** Whether a job may be given away now, after what became of earlier transfers. */
+    /** Whether a job may be delegated now, given the number of its earlier transfers and their back-off. */
     public static boolean due(JobRecord job, Instant now, int mostTransfers) {
         Optional<OutboundDelegation> before = job.outboundDelegation();
         return before.isEmpty()
@@ -65,7 +67,7 @@
                                 .isEmpty());
     }
 
-    /** Chooses jobs of the highest priority first, and for each the cell that tells of most room for it. */
+    /** Chooses jobs in descending order of priority, and for each the cell whose hints show the largest capacity for it. */
     public static List<Choice> choose(View view) {
         var choices = new ArrayList<Choice>();
         var promised = new HashMap<String, Integer>();
@@ -98,7 +100,7 @@
             boolean before = job.outboundDelegation()
                     .filter(last -> last.cell().equals(target.cell))
                     .isPresent();
-            int rank = before ? 1 : 1 + room; // one that gave it back is asked again only if there is no other
+            int rank = before ? 1 : 1 + room; // a cell that returned the job is the last resort
             if (room >= wanted && !target.refuses.test(kind) && rank > bestRoom) {
                 best = target.cell;
                 bestRoom = rank;
--- a/src/main/java/org/dunespindle/federation/Transfer.java
+++ b/src/main/java/org/dunespindle/federation/Transfer.java
@@ -1,8 +1,9 @@
 package org.dunespindle.federation;
 
 /**
- * One giving away of a job.
+ * One delegation of a job.
  *
- * @param number higher with every transfer of the job's own cell; whoever has seen a higher one refuses a lower one
+ * @param number a fencing token, which increases with every transfer of the origin: a cell that has stored a higher one for the job
+ *     refuses a lower one
  */
 public record Transfer(String job, long number) {}
--- a/src/main/java/org/dunespindle/federation/grpc/CellMethods.java
+++ b/src/main/java/org/dunespindle/federation/grpc/CellMethods.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import org.dunespindle.federation.CellRequest;
 
-/** The methods of the service that cells offer one another, a unary one for each kind of request. */
+/** The methods of the gRPC service between cells: one unary method for each type of request. */
 final class CellMethods {
     /** The service's name on the wire. */
     static final String SERVICE = "dunespindle.federation.v1.Cell";
-    /** The longest message that is read or written. */
+    /** The maximum size of a message in either direction. */
     static final int MOST_BYTES = 256 << 10;
 
     private static final Map<Class<? extends CellRequest>, MethodDescriptor<byte[], byte[]>> BY_KIND = Map.of(
@@ -38,7 +38,7 @@
         return BY_KIND.get(request.getClass());
     }
 
-    /** The kinds of requests. */
+    /** The methods by the type of their request. */
     static Map<Class<? extends CellRequest>, MethodDescriptor<byte[], byte[]>> all() {
         return BY_KIND;
     }
@@ -47,7 +47,7 @@
         return List.copyOf(BY_KIND.values());
     }
 
-    /** JSON text as it is; it is parsed where a bad message can be answered with a status of its own. */
+    /** Passes JSON text through unparsed, so that the server can answer a malformed message with a status of its own. */
     private static final class JsonBytes implements MethodDescriptor.Marshaller<byte[]> {
         @Override
         public InputStream stream(byte[] value) {
--- a/src/main/java/org/dunespindle/federation/grpc/GrpcCellServer.java
+++ b/src/main/java/org/dunespindle/federation/grpc/GrpcCellServer.java
@@ -22,7 +22,7 @@
 import org.dunespindle.federation.CellRequest;
 import org.dunespindle.protocol.MalformedMessageException;
 
-/** Listens for requests of other cells on a port of its own; they are handled on the controller's thread. */
+/** The gRPC server for requests of other cells, on a port of its own. Requests are handled on the controller's event loop. */
 public final class GrpcCellServer implements AutoCloseable {
     private static final int MOST_UNDER_WAY = 64;
     private static final int MOST_CALLS_PER_CONNECTION = 16;
@@ -37,9 +37,10 @@
     private final AtomicInteger underWay = new AtomicInteger();
 
     /**
-     * Binds the port.
+     * Binds the port and starts serving.
      *
-     * @param controller runs what a request asks for on the controller's one thread
+     * @param controller the controller's event loop
+     * @param handler handles a request and passes its reply on, immediately or later
      */
     public GrpcCellServer(
             InetSocketAddress address,
@@ -89,10 +90,13 @@
             return;
         }
         if (!kind.isInstance(request)) {
-            fail(answer, Status.INVALID_ARGUMENT, "the message belongs to another method");
+            fail(answer, Status.INVALID_ARGUMENT, "the message is a request of another method");
         } else if (underWay.incrementAndGet() > MOST_UNDER_WAY) {
             underWay.decrementAndGet();
-            fail(answer, Status.RESOURCE_EXHAUSTED, "more calls are under way than are taken");
+            fail(
+                    answer,
+                    Status.RESOURCE_EXHAUSTED,
+                    "too many calls in progress, at most " + MOST_UNDER_WAY + " are allowed");
         } else {
             controller.execute(() -> handle(request, answer));
         }
@@ -106,7 +110,7 @@
             });
         } catch (RuntimeException e) {
             underWay.decrementAndGet();
-            fail(answer, Status.INTERNAL, "the service failed at this request");
+            fail(answer, Status.INTERNAL, "the request failed with an internal error");
         }
     }
 
@@ -115,7 +119,7 @@
             answer.onNext(CellMessageCodec.write(reply));
             answer.onCompleted();
         } catch (IllegalStateException | io.grpc.StatusRuntimeException e) {
-            return; // the asker has given up; what was stored stays stored
+            return; // the caller has cancelled the call; the stored effect remains
         }
     }
 
@@ -123,7 +127,7 @@
         answer.onError(status.withDescription(reason).asRuntimeException());
     }
 
-    /** The port that is listened on. */
+    /** The bound port. */
     public int port() {
         return server.getPort();
     }
--- a/src/main/java/org/dunespindle/federation/grpc/GrpcCellTransport.java
+++ b/src/main/java/org/dunespindle/federation/grpc/GrpcCellTransport.java
@@ -22,7 +22,7 @@
 import org.dunespindle.federation.CellTransport;
 import org.dunespindle.protocol.MalformedMessageException;
 
-/** Calls controllers of other cells; one connection to each, kept alive. Used on the controller's thread alone. */
+/** Sends requests over gRPC, with one keep-alive channel for each remote controller. Used only on the controller's event loop. */
 public final class GrpcCellTransport implements CellTransport, AutoCloseable {
     private static final long KEEP_ALIVE_S = 10;
     private static final long KEEP_ALIVE_TIMEOUT_S = 5;
@@ -32,7 +32,7 @@
     private final Executor controller;
     private final Map<String, ManagedChannel> channels = new HashMap<>();
 
-    /** Creates a transport whose results arrive by the executor, which is the controller's one thread. */
+    /** Creates a transport that completes its futures on the given executor, the controller's event loop. */
     public GrpcCellTransport(EventLoopGroup group, Executor controller) {
         this.group = group;
         this.controller = controller;
@@ -66,7 +66,7 @@
                 .build();
     }
 
-    /** Deadlines fire on a thread of the library's own, so every outcome is handed over. */
+    /** Passes every outcome to the controller's event loop, because gRPC reports expired deadlines on a thread of its own. */
     private final class Answer implements StreamObserver<byte[]> {
         private final CompletableFuture<CellReply> result;
 
@@ -80,7 +80,7 @@
                 try {
                     result.complete(CellMessageCodec.readReply(body));
                 } catch (MalformedMessageException e) {
-                    result.completeExceptionally(new CellCallException("an answer cannot be read: " + e.getMessage()));
+                    result.completeExceptionally(new CellCallException("malformed reply: " + e.getMessage()));
                 }
             });
         }
@@ -93,7 +93,7 @@
 
         @Override
         public void onCompleted() {
-            controller.execute(() -> result.completeExceptionally(new CellCallException("no answer")));
+            controller.execute(() -> result.completeExceptionally(new CellCallException("no reply")));
         }
     }
 
--- a/src/main/java/org/dunespindle/federation/grpc/package-info.java
+++ b/src/main/java/org/dunespindle/federation/grpc/package-info.java
@@ -1,2 +1,2 @@
-/** Requests between cells over gRPC, with JSON payloads. Nothing here is loaded unless a features file switches the federation on. */
+/** Requests between cells over gRPC, with JSON payloads. These classes are loaded only if a features file enables the federation. */
 package org.dunespindle.federation.grpc;
--- a/src/main/java/org/dunespindle/federation/package-info.java
+++ b/src/main/java/org/dunespindle/federation/package-info.java
@@ -1,2 +1,2 @@
-/** Several cells together: a job that finds no room in the cell that accepted it may run in another, exactly once. */
+/** Federation of cells: a job that its origin cannot place may be delegated to another cell, and runs in exactly one. */
 package org.dunespindle.federation;
