--- a/src/main/java/org/dunespindle/federation/AdmissionPolicy.java
+++ b/src/main/java/org/dunespindle/federation/AdmissionPolicy.java
@@ -11,30 +11,30 @@
     /**
      * The input of the decision.
      *
-     * @param never why the job can never run here; empty if it can
-     * @param visitors the number of unfinished jobs accepted from other cells
-     * @param givesAway the kinds of work that this cell delegates to other cells
+     * @param neverFitsReason why the job can never run here; empty if it can
+     * @param inboundJobs the number of unfinished jobs accepted from other cells
+     * @param delegatedKinds the kinds of work that this cell delegates to other cells
      */
     public record View(
-            CapacitySurvey room,
-            Optional<String> never,
-            int visitors,
-            int mostVisitors,
-            Collection<ResourceKind> givesAway) {}
+            CapacitySurvey survey,
+            Optional<String> neverFitsReason,
+            int inboundJobs,
+            int maxInboundJobs,
+            Collection<ResourceKind> delegatedKinds) {}
 
     /** Why the job is declined; empty if it is accepted. */
-    public static Optional<Rejection.Reason> refusal(Submission job, View view) {
+    public static Optional<Rejection.Reason> rejectionReason(Submission job, View view) {
         ResourceKind kind = ResourceKind.of(job);
-        if (view.never.isPresent()) {
+        if (view.neverFitsReason.isPresent()) {
             return Optional.of(Rejection.Reason.NEVER_FITS);
         }
-        if (view.givesAway.stream().anyMatch(kind::overlaps)) {
+        if (view.delegatedKinds.stream().anyMatch(kind::overlaps)) {
             return Optional.of(Rejection.Reason.GIVES_AWAY);
         }
-        if (view.visitors >= view.mostVisitors) {
+        if (view.inboundJobs >= view.maxInboundJobs) {
             return Optional.of(Rejection.Reason.TOO_MANY_VISITORS);
         }
-        boolean room = !view.room.lacks(kind, job.priority()) && view.room.hasRoomFor(job);
-        return room ? Optional.empty() : Optional.of(Rejection.Reason.NO_ROOM);
+        boolean fits = !view.survey.hasWaitingJob(kind, job.priority()) && view.survey.canPlace(job);
+        return fits ? Optional.empty() : Optional.of(Rejection.Reason.NO_ROOM);
     }
 }
--- a/src/main/java/org/dunespindle/federation/CancellationCall.java
+++ b/src/main/java/org/dunespindle/federation/CancellationCall.java
@@ -7,66 +7,66 @@
 
 /** Requests a job's cancellation from up to two controllers of a cell in turn, until one reports the transfer's stored state. */
 final class CancellationCall {
-    private final CellConnection contact;
+    private final CellConnection connection;
     private final CellRequest request;
     private final Transfer transfer;
-    private final Consumer<InboundJobStatus> heard;
-    private final Consumer<JobDelegation.Cancellation> then;
-    private int left;
+    private final Consumer<InboundJobStatus> onStatus;
+    private final Consumer<JobDelegation.Cancellation> onOutcome;
+    private int attemptsLeft;
 
     private CancellationCall(
-            CellConnection contact,
+            CellConnection connection,
             CellRequest request,
             Transfer transfer,
-            Consumer<InboundJobStatus> heard,
-            Consumer<JobDelegation.Cancellation> then) {
-        this.contact = contact;
+            Consumer<InboundJobStatus> onStatus,
+            Consumer<JobDelegation.Cancellation> onOutcome) {
+        this.connection = connection;
         this.request = request;
         this.transfer = transfer;
-        this.heard = heard;
-        this.then = then;
-        this.left = Math.min(2, contact.controllerCount());
+        this.onStatus = onStatus;
+        this.onOutcome = onOutcome;
+        this.attemptsLeft = Math.min(2, connection.controllerCount());
     }
 
     /**
      * Sends the first request.
      *
-     * @param heard receives the transfer's status as soon as the remote cell reports it
-     * @param then receives the outcome; {@code UNKNOWN} if no controller reported one
+     * @param onStatus receives the transfer's status as soon as the remote cell reports it
+     * @param onOutcome receives the outcome; {@code UNKNOWN} if no controller reported one
      */
     static void start(
-            CellConnection contact,
+            CellConnection connection,
             CellId self,
             String identity,
             JobRecord job,
-            Consumer<InboundJobStatus> heard,
-            Consumer<JobDelegation.Cancellation> then) {
+            Consumer<InboundJobStatus> onStatus,
+            Consumer<JobDelegation.Cancellation> onOutcome) {
         var transfer =
                 new Transfer(job.id(), job.outboundDelegation().orElseThrow().transfer());
         var request = new CellRequest.Cancel(self, identity, transfer);
-        new CancellationCall(contact, request, transfer, heard, then).ask();
+        new CancellationCall(connection, request, transfer, onStatus, onOutcome).attempt();
     }
 
-    private void ask() {
-        if (left-- == 0) {
-            then.accept(JobDelegation.Cancellation.UNKNOWN);
+    private void attempt() {
+        if (attemptsLeft-- == 0) {
+            onOutcome.accept(JobDelegation.Cancellation.UNKNOWN);
             return;
         }
-        contact.call(request, this::answered, this::ask);
+        connection.call(request, this::onReply, this::attempt);
     }
 
-    private void answered(CellReply reply) {
+    private void onReply(CellReply reply) {
         Optional<InboundJobStatus> report = reply instanceof CellReply.Reports reports
                 ? reports.reports().stream()
-                        .filter(told -> told.transfer().equals(transfer))
+                        .filter(status -> status.transfer().equals(transfer))
                         .findFirst()
                 : Optional.empty();
         if (report.isEmpty()) {
-            ask();
+            attempt();
             return;
         }
-        heard.accept(report.get());
-        then.accept(
+        onStatus.accept(report.get());
+        onOutcome.accept(
                 switch (report.get().state()) {
                     case CANCELLED -> JobDelegation.Cancellation.CANCELLED;
                     case DONE -> JobDelegation.Cancellation.DONE;
--- a/src/main/java/org/dunespindle/federation/CapacityHint.java
+++ b/src/main/java/org/dunespindle/federation/CapacityHint.java
@@ -22,29 +22,29 @@
         boolean rentable) {
 
     /** Whether the hint covers machines that a job may use, at the job's priority. */
-    public boolean concerns(Submission job) {
+    public boolean appliesTo(Submission job) {
         boolean type = job.types().map(list -> list.contains(this.type)).orElse(true);
         boolean zone = job.zone().map(this.zone::equals).orElse(true);
         return type && zone && (job.spot() || !spot) && priority == job.priority();
     }
 
     /** An estimate of how many tasks of a job's size fit, regardless of the job's own number of tasks. */
-    public int tasks(Submission job) {
+    public int taskCapacity(Submission job) {
         if (!job.perTask().fitsIn(largest)) {
             return 0;
         }
         if (rentable) {
             return Submission.MAX_TASKS;
         }
-        double most = Math.min(
+        double fitting = Math.min(
                 ratio(free.cpus(), job.perTask().cpus()),
                 Math.min(
                         ratio(free.gpus(), job.perTask().gpus()),
                         ratio(free.ramGb(), job.perTask().ramGb())));
-        return (int) Math.min(Submission.MAX_TASKS, Math.floor(most));
+        return (int) Math.min(Submission.MAX_TASKS, Math.floor(fitting));
     }
 
-    private static double ratio(double free, double one) {
-        return one <= 0 ? Submission.MAX_TASKS : free / one + 1e-9;
+    private static double ratio(double free, double perTask) {
+        return perTask <= 0 ? Submission.MAX_TASKS : free / perTask + 1e-9;
     }
 }
--- a/src/main/java/org/dunespindle/federation/CapacitySurvey.java
+++ b/src/main/java/org/dunespindle/federation/CapacitySurvey.java
@@ -27,29 +27,29 @@
  */
 public final class CapacitySurvey {
     /** An array may start once capacity for this fraction of its tasks (one in four) is available. */
-    private static final int ARRAY_PART = 4;
+    private static final int ARRAY_START_DIVISOR = 4;
 
     private final ClusterSnapshot snapshot;
-    private final List<Machine> machines = new ArrayList<>();
-    private final TeamUsage use;
-    private final List<JobRecord> lacking = new ArrayList<>();
+    private final List<MachineCapacity> machines = new ArrayList<>();
+    private final TeamUsage usage;
+    private final List<JobRecord> unplacedJobs = new ArrayList<>();
     /** The pools that can be rented from, as far as known: those that the cloud did not refuse recently. */
     private final Map<MachinePool, MachineType> rentable = new LinkedHashMap<>();
 
-    private static final class Machine {
+    private static final class MachineCapacity {
         final MachineSnapshot host;
         Resources free;
-        final Map<Priority, Resources> heldBy = new HashMap<>();
+        final Map<Priority, Resources> preemptibleByPriority = new HashMap<>();
 
-        Machine(MachineSnapshot machine) {
+        MachineCapacity(MachineSnapshot machine) {
             this.host = machine;
             this.free = machine.capacity();
         }
 
         /** The free and preemptible resources: preemption depends on priority alone, and only tasks of gangs are exempt from it. */
-        Resources freeFor(Priority priority) {
+        Resources availableFor(Priority priority) {
             Resources sum = free;
-            for (Map.Entry<Priority, Resources> held : heldBy.entrySet()) {
+            for (Map.Entry<Priority, Resources> held : preemptibleByPriority.entrySet()) {
                 if (held.getKey().compareTo(priority) < 0) {
                     sum = sum.plus(held.getValue());
                 }
@@ -61,28 +61,28 @@
     /** Computes the capacity that the leader's plan leaves, given the machine types that the cloud rents out. */
     public CapacitySurvey(ClusterSnapshot snapshot, Plan plan, List<MachineType> types) {
         this.snapshot = snapshot;
-        this.use = snapshot.projection().usage();
-        var byId = new HashMap<String, Machine>();
+        this.usage = snapshot.projection().usage();
+        var byId = new HashMap<String, MachineCapacity>();
         for (MachineSnapshot host : snapshot.machines()) {
-            var machine = new Machine(host);
+            var machine = new MachineCapacity(host);
             machines.add(machine);
             byId.put(host.id(), machine);
         }
-        types.forEach(this::addMarkets);
-        snapshot.jobs().forEach(job -> occupy(job, job.allocations(), byId));
+        types.forEach(this::addRentablePools);
+        snapshot.jobs().forEach(job -> addAllocations(job, job.allocations(), byId));
         snapshot.projection()
                 .withUnprojectedAllocations()
-                .forEach(job -> occupy(job.stored(), job.unprojectedAllocations(), byId));
-        plan.bindings().forEach(booking -> book(booking, byId));
+                .forEach(job -> addAllocations(job.stored(), job.unprojectedAllocations(), byId));
+        plan.bindings().forEach(binding -> addBinding(binding, byId));
         var present = new HashMap<String, JobRecord>();
         snapshot.jobs().forEach(job -> present.put(job.id(), job));
         plan.shortfalls().stream()
                 .map(shortfall -> present.get(shortfall.job().id()))
                 .filter(job -> job != null && job.isOpen())
-                .forEach(lacking::add);
+                .forEach(unplacedJobs::add);
     }
 
-    private void addMarkets(MachineType type) {
+    private void addRentablePools(MachineType type) {
         for (String zone : type.zones()) {
             for (boolean spot : new boolean[] {false, true}) {
                 var pool = new MachinePool(type.name(), zone, spot);
@@ -93,90 +93,90 @@
         }
     }
 
-    private void occupy(JobRecord job, List<Allocation> allocations, Map<String, Machine> byId) {
+    private void addAllocations(JobRecord job, List<Allocation> allocations, Map<String, MachineCapacity> byId) {
         for (Allocation allocation : allocations) {
-            Machine machine = byId.get(allocation.machineId());
+            MachineCapacity machine = byId.get(allocation.machineId());
             boolean ended = snapshot.endedTasks()
                     .contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
             if (machine != null && !ended) {
-                take(machine, job, !job.submission().isGang());
+                allocate(machine, job, !job.submission().isGang());
             }
         }
     }
 
-    private void book(Binding booking, Map<String, Machine> byId) {
-        for (String host : booking.machineByTask().values()) {
-            Machine machine = byId.get(host);
+    private void addBinding(Binding binding, Map<String, MachineCapacity> byId) {
+        for (String host : binding.machineByTask().values()) {
+            MachineCapacity machine = byId.get(host);
             if (machine != null) {
-                take(machine, booking.job(), false);
+                allocate(machine, binding.job(), false);
             }
         }
     }
 
-    private static void take(Machine machine, JobRecord job, boolean givesWay) {
-        Resources one = job.submission().perTask();
-        machine.free = machine.free.minus(one);
-        if (givesWay) {
-            machine.heldBy.merge(job.submission().priority(), one, Resources::plus);
+    private static void allocate(MachineCapacity machine, JobRecord job, boolean preemptible) {
+        Resources perTask = job.submission().perTask();
+        machine.free = machine.free.minus(perTask);
+        if (preemptible) {
+            machine.preemptibleByPriority.merge(job.submission().priority(), perTask, Resources::plus);
         }
     }
 
     /** The open jobs, both the cell's own and those accepted from other cells, that the plan could not place. */
-    public List<JobRecord> lacking() {
-        return lacking;
+    public List<JobRecord> unplacedJobs() {
+        return unplacedJobs;
     }
 
     /** Whether a job of at least this priority already waits for machines that work of this kind could use. */
-    public boolean lacks(ResourceKind kind, Priority priority) {
-        return lacking.stream()
+    public boolean hasWaitingJob(ResourceKind kind, Priority priority) {
+        return unplacedJobs.stream()
                 .anyMatch(job -> job.submission().priority().compareTo(priority) >= 0
                         && ResourceKind.of(job.submission()).overlaps(kind));
     }
 
     /** Whether a job fits into the remaining capacity and its team's limit. */
-    public boolean hasRoomFor(Submission job) {
-        int wanted = job.isGang() ? job.tasks() : Math.max(1, job.tasks() / ARRAY_PART);
+    public boolean canPlace(Submission job) {
+        int required = job.isGang() ? job.tasks() : Math.max(1, job.tasks() / ARRAY_START_DIVISOR);
         Settings.Team team = snapshot.teams().get(job.team());
-        Resources before = use.of(job.team());
-        if (team == null || !team.withinLimit(before.plus(job.perTask().times(job.isGang() ? wanted : 1)))) {
+        Resources before = usage.of(job.team());
+        if (team == null || !team.withinLimit(before.plus(job.perTask().times(job.isGang() ? required : 1)))) {
             return false;
         }
         Map<String, Integer> byZone = tasksByZone(job);
         if (job.sameZone()) {
-            return byZone.values().stream().anyMatch(tasks -> tasks >= wanted);
+            return byZone.values().stream().anyMatch(tasks -> tasks >= required);
         }
-        int mostInZone = job.spread() ? (job.tasks() + 1) / 2 : job.tasks();
+        int maxPerZone = job.spread() ? (job.tasks() + 1) / 2 : job.tasks();
         return byZone.values().stream()
-                        .mapToInt(tasks -> Math.min(tasks, mostInZone))
+                        .mapToInt(tasks -> Math.min(tasks, maxPerZone))
                         .sum()
-                >= wanted;
+                >= required;
     }
 
     private Map<String, Integer> tasksByZone(Submission job) {
         var byZone = new TreeMap<String, Integer>();
-        for (Machine machine : machines) {
+        for (MachineCapacity machine : machines) {
             MachineSnapshot host = machine.host;
-            if (mayUse(job, new MachinePool(host.type(), host.zone(), host.spot()))) {
-                byZone.merge(host.zone(), fit(job, machine.freeFor(job.priority())), Integer::sum);
+            if (isUsable(job, new MachinePool(host.type(), host.zone(), host.spot()))) {
+                byZone.merge(host.zone(), countFitting(job, machine.availableFor(job.priority())), Integer::sum);
             }
         }
         rentable.forEach((pool, type) -> {
-            if (mayUse(job, pool) && job.perTask().fitsIn(type.size())) {
+            if (isUsable(job, pool) && job.perTask().fitsIn(type.size())) {
                 byZone.put(pool.zone(), job.tasks());
             }
         });
         return byZone;
     }
 
-    private static boolean mayUse(Submission job, MachinePool pool) {
+    private static boolean isUsable(Submission job, MachinePool pool) {
         boolean kind = job.spot() || !pool.spot();
         boolean type = job.types().map(list -> list.contains(pool.type())).orElse(true);
         return kind && type && job.zone().map(pool.zone()::equals).orElse(true);
     }
 
-    private static int fit(Submission job, Resources room) {
+    private static int countFitting(Submission job, Resources available) {
         int tasks = 0;
-        while (tasks < job.tasks() && job.perTask().times(tasks + 1).fitsIn(room)) {
+        while (tasks < job.tasks() && job.perTask().times(tasks + 1).fitsIn(available)) {
             tasks++;
         }
         return tasks;
@@ -184,33 +184,33 @@
 
     /** The capacity hints for other cells, one for each pool and priority. */
     public List<CapacityHint> hints() {
-        var byMarket = new LinkedHashMap<MachinePool, List<Machine>>();
-        rentable.keySet().forEach(pool -> byMarket.put(pool, new ArrayList<>()));
-        for (Machine machine : machines) {
+        var byPool = new LinkedHashMap<MachinePool, List<MachineCapacity>>();
+        rentable.keySet().forEach(pool -> byPool.put(pool, new ArrayList<>()));
+        for (MachineCapacity machine : machines) {
             MachineSnapshot host = machine.host;
             var pool = new MachinePool(host.type(), host.zone(), host.spot());
-            byMarket.computeIfAbsent(pool, key -> new ArrayList<>()).add(machine);
+            byPool.computeIfAbsent(pool, key -> new ArrayList<>()).add(machine);
         }
         var hints = new ArrayList<CapacityHint>();
-        byMarket.forEach((pool, alike) -> {
+        byPool.forEach((pool, machinesOfPool) -> {
             for (Priority priority : Priority.values()) {
-                hints.add(hint(pool, alike, priority));
+                hints.add(hint(pool, machinesOfPool, priority));
             }
         });
         return hints;
     }
 
-    private CapacityHint hint(MachinePool pool, List<Machine> alike, Priority priority) {
-        MachineType more = rentable.get(pool);
+    private CapacityHint hint(MachinePool pool, List<MachineCapacity> machinesOfPool, Priority priority) {
+        MachineType rentableType = rentable.get(pool);
         Resources sum = Resources.NONE;
-        Resources largest = more == null ? Resources.NONE : more.size();
-        for (Machine machine : alike) {
-            Resources room = machine.freeFor(priority);
-            sum = sum.plus(room);
-            boolean larger =
-                    room.gpus() > largest.gpus() || (room.gpus() == largest.gpus() && room.cpus() > largest.cpus());
-            largest = larger ? room : largest;
+        Resources largest = rentableType == null ? Resources.NONE : rentableType.size();
+        for (MachineCapacity machine : machinesOfPool) {
+            Resources available = machine.availableFor(priority);
+            sum = sum.plus(available);
+            boolean larger = available.gpus() > largest.gpus()
+                    || (available.gpus() == largest.gpus() && available.cpus() > largest.cpus());
+            largest = larger ? available : largest;
         }
-        return new CapacityHint(pool.type(), pool.zone(), pool.spot(), priority, sum, largest, more != null);
+        return new CapacityHint(pool.type(), pool.zone(), pool.spot(), priority, sum, largest, rentableType != null);
     }
 }
--- a/src/main/java/org/dunespindle/federation/CellAbandonment.java
+++ b/src/main/java/org/dunespindle/federation/CellAbandonment.java
@@ -19,49 +19,50 @@
  */
 final class CellAbandonment {
     private static final Logger LOG = LoggerFactory.getLogger(CellAbandonment.class);
-    private static final int MOST_AT_ONCE = 4;
+    private static final int MAX_JOBS_PER_TICK = 4;
 
     private final DelegationContext context;
     private final StateReplica replica;
-    private final CellIdentityKeeper self;
-    private final KnownCells known;
+    private final CellIdentityKeeper identityKeeper;
+    private final KnownCells knownCells;
 
-    CellAbandonment(DelegationContext context, CellIdentityKeeper self, KnownCells known) {
+    CellAbandonment(DelegationContext context, CellIdentityKeeper identityKeeper, KnownCells knownCells) {
         this.context = context;
         this.replica = context.replica();
-        this.self = self;
-        this.known = known;
+        this.identityKeeper = identityKeeper;
+        this.knownCells = knownCells;
     }
 
     /** Takes the next step for one cell; called on the leader only. */
-    void tick(String cell, List<JobRecord> away) {
-        Optional<FederationRecords.KnownCell> stored = known.cell(cell);
+    void tick(String cell, List<JobRecord> delegatedJobs) {
+        Optional<FederationRecords.KnownCell> stored = knownCells.cell(cell);
         if (stored.filter(FederationRecords.KnownCell::abandoned).isEmpty()) {
             return;
         }
-        List<JobRecord> changes = changes(cell, away);
-        changes.stream().limit(MOST_AT_ONCE).forEach(job -> store(cell, job));
+        List<JobRecord> changes = changes(cell, delegatedJobs);
+        changes.stream().limit(MAX_JOBS_PER_TICK).forEach(job -> store(cell, job));
         String key = Keys.cell(cell);
-        boolean over = changes.isEmpty() && visitorsOf(cell).isEmpty();
-        if (over && !context.commitQueue().isLocked(key)) {
+        boolean finished = changes.isEmpty() && inboundJobsOf(cell).isEmpty();
+        if (finished && !context.commitQueue().isLocked(key)) {
             context.eventRecorder().record(LOG, "cell abandoned, its stored record is removed cell={}", cell);
-            Transaction transaction = self.guarded(new Transaction())
+            Transaction transaction = identityKeeper
+                    .guarded(new Transaction())
                     .requireRevision(key, replica.modRevision(key))
                     .remove(key);
             context.commitQueue().propose(CommitPriority.MAINTENANCE, transaction, result -> {});
         }
     }
 
-    private List<JobRecord> changes(String cell, List<JobRecord> away) {
+    private List<JobRecord> changes(String cell, List<JobRecord> delegatedJobs) {
         var changes = new ArrayList<JobRecord>();
-        for (JobRecord job : away) {
+        for (JobRecord job : delegatedJobs) {
             if (job.outboundDelegation().orElseThrow().cell().equals(cell)) {
                 changes.add(job.withDelegationLink(job.outboundDelegation()
                         .get()
                         .returned(context.timeSource().wallTime())));
             }
         }
-        for (JobRecord job : visitorsOf(cell)) {
+        for (JobRecord job : inboundJobsOf(cell)) {
             if (job.isOpen()) {
                 changes.add(job.cancelled());
             }
@@ -69,22 +70,23 @@
         return changes;
     }
 
-    private List<JobRecord> visitorsOf(String cell) {
-        var visitors = new ArrayList<JobRecord>();
+    private List<JobRecord> inboundJobsOf(String cell) {
+        var inboundJobs = new ArrayList<JobRecord>();
         for (JobRecord job : replica.inboundJobs()) {
             boolean ended = !job.isOpen() && job.spec().isEmpty();
             if (!ended && job.inboundDelegation().orElseThrow().origin().equals(cell)) {
-                visitors.add(job);
+                inboundJobs.add(job);
             }
         }
-        return visitors;
+        return inboundJobs;
     }
 
     private void store(String cell, JobRecord after) {
         String key = Keys.job(after.id());
         if (!context.commitQueue().isLocked(key)) {
             String cellKey = Keys.cell(cell);
-            Transaction transaction = self.guarded(context.jobWriter().write(new Transaction(), after))
+            Transaction transaction = identityKeeper
+                    .guarded(context.jobWriter().write(new Transaction(), after))
                     .requireRevision(cellKey, replica.modRevision(cellKey));
             context.commitQueue().propose(CommitPriority.PLACEMENT, transaction, result -> {});
         }
--- a/src/main/java/org/dunespindle/federation/CellConnection.java
+++ b/src/main/java/org/dunespindle/federation/CellConnection.java
@@ -11,29 +11,29 @@
 
 /** This controller's connection to a remote cell: the calls in flight and the latest replies. Kept in memory only. */
 final class CellConnection {
-    static final Duration DEADLINE = Duration.ofMillis(1500);
-    private static final int MOST_UNDER_WAY = 6;
+    static final Duration CALL_TIMEOUT = Duration.ofMillis(1500);
+    private static final int MAX_CALLS = 6;
     /** The limit for requests that users wait for, which is above the limit for background calls. */
-    private static final int MOST_FOR_USERS = 24;
+    private static final int MAX_CALLS_FOR_USERS = 24;
 
     /** Capacity hints older than this are not used for offers. */
-    private static final Duration FRESH = Duration.ofSeconds(8);
+    private static final Duration MAX_GREETING_AGE = Duration.ofSeconds(8);
 
     private final FederationSettings.RemoteCell cell;
     private final List<String> controllers;
     private final CellTransport transport;
     private final TimeSource timeSource;
-    private int preferred;
-    private int underWay;
+    private int preferredController;
+    private int callsInProgress;
     private Optional<CellReply.Greeting> greeting = Optional.empty();
-    private Duration greetedAt = Duration.ZERO;
-    private Optional<Duration> answeredAt = Optional.empty();
-    private Optional<String> greetingTrouble = Optional.empty();
+    private Duration greetingRequestedAt = Duration.ZERO;
+    private Optional<Duration> lastReplyAt = Optional.empty();
+    private Optional<String> greetingProblem = Optional.empty();
     private Optional<String> contradiction = Optional.empty();
-    private final Map<ResourceKind, Refused> refusals = new HashMap<>();
+    private final Map<ResourceKind, RecentRejection> recentRejections = new HashMap<>();
 
     /** Why the cell declined work of a kind, and until when no such work is offered to it. */
-    record Refused(Rejection.Reason reason, Duration until) {}
+    record RecentRejection(Rejection.Reason reason, Duration until) {}
 
     CellConnection(FederationSettings.RemoteCell cell, CellTransport transport, TimeSource timeSource) {
         this.cell = cell;
@@ -47,51 +47,51 @@
     }
 
     /** Whether the limit on background calls permits another one. */
-    boolean free() {
-        return underWay < MOST_UNDER_WAY;
+    boolean canCall() {
+        return callsInProgress < MAX_CALLS;
     }
 
     /** Whether the limit on calls for users permits another one. */
-    boolean freeForUsers() {
-        return underWay < MOST_FOR_USERS;
+    boolean canCallForUser() {
+        return callsInProgress < MAX_CALLS_FOR_USERS;
     }
 
     /** Sends a request to the presumed leader. Exactly one of the callbacks runs: the first on a reply, the second on a failure. */
-    void call(CellRequest request, Consumer<CellReply> answered, Runnable silent) {
-        int asked = preferred;
-        underWay++;
+    void call(CellRequest request, Consumer<CellReply> onReply, Runnable onFailure) {
+        int controllerIndex = preferredController;
+        callsInProgress++;
         transport
-                .call(cell.controllers().get(controllers.get(asked)), request, DEADLINE)
+                .call(cell.controllers().get(controllers.get(controllerIndex)), request, CALL_TIMEOUT)
                 .whenComplete((reply, failure) -> {
-                    underWay--;
+                    callsInProgress--;
                     if (reply == null) {
-                        turnFrom(asked);
-                        silent.run();
+                        rotateFrom(controllerIndex);
+                        onFailure.run();
                     } else {
-                        answeredAt = Optional.of(timeSource.now());
-                        redirect(reply, asked);
-                        answered.accept(reply);
+                        lastReplyAt = Optional.of(timeSource.now());
+                        redirect(reply, controllerIndex);
+                        onReply.accept(reply);
                     }
                 });
     }
 
-    private void redirect(CellReply reply, int asked) {
+    private void redirect(CellReply reply, int controllerIndex) {
         if (reply instanceof CellReply.NotServed notServed) {
-            notServed.leader().ifPresentOrElse(this::prefer, () -> turnFrom(asked));
-        } else if (reply instanceof CellReply.Greeting told && !told.leads()) {
-            told.leader().ifPresent(this::prefer);
+            notServed.leader().ifPresentOrElse(this::prefer, () -> rotateFrom(controllerIndex));
+        } else if (reply instanceof CellReply.Greeting received && !received.leads()) {
+            received.leader().ifPresent(this::prefer);
         }
     }
 
     private void prefer(String controller) {
         if (controllers.contains(controller)) {
-            preferred = controllers.indexOf(controller);
+            preferredController = controllers.indexOf(controller);
         }
     }
 
-    private void turnFrom(int asked) {
-        if (preferred == asked) {
-            preferred = (asked + 1) % controllers.size();
+    private void rotateFrom(int controllerIndex) {
+        if (preferredController == controllerIndex) {
+            preferredController = (controllerIndex + 1) % controllers.size();
         }
     }
 
@@ -100,14 +100,14 @@
         return controllers.size();
     }
 
-    void greeted(CellReply.Greeting told, Duration asked) {
-        greeting = Optional.of(told);
-        greetedAt = asked;
+    void recordGreeting(CellReply.Greeting received, Duration requestedAt) {
+        greeting = Optional.of(received);
+        greetingRequestedAt = requestedAt;
     }
 
     /** The latest greeting, if a leader sent it and it has not expired. */
-    Optional<CellReply.Greeting> freshGreeting() {
-        return greeting.filter(told -> told.leads() && age().compareTo(FRESH) < 0);
+    Optional<CellReply.Greeting> currentGreeting() {
+        return greeting.filter(latest -> latest.leads() && greetingAge().compareTo(MAX_GREETING_AGE) < 0);
     }
 
     Optional<CellReply.Greeting> lastGreeting() {
@@ -115,46 +115,47 @@
     }
 
     /** The time since the latest greeting was requested. */
-    Duration age() {
-        return timeSource.now().minus(greetedAt);
+    Duration greetingAge() {
+        return timeSource.now().minus(greetingRequestedAt);
     }
 
     /** The time since any controller of the cell last replied; empty if none ever did. */
-    Optional<Duration> silentFor() {
-        return answeredAt.map(at -> timeSource.now().minus(at));
+    Optional<Duration> timeSinceReply() {
+        return lastReplyAt.map(at -> timeSource.now().minus(at));
     }
 
     /** The problem that needs an operator; nothing is offered to the cell while there is one. */
-    Optional<String> trouble() {
-        return greetingTrouble.or(() -> contradiction);
+    Optional<String> problem() {
+        return greetingProblem.or(() -> contradiction);
     }
 
     /** The problem that the reply to the latest hello revealed. */
-    Optional<String> greetingTrouble() {
-        return greetingTrouble;
+    Optional<String> greetingProblem() {
+        return greetingProblem;
     }
 
     /** Sets the problem that the reply to the latest hello revealed; returns whether it changed. */
-    boolean greetingTrouble(Optional<String> now) {
-        boolean news = !greetingTrouble.equals(now);
-        greetingTrouble = now;
-        return news;
+    boolean updateGreetingProblem(Optional<String> latest) {
+        boolean changed = !greetingProblem.equals(latest);
+        greetingProblem = latest;
+        return changed;
     }
 
     /** Sets the contradiction between the cell's reports and the stored state; returns whether it changed. */
-    boolean contradiction(Optional<String> now) {
-        boolean news = !contradiction.equals(now);
-        contradiction = now;
-        return news;
+    boolean updateContradiction(Optional<String> latest) {
+        boolean changed = !contradiction.equals(latest);
+        contradiction = latest;
+        return changed;
     }
 
-    void refused(ResourceKind kind, Rejection refusal) {
-        refusals.put(kind, new Refused(refusal.reason(), timeSource.now().plus(refusal.retryAfter())));
+    void recordRejection(ResourceKind kind, Rejection rejection) {
+        recentRejections.put(
+                kind, new RecentRejection(rejection.reason(), timeSource.now().plus(rejection.retryAfter())));
     }
 
     /** The latest rejection of work of a kind, if it has not expired. */
-    Optional<Refused> refusal(ResourceKind kind) {
-        refusals.values().removeIf(refused -> refused.until.compareTo(timeSource.now()) <= 0);
-        return Optional.ofNullable(refusals.get(kind));
+    Optional<RecentRejection> recentRejection(ResourceKind kind) {
+        recentRejections.values().removeIf(recent -> recent.until.compareTo(timeSource.now()) <= 0);
+        return Optional.ofNullable(recentRejections.get(kind));
     }
 }
--- a/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
+++ b/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
@@ -27,8 +27,8 @@
     private final StateReplica replica;
     private final String name;
     private final RandomGenerator random;
-    private long readAt = -1;
-    private Optional<FederationRecords.OwnCell> read = Optional.empty();
+    private long parsedRevision = -1;
+    private Optional<FederationRecords.OwnCell> parsed = Optional.empty();
     private long countedIncarnation;
     private long counter;
 
@@ -40,7 +40,7 @@
     }
 
     /** Whether all controllers of this cell support the storage format of the federation. */
-    boolean formatReady() {
+    boolean formatSupported() {
         return replica.isLoaded() && replica.formatVersion() >= FormatVersion.DELEGATION_LINKS;
     }
 
@@ -50,12 +50,12 @@
     }
 
     private Optional<FederationRecords.OwnCell> stored() {
-        long stamp = replica.modRevision(Keys.FEDERATION);
-        if (stamp != readAt) {
-            readAt = stamp;
-            read = replica.value(Keys.FEDERATION).flatMap(value -> {
+        long modRevision = replica.modRevision(Keys.FEDERATION);
+        if (modRevision != parsedRevision) {
+            parsedRevision = modRevision;
+            parsed = replica.value(Keys.FEDERATION).flatMap(value -> {
                 try {
-                    return Optional.of(FederationRecords.readOwn(value));
+                    return Optional.of(FederationRecords.parseOwnCell(value));
                 } catch (MalformedMessageException e) {
                     LOG.error(
                             "stored cell identity is unreadable, federation disabled key={} cause={}",
@@ -65,35 +65,35 @@
                 }
             });
         }
-        return read;
+        return parsed;
     }
 
     /** Whether this controller leads and its incarnation is stored; only then may it delegate or accept jobs. */
-    boolean mayGiveAway() {
-        return formatReady()
+    boolean isActiveLeader() {
+        return formatSupported()
                 && context.membership().isLeader()
-                && stored().filter(cell -> cell.leaderStamp() == replica.modRevision(Keys.LEADER))
+                && stored().filter(cell -> cell.leaderRevision() == replica.modRevision(Keys.LEADER))
                         .isPresent()
                 && replica.appliedRevision() >= replica.modRevision(Keys.FEDERATION);
     }
 
     /** Stores a new incarnation if this controller has become the leader. */
     void tick() {
-        boolean due = formatReady() && context.membership().isLeader() && !mayGiveAway();
+        boolean due = formatSupported() && context.membership().isLeader() && !isActiveLeader();
         boolean readable =
                 stored().isPresent() || replica.value(Keys.FEDERATION).isEmpty();
-        boolean written = stored().filter(cell -> cell.leaderStamp() == replica.modRevision(Keys.LEADER))
+        boolean current = stored().filter(cell -> cell.leaderRevision() == replica.modRevision(Keys.LEADER))
                 .isPresent();
-        if (due && readable && !written && !context.commitQueue().isLocked(Keys.FEDERATION)) {
-            raise();
+        if (due && readable && !current && !context.commitQueue().isLocked(Keys.FEDERATION)) {
+            incrementIncarnation();
         }
     }
 
-    private void raise() {
-        String identity = id().map(CellId::identity).orElseGet(this::draw);
+    private void incrementIncarnation() {
+        String identity = id().map(CellId::identity).orElseGet(this::randomToken);
         long incarnation = id().map(CellId::incarnation).orElse(0L) + 1;
         var next = new FederationRecords.OwnCell(
-                new CellId(name, identity, incarnation, draw()), replica.modRevision(Keys.LEADER));
+                new CellId(name, identity, incarnation, randomToken()), replica.modRevision(Keys.LEADER));
         Transaction transaction = guarded(new Transaction()).write(Keys.FEDERATION, FederationRecords.write(next));
         context.commitQueue().propose(CommitPriority.PLACEMENT, transaction, result -> {
             if (result instanceof TransactionResult.Applied) {
@@ -111,13 +111,13 @@
                 .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT));
     }
 
-    private String draw() {
+    private String randomToken() {
         return Long.toHexString(random.nextLong());
     }
 
     /** Allocates the next transfer number; empty if this incarnation has used up its numbers. */
-    OptionalLong nextTransfer() {
-        long number = unusedTransfer();
+    OptionalLong allocateTransferNumber() {
+        long number = lowestUnallocatedNumber();
         if (counter >= 1L << COUNTER_BITS) {
             return OptionalLong.empty();
         }
@@ -126,7 +126,7 @@
     }
 
     /** The lowest transfer number that has not been allocated. */
-    long unusedTransfer() {
+    long lowestUnallocatedNumber() {
         long incarnation = id().orElseThrow().incarnation();
         if (incarnation != countedIncarnation) {
             countedIncarnation = incarnation;
--- a/src/main/java/org/dunespindle/federation/CellMessageCodec.java
+++ b/src/main/java/org/dunespindle/federation/CellMessageCodec.java
@@ -20,9 +20,9 @@
 public final class CellMessageCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
     /** The maximum number of transfers in a message; a larger set is requested in several messages. */
-    static final int MOST_TRANSFERS = 200;
+    static final int MAX_TRANSFERS = 200;
 
-    private static final int MOST_HINTS = 4000;
+    private static final int MAX_HINTS = 4000;
     private static final String KIND = "kind";
 
     private CellMessageCodec() {}
@@ -30,12 +30,12 @@
     /** Encodes a request. */
     public static byte[] write(CellRequest request) {
         ObjectNode node = JSON.createObjectNode();
-        FederationRecords.putId(node.putObject("from"), request.from());
+        FederationRecords.putCellId(node.putObject("from"), request.from());
         if (request instanceof CellRequest.Hello hello) {
-            node.put(KIND, "hello").put("floor", hello.floor());
+            node.put(KIND, "hello").put("floor", hello.lowestOpenTransfer());
         } else if (request instanceof CellRequest.Offer offer) {
             node.put(KIND, "offer").put("arrived", offer.arrived().toEpochMilli());
-            FederationRecords.putId(node.putObject("to"), offer.to());
+            FederationRecords.putCellId(node.putObject("to"), offer.to());
             putTransfer(node, offer.transfer()).set("submission", offer.job().toNode());
         } else if (request instanceof CellRequest.Recall recall) {
             putTransfer(node.put(KIND, "recall").put("to", recall.toIdentity()), recall.transfer());
@@ -52,9 +52,9 @@
     /** Decodes a request. */
     public static CellRequest readRequest(byte[] body) throws MalformedMessageException {
         JsonNode node = tree(body);
-        CellId from = FederationRecords.readId(node.path("from"));
+        CellId from = FederationRecords.parseCellId(node.path("from"));
         return switch (FederationRecords.text(node, KIND)) {
-            case "hello" -> new CellRequest.Hello(from, FederationRecords.whole(node, "floor"));
+            case "hello" -> new CellRequest.Hello(from, FederationRecords.nonNegativeLong(node, "floor"));
             case "offer" -> offer(from, node);
             case "recall" -> new CellRequest.Recall(from, FederationRecords.text(node, "to"), transfer(node));
             case "cancel" -> new CellRequest.Cancel(from, FederationRecords.text(node, "to"), transfer(node));
@@ -70,8 +70,8 @@
         if (!transfer.job().equals(job.id())) {
             throw new MalformedMessageException("job differs from the id in submission");
         }
-        Instant arrived = Instant.ofEpochMilli(FederationRecords.whole(node, "arrived"));
-        return new CellRequest.Offer(from, FederationRecords.readId(node.path("to")), transfer, arrived, job);
+        Instant arrived = Instant.ofEpochMilli(FederationRecords.nonNegativeLong(node, "arrived"));
+        return new CellRequest.Offer(from, FederationRecords.parseCellId(node.path("to")), transfer, arrived, job);
     }
 
     /** Encodes a reply. */
@@ -79,9 +79,9 @@
         ObjectNode node = JSON.createObjectNode();
         if (reply instanceof CellReply.Greeting greeting) {
             node.put(KIND, "greeting").put("leads", greeting.leads());
-            FederationRecords.putId(node.putObject("self"), greeting.self());
+            FederationRecords.putCellId(node.putObject("self"), greeting.self());
             greeting.leader().ifPresent(leader -> node.put("leader", leader));
-            greeting.room().ifPresent(hints -> {
+            greeting.capacityHints().ifPresent(hints -> {
                 ArrayNode list = node.putArray("room");
                 hints.forEach(hint -> putHint(list.addObject(), hint));
             });
@@ -90,8 +90,8 @@
             reports.reports().forEach(report -> putReport(list.addObject(), report));
         } else if (reply instanceof CellReply.Declined declined) {
             putTransfer(node.put(KIND, "declined"), declined.transfer())
-                    .put("reason", declined.refusal().reason().name())
-                    .put("retryAfterMs", declined.refusal().retryAfter().toMillis());
+                    .put("reason", declined.rejection().reason().name())
+                    .put("retryAfterMs", declined.rejection().retryAfter().toMillis());
         } else if (reply instanceof CellReply.NotServed notServed) {
             node.put(KIND, "not-served").put("reason", notServed.reason().name());
             notServed.leader().ifPresent(leader -> node.put("leader", leader));
@@ -105,7 +105,7 @@
         return switch (FederationRecords.text(node, KIND)) {
             case "greeting" ->
                 new CellReply.Greeting(
-                        FederationRecords.readId(node.path("self")),
+                        FederationRecords.parseCellId(node.path("self")),
                         node.path("leads").asBoolean(),
                         optionalText(node, "leader"),
                         node.has("room") ? Optional.of(hints(node.get("room"))) : Optional.empty());
@@ -114,10 +114,11 @@
                 new CellReply.Declined(
                         transfer(node),
                         new Rejection(
-                                constant(Rejection.Reason.class, node, "reason"),
-                                Duration.ofMillis(FederationRecords.whole(node, "retryAfterMs"))));
+                                enumValue(Rejection.Reason.class, node, "reason"),
+                                Duration.ofMillis(FederationRecords.nonNegativeLong(node, "retryAfterMs"))));
             case "not-served" ->
-                new CellReply.NotServed(constant(CellReply.Reason.class, node, "reason"), optionalText(node, "leader"));
+                new CellReply.NotServed(
+                        enumValue(CellReply.Reason.class, node, "reason"), optionalText(node, "leader"));
             default -> throw new MalformedMessageException("kind is unknown");
         };
     }
@@ -131,11 +132,11 @@
         if (!Submission.wellFormedId(job)) {
             throw new MalformedMessageException("job must look like wk-000412");
         }
-        return new Transfer(job, FederationRecords.whole(node, "number"));
+        return new Transfer(job, FederationRecords.nonNegativeLong(node, "number"));
     }
 
     private static List<Transfer> transfers(JsonNode list) throws MalformedMessageException {
-        check(list.isArray() && list.size() <= MOST_TRANSFERS, "transfers must be a list of at most " + MOST_TRANSFERS);
+        check(list.isArray() && list.size() <= MAX_TRANSFERS, "transfers must be a list of at most " + MAX_TRANSFERS);
         var transfers = new ArrayList<Transfer>();
         for (JsonNode row : list) {
             transfers.add(transfer(row));
@@ -149,19 +150,19 @@
                 .put("done", report.done())
                 .put("running", report.running())
                 .put("failures", report.failures());
-        report.waits().ifPresent(why -> node.put("waits", why));
+        report.waitReason().ifPresent(why -> node.put("waits", why));
     }
 
     private static List<InboundJobStatus> reports(JsonNode list) throws MalformedMessageException {
-        check(list.isArray() && list.size() <= MOST_TRANSFERS, "reports must be a list of at most " + MOST_TRANSFERS);
+        check(list.isArray() && list.size() <= MAX_TRANSFERS, "reports must be a list of at most " + MAX_TRANSFERS);
         var reports = new ArrayList<InboundJobStatus>();
         for (JsonNode row : list) {
             reports.add(new InboundJobStatus(
                     transfer(row),
-                    constant(InboundJobState.class, row, "state"),
-                    (int) FederationRecords.whole(row, "done"),
-                    (int) FederationRecords.whole(row, "running"),
-                    (int) FederationRecords.whole(row, "failures"),
+                    enumValue(InboundJobState.class, row, "state"),
+                    (int) FederationRecords.nonNegativeLong(row, "done"),
+                    (int) FederationRecords.nonNegativeLong(row, "running"),
+                    (int) FederationRecords.nonNegativeLong(row, "failures"),
                     optionalText(row, "waits")));
         }
         return List.copyOf(reports);
@@ -178,14 +179,14 @@
     }
 
     private static List<CapacityHint> hints(JsonNode list) throws MalformedMessageException {
-        check(list.isArray() && list.size() <= MOST_HINTS, "room must be a list of at most " + MOST_HINTS);
+        check(list.isArray() && list.size() <= MAX_HINTS, "room must be a list of at most " + MAX_HINTS);
         var hints = new ArrayList<CapacityHint>();
         for (JsonNode row : list) {
             hints.add(new CapacityHint(
                     FederationRecords.text(row, "type"),
                     row.path("zone").asText(),
                     row.path("spot").asBoolean(),
-                    constant(Priority.class, row, "priority"),
+                    enumValue(Priority.class, row, "priority"),
                     resources(row.path("free")),
                     resources(row.path("largest")),
                     row.path("rentable").asBoolean()));
@@ -205,7 +206,7 @@
                 list.get(2).doubleValue());
     }
 
-    private static <E extends Enum<E>> E constant(Class<E> type, JsonNode node, String field)
+    private static <E extends Enum<E>> E enumValue(Class<E> type, JsonNode node, String field)
             throws MalformedMessageException {
         String name = FederationRecords.text(node, field);
         for (E constant : type.getEnumConstants()) {
@@ -220,9 +221,9 @@
         return Optional.ofNullable(node.path(field).textValue());
     }
 
-    private static void check(boolean fine, String complaint) throws MalformedMessageException {
-        if (!fine) {
-            throw new MalformedMessageException(complaint);
+    private static void check(boolean valid, String message) throws MalformedMessageException {
+        if (!valid) {
+            throw new MalformedMessageException(message);
         }
     }
 
--- a/src/main/java/org/dunespindle/federation/CellReply.java
+++ b/src/main/java/org/dunespindle/federation/CellReply.java
@@ -10,16 +10,16 @@
      *
      * @param leads whether the replying controller leads its cell; only the leader has capacity hints and accepts offers
      * @param leader the name of the leading controller; empty if unknown
-     * @param room the capacity hints; empty unless the replying controller leads and has a current plan
+     * @param capacityHints the capacity hints; empty unless the replying controller leads and has a current plan
      */
-    record Greeting(CellId self, boolean leads, Optional<String> leader, Optional<List<CapacityHint>> room)
+    record Greeting(CellId self, boolean leads, Optional<String> leader, Optional<List<CapacityHint>> capacityHints)
             implements CellReply {}
 
     /** The stored status of transfers. An offer, a recall or a cancellation is answered only after its effect is stored. */
     record Reports(List<InboundJobStatus> reports) implements CellReply {}
 
     /** The job was declined. The rejection is stored, so the transfer has ended. */
-    record Declined(Transfer transfer, Rejection refusal) implements CellReply {}
+    record Declined(Transfer transfer, Rejection rejection) implements CellReply {}
 
     /** The request was not served: nothing was changed, and the reply implies nothing about any transfer. */
     record NotServed(Reason reason, Optional<String> leader) implements CellReply {
@@ -42,15 +42,15 @@
         ABANDONED("was told by its operators to abandon this cell"),
         ID_IN_USE("holds a job of this id of a third cell");
 
-        private final String words;
+        private final String description;
 
-        Reason(String words) {
-            this.words = words;
+        Reason(String description) {
+            this.description = description;
         }
 
         /** The reason as a phrase whose subject is the replying cell. */
-        public String words() {
-            return words;
+        public String description() {
+            return description;
         }
 
         /** Whether the cause is an inconsistency that only an operator can resolve. */
--- a/src/main/java/org/dunespindle/federation/CellRequest.java
+++ b/src/main/java/org/dunespindle/federation/CellRequest.java
@@ -12,9 +12,9 @@
     /**
      * Requests the cell's identity and capacity hints.
      *
-     * @param floor the requester's lowest open transfer: all of its transfers with lower numbers have ended
+     * @param lowestOpenTransfer the requester's lowest open transfer: all of its transfers with lower numbers have ended
      */
-    record Hello(CellId from, long floor) implements CellRequest {}
+    record Hello(CellId from, long lowestOpenTransfer) implements CellRequest {}
 
     /** Offers a job. Only the incarnation that the offer is addressed to may accept it. */
     record Offer(CellId from, CellId to, Transfer transfer, Instant arrived, Submission job) implements CellRequest {}
--- a/src/main/java/org/dunespindle/federation/DelegationRules.java
+++ b/src/main/java/org/dunespindle/federation/DelegationRules.java
@@ -15,19 +15,19 @@
     /**
      * The known state of a transfer.
      *
-     * @param told the state of exactly this transfer that the remote cell reported last; empty if it reported none
-     * @param waited the time since this controller first saw the transfer in its present phase
-     * @param patience the time limit for a phase without progress, after which the job is recalled
-     * @param again when the job may be delegated again, should it return now
+     * @param remoteState the state of exactly this transfer that the remote cell reported last; empty if it reported none
+     * @param elapsed the time since this controller first saw the transfer in its present phase
+     * @param timeout the time limit for a phase without progress, after which the job is recalled
+     * @param retryAt when the job may be delegated again, should it return now
      */
     public record View(
             OutboundDelegation delegation,
-            Optional<InboundJobState> told,
-            Duration waited,
-            Duration patience,
-            Instant again) {
-        private boolean overdue() {
-            return waited.compareTo(patience) > 0;
+            Optional<InboundJobState> remoteState,
+            Duration elapsed,
+            Duration timeout,
+            Instant retryAt) {
+        private boolean timedOut() {
+            return elapsed.compareTo(timeout) > 0;
         }
     }
 
@@ -40,7 +40,7 @@
         record SendRecall() implements Step {}
 
         /** Requests the job's status. */
-        record Ask() implements Step {}
+        record Poll() implements Step {}
 
         /** Stores the transfer's new phase. */
         record Store(OutboundDelegation delegation) implements Step {}
@@ -52,43 +52,45 @@
         record StoreCancelled() implements Step {}
 
         /** The remote cell's report contradicts the stored state; the transfer stays as it is until an operator resolves it. */
-        record Contradiction(String what) implements Step {}
+        record Contradiction(String description) implements Step {}
     }
 
     /** Decides the next step of an outstanding transfer. */
     public static Step next(View view) {
-        InboundJobState told = view.told.orElse(InboundJobState.UNKNOWN);
-        return switch (told) {
+        InboundJobState remoteState = view.remoteState.orElse(InboundJobState.UNKNOWN);
+        return switch (remoteState) {
             case DONE -> new Step.StoreDone();
             case CANCELLED -> new Step.StoreCancelled();
-            case WITHDRAWN -> new Step.Store(view.delegation.returned(view.again));
+            case WITHDRAWN -> new Step.Store(view.delegation.returned(view.retryAt));
             case CLOSED -> new Step.Contradiction("it counts a transfer as ended that is open here");
             default ->
                 switch (view.delegation.phase()) {
-                    case OFFERED -> offered(view, told);
-                    case ACCEPTED -> accepted(view, told);
-                    case RECALLED -> recalled(view, told);
+                    case OFFERED -> afterOffer(view, remoteState);
+                    case ACCEPTED -> afterAcceptance(view, remoteState);
+                    case RECALLED -> afterRecall(view, remoteState);
                     case HOME -> throw new IllegalArgumentException("the job has no outstanding transfer");
                 };
         };
     }
 
-    private static Step offered(View view, InboundJobState told) {
-        if (told != InboundJobState.UNKNOWN) {
+    private static Step afterOffer(View view, InboundJobState remoteState) {
+        if (remoteState != InboundJobState.UNKNOWN) {
             return new Step.Store(view.delegation.accepted());
         }
-        return view.overdue() ? new Step.Store(view.delegation.recalled()) : new Step.SendOffer();
+        return view.timedOut() ? new Step.Store(view.delegation.recalled()) : new Step.SendOffer();
     }
 
-    private static Step accepted(View view, InboundJobState told) {
-        if (told == InboundJobState.UNKNOWN && view.told.isPresent()) {
+    private static Step afterAcceptance(View view, InboundJobState remoteState) {
+        if (remoteState == InboundJobState.UNKNOWN && view.remoteState.isPresent()) {
             return new Step.Contradiction("it does not know a job that it had accepted");
         }
-        boolean waits = told == InboundJobState.QUEUED;
-        return waits && view.overdue() ? new Step.Store(view.delegation.recalled()) : new Step.Ask();
+        boolean queued = remoteState == InboundJobState.QUEUED;
+        return queued && view.timedOut() ? new Step.Store(view.delegation.recalled()) : new Step.Poll();
     }
 
-    private static Step recalled(View view, InboundJobState told) {
-        return told == InboundJobState.BEGUN ? new Step.Store(view.delegation.keptByRemote()) : new Step.SendRecall();
+    private static Step afterRecall(View view, InboundJobState remoteState) {
+        return remoteState == InboundJobState.BEGUN
+                ? new Step.Store(view.delegation.keptByRemote())
+                : new Step.SendRecall();
     }
 }
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -29,69 +29,71 @@
 /** Connects a controller to a federation of cells: serves requests of other cells, and delegates jobs that this cell cannot place. */
 public final class Federation implements JobDelegation {
     private static final Logger LOG = LoggerFactory.getLogger(Federation.class);
-    private static final Duration TICK = Duration.ofMillis(500);
-    private static final Duration HELLO_EVERY = Duration.ofSeconds(2);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(500);
+    private static final Duration HELLO_INTERVAL = Duration.ofSeconds(2);
     /** Plans older than this are not used to estimate capacity. */
-    private static final Duration PLAN_FRESH = Duration.ofSeconds(5);
+    private static final Duration MAX_PLAN_AGE = Duration.ofSeconds(5);
     /** A job that no plan reported as a shortfall for this long no longer counts as waiting without interruption. */
-    private static final Duration LACK_FORGOTTEN = Duration.ofSeconds(5);
+    private static final Duration SHORTFALL_EXPIRY = Duration.ofSeconds(5);
     /** After delegating or accepting work of a kind, a cell does not do the opposite for this long. */
-    private static final Duration SAME_DIRECTION = Duration.ofSeconds(60);
+    private static final Duration DIRECTION_HOLD_TIME = Duration.ofSeconds(60);
 
-    private static final int OFFERS_AT_ONCE = 4;
-    private static final int MOST_COMMITS_WAITING = 8;
+    private static final int MAX_OFFERS_PER_TICK = 4;
+    private static final int MAX_PENDING_COMMITS = 8;
 
     private final DelegationContext context;
     private final StateReplica replica;
-    private final CellIdentityKeeper self;
-    private final KnownCells known;
-    private final Map<String, CellConnection> contacts = new LinkedHashMap<>();
-    private final OutboundDelegationService delegations;
-    private final InboundDelegationService visitors;
+    private final CellIdentityKeeper identityKeeper;
+    private final KnownCells knownCells;
+    private final Map<String, CellConnection> connections = new LinkedHashMap<>();
+    private final OutboundDelegationService outboundDelegations;
+    private final InboundDelegationService inboundDelegations;
     private final CellAbandonment abandonment;
     private final FederationAdmin admin;
 
-    private Optional<Planned> planned = Optional.empty();
-    private final Map<String, Lack> lacks = new HashMap<>();
-    private final Map<ResourceKind, Duration> gaveAway = new HashMap<>();
-    private final Map<ResourceKind, Duration> tookIn = new HashMap<>();
-    private final Map<String, Duration> saidHelloAt = new HashMap<>();
+    private Optional<SurveyedPlan> latestPlan = Optional.empty();
+    private final Map<String, ShortfallPeriod> shortfalls = new HashMap<>();
+    private final Map<ResourceKind, Duration> lastDelegatedAt = new HashMap<>();
+    private final Map<ResourceKind, Duration> lastAcceptedAt = new HashMap<>();
+    private final Map<String, Duration> lastHelloAt = new HashMap<>();
 
     /** The latest plan, with a survey that is computed on first use. */
-    private static final class Planned {
+    private static final class SurveyedPlan {
         final ClusterSnapshot snapshot;
         final Plan plan;
-        final Duration at;
+        final Duration plannedAt;
         Optional<CapacitySurvey> survey = Optional.empty();
 
-        Planned(ClusterSnapshot snapshot, Plan plan, Duration at) {
+        SurveyedPlan(ClusterSnapshot snapshot, Plan plan, Duration plannedAt) {
             this.snapshot = snapshot;
             this.plan = plan;
-            this.at = at;
+            this.plannedAt = plannedAt;
         }
     }
 
     /** The period over which successive plans could not place a job. */
-    private record Lack(Duration since, Duration last) {}
+    private record ShortfallPeriod(Duration since, Duration last) {}
 
     /** Creates the federation of one controller; no request is sent before {@link #start}. */
     public Federation(
             DelegationContext context, FederationSettings settings, CellTransport transport, RandomGenerator random) {
         this.context = context;
         this.replica = context.replica();
-        this.self = new CellIdentityKeeper(context, settings.cell(), random);
-        this.known = new KnownCells(replica);
+        this.identityKeeper = new CellIdentityKeeper(context, settings.cell(), random);
+        this.knownCells = new KnownCells(replica);
         settings.cells()
-                .forEach(cell -> contacts.put(cell.name(), new CellConnection(cell, transport, context.timeSource())));
-        this.delegations = new OutboundDelegationService(context, self, known, contacts);
-        this.visitors = new InboundDelegationService(context, settings, self, known, this::admission, this::room);
-        this.abandonment = new CellAbandonment(context, self, known);
-        this.admin = new FederationAdmin(context, self, known, contacts, delegations);
+                .forEach(cell ->
+                        connections.put(cell.name(), new CellConnection(cell, transport, context.timeSource())));
+        this.outboundDelegations = new OutboundDelegationService(context, identityKeeper, knownCells, connections);
+        this.inboundDelegations = new InboundDelegationService(
+                context, settings, identityKeeper, knownCells, this::rejectionReason, this::capacityHints);
+        this.abandonment = new CellAbandonment(context, identityKeeper, knownCells);
+        this.admin = new FederationAdmin(context, identityKeeper, knownCells, connections, outboundDelegations);
     }
 
     /** Serves a request of another cell. The reply may be passed on after this method returns. */
     public void handle(CellRequest request, Consumer<CellReply> reply) {
-        visitors.handle(request, reply);
+        inboundDelegations.handle(request, reply);
     }
 
     @Override
@@ -101,88 +103,92 @@
         } catch (RuntimeException e) {
             LOG.error("federation round failed, retrying with the next one", e);
         }
-        context.timeSource().schedule(TICK, this::start);
+        context.timeSource().schedule(TICK_INTERVAL, this::start);
     }
 
     private void tick() {
-        self.tick();
-        if (!self.formatReady() || self.id().isEmpty()) {
+        identityKeeper.tick();
+        if (!identityKeeper.formatSupported() || identityKeeper.id().isEmpty()) {
             return;
         }
-        delegations.tick();
-        if (!self.mayGiveAway()) {
-            planned = Optional.empty();
-            lacks.clear();
+        outboundDelegations.tick();
+        if (!identityKeeper.isActiveLeader()) {
+            latestPlan = Optional.empty();
+            shortfalls.clear();
             return;
         }
-        List<JobRecord> away = delegations.away();
-        contacts.keySet().forEach(cell -> abandonment.tick(cell, away));
-        contacts.values().forEach(this::sayHello);
-        noteVisitors();
-        giveAway();
+        List<JobRecord> delegatedJobs = outboundDelegations.delegatedJobs();
+        connections.keySet().forEach(cell -> abandonment.tick(cell, delegatedJobs));
+        connections.values().forEach(this::sendHello);
+        recordAcceptedKinds();
+        offerJobs();
     }
 
     private Duration now() {
         return context.timeSource().now();
     }
 
-    private void sayHello(CellConnection contact) {
-        boolean abandoned = known.cell(contact.name())
+    private void sendHello(CellConnection connection) {
+        boolean abandoned = knownCells
+                .cell(connection.name())
                 .filter(FederationRecords.KnownCell::abandoned)
                 .isPresent();
-        Duration last = saidHelloAt.getOrDefault(contact.name(), HELLO_EVERY.negated());
-        if (abandoned || !contact.free() || now().minus(last).compareTo(HELLO_EVERY) < 0) {
+        Duration last = lastHelloAt.getOrDefault(connection.name(), HELLO_INTERVAL.negated());
+        if (abandoned || !connection.canCall() || now().minus(last).compareTo(HELLO_INTERVAL) < 0) {
             return;
         }
-        Duration asked = now();
-        saidHelloAt.put(contact.name(), asked);
-        contact.call(
-                new CellRequest.Hello(self.id().orElseThrow(), delegations.floor()),
-                reply -> greeted(contact, reply, asked),
+        Duration requestedAt = now();
+        lastHelloAt.put(connection.name(), requestedAt);
+        connection.call(
+                new CellRequest.Hello(identityKeeper.id().orElseThrow(), outboundDelegations.lowestOpenTransfer()),
+                reply -> onHelloReply(connection, reply, requestedAt),
                 () -> {});
     }
 
-    private void greeted(CellConnection contact, CellReply reply, Duration asked) {
-        Optional<String> trouble = Optional.empty();
+    private void onHelloReply(CellConnection connection, CellReply reply, Duration requestedAt) {
+        Optional<String> problem = Optional.empty();
         if (reply instanceof CellReply.NotServed notServed) {
-            trouble = notServed.reason().needsOperator()
-                    ? Optional.of("it " + notServed.reason().words())
-                    : contact.greetingTrouble();
-        } else if (reply instanceof CellReply.Greeting told) {
-            contact.greeted(told, asked);
-            trouble = identityTrouble(contact.name(), told.self());
-            if (trouble.isEmpty() && known.cell(contact.name()).isEmpty() && !known.unreadable(contact.name())) {
-                remember(told.self());
+            problem = notServed.reason().needsOperator()
+                    ? Optional.of("it " + notServed.reason().description())
+                    : connection.greetingProblem();
+        } else if (reply instanceof CellReply.Greeting greeting) {
+            connection.recordGreeting(greeting, requestedAt);
+            problem = identityProblem(connection.name(), greeting.self());
+            if (problem.isEmpty()
+                    && knownCells.cell(connection.name()).isEmpty()
+                    && !knownCells.unreadable(connection.name())) {
+                storeIdentity(greeting.self());
             }
         }
-        if (contact.greetingTrouble(trouble)) {
-            String what = trouble.map(text -> text + "; nothing more is offered to it")
-                    .orElse("all is well again");
-            context.eventRecorder().record(LOG, "cell {}: {}", contact.name(), what);
+        if (connection.updateGreetingProblem(problem)) {
+            String event = problem.map(text -> text + "; nothing more is offered to it")
+                    .orElse("the problem is resolved");
+            context.eventRecorder().record(LOG, "cell {}: {}", connection.name(), event);
         }
     }
 
     /** A problem with a cell's identity compared with the stored one; empty if they agree. */
-    private Optional<String> identityTrouble(String name, CellId told) {
-        if (!told.name().equals(name)) {
-            return Optional.of("a cell named " + told.name() + " answers at its address");
+    private Optional<String> identityProblem(String name, CellId reported) {
+        if (!reported.name().equals(name)) {
+            return Optional.of("a cell named " + reported.name() + " answers at its address");
         }
-        return known.cell(name).map(FederationRecords.KnownCell::id).flatMap(before -> {
-            if (!before.sameCell(told)) {
+        return knownCells.cell(name).map(FederationRecords.KnownCell::id).flatMap(stored -> {
+            if (!stored.sameCell(reported)) {
                 return Optional.of("another cell answers by this name: it was rebuilt empty, or two bear the name");
             }
-            boolean older = told.incarnation() < before.incarnation()
-                    || (told.incarnation() == before.incarnation()
-                            && !told.mark().equals(before.mark()));
+            boolean older = reported.incarnation() < stored.incarnation()
+                    || (reported.incarnation() == stored.incarnation()
+                            && !reported.nonce().equals(stored.nonce()));
             return older ? Optional.of("its state was put back to an older one") : Optional.empty();
         });
     }
 
     /** Stores a cell's identity at first contact. Nothing is offered to the cell before that is stored. */
-    private void remember(CellId cell) {
+    private void storeIdentity(CellId cell) {
         String key = Keys.cell(cell.name());
         if (!context.commitQueue().isLocked(key)) {
-            Transaction transaction = self.guarded(new Transaction())
+            Transaction transaction = identityKeeper
+                    .guarded(new Transaction())
                     .requireRevision(key, replica.modRevision(key))
                     .write(key, FederationRecords.write(new FederationRecords.KnownCell(cell, 0, false)));
             context.commitQueue().propose(CommitPriority.MAINTENANCE, transaction, result -> {});
@@ -193,21 +199,25 @@
 
     @Override
     public void planned(ClusterSnapshot snapshot, Plan plan) {
-        if (!self.mayGiveAway()) {
+        if (!identityKeeper.isActiveLeader()) {
             return;
         }
-        planned = Optional.of(new Planned(snapshot, plan, now()));
+        latestPlan = Optional.of(new SurveyedPlan(snapshot, plan, now()));
         for (Shortfall shortfall : plan.shortfalls()) {
             JobRecord job = shortfall.job();
-            if (SpillPolicy.movable(job)) {
-                lacks.merge(job.id(), new Lack(now(), now()), (before, now) -> new Lack(before.since, now.last));
+            if (SpillPolicy.isDelegable(job)) {
+                shortfalls.merge(
+                        job.id(),
+                        new ShortfallPeriod(now(), now()),
+                        (before, now) -> new ShortfallPeriod(before.since, now.last));
             }
         }
-        lacks.values().removeIf(lack -> now().minus(lack.last).compareTo(LACK_FORGOTTEN) > 0);
+        shortfalls.values().removeIf(shortfall -> now().minus(shortfall.last).compareTo(SHORTFALL_EXPIRY) > 0);
     }
 
     private Optional<CapacitySurvey> survey() {
-        return planned.filter(plan -> now().minus(plan.at).compareTo(PLAN_FRESH) < 0)
+        return latestPlan
+                .filter(plan -> now().minus(plan.plannedAt).compareTo(MAX_PLAN_AGE) < 0)
                 .map(plan -> {
                     if (plan.survey.isEmpty()) {
                         plan.survey = Optional.of(new CapacitySurvey(
@@ -217,51 +227,51 @@
                 });
     }
 
-    private Optional<List<CapacityHint>> room() {
+    private Optional<List<CapacityHint>> capacityHints() {
         return survey().map(CapacitySurvey::hints);
     }
 
-    private Optional<Rejection.Reason> admission(Submission job) {
+    private Optional<Rejection.Reason> rejectionReason(Submission job) {
         Optional<CapacitySurvey> survey = survey();
         Optional<DelegationContext.NeverVerdict> never = context.whyNever().apply(job);
         if (survey.isEmpty() || never.isEmpty()) {
             return Optional.of(Rejection.Reason.NO_ROOM);
         }
-        int open = 0;
-        for (JobRecord visitor : replica.inboundJobs()) {
-            open += visitor.isOpen() ? 1 : 0;
+        int openJobs = 0;
+        for (JobRecord inboundJob : replica.inboundJobs()) {
+            openJobs += inboundJob.isOpen() ? 1 : 0;
         }
-        Optional<Rejection.Reason> refusal = AdmissionPolicy.refusal(
+        Optional<Rejection.Reason> reason = AdmissionPolicy.rejectionReason(
                 job,
                 new AdmissionPolicy.View(
                         survey.get(),
                         never.get().why(),
-                        open,
+                        openJobs,
                         context.options().get().maxInboundJobs(),
-                        givesAway()));
-        if (refusal.isEmpty()) {
-            tookIn.put(ResourceKind.of(job), now());
+                        delegatedKinds()));
+        if (reason.isEmpty()) {
+            lastAcceptedAt.put(ResourceKind.of(job), now());
         }
-        return refusal;
+        return reason;
     }
 
-    private List<JobRecord> waitedLong() {
-        Duration patience = context.options().get().delegationDelay();
+    private List<JobRecord> jobsToDelegate() {
+        Duration delay = context.options().get().delegationDelay();
         var jobs = new ArrayList<JobRecord>();
-        lacks.forEach((id, lack) -> {
-            if (now().minus(lack.since).compareTo(patience) >= 0) {
-                replica.job(id).filter(SpillPolicy::movable).ifPresent(jobs::add);
+        shortfalls.forEach((id, shortfall) -> {
+            if (now().minus(shortfall.since).compareTo(delay) >= 0) {
+                replica.job(id).filter(SpillPolicy::isDelegable).ifPresent(jobs::add);
             }
         });
         return jobs;
     }
 
     /** Kinds of work that this cell delegates: of jobs that are due for it, have an unconfirmed transfer, or were delegated recently. */
-    private List<ResourceKind> givesAway() {
-        gaveAway.values().removeIf(at -> now().minus(at).compareTo(SAME_DIRECTION) > 0);
-        var kinds = new ArrayList<>(gaveAway.keySet());
-        waitedLong().forEach(job -> kinds.add(ResourceKind.of(job.submission())));
-        for (JobRecord job : delegations.away()) {
+    private List<ResourceKind> delegatedKinds() {
+        lastDelegatedAt.values().removeIf(at -> now().minus(at).compareTo(DIRECTION_HOLD_TIME) > 0);
+        var kinds = new ArrayList<>(lastDelegatedAt.keySet());
+        jobsToDelegate().forEach(job -> kinds.add(ResourceKind.of(job.submission())));
+        for (JobRecord job : outboundDelegations.delegatedJobs()) {
             if (job.outboundDelegation().orElseThrow().phase() != OutboundDelegation.Phase.ACCEPTED) {
                 kinds.add(ResourceKind.of(job.submission()));
             }
@@ -269,45 +279,46 @@
         return kinds;
     }
 
-    private void noteVisitors() {
-        tookIn.values().removeIf(at -> now().minus(at).compareTo(SAME_DIRECTION) > 0);
-        for (JobRecord visitor : replica.inboundJobs()) {
-            if (visitor.isOpen() && visitor.neverPlaced()) {
-                tookIn.put(ResourceKind.of(visitor.submission()), now());
+    private void recordAcceptedKinds() {
+        lastAcceptedAt.values().removeIf(at -> now().minus(at).compareTo(DIRECTION_HOLD_TIME) > 0);
+        for (JobRecord inboundJob : replica.inboundJobs()) {
+            if (inboundJob.isOpen() && inboundJob.neverPlaced()) {
+                lastAcceptedAt.put(ResourceKind.of(inboundJob.submission()), now());
             }
         }
     }
 
-    private void giveAway() {
-        if (survey().isEmpty() || context.commitQueue().pendingCount() > MOST_COMMITS_WAITING) {
+    private void offerJobs() {
+        if (survey().isEmpty() || context.commitQueue().pendingCount() > MAX_PENDING_COMMITS) {
             return;
         }
         Options options = context.options().get();
         var view = new SpillPolicy.View(
                 context.timeSource().wallTime(),
-                waitedLong(),
+                jobsToDelegate(),
                 targets(),
-                List.copyOf(tookIn.keySet()),
+                List.copyOf(lastAcceptedAt.keySet()),
                 options.maxDelegationsPerJob(),
-                OFFERS_AT_ONCE);
+                MAX_OFFERS_PER_TICK);
         for (SpillPolicy.Choice choice : SpillPolicy.choose(view)) {
-            gaveAway.put(ResourceKind.of(choice.job().submission()), now());
-            delegations.give(choice);
+            lastDelegatedAt.put(ResourceKind.of(choice.job().submission()), now());
+            outboundDelegations.offer(choice);
         }
     }
 
     private List<SpillPolicy.Target> targets() {
         var targets = new ArrayList<SpillPolicy.Target>();
-        for (CellConnection contact : contacts.values()) {
-            Optional<FederationRecords.KnownCell> cell = known.cell(contact.name());
-            boolean usable = contact.trouble().isEmpty()
+        for (CellConnection connection : connections.values()) {
+            Optional<FederationRecords.KnownCell> cell = knownCells.cell(connection.name());
+            boolean usable = connection.problem().isEmpty()
                     && cell.filter(stored -> !stored.abandoned()).isPresent();
-            Optional<List<CapacityHint>> room = contact.freshGreeting().flatMap(CellReply.Greeting::room);
-            if (usable && room.isPresent()) {
+            Optional<List<CapacityHint>> hints =
+                    connection.currentGreeting().flatMap(CellReply.Greeting::capacityHints);
+            if (usable && hints.isPresent()) {
                 targets.add(new SpillPolicy.Target(
-                        contact.name(),
-                        room.get(),
-                        kind -> contact.refusal(kind).isPresent()));
+                        connection.name(),
+                        hints.get(),
+                        kind -> connection.recentRejection(kind).isPresent()));
             }
         }
         return targets;
@@ -316,28 +327,28 @@
     // Requests of users and operators
 
     @Override
-    public void cancel(JobRecord job, Consumer<Cancellation> then) {
+    public void cancel(JobRecord job, Consumer<Cancellation> onOutcome) {
         OutboundDelegation delegation = job.outboundDelegation().orElseThrow();
-        CellConnection contact = contacts.get(delegation.cell());
-        Optional<FederationRecords.KnownCell> cell = known.cell(delegation.cell());
-        if (contact == null || cell.isEmpty() || self.id().isEmpty() || !contact.freeForUsers()) {
-            then.accept(Cancellation.UNKNOWN);
+        CellConnection connection = connections.get(delegation.cell());
+        Optional<FederationRecords.KnownCell> cell = knownCells.cell(delegation.cell());
+        if (connection == null || cell.isEmpty() || identityKeeper.id().isEmpty() || !connection.canCallForUser()) {
+            onOutcome.accept(Cancellation.UNKNOWN);
             return;
         }
-        Duration asked = now();
+        Duration requestedAt = now();
         CancellationCall.start(
-                contact,
-                self.id().get(),
+                connection,
+                identityKeeper.id().get(),
                 cell.get().id().identity(),
                 job,
-                report -> delegations.heard(job, report, asked),
-                then);
+                report -> outboundDelegations.recordStatus(job, report, requestedAt),
+                onOutcome);
     }
 
     @Override
     public Optional<RemoteProgress> progress(JobRecord job) {
-        return delegations.told(job).map(told -> {
-            InboundJobStatus report = told.report();
+        return outboundDelegations.remoteStatus(job).map(observation -> {
+            InboundJobStatus report = observation.report();
             boolean begun = report.state() == InboundJobState.BEGUN || report.state() == InboundJobState.DONE;
             return new RemoteProgress(
                     job.outboundDelegation().orElseThrow().cell(),
@@ -345,7 +356,7 @@
                     report.done(),
                     report.running(),
                     report.failures(),
-                    now().minus(told.asked()));
+                    now().minus(observation.requestedAt()));
         });
     }
 
--- a/src/main/java/org/dunespindle/federation/FederationAdmin.java
+++ b/src/main/java/org/dunespindle/federation/FederationAdmin.java
@@ -34,38 +34,38 @@
 
     private final DelegationContext context;
     private final StateReplica replica;
-    private final CellIdentityKeeper self;
-    private final KnownCells known;
-    private final Map<String, CellConnection> contacts;
-    private final OutboundDelegationService delegations;
+    private final CellIdentityKeeper identityKeeper;
+    private final KnownCells knownCells;
+    private final Map<String, CellConnection> connections;
+    private final OutboundDelegationService outboundDelegations;
 
     FederationAdmin(
             DelegationContext context,
-            CellIdentityKeeper self,
-            KnownCells known,
-            Map<String, CellConnection> contacts,
-            OutboundDelegationService delegations) {
+            CellIdentityKeeper identityKeeper,
+            KnownCells knownCells,
+            Map<String, CellConnection> connections,
+            OutboundDelegationService outboundDelegations) {
         this.context = context;
         this.replica = context.replica();
-        this.self = self;
-        this.known = known;
-        this.contacts = contacts;
-        this.delegations = delegations;
+        this.identityKeeper = identityKeeper;
+        this.knownCells = knownCells;
+        this.connections = connections;
+        this.outboundDelegations = outboundDelegations;
     }
 
     /** Handles a request; returns false if the path is none of the federation's. */
     boolean handle(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
-        boolean read = method.equals("GET") && (path.equals(CELLS) || path.equals(DELEGATIONS));
-        boolean abandon = method.equals("POST") && path.startsWith(CELLS + "/") && path.endsWith(ABANDON);
-        if (read) {
+        boolean isRead = method.equals("GET") && (path.equals(CELLS) || path.equals(DELEGATIONS));
+        boolean isAbandon = method.equals("POST") && path.startsWith(CELLS + "/") && path.endsWith(ABANDON);
+        if (isRead) {
             replica.refresh(
                     () -> answer.accept(new AdminResponse(OK, path.equals(CELLS) ? cells() : delegationList())),
                     () -> answer.accept(unavailable()));
-        } else if (abandon) {
+        } else if (isAbandon) {
             String name = path.substring(CELLS.length() + 1, path.length() - ABANDON.length());
             replica.refresh(() -> abandon(name, body, answer), () -> answer.accept(unavailable()));
         }
-        return read || abandon;
+        return isRead || isAbandon;
     }
 
     private static AdminResponse unavailable() {
@@ -74,54 +74,58 @@
 
     private ObjectNode cells() {
         ObjectNode node = MessagePackCodec.map();
-        self.id().ifPresent(id -> FederationRecords.putId(node.putObject("self"), id));
-        node.put("takesPart", self.formatReady());
+        identityKeeper.id().ifPresent(id -> FederationRecords.putCellId(node.putObject("self"), id));
+        node.put("takesPart", identityKeeper.formatSupported());
         var list = node.putArray(CELLS);
-        contacts.values().forEach(contact -> show(contact, list.addObject()));
+        connections.values().forEach(connection -> show(connection, list.addObject()));
         return node;
     }
 
-    private void show(CellConnection contact, ObjectNode node) {
-        node.put("name", contact.name()).put("state", state(contact));
-        contact.silentFor().ifPresent(silence -> node.put("answeredMsAgo", silence.toMillis()));
-        contact.trouble().ifPresent(trouble -> node.put("trouble", trouble));
-        known.cell(contact.name()).ifPresent(cell -> {
-            FederationRecords.putId(node.putObject("stored"), cell.id());
-            node.put("floor", cell.floor()).put("abandoned", cell.abandoned());
+    private void show(CellConnection connection, ObjectNode node) {
+        node.put("name", connection.name()).put("state", state(connection));
+        connection.timeSinceReply().ifPresent(elapsed -> node.put("answeredMsAgo", elapsed.toMillis()));
+        connection.problem().ifPresent(trouble -> node.put("trouble", trouble));
+        knownCells.cell(connection.name()).ifPresent(cell -> {
+            FederationRecords.putCellId(node.putObject("stored"), cell.id());
+            node.put("floor", cell.lowestOpenTransfer()).put("abandoned", cell.abandoned());
         });
-        contact.lastGreeting().ifPresent(greeting -> {
-            node.put("roomMsOld", contact.age().toMillis());
-            node.put("roomHints", greeting.room().map(java.util.List::size).orElse(0));
+        connection.lastGreeting().ifPresent(greeting -> {
+            node.put("roomMsOld", connection.greetingAge().toMillis());
+            node.put(
+                    "roomHints",
+                    greeting.capacityHints().map(java.util.List::size).orElse(0));
         });
-        node.put("jobsThere", countAway(contact.name())).put("itsJobsHere", countVisitors(contact.name()));
+        node.put("jobsThere", countDelegatedJobs(connection.name()))
+                .put("itsJobsHere", countInboundJobs(connection.name()));
     }
 
-    private String state(CellConnection contact) {
-        if (contact.trouble().isPresent()) {
+    private String state(CellConnection connection) {
+        if (connection.problem().isPresent()) {
             return "needs an operator";
         }
-        if (known.cell(contact.name())
+        if (knownCells
+                .cell(connection.name())
                 .filter(FederationRecords.KnownCell::abandoned)
                 .isPresent()) {
             return "being abandoned";
         }
-        if (!self.mayGiveAway()) {
+        if (!identityKeeper.isActiveLeader()) {
             return "watched by the leader"
                     + context.membership().leader().map(name -> ", ask " + name).orElse("; there is none now");
         }
-        if (contact.silentFor().isEmpty()) {
+        if (connection.timeSinceReply().isEmpty()) {
             return "has never answered";
         }
-        return contact.freshGreeting().isPresent() ? "in contact" : "its leader is not in contact";
+        return connection.currentGreeting().isPresent() ? "in contact" : "its leader is not in contact";
     }
 
-    private long countAway(String cell) {
-        return delegations.away().stream()
+    private long countDelegatedJobs(String cell) {
+        return outboundDelegations.delegatedJobs().stream()
                 .filter(job -> job.outboundDelegation().orElseThrow().cell().equals(cell))
                 .count();
     }
 
-    private int countVisitors(String cell) {
+    private int countInboundJobs(String cell) {
         int count = 0;
         for (JobRecord job : replica.inboundJobs()) {
             count += job.isOpen()
@@ -134,14 +138,15 @@
 
     private ObjectNode delegationList() {
         ObjectNode node = MessagePackCodec.map();
-        var away = node.putArray(DELEGATIONS);
+        var outboundJobs = node.putArray(DELEGATIONS);
         for (JobRecord job : replica.activeJobs()) {
-            job.outboundDelegation().ifPresent(delegation -> show(job, delegation, away.addObject()));
+            job.outboundDelegation().ifPresent(delegation -> show(job, delegation, outboundJobs.addObject()));
         }
-        var visitors = node.putArray("visitors");
+        var inboundJobs = node.putArray("visitors");
         for (JobRecord job : replica.inboundJobs()) {
             if (job.isOpen()) {
-                visitors.addObject()
+                inboundJobs
+                        .addObject()
                         .put("job", job.id())
                         .put("home", job.inboundDelegation().orElseThrow().origin())
                         .put("transfer", job.inboundDelegation().get().transfer())
@@ -160,13 +165,16 @@
                 .put("phase", delegation.phase().name().toLowerCase(java.util.Locale.ROOT))
                 .put("transfers", delegation.transfers());
         delegation.notBefore().ifPresent(time -> node.put("notBefore", time.toString()));
-        delegations
-                .told(job)
-                .ifPresent(told -> node.put("told", told.report().state().name())
+        outboundDelegations
+                .remoteStatus(job)
+                .ifPresent(status -> node.put("told", status.report().state().name())
                         .put(
                                 "toldMsAgo",
-                                context.timeSource().now().minus(told.asked()).toMillis()));
-        delegations.contradiction(job.id()).ifPresent(what -> node.put("contradiction", what));
+                                context.timeSource()
+                                        .now()
+                                        .minus(status.requestedAt())
+                                        .toMillis()));
+        outboundDelegations.contradiction(job.id()).ifPresent(what -> node.put("contradiction", what));
         whyWaits(job).ifPresent(why -> node.put("waits", why));
     }
 
@@ -178,9 +186,9 @@
         }
         OutboundDelegation transfer = delegation.get();
         String cell = "cell " + transfer.cell();
-        Optional<String> wrong = delegations.contradiction(job.id());
-        if (wrong.isPresent()) {
-            return Optional.of(cell + ": " + wrong.get() + "; an operator has to look");
+        Optional<String> contradiction = outboundDelegations.contradiction(job.id());
+        if (contradiction.isPresent()) {
+            return Optional.of(cell + ": " + contradiction.get() + "; an operator has to look");
         }
         return Optional.of(
                 switch (transfer.phase()) {
@@ -197,28 +205,28 @@
     }
 
     private String accepted(JobRecord job, String cell) {
-        return delegations
-                .told(job)
-                .map(told -> "in " + cell + ": "
-                        + told.report().waits().orElse("all of its tasks are under way there")
+        return outboundDelegations
+                .remoteStatus(job)
+                .map(status -> "in " + cell + ": "
+                        + status.report().waitReason().orElse("all of its tasks are under way there")
                         + " (told "
-                        + context.timeSource().now().minus(told.asked()).toSeconds() + " s ago)")
+                        + context.timeSource().now().minus(status.requestedAt()).toSeconds() + " s ago)")
                 .orElse("in " + cell + ", which has not told yet how it stands");
     }
 
     /** Stores that a cell is abandoned, if the request's body repeats the cell's name as a confirmation. */
     private void abandon(String name, byte[] body, Consumer<AdminResponse> answer) {
         String key = Keys.cell(name);
-        Optional<FederationRecords.KnownCell> cell = known.cell(name);
-        if (!contacts.containsKey(name) || cell.isEmpty()) {
+        Optional<FederationRecords.KnownCell> cell = knownCells.cell(name);
+        if (!connections.containsKey(name) || cell.isEmpty()) {
             answer.accept(AdminResponse.error(NOT_FOUND, "no such cell, or nothing is known of it"));
         } else if (!confirmed(name, body)) {
             answer.accept(new AdminResponse(
                     BAD_REQUEST,
                     MessagePackCodec.map()
                             .put("error", "not confirmed: send {\"confirm\": \"" + name + "\"}. " + RISK)
-                            .put("jobsThere", countAway(name))
-                            .put("itsJobsHere", countVisitors(name))));
+                            .put("jobsThere", countDelegatedJobs(name))
+                            .put("itsJobsHere", countInboundJobs(name))));
         } else if (context.commitQueue().isLocked(key)) {
             answer.accept(AdminResponse.error(CONFLICT, "another change is under way; read again and repeat"));
         } else {
--- a/src/main/java/org/dunespindle/federation/FederationRecords.java
+++ b/src/main/java/org/dunespindle/federation/FederationRecords.java
@@ -10,9 +10,9 @@
     private static final String NAME = "name";
     private static final String IDENTITY = "identity";
     private static final String INCARNATION = "incarnation";
-    private static final String MARK = "mark";
-    private static final String LEADER_STAMP = "leader";
-    private static final String FLOOR = "floor";
+    private static final String NONCE = "mark";
+    private static final String LEADER_REVISION = "leader";
+    private static final String LOWEST_OPEN_TRANSFER = "floor";
     private static final String ABANDONED = "abandoned";
 
     private FederationRecords() {}
@@ -20,50 +20,55 @@
     /**
      * This cell, as stored by its leader.
      *
-     * @param leaderStamp the revision of the leader key at that time: under a newer leader it differs, and the incarnation is raised
+     * @param leaderRevision the revision of the leader key at that time: under a newer leader it differs, and the incarnation is raised
      */
-    record OwnCell(CellId id, long leaderStamp) {}
+    record OwnCell(CellId id, long leaderRevision) {}
 
     /**
      * A remote cell, as it described itself.
      *
-     * @param floor the cell's lowest open transfer: all of its transfers with lower numbers have ended
+     * @param lowestOpenTransfer the cell's lowest open transfer: all of its transfers with lower numbers have ended
      * @param abandoned whether an operator has abandoned the cell
      */
-    record KnownCell(CellId id, long floor, boolean abandoned) {
+    record KnownCell(CellId id, long lowestOpenTransfer, boolean abandoned) {
         KnownCell abandon() {
-            return new KnownCell(id, floor, true);
+            return new KnownCell(id, lowestOpenTransfer, true);
         }
     }
 
     static ObjectNode write(OwnCell cell) {
-        return putId(MessagePackCodec.map(), cell.id).put(LEADER_STAMP, cell.leaderStamp);
+        return putCellId(MessagePackCodec.map(), cell.id).put(LEADER_REVISION, cell.leaderRevision);
     }
 
     static ObjectNode write(KnownCell cell) {
-        return putId(MessagePackCodec.map(), cell.id).put(FLOOR, cell.floor).put(ABANDONED, cell.abandoned);
+        return putCellId(MessagePackCodec.map(), cell.id)
+                .put(LOWEST_OPEN_TRANSFER, cell.lowestOpenTransfer)
+                .put(ABANDONED, cell.abandoned);
     }
 
-    static OwnCell readOwn(JsonNode value) throws MalformedMessageException {
-        return new OwnCell(readId(value), whole(value, LEADER_STAMP));
+    static OwnCell parseOwnCell(JsonNode value) throws MalformedMessageException {
+        return new OwnCell(parseCellId(value), nonNegativeLong(value, LEADER_REVISION));
     }
 
-    static KnownCell readKnown(JsonNode value) throws MalformedMessageException {
+    static KnownCell parseKnownCell(JsonNode value) throws MalformedMessageException {
         return new KnownCell(
-                readId(value), whole(value, FLOOR), value.path(ABANDONED).asBoolean());
+                parseCellId(value),
+                nonNegativeLong(value, LOWEST_OPEN_TRANSFER),
+                value.path(ABANDONED).asBoolean());
     }
 
     /** Adds a cell's identity to a stored value or a message. */
-    static ObjectNode putId(ObjectNode into, CellId id) {
+    static ObjectNode putCellId(ObjectNode into, CellId id) {
         return into.put(NAME, id.name())
                 .put(IDENTITY, id.identity())
                 .put(INCARNATION, id.incarnation())
-                .put(MARK, id.mark());
+                .put(NONCE, id.nonce());
     }
 
     /** Reads a cell's identity from a stored value or a message. */
-    static CellId readId(JsonNode from) throws MalformedMessageException {
-        return new CellId(text(from, NAME), text(from, IDENTITY), whole(from, INCARNATION), text(from, MARK));
+    static CellId parseCellId(JsonNode from) throws MalformedMessageException {
+        return new CellId(
+                text(from, NAME), text(from, IDENTITY), nonNegativeLong(from, INCARNATION), text(from, NONCE));
     }
 
     static String text(JsonNode node, String field) throws MalformedMessageException {
@@ -74,7 +79,7 @@
         return value.textValue();
     }
 
-    static long whole(JsonNode node, String field) throws MalformedMessageException {
+    static long nonNegativeLong(JsonNode node, String field) throws MalformedMessageException {
         JsonNode value = node.path(field);
         if (!value.isIntegralNumber() || !value.canConvertToLong() || value.longValue() < 0) {
             throw new MalformedMessageException(field + " must be a whole number");
--- a/src/main/java/org/dunespindle/federation/FederationSettings.java
+++ b/src/main/java/org/dunespindle/federation/FederationSettings.java
@@ -16,13 +16,13 @@
  * @param port the port on which this controller serves other cells, at the host of its {@code peer_listen}; 0 for any free port
  */
 public record FederationSettings(String cell, int port, List<RemoteCell> cells) {
-    private static final String AT = "federation.";
-    private static final String AT_CELLS = "federation.cells.";
+    private static final String FIELD_PREFIX = "federation.";
+    private static final String CELLS_FIELD_PREFIX = "federation.cells.";
     private static final Set<String> FIELDS = Set.of("enabled", "cell", "port", "cells");
     private static final Set<String> CELL_FIELDS = Set.of("name", "controllers");
     private static final String NAME = "[a-z0-9][a-z0-9-]{0,31}";
     private static final String ADDRESS = "[^:\\s]+:\\d{1,5}";
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     /**
      * A remote cell.
@@ -37,28 +37,28 @@
             return Optional.empty();
         }
         require(table.isObject(), "federation must be a table");
-        known(table, FIELDS, AT);
-        require(table.path("enabled").isBoolean(), AT + "enabled must be true or false");
+        requireKnownFields(table, FIELDS, FIELD_PREFIX);
+        require(table.path("enabled").isBoolean(), FIELD_PREFIX + "enabled must be true or false");
         if (!table.get("enabled").booleanValue()) {
             return Optional.empty();
         }
-        String cell = name(table.path("cell"), AT + "cell");
+        String cell = name(table.path("cell"), FIELD_PREFIX + "cell");
         JsonNode port = table.path("port");
-        boolean portFits = port.isIntegralNumber() && port.longValue() >= 0 && port.longValue() <= MOST_PORT;
-        require(portFits, AT + "port must be a whole number from 0 to " + MOST_PORT);
+        boolean portValid = port.isIntegralNumber() && port.longValue() >= 0 && port.longValue() <= MAX_PORT;
+        require(portValid, FIELD_PREFIX + "port must be a whole number from 0 to " + MAX_PORT);
         return Optional.of(new FederationSettings(cell, port.intValue(), cells(table.path("cells"), cell)));
     }
 
     private static List<RemoteCell> cells(JsonNode list, String self) throws MalformedMessageException {
-        require(list.isArray() && !list.isEmpty(), AT + "cells must name at least one other cell");
+        require(list.isArray() && !list.isEmpty(), FIELD_PREFIX + "cells must name at least one other cell");
         var cells = new ArrayList<RemoteCell>();
         for (JsonNode row : list) {
-            known(row, CELL_FIELDS, AT_CELLS);
-            String name = name(row.path("name"), AT_CELLS + "name");
-            require(!name.equals(self), AT_CELLS + "name " + name + " is this cell's own name");
+            requireKnownFields(row, CELL_FIELDS, CELLS_FIELD_PREFIX);
+            String name = name(row.path("name"), CELLS_FIELD_PREFIX + "name");
+            require(!name.equals(self), CELLS_FIELD_PREFIX + "name " + name + " is this cell's own name");
             require(
                     cells.stream().noneMatch(other -> other.name.equals(name)),
-                    AT_CELLS + "name " + name + " occurs twice");
+                    CELLS_FIELD_PREFIX + "name " + name + " occurs twice");
             cells.add(new RemoteCell(name, controllers(row.path("controllers"))));
         }
         return List.copyOf(cells);
@@ -67,13 +67,13 @@
     private static Map<String, String> controllers(JsonNode table) throws MalformedMessageException {
         require(
                 table.isObject() && !table.isEmpty(),
-                AT_CELLS + "controllers must be a table of controllers' names and addresses");
+                CELLS_FIELD_PREFIX + "controllers must be a table of controllers' names and addresses");
         var controllers = new LinkedHashMap<String, String>();
         for (Map.Entry<String, JsonNode> entry : table.properties()) {
             String address = entry.getValue().asText();
             require(
                     address.matches(ADDRESS),
-                    AT_CELLS + "controllers." + entry.getKey() + " must be address:port, not " + address);
+                    CELLS_FIELD_PREFIX + "controllers." + entry.getKey() + " must be address:port, not " + address);
             controllers.put(entry.getKey(), address);
         }
         return java.util.Collections.unmodifiableMap(controllers);
@@ -86,15 +86,16 @@
         return value.textValue();
     }
 
-    private static void known(JsonNode table, Set<String> fields, String at) throws MalformedMessageException {
+    private static void requireKnownFields(JsonNode table, Set<String> fields, String prefix)
+            throws MalformedMessageException {
         for (Map.Entry<String, JsonNode> entry : table.properties()) {
-            require(fields.contains(entry.getKey()), at + entry.getKey() + " is unknown");
+            require(fields.contains(entry.getKey()), prefix + entry.getKey() + " is unknown");
         }
     }
 
-    private static void require(boolean fine, String complaint) throws MalformedMessageException {
-        if (!fine) {
-            throw new MalformedMessageException(complaint);
+    private static void require(boolean valid, String message) throws MalformedMessageException {
+        if (!valid) {
+            throw new MalformedMessageException(message);
         }
     }
 }
--- a/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationCleanup.java
@@ -23,82 +23,88 @@
  */
 final class InboundDelegationCleanup {
     private static final Logger LOG = LoggerFactory.getLogger(InboundDelegationCleanup.class);
-    private static final Duration EVERY = Duration.ofSeconds(5);
+    private static final Duration CLEANUP_INTERVAL = Duration.ofSeconds(5);
 
     private final DelegationContext context;
     private final StateReplica replica;
-    private final CellIdentityKeeper self;
-    private final KnownCells known;
-    private final Map<String, Duration> cleanedAt = new HashMap<>();
+    private final CellIdentityKeeper identityKeeper;
+    private final KnownCells knownCells;
+    private final Map<String, Duration> lastCleanupAt = new HashMap<>();
 
-    InboundDelegationCleanup(DelegationContext context, CellIdentityKeeper self, KnownCells known) {
+    InboundDelegationCleanup(DelegationContext context, CellIdentityKeeper identityKeeper, KnownCells knownCells) {
         this.context = context;
         this.replica = context.replica();
-        this.self = self;
-        this.known = known;
+        this.identityKeeper = identityKeeper;
+        this.knownCells = knownCells;
     }
 
     /** Why a cell is not served because of its identity or its incarnation; empty if it is served. */
-    Optional<CellReply.Reason> objection(CellRequest request) {
+    Optional<CellReply.Reason> notServedReason(CellRequest request) {
         CellId from = request.from();
-        Optional<FederationRecords.KnownCell> stored = known.cell(from.name());
+        Optional<FederationRecords.KnownCell> stored = knownCells.cell(from.name());
         boolean hello = request instanceof CellRequest.Hello;
         if (stored.isEmpty()) {
             return hello ? Optional.empty() : Optional.of(CellReply.Reason.NOT_READY);
         }
-        CellId before = stored.get().id();
+        CellId storedId = stored.get().id();
         if (stored.get().abandoned()) {
             return Optional.of(CellReply.Reason.ABANDONED);
         }
-        if (!before.sameCell(from)) {
+        if (!storedId.sameCell(from)) {
             return Optional.of(CellReply.Reason.WRONG_IDENTITY);
         }
-        boolean older = from.incarnation() < before.incarnation()
-                || (from.incarnation() == before.incarnation() && !from.mark().equals(before.mark()));
+        boolean older = from.incarnation() < storedId.incarnation()
+                || (from.incarnation() == storedId.incarnation()
+                        && !from.nonce().equals(storedId.nonce()));
         if (older && (hello || request instanceof CellRequest.Offer)) {
             return Optional.of(CellReply.Reason.STALE);
         }
         return request instanceof CellRequest.Hello greeting
-                ? floorObjection(greeting, stored.get())
+                ? checkLowestOpenTransfer(greeting, stored.get())
                 : Optional.empty();
     }
 
-    private Optional<CellReply.Reason> floorObjection(CellRequest.Hello hello, FederationRecords.KnownCell stored) {
-        if (hello.floor() < stored.floor()) {
+    private Optional<CellReply.Reason> checkLowestOpenTransfer(
+            CellRequest.Hello hello, FederationRecords.KnownCell stored) {
+        if (hello.lowestOpenTransfer() < stored.lowestOpenTransfer()) {
             return Optional.of(CellReply.Reason.FLOOR_WENT_BACK);
         }
         for (JobRecord job : replica.inboundJobs()) {
-            if (job.isOpen() && below(job, hello.from().name(), hello.floor())) {
+            if (job.isOpen() && isBelow(job, hello.from().name(), hello.lowestOpenTransfer())) {
                 return Optional.of(CellReply.Reason.ENDED_JOBS_RUN);
             }
         }
         return Optional.empty();
     }
 
-    private static boolean below(JobRecord job, String home, long floor) {
-        InboundDelegation visit = job.inboundDelegation().orElseThrow();
-        return visit.origin().equals(home) && visit.transfer() < floor;
+    private static boolean isBelow(JobRecord job, String origin, long lowestOpenTransfer) {
+        InboundDelegation delegation = job.inboundDelegation().orElseThrow();
+        return delegation.origin().equals(origin) && delegation.transfer() < lowestOpenTransfer;
     }
 
     /** Stores the requesting cell's identity, and removes the records of its ended transfers; called on the leader only. */
-    void heard(CellRequest.Hello hello) {
+    void onHello(CellRequest.Hello hello) {
         CellId from = hello.from();
         String key = Keys.cell(from.name());
         if (context.commitQueue().isLocked(key)) {
             return;
         }
-        Optional<FederationRecords.KnownCell> stored = known.cell(from.name());
-        boolean news = stored.filter(cell -> cell.id().equals(from)).isEmpty();
-        List<JobRecord> ended = endedBelow(from.name(), hello.floor());
-        if (!news && (ended.isEmpty() || cleanedLately(from.name()))) {
+        Optional<FederationRecords.KnownCell> stored = knownCells.cell(from.name());
+        boolean changed = stored.filter(cell -> cell.id().equals(from)).isEmpty();
+        List<JobRecord> endedJobs = endedBelow(from.name(), hello.lowestOpenTransfer());
+        if (!changed && (endedJobs.isEmpty() || cleanedRecently(from.name()))) {
             return;
         }
-        cleanedAt.put(from.name(), context.timeSource().now());
-        Transaction transaction = self.guarded(new Transaction())
+        lastCleanupAt.put(from.name(), context.timeSource().now());
+        Transaction transaction = identityKeeper
+                .guarded(new Transaction())
                 .requireRevision(key, replica.modRevision(key))
-                .write(key, FederationRecords.write(new FederationRecords.KnownCell(from, hello.floor(), false)));
-        ended.forEach(job -> remove(transaction, job));
-        if (news) {
+                .write(
+                        key,
+                        FederationRecords.write(
+                                new FederationRecords.KnownCell(from, hello.lowestOpenTransfer(), false)));
+        endedJobs.forEach(job -> remove(transaction, job));
+        if (changed) {
             context.eventRecorder()
                     .record(
                             LOG,
@@ -114,22 +120,22 @@
         transaction.requireRevision(key, replica.modRevision(key)).remove(key);
     }
 
-    private boolean cleanedLately(String cell) {
-        Duration last = cleanedAt.get(cell);
-        return last != null && context.timeSource().now().minus(last).compareTo(EVERY) < 0;
+    private boolean cleanedRecently(String cell) {
+        Duration last = lastCleanupAt.get(cell);
+        return last != null && context.timeSource().now().minus(last).compareTo(CLEANUP_INTERVAL) < 0;
     }
 
     /** Ended inbound jobs, at most as many as one transaction can remove beside writing the cell's record. */
-    private List<JobRecord> endedBelow(String home, long floor) {
-        int most = context.settings().state().lowest().txnOps() - 1;
-        var ended = new ArrayList<JobRecord>();
+    private List<JobRecord> endedBelow(String origin, long lowestOpenTransfer) {
+        int maxJobs = context.settings().state().lowest().txnOps() - 1;
+        var endedJobs = new ArrayList<JobRecord>();
         for (JobRecord job : replica.inboundJobs()) {
-            boolean over = !job.isOpen() && job.spec().isEmpty();
-            boolean free = !context.commitQueue().isLocked(Keys.job(job.id()));
-            if (ended.size() < most && over && free && below(job, home, floor)) {
-                ended.add(job);
+            boolean ended = !job.isOpen() && job.spec().isEmpty();
+            boolean unlocked = !context.commitQueue().isLocked(Keys.job(job.id()));
+            if (endedJobs.size() < maxJobs && ended && unlocked && isBelow(job, origin, lowestOpenTransfer)) {
+                endedJobs.add(job);
             }
         }
-        return ended;
+        return endedJobs;
     }
 }
--- a/src/main/java/org/dunespindle/federation/InboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationService.java
@@ -26,31 +26,31 @@
  */
 final class InboundDelegationService {
     private static final Logger LOG = LoggerFactory.getLogger(InboundDelegationService.class);
-    /** Slightly less than the deadline of the requesting cell, {@link CellConnection#DEADLINE}. */
-    private static final Duration PATIENCE = Duration.ofMillis(1200);
+    /** Slightly less than the deadline of the requesting cell, {@link CellConnection#CALL_TIMEOUT}. */
+    private static final Duration RETRY_TIMEOUT = Duration.ofMillis(1200);
 
-    private static final Duration LOCK_WAIT = Duration.ofMillis(40);
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(40);
 
     private final DelegationContext context;
     private final StateReplica replica;
     private final FederationSettings settings;
-    private final CellIdentityKeeper self;
-    private final KnownCells known;
+    private final CellIdentityKeeper identityKeeper;
+    private final KnownCells knownCells;
     private final InboundDelegationCleanup cleanup;
     private final Function<Submission, Optional<Rejection.Reason>> admission;
-    private final java.util.function.Supplier<Optional<List<CapacityHint>>> room;
+    private final java.util.function.Supplier<Optional<List<CapacityHint>>> capacityHints;
 
     /** A requested change, and the reply to send once it is stored. */
     private record Change(JobRecord record, CellReply reply) {}
 
     /** The decision on a request: either an immediate reply, or a change that has to be stored first. */
-    private record Verdict(Optional<Change> change, Optional<CellReply> reply) {
-        static Verdict answer(CellReply reply) {
-            return new Verdict(Optional.empty(), Optional.of(reply));
+    private record Decision(Optional<Change> change, Optional<CellReply> reply) {
+        static Decision answer(CellReply reply) {
+            return new Decision(Optional.empty(), Optional.of(reply));
         }
 
-        static Verdict store(JobRecord job, CellReply reply) {
-            return new Verdict(Optional.of(new Change(job, reply)), Optional.empty());
+        static Decision store(JobRecord job, CellReply reply) {
+            return new Decision(Optional.of(new Change(job, reply)), Optional.empty());
         }
     }
 
@@ -58,95 +58,98 @@
      * Creates the service.
      *
      * @param admission why an offered job is declined by the leader's latest plan; empty if it is accepted
-     * @param room the capacity hints of this cell; empty without a current plan
+     * @param capacityHints the capacity hints of this cell; empty without a current plan
      */
     InboundDelegationService(
             DelegationContext context,
             FederationSettings settings,
-            CellIdentityKeeper self,
-            KnownCells known,
+            CellIdentityKeeper identityKeeper,
+            KnownCells knownCells,
             Function<Submission, Optional<Rejection.Reason>> admission,
-            java.util.function.Supplier<Optional<List<CapacityHint>>> room) {
+            java.util.function.Supplier<Optional<List<CapacityHint>>> capacityHints) {
         this.context = context;
         this.replica = context.replica();
         this.settings = settings;
-        this.self = self;
-        this.known = known;
+        this.identityKeeper = identityKeeper;
+        this.knownCells = knownCells;
         this.admission = admission;
-        this.room = room;
-        this.cleanup = new InboundDelegationCleanup(context, self, known);
+        this.capacityHints = capacityHints;
+        this.cleanup = new InboundDelegationCleanup(context, identityKeeper, knownCells);
     }
 
     /** Serves a request; the reply may be passed on after this method returns. */
     void handle(CellRequest request, Consumer<CellReply> reply) {
-        if (!self.formatReady() || self.id().isEmpty()) {
+        if (!identityKeeper.formatSupported() || identityKeeper.id().isEmpty()) {
             reply.accept(CellReply.NotServed.of(CellReply.Reason.NOT_READY));
             return;
         }
-        handle(request, context.timeSource().now().plus(PATIENCE), reply);
+        handle(request, context.timeSource().now().plus(RETRY_TIMEOUT), reply);
     }
 
-    private void handle(CellRequest request, Duration until, Consumer<CellReply> reply) {
+    private void handle(CellRequest request, Duration retryDeadline, Consumer<CellReply> reply) {
         replica.refresh(
-                () -> served(request, until, reply),
+                () -> serve(request, retryDeadline, reply),
                 () -> reply.accept(CellReply.NotServed.of(CellReply.Reason.STATE_UNAVAILABLE)));
     }
 
-    private void served(CellRequest request, Duration until, Consumer<CellReply> reply) {
-        Optional<CellReply.Reason> objection = objection(request);
-        if (objection.isPresent()) {
-            reply.accept(CellReply.NotServed.of(objection.get()));
+    private void serve(CellRequest request, Duration retryDeadline, Consumer<CellReply> reply) {
+        Optional<CellReply.Reason> notServedReason = notServedReason(request);
+        if (notServedReason.isPresent()) {
+            reply.accept(CellReply.NotServed.of(notServedReason.get()));
         } else if (request instanceof CellRequest.Hello hello) {
-            reply.accept(greet(hello));
+            reply.accept(greeting(hello));
         } else if (request instanceof CellRequest.Progress progress) {
             reply.accept(new CellReply.Reports(reports(progress)));
         } else if (request instanceof CellRequest.Offer offer) {
-            carryOut(request, offer.transfer(), offer(offer), until, reply);
+            apply(request, offer.transfer(), offer(offer), retryDeadline, reply);
         } else if (request instanceof CellRequest.Recall recall) {
-            carryOut(request, recall.transfer(), recall(recall), until, reply);
+            apply(request, recall.transfer(), recall(recall), retryDeadline, reply);
         } else if (request instanceof CellRequest.Cancel cancel) {
-            carryOut(request, cancel.transfer(), cancel(cancel), until, reply);
+            apply(request, cancel.transfer(), cancel(cancel), retryDeadline, reply);
         }
     }
 
     /** Why a request is not served because of its sender or its addressee; empty if it is served. */
-    private Optional<CellReply.Reason> objection(CellRequest request) {
+    private Optional<CellReply.Reason> notServedReason(CellRequest request) {
         CellId from = request.from();
-        CellId here = self.id().orElseThrow();
+        CellId thisCell = identityKeeper.id().orElseThrow();
         boolean configured =
                 settings.cells().stream().anyMatch(cell -> cell.name().equals(from.name()));
-        if (!configured || known.unreadable(from.name())) {
+        if (!configured || knownCells.unreadable(from.name())) {
             return Optional.of(
-                    from.name().equals(here.name()) ? CellReply.Reason.WRONG_IDENTITY : CellReply.Reason.STRANGER);
+                    from.name().equals(thisCell.name()) ? CellReply.Reason.WRONG_IDENTITY : CellReply.Reason.STRANGER);
         }
-        Optional<CellReply.Reason> changed = cleanup.objection(request);
-        if (changed.isPresent()) {
-            return changed;
+        Optional<CellReply.Reason> cellReason = cleanup.notServedReason(request);
+        if (cellReason.isPresent()) {
+            return cellReason;
         }
-        return meantFor(request, here) ? Optional.empty() : Optional.of(CellReply.Reason.WRONG_IDENTITY);
+        return isAddressedTo(request, thisCell) ? Optional.empty() : Optional.of(CellReply.Reason.WRONG_IDENTITY);
     }
 
-    private static boolean meantFor(CellRequest request, CellId here) {
+    private static boolean isAddressedTo(CellRequest request, CellId thisCell) {
         if (request instanceof CellRequest.Offer offer) {
-            return offer.to().sameCell(here);
+            return offer.to().sameCell(thisCell);
         }
         if (request instanceof CellRequest.Recall recall) {
-            return recall.toIdentity().equals(here.identity());
+            return recall.toIdentity().equals(thisCell.identity());
         }
         if (request instanceof CellRequest.Cancel cancel) {
-            return cancel.toIdentity().equals(here.identity());
+            return cancel.toIdentity().equals(thisCell.identity());
         }
         return !(request instanceof CellRequest.Progress progress)
-                || progress.toIdentity().equals(here.identity());
+                || progress.toIdentity().equals(thisCell.identity());
     }
 
-    private CellReply greet(CellRequest.Hello hello) {
-        boolean leads = self.mayGiveAway();
+    private CellReply greeting(CellRequest.Hello hello) {
+        boolean leads = identityKeeper.isActiveLeader();
         if (leads) {
-            cleanup.heard(hello);
+            cleanup.onHello(hello);
         }
         return new CellReply.Greeting(
-                self.id().orElseThrow(), leads, context.membership().leader(), leads ? room.get() : Optional.empty());
+                identityKeeper.id().orElseThrow(),
+                leads,
+                context.membership().leader(),
+                leads ? capacityHints.get() : Optional.empty());
     }
 
     private List<InboundJobStatus> reports(CellRequest.Progress progress) {
@@ -158,18 +161,19 @@
     }
 
     private InboundJobStatus report(CellId from, Transfer transfer) {
-        Optional<JobRecord> record = visitor(from, transfer);
+        Optional<JobRecord> record = inboundJob(from, transfer);
         if (record.isEmpty()) {
-            InboundJobState state = closed(from, transfer) ? InboundJobState.CLOSED : InboundJobState.UNKNOWN;
+            InboundJobState state = isClosed(from, transfer) ? InboundJobState.CLOSED : InboundJobState.UNKNOWN;
             return InboundJobStatus.of(transfer, state);
         }
         return report(transfer, record.get());
     }
 
     private InboundJobStatus report(Transfer transfer, JobRecord job) {
-        Optional<String> waits =
+        Optional<String> waitReason =
                 job.unplacedCount() > 0 ? Optional.of(context.whyWaits().apply(job)) : Optional.empty();
-        return new InboundJobStatus(transfer, state(job), job.doneCount(), job.runningCount(), job.failures(), waits);
+        return new InboundJobStatus(
+                transfer, state(job), job.doneCount(), job.runningCount(), job.failures(), waitReason);
     }
 
     private static InboundJobState state(JobRecord job) {
@@ -184,124 +188,129 @@
     }
 
     /** The stored record of exactly this transfer. */
-    private Optional<JobRecord> visitor(CellId from, Transfer transfer) {
+    private Optional<JobRecord> inboundJob(CellId from, Transfer transfer) {
         return replica.job(transfer.job())
                 .filter(job -> job.inboundDelegation()
-                        .filter(visit -> visit.origin().equals(from.name()) && visit.transfer() == transfer.number())
+                        .filter(delegation ->
+                                delegation.origin().equals(from.name()) && delegation.transfer() == transfer.number())
                         .isPresent());
     }
 
     /** Whether the origin has ended a transfer or made a later one of the same job. */
-    private boolean closed(CellId from, Transfer transfer) {
-        boolean later = replica.job(transfer.job())
+    private boolean isClosed(CellId from, Transfer transfer) {
+        boolean superseded = replica.job(transfer.job())
                 .flatMap(JobRecord::inboundDelegation)
-                .filter(visit -> visit.origin().equals(from.name()) && visit.transfer() > transfer.number())
+                .filter(delegation ->
+                        delegation.origin().equals(from.name()) && delegation.transfer() > transfer.number())
                 .isPresent();
-        return later
-                || transfer.number() < known.cell(from.name()).orElseThrow().floor();
+        return superseded
+                || transfer.number()
+                        < knownCells.cell(from.name()).orElseThrow().lowestOpenTransfer();
     }
 
-    private Verdict offer(CellRequest.Offer offer) {
+    private Decision offer(CellRequest.Offer offer) {
         Transfer transfer = offer.transfer();
-        Optional<JobRecord> same = visitor(offer.from(), transfer);
-        if (same.isPresent()) {
-            return answer(report(transfer, same.get()));
+        Optional<JobRecord> existing = inboundJob(offer.from(), transfer);
+        if (existing.isPresent()) {
+            return answer(report(transfer, existing.get()));
         }
-        if (closed(offer.from(), transfer)) {
+        if (isClosed(offer.from(), transfer)) {
             return answer(InboundJobStatus.of(transfer, InboundJobState.CLOSED));
         }
-        if (!self.mayGiveAway()) {
-            return Verdict.answer(new CellReply.NotServed(
+        if (!identityKeeper.isActiveLeader()) {
+            return Decision.answer(new CellReply.NotServed(
                     CellReply.Reason.NOT_LEADER, context.membership().leader()));
         }
-        if (!offer.to().equals(self.id().orElseThrow())) {
-            return Verdict.answer(
+        if (!offer.to().equals(identityKeeper.id().orElseThrow())) {
+            return Decision.answer(
                     CellReply.NotServed.of(CellReply.Reason.NOT_READY)); // addressed to an earlier incarnation
         }
-        Optional<Verdict> occupied = occupied(offer.from(), transfer);
-        if (occupied.isPresent()) {
-            return occupied.get();
+        Optional<Decision> idConflict = idConflict(offer.from(), transfer);
+        if (idConflict.isPresent()) {
+            return idConflict.get();
         }
-        InboundDelegation visit = InboundDelegation.of(offer.from().name(), transfer.number());
-        Optional<Rejection.Reason> refusal = admission.apply(offer.job());
-        if (refusal.isPresent()) {
-            return Verdict.store(
-                    JobRecord.tombstone(transfer.job(), now(), visit, false),
-                    new CellReply.Declined(transfer, Rejection.of(refusal.get())));
+        InboundDelegation delegation = InboundDelegation.of(offer.from().name(), transfer.number());
+        Optional<Rejection.Reason> rejectionReason = admission.apply(offer.job());
+        if (rejectionReason.isPresent()) {
+            return Decision.store(
+                    JobRecord.tombstone(transfer.job(), now(), delegation, false),
+                    new CellReply.Declined(transfer, Rejection.of(rejectionReason.get())));
         }
-        JobRecord taken = JobRecord.acceptedFromOrigin(offer.job(), offer.arrived(), visit);
-        return Verdict.store(
-                taken, new CellReply.Reports(List.of(InboundJobStatus.of(transfer, InboundJobState.QUEUED))));
+        JobRecord accepted = JobRecord.acceptedFromOrigin(offer.job(), offer.arrived(), delegation);
+        return Decision.store(
+                accepted, new CellReply.Reports(List.of(InboundJobStatus.of(transfer, InboundJobState.QUEUED))));
     }
 
     /** The decision if the job's key is in use: permanently by a job of this cell, or temporarily by a job of another cell. */
-    private Optional<Verdict> occupied(CellId from, Transfer transfer) {
-        Optional<JobRecord> present = replica.job(transfer.job());
+    private Optional<Decision> idConflict(CellId from, Transfer transfer) {
+        Optional<JobRecord> existing = replica.job(transfer.job());
         if (replica.isUnreadable(Keys.job(transfer.job()))) {
-            return Optional.of(Verdict.answer(CellReply.NotServed.of(CellReply.Reason.ID_IN_USE)));
+            return Optional.of(Decision.answer(CellReply.NotServed.of(CellReply.Reason.ID_IN_USE)));
         }
-        if (present.isEmpty()) {
+        if (existing.isEmpty()) {
             return Optional.empty();
         }
-        if (present.get().inboundDelegation().isEmpty()) {
+        if (existing.get().inboundDelegation().isEmpty()) {
             return Optional.of(
-                    Verdict.answer(new CellReply.Declined(transfer, Rejection.of(Rejection.Reason.ID_TAKEN))));
+                    Decision.answer(new CellReply.Declined(transfer, Rejection.of(Rejection.Reason.ID_TAKEN))));
         }
-        boolean sameHome = present.get().inboundDelegation().get().origin().equals(from.name());
-        boolean over = present.get().inboundDelegation().get().withdrawn();
-        return sameHome && over
+        boolean sameOrigin = existing.get().inboundDelegation().get().origin().equals(from.name());
+        boolean withdrawn = existing.get().inboundDelegation().get().withdrawn();
+        return sameOrigin && withdrawn
                 ? Optional.empty()
-                : Optional.of(Verdict.answer(CellReply.NotServed.of(CellReply.Reason.ID_IN_USE)));
+                : Optional.of(Decision.answer(CellReply.NotServed.of(CellReply.Reason.ID_IN_USE)));
     }
 
-    private Verdict recall(CellRequest.Recall recall) {
+    private Decision recall(CellRequest.Recall recall) {
         Transfer transfer = recall.transfer();
-        Optional<JobRecord> present = visitor(recall.from(), transfer);
-        if (present.isPresent()) {
-            JobRecord job = present.get();
+        Optional<JobRecord> existing = inboundJob(recall.from(), transfer);
+        if (existing.isPresent()) {
+            JobRecord job = existing.get();
             return job.isOpen() && job.neverPlaced()
-                    ? Verdict.store(job.withdrawn(), reports(transfer, InboundJobState.WITHDRAWN))
+                    ? Decision.store(job.withdrawn(), reports(transfer, InboundJobState.WITHDRAWN))
                     : answer(report(transfer, job));
         }
         return tombstone(recall.from(), transfer, false);
     }
 
-    private Verdict cancel(CellRequest.Cancel cancel) {
+    private Decision cancel(CellRequest.Cancel cancel) {
         Transfer transfer = cancel.transfer();
-        Optional<JobRecord> present = visitor(cancel.from(), transfer);
-        if (present.isPresent()) {
-            JobRecord job = present.get();
+        Optional<JobRecord> existing = inboundJob(cancel.from(), transfer);
+        if (existing.isPresent()) {
+            JobRecord job = existing.get();
             return job.isOpen()
-                    ? Verdict.store(job.cancelled(), reports(transfer, InboundJobState.CANCELLED))
+                    ? Decision.store(job.cancelled(), reports(transfer, InboundJobState.CANCELLED))
                     : answer(report(transfer, job));
         }
         return tombstone(cancel.from(), transfer, true);
     }
 
     /** Stores that a transfer has ended whose offer has not arrived, so that a later offer is refused. */
-    private Verdict tombstone(CellId from, Transfer transfer, boolean cancelled) {
-        if (closed(from, transfer)) {
+    private Decision tombstone(CellId from, Transfer transfer, boolean cancelled) {
+        if (isClosed(from, transfer)) {
             return answer(InboundJobStatus.of(transfer, InboundJobState.CLOSED));
         }
         InboundJobState ended = cancelled ? InboundJobState.CANCELLED : InboundJobState.WITHDRAWN;
-        Optional<Verdict> occupied = occupied(from, transfer);
-        if (occupied.isPresent()) {
-            boolean forGood = occupied.get()
+        Optional<Decision> idConflict = idConflict(from, transfer);
+        if (idConflict.isPresent()) {
+            boolean permanent = idConflict
+                    .get()
                     .reply()
                     .filter(CellReply.Declined.class::isInstance)
                     .isPresent();
-            return forGood ? Verdict.answer(reports(transfer, ended)) : occupied.get();
+            return permanent ? Decision.answer(reports(transfer, ended)) : idConflict.get();
         }
-        InboundDelegation visit = InboundDelegation.of(from.name(), transfer.number());
-        return Verdict.store(JobRecord.tombstone(transfer.job(), now(), visit, cancelled), reports(transfer, ended));
+        InboundDelegation delegation = InboundDelegation.of(from.name(), transfer.number());
+        return Decision.store(
+                JobRecord.tombstone(transfer.job(), now(), delegation, cancelled), reports(transfer, ended));
     }
 
     private Instant now() {
         return context.timeSource().wallTime();
     }
 
-    private static Verdict answer(InboundJobStatus report) {
-        return Verdict.answer(new CellReply.Reports(List.of(report)));
+    private static Decision answer(InboundJobStatus report) {
+        return Decision.answer(new CellReply.Reports(List.of(report)));
     }
 
     private static CellReply reports(Transfer transfer, InboundJobState state) {
@@ -312,18 +321,22 @@
      * Stores a change and then replies. The decision depends on the job's key and on the stored record of the requesting cell: the
      * revisions of both are preconditions, so that a delayed copy of the transaction cannot be applied after the transfer has ended.
      */
-    private void carryOut(
-            CellRequest request, Transfer transfer, Verdict verdict, Duration until, Consumer<CellReply> reply) {
-        if (verdict.reply.isPresent()) {
-            reply.accept(verdict.reply.get());
+    private void apply(
+            CellRequest request,
+            Transfer transfer,
+            Decision decision,
+            Duration retryDeadline,
+            Consumer<CellReply> reply) {
+        if (decision.reply.isPresent()) {
+            reply.accept(decision.reply.get());
             return;
         }
         String key = Keys.job(transfer.job());
         if (context.commitQueue().isLocked(key)) {
-            again(request, until, reply);
+            retry(request, retryDeadline, reply);
             return;
         }
-        Change change = verdict.change.orElseThrow();
+        Change change = decision.change.orElseThrow();
         String cellKey = Keys.cell(request.from().name());
         Transaction transaction = context.jobWriter()
                 .write(new Transaction(), change.record)
@@ -331,15 +344,15 @@
                 .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT));
         context.commitQueue().propose(CommitPriority.USERS, transaction, result -> {
             if (result instanceof TransactionResult.Applied) {
-                tell(request, change);
+                recordEvent(request, change);
                 reply.accept(change.reply);
             } else {
-                again(request, until, reply);
+                retry(request, retryDeadline, reply);
             }
         });
     }
 
-    private void tell(CellRequest request, Change change) {
+    private void recordEvent(CellRequest request, Change change) {
         String job = change.record.id();
         String cell = request.from().name();
         if (change.record.isOpen()) {
@@ -349,7 +362,7 @@
                     "inbound job declined job={} origin={} reason={}",
                     job,
                     cell,
-                    declined.refusal().reason());
+                    declined.rejection().reason());
         } else {
             context.eventRecorder()
                     .record(
@@ -363,11 +376,11 @@
         }
     }
 
-    private void again(CellRequest request, Duration until, Consumer<CellReply> reply) {
-        if (context.timeSource().now().compareTo(until) > 0) {
+    private void retry(CellRequest request, Duration retryDeadline, Consumer<CellReply> reply) {
+        if (context.timeSource().now().compareTo(retryDeadline) > 0) {
             reply.accept(CellReply.NotServed.of(CellReply.Reason.STATE_UNAVAILABLE));
         } else {
-            context.timeSource().schedule(LOCK_WAIT, () -> handle(request, until, reply));
+            context.timeSource().schedule(RETRY_INTERVAL, () -> handle(request, retryDeadline, reply));
         }
     }
 }
--- a/src/main/java/org/dunespindle/federation/InboundJobState.java
+++ b/src/main/java/org/dunespindle/federation/InboundJobState.java
@@ -18,7 +18,7 @@
     CLOSED;
 
     /** Whether the state is final: no task of the transfer runs there, now or later. */
-    public boolean ended() {
+    public boolean isFinal() {
         return this == DONE || this == CANCELLED || this == WITHDRAWN || this == CLOSED;
     }
 }
--- a/src/main/java/org/dunespindle/federation/KnownCells.java
+++ b/src/main/java/org/dunespindle/federation/KnownCells.java
@@ -13,9 +13,9 @@
 final class KnownCells {
     private static final Logger LOG = LoggerFactory.getLogger(KnownCells.class);
     private final StateReplica replica;
-    private final Map<String, Read> read = new HashMap<>();
+    private final Map<String, ParsedRecord> parsedRecords = new HashMap<>();
 
-    private record Read(long stamp, Optional<FederationRecords.KnownCell> cell) {}
+    private record ParsedRecord(long modRevision, Optional<FederationRecords.KnownCell> cell) {}
 
     KnownCells(StateReplica replica) {
         this.replica = replica;
@@ -24,13 +24,13 @@
     /** A cell's stored record; empty if there is none or it cannot be parsed. */
     Optional<FederationRecords.KnownCell> cell(String name) {
         String key = Keys.cell(name);
-        long stamp = replica.modRevision(key);
-        Read known = read.get(name);
-        if (known == null || known.stamp != stamp) {
-            known = new Read(stamp, parse(key));
-            read.put(name, known);
+        long modRevision = replica.modRevision(key);
+        ParsedRecord record = parsedRecords.get(name);
+        if (record == null || record.modRevision != modRevision) {
+            record = new ParsedRecord(modRevision, parse(key));
+            parsedRecords.put(name, record);
         }
-        return known.cell;
+        return record.cell;
     }
 
     /** Whether a record exists that cannot be parsed. Such a record is never overwritten. */
@@ -41,7 +41,7 @@
     private Optional<FederationRecords.KnownCell> parse(String key) {
         return replica.value(key).flatMap(value -> {
             try {
-                return Optional.of(FederationRecords.readKnown(value));
+                return Optional.of(FederationRecords.parseKnownCell(value));
             } catch (MalformedMessageException e) {
                 LOG.error("the record {} cannot be read: {}; nothing is exchanged with that cell", key, e.getMessage());
                 return Optional.empty();
--- a/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
@@ -30,187 +30,192 @@
  */
 final class OutboundDelegationService {
     private static final Logger LOG = LoggerFactory.getLogger(OutboundDelegationService.class);
-    private static final Duration RESEND = Duration.ofSeconds(2);
-    private static final Duration ASK_EVERY_AS_LEADER = Duration.ofSeconds(1);
-    private static final Duration ASK_EVERY = Duration.ofSeconds(3);
+    private static final Duration RESEND_INTERVAL = Duration.ofSeconds(2);
+    private static final Duration LEADER_POLL_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration POLL_INTERVAL = Duration.ofSeconds(3);
     /** A reported end that the leader has not stored after this time is stored by any controller that has received it. */
-    private static final Duration LEADER_FIRST = Duration.ofSeconds(5);
+    private static final Duration LEADER_GRACE_PERIOD = Duration.ofSeconds(5);
 
-    private static final int MOST_PAUSE_DOUBLINGS = 6;
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
     private final DelegationContext context;
     private final StateReplica replica;
-    private final CellIdentityKeeper self;
-    private final KnownCells known;
-    private final Map<String, CellConnection> contacts;
-    private final RemoteJobStates reports = new RemoteJobStates();
-    private final Map<String, Followed> followed = new HashMap<>();
+    private final CellIdentityKeeper identity;
+    private final KnownCells knownCells;
+    private final Map<String, CellConnection> connections;
+    private final RemoteJobStates remoteStates = new RemoteJobStates();
+    private final Map<String, TrackedTransfer> trackedTransfers = new HashMap<>();
     /** Stored intents with an unknown commit result: they may still be applied, until their job's record changes. */
-    private final Map<String, Unsettled> unsettled = new HashMap<>();
+    private final Map<String, UnresolvedIntent> unresolvedIntents = new HashMap<>();
 
-    private final Map<String, Duration> askedAt = new HashMap<>();
+    private final Map<String, Duration> lastPollAt = new HashMap<>();
     private final Map<String, String> contradictions = new HashMap<>();
 
-    private record Unsettled(long transfer, long stamp) {}
+    private record UnresolvedIntent(long transfer, long modRevision) {}
 
     /** A transfer's phase, when this controller first saw it, and when it last sent a request about it. */
-    private static final class Followed {
+    private static final class TrackedTransfer {
         final OutboundDelegation delegation;
         final Duration since;
         Duration sentAt;
-        boolean sending;
-        Optional<Duration> endKnownAt = Optional.empty();
+        boolean inFlight;
+        Optional<Duration> endReportedAt = Optional.empty();
 
-        Followed(OutboundDelegation delegation, Duration since) {
+        TrackedTransfer(OutboundDelegation delegation, Duration since) {
             this.delegation = delegation;
             this.since = since;
-            this.sentAt = since.minus(RESEND);
+            this.sentAt = since.minus(RESEND_INTERVAL);
         }
     }
 
     OutboundDelegationService(
             DelegationContext context,
-            CellIdentityKeeper self,
-            KnownCells known,
-            Map<String, CellConnection> contacts) {
+            CellIdentityKeeper identity,
+            KnownCells knownCells,
+            Map<String, CellConnection> connections) {
         this.context = context;
         this.replica = context.replica();
-        this.self = self;
-        this.known = known;
-        this.contacts = contacts;
+        this.identity = identity;
+        this.knownCells = knownCells;
+        this.connections = connections;
     }
 
     private Duration now() {
         return context.timeSource().now();
     }
 
-    private boolean leads() {
-        return self.mayGiveAway();
+    private boolean isActiveLeader() {
+        return identity.isActiveLeader();
     }
 
     /** Jobs of this cell that a remote cell may hold. */
-    List<JobRecord> away() {
-        var away = new ArrayList<JobRecord>();
+    List<JobRecord> delegatedJobs() {
+        var delegatedJobs = new ArrayList<JobRecord>();
         for (JobRecord job : replica.activeJobs()) {
             if (job.isDelegatedAway()) {
-                away.add(job);
+                delegatedJobs.add(job);
             }
         }
-        return away;
+        return delegatedJobs;
     }
 
     /** The lowest open transfer: all transfers of this cell with lower numbers have ended. */
-    long floor() {
-        unsettled.entrySet().removeIf(entry -> replica.modRevision(Keys.job(entry.getKey())) != entry.getValue().stamp);
-        long floor = self.unusedTransfer();
-        for (JobRecord job : away()) {
-            floor = Math.min(floor, job.outboundDelegation().orElseThrow().transfer());
+    long lowestOpenTransfer() {
+        unresolvedIntents
+                .entrySet()
+                .removeIf(entry -> replica.modRevision(Keys.job(entry.getKey())) != entry.getValue().modRevision);
+        long lowest = identity.lowestUnallocatedNumber();
+        for (JobRecord job : delegatedJobs()) {
+            lowest = Math.min(lowest, job.outboundDelegation().orElseThrow().transfer());
         }
-        for (Unsettled intent : unsettled.values()) {
-            floor = Math.min(floor, intent.transfer);
+        for (UnresolvedIntent intent : unresolvedIntents.values()) {
+            lowest = Math.min(lowest, intent.transfer);
         }
-        return floor;
+        return lowest;
     }
 
     /** Takes the next step for every job that a remote cell may hold. */
     void tick() {
-        List<JobRecord> away = away();
+        List<JobRecord> delegatedJobs = delegatedJobs();
         Set<String> ids = new HashSet<>();
-        var toAsk = new LinkedHashMap<String, List<JobRecord>>();
-        for (JobRecord job : away) {
+        var toPoll = new LinkedHashMap<String, List<JobRecord>>();
+        for (JobRecord job : delegatedJobs) {
             ids.add(job.id());
-            CellConnection contact =
-                    contacts.get(job.outboundDelegation().orElseThrow().cell());
-            if (contact != null) {
-                follow(job, contact, toAsk);
+            CellConnection connection =
+                    connections.get(job.outboundDelegation().orElseThrow().cell());
+            if (connection != null) {
+                advance(job, connection, toPoll);
             }
         }
-        followed.keySet().retainAll(ids);
+        trackedTransfers.keySet().retainAll(ids);
         contradictions.keySet().retainAll(ids);
-        reports.keepOnly(ids);
-        tellContradictions(away);
-        toAsk.forEach(this::ask);
+        remoteStates.retainJobs(ids);
+        updateContradictions(delegatedJobs);
+        toPoll.forEach(this::poll);
     }
 
-    private void follow(JobRecord job, CellConnection contact, Map<String, List<JobRecord>> toAsk) {
+    private void advance(JobRecord job, CellConnection connection, Map<String, List<JobRecord>> toPoll) {
         OutboundDelegation delegation = job.outboundDelegation().orElseThrow();
-        Followed state = followed.get(job.id());
-        if (state == null || !state.delegation.equals(delegation)) {
-            state = new Followed(delegation, now());
-            followed.put(job.id(), state);
+        TrackedTransfer tracked = trackedTransfers.get(job.id());
+        if (tracked == null || !tracked.delegation.equals(delegation)) {
+            tracked = new TrackedTransfer(delegation, now());
+            trackedTransfers.put(job.id(), tracked);
         }
-        DelegationRules.Step step = DelegationRules.next(view(job, delegation, state));
+        DelegationRules.Step step = DelegationRules.next(view(job, delegation, tracked));
         contradictions.remove(job.id());
         if (step instanceof DelegationRules.Step.Contradiction contradiction) {
-            contradictions.put(job.id(), contradiction.what());
+            contradictions.put(job.id(), contradiction.description());
         } else if (step instanceof DelegationRules.Step.StoreDone) {
-            end(job, state, job.completedRemotely());
+            storeEnd(job, tracked, job.completedRemotely());
         } else if (step instanceof DelegationRules.Step.StoreCancelled) {
-            end(job, state, job.cancelled());
-        } else if (leads()) {
-            carryOut(step, job, contact, state);
+            storeEnd(job, tracked, job.cancelled());
+        } else if (isActiveLeader()) {
+            execute(step, job, connection, tracked);
         }
         if (!(step instanceof DelegationRules.Step.SendOffer)) {
-            toAsk.computeIfAbsent(contact.name(), name -> new ArrayList<>()).add(job);
+            toPoll.computeIfAbsent(connection.name(), name -> new ArrayList<>()).add(job);
         }
     }
 
-    private DelegationRules.View view(JobRecord job, OutboundDelegation delegation, Followed state) {
+    private DelegationRules.View view(JobRecord job, OutboundDelegation delegation, TrackedTransfer tracked) {
         Options options = context.options().get();
         return new DelegationRules.View(
                 delegation,
-                reports.of(job).map(told -> told.report().state()),
-                now().minus(state.since),
+                remoteStates.of(job).map(observation -> observation.report().state()),
+                now().minus(tracked.since),
                 options.recallTimeout(),
-                again(delegation, options));
+                retryAt(delegation, options));
     }
 
     /** When a job may be delegated again: an exponential back-off, which doubles with every transfer. */
-    private Instant again(OutboundDelegation delegation, Options options) {
-        int doublings = Math.min(MOST_PAUSE_DOUBLINGS, delegation.transfers() - 1);
+    private Instant retryAt(OutboundDelegation delegation, Options options) {
+        int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, delegation.transfers() - 1);
         return context.timeSource().wallTime().plus(options.delegationBackoff().multipliedBy(1L << doublings));
     }
 
     /** Records which cells contradict the stored state; nothing is offered to them while they do. */
-    private void tellContradictions(List<JobRecord> away) {
-        for (CellConnection contact : contacts.values()) {
-            Optional<JobRecord> job = away.stream()
-                    .filter(one -> contradictions.containsKey(one.id())
-                            && one.outboundDelegation().orElseThrow().cell().equals(contact.name()))
+    private void updateContradictions(List<JobRecord> delegatedJobs) {
+        for (CellConnection connection : connections.values()) {
+            Optional<JobRecord> job = delegatedJobs.stream()
+                    .filter(other -> contradictions.containsKey(other.id())
+                            && other.outboundDelegation().orElseThrow().cell().equals(connection.name()))
                     .findFirst();
-            Optional<String> what = job.map(one -> contradictions.get(one.id()));
-            if (contact.contradiction(what)) {
-                String told = what.map(text -> text + " (job " + job.get().id() + "); nothing more is offered to it")
+            Optional<String> description = job.map(other -> contradictions.get(other.id()));
+            if (connection.updateContradiction(description)) {
+                String event = description
+                        .map(text -> text + " (job " + job.get().id() + "); nothing more is offered to it")
                         .orElse("its reports agree with the stored state again");
-                context.eventRecorder().record(LOG, "cell {}: {}", contact.name(), told);
+                context.eventRecorder().record(LOG, "cell {}: {}", connection.name(), event);
             }
         }
     }
 
-    private void carryOut(DelegationRules.Step step, JobRecord job, CellConnection contact, Followed state) {
+    private void execute(DelegationRules.Step step, JobRecord job, CellConnection connection, TrackedTransfer tracked) {
         if (step instanceof DelegationRules.Step.Store store) {
             store(job, job.withDelegationLink(store.delegation()));
         } else if (step instanceof DelegationRules.Step.SendOffer
-                && contact.trouble().isEmpty()) {
-            contact.freshGreeting()
-                    .ifPresent(told -> send(
+                && connection.problem().isEmpty()) {
+            connection
+                    .currentGreeting()
+                    .ifPresent(greeting -> send(
                             job,
-                            contact,
-                            state,
+                            connection,
+                            tracked,
                             new CellRequest.Offer(
-                                    self.id().orElseThrow(),
-                                    told.self(),
+                                    identity.id().orElseThrow(),
+                                    greeting.self(),
                                     transfer(job),
                                     job.arrived(),
                                     job.submission())));
         } else if (step instanceof DelegationRules.Step.SendRecall) {
-            known.cell(contact.name())
+            knownCells
+                    .cell(connection.name())
                     .ifPresent(cell -> send(
                             job,
-                            contact,
-                            state,
+                            connection,
+                            tracked,
                             new CellRequest.Recall(
-                                    self.id().orElseThrow(), cell.id().identity(), transfer(job))));
+                                    identity.id().orElseThrow(), cell.id().identity(), transfer(job))));
         }
     }
 
@@ -218,92 +223,96 @@
         return new Transfer(job.id(), job.outboundDelegation().orElseThrow().transfer());
     }
 
-    private void send(JobRecord job, CellConnection contact, Followed state, CellRequest request) {
-        if (state.sending || !contact.free() || now().minus(state.sentAt).compareTo(RESEND) < 0) {
+    private void send(JobRecord job, CellConnection connection, TrackedTransfer tracked, CellRequest request) {
+        if (tracked.inFlight
+                || !connection.canCall()
+                || now().minus(tracked.sentAt).compareTo(RESEND_INTERVAL) < 0) {
             return;
         }
-        state.sending = true;
-        state.sentAt = now();
-        Duration asked = now();
-        contact.call(
+        tracked.inFlight = true;
+        tracked.sentAt = now();
+        Duration requestedAt = now();
+        connection.call(
                 request,
                 reply -> {
-                    state.sending = false;
-                    answered(job, contact, reply, asked);
+                    tracked.inFlight = false;
+                    onReply(job, connection, reply, requestedAt);
                 },
-                () -> state.sending = false);
+                () -> tracked.inFlight = false);
     }
 
     /** Processes a reply about a job, and takes the job's next step immediately. */
-    private void answered(JobRecord job, CellConnection contact, CellReply reply, Duration asked) {
+    private void onReply(JobRecord job, CellConnection connection, CellReply reply, Duration requestedAt) {
         OutboundDelegation.Phase phase = job.outboundDelegation().orElseThrow().phase();
-        if (reply instanceof CellReply.Reports told) {
-            told.reports().forEach(report -> reports.take(report, phase, asked));
+        if (reply instanceof CellReply.Reports received) {
+            received.reports().forEach(report -> remoteStates.record(report, phase, requestedAt));
         } else if (reply instanceof CellReply.Declined declined) {
-            contact.refused(ResourceKind.of(job.submission()), declined.refusal());
-            reports.take(InboundJobStatus.of(declined.transfer(), InboundJobState.WITHDRAWN), phase, asked);
+            connection.recordRejection(ResourceKind.of(job.submission()), declined.rejection());
+            remoteStates.record(
+                    InboundJobStatus.of(declined.transfer(), InboundJobState.WITHDRAWN), phase, requestedAt);
             context.eventRecorder()
                     .record(
                             LOG,
                             "job {}: cell {} {}",
                             job.id(),
-                            contact.name(),
-                            declined.refusal().reason().words());
+                            connection.name(),
+                            declined.rejection().reason().description());
         } else if (reply instanceof CellReply.NotServed notServed) {
             LOG.debug(
                     "job {}: cell {} {}",
                     job.id(),
-                    contact.name(),
-                    notServed.reason().words());
+                    connection.name(),
+                    notServed.reason().description());
         }
         replica.job(job.id())
                 .filter(present -> present.delegationLink().equals(job.delegationLink()) && present.isOpen())
-                .ifPresent(present -> follow(present, contact, new HashMap<>()));
+                .ifPresent(present -> advance(present, connection, new HashMap<>()));
     }
 
-    private void ask(String cell, List<JobRecord> jobs) {
-        CellConnection contact = contacts.get(cell);
-        Optional<FederationRecords.KnownCell> stored = known.cell(cell);
-        Duration every = leads() ? ASK_EVERY_AS_LEADER : ASK_EVERY;
-        Duration last = askedAt.getOrDefault(cell, Duration.ofDays(-1));
+    private void poll(String cell, List<JobRecord> jobs) {
+        CellConnection connection = connections.get(cell);
+        Optional<FederationRecords.KnownCell> stored = knownCells.cell(cell);
+        Duration interval = isActiveLeader() ? LEADER_POLL_INTERVAL : POLL_INTERVAL;
+        Duration last = lastPollAt.getOrDefault(cell, Duration.ofDays(-1));
         if (stored.isEmpty()
-                || self.id().isEmpty()
-                || !contact.free()
-                || now().minus(last).compareTo(every) < 0) {
+                || identity.id().isEmpty()
+                || !connection.canCall()
+                || now().minus(last).compareTo(interval) < 0) {
             return;
         }
-        askedAt.put(cell, now());
-        for (int from = 0; from < jobs.size(); from += CellMessageCodec.MOST_TRANSFERS) {
-            List<JobRecord> some = jobs.subList(from, Math.min(jobs.size(), from + CellMessageCodec.MOST_TRANSFERS));
-            ask(contact, stored.get().id().identity(), some);
+        lastPollAt.put(cell, now());
+        for (int from = 0; from < jobs.size(); from += CellMessageCodec.MAX_TRANSFERS) {
+            List<JobRecord> batch = jobs.subList(from, Math.min(jobs.size(), from + CellMessageCodec.MAX_TRANSFERS));
+            poll(connection, stored.get().id().identity(), batch);
         }
     }
 
-    private void ask(CellConnection contact, String identity, List<JobRecord> jobs) {
+    private void poll(CellConnection connection, String toIdentity, List<JobRecord> jobs) {
         var phases = new HashMap<Transfer, OutboundDelegation.Phase>();
         jobs.forEach(job ->
                 phases.put(transfer(job), job.outboundDelegation().orElseThrow().phase()));
-        Duration asked = now();
-        var request = new CellRequest.Progress(self.id().orElseThrow(), identity, List.copyOf(phases.keySet()));
-        contact.call(
+        Duration requestedAt = now();
+        var request = new CellRequest.Progress(identity.id().orElseThrow(), toIdentity, List.copyOf(phases.keySet()));
+        connection.call(
                 request,
                 reply -> {
-                    if (reply instanceof CellReply.Reports told) {
-                        told.reports().stream()
+                    if (reply instanceof CellReply.Reports received) {
+                        received.reports().stream()
                                 .filter(report -> phases.containsKey(report.transfer()))
-                                .forEach(report -> reports.take(report, phases.get(report.transfer()), asked));
+                                .forEach(report ->
+                                        remoteStates.record(report, phases.get(report.transfer()), requestedAt));
                     }
                 },
                 () -> {});
     }
 
     /** Stores an end that a remote cell reported: the leader immediately, other controllers only if the leader does not in time. */
-    private void end(JobRecord job, Followed state, JobRecord ended) {
-        if (state.endKnownAt.isEmpty()) {
-            state.endKnownAt = Optional.of(now());
+    private void storeEnd(JobRecord job, TrackedTransfer tracked, JobRecord ended) {
+        if (tracked.endReportedAt.isEmpty()) {
+            tracked.endReportedAt = Optional.of(now());
         }
-        boolean late = now().minus(state.endKnownAt.get()).compareTo(LEADER_FIRST) > 0;
-        if (leads() || late) {
+        boolean overdue = now().minus(tracked.endReportedAt.get()).compareTo(LEADER_GRACE_PERIOD) > 0;
+        if (isActiveLeader() || overdue) {
             store(job, ended);
         }
     }
@@ -314,13 +323,13 @@
             context.commitQueue()
                     .propose(CommitPriority.PLACEMENT, context.jobWriter().write(new Transaction(), after), result -> {
                         if (result instanceof TransactionResult.Applied) {
-                            tell(before, after);
+                            recordEvent(before, after);
                         }
                     });
         }
     }
 
-    private void tell(JobRecord before, JobRecord after) {
+    private void recordEvent(JobRecord before, JobRecord after) {
         OutboundDelegation transfer = before.outboundDelegation().orElseThrow();
         if (!after.isOpen()) {
             context.eventRecorder()
@@ -348,22 +357,23 @@
     }
 
     /** Stores the intent to offer a job, which precedes the first offer to the remote cell. */
-    void give(SpillPolicy.Choice choice) {
+    void offer(SpillPolicy.Choice choice) {
         JobRecord job = choice.job();
         String key = Keys.job(job.id());
-        OptionalLong number = context.commitQueue().isLocked(key) ? OptionalLong.empty() : self.nextTransfer();
-        if (number.isEmpty() || known.cell(choice.cell()).isEmpty()) {
+        OptionalLong number =
+                context.commitQueue().isLocked(key) ? OptionalLong.empty() : identity.allocateTransferNumber();
+        if (number.isEmpty() || knownCells.cell(choice.cell()).isEmpty()) {
             return;
         }
         OutboundDelegation intent =
                 OutboundDelegation.offer(job.outboundDelegation(), choice.cell(), number.getAsLong());
-        long stamp = replica.modRevision(key);
-        unsettled.put(job.id(), new Unsettled(number.getAsLong(), stamp));
+        long modRevision = replica.modRevision(key);
+        unresolvedIntents.put(job.id(), new UnresolvedIntent(number.getAsLong(), modRevision));
         Transaction transaction =
-                self.guarded(context.jobWriter().write(new Transaction(), job.withDelegationLink(intent)));
+                identity.guarded(context.jobWriter().write(new Transaction(), job.withDelegationLink(intent)));
         context.commitQueue().propose(CommitPriority.PLACEMENT, transaction, result -> {
             if (!(result instanceof TransactionResult.Unknown)) {
-                unsettled.remove(job.id());
+                unresolvedIntents.remove(job.id());
             }
             if (result instanceof TransactionResult.Applied) {
                 context.eventRecorder()
@@ -373,8 +383,8 @@
     }
 
     /** The latest status that the remote cell reported of a delegated job. */
-    Optional<RemoteJobStates.Told> told(JobRecord job) {
-        return reports.of(job);
+    Optional<RemoteJobStates.Observation> remoteStatus(JobRecord job) {
+        return remoteStates.of(job);
     }
 
     /** How a remote cell's report of a job contradicts the stored state; empty if it does not. */
@@ -383,7 +393,7 @@
     }
 
     /** Records the status that a cancellation returned. */
-    void heard(JobRecord job, InboundJobStatus report, Duration asked) {
-        reports.take(report, job.outboundDelegation().orElseThrow().phase(), asked);
+    void recordStatus(JobRecord job, InboundJobStatus report, Duration requestedAt) {
+        remoteStates.record(report, job.outboundDelegation().orElseThrow().phase(), requestedAt);
     }
 }
--- a/src/main/java/org/dunespindle/federation/Rejection.java
+++ b/src/main/java/org/dunespindle/federation/Rejection.java
@@ -8,29 +8,29 @@
  * @param retryAfter the time after which work of the same kind may be offered again
  */
 public record Rejection(Reason reason, Duration retryAfter) {
-    private static final Duration SOON = Duration.ofSeconds(20);
-    private static final Duration LATER = Duration.ofMinutes(2);
-    private static final Duration MUCH_LATER = Duration.ofMinutes(30);
+    private static final Duration SHORT_RETRY_INTERVAL = Duration.ofSeconds(20);
+    private static final Duration MEDIUM_RETRY_INTERVAL = Duration.ofMinutes(2);
+    private static final Duration LONG_RETRY_INTERVAL = Duration.ofMinutes(30);
 
     /** The reasons for declining a job. */
     public enum Reason {
-        NO_ROOM("has no room for it", SOON),
-        NEVER_FITS("can never run it: the job's team, machine types or zone do not fit that cell", MUCH_LATER),
-        TOO_MANY_VISITORS("has reached its limit of jobs accepted from other cells", LATER),
-        GIVES_AWAY("delegates work of this kind to other cells itself", LATER),
-        ID_TAKEN("has a job of its own with the same id", MUCH_LATER);
+        NO_ROOM("has no room for it", SHORT_RETRY_INTERVAL),
+        NEVER_FITS("can never run it: the job's team, machine types or zone do not fit that cell", LONG_RETRY_INTERVAL),
+        TOO_MANY_VISITORS("has reached its limit of jobs accepted from other cells", MEDIUM_RETRY_INTERVAL),
+        GIVES_AWAY("delegates work of this kind to other cells itself", MEDIUM_RETRY_INTERVAL),
+        ID_TAKEN("has a job of its own with the same id", LONG_RETRY_INTERVAL);
 
-        private final String words;
+        private final String description;
         private final Duration retryAfter;
 
-        Reason(String words, Duration retryAfter) {
-            this.words = words;
+        Reason(String description, Duration retryAfter) {
+            this.description = description;
             this.retryAfter = retryAfter;
         }
 
         /** The reason as a phrase whose subject is the declining cell. */
-        public String words() {
-            return words;
+        public String description() {
+            return description;
         }
     }
 
--- a/src/main/java/org/dunespindle/federation/RemoteJobStates.java
+++ b/src/main/java/org/dunespindle/federation/RemoteJobStates.java
@@ -13,10 +13,10 @@
  * status is never replaced by an earlier state of the same transfer.
  */
 final class RemoteJobStates {
-    private final Map<String, Told> told = new HashMap<>();
+    private final Map<String, Observation> observations = new HashMap<>();
 
     /** A report and the time of its request. */
-    record Told(InboundJobStatus report, Duration asked) {}
+    record Observation(InboundJobStatus report, Duration requestedAt) {}
 
     /**
      * Records a report unless it is older than the recorded one.
@@ -24,44 +24,44 @@
      * @param phase the transfer's phase at the time of the request: the report that a cell has no record of a transfer is meaningful
      *     only if the cell had already stored it by then
      */
-    void take(InboundJobStatus report, OutboundDelegation.Phase phase, Duration asked) {
-        boolean known = phase == OutboundDelegation.Phase.ACCEPTED;
-        if (report.state() == InboundJobState.UNKNOWN && !known) {
+    void record(InboundJobStatus report, OutboundDelegation.Phase phase, Duration requestedAt) {
+        boolean stored = phase == OutboundDelegation.Phase.ACCEPTED;
+        if (report.state() == InboundJobState.UNKNOWN && !stored) {
             return;
         }
-        Told before = told.get(report.transfer().job());
-        if (before == null || newer(report, asked, before)) {
-            told.put(report.transfer().job(), new Told(report, asked));
+        Observation previous = observations.get(report.transfer().job());
+        if (previous == null || isNewer(report, requestedAt, previous)) {
+            observations.put(report.transfer().job(), new Observation(report, requestedAt));
         }
     }
 
-    private static boolean newer(InboundJobStatus report, Duration asked, Told before) {
+    private static boolean isNewer(InboundJobStatus report, Duration requestedAt, Observation previous) {
         long number = report.transfer().number();
-        long numberBefore = before.report.transfer().number();
-        if (number != numberBefore) {
-            return number > numberBefore;
+        long previousNumber = previous.report.transfer().number();
+        if (number != previousNumber) {
+            return number > previousNumber;
         }
         InboundJobState state = report.state();
-        InboundJobState stateBefore = before.report.state();
-        if (stateBefore.ended()) {
+        InboundJobState previousState = previous.report.state();
+        if (previousState.isFinal()) {
             return false;
         }
-        return state.ended()
-                || (state == InboundJobState.UNKNOWN && asked.compareTo(before.asked) > 0)
-                || (state.compareTo(stateBefore) >= 0 && asked.compareTo(before.asked) >= 0)
-                || state.compareTo(stateBefore) > 0;
+        return state.isFinal()
+                || (state == InboundJobState.UNKNOWN && requestedAt.compareTo(previous.requestedAt) > 0)
+                || (state.compareTo(previousState) >= 0 && requestedAt.compareTo(previous.requestedAt) >= 0)
+                || state.compareTo(previousState) > 0;
     }
 
     /** The latest report of a job's present transfer. */
-    Optional<Told> of(JobRecord job) {
+    Optional<Observation> of(JobRecord job) {
         long transfer =
                 job.outboundDelegation().map(OutboundDelegation::transfer).orElse(-1L);
-        return Optional.ofNullable(told.get(job.id()))
-                .filter(known -> known.report.transfer().number() == transfer);
+        return Optional.ofNullable(observations.get(job.id()))
+                .filter(latest -> latest.report.transfer().number() == transfer);
     }
 
     /** Removes the reports of all other jobs. */
-    void keepOnly(Set<String> jobs) {
-        told.keySet().retainAll(jobs);
+    void retainJobs(Set<String> jobs) {
+        observations.keySet().retainAll(jobs);
     }
 }
--- a/src/main/java/org/dunespindle/federation/SpillPolicy.java
+++ b/src/main/java/org/dunespindle/federation/SpillPolicy.java
@@ -16,17 +16,17 @@
 /** Chooses which waiting jobs are offered to which cells. A pure function. */
 public final class SpillPolicy {
     /** An array may be offered to a cell with capacity for this fraction of its tasks (one in four). */
-    private static final int ARRAY_PART = 4;
+    private static final int ARRAY_START_DIVISOR = 4;
 
     private SpillPolicy() {}
 
     /**
      * A cell that jobs may be offered to.
      *
-     * @param room the cell's capacity hints
-     * @param refuses whether the cell recently declined work of a kind
+     * @param hints the cell's capacity hints
+     * @param recentlyDeclined whether the cell recently declined work of a kind
      */
-    public record Target(String cell, List<CapacityHint> room, Predicate<ResourceKind> refuses) {}
+    public record Target(String cell, List<CapacityHint> hints, Predicate<ResourceKind> recentlyDeclined) {}
 
     /** A job and the cell that it is offered to. */
     public record Choice(JobRecord job, String cell) {}
@@ -35,20 +35,20 @@
      * The input of the choice.
      *
      * @param waiting jobs that this cell could not place for the delegation delay
-     * @param takesIn the kinds of work that this cell accepts from others, and so does not delegate
-     * @param mostTransfers how often a job may be delegated in all
-     * @param most the maximum number of offers to make now
+     * @param acceptedKinds the kinds of work that this cell accepts from others, and so does not delegate
+     * @param maxTransfers how often a job may be delegated in all
+     * @param maxOffers the maximum number of offers to make now
      */
     public record View(
             Instant now,
             List<JobRecord> waiting,
             List<Target> targets,
-            List<ResourceKind> takesIn,
-            int mostTransfers,
-            int most) {}
+            List<ResourceKind> acceptedKinds,
+            int maxTransfers,
+            int maxOffers) {}
 
     /** Whether a job may be delegated at all: it belongs to this cell, and none of its tasks was ever placed. */
-    public static boolean movable(JobRecord job) {
+    public static boolean isDelegable(JobRecord job) {
         return job.isOpen()
                 && !job.submission().isService()
                 && job.neverPlaced()
@@ -57,11 +57,11 @@
     }
 
     /** Whether a job may be delegated now, given the number of its earlier transfers and their back-off. */
-    public static boolean due(JobRecord job, Instant now, int mostTransfers) {
-        Optional<OutboundDelegation> before = job.outboundDelegation();
-        return before.isEmpty()
-                || (before.get().transfers() < mostTransfers
-                        && before.get()
+    public static boolean mayDelegateNow(JobRecord job, Instant now, int maxTransfers) {
+        Optional<OutboundDelegation> previous = job.outboundDelegation();
+        return previous.isEmpty()
+                || (previous.get().transfers() < maxTransfers
+                        && previous.get()
                                 .notBefore()
                                 .filter(time -> time.isAfter(now))
                                 .isEmpty());
@@ -70,18 +70,18 @@
     /** Chooses jobs in descending order of priority, and for each the cell whose hints show the largest capacity for it. */
     public static List<Choice> choose(View view) {
         var choices = new ArrayList<Choice>();
-        var promised = new HashMap<String, Integer>();
-        List<JobRecord> ordered = view.waiting.stream()
-                .filter(job -> movable(job) && due(job, view.now, view.mostTransfers))
+        var tasksByTarget = new HashMap<String, Integer>();
+        List<JobRecord> byPriority = view.waiting.stream()
+                .filter(job -> isDelegable(job) && mayDelegateNow(job, view.now, view.maxTransfers))
                 .sorted(Comparator.comparing((JobRecord job) -> job.submission().priority(), Comparator.reverseOrder())
                         .thenComparing(JobRecord::arrived)
                         .thenComparing(JobRecord::id))
                 .toList();
-        for (JobRecord job : ordered) {
+        for (JobRecord job : byPriority) {
             ResourceKind kind = ResourceKind.of(job.submission());
-            if (choices.size() < view.most && view.takesIn.stream().noneMatch(kind::overlaps)) {
-                target(job, kind, view.targets, promised).ifPresent(cell -> {
-                    promised.merge(cell, job.submission().tasks(), Integer::sum);
+            if (choices.size() < view.maxOffers && view.acceptedKinds.stream().noneMatch(kind::overlaps)) {
+                bestTarget(job, kind, view.targets, tasksByTarget).ifPresent(cell -> {
+                    tasksByTarget.merge(cell, job.submission().tasks(), Integer::sum);
                     choices.add(new Choice(job, cell));
                 });
             }
@@ -89,31 +89,31 @@
         return choices;
     }
 
-    private static Optional<String> target(
-            JobRecord job, ResourceKind kind, List<Target> targets, Map<String, Integer> promised) {
-        Submission asked = job.submission();
-        int wanted = asked.isGang() ? asked.tasks() : Math.max(1, asked.tasks() / ARRAY_PART);
+    private static Optional<String> bestTarget(
+            JobRecord job, ResourceKind kind, List<Target> targets, Map<String, Integer> tasksByTarget) {
+        Submission submission = job.submission();
+        int required = submission.isGang() ? submission.tasks() : Math.max(1, submission.tasks() / ARRAY_START_DIVISOR);
         String best = null;
-        int bestRoom = 0;
+        int bestRank = 0;
         for (Target target : targets) {
-            int room = room(asked, target.room) - promised.getOrDefault(target.cell, 0);
-            boolean before = job.outboundDelegation()
+            int taskCapacity = taskCapacity(submission, target.hints) - tasksByTarget.getOrDefault(target.cell, 0);
+            boolean returnedBefore = job.outboundDelegation()
                     .filter(last -> last.cell().equals(target.cell))
                     .isPresent();
-            int rank = before ? 1 : 1 + room; // a cell that returned the job is the last resort
-            if (room >= wanted && !target.refuses.test(kind) && rank > bestRoom) {
+            int rank = returnedBefore ? 1 : 1 + taskCapacity; // a cell that returned the job is the last resort
+            if (taskCapacity >= required && !target.recentlyDeclined.test(kind) && rank > bestRank) {
                 best = target.cell;
-                bestRoom = rank;
+                bestRank = rank;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    private static int room(Submission job, List<CapacityHint> hints) {
+    private static int taskCapacity(Submission job, List<CapacityHint> hints) {
         var byZone = new TreeMap<String, Integer>();
         for (CapacityHint hint : hints) {
-            if (hint.concerns(job)) {
-                byZone.merge(hint.zone(), hint.tasks(job), Integer::sum);
+            if (hint.appliesTo(job)) {
+                byZone.merge(hint.zone(), hint.taskCapacity(job), Integer::sum);
             }
         }
         return job.sameZone()
--- a/src/main/java/org/dunespindle/federation/grpc/CellMethods.java
+++ b/src/main/java/org/dunespindle/federation/grpc/CellMethods.java
@@ -14,9 +14,9 @@
     /** The service's name on the wire. */
     static final String SERVICE = "dunespindle.federation.v1.Cell";
     /** The maximum size of a message in either direction. */
-    static final int MOST_BYTES = 256 << 10;
+    static final int MAX_MESSAGE_BYTES = 256 << 10;
 
-    private static final Map<Class<? extends CellRequest>, MethodDescriptor<byte[], byte[]>> BY_KIND = Map.of(
+    private static final Map<Class<? extends CellRequest>, MethodDescriptor<byte[], byte[]>> BY_REQUEST_TYPE = Map.of(
             CellRequest.Hello.class, method("Hello"),
             CellRequest.Offer.class, method("Offer"),
             CellRequest.Recall.class, method("Recall"),
@@ -29,26 +29,26 @@
         return MethodDescriptor.<byte[], byte[]>newBuilder()
                 .setType(MethodDescriptor.MethodType.UNARY)
                 .setFullMethodName(MethodDescriptor.generateFullMethodName(SERVICE, name))
-                .setRequestMarshaller(new JsonBytes())
-                .setResponseMarshaller(new JsonBytes())
+                .setRequestMarshaller(new RawBytesMarshaller())
+                .setResponseMarshaller(new RawBytesMarshaller())
                 .build();
     }
 
     static MethodDescriptor<byte[], byte[]> of(CellRequest request) {
-        return BY_KIND.get(request.getClass());
+        return BY_REQUEST_TYPE.get(request.getClass());
     }
 
     /** The methods by the type of their request. */
-    static Map<Class<? extends CellRequest>, MethodDescriptor<byte[], byte[]>> all() {
-        return BY_KIND;
+    static Map<Class<? extends CellRequest>, MethodDescriptor<byte[], byte[]>> byRequestType() {
+        return BY_REQUEST_TYPE;
     }
 
     static List<MethodDescriptor<byte[], byte[]>> descriptors() {
-        return List.copyOf(BY_KIND.values());
+        return List.copyOf(BY_REQUEST_TYPE.values());
     }
 
     /** Passes JSON text through unparsed, so that the server can answer a malformed message with a status of its own. */
-    private static final class JsonBytes implements MethodDescriptor.Marshaller<byte[]> {
+    private static final class RawBytesMarshaller implements MethodDescriptor.Marshaller<byte[]> {
         @Override
         public InputStream stream(byte[] value) {
             return new ByteArrayInputStream(value);
--- a/src/main/java/org/dunespindle/federation/grpc/GrpcCellServer.java
+++ b/src/main/java/org/dunespindle/federation/grpc/GrpcCellServer.java
@@ -24,42 +24,42 @@
 
 /** The gRPC server for requests of other cells, on a port of its own. Requests are handled on the controller's event loop. */
 public final class GrpcCellServer implements AutoCloseable {
-    private static final int MOST_UNDER_WAY = 64;
-    private static final int MOST_CALLS_PER_CONNECTION = 16;
+    private static final int MAX_CALLS_IN_PROGRESS = 64;
+    private static final int MAX_CALLS_PER_CONNECTION = 16;
     private static final long KEEP_ALIVE_S = 20;
     private static final long KEEP_ALIVE_TIMEOUT_S = 5;
-    private static final long LEAST_KEEP_ALIVE_S = 5;
-    private static final int SHUTDOWN_MILLIS = 200;
+    private static final long MIN_KEEP_ALIVE_S = 5;
+    private static final int SHUTDOWN_TIMEOUT_MILLIS = 200;
 
     private final Server server;
-    private final Executor controller;
+    private final Executor eventLoop;
     private final BiConsumer<CellRequest, Consumer<CellReply>> handler;
-    private final AtomicInteger underWay = new AtomicInteger();
+    private final AtomicInteger callsInProgress = new AtomicInteger();
 
     /**
      * Binds the port and starts serving.
      *
-     * @param controller the controller's event loop
+     * @param eventLoop the controller's event loop
      * @param handler handles a request and passes its reply on, immediately or later
      */
     public GrpcCellServer(
             InetSocketAddress address,
             EventLoopGroup group,
-            Executor controller,
+            Executor eventLoop,
             BiConsumer<CellRequest, Consumer<CellReply>> handler)
             throws IOException {
-        this.controller = controller;
+        this.eventLoop = eventLoop;
         this.handler = handler;
         this.server = NettyServerBuilder.forAddress(address)
                 .bossEventLoopGroup(group)
                 .workerEventLoopGroup(group)
                 .channelType(NioServerSocketChannel.class)
                 .directExecutor()
-                .maxInboundMessageSize(CellMethods.MOST_BYTES)
-                .maxConcurrentCallsPerConnection(MOST_CALLS_PER_CONNECTION)
+                .maxInboundMessageSize(CellMethods.MAX_MESSAGE_BYTES)
+                .maxConcurrentCallsPerConnection(MAX_CALLS_PER_CONNECTION)
                 .keepAliveTime(KEEP_ALIVE_S, TimeUnit.SECONDS)
                 .keepAliveTimeout(KEEP_ALIVE_TIMEOUT_S, TimeUnit.SECONDS)
-                .permitKeepAliveTime(LEAST_KEEP_ALIVE_S, TimeUnit.SECONDS)
+                .permitKeepAliveTime(MIN_KEEP_ALIVE_S, TimeUnit.SECONDS)
                 .permitKeepAliveWithoutCalls(true)
                 .addService(service())
                 .build()
@@ -70,61 +70,62 @@
         var descriptor = ServiceDescriptor.newBuilder(CellMethods.SERVICE);
         CellMethods.descriptors().forEach(descriptor::addMethod);
         var definition = ServerServiceDefinition.builder(descriptor.build());
-        CellMethods.all().forEach((kind, method) -> addMethod(definition, kind, method));
+        CellMethods.byRequestType().forEach((requestType, method) -> addMethod(definition, requestType, method));
         return definition.build();
     }
 
     private void addMethod(
             ServerServiceDefinition.Builder definition,
-            Class<? extends CellRequest> kind,
+            Class<? extends CellRequest> requestType,
             MethodDescriptor<byte[], byte[]> method) {
-        definition.addMethod(method, ServerCalls.asyncUnaryCall((body, answer) -> serve(kind, body, answer)));
+        definition.addMethod(
+                method, ServerCalls.asyncUnaryCall((body, observer) -> serve(requestType, body, observer)));
     }
 
-    private void serve(Class<? extends CellRequest> kind, byte[] body, StreamObserver<byte[]> answer) {
+    private void serve(Class<? extends CellRequest> requestType, byte[] body, StreamObserver<byte[]> observer) {
         CellRequest request;
         try {
             request = CellMessageCodec.readRequest(body);
         } catch (MalformedMessageException e) {
-            fail(answer, Status.INVALID_ARGUMENT, e.getMessage());
+            fail(observer, Status.INVALID_ARGUMENT, e.getMessage());
             return;
         }
-        if (!kind.isInstance(request)) {
-            fail(answer, Status.INVALID_ARGUMENT, "the message is a request of another method");
-        } else if (underWay.incrementAndGet() > MOST_UNDER_WAY) {
-            underWay.decrementAndGet();
+        if (!requestType.isInstance(request)) {
+            fail(observer, Status.INVALID_ARGUMENT, "the message is a request of another method");
+        } else if (callsInProgress.incrementAndGet() > MAX_CALLS_IN_PROGRESS) {
+            callsInProgress.decrementAndGet();
             fail(
-                    answer,
+                    observer,
                     Status.RESOURCE_EXHAUSTED,
-                    "too many calls in progress, at most " + MOST_UNDER_WAY + " are allowed");
+                    "too many calls in progress, at most " + MAX_CALLS_IN_PROGRESS + " are allowed");
         } else {
-            controller.execute(() -> handle(request, answer));
+            eventLoop.execute(() -> handle(request, observer));
         }
     }
 
-    private void handle(CellRequest request, StreamObserver<byte[]> answer) {
+    private void handle(CellRequest request, StreamObserver<byte[]> observer) {
         try {
             handler.accept(request, reply -> {
-                underWay.decrementAndGet();
-                reply(answer, reply);
+                callsInProgress.decrementAndGet();
+                reply(observer, reply);
             });
         } catch (RuntimeException e) {
-            underWay.decrementAndGet();
-            fail(answer, Status.INTERNAL, "the request failed with an internal error");
+            callsInProgress.decrementAndGet();
+            fail(observer, Status.INTERNAL, "the request failed with an internal error");
         }
     }
 
-    private static void reply(StreamObserver<byte[]> answer, CellReply reply) {
+    private static void reply(StreamObserver<byte[]> observer, CellReply reply) {
         try {
-            answer.onNext(CellMessageCodec.write(reply));
-            answer.onCompleted();
+            observer.onNext(CellMessageCodec.write(reply));
+            observer.onCompleted();
         } catch (IllegalStateException | io.grpc.StatusRuntimeException e) {
             return; // the caller has cancelled the call; the stored effect remains
         }
     }
 
-    private static void fail(StreamObserver<byte[]> answer, Status status, String reason) {
-        answer.onError(status.withDescription(reason).asRuntimeException());
+    private static void fail(StreamObserver<byte[]> observer, Status status, String reason) {
+        observer.onError(status.withDescription(reason).asRuntimeException());
     }
 
     /** The bound port. */
@@ -136,7 +137,7 @@
     public void close() {
         server.shutdownNow();
         try {
-            server.awaitTermination(SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS);
+            server.awaitTermination(SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/org/dunespindle/federation/grpc/GrpcCellTransport.java
+++ b/src/main/java/org/dunespindle/federation/grpc/GrpcCellTransport.java
@@ -29,13 +29,13 @@
     private static final long IDLE_MINUTES = 5;
 
     private final EventLoopGroup group;
-    private final Executor controller;
+    private final Executor eventLoop;
     private final Map<String, ManagedChannel> channels = new HashMap<>();
 
     /** Creates a transport that completes its futures on the given executor, the controller's event loop. */
-    public GrpcCellTransport(EventLoopGroup group, Executor controller) {
+    public GrpcCellTransport(EventLoopGroup group, Executor eventLoop) {
         this.group = group;
-        this.controller = controller;
+        this.eventLoop = eventLoop;
     }
 
     @Override
@@ -43,10 +43,10 @@
         var result = new CompletableFuture<CellReply>();
         CallOptions options = CallOptions.DEFAULT
                 .withDeadlineAfter(deadline.toNanos(), TimeUnit.NANOSECONDS)
-                .withMaxInboundMessageSize(CellMethods.MOST_BYTES)
-                .withMaxOutboundMessageSize(CellMethods.MOST_BYTES);
+                .withMaxInboundMessageSize(CellMethods.MAX_MESSAGE_BYTES)
+                .withMaxOutboundMessageSize(CellMethods.MAX_MESSAGE_BYTES);
         var call = channels.computeIfAbsent(address, this::open).newCall(CellMethods.of(request), options);
-        ClientCalls.asyncUnaryCall(call, CellMessageCodec.write(request), new Answer(result));
+        ClientCalls.asyncUnaryCall(call, CellMessageCodec.write(request), new ReplyObserver(result));
         return result;
     }
 
@@ -62,21 +62,21 @@
                 .keepAliveTime(KEEP_ALIVE_S, TimeUnit.SECONDS)
                 .keepAliveTimeout(KEEP_ALIVE_TIMEOUT_S, TimeUnit.SECONDS)
                 .idleTimeout(IDLE_MINUTES, TimeUnit.MINUTES)
-                .maxInboundMessageSize(CellMethods.MOST_BYTES)
+                .maxInboundMessageSize(CellMethods.MAX_MESSAGE_BYTES)
                 .build();
     }
 
     /** Passes every outcome to the controller's event loop, because gRPC reports expired deadlines on a thread of its own. */
-    private final class Answer implements StreamObserver<byte[]> {
+    private final class ReplyObserver implements StreamObserver<byte[]> {
         private final CompletableFuture<CellReply> result;
 
-        Answer(CompletableFuture<CellReply> result) {
+        ReplyObserver(CompletableFuture<CellReply> result) {
             this.result = result;
         }
 
         @Override
         public void onNext(byte[] body) {
-            controller.execute(() -> {
+            eventLoop.execute(() -> {
                 try {
                     result.complete(CellMessageCodec.readReply(body));
                 } catch (MalformedMessageException e) {
@@ -88,12 +88,12 @@
         @Override
         public void onError(Throwable failure) {
             String status = Status.fromThrowable(failure).getCode().name();
-            controller.execute(() -> result.completeExceptionally(new CellCallException(status)));
+            eventLoop.execute(() -> result.completeExceptionally(new CellCallException(status)));
         }
 
         @Override
         public void onCompleted() {
-            controller.execute(() -> result.completeExceptionally(new CellCallException("no reply")));
+            eventLoop.execute(() -> result.completeExceptionally(new CellCallException("no reply")));
         }
     }
 
--- a/src/test/java/org/dunespindle/federation/AdmissionTest.java
+++ b/src/test/java/org/dunespindle/federation/AdmissionTest.java
@@ -75,7 +75,8 @@
     }
 
     private static Optional<Rejection.Reason> refusal(CapacitySurvey survey, Submission job, int visitors) {
-        return AdmissionPolicy.refusal(job, new AdmissionPolicy.View(survey, Optional.empty(), visitors, 5, List.of()));
+        return AdmissionPolicy.rejectionReason(
+                job, new AdmissionPolicy.View(survey, Optional.empty(), visitors, 5, List.of()));
     }
 
     @Test
@@ -111,7 +112,7 @@
         CapacitySurvey survey = survey(List.of(full, waits), ALL_REFUSED);
         assertEquals(
                 List.of("wk-000002"),
-                survey.lacking().stream().map(JobRecord::id).toList());
+                survey.unplacedJobs().stream().map(JobRecord::id).toList());
         assertEquals(
                 Optional.of(Rejection.Reason.NO_ROOM),
                 refusal(survey, TestJobs.gang("wk-000003", Priority.URGENT, 1, false), 0));
@@ -123,9 +124,9 @@
         Submission job = TestJobs.array("wk-000003", 2);
         assertEquals(Optional.of(Rejection.Reason.TOO_MANY_VISITORS), refusal(survey, job, 5));
         var never = new AdmissionPolicy.View(survey, Optional.of("team red is unknown"), 0, 5, List.of());
-        assertEquals(Optional.of(Rejection.Reason.NEVER_FITS), AdmissionPolicy.refusal(job, never));
+        assertEquals(Optional.of(Rejection.Reason.NEVER_FITS), AdmissionPolicy.rejectionReason(job, never));
         var gives = new AdmissionPolicy.View(survey, Optional.empty(), 0, 5, List.of(ResourceKind.of(job)));
-        assertEquals(Optional.of(Rejection.Reason.GIVES_AWAY), AdmissionPolicy.refusal(job, gives));
+        assertEquals(Optional.of(Rejection.Reason.GIVES_AWAY), AdmissionPolicy.rejectionReason(job, gives));
     }
 
     @Test
@@ -140,8 +141,8 @@
     private static int tasks(List<CapacityHint> hints, String zone, Priority priority) {
         Submission job = TestJobs.of("wk-000009", JobKind.ARRAY, priority, 50, Optional.empty(), false);
         return hints.stream()
-                .filter(hint -> hint.zone().equals(zone) && hint.concerns(job))
-                .mapToInt(hint -> hint.tasks(job))
+                .filter(hint -> hint.zone().equals(zone) && hint.appliesTo(job))
+                .mapToInt(hint -> hint.taskCapacity(job))
                 .sum();
     }
 
--- a/src/test/java/org/dunespindle/federation/CellMessageCodecTest.java
+++ b/src/test/java/org/dunespindle/federation/CellMessageCodecTest.java
@@ -145,7 +145,7 @@
                 "{" + from + ",\"kind\":\"recall\",\"to\":\"x\",\"job\":\"../etc\",\"number\":1}",
                 "job must look like");
         refused("{" + from + ",\"kind\":\"offer\",\"to\":{},\"job\":\"wk-000001\",\"number\":1}", "not a map");
-        String list = "[" + "{},".repeat(CellMessageCodec.MOST_TRANSFERS) + "{}]";
+        String list = "[" + "{},".repeat(CellMessageCodec.MAX_TRANSFERS) + "{}]";
         refused("{" + from + ",\"kind\":\"progress\",\"to\":\"x\",\"transfers\":" + list + "}", "list of at most");
     }
 }
--- a/src/test/java/org/dunespindle/federation/CellMessagesCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/federation/CellMessagesCompatibilityTest.java
@@ -163,13 +163,13 @@
         String id = "{\"name\":\"a\",\"identity\":\"id-a\",\"incarnation\":4,\"mark\":\"mark-a\"";
         var own = new FederationRecords.OwnCell(A, 77);
         assertEquals(id + ",\"leader\":77}", FederationRecords.write(own).toString());
-        assertEquals(own, FederationRecords.readOwn(json(id + ",\"leader\":77}")));
+        assertEquals(own, FederationRecords.parseOwnCell(json(id + ",\"leader\":77}")));
         var known = new FederationRecords.KnownCell(A, 9, false);
         assertEquals(
                 id + ",\"floor\":9,\"abandoned\":false}",
                 FederationRecords.write(known).toString());
-        assertEquals(known, FederationRecords.readKnown(json(id + ",\"floor\":9,\"abandoned\":false}")));
-        assertEquals(known.abandon(), FederationRecords.readKnown(json(id + ",\"floor\":9,\"abandoned\":true}")));
+        assertEquals(known, FederationRecords.parseKnownCell(json(id + ",\"floor\":9,\"abandoned\":false}")));
+        assertEquals(known.abandon(), FederationRecords.parseKnownCell(json(id + ",\"floor\":9,\"abandoned\":true}")));
     }
 
     private static JsonNode json(String text) throws IOException {
