--- a/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
+++ b/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
@@ -25,7 +25,7 @@
 class DelegationProtocolTest {
     private static final Duration PATIENCE = Duration.ofSeconds(60);
     private static final int STEPS = 400;
-    private static final int MOST_TRANSFERS = 4;
+    private static final int MAX_TRANSFERS = 4;
 
     private sealed interface Message {
         record Offer(long number) implements Message {}
@@ -96,7 +96,7 @@
         }
 
         private void give() {
-            boolean may = home.map(OutboundDelegation::transfers).orElse(0) < MOST_TRANSFERS;
+            boolean may = home.map(OutboundDelegation::transfers).orElse(0) < MAX_TRANSFERS;
             if (!placedAtHome && !overAtHome && !away() && may) {
                 home = Optional.of(OutboundDelegation.offer(home, "b", ++numbers));
             }
@@ -125,7 +125,7 @@
                 network.add(new Message.Offer(now.transfer()));
             } else if (step instanceof DelegationRules.Step.SendRecall) {
                 network.add(new Message.Recall(now.transfer()));
-            } else if (step instanceof DelegationRules.Step.Ask) {
+            } else if (step instanceof DelegationRules.Step.Poll) {
                 network.add(new Message.Ask(now.transfer()));
             } else if (step instanceof DelegationRules.Step.Store store) {
                 home = Optional.of(store.delegation());
@@ -185,7 +185,7 @@
         for (int step = 0; step < STEPS; step++) {
             world.step();
             assertTrue(world.runs <= 1, "ran in both cells");
-            assertTrue(world.home.map(OutboundDelegation::transfers).orElse(0) <= MOST_TRANSFERS);
+            assertTrue(world.home.map(OutboundDelegation::transfers).orElse(0) <= MAX_TRANSFERS);
         }
     }
 
@@ -283,7 +283,7 @@
         OutboundDelegation accepted =
                 OutboundDelegation.offer(Optional.empty(), "b", 1).accepted();
         assertEquals(
-                new DelegationRules.Step.Ask(),
+                new DelegationRules.Step.Poll(),
                 next(accepted, Optional.of(InboundJobState.BEGUN), PATIENCE.multipliedBy(9)));
         assertEquals(
                 new DelegationRules.Step.Store(accepted),
@@ -297,32 +297,32 @@
         var job = org.dunespindle.storage.JobRecord.accepted(TestJobs.array("wk-000001", 2), Instant.EPOCH)
                 .withDelegationLink(
                         OutboundDelegation.offer(Optional.empty(), "b", 7).accepted());
-        reports.take(
+        reports.record(
                 InboundJobStatus.of(transfer, InboundJobState.UNKNOWN),
                 OutboundDelegation.Phase.OFFERED,
                 Duration.ofSeconds(9));
         assertTrue(reports.of(job).isEmpty(), "it may not have arrived yet");
-        reports.take(
+        reports.record(
                 InboundJobStatus.of(transfer, InboundJobState.BEGUN),
                 OutboundDelegation.Phase.ACCEPTED,
                 Duration.ofSeconds(5));
-        reports.take(
+        reports.record(
                 InboundJobStatus.of(transfer, InboundJobState.QUEUED),
                 OutboundDelegation.Phase.ACCEPTED,
                 Duration.ofSeconds(3));
         assertEquals(
                 InboundJobState.BEGUN, reports.of(job).orElseThrow().report().state());
-        reports.take(
+        reports.record(
                 InboundJobStatus.of(transfer, InboundJobState.DONE),
                 OutboundDelegation.Phase.ACCEPTED,
                 Duration.ofSeconds(4));
-        reports.take(
+        reports.record(
                 InboundJobStatus.of(transfer, InboundJobState.BEGUN),
                 OutboundDelegation.Phase.ACCEPTED,
                 Duration.ofSeconds(8));
         assertEquals(
                 InboundJobState.DONE, reports.of(job).orElseThrow().report().state());
-        reports.take(
+        reports.record(
                 InboundJobStatus.of(new Transfer("wk-000001", 6), InboundJobState.WITHDRAWN),
                 OutboundDelegation.Phase.ACCEPTED,
                 Duration.ofSeconds(9));
--- a/src/test/java/org/dunespindle/federation/SpillPolicyTest.java
+++ b/src/test/java/org/dunespindle/federation/SpillPolicyTest.java
@@ -24,7 +24,7 @@
 /** Which jobs are offered to which cells. */
 class SpillPolicyTest {
     private static final Instant NOW = Instant.ofEpochSecond(1000);
-    private static final int MOST_TRANSFERS = 3;
+    private static final int MAX_TRANSFERS = 3;
 
     private static CapacityHint hint(String zone, Priority priority, int tasks) {
         var free = new Resources(tasks, tasks, tasks);
@@ -40,8 +40,8 @@
     }
 
     private static List<SpillPolicy.Choice> choose(
-            List<JobRecord> jobs, List<SpillPolicy.Target> targets, List<ResourceKind> takesIn) {
-        return SpillPolicy.choose(new SpillPolicy.View(NOW, jobs, targets, takesIn, MOST_TRANSFERS, 4));
+            List<JobRecord> jobs, List<SpillPolicy.Target> targets, List<ResourceKind> acceptedKinds) {
+        return SpillPolicy.choose(new SpillPolicy.View(NOW, jobs, targets, acceptedKinds, MAX_TRANSFERS, 4));
     }
 
     private static JobRecord waiting(String id, Priority priority, int tasks) {
@@ -99,7 +99,7 @@
         List<SpillPolicy.Choice> choices = choose(List.of(back), List.of(target("b", 9), target("c", 2)), List.of());
         assertEquals("c", choices.get(0).cell(), "not to the one that gave it back, while there is another");
         OutboundDelegation last = due;
-        for (int transfer = 2; transfer <= MOST_TRANSFERS; transfer++) {
+        for (int transfer = 2; transfer <= MAX_TRANSFERS; transfer++) {
             last = OutboundDelegation.offer(Optional.of(last), "c", transfer).returned(NOW);
         }
         assertEquals(
@@ -111,17 +111,18 @@
     @Test
     void onlyWholeJobsOfThisCellMove() {
         JobRecord job = waiting("wk-000001", Priority.URGENT, 2);
-        assertTrue(SpillPolicy.movable(job));
+        assertTrue(SpillPolicy.isDelegable(job));
         JobRecord placed = job.withPlaced(Map.of(0, "i-1"));
-        assertFalse(SpillPolicy.movable(placed));
-        assertFalse(SpillPolicy.movable(placed.withReleased(0, false)), "a task of it was booked once");
+        assertFalse(SpillPolicy.isDelegable(placed));
+        assertFalse(SpillPolicy.isDelegable(placed.withReleased(0, false)), "a task of it was booked once");
         assertFalse(
-                SpillPolicy.movable(job.withDelegationLink(InboundDelegation.of("c", 4))),
+                SpillPolicy.isDelegable(job.withDelegationLink(InboundDelegation.of("c", 4))),
                 "visitors are never passed on");
-        assertFalse(SpillPolicy.movable(job.withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 1))));
+        assertFalse(
+                SpillPolicy.isDelegable(job.withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 1))));
         JobRecord service = JobRecord.accepted(
                 TestJobs.of("wk-000002", JobKind.SERVICE, Priority.CRITICAL, 2, Optional.empty(), false), NOW);
-        assertFalse(SpillPolicy.movable(service));
+        assertFalse(SpillPolicy.isDelegable(service));
     }
 
     @Property(seed = "31", tries = 300)
--- a/src/test/java/org/dunespindle/federation/grpc/CellMethodsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/federation/grpc/CellMethodsCompatibilityTest.java
@@ -12,7 +12,8 @@
     @Test
     void fullNames() {
         var names = new TreeMap<String, String>();
-        CellMethods.all().forEach((kind, method) -> names.put(kind.getSimpleName(), method.getFullMethodName()));
+        CellMethods.byRequestType()
+                .forEach((kind, method) -> names.put(kind.getSimpleName(), method.getFullMethodName()));
         assertEquals(
                 Map.of(
                         CellRequest.Hello.class.getSimpleName(), "dunespindle.federation.v1.Cell/Hello",
--- a/src/test/java/org/dunespindle/federation/grpc/GrpcCellTest.java
+++ b/src/test/java/org/dunespindle/federation/grpc/GrpcCellTest.java
@@ -59,7 +59,7 @@
 
     private void handle(CellRequest request, Consumer<CellReply> reply) {
         handled.incrementAndGet();
-        if (request instanceof CellRequest.Hello hello && hello.floor() == 13) {
+        if (request instanceof CellRequest.Hello hello && hello.lowestOpenTransfer() == 13) {
             throw new IllegalStateException("an unlucky number");
         }
         if (!(request instanceof CellRequest.Recall)) { // a recall is never answered here
@@ -129,7 +129,7 @@
                 text("{\"from\":{\"name\":\"a\",\"identity\":\"i\",\"incarnation\":1,\"mark\":\"m\"},"
                         + "\"kind\":\"hello\",\"floor\":1}"));
         assertEquals(Status.Code.INVALID_ARGUMENT, wrongMethod.getCode());
-        Status large = rawCall("Offer", new byte[CellMethods.MOST_BYTES + 1]);
+        Status large = rawCall("Offer", new byte[CellMethods.MAX_MESSAGE_BYTES + 1]);
         assertEquals(Status.Code.RESOURCE_EXHAUSTED, large.getCode());
         MethodDescriptor<byte[], byte[]> unknown = CellMethods.descriptors().get(0).toBuilder()
                 .setFullMethodName(CellMethods.SERVICE + "/Party")
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -367,7 +367,7 @@
             public CellReply reply(int from, CellReply reply) {
                 if (from == 1 && reply instanceof CellReply.Greeting told) {
                     var other = new CellId("b", "another", told.self().incarnation(), "mark");
-                    return new CellReply.Greeting(other, told.leads(), told.leader(), told.room());
+                    return new CellReply.Greeting(other, told.leads(), told.leader(), told.capacityHints());
                 }
                 return reply;
             }
--- a/src/test/java/org/dunespindle/sim/SimulatedFederation.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedFederation.java
@@ -54,7 +54,7 @@
 
     double loss;
     /** How often a job may be given away; a test that changes the option changes this too. */
-    int mostTransfers = 3;
+    int maxTransfers = 3;
 
     Tamper tamper = new Tamper() {};
     private final Random network;
@@ -237,7 +237,7 @@
     private void watch() {
         for (SimulatedCluster cell : cells) {
             cell.state.rows().forEach((key, row) -> {
-                if (row.value().path("away").path(3).asInt() > mostTransfers) {
+                if (row.value().path("away").path(3).asInt() > maxTransfers) {
                     broken.add("too many transfers: " + key);
                 }
             });
