--- a/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
+++ b/src/main/java/org/dunespindle/federation/CellIdentityKeeper.java
@@ -15,20 +15,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This cell's identity, and the numbers of its transfers. Each leader raises the incarnation before it gives anything away; a
- * number is built on it, so none is ever used twice, and none of an earlier leader's is higher.
+ * Maintains this cell's identity and generates transfer numbers. Each new leader increments the incarnation before it delegates a job.
+ * The incarnation forms the high bits of a transfer number, so numbers are unique and increase from one leader to the next.
  */
 final class CellIdentityKeeper {
     private static final Logger LOG = LoggerFactory.getLogger(CellIdentityKeeper.class);
-    /** Transfers of one incarnation take so many bits of their number. */
+    /** The number of low bits of a transfer number that count the transfers of one incarnation. */
     private static final int COUNTER_BITS = 20;
 
     private final DelegationContext context;
     private final StateReplica replica;
     private final String name;
     private final RandomGenerator random;
-    private long readAt = -1;
-    private Optional<FederationRecords.OwnCell> read = Optional.empty();
+    private long parsedRevision = -1;
+    private Optional<FederationRecords.OwnCell> parsed = Optional.empty();
     private long countedIncarnation;
     private long counter;
 
@@ -39,70 +39,71 @@
         this.random = random;
     }
 
-    /** Whether all controllers of this cell understand what the federation stores. */
-    boolean formatReady() {
+    /** Whether all controllers of this cell support the storage format of the federation. */
+    boolean formatSupported() {
         return replica.isLoaded() && replica.formatVersion() >= FormatVersion.DELEGATION_LINKS;
     }
 
-    /** This cell as stored; empty before it first took part. */
+    /** This cell's stored identity; empty until the first leader has stored one. */
     Optional<CellId> id() {
         return stored().map(FederationRecords.OwnCell::id);
     }
 
     private Optional<FederationRecords.OwnCell> stored() {
-        long stamp = replica.modRevision(Keys.FEDERATION);
-        if (stamp != readAt) {
-            readAt = stamp;
-            read = replica.value(Keys.FEDERATION).flatMap(value -> {
+        long modRevision = replica.modRevision(Keys.FEDERATION);
+        if (modRevision != parsedRevision) {
+            parsedRevision = modRevision;
+            parsed = replica.value(Keys.FEDERATION).flatMap(value -> {
                 try {
-                    return Optional.of(FederationRecords.readOwn(value));
+                    return Optional.of(FederationRecords.parseOwnCell(value));
                 } catch (MalformedMessageException e) {
                     LOG.error(
-                            "the record {} cannot be read: {}; this cell takes no part",
+                            "stored cell identity is unreadable, federation disabled key={} cause={}",
                             Keys.FEDERATION,
                             e.getMessage());
                     return Optional.empty();
                 }
             });
         }
-        return read;
+        return parsed;
     }
 
-    /** Whether this controller leads, and its incarnation is stored: only then may it give jobs away. */
-    boolean mayGiveAway() {
-        return formatReady()
+    /** Whether this controller leads and its incarnation is stored; only then may it delegate or accept jobs. */
+    boolean isActiveLeader() {
+        return formatSupported()
                 && context.membership().isLeader()
-                && stored().filter(cell -> cell.leaderStamp() == replica.modRevision(Keys.LEADER))
+                && stored().filter(cell -> cell.leaderRevision() == replica.modRevision(Keys.LEADER))
                         .isPresent()
                 && replica.appliedRevision() >= replica.modRevision(Keys.FEDERATION);
     }
 
-    /** The leader's part: stores an incarnation of its own. */
+    /** Stores a new incarnation if this controller has become the leader. */
     void tick() {
-        boolean due = formatReady() && context.membership().isLeader() && !mayGiveAway();
+        boolean due = formatSupported() && context.membership().isLeader() && !isActiveLeader();
         boolean readable =
                 stored().isPresent() || replica.value(Keys.FEDERATION).isEmpty();
-        boolean written = stored().filter(cell -> cell.leaderStamp() == replica.modRevision(Keys.LEADER))
+        boolean current = stored().filter(cell -> cell.leaderRevision() == replica.modRevision(Keys.LEADER))
                 .isPresent();
-        if (due && readable && !written && !context.commitQueue().isLocked(Keys.FEDERATION)) {
-            raise();
+        if (due && readable && !current && !context.commitQueue().isLocked(Keys.FEDERATION)) {
+            incrementIncarnation();
         }
     }
 
-    private void raise() {
-        String identity = id().map(CellId::identity).orElseGet(this::draw);
+    private void incrementIncarnation() {
+        String identity = id().map(CellId::identity).orElseGet(this::randomToken);
         long incarnation = id().map(CellId::incarnation).orElse(0L) + 1;
         var next = new FederationRecords.OwnCell(
-                new CellId(name, identity, incarnation, draw()), replica.modRevision(Keys.LEADER));
+                new CellId(name, identity, incarnation, randomToken()), replica.modRevision(Keys.LEADER));
         Transaction transaction = guarded(new Transaction()).write(Keys.FEDERATION, FederationRecords.write(next));
         context.commitQueue().propose(CommitPriority.PLACEMENT, transaction, result -> {
             if (result instanceof TransactionResult.Applied) {
-                context.eventRecorder().record(LOG, "cell {} is in incarnation {}", name, incarnation);
+                context.eventRecorder()
+                        .record(LOG, "cell incarnation stored cell={} incarnation={}", name, incarnation);
             }
         });
     }
 
-    /** Guards a change by the leadership and the incarnation under which it was decided. */
+    /** Adds the preconditions that the leader, the incarnation and the format version are unchanged. */
     Transaction guarded(Transaction transaction) {
         return transaction
                 .requireRevision(Keys.FEDERATION, replica.modRevision(Keys.FEDERATION))
@@ -110,13 +111,13 @@
                 .requireRevision(Keys.FORMAT, replica.modRevision(Keys.FORMAT));
     }
 
-    private String draw() {
+    private String randomToken() {
         return Long.toHexString(random.nextLong());
     }
 
-    /** A number for the next transfer; empty if this incarnation has used all of its own. */
-    OptionalLong nextTransfer() {
-        long number = unusedTransfer();
+    /** Allocates the next transfer number; empty if this incarnation has used up its numbers. */
+    OptionalLong allocateTransferNumber() {
+        long number = lowestUnallocatedNumber();
         if (counter >= 1L << COUNTER_BITS) {
             return OptionalLong.empty();
         }
@@ -124,8 +125,8 @@
         return OptionalLong.of(number);
     }
 
-    /** The lowest number that has not been used. */
-    long unusedTransfer() {
+    /** The lowest transfer number that has not been allocated. */
+    long lowestUnallocatedNumber() {
         long incarnation = id().orElseThrow().incarnation();
         if (incarnation != countedIncarnation) {
             countedIncarnation = incarnation;
--- a/src/main/java/org/dunespindle/federation/DelegationRules.java
+++ b/src/main/java/org/dunespindle/federation/DelegationRules.java
@@ -6,41 +6,41 @@
 import org.dunespindle.storage.OutboundDelegation;
 
 /**
- * What a job's own cell does next about a transfer, by what the other cell told of it. Pure. A job comes home only by an answer that
- * tells that the transfer has ended; silence and clocks lead to nothing but further questions.
+ * Decides the origin's next step for a transfer from the state that the remote cell reported. A pure function. A job returns to its
+ * origin only after the remote cell has confirmed that the transfer ended; missing replies and elapsed time only cause further requests.
  */
 public final class DelegationRules {
     private DelegationRules() {}
 
     /**
-     * What is known of a transfer.
+     * The known state of a transfer.
      *
-     * @param told what the other cell told of this very transfer last, if anything
-     * @param waited how long it has been in its phase, or has waited in the other cell without a task, as seen from here
-     * @param patience how long that may take before the job is wanted back
-     * @param again when the job may be given away again, should it come home now
+     * @param remoteState the state of exactly this transfer that the remote cell reported last; empty if it reported none
+     * @param elapsed the time since this controller first saw the transfer in its present phase
+     * @param timeout the time limit for a phase without progress, after which the job is recalled
+     * @param retryAt when the job may be delegated again, should it return now
      */
     public record View(
             OutboundDelegation delegation,
-            Optional<InboundJobState> told,
-            Duration waited,
-            Duration patience,
-            Instant again) {
-        private boolean overdue() {
-            return waited.compareTo(patience) > 0;
+            Optional<InboundJobState> remoteState,
+            Duration elapsed,
+            Duration timeout,
+            Instant retryAt) {
+        private boolean timedOut() {
+            return elapsed.compareTo(timeout) > 0;
         }
     }
 
-    /** What to do next. */
+    /** The next step for a transfer. */
     public sealed interface Step {
-        /** Sends the offer, for the first time or again. */
+        /** Sends or resends the offer. */
         record SendOffer() implements Step {}
 
-        /** Asks for the job to be given back. */
+        /** Sends or resends the recall. */
         record SendRecall() implements Step {}
 
-        /** Asks how the job stands. */
-        record Ask() implements Step {}
+        /** Requests the job's status. */
+        record Poll() implements Step {}
 
         /** Stores the transfer's new phase. */
         record Store(OutboundDelegation delegation) implements Step {}
@@ -48,47 +48,49 @@
         /** Stores that the job is done. */
         record StoreDone() implements Step {}
 
-        /** Stores that the job is cancelled, as its user wished. */
+        /** Stores that the job is cancelled, as its user requested. */
         record StoreCancelled() implements Step {}
 
-        /** What the other cell tells cannot be; nothing is concluded until an operator has looked. */
-        record Contradiction(String what) implements Step {}
+        /** The remote cell's report contradicts the stored state; the transfer stays as it is until an operator resolves it. */
+        record Contradiction(String description) implements Step {}
     }
 
     /** Decides the next step of an outstanding transfer. */
     public static Step next(View view) {
-        InboundJobState told = view.told.orElse(InboundJobState.UNKNOWN);
-        return switch (told) {
+        InboundJobState remoteState = view.remoteState.orElse(InboundJobState.UNKNOWN);
+        return switch (remoteState) {
             case DONE -> new Step.StoreDone();
             case CANCELLED -> new Step.StoreCancelled();
-            case WITHDRAWN -> new Step.Store(view.delegation.returned(view.again));
+            case WITHDRAWN -> new Step.Store(view.delegation.returned(view.retryAt));
             case CLOSED -> new Step.Contradiction("it counts a transfer as ended that is open here");
             default ->
                 switch (view.delegation.phase()) {
-                    case OFFERED -> offered(view, told);
-                    case ACCEPTED -> accepted(view, told);
-                    case RECALLED -> recalled(view, told);
-                    case HOME -> throw new IllegalArgumentException("the job is at home");
+                    case OFFERED -> afterOffer(view, remoteState);
+                    case ACCEPTED -> afterAcceptance(view, remoteState);
+                    case RECALLED -> afterRecall(view, remoteState);
+                    case HOME -> throw new IllegalArgumentException("the job has no outstanding transfer");
                 };
         };
     }
 
-    private static Step offered(View view, InboundJobState told) {
-        if (told != InboundJobState.UNKNOWN) {
+    private static Step afterOffer(View view, InboundJobState remoteState) {
+        if (remoteState != InboundJobState.UNKNOWN) {
             return new Step.Store(view.delegation.accepted());
         }
-        return view.overdue() ? new Step.Store(view.delegation.recalled()) : new Step.SendOffer();
+        return view.timedOut() ? new Step.Store(view.delegation.recalled()) : new Step.SendOffer();
     }
 
-    private static Step accepted(View view, InboundJobState told) {
-        if (told == InboundJobState.UNKNOWN && view.told.isPresent()) {
+    private static Step afterAcceptance(View view, InboundJobState remoteState) {
+        if (remoteState == InboundJobState.UNKNOWN && view.remoteState.isPresent()) {
             return new Step.Contradiction("it does not know a job that it had accepted");
         }
-        boolean waits = told == InboundJobState.QUEUED;
-        return waits && view.overdue() ? new Step.Store(view.delegation.recalled()) : new Step.Ask();
+        boolean queued = remoteState == InboundJobState.QUEUED;
+        return queued && view.timedOut() ? new Step.Store(view.delegation.recalled()) : new Step.Poll();
     }
 
-    private static Step recalled(View view, InboundJobState told) {
-        return told == InboundJobState.BEGUN ? new Step.Store(view.delegation.keptByRemote()) : new Step.SendRecall();
+    private static Step afterRecall(View view, InboundJobState remoteState) {
+        return remoteState == InboundJobState.BEGUN
+                ? new Step.Store(view.delegation.keptByRemote())
+                : new Step.SendRecall();
     }
 }
--- a/src/main/java/org/dunespindle/federation/Rejection.java
+++ b/src/main/java/org/dunespindle/federation/Rejection.java
@@ -3,38 +3,38 @@
 import java.time.Duration;
 
 /**
- * Why a cell does not take a job.
+ * Why a cell declines a job.
  *
- * @param retryAfter when asking again may help
+ * @param retryAfter the time after which work of the same kind may be offered again
  */
 public record Rejection(Reason reason, Duration retryAfter) {
-    private static final Duration SOON = Duration.ofSeconds(20);
-    private static final Duration LATER = Duration.ofMinutes(2);
-    private static final Duration MUCH_LATER = Duration.ofMinutes(30);
+    private static final Duration SHORT_RETRY_INTERVAL = Duration.ofSeconds(20);
+    private static final Duration MEDIUM_RETRY_INTERVAL = Duration.ofMinutes(2);
+    private static final Duration LONG_RETRY_INTERVAL = Duration.ofMinutes(30);
 
-    /** What stands in the way. */
+    /** The reasons for declining a job. */
     public enum Reason {
-        NO_ROOM("has no room for it", SOON),
-        NEVER_FITS("can never run it: its team, machine types or zones do not fit there", MUCH_LATER),
-        TOO_MANY_VISITORS("holds as many jobs of other cells as it takes", LATER),
-        GIVES_AWAY("gives away work of this kind itself", LATER),
-        ID_TAKEN("has a job of the same id", MUCH_LATER);
+        NO_ROOM("has no room for it", SHORT_RETRY_INTERVAL),
+        NEVER_FITS("can never run it: the job's team, machine types or zone do not fit that cell", LONG_RETRY_INTERVAL),
+        TOO_MANY_VISITORS("has reached its limit of jobs accepted from other cells", MEDIUM_RETRY_INTERVAL),
+        GIVES_AWAY("delegates work of this kind to other cells itself", MEDIUM_RETRY_INTERVAL),
+        ID_TAKEN("has a job of its own with the same id", LONG_RETRY_INTERVAL);
 
-        private final String words;
+        private final String description;
         private final Duration retryAfter;
 
-        Reason(String words, Duration retryAfter) {
-            this.words = words;
+        Reason(String description, Duration retryAfter) {
+            this.description = description;
             this.retryAfter = retryAfter;
         }
 
-        /** The reason in words that follow the cell's name. */
-        public String words() {
-            return words;
+        /** The reason as a phrase whose subject is the declining cell. */
+        public String description() {
+            return description;
         }
     }
 
-    /** A refusal with the usual time to ask again. */
+    /** A rejection with the reason's default retry interval. */
     public static Rejection of(Reason reason) {
         return new Rejection(reason, reason.retryAfter);
     }
