--- a/src/test/java/org/dunespindle/sim/AdminAnswersCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminAnswersCompatibilityTest.java
@@ -25,8 +25,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The answers of the administration API, letter by letter where a record put into the state service decides them, else by their
- * keys: operators' tools read them, so neither keys nor words may change with the names in the sources.
+ * Pins the answers of the administration API, which operators' tools read: literally where a record stored by the test determines them, otherwise by their keys. Neither keys nor words may change when names in the sources change.
  */
 class AdminAnswersCompatibilityTest {
     private static final String DESCRIPTION = """
@@ -51,7 +50,7 @@
         }
     }
 
-    /** Puts a value into the state service, as if a controller had written it. */
+    /** Writes a value to the state store, as a controller would. */
     private static void store(SimulatedCluster cluster, String key, String text) {
         ObjectNode change = MessagePackCodec.map().put("write", key);
         change.set("v", json(text));
@@ -72,7 +71,7 @@
         return answer.body();
     }
 
-    /** The keys of an answer with empty values; of a list the first entry. */
+    /** Returns an answer with all values blanked and lists reduced to their first entry. */
     private static JsonNode keys(JsonNode node) {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         if (node.isObject()) {
@@ -265,7 +264,7 @@
                     + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000456,\"fails\":0,"
                     + "\"away\":[\"b\",12,\"" + phase + "\",2,1700000030000],\"again\":\"\",\"claims\":[]}";
             cell.jobs.put(id, Submission.parse(json(DESCRIPTION.formatted(id, "group"))));
-            // Each is asked for at the moment when it is stored, before it goes on.
+            // Each delegation is queried right after it is stored, before its state changes.
             store(cell, "ds/job/" + id, stored);
             ObjectNode delegation = delegation(cell, id);
             delegation.remove("waits");
@@ -274,7 +273,7 @@
                             + phase.toLowerCase(Locale.ROOT) + "','transfers':2,'notBefore':'2023-11-14T22:13:50Z'}",
                     text(delegation));
         }
-        // The other cell has taken the one that was offered by now, and has told of it.
+        // The other cell has accepted the offered job by now and has reported that.
         ObjectNode taken = delegation(cell, "wk-000900");
         assertEquals("accepted", taken.path("phase").asText());
         assertTrue(List.of("QUEUED", "BEGUN").contains(taken.path("told").asText()), taken.toString());
--- a/src/test/java/org/dunespindle/sim/AdminTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminTest.java
@@ -89,7 +89,7 @@
         return fail("no team " + name + " in " + teams);
     }
 
-    /** What a team's limit rests on here: its record, and this controller's account with it. */
+    /** A team's answer shows the basis of its limit: the stored record and the controller's share of it. */
     @Test
     void teamsTellWhatTheirLimitRestsOn() {
         SimulatedCluster cluster = running();
@@ -108,7 +108,7 @@
             placed += there.path("placedWithinShare").asLong()
                     + there.path("placedWithNewRecord").asLong();
         }
-        assertTrue(placed > 0, "no controller tells of a placement");
+        assertTrue(placed > 0, "no controller reports a placement");
     }
 
     @Test
@@ -128,7 +128,7 @@
         get(cluster, "/v1/hosts")
                 .body()
                 .path("hosts")
-                .forEach(h -> assertTrue(!h.path("id").asText().equals(host), "still there"));
+                .forEach(h -> assertTrue(!h.path("id").asText().equals(host), "the drained machine is still listed"));
         assertEquals(java.util.List.of(), cluster.broken);
         assertEquals("done", cluster.lastTold("wk-000001"));
     }
--- a/src/test/java/org/dunespindle/sim/ClusterSettings.java
+++ b/src/test/java/org/dunespindle/sim/ClusterSettings.java
@@ -9,12 +9,12 @@
 
 /** The settings of a simulated cluster's controllers. */
 final class ClusterSettings {
-    /** From so many machines on teams' limits follow the size of the cluster. */
+    /** Clusters of more machines than this have team limits in proportion to their size. */
     static final int LARGE = 100;
 
     private ClusterSettings() {}
 
-    /** The settings of one controller as it starts now. */
+    /** Returns the settings of a controller that starts now. */
     static Settings of(SimulatedCluster cluster, int node) {
         JsonNode file =
                 TestSettings.node("n" + node, "127.0.0.1:1", "127.0.0.1:2", "cloud:1", "state:1", seedsBeside(node));
--- a/src/test/java/org/dunespindle/sim/ClusterShape.java
+++ b/src/test/java/org/dunespindle/sim/ClusterShape.java
@@ -5,21 +5,21 @@
 import org.dunespindle.storage.FormatVersion;
 
 /**
- * How a simulated cluster is laid out.
+ * The configuration of a simulated cluster.
  *
- * @param mostMachines how many machines the cloud rents at most
- * @param nameStep how far apart machines' names are: the further, the fewer of them share a record
+ * @param mostMachines the highest number of machines that the cloud rents out
+ * @param nameStep the distance between the numbers in machine names; machines whose names differ only in the last digit share a record
  * @param format the newest stored format that controllers announce
- * @param limits the most accelerators of each team; a large cluster sets its own
- * @param stateRates the rates that the state service keeps to; empty if it takes whatever comes
+ * @param limits the accelerator limit of each team; ignored by a large cluster, whose limits follow its size
+ * @param stateRates the rate limits of the state store; empty if unlimited
  */
 record ClusterShape(
         int mostMachines, int nameStep, int format, Map<String, Integer> limits, Optional<StateRates> stateRates) {
-    /** The limits of most clusters, less than half of the machines. */
+    /** The default limits, less than half of the slots of all machines. */
     static final Map<String, Integer> USUAL_LIMITS =
             Map.of("red", SimulatedCluster.QUOTA_RED, "blue", SimulatedCluster.QUOTA_BLUE);
 
-    /** Requests and changes a second that the state service takes of all controllers together, as the settings name them. */
+    /** Requests and key changes per second that the state store accepts from all controllers together; the settings name the same values. */
     record StateRates(double requests, double writes) {}
 
     static ClusterShape of(int mostMachines, int nameStep) {
@@ -39,7 +39,7 @@
         return new ClusterShape(mostMachines, nameStep, format, limits, Optional.of(new StateRates(requests, writes)));
     }
 
-    /** Whether teams' limits follow the size of the cluster. */
+    /** Whether team limits are in proportion to the size of the cluster. */
     boolean large() {
         return mostMachines > ClusterSettings.LARGE;
     }
--- a/src/test/java/org/dunespindle/sim/ClusterTest.java
+++ b/src/test/java/org/dunespindle/sim/ClusterTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole controllers against stand-ins in virtual time, through failures drawn from fixed seeds. */
+/** Controllers against a simulated environment in virtual time, without faults and with faults drawn from fixed seeds. */
 class ClusterTest {
     static Submission job(String id, String team, JobKind shape, int tasks, boolean sameZone, boolean spot) {
         return SubmissionBuilder.submission(id)
@@ -110,7 +110,7 @@
     @Test
     void controllersThatStartAnewDoNotReturnMachinesTheyHaveNotHeardYet() {
         var cluster = new SimulatedCluster(14);
-        // One service keeps a machine in use, far beyond three times its boot time.
+        // A service keeps a machine in use for far longer than three times its boot time.
         cluster.submit(job("wk-000001", "red", JobKind.SERVICE, 2, false, false));
         cluster.sim.run(Duration.ofSeconds(100));
         int before = cluster.returned;
@@ -159,7 +159,7 @@
         List<String> ids = submitMix(cluster, 6);
         cluster.sim.run(Duration.ofSeconds(400));
         assertAllDone(cluster, ids);
-        assertEquals(null, cluster.worker(0), "idle machines are given back, the late ones too");
+        assertEquals(null, cluster.worker(0), "idle machines are terminated, the ones rented late too");
     }
 
     @ParameterizedTest
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Two troubles that meet, each meeting brought about on purpose; that it took place is checked too. */
+/** Combinations of two or more faults, each brought about deliberately. The tests also assert that the combination took place. */
 class CombinedFailuresTest {
-    /** Long tasks, placed and running. */
+    /** Submits arrays of five-minute tasks and runs the cluster until they are placed and running. */
     private static List<String> longJobs(SimulatedCluster cluster, int count) {
         cluster.taskTime = Optional.of(Duration.ofMinutes(5));
         var ids = new ArrayList<String>();
@@ -41,7 +41,7 @@
         return (node + by) % 3;
     }
 
-    /** Cancels jobs through one controller; all are confirmed there when this ends, and at most a few milliseconds ago. */
+    /** Cancels jobs through one controller and returns within a few milliseconds of the last confirmation. */
     private static void cancelAt(SimulatedCluster cluster, int node, List<String> ids) {
         cluster.usersAt = node;
         ids.forEach(cluster::cancel);
@@ -55,8 +55,7 @@
     }
 
     /**
-     * The gap: the leader alone is refused, cancellations are confirmed elsewhere, then nobody reaches the state service for longer than
-     * {@code cancel_s}. Its workers go on reporting to the leader, which has never read of them.
+     * The state store rejects only the leader, other controllers confirm cancellations, then the store is down for longer than {@code cancel_s}. Workers keep sending heartbeats to the leader, which has never read the cancellations from the store: it must learn of them from its peers.
      */
     @ParameterizedTest
     @ValueSource(longs = {301, 302, 303, 304, 305})
@@ -78,13 +77,13 @@
                         .filter(w -> gone.stream().anyMatch(w::holds))
                         .map(FakeWorker::id)
                         .toList(),
-                "told by the others, the leader stops them at once");
+                "the leader stops them at once when its peers report the cancellations");
         cluster.sim.run(begun.plus(SimulatedCluster.CANCEL).plusSeconds(15));
         assertEquals(List.of(), cluster.broken);
         assertEquals(
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
-                "leases that ran out though every cancellation is known");
+                "leases that expired although every cancellation is known");
         cluster.refusedNode = -1;
         cluster.state.recover();
         ids.subList(4, 8).forEach(cluster::cancel);
@@ -93,7 +92,7 @@
         assertEquals(List.of(), cluster.startsAfterCancel);
     }
 
-    /** The same with controllers that cannot talk, or one that has ended: then only the leases of its workers can end what was cancelled. */
+    /** The same fault, but controllers cannot reach one another or the confirming controller has crashed: only lease expiry on the leader's workers can end the cancelled tasks. */
     @ParameterizedTest
     @ValueSource(longs = {311, 312, 313, 314, 315, 316})
     void whatNobodyCanTellTheLeaderEndsWithTheLeases(long seed) {
@@ -107,7 +106,8 @@
         cancelAt(cluster, confirms, ids.subList(0, 4));
         cluster.state.out = true;
         if (!cluster.peersRefuse) {
-            cluster.crash(confirms, Duration.ofSeconds(2)); // what comes back cannot read, so it cannot tell
+            // Once restarted, it cannot read the store, so it has nothing to report to its peers.
+            cluster.crash(confirms, Duration.ofSeconds(2));
         }
         cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL).plusSeconds(25));
         assertEquals(List.of(), cluster.broken);
@@ -120,9 +120,7 @@
     }
 
     /**
-     * Who hears whom, how long messages between controllers are held, who is refused, who ends or stands still, how long nobody reaches the
-     * state service: all drawn, and cancellations come through whichever controller can store them. What a controller concludes from
-     * the others' answers must hold in all of it.
+     * Random partitions between controllers, delays of their messages, a controller rejected by the store, crashes, freezes and a store outage; cancellations go through a controller that the store accepts. A controller's conclusions from its peers' answers must be correct in every combination.
      */
     @ParameterizedTest
     @MethodSource("gaps")
@@ -174,7 +172,7 @@
         return mix;
     }
 
-    /** Moments drawn so that the troubles meet in any order. */
+    /** Draws a time within 4 s of the given one, so that faults start in any order. */
     private static Duration near(RandomFaultSchedule mix, int second) {
         return Duration.ofMillis(second * 1000L + mix.cluster().sim.random.nextInt(4000));
     }
@@ -186,7 +184,7 @@
         }
     }
 
-    /** Workers and users go on reaching the old leader; what the new one confirms as cancelled must end there too. */
+    /** The old leader is partitioned from the state store and its peers, but not from workers and users. Jobs whose cancellation the new leader confirms must end on the old leader's machines too. */
     @ParameterizedTest
     @ValueSource(longs = {321, 322, 323, 324})
     void jobsAreCancelledThroughTheNewLeaderWhileTheOldOneIsCutOff(long seed) {
@@ -227,7 +225,7 @@
         assertKept(mix, "held report");
     }
 
-    /** The old leader's share of the limit, its placements, holds and stops: none of them may be used twice or be lost. */
+    /** The leader changes ten times within two minutes, also during a store outage. Quota shares, placements, placeholders and stops of former leaders must be neither lost nor applied twice. */
     @ParameterizedTest
     @ValueSource(longs = {341, 342, 343, 344})
     void leadersChangeTenTimesInTwoMinutesAlsoInAnOutage(long seed) {
@@ -248,8 +246,7 @@
     }
 
     /**
-     * The leader ends while placeholders fetch and is back within a second. It takes its pages again, for the lead still bears its name, but
-     * another controller is elected: all placeholders then wait on machines that the leader does not command.
+     * The leader crashes while placeholders fetch their images and restarts within a second. It takes its machine records again because the leader record still names it, but another controller is elected: then all placeholders wait on machines that the new leader does not own.
      */
     @ParameterizedTest
     @MethodSource("formerLeaders")
@@ -260,7 +257,8 @@
         while (!mode(cluster, "wk-000001").equals("HOLD")
                 || !mode(cluster, "wk-000002").equals("HOLD")) {
             cluster.sim.run(cluster.sim.now().plusMillis(10));
-            assertTrue(cluster.sim.now().compareTo(Duration.ofSeconds(60)) < 0, "no placeholder was placed");
+            assertTrue(
+                    cluster.sim.now().compareTo(Duration.ofSeconds(60)) < 0, "no placeholder was placed within 60 s");
         }
         int old = cluster.leader();
         cluster.crash(old, Duration.ofMillis(200 + 37 * (seed % 20)));
@@ -272,7 +270,7 @@
         for (String id : List.of("wk-000001", "wk-000002")) {
             assertTrue(
                     List.of("running", "done").contains(cluster.lastTold(id)),
-                    id + " waits for its timer, all placed: " + cluster.rules.dump());
+                    id + " still waits for its placement timeout: " + cluster.rules.dump());
         }
         assertEquals(List.of(), cluster.broken);
     }
@@ -287,7 +285,7 @@
         return LongStream.range(from, from + Integer.getInteger("former.count", 10));
     }
 
-    /** Commands reach it and are answered, but its lease runs out again and again: it must not be given task after task. */
+    /** The heartbeats of a machine are lost while commands reach it and are answered, so its lease expires again and again. It must get no new tasks and must be terminated. */
     @ParameterizedTest
     @ValueSource(longs = {361, 362, 363})
     void aMuteMachineGetsNothingNewAndIsReturned(long seed) {
@@ -301,14 +299,14 @@
         mute.mute(true);
         cluster.sim.run(Duration.ofSeconds(30));
         long held = mute.held();
-        assertEquals(0, held, "tasks are started on it though its leases run out");
+        assertEquals(0, held, "tasks are started on it although its leases expire");
         cluster.sim.run(Duration.ofSeconds(75));
-        assertTrue(mute.dead(), "it is kept");
+        assertTrue(mute.dead(), "the machine was not terminated");
         cluster.sim.run(Duration.ofSeconds(300));
         ClusterTest.assertAllDone(cluster, ids);
     }
 
-    /** Each ends long after the others, the leader changes in between; done is told within 3 s of the last end, and never before. */
+    /** The tasks of a job complete far apart with leader changes in between. The job must be reported as done within 3 s of the completion of its last task, and never before. The test checks the latter; simulated users poll too seldom for the former. */
     @ParameterizedTest
     @ValueSource(longs = {371, 372, 373, 374})
     void tasksOfAJobEndFarApartAcrossAChangeOfLeader(long seed) {
@@ -333,14 +331,14 @@
         for (String id : ids) {
             Duration last = cluster.completedAt(id).orElseThrow();
             if (last.compareTo(calm) > 0) {
-                // The stand-in's user asks every five seconds, more or less.
+                // The simulated user polls about every five seconds.
                 assertEquals(200, cluster.poll(0, id).join().status());
             }
             assertTrue(cluster.toldOverAt(id).orElseThrow().compareTo(last) >= 0, id);
         }
     }
 
-    /** Some of the machines are unreachable when the leader ends, others do not hear the answers of the new one. */
+    /** When the leader crashes, some machines with long tasks are disconnected and others cannot receive messages. */
     @ParameterizedTest
     @ValueSource(longs = {381, 382, 383, 384, 385})
     void aLeaderEndsWhileMachinesWithLongTasksCannotBeReached(long seed) {
@@ -364,7 +362,7 @@
         assertKept(mix, "unreachable machines");
     }
 
-    /** Commands and answers are held for seconds, then the machine goes on as if nothing had been; some of its jobs are cancelled by then. */
+    /** All machines hang several times for up to 9 s, which delays commands and answers, and jobs are cancelled meanwhile. */
     @ParameterizedTest
     @ValueSource(longs = {391, 392, 393, 394, 395})
     void commandsAreHeldUpAndTheMachineGoesOn(long seed) {
@@ -392,7 +390,7 @@
         assertKept(mix);
     }
 
-    /** Urgent work and other work, more than there is room for, while every message takes long. */
+    /** Urgent and low-priority jobs exceed the capacity while every message is delayed by 250 ms. */
     @ParameterizedTest
     @ValueSource(longs = {411, 412})
     void moreWorkThanRoomOverSlowLinks(long seed) {
@@ -404,8 +402,7 @@
     }
 
     /**
-     * A team at its limit, the leader changes, some of its machines cannot be asked, and one of its jobs is cancelled meanwhile: its use
-     * counts until the proof.
+     * The leader changes while a team is at its limit, one of its machines is disconnected and a job on it is cancelled. The use of that job counts until its tasks are proven to have ended.
      */
     @ParameterizedTest
     @ValueSource(longs = {421, 422, 423, 424, 425})
@@ -433,7 +430,7 @@
         }
     }
 
-    /** One controller hands over and takes back, then all end and one returns within a second, the others much later. */
+    /** A controller crashes and rejoins, then all crash; one restarts within a second, the others 18 and 25 s later. */
     @ParameterizedTest
     @ValueSource(longs = {431, 432, 433, 434})
     void controllersHandOverAndBackThenAllEndAndOneReturns(long seed) {
@@ -449,7 +446,7 @@
         assertKept(mix);
     }
 
-    /** Transactions without an answer are carried out seconds later, after newer ones of the same controller, while leaders change. */
+    /** The answers of a quarter of the transactions are lost and these are applied seconds later, after newer ones of the same controller, while leaders change and jobs are cancelled. */
     @ParameterizedTest
     @ValueSource(longs = {441, 442, 443, 444, 445})
     void transactionsAreCarriedOutLateAfterNewerOnes(long seed) {
@@ -464,8 +461,7 @@
     }
 
     /**
-     * Old reports, of earlier sessions too since leases run out meanwhile, arrive long after newer ones, also at controllers that have
-     * just started.
+     * Delayed duplicates of heartbeats arrive up to 38 s late, after newer ones, also at controllers that have just started. Some are from earlier sessions because leases expire meanwhile.
      */
     @ParameterizedTest
     @ValueSource(longs = {451, 452, 453, 454})
@@ -487,8 +483,7 @@
     }
 
     /**
-     * Cancellation, question and repeated submission at the very moment of a job's end, with no other trouble: done and cancelled are
-     * never both told.
+     * A job is cancelled, polled and resubmitted at the moment of its completion, without other faults. It must never be reported as both done and cancelled.
      */
     @ParameterizedTest
     @ValueSource(longs = {461, 462, 463, 464})
@@ -499,10 +494,10 @@
         assertKept(mix, "cancelled at its end");
         assertTrue(
                 mix.cluster().met.get("cancelled at its end") >= mix.ids().size(),
-                "every job is called off at its end: " + mix.cluster().met);
+                "not every job was cancelled at its completion: " + mix.cluster().met);
     }
 
-    /** The state service answers slowly, then refuses the leader, then everybody for longer than {@code cancel_s}, while users cancel and ask. */
+    /** The state store is slow, then rejects the leader, then all controllers for longer than {@code cancel_s}, while users cancel and poll jobs. */
     @ParameterizedTest
     @ValueSource(longs = {471, 472, 473, 474})
     void aSlowStateServiceRefusesTheLeaderAndThenEverybody(long seed) {
@@ -521,7 +516,7 @@
         assertKept(mix, "CANCEL_NOW");
     }
 
-    /** Jobs bound to a zone, arrays that must stay apart among them, lose machines while the leader changes. */
+    /** Four machines are lost while the leader changes. The jobs include arrays spread over zones and jobs bound to a zone. */
     @ParameterizedTest
     @ValueSource(longs = {481, 482, 483, 484})
     void jobsBoundToAZoneLoseMachines(long seed) {
--- a/src/test/java/org/dunespindle/sim/ControllerProcess.java
+++ b/src/test/java/org/dunespindle/sim/ControllerProcess.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import org.dunespindle.federation.FederationSettings;
 
-/** A controller as a process of its own, started with the deploy file's command line; Linux tells what it uses. */
+/** A controller in a separate process, started with the deployment file's command line. Its resource usage is read from Linux's /proc. */
 final class ControllerProcess implements LoopbackCells.Running {
-    /** Ticks of processor time in a second, as Linux counts them for every program. */
+    /** Clock ticks per second (USER_HZ) in /proc. */
     private static final int TICKS_PER_SECOND = 100;
 
     private static final int USER_TICKS_AFTER_NAME = 11;
@@ -23,7 +23,7 @@
     /**
      * Starts a controller.
      *
-     * @param federated whether its features file switches the federation on
+     * @param federated whether its features file enables federation
      */
     ControllerProcess(Path folder, String cell, JsonNode settings, FederationSettings federation, boolean federated)
             throws IOException {
@@ -61,7 +61,7 @@
         return text.toString();
     }
 
-    /** Processor time used so far. */
+    /** Returns the user and system processor time used so far. */
     Duration processorTime() throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -69,7 +69,7 @@
         return Duration.ofMillis(ticks * 1000 / TICKS_PER_SECOND);
     }
 
-    /** The most memory that it has held so far, in MB. */
+    /** Returns the peak resident memory in MB. */
     double mostMemory() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith("VmHWM:")) {
@@ -79,7 +79,7 @@
         throw new IOException("the process has ended");
     }
 
-    /** Ends at once, as a crash does. */
+    /** Kills the process without a shutdown, like a crash. */
     @Override
     public void close() {
         process.destroyForcibly();
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is checked at a day's end, each trouble by itself, with whole controllers in virtual time. */
+/** Single faults in a cluster in virtual time: jobs complete, machines in use are kept and invariants hold. */
 class FailureTest {
     private static String hosts(SimulatedCluster cluster) {
         return cluster.admin(0, "GET", "/v1/hosts", "")
@@ -35,7 +35,7 @@
         FakeWorker deaf = cluster.worker((int) seed % 3);
         deaf.oneWay(true);
         cluster.sim.run(Duration.ofSeconds(60));
-        assertTrue(deaf.dead(), "its reports alone kept it");
+        assertTrue(deaf.dead(), "the machine was not terminated although it accepts no commands");
         cluster.sim.run(Duration.ofSeconds(300));
         ClusterTest.assertAllDone(cluster, ids);
     }
@@ -47,8 +47,8 @@
         cluster.sim.run(Duration.ofSeconds(20));
         FakeWorker deaf = cluster.worker(0);
         deaf.oneWay(true);
-        cluster.sim.run(
-                Duration.ofSeconds(33)); // its lease is over by now and its tasks are gone, but its reports go on
+        // Its lease has expired and its tasks are gone, but its heartbeats still arrive.
+        cluster.sim.run(Duration.ofSeconds(33));
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.ARRAY, 6, false, false));
         cluster.sim.run(Duration.ofSeconds(36));
         assertTrue(
@@ -78,7 +78,7 @@
         cluster.sim.run(Duration.ofSeconds(300));
         ClusterTest.assertAllDone(cluster, ids);
         assertEquals(List.of(), cluster.alive().stream().map(FakeWorker::id).toList());
-        assertEquals("[]", hosts(cluster), "copies of reports rebuilt machines that were returned");
+        assertEquals("[]", hosts(cluster), "duplicated heartbeats recreated records of terminated machines");
     }
 
     @Test
@@ -96,7 +96,7 @@
         cluster.sim.run(Duration.ofSeconds(75));
         assertTrue(
                 cluster.alive().stream().anyMatch(w -> w.tasks().iterator().hasNext()),
-                "the task runs elsewhere while copies of its machine's reports still come");
+                "the task did not move while duplicated heartbeats of its dead machine arrive");
         assertEquals(List.of(), cluster.broken);
     }
 
@@ -121,7 +121,7 @@
                 "leases that ran out");
     }
 
-    /** The workers' lease is 10 s: when the first controller is back, too little is left of it to leave the others' machines to them first. */
+    /** All controllers crash and one restarts after 5.3 s. The worker lease is 10 s, so the restarted controller must answer heartbeats of all workers at once instead of leaving the machines of the others to them first. */
     @ParameterizedTest
     @ValueSource(longs = {93, 94, 95, 96, 97, 98})
     void workersOutliveACrashOfAllControllers(long seed) {
@@ -133,8 +133,8 @@
         for (int n = 0; n < 3; n++) {
             cluster.crash(n, n == 0 ? Duration.ofMillis(5300) : Duration.ofSeconds(20));
         }
-        cluster.sim.run(
-                cluster.sim.now().plusMillis(6300)); // one is back, and has not taken over the others' machines yet
+        // By then one has restarted, but has not taken over the others' machines yet.
+        cluster.sim.run(cluster.sim.now().plusMillis(6300));
         for (FakeWorker w : all) {
             assertEquals(200, cluster.answer(0, w), w.id());
         }
@@ -172,7 +172,7 @@
             cluster.sim.after(6000L + k * 5200L, () -> {
                 int leader = Math.max(0, cluster.leader());
                 cluster.crash(leader, Duration.ofMillis(50 + cluster.sim.random.nextInt(400)));
-                // The next one goes while the election and the take-over are under way.
+                // The next controller crashes during the election and the take-over of machines.
                 cluster.sim.after(
                         300 + cluster.sim.random.nextInt(4500),
                         () -> cluster.crash((leader + 1) % 3, Duration.ofMillis(100)));
@@ -182,7 +182,7 @@
         ClusterTest.assertAllDone(cluster, ids);
     }
 
-    /** A machine of a running gang is about to be taken away, so the gang saves; the controllers crash in those seconds. */
+    /** A spot interruption notice for a machine of a running gang makes the gang write a checkpoint; all controllers crash during those seconds. */
     @ParameterizedTest
     @ValueSource(longs = {105, 106, 107, 108, 109, 110})
     void allControllersCrashWhileAGangSaves(long seed) {
@@ -243,8 +243,8 @@
 
     @Test
     void aJobOnMoreMachinesThanATransactionGuardsIsRecorded() {
-        // Names far apart: every machine has a record of its own, and there are more of them than one transaction may
-        // guard.
+        // A name step of 10 gives every machine its own record: more records than one transaction may have
+        // preconditions.
         var cluster = new SimulatedCluster(121, 90, 10);
         cluster.submit(SubmissionBuilder.submission("wk-000001")
                 .priority(Priority.LOW)
@@ -266,7 +266,7 @@
         ClusterTest.assertAllDone(cluster, List.of("wk-000001", "wk-000002"));
     }
 
-    /** Small jobs keep coming, from the gang's own team and from another one that borrows beyond its guarantee. */
+    /** Small jobs arrive continuously from the gang's team and from another team that exceeds its guarantee. They must not starve the gang. */
     @ParameterizedTest
     @ValueSource(strings = {"URGENT", "NORMAL"})
     void aLargeGangBeginsWithinFourMinutes(String priority) {
@@ -300,7 +300,7 @@
                 cluster.admin(0, "GET", "/v1/jobs/wk-000001", "").join().body().toString());
     }
 
-    /** Controllers that stand still while their clocks go on, the leader first, at any stage of placing, replacing, saving and cancelling. */
+    /** Controllers freeze while their clocks advance, the leader first, at any stage of placing, rescheduling, checkpointing and cancelling. */
     @ParameterizedTest
     @ValueSource(longs = {141, 142, 143, 144, 145, 146, 147, 148, 149, 150})
     void controllersStandStillAtAnyStage(long seed) {
@@ -324,7 +324,7 @@
         assertTrue(List.of("done", "cancelled").contains(cluster.lastTold(ids.get(9))));
     }
 
-    /** What an earlier owner told last may be minutes old, since a machine that is up is told of once. */
+    /** Two controllers crash and the third takes over their machines. A running machine is reported only once, so the last contact reported by a former owner may be minutes old and must not count against the machine. */
     @ParameterizedTest
     @ValueSource(longs = {161, 162, 163, 164})
     void machinesOfACrashedControllerAreKept(long seed) {
@@ -347,7 +347,7 @@
         assertEquals(List.of(), cluster.broken);
     }
 
-    /** Nobody else could take over: what it has not heard, it could not hear. */
+    /** A controller freezes while the others are down. It received no heartbeats because it was frozen, so it must not terminate machines for missing ones. */
     @ParameterizedTest
     @ValueSource(ints = {14, 19, 27})
     void aControllerThatStoodStillReturnsNoMachineForItsSilence(int seconds) {
@@ -358,7 +358,7 @@
         cluster.crash((leader + 1) % 3, Duration.ofSeconds(200));
         cluster.crash((leader + 2) % 3, Duration.ofSeconds(200));
         cluster.sim.run(Duration.ofSeconds(75));
-        // Its workers can't reach it right after it wakes: what it has last heard of them is old by then.
+        // Its workers cannot reach it right after it wakes, so their last heartbeats are old by then.
         List<FakeWorker> all = cluster.alive();
         List<FakeWorker> used =
                 all.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
@@ -373,7 +373,7 @@
         assertEquals(List.of(), cluster.broken);
     }
 
-    /** It would keep the lead and its machines, answer for neither, and give the machines back as silent. */
+    /** A controller partitioned from all workers must give up leadership and its machines; otherwise it would terminate the machines for missing heartbeats. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void aControllerThatHasLostItsWorkersStepsAside(int offset) {
@@ -389,7 +389,7 @@
         cluster.deafNode = deaf;
         cluster.sim.run(Duration.ofSeconds(110));
         if (offset == 0) {
-            assertTrue(cluster.leader() >= 0 && cluster.leader() != deaf, "it still leads");
+            assertTrue(cluster.leader() >= 0 && cluster.leader() != deaf, "it is still the leader");
         }
         assertEquals(
                 List.of(),
@@ -407,14 +407,14 @@
                         .body()
                         .toString()
                         .contains("n" + deaf),
-                "it does not take part again");
+                "it did not rejoin");
         List<String> ids = List.of("wk-000003", "wk-000004");
         ids.forEach(id -> cluster.submit(ClusterTest.job(id, "red", JobKind.ARRAY, 2, false, false)));
         cluster.sim.run(Duration.ofSeconds(200));
         assertEquals(List.of(), cluster.broken);
     }
 
-    /** The leader hears nothing of the others' machines for far longer than a lease; the others hear them all the time. */
+    /** The leader gets no information on machines of other controllers for far longer than a lease, while those controllers receive their heartbeats throughout. */
     @ParameterizedTest
     @ValueSource(longs = {181, 182, 183})
     void machinesOfControllersThatCannotTalkToTheLeaderAreKept(long seed) {
@@ -437,7 +437,7 @@
         assertEquals(List.of(), cluster.broken);
     }
 
-    /** A service that may run in one zone only, wherever machines would be rented otherwise. */
+    /** Returns a service that may run in one zone only. */
     private static Submission serviceIn(String zone, String id, String team, int replicas) {
         Submission anywhere = ClusterTest.job(id, team, JobKind.SERVICE, replicas, false, false);
         return SubmissionBuilder.submission(anywhere.id())
@@ -461,10 +461,10 @@
                 .build();
     }
 
-    /** Held reports arrive all at once when a cut ends; that commands did not arrive before says nothing about after. */
+    /** Machines are disconnected for longer than a lease and the leader crashes. When the disconnection ends, all delayed messages arrive at once, and commands that failed before must not count against the machines. */
     @ParameterizedTest
     @CsvSource({"191, 27", "192, 27", "193, 27", "191, 33", "192, 33", "193, 33"
-    }) // a new leader gives up what it never heard after 25 s
+    }) // a new leader gives up a machine without a heartbeat after 25 s
     void machinesAreKeptWhenTheirCutEnds(long seed, int seconds) {
         var cluster = new SimulatedCluster(seed, 7, 10);
         cluster.submit(serviceIn("east", "wk-000001", "red", 10));
@@ -476,8 +476,8 @@
                 cut.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
         assertTrue(cut.size() >= 4 && !used.isEmpty());
         cut.forEach(w -> cluster.cut(w, Duration.ofSeconds(seconds)));
-        cluster.crash(
-                cluster.leader(), Duration.ofSeconds(8)); // the next one takes machines over that it cannot command yet
+        // The next leader takes over machines that it cannot reach yet.
+        cluster.crash(cluster.leader(), Duration.ofSeconds(8));
         cluster.sim.run(Duration.ofSeconds(125));
         assertEquals(
                 List.of(),
@@ -487,8 +487,7 @@
     }
 
     /**
-     * Three controllers in two zones: the one alone in its zone is cut off, or the two together, with the leader on either side; some
-     * crash meanwhile.
+     * Three controllers in two zones: a partition isolates either the zone with one controller or the one with two, with the leader on either side. A controller crashes meanwhile.
      */
     @ParameterizedTest
     @CsvSource({"211, west, 2", "212, west, 0", "213, east, 0", "214, east, 2", "215, west, 1", "216, east, 1"})
--- a/src/test/java/org/dunespindle/sim/FakeCloud.java
+++ b/src/test/java/org/dunespindle/sim/FakeCloud.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.dunespindle.protocol.MessagePackCodec;
 
-/** The cloud of a simulated cluster: rents, returns and lists machines. */
+/** The cloud provider of a simulated cluster: rents, terminates and lists machines. Repeated rentals of one request id are idempotent. */
 final class FakeCloud {
     private final SimulatedCluster cluster;
     private final Map<String, List<String>> rentalRequests = new HashMap<>();
@@ -17,7 +17,7 @@
         this.cluster = cluster;
     }
 
-    /** Answers a request. */
+    /** Returns the response to a request of a controller. */
     FakeStateStore.Reply answer(String target, JsonNode body) {
         ObjectNode n = MessagePackCodec.map();
         if (target.startsWith("/catalog")) {
--- a/src/test/java/org/dunespindle/sim/FakeStateStore.java
+++ b/src/test/java/org/dunespindle/sim/FakeStateStore.java
@@ -12,16 +12,16 @@
 import java.util.TreeMap;
 import org.dunespindle.protocol.MessagePackCodec;
 
-/** The state service as the protocol describes it. Its rates are unlimited until a test sets them. */
+/** An in-memory state store that implements the protocol of the real one. Its rates are unlimited until a test sets them. */
 public final class FakeStateStore {
     private static final int MOST_BYTES = 64 << 10;
     private int txnOps = 16;
     private int valueBytes = 8 << 10;
     private Optional<RateLimit> requests = Optional.empty();
     private Optional<RateLimit> writes = Optional.empty();
-    /** Transactions refused for what they hold. */
+    /** The number of transactions rejected for their size. */
     public int refusedAsTheyAre;
-    /** Requests and transactions refused since they came too fast. */
+    /** The number of requests and transactions rejected by a rate limit. */
     public int refusedTooFast;
 
     private Optional<Listener> listener = Optional.empty();
@@ -34,19 +34,19 @@
     private long nextLease = 1;
     public boolean out;
 
-    /** Is told of what becomes of the store. */
+    /** Observes changes of the stored data. */
     interface Listener {
-        /** A transaction was applied. */
+        /** Called after a transaction was applied. */
         void applied(long revision, Map<String, Optional<JsonNode>> changes);
 
-        /** The store holds something else from now on. */
+        /** Called after the store was restored from an older snapshot. */
         void putBack(Map<String, Row> rows);
     }
 
-    /** A key's value, revision and lease. */
+    /** A key's value, revision ({@code stamp}) and lease; lease 0 means none. */
     record Row(JsonNode value, long stamp, long lease) {}
 
-    /** An answer of a stand-in. */
+    /** A response of a simulated service or worker. */
     record Reply(int status, JsonNode body) {}
 
     FakeStateStore(VirtualTime sim) {
@@ -143,13 +143,13 @@
         }
     }
 
-    /** After an outage every lease has its full time again. */
+    /** Ends an outage and renews every lease to its full duration. */
     void recover() {
         out = false;
         leases.replaceAll((id, t) -> sim.now().plusMillis(ttl.get(id)));
     }
 
-    /** The service's operators put back what it held some time ago; its log begins anew, at the revision of that time. */
+    /** Restores an older snapshot without leased keys, as an operator would. The change log restarts just above the snapshot's highest revision. */
     void putBack(Map<String, Row> before) {
         rows.clear();
         before.forEach((key, row) -> {
@@ -168,27 +168,27 @@
         log.add(MessagePackCodec.map().put("remove", key).put("stamp", epoch));
     }
 
-    /** From now on the service takes less, and nobody is told. */
+    /** Lowers the limits of the store without notice. */
     void lower(int newValueBytes, int newTxnOps, double newWritesPerSecond) {
         valueBytes = newValueBytes;
         txnOps = newTxnOps;
         writes = Optional.of(new RateLimit(sim, newWritesPerSecond));
     }
 
-    /** From now on the service answers 429 to whatever comes faster than these rates, with bursts of one second's worth. */
+    /** Sets rate limits: requests beyond them are answered with 429. Bursts of one second's worth are allowed. */
     void limitRates(double requestsPerSecond, double writesPerSecond) {
         requests = Optional.of(new RateLimit(sim, requestsPerSecond));
         writes = Optional.of(new RateLimit(sim, writesPerSecond));
     }
 
-    /** Has somebody told of all that is stored from now on. */
+    /** Sets the listener for all later changes. */
     void listen(Listener newListener) {
         listener = Optional.of(newListener);
     }
 
     private Reply txn(JsonNode body) {
         int changes = body.path("apply").size();
-        // Transactions with failing conditions count as well.
+        // Transactions with failed preconditions count against the limit as well.
         if (writes.filter(limit -> !limit.allows(changes)).isPresent()) {
             refusedTooFast++;
             return tooMany();
@@ -238,7 +238,7 @@
         return new Reply(200, MessagePackCodec.map().put("epoch", epoch));
     }
 
-    /** The answer to what comes faster than the service takes it. */
+    /** Returns the answer to a request beyond the rate limit. */
     static Reply tooMany() {
         return new Reply(429, MessagePackCodec.map().put("error", "too many"));
     }
--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -8,7 +8,7 @@
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.TaskId;
 
-/** A worker: tokens, sessions, leases, and tasks that fetch, gather, run and end. */
+/** A simulated worker: fencing tokens, lease sessions, and tasks that fetch their image, wait for their gang, run and exit. */
 public final class FakeWorker {
     private static final Duration FETCH = Duration.ofSeconds(2);
     final String id;
@@ -24,31 +24,31 @@
     private int node;
     boolean dead;
     boolean cut;
-    /** When the cloud takes it away, once it has said so. */
+    /** When the cloud terminates the machine; null before the spot interruption notice. */
     Duration takenAt;
-    /** Its reports arrive; answers and commands do not. */
+    /** Cannot receive: its heartbeats arrive, but answers and commands to it are lost. */
     boolean oneWay;
-    /** Its reports arrive nowhere; commands reach it and are answered. */
+    /** Cannot send heartbeats: all of them are lost, while commands reach it and are answered. */
     boolean mute;
-    /** Every task that it starts fails. */
+    /** Every task on it fails. */
     boolean sick;
-    /** Its reports arrive only so much later, long after it has given up waiting for their answers. */
+    /** Its heartbeats arrive {@link #heldFor} late, after it has stopped waiting for their answers. */
     boolean heldReports;
 
     Duration heldFor = Duration.ZERO;
     private Duration hungSince = Duration.ZERO;
     private Duration hungUntil = Duration.ZERO;
 
-    /** The controller that it reports to. */
+    /** Returns the controller that it sends heartbeats to. */
     int reportsTo() {
         return node;
     }
 
-    /** A task on the machine. */
+    /** An attempt to run a task on the machine. */
     final class Task {
         final TaskId task;
         final long attempt;
-        /** When the command to start it arrived. */
+        /** When the start command arrived. */
         final Duration commandedAt = cluster.sim.now();
 
         String phase = "pulling";
@@ -98,19 +98,19 @@
         oneWay = yes;
     }
 
-    /** Its reports are held back for so long from now on; zero ends that. */
+    /** Delays its heartbeats by the given time from now on; zero ends the delay. */
     void holdReports(Duration length) {
         heldReports = !length.isZero();
         heldFor = length;
     }
 
-    /** Where it stands, for whoever looks into a day. */
+    /** Returns session, token, controller and lease age for debugging. */
     String state() {
         return id + "/session " + session + "/token " + token + "/at n" + node + "/lease "
                 + sim.now().minus(leaseFrom).toMillis();
     }
 
-    /** Tasks that take room here. */
+    /** Returns the number of occupied slots. */
     long held() {
         return tasks.values().stream().filter(t -> !t.phase.equals("exited")).count();
     }
@@ -123,11 +123,11 @@
         mute = yes;
     }
 
-    /** Stands still: its tasks make no progress, and what is sent to it waits. Its lease goes on. */
+    /** Hangs: its tasks make no progress and messages to it are delayed, while its lease keeps running out. */
     void hang(Duration length) {
         hungSince = sim.now();
         hungUntil = sim.now().plus(length);
-        sim.after(length.plusMillis(1), this::endLeaseIfDue); // before anything that was sent meanwhile is read
+        sim.after(length.plusMillis(1), this::endLeaseIfDue); // before messages sent during the hang are processed
         tasks.values().forEach(t -> {
             if (t.phase.equals("running")) {
                 t.endsAt = t.endsAt.plus(length);
@@ -139,7 +139,7 @@
         return sim.now().compareTo(hungUntil) <= 0 && hungUntil.compareTo(Duration.ZERO) > 0;
     }
 
-    /** Whether the peers of its gangs have noticed by now that it hangs. */
+    /** Whether it has hung for longer than the timeout after which other gang members abort. */
     boolean hangNoticed() {
         return hung() && sim.now().minus(hungSince).compareTo(SimulatedCluster.GANG_PEER) > 0;
     }
@@ -161,13 +161,13 @@
         return id;
     }
 
-    /** Whether a task of a job is on it. */
+    /** Whether a task of a job holds its place on the machine (neither fetching its image nor exited). */
     boolean holds(String job) {
         return tasks.values().stream()
                 .anyMatch(t -> t.onMachine() && t.task.job().equals(job));
     }
 
-    /** How often its lease has run out, plus one. */
+    /** Returns the number of lease expiries plus one. */
     long session() {
         return session;
     }
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -16,13 +16,13 @@
 import org.dunespindle.protocol.SubmissionBuilder;
 import org.junit.jupiter.api.Test;
 
-/** A large fleet beside a small one through a crash of all controllers: what each needs is counted, and must not grow faster than the fleet. */
+/** Crashes of controllers of large fleets. The number of calls must grow at most in proportion to the fleet, and no task may be lost. */
 class FleetTest {
     private static final int SMALL = 300;
     private static final int TIMES = 5;
     private static final int LARGEST = 4000;
     private static final int TASKS = 50;
-    /** A thousand sockets, of which calls to machines may take an eighth. */
+    /** Calls to workers may use an eighth of 1024 sockets. */
     private static final int MOST_CALLS = 1024 / 8;
 
     private static SimulatedCluster busy(int machines) {
@@ -49,7 +49,7 @@
                 .count();
     }
 
-    /** All machines are busy as before, under the same sessions, and no rule was broken. */
+    /** Asserts that all machines are still busy in the same sessions and that no invariant was violated. */
     private static void assertUnharmed(SimulatedCluster cluster, int machines, long sessions) {
         assertEquals(machines, busyMachines(cluster));
         assertEquals(
@@ -60,7 +60,7 @@
         assertTrue(cluster.mostOpen <= MOST_CALLS, cluster.mostOpen + " calls at once");
     }
 
-    /** What it takes from the crash on until half a minute later. */
+    /** Crashes all controllers and returns the number of calls by kind in the following 30 s. */
     private static Map<String, Integer> crashOfAll(int machines) {
         SimulatedCluster cluster = busy(machines);
         assertEquals(machines, busyMachines(cluster));
@@ -87,13 +87,13 @@
                     large.get(kind) <= small.get(kind) * TIMES * 1.3 + 20,
                     kind + ": " + small + " with " + SMALL + " machines, " + large + " with " + SMALL * TIMES);
         }
-        // What does not depend on machines must not grow with them at all.
+        // Calls between controllers and to the cloud do not depend on the number of machines.
         for (String kind : new String[] {"node", "cloud"}) {
             assertTrue(large.get(kind) <= small.get(kind) * 1.5 + 20, kind + ": " + small + ", " + large);
         }
     }
 
-    /** The size that the service has to stand: start, a new leader and a crash of all, without a task lost. */
+    /** A fleet of the required size starts, then the leader crashes, then all controllers; no task may be lost. */
     @Test
     void fourThousandMachinesOutliveACrashOfTheLeaderAndOfAll() {
         var cluster = busy(LARGEST);
@@ -102,7 +102,7 @@
         int first = cluster.leader();
         cluster.crash(first, Duration.ofSeconds(8));
         cluster.sim.run(Duration.ofSeconds(80));
-        assertTrue(cluster.leader() >= 0 && cluster.leader() != first, "nobody leads");
+        assertTrue(cluster.leader() >= 0 && cluster.leader() != first, "no new leader");
         for (int n = 0; n < 3; n++) {
             cluster.crash(n, Duration.ofMillis(1500 + 700L * n));
         }
@@ -110,7 +110,7 @@
         assertUnharmed(cluster, LARGEST, sessions);
     }
 
-    /** A third of all machines falls silent for longer than a lease, then comes back. */
+    /** A third of all machines is disconnected for longer than a lease. */
     @Test
     void aCutOfAThirdKeepsCallsBounded() {
         SimulatedCluster cluster = busy(SMALL * 2);
@@ -127,7 +127,7 @@
         assertEquals(0, cluster.broken.size(), cluster.broken.toString());
     }
 
-    /** More submissions at once than can be stored while their users wait: the rest is told at once when to come back. */
+    /** More submissions at once than can be stored before their users time out: the excess is rejected at once with a time to retry. */
     @Test
     void whatCannotBeStoredInTimeIsAnsweredAtOnce() {
         var cluster = new SimulatedCluster(202);
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -10,22 +10,22 @@
 import java.util.TreeMap;
 import org.dunespindle.protocol.Submission;
 
-/** Watches over the protocol's rules as the workers of a simulated cluster see them, and over what fails a day. */
+/** Checks the scheduler's invariants against the tasks on the workers of a simulated cluster, and the criteria that a whole run must meet. */
 final class InvariantChecker {
     private static final Duration LONGEST_WAIT = Duration.ofSeconds(90);
     private static final Duration LARGEST_BEGIN = Duration.ofMinutes(4);
     private final SimulatedCluster cluster;
-    /** Tasks that began after their user had been told that the job is cancelled, with what tells whether that could be prevented. */
+    /** Tasks that started after the cancellation of their job had been confirmed, with the details that decide whether this was avoidable. */
     final List<LateStart> lateStarts = new ArrayList<>();
 
     private final Map<String, Duration> waitsBesideRoom = new HashMap<>();
 
     /**
-     * A task that began after its user had been told that the job is cancelled.
+     * A task that started after the cancellation of its job had been confirmed to the user.
      *
-     * @param commandedLater whether even the command to start it came after that
-     * @param after how long after it
-     * @param ownerPauses whether the controller that alone may stop it stands still
+     * @param commandedLater whether the start command, too, arrived after the confirmation
+     * @param after time between the confirmation and the start
+     * @param ownerPauses whether the controller that owns the machine, the only one that may stop the task, is frozen
      */
     record LateStart(String task, boolean commandedLater, Duration after, boolean ownerPauses) {}
 
@@ -33,9 +33,7 @@
         this.cluster = cluster;
     }
 
-    // The rules, seen from the cluster.workers
-
-    /** All tasks that are on a machine. */
+    /** Returns all tasks that hold a place on a live machine. */
     List<FakeWorker.Task> live() {
         var list = new ArrayList<FakeWorker.Task>();
         cluster.workers.values().stream()
@@ -48,7 +46,7 @@
         return list;
     }
 
-    /** Checks teams' limits and cancelled tasks now. */
+    /** Checks that no team exceeds its limit and that no task of a job runs longer than allowed after its cancellation. */
     void quota() {
         var use = new HashMap<String, Integer>();
         for (FakeWorker.Task t : live()) {
@@ -65,7 +63,7 @@
         }
     }
 
-    /** The limits of teams as settings name them for all but large clusters: accelerators. */
+    /** Checks the accelerator limits of teams. Large clusters set other limits and are skipped. */
     void accelerators() {
         if (cluster.shape.large()) {
             return;
@@ -81,7 +79,7 @@
         }
     }
 
-    /** A task starts: checks that it is nowhere else and in a place that its job allows. */
+    /** Checks that a starting task runs nowhere else and that its placement satisfies the job's constraints. */
     void started(FakeWorker worker, FakeWorker.Task started) {
         Submission job = cluster.jobs.get(started.task.job());
         var zones = new HashSet<String>();
@@ -116,7 +114,7 @@
         }
     }
 
-    /** Once the troubles are over, no job waits long while a machine that fits has room and its team is under its limit. */
+    /** Checks, once all faults are over, that no job waits long while a suitable machine has free slots and its team is below its limit. */
     void waits() {
         if (!cluster.calm || cluster.mostMachines != 7) {
             return;
@@ -148,7 +146,7 @@
         }
     }
 
-    /** Tasks of a job that would find room now, in one zone if they must be together. */
+    /** Returns how many tasks of a job fit on the machines now, in a single zone if the job requires one. */
     private int room(Submission job) {
         var perZone = new HashMap<String, Integer>();
         for (FakeWorker w : cluster.workers.values()) {
@@ -168,8 +166,7 @@
     }
 
     /**
-     * What fails a day: an accepted job about which no controller answers any more, a class, a team or a class's largest cluster.jobs of which
-     * less than half are served, and largest cluster.jobs that began late.
+     * Returns the criteria that the run failed: every controller knows every accepted job; of each job class, each team and the largest jobs of each kind at least half are done; the largest jobs started in time; something ran at all.
      */
     List<String> dayFailures() {
         var failures = new ArrayList<String>();
@@ -227,7 +224,7 @@
         return failures;
     }
 
-    /** What is on the machines that live, for whoever looks into a day. */
+    /** Returns the tasks on each live machine as text for debugging. */
     String dump() {
         var text = new StringBuilder("leader " + cluster.leader() + ":");
         cluster.alive().forEach(w -> {
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What operators met on bad nights: faulty jobs, long silences, storms of questions, guests. */
+/** Situations from operation: faulty jobs, faulty machines, long pauses of a controller, bursts of polls, teams without a guarantee. */
 class OperationsTest {
     static Submission array(String id, String team, Priority priority, int tasks) {
         return SubmissionBuilder.submission(id)
@@ -37,7 +37,7 @@
         return LongStream.range(from, from + Integer.getInteger("faulty.count", 4));
     }
 
-    /** They fail on every machine: no machine is given up for them, they take little, and the rest goes on; once cancelled they are gone. */
+    /** Jobs fail on every machine. No machine may be terminated for them, their attempts must stay few, and other jobs proceed. Once cancelled, they end. */
     @ParameterizedTest
     @MethodSource("faultySeeds")
     void jobsSubmittedWithAMistakeHarmNobodyElse(long seed) {
@@ -57,21 +57,23 @@
         int tries = faulty.stream()
                 .mapToInt(id -> cluster.errors.getOrDefault(id, 0))
                 .sum();
-        assertTrue(tries >= 4 && tries < 90, tries + " tries in two and a half minutes");
+        assertTrue(tries >= 4 && tries < 90, tries + " attempts in 150 s");
         assertTrue(cluster.admin(0, "GET", "/v1/jobs/wk-000101", "")
                         .join()
                         .body()
                         .path("failures")
                         .asInt()
                 > 0);
-        assertTrue(cluster.poll(1, "wk-000101").join().body().path("failures").asInt() > 0, "its user is not told");
+        assertTrue(
+                cluster.poll(1, "wk-000101").join().body().path("failures").asInt() > 0,
+                "the user's answer shows no failures");
         faulty.forEach(cluster::cancel);
         cluster.sim.run(Duration.ofSeconds(200));
         assertEquals(List.of(), cluster.broken);
         faulty.forEach(id -> assertEquals("cancelled", cluster.lastTold(id)));
     }
 
-    /** If the mistake was the machine's, the jobs run elsewhere and the machine goes. */
+    /** If the machine is faulty, its jobs run elsewhere and the machine is terminated. */
     @ParameterizedTest
     @ValueSource(longs = {611, 612, 613})
     void aMachineThatFailsEveryJobIsReturned(long seed) {
@@ -81,13 +83,12 @@
         FakeWorker sick = cluster.worker(0);
         sick.sick(true);
         cluster.sim.run(Duration.ofSeconds(300));
-        assertTrue(sick.dead(), "it is kept");
+        assertTrue(sick.dead(), "the machine was not terminated");
         ClusterTest.assertAllDone(cluster, ids);
     }
 
     /**
-     * The busiest controller is silent for a minute and a half, then goes on as if nothing had been; users are served meanwhile and no
-     * machine is given back for it.
+     * The leader or another controller freezes for 90 s and resumes. Users are served meanwhile and no machine is terminated because of it.
      */
     @ParameterizedTest
     @ValueSource(longs = {621, 622, 623, 624})
@@ -111,7 +112,7 @@
         ids.forEach(id -> assertEquals(
                 "done",
                 cluster.poll((silent + 1) % 3, id).join().body().path("phase").asText(),
-                id + " while it is silent"));
+                id + " during the pause"));
         cluster.sim.run(Duration.ofSeconds(220));
         String decisions = cluster.decisions();
         assertTrue(
@@ -126,7 +127,7 @@
         assertEquals(List.of(), cluster.broken);
     }
 
-    /** However many ask at once, one reading of the store serves all that wait; nothing else waits for them. */
+    /** One read of the store answers all polls that wait for it, so a burst of polls causes few store calls. */
     @Test
     void aStormOfQuestionsCostsFewReadings() {
         var cluster = new SimulatedCluster(631);
@@ -145,11 +146,11 @@
         assertEquals(4000, answers.size());
         assertTrue(answers.stream().allMatch(a -> a.isDone() && a.join().status() == 200));
         int readings = cluster.counts.get("state") - before;
-        assertTrue(readings < 500, readings + " calls to the state service for 4,000 questions");
+        assertTrue(readings < 500, readings + " calls to the state store for 4,000 polls");
         assertEquals(List.of(), cluster.broken);
     }
 
-    /** A guest without a guarantee fills the fleet with one huge array; guaranteed work is served in time beside it, and the guest too. */
+    /** A team without a guarantee fills the fleet with one huge array. Jobs within another team's guarantee are done in time, and the array is done too. */
     @Test
     void aGuestsHugeArrayGivesWayAndIsServed() {
         var cluster = new SimulatedCluster(641);
@@ -171,7 +172,8 @@
             cluster.sim.after(25_000 + 4000L * i, () -> cluster.submit(array(id, "red", Priority.LOW, 2)));
         }
         cluster.sim.run(Duration.ofSeconds(90));
-        ids.forEach(id -> assertEquals("done", cluster.lastTold(id), id + " is guaranteed and came second"));
+        ids.forEach(id -> assertEquals(
+                "done", cluster.lastTold(id), id + " is within its team's guarantee but is not done in time"));
         cluster.sim.run(Duration.ofSeconds(300));
         assertEquals("done", cluster.lastTold("wk-000100"));
         assertEquals(List.of(), cluster.broken);
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -13,18 +13,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Controllers that do nothing for a while and then go on: alone and together, with clocks that ran on and clocks that did not. */
+/** Controllers that are paused and resume, alone or two at once, with and without advancing clocks. */
 class PausedControllersTest {
-    /** By then the owner of a machine has read of a cancellation, and its command has arrived. */
+    /** The time within which a machine's owner reads a cancellation and its stop command arrives. */
     private static final Duration HALT_ARRIVES = Duration.ofSeconds(1);
 
     private static final Duration A_MINUTE_AND_A_HALF = Duration.ofSeconds(90);
 
     /** How a controller pauses. */
     private enum Pause {
-        /** Its clocks run on. */
+        /** Its clocks advance. */
         STANDS_STILL,
-        /** Its steady clock stands still too: to itself no time has passed. */
+        /** Its monotonic clock stops too, so that it observes no elapsed time. */
         SUSPENDED
     }
 
@@ -45,7 +45,7 @@
         return Pause.values()[(int) (seed % Pause.values().length)];
     }
 
-    /** Two of three are silent at once for longer than any lease: the third serves users and keeps all machines and their tasks. */
+    /** Two of three controllers are paused at once for longer than any lease. The third serves users and keeps all machines and their tasks. */
     @ParameterizedTest
     @MethodSource("seeds")
     void oneControllerServesWhileTwoAreSilent(long seed) {
@@ -56,8 +56,8 @@
         List<FakeWorker> used =
                 cluster.alive().stream().filter(w -> w.held() > 0).toList();
         int left = (int) (seed % 3);
-        // A worker gives each silent controller 4 s and pauses 1 s before the next: only one that tries both first is
-        // beyond its lease.
+        // A worker waits 4 s for each paused controller and 1 s before it tries the next: only the workers that try
+        // both paused ones first exceed their lease.
         List<FakeWorker> inTime =
                 used.stream().filter(w -> w.reportsTo() != (left + 1) % 3).toList();
         pause(cluster, (left + 1) % 3, pauseOf(seed), A_MINUTE_AND_A_HALF);
@@ -69,15 +69,15 @@
             cluster.sim.after(9000 + 9000L * i, () -> cluster.submit(OperationsTest.array(id, "red", Priority.LOW, 2)));
         }
         cluster.sim.run(Duration.ofSeconds(146));
-        // Asked directly: the users of a simulated cluster seldom find the one controller that answers.
+        // Polled directly, because simulated users pick a controller at random and seldom reach the one that answers.
         ids.forEach(id -> assertEquals(
                 "done", cluster.poll(left, id).join().body().path("phase").asText(), id + " while two are silent"));
         cluster.sim.run(Duration.ofSeconds(220));
         assertEquals(
                 List.of(),
                 inTime.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList());
-        // A machine that lost its tasks with its lease may be returned as idle, but none for a silence that was its
-        // controllers'.
+        // A machine that lost its tasks with its lease may be terminated as idle, but none because its controllers were
+        // paused.
         String decisions = cluster.decisions();
         List.of("has been silent", "no controller hears", "takes no commands")
                 .forEach(why -> assertTrue(!decisions.contains(why), decisions));
@@ -85,8 +85,7 @@
     }
 
     /**
-     * A controller pauses for 5 to 20 s, or for a minute and a half, at any stage of placing, replacing, saving and renewing, while jobs
-     * are cancelled through the others. On waking it tells nobody an older state and starts nothing that was cancelled.
+     * A controller pauses for 5 to 20 s or for 90 s, at any stage of placing, rescheduling, checkpointing and lease renewal, while jobs are cancelled through the others. After waking it must not report an older state or start a cancelled task.
      */
     @ParameterizedTest
     @MethodSource("seeds")
@@ -106,8 +105,9 @@
         cluster.sim.after(length.plusSeconds(8), () -> cluster.usersAt = -1);
         cluster.sim.run(Duration.ofSeconds(300));
         assertEquals(List.of(), cluster.broken);
-        // While the one controller that may stop a task stands still, an image that was on its way may arrive. Nothing
-        // is commanded to start, and nothing begins that somebody had the time to stop.
+        // While the only controller that may stop a task is paused, an image that was being fetched may arrive and the
+        // task starts. No start command may be sent, and no task may start that a running controller had the time to
+        // stop.
         assertEquals(
                 List.of(),
                 cluster.rules.lateStarts.stream()
--- a/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Troubles of all kinds that meet at moments drawn from seeds. More seeds than the usual few are played with
+ * Random overlapping faults of all kinds. More seeds than the default are run with
  * {@code mvn test -Dtest=RandomFailuresTest -Dmix.from=1000 -Dmix.count=500}.
  */
 class RandomFailuresTest {
     private static final int JOBS = 14;
-    /** Days on which something was found once: tasks lost or ended that only an answer to a question, or a report in an outage, had shown. */
+    /** Seeds that once failed: tasks were lost or ended, seen only in the answer to an inspection or in a heartbeat during an outage. */
     private static final long[] FOUND = {25645, 22145, 24021, 23629, 20279, 41553};
 
     static LongStream seeds() {
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -9,9 +9,9 @@
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.SubmissionBuilder;
 
-/** A day of a few troubles that meet, drawn from a seed: the same seed is the same day. */
+/** A run of a cluster with a few overlapping faults drawn from a seed. A seed always gives the same run. */
 final class RandomFaultSchedule {
-    /** All troubles are over by then, and nothing that was held back is left soon after. */
+    /** All faults have ended by this time; the last delayed messages arrive soon after. */
     static final Duration OVER = Duration.ofSeconds(130);
 
     static final Duration END = Duration.ofSeconds(420);
@@ -19,11 +19,11 @@
     private static final double REQUESTS = 250;
     private static final double WRITES = 20;
 
-    /** How the state service serves all controllers together. */
+    /** The load that the state store accepts from all controllers together. */
     enum StateService {
-        /** It takes whatever comes, at once. */
+        /** No rate limit, no additional delay. */
         UNLIMITED,
-        /** It refuses what goes beyond its rates, and its answers take a moment. */
+        /** Requests beyond the rate limits are rejected, and answers are delayed. */
         SCARCE_AND_SLOW;
 
         ClusterShape of(ClusterShape shape) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** One trouble; it begins when it is made and ends by itself. */
+    /** A fault that ends by itself after a random time. */
     enum Trouble {
         LEADER_WITHOUT_STATE_AND_PEERS,
         LEADER_REFUSED,
@@ -66,7 +66,7 @@
     private final List<String> story = new ArrayList<>();
 
     RandomFaultSchedule(long seed, StateService stateService) {
-        // Some days a record for each machine, else most share one.
+        // One seed in four stores a record for each machine; in the others up to ten machines share a record.
         ClusterShape shape = ClusterShape.of(7, seed % 4 == 1 ? 10 : 1);
         cluster = new SimulatedCluster(seed, stateService.of(shape));
         random = new Random(seed * 31 + 7);
@@ -79,7 +79,7 @@
         return cluster;
     }
 
-    /** What was made to happen, for whoever looks into a seed. */
+    /** Returns the injected faults with their times, for the message of a failed assertion. */
     List<String> story() {
         return story;
     }
@@ -88,7 +88,7 @@
         return ids;
     }
 
-    /** Jobs of all kinds: bound to a zone, together, apart, cheap machines or not, some saving, some long. */
+    /** Submits jobs of all kinds: with and without zone, same-zone and spread constraints, on spot and other machines, with and without checkpoints. */
     void submitJobs(int count) {
         for (int i = 0; i < count; i++) {
             String id = "wk-%06d".formatted(i);
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Makes one trouble happen some time into the day. */
+    /** Schedules a fault. */
     void add(Trouble trouble, Duration at) {
         cluster.sim.after(at, () -> {
             story.add(cluster.sim.now().toMillis() + " ms: " + trouble);
@@ -127,12 +127,12 @@
         });
     }
 
-    /** Something of a test's own, some time into the day. */
+    /** Schedules an action of a test. */
     void at(Duration at, Runnable what) {
         cluster.sim.after(at, what);
     }
 
-    /** So many troubles of any kind, close enough to meet. */
+    /** Schedules random faults within 15 s of one another, so that they overlap. */
     void addAny(int count) {
         Trouble[] all = Trouble.values();
         int from = 8000 + random.nextInt(25_000);
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Runs the day; what is checked at its end is in the result beside the rules broken. */
+    /** Runs the schedule and returns the violated invariants, the failed criteria of the run and the unfinished jobs. */
     List<String> play() {
         cluster.sim.after(OVER, () -> cluster.calm = true);
         cluster.sim.run(END);
@@ -178,7 +178,7 @@
         return some;
     }
 
-    /** Begins a trouble; each belongs to one of the groups, and the others let it pass. */
+    /** Starts a fault. Each fault belongs to one of the groups; the others ignore it. */
     private void begin(Trouble trouble) {
         controllerTrouble(trouble);
         machineTrouble(trouble);
--- a/src/test/java/org/dunespindle/sim/RateLimit.java
+++ b/src/test/java/org/dunespindle/sim/RateLimit.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** A service's rate limit, with bursts of one second's worth. */
+/** A token bucket in virtual time that holds one second's worth of tokens. */
 final class RateLimit {
     private final VirtualTime sim;
     private final double perSecond;
@@ -16,7 +16,7 @@
         this.filledAt = sim.now();
     }
 
-    /** Whether so much is within the limit now; if so, it is used up. */
+    /** Takes the given number of tokens if there are that many, and returns whether there were. */
     boolean allows(int units) {
         double passed = sim.now().minus(filledAt).toNanos() / 1e9;
         left = Math.min(perSecond, left + passed * perSecond);
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What users ask that cannot be, at the controller's own front desk: a precise refusal at once, and never for a good job. */
+/** Invalid and unsatisfiable requests of users: they are rejected at once with the reason, and valid jobs never are. */
 class RequestsTest {
     private static final List<String> TEXTS = List.of("id", "jobclass", "owner", "shape", "rank", "bundle");
     private static final List<String> COUNTS = List.of("pieces");
@@ -67,7 +67,7 @@
         return ClusterTest.job("wk-%06d".formatted(number), "red", JobKind.ARRAY, 2, false, true);
     }
 
-    /** Every required field missing, null, of another type, negative, not finite or huge. */
+    /** Each field is missing, null, of the wrong type, negative, not finite or too large. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void whatIsMissingOrOutOfRangeIsNamed(long seed) {
@@ -141,11 +141,11 @@
         }
     }
 
-    /** A done job's repeated submission and cancellation, and that of an unfinished one, are answered as the job stands. */
+    /** Resubmission and cancellation of a known job return its current state; cancellation of an unknown job returns 404. */
     @Test
     void whatIsKnownIsAnsweredAsItStands() {
         SimulatedCluster cluster = ready();
-        cluster.jobs.put("wk-000001", good(1)); // its tasks may run before the test goes on
+        cluster.jobs.put("wk-000001", good(1)); // its tasks may start before the submission is answered
         assertEquals(201, submit(cluster, good(1).toNode()).status());
         assertEquals(200, submit(cluster, good(1).toNode()).status());
         cluster.submit(good(1));
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Services: replicas run until they are called off, and come back after whatever ends them. */
+/** Services: replicas run until the service is cancelled and are restarted after any failure. */
 class ServicesTest {
     private static final String ID = "wk-000100";
     private static final Duration SETTLED = Duration.ofSeconds(40);
@@ -47,7 +47,7 @@
         return replicas(cluster).stream().map(FakeWorker.Task::host).collect(Collectors.toSet());
     }
 
-    /** Replicas run until they are stopped. */
+    /** Creates a cluster in which replicas run until they are stopped. */
     private static SimulatedCluster cluster(long seed) {
         var cluster = new SimulatedCluster(seed);
         cluster.lengthOf = task -> task.job().equals(ID) ? Optional.of(Duration.ofHours(1)) : Optional.empty();
@@ -62,7 +62,7 @@
         return cluster;
     }
 
-    /** Calls them off: within the time for that they are gone, and no rule was broken all along. */
+    /** Cancels the service and asserts that its replicas end in time and that no invariant was violated. */
     private static void callOff(SimulatedCluster cluster) {
         cluster.cancel(ID);
         cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL));
@@ -100,7 +100,7 @@
         assertEquals(422, answer.join().status());
     }
 
-    /** What a machine that dies took runs elsewhere once the machine is known to be gone. */
+    /** Replicas of a crashed machine are restarted elsewhere once the machine is known to be lost. */
     @ParameterizedTest
     @ValueSource(longs = {903, 904, 905})
     void replicasOfAMachineThatDiesComeBack(long seed) {
@@ -110,7 +110,7 @@
         callOff(cluster);
     }
 
-    /** A replica leaves a machine that is about to be taken before it is taken, and is missing for a moment only. */
+    /** After a spot interruption notice replicas move to another machine before the termination. */
     @ParameterizedTest
     @ValueSource(longs = {906, 907, 908})
     void replicasMoveAheadOfANotice(long seed) {
@@ -123,7 +123,7 @@
         callOff(cluster);
     }
 
-    /** A machine that an operator drains would never be empty if its replicas did not leave it. */
+    /** Replicas never end by themselves, so they must be moved off a drained machine for it to become empty. */
     @ParameterizedTest
     @ValueSource(longs = {916, 917})
     void replicasLeaveADrainedMachine(long seed) {
@@ -136,11 +136,11 @@
         cluster.sim.run(cluster.sim.now().plusSeconds(60));
         assertEquals(4, replicas(cluster).size());
         assertTrue(!machines(cluster).contains(drained), "still on the machine");
-        assertTrue(!cluster.workers.containsKey(drained), "not given back");
+        assertTrue(!cluster.workers.containsKey(drained), "the drained machine was not terminated");
         callOff(cluster);
     }
 
-    /** Half of the replicas are lost with a zone; as many as the zone rules allow run in the other. */
+    /** A zone fails with half of the replicas. The other zone runs as many as the spread constraint allows. */
     @ParameterizedTest
     @ValueSource(longs = {909, 910, 911})
     void afterTheLossOfAZoneTheRestRuns(long seed) {
@@ -156,7 +156,7 @@
         callOff(cluster);
     }
 
-    /** A replica that fails, with its machine or by itself, runs elsewhere. */
+    /** Replicas on a machine that fails all its tasks are restarted elsewhere. */
     @ParameterizedTest
     @ValueSource(longs = {912, 913})
     void replicasLeaveFaultyMachines(long seed) {
@@ -169,7 +169,7 @@
         callOff(cluster);
     }
 
-    /** A full cluster of lower work: it gives way without delay. */
+    /** The cluster is full of low-priority tasks; they are preempted without delay. */
     @Test
     void lowerWorkGivesWay() {
         SimulatedCluster cluster = cluster(914);
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -31,8 +31,7 @@
 import org.dunespindle.transport.HttpClientResponse;
 
 /**
- * Three real controllers in virtual time with stand-ins for state service, cloud and workers, over a
- * network that delays, loses and repeats. Keeps watch over the protocol's rules.
+ * Runs three real controllers in virtual time against a simulated state store, cloud and workers. The network delays, loses and duplicates messages. The protocol's invariants are checked while it runs.
  */
 public final class SimulatedCluster {
     static final int SLOTS = 4;
@@ -42,7 +41,7 @@
     static final int QUOTA_RED = 10;
     static final int QUOTA_BLUE = 6;
     private static final int CONFLICT = 409;
-    /** The longest that an answer of a state service with scarce rates takes. */
+    /** The state store's highest response time if its rates are limited. */
     private static final int SLOW_STATE_MILLIS = 80;
 
     private static final Duration ANSWER_WITHIN = Duration.ofSeconds(4);
@@ -64,29 +63,29 @@
     private final SimulatedUsers users = new SimulatedUsers(this);
     private final SimulatedOperators operators;
     final Map<String, String> told = new HashMap<>();
-    /** The one controller that the state service refuses, or -1. */
+    /** The only controller that the state store answers with 503, or -1. */
     public int refusedNode = -1;
-    /** The cloud answers nothing. */
+    /** Requests to the cloud are lost. */
     public boolean cloudSilent;
-    /** The next rental is carried out late and not answered. */
+    /** The next rental takes effect 30 s late and its answer is lost. */
     public boolean lateRentals;
 
     private final Set<String> blocked = new HashSet<>();
-    /** A controller that reaches neither the state service nor the others, only its workers; or -1. */
+    /** A controller that can reach its workers, but neither the state store nor the other controllers; or -1. */
     public int isolatedNode = -1;
-    /** A controller that reaches no worker and is reached by none, though by everybody else; or -1. */
+    /** A controller partitioned from all workers but from nothing else, or -1. */
     public int deafNode = -1;
-    /** The zone that is cut off from everything, or empty. What is regional is in no zone. */
+    /** The zone partitioned from everything else, or empty. Regional services (state store, cloud, users) are in no zone. */
     public String zoneCut = "";
-    /** In which zone each controller is. */
+    /** The zone of each controller. */
     public final String[] areas = {"east", "east", "west"};
-    /** Controllers don't reach one another. */
+    /** All messages between controllers are lost. */
     public boolean peersRefuse;
-    /** Controllers that do not reach one another, as from * 3 + to. */
+    /** The one-way links between controllers on which messages are lost, each as {@code from * 3 + to}. */
     final Set<Integer> peersBlocked = new HashSet<>();
-    /** The longest that a message between controllers is held on its way. */
+    /** The highest additional delay of a message between controllers. */
     public int peerDelayMillis;
-    /** How many more copies of a report come late, and how late at most. */
+    /** How many delayed duplicates of each worker heartbeat arrive, each at most {@link #latestCopy} late. */
     public int lateCopies;
 
     Duration latestCopy = Duration.ofSeconds(25);
@@ -96,7 +95,7 @@
         FormatVersion.NEWEST_WITHOUT_FEATURES,
         FormatVersion.NEWEST_WITHOUT_FEATURES
     };
-    /** The limits that the state service announces, to controllers of the newest format only, or null. */
+    /** The upcoming limits of the state store in the settings of controllers of the newest format, or null. */
     JsonNode nextLimits;
 
     final ClusterShape shape;
@@ -105,27 +104,27 @@
     public double loss;
     public double repeat;
     int nextMachine = 1;
-    /** The part of the transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
+    /** The fraction of transactions whose answer is lost and that are applied 2 to 12 s later, after newer ones. */
     public double lateWrites;
-    /** The part of the jobs' ends at whose very moment their users call them off. */
+    /** The fraction of jobs that are cancelled within milliseconds of their completion. */
     public double cancelledAtEnd;
-    /** Users ask about a job, and repeat its submission, at its very end. */
+    /** Every job is polled and resubmitted within 300 ms of its completion. */
     public boolean repeatedAtEnd;
-    /** Jobs submitted with a mistake: each of their tasks fails as soon as it runs. */
+    /** Jobs whose tasks fail as soon as they run. */
     final Set<String> faultyJobs = new HashSet<>();
-    /** Tasks that failed, by job. */
+    /** The number of failed task attempts by job. */
     final Map<String, Integer> errors = new HashMap<>();
-    /** The only controller that users reach, or -1 for any that is healthy. */
+    /** The only controller that users send requests to, or -1 for any healthy one. */
     public int usersAt = -1;
-    /** Whether somebody still makes trouble; what must hold once troubles are over is watched from then on. */
+    /** Whether all faults are over. Invariants that hold only without faults are checked from then on. */
     public boolean calm;
-    /** How often what a test is about has happened, by name: a meeting that did not take place proves nothing. */
+    /** How often each named event occurred. Tests assert that the fault combination under test took place. */
     final Map<String, Integer> met = new TreeMap<>();
 
     final Set<String> wantedGone = new HashSet<>();
     final Map<String, Duration> submittedAt = new HashMap<>();
     final Map<String, Duration> begunAt = new HashMap<>();
-    /** Tasks that began although their user had been told before that the job is cancelled. */
+    /** Tasks that started after the cancellation of their job had been confirmed to the user. */
     final List<String> startsAfterCancel = new ArrayList<>();
 
     private boolean dirty;
@@ -134,22 +133,22 @@
         this(seed, 7, 1);
     }
 
-    /** A larger cluster; machines' names may be further apart, so that fewer of them share a record. */
+    /** Creates a cluster of a given size. A larger name step makes fewer machines share a record. */
     SimulatedCluster(long seed, int mostMachines, int nameStep) {
         this(seed, ClusterShape.of(mostMachines, nameStep));
     }
 
-    /** A cluster of any shape on its own. */
+    /** Creates a stand-alone cluster. */
     SimulatedCluster(long seed, ClusterShape shape) {
         this(SimulatedEnvironment.none(new VirtualTime(seed)), shape);
     }
 
-    /** The same with controllers that begin with an older stored format. */
+    /** Creates a cluster whose controllers announce the given stored format when they start. */
     SimulatedCluster(long seed, int mostMachines, int nameStep, int format) {
         this(seed, ClusterShape.of(mostMachines, nameStep).withFormat(format));
     }
 
-    /** A cluster that shares time, and knowledge of jobs, with others. */
+    /** Creates a cluster that shares virtual time and the record of jobs with other clusters. */
     SimulatedCluster(SimulatedEnvironment surroundings, ClusterShape shape) {
         Arrays.fill(formats, shape.format());
         this.shape = shape;
@@ -203,7 +202,7 @@
         nodes[i].start();
     }
 
-    /** Machines that are up from the start, in both zones. */
+    /** Adds running machines, alternating between the zones. */
     void provide(int count) {
         for (int i = 0; i < count; i++) {
             String id = "i-%04d".formatted(nextMachine);
@@ -212,41 +211,42 @@
         }
     }
 
-    /** A machine of a given name that is up from the start. */
+    /** Adds one running machine. */
     void provide(String id, String zone, boolean spot) {
         workers.put(id, new FakeWorker(this, id, zone, spot));
     }
 
-    /** How much longer every message takes, and the state service's answers. */
+    /** Additional delay of every message. */
     public int slowMillis;
 
+    /** The highest additional delay of an answer of the state store. */
     public int slowStateMillis;
-    /** A controller whose transactions take longer to the state service than its questions, or -1. */
+    /** A controller whose transactions are delayed by {@link #slowWritesMillis} while its reads are not, or -1. */
     public int slowWritesNode = -1;
 
     public int slowWritesMillis;
-    /** A controller whose transactions the state service refuses as too many, or -1. */
+    /** A controller whose transactions the state store answers with 429, or -1. */
     public int writesRefusedNode = -1;
-    /** How long a certain task runs, if not as long as others. */
+    /** Overrides the duration of individual tasks. */
     Function<TaskId, Optional<Duration>> lengthOf = p -> Optional.empty();
-    /** When the last task of a job completed. */
+    /** Returns when the last task of a job completed. */
     Optional<Duration> completedAt(String id) {
         return Optional.ofNullable(completed.get(id));
     }
 
-    /** When its user was told first that a job is over. */
+    /** Returns when a user first received a final state (done or cancelled) of a job. */
     Optional<Duration> toldOverAt(String id) {
         return users.toldOverAt(id);
     }
 
     final Map<String, Duration> completed;
-    /** How long tasks run, if not a few seconds. */
+    /** The duration of tasks; if empty it is drawn between 2 and 8 s. */
     Optional<Duration> taskTime = Optional.empty();
-    /** Calls by kind so far, and changes written. */
+    /** Calls of controllers by target ("state", "cloud", "node", "worker"), and key changes in transactions ("writes"). */
     final Map<String, Integer> counts = new TreeMap<>();
 
     private final int[] open = new int[3];
-    /** Most calls to machines that one controller had under way at once. */
+    /** The highest number of concurrent calls to workers by one controller. */
     public int mostOpen;
 
     private void count(
@@ -266,10 +266,10 @@
         }
     }
 
-    /** Kills a controller; a new process of the same name comes after the pause. */
+    /** Kills a controller and starts a new process of the same name after the pause. */
     void crash(int i, Duration pause) {
         if (processes[i].isDead()) {
-            return; // it is down already; a second process of its name would come back beside the first
+            return; // already down: a second restart would start two processes of the same name
         }
         processes[i].kill();
         open[i] = 0;
@@ -277,12 +277,12 @@
         sim.after(pause, () -> boot(i));
     }
 
-    /** A controller stands still for a while, its clocks going on. */
+    /** Suspends a controller's execution for a while; its clocks advance. */
     void freeze(int i, Duration length) {
         processes[i].freeze(length);
     }
 
-    /** Something about tasks on machines changed. */
+    /** Marks the set of tasks on machines as changed, so that limits are checked after the current event. */
     void changed() {
         dirty = true;
     }
@@ -295,19 +295,19 @@
         return name.matches("n[0-2]") ? name.charAt(1) - '0' : -1;
     }
 
-    /** The controller that commands a machine, as stored, or -1. */
+    /** Returns the controller that owns a machine according to the state store, or -1. */
     int owner(FakeWorker w) {
         FakeStateStore.Row page = state.rows().get("ds/page/" + w.id.substring(0, w.id.length() - 1));
         return page == null ? -1 : nodeIndex(page.value().path(w.id).path(4).asText());
     }
 
-    /** Whether the controller that commands a machine, as stored, stands still. */
+    /** Returns whether the controller that owns a machine according to the state store is frozen. */
     boolean ownerPauses(FakeWorker w) {
         int owner = owner(w);
         return owner >= 0 && processes[owner].frozen();
     }
 
-    /** Machines returned to the cloud so far that were alive. */
+    /** The number of live machines terminated through the cloud API so far. */
     public int returned;
 
     FakeWorker worker(int index) {
@@ -319,14 +319,14 @@
         w.dead = true;
     }
 
-    /** Tasks that saved when they were stopped. */
+    /** The number of tasks that wrote a checkpoint when they were stopped. */
     public int saves;
 
     Duration saveTime(TaskId task) {
         return jobs.get(task.job()).checkpointTime();
     }
 
-    /** The cloud takes a machine away after a notice. */
+    /** Terminates a spot machine after an interruption notice. */
     void take(FakeWorker w, Duration notice) {
         w.takenAt = sim.now().plus(notice);
         sim.after(notice, () -> {
@@ -335,13 +335,13 @@
         });
     }
 
-    /** A machine without network for a while; it is told nothing and heard by nobody, and what was sent arrives late. */
+    /** Disconnects a machine for a while: its heartbeats are lost, commands to it are delivered late. */
     void cut(FakeWorker w, Duration length) {
         w.cut = true;
         sim.after(length, () -> w.cut = false);
     }
 
-    /** From now on a controller and a machine cannot reach each other. */
+    /** Blocks all messages between a controller and a machine. */
     void block(int node, FakeWorker w) {
         blocked.add(node + w.id);
     }
@@ -408,7 +408,7 @@
             return;
         }
         if (lateRentals && address.startsWith("cloud") && target.equals("/rentals")) {
-            lateRentals = false; // carried out half a minute later, and never answered
+            lateRentals = false; // applied 30 s later, the answer is lost
             sim.after(30_000, () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
             return;
         }
@@ -431,7 +431,7 @@
         }
         noteConflict(from, reply);
         if (reply == null || sim.random.nextDouble() < loss) {
-            return; // executed, or not there; either way no answer comes
+            return; // the target is down, or the request was executed and its answer is lost
         }
         byte[] bytes =
                 address.startsWith("node") ? JsonCodec.write(reply.body()) : MessagePackCodec.write(reply.body());
@@ -441,13 +441,13 @@
                 () -> owner.arrive(() -> result.complete(new HttpClientResponse(reply.status(), bytes))));
     }
 
-    /** Whether a message waits until a cut or a hang is over; one to a worker is then delivered late. */
+    /** Whether a message is blocked by a partition, a disconnection or a hang. Messages to workers are retried until it ends. */
     private boolean isHeldBack(int from, String address, FakeWorker worker) {
         String area = worker != null ? worker.zone : address.startsWith("node") ? areas[address.charAt(5) - '0'] : "";
         return apart(areas[from], area) || (worker != null && (worker.cut || worker.hung()) && !worker.dead);
     }
 
-    /** Whether a message never arrives. */
+    /** Whether a fault in effect drops a message. */
     private boolean isLost(int from, String address, FakeWorker worker) {
         if (worker != null && (blocked.contains(from + worker.id) || worker.oneWay || from == deafNode)) {
             return true;
@@ -484,7 +484,7 @@
             }
             if (processes[address.charAt(5) - '0'].frozen()) {
                 processes[address.charAt(5) - '0'].arrive(
-                        () -> c.onPeerHeartbeat(raw)); // its asker has given up by then
+                        () -> c.onPeerHeartbeat(raw)); // the caller has timed out by then
                 return null;
             }
             return new FakeStateStore.Reply(200, c.onPeerHeartbeat(raw));
@@ -500,8 +500,7 @@
             return;
         }
         for (int copy = 0; copy < lateCopies; copy++) {
-            // A late copy arrives whatever has become of the machine meanwhile, and nobody hears what is answered to
-            // it.
+            // A delayed duplicate arrives even if the machine has ended since; its answer is dropped.
             sim.after(2000 + sim.random.nextInt((int) latestCopy.toMillis()), () -> {
                 if (nodes[node] != null) {
                     Controller late = nodes[node];
@@ -510,7 +509,7 @@
             });
         }
         if (from.heldReports && !from.mute) {
-            // It arrives where it was sent to, whoever leads by then.
+            // It arrives at its original receiver, even if the leader has changed since.
             sim.after(from.heldFor, () -> {
                 met("held report");
                 if (nodes[node] != null) {
@@ -532,7 +531,7 @@
                 return;
             }
             if (c == null || target.isDead()) {
-                answer.accept(0, MessagePackCodec.map()); // its machine refuses the connection
+                answer.accept(0, MessagePackCodec.map()); // connection refused
                 return;
             }
             Duration sentAt = sim.now();
@@ -562,83 +561,83 @@
         }
     }
 
-    /** What a controller answers a worker's report at once, or 0. */
+    /** Delivers a worker's heartbeat and returns the status of an immediate answer, or 0. */
     int answer(int node, FakeWorker w) {
         var status = new int[1];
         receive(nodes[node], w.report(), (code, body) -> status[0] = code);
         return status[0];
     }
 
-    /** All machines that live. */
+    /** Returns all live machines. */
     List<FakeWorker> alive() {
         return workers.values().stream().filter(w -> !w.dead).toList();
     }
 
-    /** The controller that leads as stored, or -1. */
+    /** Returns the leader according to the state store, or -1. */
     int leader() {
         FakeStateStore.Row r = state.rows().get("ds/leader");
         return r == null ? -1 : nodeIndex(r.value().path("node").asText());
     }
 
-    // The users
+    // Requests of users
 
     void submit(Submission job) {
         users.submit(job);
     }
 
-    /** A user repeats a submission; whatever became of the job meanwhile, it is known. */
+    /** Resubmits an accepted job as its user; the answer must show that the job is known, whatever its state. */
     void repeat(String id) {
         users.repeat(id);
     }
 
-    /** A user asks how an accepted job stands. */
+    /** Polls the state of an accepted job as its user. */
     void askAbout(String id) {
         users.askAbout(id);
     }
 
-    /** A user asks about a job that nobody submitted. */
+    /** Polls a job that was never submitted; the answer must not be 200. */
     void askForStranger(String id) {
         users.askForStranger(id);
     }
 
-    /** A user calls a job off, until told that it is. */
+    /** Cancels a job as its user, retrying until it is confirmed. */
     void cancel(String id) {
         users.cancel(id);
     }
 
-    /** The API of a controller that users reach now; empty while they reach none. */
+    /** Returns the API of a reachable, healthy controller, drawn at random unless {@link #usersAt} is set. */
     Optional<UserApi> reachable() {
         int i = usersAt >= 0 ? usersAt : sim.random.nextInt(3);
         boolean reached = nodes[i] != null && !processes[i].frozen() && !apart("", areas[i]) && nodes[i].isHealthy();
         return reached ? Optional.of(nodes[i].userApi()) : Optional.empty();
     }
 
-    /** Offers a job to one controller, whose answer comes in virtual time. */
+    /** Submits a job at one controller; the answer arrives in virtual time. */
     CompletableFuture<UserApi.Answer> offerTo(int node, Submission job) {
         jobs.put(job.id(), job);
         return offer(node, job.toNode());
     }
 
-    /** The same with whatever body a user may send. */
+    /** Submits any body, valid or not, at one controller; the answer arrives in virtual time. */
     CompletableFuture<UserApi.Answer> offer(int node, ObjectNode body) {
         var result = new CompletableFuture<UserApi.Answer>();
         nodes[node].userApi().submit(MessagePackCodec.write(body), result::complete);
         return result;
     }
 
-    /** A question at one controller, whose answer comes in virtual time. */
+    /** Polls a job at one controller; the answer arrives in virtual time. */
     CompletableFuture<UserApi.Answer> question(int node, String id) {
         var result = new CompletableFuture<UserApi.Answer>();
         nodes[node].userApi().poll(id, result::complete);
         return result;
     }
 
-    /** What all controllers decided lately, in words. */
+    /** Returns the recent decisions of all controllers as text. */
     String decisions() {
         return operators.decisions();
     }
 
-    /** A cancellation at one controller, answered within the next seconds of virtual time. */
+    /** Cancels a job at one controller, runs 2 s of virtual time and returns the answer. */
     UserApi.Answer cancelAt(int node, String id) {
         var result = new CompletableFuture<UserApi.Answer>();
         nodes[node].userApi().cancel(id, result::complete);
@@ -646,30 +645,30 @@
         return result.join();
     }
 
-    /** The same without waiting for the answer. */
+    /** Cancels a job at one controller without advancing virtual time. */
     void cancelAsked(int node, String id, Consumer<UserApi.Answer> answer) {
         wantedGone.add(id);
         nodes[node].userApi().cancel(id, answer);
     }
 
-    /** A poll at one controller, as a status. */
+    /** Polls a job at one controller and runs 2 s of virtual time. */
     CompletableFuture<UserApi.Answer> poll(int node, String id) {
         CompletableFuture<UserApi.Answer> result = question(node, id);
         sim.run(sim.now().plusSeconds(2));
         return result;
     }
 
-    /** Asks a controller's administration API; the answer comes within the next second of virtual time. */
+    /** Sends a request to a controller's administration API and runs 1 s of virtual time, in which it is answered. */
     CompletableFuture<AdminResponse> admin(int node, String method, String path, String body) {
         return operators.ask(node, method, path, body);
     }
 
-    /** Has a controller store some of the operators' settings, which nobody has changed before. */
+    /** Stores operator options through a controller; none may have been stored before. */
     void setOptions(int node, Map<String, Double> values) {
         operators.setOptions(node, values);
     }
 
-    /** What a job's user was told last, if that was that it is cancelled, and when first. */
+    /** Returns when the cancellation of a job was first confirmed to its user. */
     Optional<Duration> cancelledAt(String id) {
         return Optional.ofNullable(cancelled.get(id));
     }
--- a/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
@@ -16,12 +16,11 @@
 import org.dunespindle.storage.FormatVersion;
 
 /**
- * What a simulated cluster shares with others: time, and what the stand-ins know of jobs, so that a job may run in another cluster
- * than the one that accepted it.
+ * The state that simulated clusters share: virtual time and the record of jobs, so that a job may run in another cluster than the one that accepted it.
  *
  * @param connector links controllers to other cells
- * @param watcher told of every task that starts or completes
- * @param outside how workers reach controllers that are processes of their own; empty if controllers are part of the simulation
+ * @param watcher called for every task that starts or completes
+ * @param outside transport between workers and controllers that run as separate processes; empty if controllers are simulated
  */
 record SimulatedEnvironment(
         VirtualTime sim,
@@ -33,28 +32,28 @@
         Watcher watcher,
         Optional<Outside> outside) {
 
-    /** Controllers outside of the simulation. */
+    /** Transport to controllers that run outside the simulation. */
     interface Outside {
-        /** Sends a worker's report to a controller; the status is 0 if nobody answers. */
+        /** Sends a worker's heartbeat to a controller; the status is 0 if there is no answer. */
         void report(int node, ObjectNode report, BiConsumer<Integer, JsonNode> answer);
 
-        /** Where controllers reach a worker. */
+        /** Returns the address at which controllers reach a worker. */
         String addressOf(FakeWorker worker);
     }
 
-    /** Links a controller to other cells. */
+    /** Creates a controller's connection to other cells. */
     interface Connector {
         JobDelegation connect(int node, VirtualTime.SimulatedProcess process, DelegationContext context);
     }
 
-    /** Watches tasks of all clusters. */
+    /** Observes tasks of all clusters. */
     interface Watcher {
         void started(SimulatedCluster cluster, FakeWorker.Task task);
 
         void finished(SimulatedCluster cluster, FakeWorker.Task task);
     }
 
-    /** A cluster on its own. */
+    /** Creates the environment of a stand-alone cluster. */
     static SimulatedEnvironment none(VirtualTime sim) {
         return new SimulatedEnvironment(
                 sim,
@@ -73,7 +72,7 @@
                 Optional.empty());
     }
 
-    /** What a controller that announces a version understands: a program of an earlier version knows no later one. */
+    /** Returns the format versions that a controller supports: one that announces an earlier version cannot read later ones. */
     FormatSupport formats(int announced) {
         boolean earlier = announced < FormatVersion.NEWEST_WITHOUT_FEATURES;
         return new FormatSupport(announced, earlier ? announced : FormatVersion.NEWEST);
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -10,7 +10,7 @@
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.protocol.Submission;
 
-/** The users of a simulated cluster: they submit, ask, repeat and call off, and note answers that must not be. */
+/** The users of a simulated cluster: they submit, poll, resubmit and cancel jobs, and record answers that violate the API's guarantees. */
 final class SimulatedUsers {
     private final SimulatedCluster cluster;
     private final Map<String, Duration> overAt = new HashMap<>();
@@ -20,7 +20,7 @@
         this.cluster = cluster;
     }
 
-    /** When a job's user was told first that it is over. */
+    /** Returns when a user first received a final state (done or cancelled) of a job. */
     Optional<Duration> toldOverAt(String id) {
         return cluster.over(id) ? Optional.ofNullable(overAt.get(id)) : Optional.empty();
     }
@@ -31,7 +31,7 @@
         offer(job);
     }
 
-    /** A user repeats a submission; whatever became of the job meanwhile, it is known. */
+    /** Resubmits an accepted job; the answer must show that the job is known, whatever its state. */
     void repeat(String id) {
         Duration asked = cluster.sim.now();
         if (!cluster.told.containsKey(id)) {
@@ -48,7 +48,7 @@
                 () -> {});
     }
 
-    /** A user asks how an accepted job stands. */
+    /** Polls the state of an accepted job. */
     void askAbout(String id) {
         Duration asked = cluster.sim.now();
         ask(
@@ -62,7 +62,7 @@
                 () -> {});
     }
 
-    /** A user asks about a job that nobody submitted. */
+    /** Polls a job that was never submitted; the answer must not be 200. */
     void askForStranger(String id) {
         ask(
                 n -> n.poll(id, a -> {
@@ -75,7 +75,7 @@
 
     private void offer(Submission job) {
         Duration asked = cluster.sim.now();
-        // A controller that dies with the request never answers it; its user asks again.
+        // A controller that crashes with the request never answers it; the user retries after 5 s.
         cluster.sim.after(5000, () -> {
             if (!cluster.told.containsKey(job.id()) && !(offered.get(job.id()).compareTo(asked) > 0)) {
                 offer(job);
@@ -113,7 +113,7 @@
                 () -> cancel(id));
     }
 
-    /** Takes an answer to a question asked at some time; answers that crossed a newer one say nothing about order. */
+    /** Checks an answer against earlier ones. Answers to overlapping requests may arrive in any order, so only a request sent after a final state was received must return that state. */
     private void told(String id, Duration asked, UserApi.Answer a) {
         String phase = a.body().path("phase").asText();
         String before = cluster.told.getOrDefault(id, "");
--- a/src/test/java/org/dunespindle/sim/StoredAllocations.java
+++ b/src/test/java/org/dunespindle/sim/StoredAllocations.java
@@ -11,14 +11,13 @@
 import org.dunespindle.storage.Transaction;
 
 /**
- * What is allocated to each team at every revision of the store: a limit broken there is a fault even where the tasks
- * never reach a machine, and so is a team's record whose bound is below the use that is stored when it is written.
+ * Checks the allocations of each team at every revision of the store. A stored allocation beyond the limit is a violation even if its tasks never reach a machine, and so is a team record whose bound is below the stored use when it is written.
  */
 final class StoredAllocations implements FakeStateStore.Listener {
     private static final double ROUNDING = 1e-6;
     private final SimulatedCluster cluster;
     private StateReplica copy;
-    /** What was the most of each team so far that was beyond its limit. */
+    /** The highest use beyond its limit seen so far for each team; only a new maximum is reported. */
     private final Map<String, Double> excess = new TreeMap<>();
 
     StoredAllocations(SimulatedCluster cluster) {
--- a/src/test/java/org/dunespindle/sim/TaskRuns.java
+++ b/src/test/java/org/dunespindle/sim/TaskRuns.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.dunespindle.protocol.TaskId;
 
-/** How the tasks of a simulated cluster run: gangs start and end together, and what ended is remembered. */
+/** The execution of tasks in a simulated cluster: members of a gang start and complete together, and completed tasks are recorded. */
 final class TaskRuns {
     private final SimulatedCluster cluster;
 
@@ -13,7 +13,6 @@
         this.cluster = cluster;
     }
 
-    /** Whether a task belongs to a gang. */
     boolean isGang(TaskId task) {
         return cluster.jobs.get(task.job()).isGang();
     }
@@ -49,7 +48,7 @@
         if (all.stream()
                 .anyMatch(t -> cluster.workers.containsKey(t.host())
                         && cluster.workers.get(t.host()).hung())) {
-            return; // a gang makes no progress while one of its machines hangs
+            return; // a gang makes no progress while a machine of a member hangs
         }
         all.forEach(t -> {
             cluster.done.computeIfAbsent(t.task.job(), j -> new HashSet<>()).add(t.task.index());
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -26,29 +26,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Incident: a team had 61 accelerators on machines, its limit is 60.
+ * A team must never be allocated more than its limit. Guards against an incident in which a team with a limit of 60 accelerators had 61 on machines.
  *
- * <p>Seen: two arrays of the team were placed by several controllers at once while writes to the state service were
- * scarce; conflicts named the team's record and a job together; no controller had ended, no token had changed.
+ * <p>Several controllers placed two arrays of the team at once while the state store limited the write rate. Transactions conflicted on the team's record and on a job together. No controller had crashed and no fencing token had changed.
  *
- * <p>How it came about: a controller's placement of some tasks of a job waits for its answer. Meanwhile another
- * controller stores most of that job's tasks and a new record of the team. The first one reads both, but goes on
- * counting the job as its own placement would leave it. It takes the new record for what it knows all about, and writes a bound for
- * a second job that leaves out what the other one has stored.
+ * <p>Sequence: a controller's transaction that places some tasks of a job is pending. Meanwhile another controller stores most of that job's tasks and a new team record. The first controller reads both, but still counts the job as in its own pending transaction. It treats the new team record as fully accounted for and writes a bound for a second job that omits the other controller's allocations.
  *
- * <p>Cause: a record that was only proposed stood in for the stored one where a limit is at stake. Proof: the first test here
- * brings the order of events about and had 33 of 24 accelerators allocated before the repair.
+ * <p>Cause: the use of a team was computed from a proposed record instead of the stored one. The first test reproduces the sequence; before the fix it allocated 33 accelerators with a limit of 24.
  */
 class TeamLimitTest {
     private static final int LIMIT = 24;
     private static final int MACHINES = 30;
-    /** Machines with a record each, so that they are hashed one by one. */
+    /** Gives each machine its own record, so that each is assigned to a controller by its own hash. */
     private static final int NAME_STEP = 10;
 
-    /** So many that the limit is broken if they are not counted. */
+    /** The number of stored tasks from which on the limit is exceeded if they are not counted. */
     private static final int MOST_OF_THEM = 12;
 
-    /** Longer than the test: idle machines stay. */
+    /** Longer than the test, so that idle machines are kept. */
     private static final double IDLE_RETURN_SECONDS = 600;
 
     private static final int SLOW_ANSWERS_MILLIS = 400;
@@ -60,7 +55,7 @@
         return LongStream.range(from, from + Integer.getInteger("limits.count", 24));
     }
 
-    /** Says which controller machines and jobs belong to while all three live; that follows from their names alone. */
+    /** The assignment of machines and jobs to controllers while all three are members; it depends on the names only. */
     private static Membership threeControllers() {
         var clock = new VirtualTime(0).new SimulatedProcess();
         var replica = new StateReplica(null, clock, Duration.ZERO, () -> {});
@@ -70,7 +65,7 @@
         return new Membership("n0", FormatVersion.NEWEST_WITHOUT_FEATURES, null, replica, clock);
     }
 
-    /** Of all names of a form, the first ones that belong to a controller. */
+    /** Returns the first names of a format that are assigned to a controller. */
     private static List<String> namesOf(
             int node, String form, int step, Function<String, Optional<String>> owner, int count) {
         return IntStream.iterate(1, i -> i + step)
@@ -80,7 +75,7 @@
                 .toList();
     }
 
-    /** One controller has all machines in the west, two ordinary ones and three spot ones; another has five in the east. */
+    /** One controller owns all machines in zone west, two on-demand and three spot machines; another owns five in zone east. */
     private static SimulatedCluster cluster(long seed, int west, int east) {
         var cluster = new SimulatedCluster(
                 seed, ClusterShape.of(MACHINES, NAME_STEP).withLimits(Map.of("red", LIMIT, "blue", LIMIT)));
@@ -115,7 +110,7 @@
         }
     }
 
-    /** The incident, step by step. */
+    /** The sequence of the incident, see the class comment. */
     @ParameterizedTest
     @ValueSource(longs = {4, 8, 10, 15, 21, 26})
     void whatOthersStoredCountsWhileAnOwnPlacementOfThatJobIsUnderWay(long seed) {
@@ -129,23 +124,25 @@
         cluster.taskTime = Optional.of(RUNS);
         cluster.usersAt = other;
         cluster.sim.run(Duration.ofSeconds(15));
-        // Opens the shares: from now on each controller may place up to seven tasks without writing the team's record.
+        // Grants the quota shares: from now on each controller may place up to seven tasks without writing the team
+        // record.
         cluster.submit(array(first, 1, Optional.of("west"), false));
         cluster.sim.run(cluster.sim.now().plusSeconds(6));
         assertTrue(cluster.begunAt.containsKey(first));
-        // One controller has room for seven of these and places them, but cannot write; another stores all of them.
+        // One controller has capacity for seven of these tasks and places them, but its writes are rejected; another
+        // one stores all of them.
         cluster.writesRefusedNode = refused;
         cluster.submit(array(shared, 20, Optional.empty(), false));
         cluster.sim.run(cluster.sim.now().plusSeconds(5));
         assertTrue(allocated(cluster, shared) >= MOST_OF_THEM, () -> "stored by then: " + allocated(cluster, shared));
-        // Only the first one has room for these.
+        // Only the first controller has capacity for these.
         cluster.submit(array(last, 12, Optional.of("west"), true));
         cluster.sim.run(cluster.sim.now().plusMillis(1500));
         cluster.writesRefusedNode = -1;
         cluster.sim.run(cluster.sim.now().plusSeconds(6));
         assertTrue(
                 cluster.met.containsKey("conflict of n" + refused + " about " + Keys.job(shared)),
-                () -> "its placement was never overtaken: " + cluster.met);
+                () -> "its placement had no conflict: " + cluster.met);
         assertEquals(List.of(), cluster.broken);
         cluster.sim.run(cluster.sim.now().plusSeconds(180));
         assertEquals(List.of(), cluster.broken);
@@ -153,8 +150,7 @@
     }
 
     /**
-     * What an earlier process of a controller's name placed within its share still counts when a new one begins: together with the
-     * others' shares, a second use of it would be more than the limit.
+     * A controller restarts while its quota share is granted and used. If the new process used the share a second time, the allocations together with the other controllers' shares would exceed the limit.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
@@ -185,7 +181,7 @@
         cluster.crash(restarted, Duration.ofMillis(300));
         cluster.sim.run(cluster.sim.now().plusSeconds(12));
         assertEquals(granted, cluster.state.rows().get(Keys.team("red")).stamp(), "the share is still granted");
-        // Three jobs at one moment, one for each controller, none of which knows what the others are about to place.
+        // Three jobs at once, one for each controller; none has read the others' placements yet.
         cluster.slowStateMillis = SLOW_ANSWERS_MILLIS;
         cluster.usersAt = (restarted + 1) % 3;
         cluster.submit(array(ofRestarted.get(1), 7, Optional.empty(), true));
@@ -199,7 +195,7 @@
         assertEquals("done", cluster.lastTold(ofRestarted.get(1)));
     }
 
-    /** More seeds than the usual few are played with {@code mvn test -Dtest=TeamLimitTest -Dlimits.from=1000 -Dlimits.count=500}. */
+    /** More seeds than the default are run with {@code mvn test -Dtest=TeamLimitTest -Dlimits.from=1000 -Dlimits.count=500}. */
     @ParameterizedTest
     @MethodSource("seeds")
     void noTeamHasMoreThanItsLimitWhileWritesAreScarce(long seed) {
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -12,8 +12,7 @@
 import org.dunespindle.protocol.SubmissionBuilder;
 
 /**
- * A day on which every team wants more than its limit while there is room on the machines, drawn from a seed: arrays whose
- * tasks all three controllers place, a state service whose writes are scarce and whose answers are slow.
+ * A run drawn from a seed in which every team requests more than its limit while machines have free slots. All three controllers place tasks of the same arrays, and the state store limits the write rate and answers slowly.
  */
 final class TightLimitsDay {
     private static final int MACHINES = 30;
@@ -22,7 +21,7 @@
     private static final Duration END = Duration.ofSeconds(600);
     private static final double REQUESTS = 250;
 
-    /** What goes wrong beside the scarce writes. */
+    /** Faults in addition to the limited write rate. */
     enum Trouble {
         NONE,
         SLOW_STATE,
@@ -67,14 +66,14 @@
         return story;
     }
 
-    /** Plays the day and says what was wrong. */
+    /** Runs the schedule and returns the violated invariants. */
     List<String> play() {
         cluster.sim.after(OVER, () -> cluster.calm = true);
         cluster.sim.run(END);
         return cluster.broken;
     }
 
-    /** Whether every job that was not called off is done. */
+    /** Returns the jobs that are neither done nor cancelled. */
     List<String> unfinished() {
         return ids.stream()
                 .filter(id -> !List.of("done", "cancelled").contains(cluster.lastTold(id)))
@@ -105,7 +104,7 @@
                 .build();
     }
 
-    /** Most arrays are small; some are as large as several machines. */
+    /** Draws an array size: usually small, in one of five cases several machines large. */
     private int drawTasks() {
         return random.nextInt(5) == 0 ? 10 + random.nextInt(20) : 2 + random.nextInt(7);
     }
@@ -131,7 +130,7 @@
                 after(15_000 + random.nextInt(40_000), () -> cluster.slowWritesNode = -1);
             }
             case REFUSED_TOO_FAST -> {
-                // Others use the service too, so that it refuses what keeps to the controllers' share.
+                // Other clients use the store too, so that it rejects rates within the configured limits.
                 double share = 0.3 + random.nextDouble() * 0.4;
                 ClusterShape.StateRates rates = cluster.shape.stateRates().orElseThrow();
                 cluster.state.limitRates(rates.requests() * share, rates.writes() * share);
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Rolling upgrades: controllers of the older and the newer stored format side by side, limits of the state service that fall. */
+/** Rolling upgrades: controllers of the older and the newer stored format run at the same time, and the limits of the state store are lowered. */
 class UpgradeTest {
-    /** So little that a description and a few allocations do not fit into one value. */
+    /** Too few bytes for a job's description and a few allocations in one value. */
     private static final int LOW_VALUE = 460;
 
     private static final int LOW_OPS = 5;
@@ -42,7 +42,7 @@
         return cluster;
     }
 
-    /** Ends a controller and has the newer version come back in its place. */
+    /** Restarts a controller with the newer version. */
     private static void upgrade(SimulatedCluster cluster, int node) {
         cluster.formats[node] = FormatVersion.NEWEST_WITHOUT_FEATURES;
         cluster.crash(node, Duration.ofMillis(800));
@@ -81,7 +81,7 @@
         assertEquals(List.of(), cluster.broken);
     }
 
-    /** One by one in any order, some crash in between, one comes back old before its turn; then, or meanwhile, the limits fall. */
+    /** Controllers are upgraded one by one in random order with crashes in between; one restarts with the old version before its upgrade. The store's limits are lowered during or after the upgrade. */
     @ParameterizedTest
     @MethodSource("seeds")
     void controllersRollOverWhileLimitsFall(long seed) {
@@ -98,14 +98,14 @@
             int node = order.get(i);
             cluster.sim.after(12_000 + 7000L * i, () -> upgrade(cluster, node));
         }
-        // The limits fall between the second controller's turn and long after the last one's.
+        // The limits are lowered 1 to 21 s after the last controller is stopped for its upgrade.
         cluster.sim.after(27_000 + random.nextInt(20_000), () -> cluster.state.lower(LOW_VALUE, LOW_OPS, LOW_RATE));
         cluster.sim.after(
                 33_000 + random.nextInt(15_000), () -> cluster.crash(random.nextInt(3), Duration.ofSeconds(2)));
         var called = new ArrayList<>(ids.subList(0, 3));
         called.forEach(id -> cluster.sim.after(20_000 + random.nextInt(40_000), () -> cluster.cancel(id)));
         cluster.sim.after(60_000, () -> cluster.cancel("wk-000900"));
-        // Work that certainly comes after the upgrade.
+        // A job that is submitted after the upgrade.
         ids.add("wk-000950");
         cluster.sim.after(
                 62_000, () -> cluster.submit(ClusterTest.job("wk-000950", "red", JobKind.ARRAY, 9, false, true)));
@@ -121,7 +121,7 @@
                 cluster.lastTold(id).equals("done") || (called.contains(id) && cluster.over(id)),
                 id + " is " + cluster.lastTold(id)));
         assertEquals("cancelled", cluster.lastTold("wk-000900"));
-        assertTrue(cluster.met.containsKey("parts"), "no record was cut");
-        assertTrue(!partsStored(cluster), "parts are left of jobs that ended");
+        assertTrue(cluster.met.containsKey("parts"), "no record was split into parts");
+        assertTrue(!partsStored(cluster), "parts of ended jobs are still stored");
     }
 }
--- a/src/test/java/org/dunespindle/sim/VirtualTime.java
+++ b/src/test/java/org/dunespindle/sim/VirtualTime.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import org.dunespindle.time.TimeSource;
 
-/** Virtual time: events in order, nothing waits for real. */
+/** A discrete-event scheduler: runs events in the order of their virtual times, without real waiting. Events of equal time run in the order in which they were scheduled. */
 public final class VirtualTime {
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
     private Duration now = Duration.ZERO;
@@ -34,7 +34,7 @@
         return now;
     }
 
-    /** Runs after every event: what must hold at any moment is checked here. */
+    /** Adds a check that runs after every event. */
     public void afterEach(Runnable check) {
         afterEach.add(check);
     }
@@ -44,12 +44,12 @@
         queue.add(new Event(now.plus(delay.isNegative() ? Duration.ZERO : delay), sequence++, work));
     }
 
-    /** Schedules work after so many milliseconds. */
+    /** Schedules work after a delay in milliseconds. */
     public void after(long millis, Runnable work) {
         after(Duration.ofMillis(millis), work);
     }
 
-    /** Runs everything that is due until then. */
+    /** Runs all events up to and including the given time and advances the clock to it. */
     public void run(Duration until) {
         while (!queue.isEmpty() && queue.peek().at().compareTo(until) <= 0) {
             Event e = queue.poll();
@@ -60,43 +60,42 @@
         now = until;
     }
 
-    /** A process's timers: they die with it. */
+    /** The clocks and timers of a simulated process. Timers are dropped when it ends. */
     public final class SimulatedProcess implements TimeSource {
         private boolean dead;
         private Duration frozenUntil = Duration.ZERO;
-        /** How much its steady clock has lost by being suspended. */
+        /** How far its monotonic clock lags behind virtual time because of suspensions. */
         private Duration behind = Duration.ZERO;
 
-        /** Ends the process: none of its timers fires any more. */
+        /** Ends the process; no timer of it fires afterwards. */
         public void kill() {
             dead = true;
         }
 
-        /** Whether it has ended. */
+        /** Returns whether the process has ended. */
         public boolean isDead() {
             return dead;
         }
 
-        /** From now on it does nothing while its clocks go on; what arrives meanwhile is there when it wakes. */
+        /** Stops execution for a while; its clocks advance. Messages that arrive meanwhile are processed on waking. */
         public void freeze(Duration length) {
             frozenUntil = now.plus(length);
         }
 
         /**
-         * It does nothing, and its steady clock stands still too: a suspended virtual machine. Afterwards it seems to itself as if no time
-         * had passed, and only the time of day has moved on.
+         * Stops execution and the monotonic clock for a while, like a suspended virtual machine. Afterwards only the wall-clock time has advanced.
          */
         public void suspend(Duration length) {
             freeze(length);
             VirtualTime.this.after(length, () -> behind = behind.plus(length));
         }
 
-        /** Whether it stands still. */
+        /** Returns whether execution is stopped. */
         public boolean frozen() {
             return now.compareTo(frozenUntil) < 0;
         }
 
-        /** Something that arrives from outside: on waking all of it is read before overdue timers fire. */
+        /** Processes an incoming message. After a freeze all messages received meanwhile are processed before overdue timers fire. */
         public void arrive(Runnable work) {
             if (dead) {
                 return;
--- a/src/test/java/org/dunespindle/sim/package-info.java
+++ b/src/test/java/org/dunespindle/sim/package-info.java
@@ -1,2 +1,2 @@
-/** Whole controllers in virtual time, against stand-ins for the state service, the cloud and the workers. */
+/** Simulation of whole clusters in virtual time: real controllers, simulated state store, cloud, workers and network, with fault injection and invariant checks. */
 package org.dunespindle.sim;
