--- a/src/test/java/org/dunespindle/sim/AdminAnswersCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminAnswersCompatibilityTest.java
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void jobsThatEndedRunAsServicesOrCameFromElsewhere() {
+    void endedJobsServicesAndInboundDelegations() {
         SimulatedCluster cluster = running();
         store(cluster, "ds/job/wk-000901", "{\"at\":1700000000123,\"end\":\"DONE\",\"next\":3}");
         assertEquals(
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void aMachineThatLeaves() {
+    void machineBeingTerminated() {
         SimulatedCluster cluster = running();
         store(
                 cluster,
@@ -247,7 +247,7 @@
     }
 
     @Test
-    void otherCellsAndDelegationsInEveryPhase() throws MalformedMessageException {
+    void remoteCellsAndDelegationsInEveryPhase() throws MalformedMessageException {
         var federation = new SimulatedFederation(8, 2, 3, 3);
         federation.sim.run(Duration.ofSeconds(20));
         SimulatedCluster cell = federation.cell("a");
@@ -294,7 +294,7 @@
     }
 
     @Test
-    void visitorsAndAbandonedCells() {
+    void inboundDelegationsAndAbandonedCells() {
         var federation = new SimulatedFederation(8, 2, 3, 3);
         federation.sim.run(Duration.ofSeconds(20));
         SimulatedCluster cell = federation.cell("a");
--- a/src/test/java/org/dunespindle/sim/AdminTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void everyControllerTakesUpAnOption() {
+    void everyControllerAppliesAStoredOption() {
         SimulatedCluster cluster = running();
         assertEquals(
                 200,
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void wrongOptionsAreRefusedAndChangeNothing() {
+    void invalidOptionsAreRejectedAndChangeNothing() {
         SimulatedCluster cluster = running();
         for (String values : new String[] {
             "{\"idle_return_s\":-1}", "{\"idle_return_s\":\"x\"}", "{\"quarantine_errors\":1.5}", "{\"nonsense\":1}"
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void jobsTellWhyTheyWait() {
+    void waitingJobsShowTheReason() {
         SimulatedCluster cluster = running();
         AdminResponse a = get(cluster, "/v1/jobs/wk-000003");
         assertEquals(200, a.status());
@@ -91,7 +91,7 @@
 
     /** A team's answer shows the basis of its limit: the stored record and the controller's share of it. */
     @Test
-    void teamsTellWhatTheirLimitRestsOn() {
+    void teamsShowTheBasisOfTheirLimit() {
         SimulatedCluster cluster = running();
         JsonNode red = team(cluster, 0, "red");
         JsonNode ledger = red.path("ledger");
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void aDrainedMachineLeavesOnceItIsEmpty() {
+    void drainedMachineIsTerminatedOnceEmpty() {
         SimulatedCluster cluster = running();
         String host =
                 get(cluster, "/v1/hosts").body().path("hosts").get(0).path("id").asText();
--- a/src/test/java/org/dunespindle/sim/ClusterTest.java
+++ b/src/test/java/org/dunespindle/sim/ClusterTest.java
@@ -29,7 +29,7 @@
                 .build();
     }
 
-    static List<String> submitMix(SimulatedCluster cluster, int count) {
+    static List<String> submitMixedJobs(SimulatedCluster cluster, int count) {
         var ids = new ArrayList<String>();
         for (int i = 0; i < count; i++) {
             String id = "wk-%06d".formatted(i);
@@ -54,20 +54,20 @@
     }
 
     @Test
-    void quietDayIsServed() {
+    void allJobsCompleteWithoutFaults() {
         var cluster = new SimulatedCluster(1);
-        List<String> ids = submitMix(cluster, 14);
+        List<String> ids = submitMixedJobs(cluster, 14);
         cluster.sim.run(Duration.ofSeconds(240));
         assertAllDone(cluster, ids);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {2, 3, 4, 5, 6, 7, 8, 9})
-    void rulesHoldThroughLossAndRepeatsAndFailures(long seed) {
+    void invariantsHoldThroughLossDuplicatesAndCrashes(long seed) {
         var cluster = new SimulatedCluster(seed);
         cluster.loss = 0.02;
         cluster.repeat = 0.1;
-        List<String> ids = submitMix(cluster, 14);
+        List<String> ids = submitMixedJobs(cluster, 14);
         for (int i = 0; i < 5; i++) {
             int pick = cluster.sim.random.nextInt(50);
             cluster.sim.after(8000L + cluster.sim.random.nextInt(50_000), () -> {
@@ -95,7 +95,7 @@
     @ValueSource(longs = {11, 12, 13})
     void allControllersCrashAtAnyStageOfAGang(long seed) {
         var cluster = new SimulatedCluster(seed);
-        List<String> ids = submitMix(cluster, 10);
+        List<String> ids = submitMixedJobs(cluster, 10);
         for (int k = 0; k < 4; k++) {
             long at = 7000L + cluster.sim.random.nextInt(25_000);
             for (int n = 0; n < 3; n++) {
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void controllersThatStartAnewDoNotReturnMachinesTheyHaveNotHeardYet() {
+    void restartedControllersKeepMachinesWithoutAHeartbeatYet() {
         var cluster = new SimulatedCluster(14);
         // A service keeps a machine in use for far longer than three times its boot time.
         cluster.submit(job("wk-000001", "red", JobKind.SERVICE, 2, false, false));
@@ -124,9 +124,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43})
-    void oneControllerAloneRefusedByTheStateServiceHarmsNobody(long seed) {
+    void allJobsCompleteWhileTheStoreRejectsOneController(long seed) {
         var cluster = new SimulatedCluster(seed);
-        List<String> ids = submitMix(cluster, 12);
+        List<String> ids = submitMixedJobs(cluster, 12);
         int node = (int) (seed % 3);
         cluster.sim.after(9000, () -> cluster.refusedNode = node);
         cluster.sim.after(40_000, () -> cluster.refusedNode = -1);
@@ -136,9 +136,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53})
-    void machinesThatReachOnlyOneControllerAreTakenOverByIt(long seed) {
+    void machinesReachableByOneControllerAreTakenOverByIt(long seed) {
         var cluster = new SimulatedCluster(seed);
-        List<String> ids = submitMix(cluster, 12);
+        List<String> ids = submitMixedJobs(cluster, 12);
         cluster.sim.after(10_000, () -> {
             for (int m = 0; m < 4; m++) {
                 for (int n = 0; n < 3; n++) {
@@ -153,10 +153,10 @@
     }
 
     @Test
-    void machinesRentedLateAreUsedOrReturned() {
+    void machinesRentedLateAreUsedOrTerminated() {
         var cluster = new SimulatedCluster(61);
         cluster.lateRentals = true;
-        List<String> ids = submitMix(cluster, 6);
+        List<String> ids = submitMixedJobs(cluster, 6);
         cluster.sim.run(Duration.ofSeconds(400));
         assertAllDone(cluster, ids);
         assertEquals(null, cluster.worker(0), "idle machines are terminated, the ones rented late too");
@@ -164,10 +164,10 @@
 
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23})
-    void cancelledJobsVanishInTime(long seed) {
+    void cancelledJobsEndInTime(long seed) {
         var cluster = new SimulatedCluster(seed);
         cluster.loss = 0.02;
-        List<String> ids = submitMix(cluster, 12);
+        List<String> ids = submitMixedJobs(cluster, 12);
         for (int i = 0; i < ids.size(); i += 2) {
             String id = ids.get(i);
             cluster.sim.after(4000L + i * 1500L, () -> cluster.cancel(id));
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -59,7 +59,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {301, 302, 303, 304, 305})
-    void whatTheLeaderCouldNotReadEndsInTimeAndTheRestGoesOn(long seed) {
+    void leaderRejectedByStoreStopsCancelledTasksThroughItsPeers(long seed) {
         var cluster = new SimulatedCluster(seed);
         List<String> ids = longJobs(cluster, 8);
         int leader = cluster.leader();
@@ -83,7 +83,7 @@
         assertEquals(
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
-                "leases that expired although every cancellation is known");
+                "workers whose leases expired although every cancellation is known");
         cluster.refusedNode = -1;
         cluster.state.recover();
         ids.subList(4, 8).forEach(cluster::cancel);
@@ -95,7 +95,7 @@
     /** The same fault, but controllers cannot reach one another or the confirming controller has crashed: only lease expiry on the leader's workers can end the cancelled tasks. */
     @ParameterizedTest
     @ValueSource(longs = {311, 312, 313, 314, 315, 316})
-    void whatNobodyCanTellTheLeaderEndsWithTheLeases(long seed) {
+    void cancelledTasksUnknownToTheLeaderEndByLeaseExpiry(long seed) {
         var cluster = new SimulatedCluster(seed);
         List<String> ids = longJobs(cluster, 8);
         int leader = cluster.leader();
@@ -123,8 +123,8 @@
      * Random partitions between controllers, delays of their messages, a controller rejected by the store, crashes, freezes and a store outage; cancellations go through a controller that the store accepts. A controller's conclusions from its peers' answers must be correct in every combination.
      */
     @ParameterizedTest
-    @MethodSource("gaps")
-    void whoeverHearsWhomWhatIsCancelledEndsInTime(long seed) {
+    @MethodSource("outageSeeds")
+    void cancelledTasksEndInTimeUnderRandomPeerPartitionsAndStoreOutages(long seed) {
         var cluster = new SimulatedCluster(seed);
         var random = new Random(seed);
         List<String> ids = longJobs(cluster, 8);
@@ -161,12 +161,12 @@
         assertEquals(List.of(), cluster.broken);
     }
 
-    static LongStream gaps() {
+    static LongStream outageSeeds() {
         long from = Long.getLong("gap.from", 400);
         return LongStream.range(from, from + Integer.getInteger("gap.count", 40));
     }
 
-    private static RandomFaultSchedule day(long seed) {
+    private static RandomFaultSchedule schedule(long seed) {
         var mix = new RandomFaultSchedule(seed, RandomFaultSchedule.StateService.UNLIMITED);
         mix.submitJobs(14);
         return mix;
@@ -177,7 +177,7 @@
         return Duration.ofMillis(second * 1000L + mix.cluster().sim.random.nextInt(4000));
     }
 
-    private static void assertKept(RandomFaultSchedule mix, String... meetings) {
+    private static void assertHolds(RandomFaultSchedule mix, String... meetings) {
         assertEquals(List.of(), mix.play(), () -> mix.story().toString());
         for (String meeting : meetings) {
             assertTrue(mix.cluster().met.containsKey(meeting), meeting + " did not take place: " + mix.cluster().met);
@@ -187,7 +187,7 @@
     /** The old leader is partitioned from the state store and its peers, but not from workers and users. Jobs whose cancellation the new leader confirms must end on the old leader's machines too. */
     @ParameterizedTest
     @ValueSource(longs = {321, 322, 323, 324})
-    void jobsAreCancelledThroughTheNewLeaderWhileTheOldOneIsCutOff(long seed) {
+    void jobsCancelledAtTheNewLeaderEndOnMachinesOfThePartitionedOldLeader(long seed) {
         var cluster = new SimulatedCluster(seed);
         List<String> ids = longJobs(cluster, 8);
         int old = cluster.leader();
@@ -211,8 +211,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {331, 332, 333, 334})
-    void reportsHeldBackArriveAtTheNewLeader(long seed) {
-        var mix = day(seed);
+    void delayedHeartbeatsArriveAfterALeaderChange(long seed) {
+        var mix = schedule(seed);
         mix.at(near(mix, 18), () -> {
             mix.cluster().alive().forEach(w -> {
                 w.holdReports(Duration.ofMillis(7000 + 1000 * (seed - 330)));
@@ -222,14 +222,14 @@
                     .sim
                     .after(500 * (seed - 331), () -> mix.cluster().crash(mix.leader(), Duration.ofMillis(200)));
         });
-        assertKept(mix, "held report");
+        assertHolds(mix, "held report");
     }
 
     /** The leader changes ten times within two minutes, also during a store outage. Quota shares, placements, placeholders and stops of former leaders must be neither lost nor applied twice. */
     @ParameterizedTest
     @ValueSource(longs = {341, 342, 343, 344})
-    void leadersChangeTenTimesInTwoMinutesAlsoInAnOutage(long seed) {
-        var mix = day(seed);
+    void tenLeaderChangesInTwoMinutesWithAStoreOutage(long seed) {
+        var mix = schedule(seed);
         for (int k = 0; k < 10; k++) {
             mix.at(
                     Duration.ofMillis(6000 + 11_500L * k),
@@ -242,15 +242,15 @@
         mix.at(near(mix, 40), () -> mix.cluster().state.out = true);
         mix.at(Duration.ofSeconds(62), mix.cluster().state::recover);
         mix.at(near(mix, 20), () -> mix.cluster().cancel(mix.ids().get(3)));
-        assertKept(mix);
+        assertHolds(mix);
     }
 
     /**
      * The leader crashes while placeholders fetch their images and restarts within a second. It takes its machine records again because the leader record still names it, but another controller is elected: then all placeholders wait on machines that the new leader does not own.
      */
     @ParameterizedTest
-    @MethodSource("formerLeaders")
-    void placeholdersOfAFormerLeaderAreTakenUp(long seed) {
+    @MethodSource("formerLeaderSeeds")
+    void placeholdersOfAFormerLeaderAreUsedByTheNewOne(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10);
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.GANG, 6, false, false));
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.GANG, 5, false, false));
@@ -280,7 +280,7 @@
         return row == null ? "" : row.value().path("mode").asText();
     }
 
-    static LongStream formerLeaders() {
+    static LongStream formerLeaderSeeds() {
         long from = Long.getLong("former.from", 3500);
         return LongStream.range(from, from + Integer.getInteger("former.count", 10));
     }
@@ -288,9 +288,9 @@
     /** The heartbeats of a machine are lost while commands reach it and are answered, so its lease expires again and again. It must get no new tasks and must be terminated. */
     @ParameterizedTest
     @ValueSource(longs = {361, 362, 363})
-    void aMuteMachineGetsNothingNewAndIsReturned(long seed) {
+    void machineThatCannotSendHeartbeatsGetsNoTasksAndIsTerminated(long seed) {
         var cluster = new SimulatedCluster(seed);
-        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 12);
         cluster.sim.run(Duration.ofSeconds(8).plusMillis(400 * (seed - 360)));
         FakeWorker mute = cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
@@ -309,7 +309,7 @@
     /** The tasks of a job complete far apart with leader changes in between. The job must be reported as done within 3 s of the completion of its last task, and never before. The test checks the latter; simulated users poll too seldom for the former. */
     @ParameterizedTest
     @ValueSource(longs = {371, 372, 373, 374})
-    void tasksOfAJobEndFarApartAcrossAChangeOfLeader(long seed) {
+    void jobIsNotDoneBeforeItsLastTaskAcrossLeaderChanges(long seed) {
         var cluster = new SimulatedCluster(seed);
         cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(4 + 17L * p.index()));
         var ids = new ArrayList<String>();
@@ -341,8 +341,8 @@
     /** When the leader crashes, some machines with long tasks are disconnected and others cannot receive messages. */
     @ParameterizedTest
     @ValueSource(longs = {381, 382, 383, 384, 385})
-    void aLeaderEndsWhileMachinesWithLongTasksCannotBeReached(long seed) {
-        var mix = day(seed);
+    void leaderCrashesWhileMachinesAreUnreachable(long seed) {
+        var mix = schedule(seed);
         SimulatedCluster cluster = mix.cluster();
         cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(20 + p.index() % 3 * 8L));
         mix.at(near(mix, 24), () -> {
@@ -359,14 +359,14 @@
             cluster.met("unreachable machines");
             cluster.crash(mix.leader(), Duration.ofMillis(500 + 2000 * (seed % 3)));
         });
-        assertKept(mix, "unreachable machines");
+        assertHolds(mix, "unreachable machines");
     }
 
     /** All machines hang several times for up to 9 s, which delays commands and answers, and jobs are cancelled meanwhile. */
     @ParameterizedTest
     @ValueSource(longs = {391, 392, 393, 394, 395})
-    void commandsAreHeldUpAndTheMachineGoesOn(long seed) {
-        var mix = day(seed);
+    void machinesHangAndResumeWhileJobsAreCancelled(long seed) {
+        var mix = schedule(seed);
         SimulatedCluster cluster = mix.cluster();
         for (int k = 0; k < 5; k++) {
             mix.at(
@@ -375,30 +375,30 @@
                             .forEach(w -> w.hang(Duration.ofMillis(1500 + cluster.sim.random.nextInt(7500)))));
         }
         mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 25));
-        assertKept(mix, "CANCEL_NOW");
+        assertHolds(mix, "CANCEL_NOW");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {401, 402, 403})
-    void allControllersAreAwayForLongerThanALease(long seed) {
-        var mix = day(seed);
+    void allControllersAreDownForLongerThanALease(long seed) {
+        var mix = schedule(seed);
         mix.at(near(mix, 22), () -> {
             for (int n = 0; n < 3; n++) {
                 mix.cluster().crash(n, SimulatedCluster.LEASE.plusMillis(1500 + 1100L * n));
             }
         });
-        assertKept(mix);
+        assertHolds(mix);
     }
 
     /** Urgent and low-priority jobs exceed the capacity while every message is delayed by 250 ms. */
     @ParameterizedTest
     @ValueSource(longs = {411, 412})
-    void moreWorkThanRoomOverSlowLinks(long seed) {
+    void jobsBeyondCapacityOverSlowLinks(long seed) {
         var mix = new RandomFaultSchedule(seed, RandomFaultSchedule.StateService.UNLIMITED);
         mix.cluster().slowMillis = 250;
         mix.submitJobs(30);
         mix.at(Duration.ofSeconds(100), () -> mix.cluster().slowMillis = 0);
-        assertKept(mix);
+        assertHolds(mix);
     }
 
     /**
@@ -406,7 +406,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {421, 422, 423, 424, 425})
-    void aTeamAtItsLimitWhenTheLeaderChanges(long seed) {
+    void teamAtItsLimitStaysWithinItWhenTheLeaderChanges(long seed) {
         var cluster = new SimulatedCluster(seed);
         cluster.taskTime = Optional.of(Duration.ofSeconds(40));
         for (int i = 0; i < 4; i++) {
@@ -433,8 +433,8 @@
     /** A controller crashes and rejoins, then all crash; one restarts within a second, the others 18 and 25 s later. */
     @ParameterizedTest
     @ValueSource(longs = {431, 432, 433, 434})
-    void controllersHandOverAndBackThenAllEndAndOneReturns(long seed) {
-        var mix = day(seed);
+    void controllerRejoinsThenAllCrashAndOneRestartsAtOnce(long seed) {
+        var mix = schedule(seed);
         SimulatedCluster cluster = mix.cluster();
         int node = (int) seed % 3;
         mix.at(near(mix, 9), () -> cluster.crash(node, Duration.ofMillis(2500)));
@@ -443,21 +443,21 @@
             cluster.crash((node + 1) % 3, Duration.ofSeconds(25));
             cluster.crash((node + 2) % 3, Duration.ofSeconds(18));
         });
-        assertKept(mix);
+        assertHolds(mix);
     }
 
     /** The answers of a quarter of the transactions are lost and these are applied seconds later, after newer ones of the same controller, while leaders change and jobs are cancelled. */
     @ParameterizedTest
     @ValueSource(longs = {441, 442, 443, 444, 445})
-    void transactionsAreCarriedOutLateAfterNewerOnes(long seed) {
-        var mix = day(seed);
+    void unacknowledgedTransactionsAreAppliedAfterNewerOnes(long seed) {
+        var mix = schedule(seed);
         SimulatedCluster cluster = mix.cluster();
         cluster.lateWrites = 0.25;
         mix.at(near(mix, 25), () -> cluster.crash(mix.leader(), Duration.ofMillis(300)));
         mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 30));
         mix.add(RandomFaultSchedule.Trouble.ODD_REQUESTS, near(mix, 20));
         mix.at(Duration.ofSeconds(90), () -> cluster.lateWrites = 0);
-        assertKept(mix, "late write");
+        assertHolds(mix, "late write");
     }
 
     /**
@@ -465,8 +465,8 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {451, 452, 453, 454})
-    void oldReportsOfEarlierSessionsArriveLate(long seed) {
-        var mix = day(seed);
+    void delayedDuplicateHeartbeatsOfEarlierSessions(long seed) {
+        var mix = schedule(seed);
         SimulatedCluster cluster = mix.cluster();
         cluster.lateCopies = 3;
         cluster.latestCopy = Duration.ofSeconds(38);
@@ -479,7 +479,7 @@
             cluster.crash(mix.leader(), Duration.ofMillis(300));
         });
         mix.at(Duration.ofSeconds(70), () -> cluster.lateCopies = 0);
-        assertKept(mix, "later session");
+        assertHolds(mix, "later session");
     }
 
     /**
@@ -487,11 +487,11 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {461, 462, 463, 464})
-    void requestsMeetTheEndOfAJob(long seed) {
-        var mix = day(seed);
+    void requestsAtTheMomentOfCompletionGetOneFinalState(long seed) {
+        var mix = schedule(seed);
         mix.cluster().cancelledAtEnd = 1;
         mix.cluster().repeatedAtEnd = true;
-        assertKept(mix, "cancelled at its end");
+        assertHolds(mix, "cancelled at its end");
         assertTrue(
                 mix.cluster().met.get("cancelled at its end") >= mix.ids().size(),
                 "not every job was cancelled at its completion: " + mix.cluster().met);
@@ -500,8 +500,8 @@
     /** The state store is slow, then rejects the leader, then all controllers for longer than {@code cancel_s}, while users cancel and poll jobs. */
     @ParameterizedTest
     @ValueSource(longs = {471, 472, 473, 474})
-    void aSlowStateServiceRefusesTheLeaderAndThenEverybody(long seed) {
-        var mix = day(seed);
+    void slowStoreRejectsTheLeaderThenAllControllers(long seed) {
+        var mix = schedule(seed);
         SimulatedCluster cluster = mix.cluster();
         cluster.slowStateMillis = 900;
         mix.at(near(mix, 22), () -> cluster.refusedNode = mix.leader());
@@ -513,14 +513,14 @@
             cluster.slowStateMillis = 0;
             cluster.state.recover();
         });
-        assertKept(mix, "CANCEL_NOW");
+        assertHolds(mix, "CANCEL_NOW");
     }
 
     /** Four machines are lost while the leader changes. The jobs include arrays spread over zones and jobs bound to a zone. */
     @ParameterizedTest
     @ValueSource(longs = {481, 482, 483, 484})
-    void jobsBoundToAZoneLoseMachines(long seed) {
-        var mix = day(seed);
+    void jobsWithZoneConstraintsLoseMachinesDuringALeaderChange(long seed) {
+        var mix = schedule(seed);
         SimulatedCluster cluster = mix.cluster();
         for (int k = 0; k < 4; k++) {
             mix.at(near(mix, 14 + 8 * k), () -> {
@@ -532,6 +532,6 @@
             });
         }
         mix.at(near(mix, 26), () -> cluster.crash(mix.leader(), Duration.ofMillis(200)));
-        assertKept(mix, "machine lost");
+        assertHolds(mix, "machine lost");
     }
 }
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -28,9 +28,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = {71, 72, 73})
-    void aMachineThatTakesNoCommandsIsClosedReturnedAndReplaced(long seed) {
+    void machineThatCannotReceiveIsTerminatedAndReplaced(long seed) {
         var cluster = new SimulatedCluster(seed);
-        List<String> ids = ClusterTest.submitMix(cluster, 14);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         cluster.sim.run(Duration.ofSeconds(9));
         FakeWorker deaf = cluster.worker((int) seed % 3);
         deaf.oneWay(true);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void nothingIsBookedOnAMachineThatOnlyReports() {
+    void nothingIsPlacedOnAMachineThatCannotReceive() {
         var cluster = new SimulatedCluster(74);
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 2, false, false));
         cluster.sim.run(Duration.ofSeconds(20));
@@ -66,10 +66,10 @@
 
     @ParameterizedTest
     @ValueSource(longs = {81, 82, 83, 84})
-    void lateCopiesOfReportsProveNothing(long seed) {
+    void duplicatedHeartbeatsDoNotRecreateTerminatedMachines(long seed) {
         var cluster = new SimulatedCluster(seed);
         cluster.lateCopies = 2;
-        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 12);
         for (int n = 0; n < 3; n++) {
             int node = n;
             cluster.sim.after(12_000L + 4000L * n, () -> cluster.crash(node, Duration.ofMillis(300)));
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void copiesDoNotKeepADeadMachine() {
+    void duplicatedHeartbeatsDoNotKeepACrashedMachineAlive() {
         var cluster = new SimulatedCluster(85);
         cluster.lateCopies = 3;
         cluster.latestCopy = Duration.ofSeconds(40);
@@ -102,7 +102,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void workersLeaveAControllerThatReachesNobodyElse(int node) {
+    void workersLeaveAnIsolatedControllerBeforeTheirLeasesExpire(int node) {
         var cluster = new SimulatedCluster(91 + node);
         for (int i = 0; i < 6; i++) {
             cluster.submit(ClusterTest.job(
@@ -118,13 +118,13 @@
         assertEquals(
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
-                "leases that ran out");
+                "workers with expired leases");
     }
 
     /** All controllers crash and one restarts after 5.3 s. The worker lease is 10 s, so the restarted controller must answer heartbeats of all workers at once instead of leaving the machines of the others to them first. */
     @ParameterizedTest
     @ValueSource(longs = {93, 94, 95, 96, 97, 98})
-    void workersOutliveACrashOfAllControllers(long seed) {
+    void workersKeepTheirLeasesThroughACrashOfAllControllers(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10); // a record each, so that they hash to different controllers
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 8, false, false));
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.SERVICE, 4, false, false));
@@ -142,12 +142,12 @@
         assertEquals(
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
-                "leases that ran out");
+                "workers with expired leases");
         assertEquals(List.of(), cluster.broken);
     }
 
     @Test
-    void inAnOutageThatAllShareWorkersAreAnswered() {
+    void workersKeepTheirLeasesInAStoreOutage() {
         var cluster = new SimulatedCluster(95);
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 8, false, false));
         cluster.sim.run(Duration.ofSeconds(30));
@@ -159,15 +159,15 @@
         assertEquals(
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
-                "leases that ran out");
+                "workers with expired leases");
         assertEquals(List.of(), cluster.broken);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {101, 102, 103, 104})
-    void controllersBackAtOnceInMidElection(long seed) {
+    void controllersCrashAndRestartDuringElections(long seed) {
         var cluster = new SimulatedCluster(seed);
-        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 12);
         for (int k = 0; k < 6; k++) {
             cluster.sim.after(6000L + k * 5200L, () -> {
                 int leader = Math.max(0, cluster.leader());
@@ -185,7 +185,7 @@
     /** A spot interruption notice for a machine of a running gang makes the gang write a checkpoint; all controllers crash during those seconds. */
     @ParameterizedTest
     @ValueSource(longs = {105, 106, 107, 108, 109, 110})
-    void allControllersCrashWhileAGangSaves(long seed) {
+    void allControllersCrashWhileAGangWritesACheckpoint(long seed) {
         var cluster = new SimulatedCluster(seed);
         Submission gang = SubmissionBuilder.submission("wk-000001")
                 .kind(JobKind.GANG)
@@ -221,10 +221,10 @@
 
     @ParameterizedTest
     @ValueSource(longs = {111, 112})
-    void everyControllerKnowsEveryJobAfterTroubles(long seed) {
+    void everyControllerKnowsEveryJobAfterFaults(long seed) {
         var cluster = new SimulatedCluster(seed);
         cluster.loss = 0.03;
-        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 12);
         cluster.sim.after(8000, () -> cluster.isolatedNode = (int) seed % 3);
         cluster.sim.after(22_000, () -> cluster.isolatedNode = -1);
         cluster.sim.after(15_000, () -> cluster.crash((int) (seed + 1) % 3, Duration.ofMillis(200)));
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void aJobOnMoreMachinesThanATransactionGuardsIsRecorded() {
+    void jobOnMoreMachinesThanATransactionHasPreconditionsIsStored() {
         // A name step of 10 gives every machine its own record: more records than one transaction may have
         // preconditions.
         var cluster = new SimulatedCluster(121, 90, 10);
@@ -269,7 +269,7 @@
     /** Small jobs arrive continuously from the gang's team and from another team that exceeds its guarantee. They must not starve the gang. */
     @ParameterizedTest
     @ValueSource(strings = {"URGENT", "NORMAL"})
-    void aLargeGangBeginsWithinFourMinutes(String priority) {
+    void largeGangStartsWithinFourMinutesDespiteSmallJobs(String priority) {
         var cluster = new SimulatedCluster(131);
         for (int i = 0; i < 300; i++) {
             Submission small = SubmissionBuilder.submission("wk-%06d".formatted(i + 10))
@@ -303,10 +303,10 @@
     /** Controllers freeze while their clocks advance, the leader first, at any stage of placing, rescheduling, checkpointing and cancelling. */
     @ParameterizedTest
     @ValueSource(longs = {141, 142, 143, 144, 145, 146, 147, 148, 149, 150})
-    void controllersStandStillAtAnyStage(long seed) {
+    void controllersFreezeAtAnyStage(long seed) {
         var cluster = new SimulatedCluster(seed);
         cluster.repeat = 0.1;
-        List<String> ids = ClusterTest.submitMix(cluster, 14);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         for (int k = 0; k < 5; k++) {
             int which = k;
             cluster.sim.after(3000L + k * 9000L + cluster.sim.random.nextInt(6000), () -> {
@@ -327,7 +327,7 @@
     /** Two controllers crash and the third takes over their machines. A running machine is reported only once, so the last contact reported by a former owner may be minutes old and must not count against the machine. */
     @ParameterizedTest
     @ValueSource(longs = {161, 162, 163, 164})
-    void machinesOfACrashedControllerAreKept(long seed) {
+    void machinesOfCrashedControllersAreKept(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10); // a record each, so that they hash to different controllers
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 10, false, false));
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.SERVICE, 6, false, false));
@@ -343,14 +343,14 @@
         assertEquals(
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
-                "given back");
+                "terminated machines");
         assertEquals(List.of(), cluster.broken);
     }
 
     /** A controller freezes while the others are down. It received no heartbeats because it was frozen, so it must not terminate machines for missing ones. */
     @ParameterizedTest
     @ValueSource(ints = {14, 19, 27})
-    void aControllerThatStoodStillReturnsNoMachineForItsSilence(int seconds) {
+    void frozenControllerTerminatesNoMachineOnWaking(int seconds) {
         var cluster = new SimulatedCluster(151);
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 6, false, false));
         cluster.sim.run(Duration.ofSeconds(60));
@@ -369,14 +369,14 @@
         assertEquals(
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
-                "given back");
+                "terminated machines");
         assertEquals(List.of(), cluster.broken);
     }
 
     /** A controller partitioned from all workers must give up leadership and its machines; otherwise it would terminate the machines for missing heartbeats. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void aControllerThatHasLostItsWorkersStepsAside(int offset) {
+    void controllerPartitionedFromItsWorkersGivesUpItsMachines(int offset) {
         var cluster = new SimulatedCluster(171, 7, 10);
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 10, false, false));
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.SERVICE, 6, false, false));
@@ -394,11 +394,11 @@
         assertEquals(
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
-                "given back");
+                "terminated machines");
         assertEquals(
                 List.of(),
                 used.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
-                "leases that ran out");
+                "workers with expired leases");
         cluster.deafNode = -1;
         cluster.sim.run(Duration.ofSeconds(125));
         assertTrue(
@@ -417,7 +417,7 @@
     /** The leader gets no information on machines of other controllers for far longer than a lease, while those controllers receive their heartbeats throughout. */
     @ParameterizedTest
     @ValueSource(longs = {181, 182, 183})
-    void machinesOfControllersThatCannotTalkToTheLeaderAreKept(long seed) {
+    void machinesAreKeptWhileControllersCannotReachOneAnother(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10);
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 10, false, false));
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.SERVICE, 6, false, false));
@@ -430,7 +430,7 @@
         assertEquals(
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
-                "given back");
+                "terminated machines");
         cluster.peersRefuse = false;
         cluster.submit(ClusterTest.job("wk-000003", "red", JobKind.GANG, 3, false, false));
         cluster.sim.run(Duration.ofSeconds(200));
@@ -465,7 +465,7 @@
     @ParameterizedTest
     @CsvSource({"191, 27", "192, 27", "193, 27", "191, 33", "192, 33", "193, 33"
     }) // a new leader gives up a machine without a heartbeat after 25 s
-    void machinesAreKeptWhenTheirCutEnds(long seed, int seconds) {
+    void machinesAreKeptWhenTheirDisconnectionEnds(long seed, int seconds) {
         var cluster = new SimulatedCluster(seed, 7, 10);
         cluster.submit(serviceIn("east", "wk-000001", "red", 10));
         cluster.submit(serviceIn("east", "wk-000002", "blue", 6));
@@ -482,7 +482,7 @@
         assertEquals(
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
-                "given back");
+                "terminated machines");
         assertEquals(List.of(), cluster.broken);
     }
 
@@ -491,7 +491,7 @@
      */
     @ParameterizedTest
     @CsvSource({"211, west, 2", "212, west, 0", "213, east, 0", "214, east, 2", "215, west, 1", "216, east, 1"})
-    void aZoneIsCutOffFromEverything(long seed, String zone, int crashed) {
+    void jobsCompleteAndMachinesAreKeptThroughAZonePartition(long seed, String zone, int crashed) {
         var cluster = new SimulatedCluster(seed, 120, 3);
         cluster.provide(40);
         cluster.taskTime = Optional.of(Duration.ofMinutes(10));
@@ -512,14 +512,14 @@
         assertTrue(!used.isEmpty());
         cluster.zoneCut = zone;
         cluster.sim.after(4000, () -> cluster.crash(crashed, Duration.ofMillis(700)));
-        List<String> ids = ClusterTest.submitMix(cluster, 6);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 6);
         cluster.sim.run(Duration.ofSeconds(96));
         cluster.zoneCut = "";
         cluster.sim.run(Duration.ofSeconds(101));
         assertEquals(
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
-                "given back");
+                "terminated machines");
         cluster.cancel("wk-000101");
         cluster.cancel("wk-000102");
         cluster.sim.run(Duration.ofSeconds(400));
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -55,7 +55,7 @@
         assertEquals(
                 sessions,
                 cluster.alive().stream().mapToLong(FakeWorker::session).sum(),
-                "leases ran out");
+                "lease expiries");
         assertEquals(0, cluster.broken.size(), cluster.broken.toString());
         assertTrue(cluster.mostOpen <= MOST_CALLS, cluster.mostOpen + " calls at once");
     }
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aCrashOfAllTakesNoMoreThanInProportionToTheFleet() {
+    void callsAfterACrashOfAllGrowAtMostWithTheFleet() {
         Map<String, Integer> small = crashOfAll(SMALL);
         Map<String, Integer> large = crashOfAll(SMALL * TIMES);
         for (String kind : small.keySet()) {
@@ -95,7 +95,7 @@
 
     /** A fleet of the required size starts, then the leader crashes, then all controllers; no task may be lost. */
     @Test
-    void fourThousandMachinesOutliveACrashOfTheLeaderAndOfAll() {
+    void fourThousandMachinesKeepTheirTasksThroughCrashesOfTheLeaderAndOfAll() {
         var cluster = busy(LARGEST);
         assertEquals(LARGEST, busyMachines(cluster));
         long sessions = cluster.alive().stream().mapToLong(FakeWorker::session).sum();
@@ -112,7 +112,7 @@
 
     /** A third of all machines is disconnected for longer than a lease. */
     @Test
-    void aCutOfAThirdKeepsCallsBounded() {
+    void callsStayBoundedWhileAThirdOfMachinesIsDisconnected() {
         SimulatedCluster cluster = busy(SMALL * 2);
         cluster.alive().stream()
                 .filter(w -> w.id().hashCode() % 3 == 0)
@@ -129,7 +129,7 @@
 
     /** More submissions at once than can be stored before their users time out: the excess is rejected at once with a time to retry. */
     @Test
-    void whatCannotBeStoredInTimeIsAnsweredAtOnce() {
+    void submissionsBeyondTheWriteRateAreRejectedAtOnce() {
         var cluster = new SimulatedCluster(202);
         cluster.sim.run(Duration.ofSeconds(5));
         var answers = new ArrayList<CompletableFuture<UserApi.Answer>>();
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -140,7 +140,7 @@
                             .minus(waitsBesideRoom.computeIfAbsent(job.id(), k -> cluster.sim.now()))
                             .compareTo(LONGEST_WAIT)
                     > 0) {
-                cluster.broken.add("waits beside room: " + job.id());
+                cluster.broken.add("waits despite free capacity: " + job.id());
                 waitsBesideRoom.remove(job.id());
             }
         }
@@ -205,7 +205,7 @@
                                     .count()
                             * 2
                     < members.size()) {
-                failures.add("less than half served: " + name);
+                failures.add("less than half done: " + name);
             }
             if (name.startsWith("largest")) {
                 members.stream()
@@ -215,7 +215,7 @@
                                                 .minus(cluster.submittedAt.get(j.id()))
                                                 .compareTo(LARGEST_BEGIN)
                                         > 0)
-                        .forEach(j -> failures.add(name + " began late: " + j.id()));
+                        .forEach(j -> failures.add(name + " started late: " + j.id()));
             }
         });
         if (cluster.begunAt.isEmpty()) {
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -40,7 +40,7 @@
     /** Jobs fail on every machine. No machine may be terminated for them, their attempts must stay few, and other jobs proceed. Once cancelled, they end. */
     @ParameterizedTest
     @MethodSource("faultySeeds")
-    void jobsSubmittedWithAMistakeHarmNobodyElse(long seed) {
+    void faultyJobsDoNotAffectOtherJobs(long seed) {
         var cluster = new SimulatedCluster(seed);
         var faulty = List.of("wk-000101", "wk-000102", "wk-000103");
         cluster.faultyJobs.addAll(faulty);
@@ -48,7 +48,7 @@
             faulty.subList(0, 2).forEach(id -> cluster.submit(array(id, "red", Priority.NORMAL, 8)));
             cluster.submit(ClusterTest.job(faulty.get(2), "blue", JobKind.GANG, 3, false, true));
         });
-        List<String> ids = ClusterTest.submitMix(cluster, 12);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 12);
         cluster.sim.run(Duration.ofSeconds(150));
         ClusterTest.assertAllDone(cluster, ids);
         String decisions = cluster.decisions();
@@ -76,9 +76,9 @@
     /** If the machine is faulty, its jobs run elsewhere and the machine is terminated. */
     @ParameterizedTest
     @ValueSource(longs = {611, 612, 613})
-    void aMachineThatFailsEveryJobIsReturned(long seed) {
+    void machineThatFailsEveryTaskIsTerminated(long seed) {
         var cluster = new SimulatedCluster(seed);
-        List<String> ids = ClusterTest.submitMix(cluster, 16);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 16);
         cluster.sim.run(Duration.ofSeconds(5));
         FakeWorker sick = cluster.worker(0);
         sick.sick(true);
@@ -92,7 +92,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {621, 622, 623, 624})
-    void aControllerSilentForLongComesBackAsIfNothingHadBeen(long seed) {
+    void controllerResumesAfterALongFreeze(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10);
         cluster.submit(ClusterTest.job("wk-000101", "red", JobKind.SERVICE, 6, false, false));
         cluster.submit(ClusterTest.job("wk-000102", "blue", JobKind.SERVICE, 4, false, false));
@@ -123,13 +123,13 @@
         assertEquals(
                 List.of(),
                 used.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
-                "leases that ran out");
+                "workers with expired leases");
         assertEquals(List.of(), cluster.broken);
     }
 
     /** One read of the store answers all polls that wait for it, so a burst of polls causes few store calls. */
     @Test
-    void aStormOfQuestionsCostsFewReadings() {
+    void burstOfPollsCausesFewStoreCalls() {
         var cluster = new SimulatedCluster(631);
         cluster.submit(array("wk-000001", "red", Priority.LOW, 4));
         cluster.sim.run(Duration.ofSeconds(7));
@@ -152,7 +152,7 @@
 
     /** A team without a guarantee fills the fleet with one huge array. Jobs within another team's guarantee are done in time, and the array is done too. */
     @Test
-    void aGuestsHugeArrayGivesWayAndIsServed() {
+    void hugeArrayWithoutGuaranteeYieldsAndCompletes() {
         var cluster = new SimulatedCluster(641);
         Submission huge = SubmissionBuilder.submission("wk-000100")
                 .jobClass("guest")
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -48,7 +48,7 @@
     /** Two of three controllers are paused at once for longer than any lease. The third serves users and keeps all machines and their tasks. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void oneControllerServesWhileTwoAreSilent(long seed) {
+    void oneControllerServesWhileTwoArePaused(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10);
         cluster.submit(ClusterTest.job("wk-000101", "red", JobKind.SERVICE, 6, false, false));
         cluster.submit(ClusterTest.job("wk-000102", "blue", JobKind.SERVICE, 4, false, false));
@@ -89,10 +89,10 @@
      */
     @ParameterizedTest
     @MethodSource("seeds")
-    void whatWasCancelledDuringAPauseNeverStarts(long seed) {
+    void jobsCancelledDuringAPauseNeverStart(long seed) {
         var random = new Random(seed);
         var cluster = new SimulatedCluster(seed);
-        List<String> ids = ClusterTest.submitMix(cluster, 14);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         cluster.sim.run(Duration.ofMillis(2500 + random.nextInt(9000)));
         int paused = random.nextBoolean() ? Math.max(0, cluster.leader()) : random.nextInt(3);
         Duration length =
--- a/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
@@ -24,13 +24,13 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void whateverMeets(long seed) {
+    void invariantsHoldUnderRandomFaults(long seed) {
         play(seed, RandomFaultSchedule.StateService.UNLIMITED);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void whateverMeetsWhileWritesAreScarce(long seed) {
+    void invariantsHoldUnderRandomFaultsWithALimitedStore(long seed) {
         play(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
     }
 
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -70,7 +70,7 @@
     /** Each field is missing, null, of the wrong type, negative, not finite or too large. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void whatIsMissingOrOutOfRangeIsNamed(long seed) {
+    void rejectionNamesTheMissingOrInvalidField(long seed) {
         SimulatedCluster cluster = ready();
         var random = new Random(seed);
         int number = 0;
@@ -106,7 +106,7 @@
         "red, GANG, 2, 1, '', east, apart",
         "blue, GANG, 7, 1, '', '', ''"
     })
-    void whatCanNeverRunIsRefused(
+    void jobsThatCanNeverRunAreRejected(
             String team, JobKind shape, int tasks, double gpus, String type, String zone, String zoneRules) {
         SimulatedCluster cluster = ready();
         var job = SubmissionBuilder.submission("wk-000001")
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void nothingIsRefusedForGoodWhileTheCatalogIsUnknown() {
+    void submissionsAreRetriableWhileTheCatalogIsUnknown() {
         var cluster = new SimulatedCluster(502);
         cluster.cloudSilent = true;
         cluster.sim.run(Duration.ofSeconds(6));
@@ -143,7 +143,7 @@
 
     /** Resubmission and cancellation of a known job return its current state; cancellation of an unknown job returns 404. */
     @Test
-    void whatIsKnownIsAnsweredAsItStands() {
+    void repeatedRequestsReturnTheCurrentState() {
         SimulatedCluster cluster = ready();
         cluster.jobs.put("wk-000001", good(1)); // its tasks may start before the submission is answered
         assertEquals(201, submit(cluster, good(1).toNode()).status());
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -63,7 +63,7 @@
     }
 
     /** Cancels the service and asserts that its replicas end in time and that no invariant was violated. */
-    private static void callOff(SimulatedCluster cluster) {
+    private static void cancelAndAssertGone(SimulatedCluster cluster) {
         cluster.cancel(ID);
         cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL));
         assertEquals("cancelled", cluster.lastTold(ID));
@@ -80,18 +80,18 @@
     }
 
     @Test
-    void theyAreAcceptedWithoutAnEstimateAndNeverDone() {
+    void servicesNeedNoEstimateAndNeverComplete() {
         SimulatedCluster cluster = running(901, false, false);
         cluster.sim.run(Duration.ofSeconds(200));
         var answer = cluster.question(0, ID);
         cluster.sim.run(cluster.sim.now().plusSeconds(2));
         assertEquals("running", answer.join().body().path("phase").asText());
         assertEquals(4, answer.join().body().path("running").asInt());
-        callOff(cluster);
+        cancelAndAssertGone(cluster);
     }
 
     @Test
-    void oneThatNeedsMoreThanItsTeamMayUseIsRefused() {
+    void serviceBeyondItsTeamsLimitIsRejected() {
         var cluster = new SimulatedCluster(902);
         cluster.sim.run(Duration.ofSeconds(5));
         Submission large = ClusterTest.job(ID, "blue", JobKind.SERVICE, SimulatedCluster.QUOTA_BLUE + 1, false, false);
@@ -103,24 +103,24 @@
     /** Replicas of a crashed machine are restarted elsewhere once the machine is known to be lost. */
     @ParameterizedTest
     @ValueSource(longs = {903, 904, 905})
-    void replicasOfAMachineThatDiesComeBack(long seed) {
+    void replicasOfACrashedMachineAreRestarted(long seed) {
         SimulatedCluster cluster = running(seed, false, false);
         cluster.die(cluster.workers.get(machines(cluster).iterator().next()));
         await(cluster, Duration.ofSeconds(45));
-        callOff(cluster);
+        cancelAndAssertGone(cluster);
     }
 
     /** After a spot interruption notice replicas move to another machine before the termination. */
     @ParameterizedTest
     @ValueSource(longs = {906, 907, 908})
-    void replicasMoveAheadOfANotice(long seed) {
+    void replicasMoveBeforeASpotInterruption(long seed) {
         SimulatedCluster cluster = running(seed, false, true);
         FakeWorker noticed = cluster.workers.get(machines(cluster).iterator().next());
         cluster.take(noticed, Duration.ofSeconds(20));
         cluster.sim.run(cluster.sim.now().plusSeconds(18));
         assertTrue(!noticed.dead && !machines(cluster).contains(noticed.id()), "still on the machine");
         assertEquals(4, replicas(cluster).size());
-        callOff(cluster);
+        cancelAndAssertGone(cluster);
     }
 
     /** Replicas never end by themselves, so they must be moved off a drained machine for it to become empty. */
@@ -137,13 +137,13 @@
         assertEquals(4, replicas(cluster).size());
         assertTrue(!machines(cluster).contains(drained), "still on the machine");
         assertTrue(!cluster.workers.containsKey(drained), "the drained machine was not terminated");
-        callOff(cluster);
+        cancelAndAssertGone(cluster);
     }
 
     /** A zone fails with half of the replicas. The other zone runs as many as the spread constraint allows. */
     @ParameterizedTest
     @ValueSource(longs = {909, 910, 911})
-    void afterTheLossOfAZoneTheRestRuns(long seed) {
+    void replicasOfTheOtherZoneRunAfterAZoneFailure(long seed) {
         SimulatedCluster cluster = running(seed, true, false);
         cluster.alive().stream().filter(w -> w.zone.equals("east")).forEach(cluster::die);
         cluster.crash(cluster.leader(), Duration.ofSeconds(8));
@@ -153,7 +153,7 @@
                         && cluster.workers.get(t.host()).zone.equals("west"))
                 .count();
         assertEquals(2, west);
-        callOff(cluster);
+        cancelAndAssertGone(cluster);
     }
 
     /** Replicas on a machine that fails all its tasks are restarted elsewhere. */
@@ -166,12 +166,12 @@
         sick.tasks().forEach(t -> t.exit("error"));
         cluster.changed();
         await(cluster, Duration.ofSeconds(60));
-        callOff(cluster);
+        cancelAndAssertGone(cluster);
     }
 
     /** The cluster is full of low-priority tasks; they are preempted without delay. */
     @Test
-    void lowerWorkGivesWay() {
+    void lowerPriorityTasksArePreempted() {
         SimulatedCluster cluster = cluster(914);
         cluster.taskTime = Optional.of(Duration.ofMinutes(20));
         cluster.submit(OperationsTest.array("wk-000001", "red", Priority.LOW, 10));
@@ -179,16 +179,16 @@
         cluster.sim.run(Duration.ofSeconds(60));
         cluster.submit(service(ID, 4, false, true));
         await(cluster, Duration.ofSeconds(15));
-        callOff(cluster);
+        cancelAndAssertGone(cluster);
     }
 
     @Test
-    void operatorsSeeWhatIsWantedAndRuns() {
+    void administrationShowsWantedAndRunningReplicas() {
         SimulatedCluster cluster = running(915, false, false);
         var job = cluster.admin(0, "GET", "/v1/jobs/" + ID, "").join().body();
         assertEquals(4, job.path("replicasWanted").asInt(), job.toString());
         assertEquals(4, job.path("replicasRunning").asInt());
         assertEquals(0, job.path("replicasRestarting").asInt());
-        callOff(cluster);
+        cancelAndAssertGone(cluster);
     }
 }
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -125,11 +125,11 @@
             cluster.told.put(id, phase);
             overAt.put(id, cluster.sim.now());
         } else if (!before.equals(phase) && (phase.equals("done") || phase.equals("cancelled"))) {
-            cluster.broken.add("went_back: " + id + " was told " + before + " and " + phase);
+            cluster.broken.add("went_back: " + id + " was reported as " + before + " and as " + phase);
         }
         if (phase.equals("cancelled")) {
             if (!cluster.wantedGone.contains(id)) {
-                cluster.broken.add("went_back: " + id + " cancelled by nobody");
+                cluster.broken.add("went_back: " + id + " cancelled without a request");
             }
             if (cluster.cancelled.putIfAbsent(id, cluster.sim.now()) == null) {
                 cluster.sim.after(SimulatedCluster.CANCEL.plusMillis(1), cluster.rules::quota);
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -113,7 +113,7 @@
     /** The sequence of the incident, see the class comment. */
     @ParameterizedTest
     @ValueSource(longs = {4, 8, 10, 15, 21, 26})
-    void whatOthersStoredCountsWhileAnOwnPlacementOfThatJobIsUnderWay(long seed) {
+    void storedAllocationsCountWhileAnOwnPlacementIsPending(long seed) {
         int refused = (int) (seed % 3);
         int other = (refused + 1) % 3;
         List<String> jobs = namesOf(refused, "wk-%06d", 1, threeControllers()::controllerOfJob, 3);
@@ -154,7 +154,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void aRestartedControllerUsesNoShareGrantedBefore(long seed) {
+    void restartedControllerDoesNotReuseItsQuotaShare(long seed) {
         int restarted = (int) (seed % 3);
         Membership membership = threeControllers();
         var cluster = new SimulatedCluster(
@@ -198,7 +198,7 @@
     /** More seeds than the default are run with {@code mvn test -Dtest=TeamLimitTest -Dlimits.from=1000 -Dlimits.count=500}. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void noTeamHasMoreThanItsLimitWhileWritesAreScarce(long seed) {
+    void noTeamExceedsItsLimitWithALimitedWriteRate(long seed) {
         var day = new TightLimitsDay(seed);
         assertEquals(List.of(), day.play(), () -> seed + ": " + day.story());
         assertEquals(List.of(), day.unfinished(), () -> seed + ": " + day.story());
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -53,9 +53,9 @@
     }
 
     @Test
-    void nothingNewIsStoredBeforeAllControllersAnnounceIt() {
+    void newFormatIsNotStoredBeforeAllControllersAnnounceIt() {
         var cluster = older(800);
-        ClusterTest.submitMix(cluster, 8);
+        ClusterTest.submitMixedJobs(cluster, 8);
         upgrade(cluster, 0);
         upgrade(cluster, 2);
         for (int second = 1; second < 60; second++) {
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aControllerThatReadsLessThanIsStoredEndsWithOneLine() {
+    void controllerOfAnOlderFormatThanStoredExits() {
         var cluster = new SimulatedCluster(807);
         cluster.sim.run(Duration.ofSeconds(20));
         cluster.formats[1] = FormatVersion.WHOLE_RECORDS;
@@ -84,11 +84,11 @@
     /** Controllers are upgraded one by one in random order with crashes in between; one restarts with the old version before its upgrade. The store's limits are lowered during or after the upgrade. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void controllersRollOverWhileLimitsFall(long seed) {
+    void jobsCompleteThroughARollingUpgradeWithLoweredLimits(long seed) {
         var random = new Random(seed);
         var cluster = older(seed);
         cluster.lateWrites = seed % 2 == 0 ? 0.02 : 0;
-        List<String> ids = ClusterTest.submitMix(cluster, 14);
+        List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         cluster.submit(ClusterTest.job("wk-000900", "blue", JobKind.SERVICE, 3, false, false));
         var order = new ArrayList<>(List.of(0, 1, 2));
         java.util.Collections.shuffle(order, random);
