--- a/src/test/java/org/dunespindle/sim/ClusterTest.java
+++ b/src/test/java/org/dunespindle/sim/ClusterTest.java
@@ -65,14 +65,14 @@
     @ValueSource(longs = {2, 3, 4, 5, 6, 7, 8, 9})
     void invariantsHoldThroughLossDuplicatesAndCrashes(long seed) {
         var cluster = new SimulatedCluster(seed);
-        cluster.loss = 0.02;
-        cluster.repeat = 0.1;
+        cluster.lossRate = 0.02;
+        cluster.duplicateRate = 0.1;
         List<String> ids = submitMixedJobs(cluster, 14);
         for (int i = 0; i < 5; i++) {
             int pick = cluster.sim.random.nextInt(50);
             cluster.sim.after(8000L + cluster.sim.random.nextInt(50_000), () -> {
                 if (cluster.worker(pick) != null) {
-                    cluster.cut(cluster.worker(pick), Duration.ofSeconds(2 + pick % 17));
+                    cluster.disconnect(cluster.worker(pick), Duration.ofSeconds(2 + pick % 17));
                 }
             });
             cluster.sim.after(
@@ -82,7 +82,7 @@
         int dead = cluster.sim.random.nextInt(50);
         cluster.sim.after(30_000, () -> {
             if (cluster.worker(dead) != null) {
-                cluster.die(cluster.worker(dead));
+                cluster.crashMachine(cluster.worker(dead));
             }
         });
         cluster.sim.after(20_000L + cluster.sim.random.nextInt(20_000), () -> cluster.state.out = true);
@@ -113,12 +113,12 @@
         // A service keeps a machine in use for far longer than three times its boot time.
         cluster.submit(job("wk-000001", "red", JobKind.SERVICE, 2, false, false));
         cluster.sim.run(Duration.ofSeconds(100));
-        int before = cluster.returned;
+        int before = cluster.terminatedMachines;
         for (int n = 0; n < 3; n++) {
             cluster.crash(n, Duration.ofMillis(2000));
         }
         cluster.sim.run(Duration.ofSeconds(115));
-        assertEquals(before, cluster.returned);
+        assertEquals(before, cluster.terminatedMachines);
         assertEquals(List.of(), cluster.broken);
     }
 
@@ -155,7 +155,7 @@
     @Test
     void machinesRentedLateAreUsedOrTerminated() {
         var cluster = new SimulatedCluster(61);
-        cluster.lateRentals = true;
+        cluster.delayNextRental = true;
         List<String> ids = submitMixedJobs(cluster, 6);
         cluster.sim.run(Duration.ofSeconds(400));
         assertAllDone(cluster, ids);
@@ -166,7 +166,7 @@
     @ValueSource(longs = {21, 22, 23})
     void cancelledJobsEndInTime(long seed) {
         var cluster = new SimulatedCluster(seed);
-        cluster.loss = 0.02;
+        cluster.lossRate = 0.02;
         List<String> ids = submitMixedJobs(cluster, 12);
         for (int i = 0; i < ids.size(); i += 2) {
             String id = ids.get(i);
@@ -175,7 +175,7 @@
         int pick = cluster.sim.random.nextInt(9);
         cluster.sim.after(9000, () -> {
             if (cluster.worker(pick) != null) {
-                cluster.cut(cluster.worker(pick), Duration.ofSeconds(25));
+                cluster.disconnect(cluster.worker(pick), Duration.ofSeconds(25));
             }
         });
         cluster.sim.after(12_000, () -> cluster.crash(pick % 3, Duration.ofSeconds(6)));
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -18,7 +18,7 @@
 class CombinedFailuresTest {
     /** Submits arrays of five-minute tasks and runs the cluster until they are placed and running. */
     private static List<String> longJobs(SimulatedCluster cluster, int count) {
-        cluster.taskTime = Optional.of(Duration.ofMinutes(5));
+        cluster.taskDuration = Optional.of(Duration.ofMinutes(5));
         var ids = new ArrayList<String>();
         for (int i = 0; i < count; i++) {
             String id = "wk-%06d".formatted(i);
@@ -43,14 +43,14 @@
 
     /** Cancels jobs through one controller and returns within a few milliseconds of the last confirmation. */
     private static void cancelAt(SimulatedCluster cluster, int node, List<String> ids) {
-        cluster.usersAt = node;
+        cluster.userNode = node;
         ids.forEach(cluster::cancel);
         Duration latest = cluster.sim.now().plusSeconds(3);
         while (!ids.stream().allMatch(id -> cluster.cancelledAt(id).isPresent())
                 && cluster.sim.now().compareTo(latest) < 0) {
             cluster.sim.run(cluster.sim.now().plusMillis(2));
         }
-        cluster.usersAt = -1;
+        cluster.userNode = -1;
         ids.forEach(id -> assertTrue(cluster.cancelledAt(id).isPresent(), id + " is not confirmed as cancelled"));
     }
 
@@ -74,11 +74,11 @@
         assertEquals(
                 List.of(),
                 all.stream()
-                        .filter(w -> gone.stream().anyMatch(w::holds))
+                        .filter(w -> gone.stream().anyMatch(w::hasTaskOf))
                         .map(FakeWorker::id)
                         .toList(),
                 "the leader stops them at once when its peers report the cancellations");
-        cluster.sim.run(begun.plus(SimulatedCluster.CANCEL).plusSeconds(15));
+        cluster.sim.run(begun.plus(SimulatedCluster.CANCEL_TIMEOUT).plusSeconds(15));
         assertEquals(List.of(), cluster.broken);
         assertEquals(
                 List.of(),
@@ -100,18 +100,18 @@
         List<String> ids = longJobs(cluster, 8);
         int leader = cluster.leader();
         cluster.refusedNode = leader;
-        cluster.peersRefuse = seed % 2 == 0;
+        cluster.peersPartitioned = seed % 2 == 0;
         cluster.sim.run(cluster.sim.now().plusMillis(100 + 100 * (seed - 311)));
         int confirms = other(leader, 1 + (int) seed / 2 % 2);
         cancelAt(cluster, confirms, ids.subList(0, 4));
         cluster.state.out = true;
-        if (!cluster.peersRefuse) {
+        if (!cluster.peersPartitioned) {
             // Once restarted, it cannot read the store, so it has nothing to report to its peers.
             cluster.crash(confirms, Duration.ofSeconds(2));
         }
-        cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL).plusSeconds(25));
+        cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL_TIMEOUT).plusSeconds(25));
         assertEquals(List.of(), cluster.broken);
-        cluster.peersRefuse = false;
+        cluster.peersPartitioned = false;
         cluster.refusedNode = -1;
         cluster.state.recover();
         ids.subList(4, 8).forEach(cluster::cancel);
@@ -133,17 +133,17 @@
             cluster.refusedNode = refused;
             for (int pair = 0; pair < 9; pair++) {
                 if (random.nextInt(5) == 0) {
-                    cluster.peersBlocked.add(pair);
+                    cluster.blockedPeerLinks.add(pair);
                 }
             }
-            cluster.peerDelayMillis = random.nextInt(3) == 0 ? 1400 : 0;
+            cluster.maxPeerDelayMillis = random.nextInt(3) == 0 ? 1400 : 0;
             cluster.sim.run(cluster.sim.now().plusMillis(random.nextInt(5000)));
             int confirms = other(Math.max(0, refused), 1 + random.nextInt(2));
             List<String> some = ids.subList(4 * round, 4 * round + 1 + random.nextInt(3));
-            cluster.usersAt = confirms;
+            cluster.userNode = confirms;
             some.forEach(cluster::cancel);
             cluster.sim.run(cluster.sim.now().plusMillis(30 + random.nextInt(250)));
-            cluster.usersAt = -1;
+            cluster.userNode = -1;
             cluster.state.out = true;
             cluster.sim.run(cluster.sim.now().plusMillis(random.nextInt(1500)));
             switch (random.nextInt(4)) {
@@ -153,11 +153,11 @@
             }
             cluster.sim.run(cluster.sim.now().plusMillis(3000 + random.nextInt(45_000)));
             cluster.refusedNode = -1;
-            cluster.peersBlocked.clear();
+            cluster.blockedPeerLinks.clear();
             cluster.state.recover();
             cluster.sim.run(cluster.sim.now().plusMillis(2000 + random.nextInt(12_000)));
         }
-        cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL).plusSeconds(5));
+        cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL_TIMEOUT).plusSeconds(5));
         assertEquals(List.of(), cluster.broken);
     }
 
@@ -204,7 +204,7 @@
         assertEquals(
                 List.of(),
                 cluster.alive().stream()
-                        .filter(w -> ids.stream().anyMatch(w::holds))
+                        .filter(w -> ids.stream().anyMatch(w::hasTaskOf))
                         .map(FakeWorker::id)
                         .toList());
     }
@@ -215,8 +215,8 @@
         var mix = schedule(seed);
         mix.at(near(mix, 18), () -> {
             mix.cluster().alive().forEach(w -> {
-                w.holdReports(Duration.ofMillis(7000 + 1000 * (seed - 330)));
-                mix.cluster().sim.after(3000, () -> w.holdReports(Duration.ZERO));
+                w.delayHeartbeats(Duration.ofMillis(7000 + 1000 * (seed - 330)));
+                mix.cluster().sim.after(3000, () -> w.delayHeartbeats(Duration.ZERO));
             });
             mix.cluster()
                     .sim
@@ -296,9 +296,9 @@
                 .filter(w -> w.tasks().iterator().hasNext())
                 .findFirst()
                 .orElseThrow();
-        mute.mute(true);
+        mute.cannotSend(true);
         cluster.sim.run(Duration.ofSeconds(30));
-        long held = mute.held();
+        long held = mute.occupiedSlots();
         assertEquals(0, held, "tasks are started on it although its leases expire");
         cluster.sim.run(Duration.ofSeconds(75));
         assertTrue(mute.dead(), "the machine was not terminated");
@@ -334,7 +334,7 @@
                 // The simulated user polls about every five seconds.
                 assertEquals(200, cluster.poll(0, id).join().status());
             }
-            assertTrue(cluster.toldOverAt(id).orElseThrow().compareTo(last) >= 0, id);
+            assertTrue(cluster.finalStateReportedAt(id).orElseThrow().compareTo(last) >= 0, id);
         }
     }
 
@@ -350,10 +350,10 @@
             for (int i = 0; i < all.size(); i++) {
                 FakeWorker w = all.get(i);
                 if (i % 3 == 0) {
-                    cluster.cut(w, Duration.ofSeconds(6 + seed % 5 * 4));
+                    cluster.disconnect(w, Duration.ofSeconds(6 + seed % 5 * 4));
                 } else if (i % 3 == 1) {
-                    w.oneWay(true);
-                    cluster.sim.after(8000 + 4000 * (seed % 5), () -> w.oneWay(false));
+                    w.cannotReceive(true);
+                    cluster.sim.after(8000 + 4000 * (seed % 5), () -> w.cannotReceive(false));
                 }
             }
             cluster.met("unreachable machines");
@@ -395,9 +395,9 @@
     @ValueSource(longs = {411, 412})
     void jobsBeyondCapacityOverSlowLinks(long seed) {
         var mix = new RandomFaultSchedule(seed, RandomFaultSchedule.StateService.UNLIMITED);
-        mix.cluster().slowMillis = 250;
+        mix.cluster().extraDelayMillis = 250;
         mix.submitJobs(30);
-        mix.at(Duration.ofSeconds(100), () -> mix.cluster().slowMillis = 0);
+        mix.at(Duration.ofSeconds(100), () -> mix.cluster().extraDelayMillis = 0);
         assertHolds(mix);
     }
 
@@ -408,17 +408,20 @@
     @ValueSource(longs = {421, 422, 423, 424, 425})
     void teamAtItsLimitStaysWithinItWhenTheLeaderChanges(long seed) {
         var cluster = new SimulatedCluster(seed);
-        cluster.taskTime = Optional.of(Duration.ofSeconds(40));
+        cluster.taskDuration = Optional.of(Duration.ofSeconds(40));
         for (int i = 0; i < 4; i++) {
             cluster.submit(ClusterTest.job(
                     "wk-%06d".formatted(i), "blue", JobKind.ARRAY, 4, false, false)); // 16 tasks, 6 allowed at once
         }
         cluster.sim.run(Duration.ofSeconds(20).plusMillis(300 * (seed - 420)));
-        assertEquals(6, cluster.alive().stream().mapToLong(FakeWorker::held).sum(), "the team is at its limit");
-        List<FakeWorker> some =
-                cluster.alive().stream().filter(w -> w.held() > 0).limit(1).toList();
+        assertEquals(
+                6, cluster.alive().stream().mapToLong(FakeWorker::occupiedSlots).sum(), "the team is at its limit");
+        List<FakeWorker> some = cluster.alive().stream()
+                .filter(w -> w.occupiedSlots() > 0)
+                .limit(1)
+                .toList();
         String held = some.get(0).tasks().iterator().next().task.job();
-        some.forEach(w -> cluster.cut(w, Duration.ofSeconds(9 + seed % 4)));
+        some.forEach(w -> cluster.disconnect(w, Duration.ofSeconds(9 + seed % 4)));
         cluster.crash(cluster.leader(), Duration.ofMillis(400));
         cluster.sim.run(cluster.sim.now().plusMillis(200 * (seed - 421)));
         cluster.cancel(held);
@@ -468,17 +471,17 @@
     void delayedDuplicateHeartbeatsOfEarlierSessions(long seed) {
         var mix = schedule(seed);
         SimulatedCluster cluster = mix.cluster();
-        cluster.lateCopies = 3;
-        cluster.latestCopy = Duration.ofSeconds(38);
+        cluster.delayedDuplicates = 3;
+        cluster.maxDuplicateDelay = Duration.ofSeconds(38);
         mix.at(
                 near(mix, 12),
-                () -> cluster.alive().stream().limit(3).forEach(w -> cluster.cut(w, Duration.ofSeconds(14))));
+                () -> cluster.alive().stream().limit(3).forEach(w -> cluster.disconnect(w, Duration.ofSeconds(14))));
         mix.at(near(mix, 33), () -> {
             assertTrue(cluster.alive().stream().anyMatch(w -> w.session() > 1), "no lease ran out");
             cluster.met("later session");
             cluster.crash(mix.leader(), Duration.ofMillis(300));
         });
-        mix.at(Duration.ofSeconds(70), () -> cluster.lateCopies = 0);
+        mix.at(Duration.ofSeconds(70), () -> cluster.delayedDuplicates = 0);
         assertHolds(mix, "later session");
     }
 
@@ -489,8 +492,8 @@
     @ValueSource(longs = {461, 462, 463, 464})
     void requestsAtTheMomentOfCompletionGetOneFinalState(long seed) {
         var mix = schedule(seed);
-        mix.cluster().cancelledAtEnd = 1;
-        mix.cluster().repeatedAtEnd = true;
+        mix.cluster().cancelAtCompletionRate = 1;
+        mix.cluster().requestsAtCompletion = true;
         assertHolds(mix, "cancelled at its end");
         assertTrue(
                 mix.cluster().met.get("cancelled at its end") >= mix.ids().size(),
@@ -503,14 +506,14 @@
     void slowStoreRejectsTheLeaderThenAllControllers(long seed) {
         var mix = schedule(seed);
         SimulatedCluster cluster = mix.cluster();
-        cluster.slowStateMillis = 900;
+        cluster.maxStateDelayMillis = 900;
         mix.at(near(mix, 22), () -> cluster.refusedNode = mix.leader());
         mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 23));
         mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 28));
         mix.at(near(mix, 28), () -> cluster.state.out = true);
         mix.at(Duration.ofSeconds(66), () -> {
             cluster.refusedNode = -1;
-            cluster.slowStateMillis = 0;
+            cluster.maxStateDelayMillis = 0;
             cluster.state.recover();
         });
         assertHolds(mix, "CANCEL_NOW");
@@ -527,7 +530,7 @@
                 FakeWorker w = cluster.worker(cluster.sim.random.nextInt(20));
                 if (w != null) {
                     cluster.met("machine lost");
-                    cluster.die(w);
+                    cluster.crashMachine(w);
                 }
             });
         }
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -33,7 +33,7 @@
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         cluster.sim.run(Duration.ofSeconds(9));
         FakeWorker deaf = cluster.worker((int) seed % 3);
-        deaf.oneWay(true);
+        deaf.cannotReceive(true);
         cluster.sim.run(Duration.ofSeconds(60));
         assertTrue(deaf.dead(), "the machine was not terminated although it accepts no commands");
         cluster.sim.run(Duration.ofSeconds(300));
@@ -46,7 +46,7 @@
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 2, false, false));
         cluster.sim.run(Duration.ofSeconds(20));
         FakeWorker deaf = cluster.worker(0);
-        deaf.oneWay(true);
+        deaf.cannotReceive(true);
         // Its lease has expired and its tasks are gone, but its heartbeats still arrive.
         cluster.sim.run(Duration.ofSeconds(33));
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.ARRAY, 6, false, false));
@@ -68,13 +68,13 @@
     @ValueSource(longs = {81, 82, 83, 84})
     void duplicatedHeartbeatsDoNotRecreateTerminatedMachines(long seed) {
         var cluster = new SimulatedCluster(seed);
-        cluster.lateCopies = 2;
+        cluster.delayedDuplicates = 2;
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 12);
         for (int n = 0; n < 3; n++) {
             int node = n;
             cluster.sim.after(12_000L + 4000L * n, () -> cluster.crash(node, Duration.ofMillis(300)));
         }
-        cluster.sim.after(20_000, () -> cluster.die(cluster.worker((int) seed % 5)));
+        cluster.sim.after(20_000, () -> cluster.crashMachine(cluster.worker((int) seed % 5)));
         cluster.sim.run(Duration.ofSeconds(300));
         ClusterTest.assertAllDone(cluster, ids);
         assertEquals(List.of(), cluster.alive().stream().map(FakeWorker::id).toList());
@@ -84,15 +84,15 @@
     @Test
     void duplicatedHeartbeatsDoNotKeepACrashedMachineAlive() {
         var cluster = new SimulatedCluster(85);
-        cluster.lateCopies = 3;
-        cluster.latestCopy = Duration.ofSeconds(40);
+        cluster.delayedDuplicates = 3;
+        cluster.maxDuplicateDelay = Duration.ofSeconds(40);
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 1, false, false));
         cluster.sim.run(Duration.ofSeconds(40));
         FakeWorker lost = cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
                 .findFirst()
                 .orElseThrow();
-        cluster.die(lost);
+        cluster.crashMachine(lost);
         cluster.sim.run(Duration.ofSeconds(75));
         assertTrue(
                 cluster.alive().stream().anyMatch(w -> w.tasks().iterator().hasNext()),
@@ -136,7 +136,7 @@
         // By then one has restarted, but has not taken over the others' machines yet.
         cluster.sim.run(cluster.sim.now().plusMillis(6300));
         for (FakeWorker w : all) {
-            assertEquals(200, cluster.answer(0, w), w.id());
+            assertEquals(200, cluster.heartbeatStatus(0, w), w.id());
         }
         cluster.sim.run(Duration.ofSeconds(60));
         assertEquals(
@@ -205,10 +205,10 @@
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(3));
         FakeWorker taken = cluster.alive().stream()
-                .filter(w -> w.holds("wk-000001"))
+                .filter(w -> w.hasTaskOf("wk-000001"))
                 .findFirst()
                 .orElseThrow();
-        cluster.take(taken, Duration.ofSeconds(12));
+        cluster.interruptMachine(taken, Duration.ofSeconds(12));
         for (int n = 0; n < 3; n++) {
             int node = n;
             cluster.sim.after(
@@ -216,21 +216,21 @@
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(300));
         ClusterTest.assertAllDone(cluster, List.of("wk-000001", "wk-000002"));
-        assertTrue(cluster.saves > 0, "nothing was saved");
+        assertTrue(cluster.checkpointsWritten > 0, "nothing was saved");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {111, 112})
     void everyControllerKnowsEveryJobAfterFaults(long seed) {
         var cluster = new SimulatedCluster(seed);
-        cluster.loss = 0.03;
+        cluster.lossRate = 0.03;
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 12);
         cluster.sim.after(8000, () -> cluster.isolatedNode = (int) seed % 3);
         cluster.sim.after(22_000, () -> cluster.isolatedNode = -1);
         cluster.sim.after(15_000, () -> cluster.crash((int) (seed + 1) % 3, Duration.ofMillis(200)));
         cluster.sim.after(30_000, () -> cluster.state.out = true);
         cluster.sim.after(44_000, cluster.state::recover);
-        cluster.sim.after(44_100, () -> cluster.loss = 0);
+        cluster.sim.after(44_100, () -> cluster.lossRate = 0);
         cluster.sim.run(Duration.ofSeconds(119)); // 75 s after the last trouble
         for (int node = 0; node < 3; node++) {
             for (String id : ids) {
@@ -305,7 +305,7 @@
     @ValueSource(longs = {141, 142, 143, 144, 145, 146, 147, 148, 149, 150})
     void controllersFreezeAtAnyStage(long seed) {
         var cluster = new SimulatedCluster(seed);
-        cluster.repeat = 0.1;
+        cluster.duplicateRate = 0.1;
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         for (int k = 0; k < 5; k++) {
             int which = k;
@@ -316,7 +316,8 @@
             });
         }
         cluster.sim.after(14_000, () -> cluster.cancel(ids.get(9)));
-        cluster.sim.after(16_000, () -> cluster.take(cluster.worker((int) seed % 4), Duration.ofSeconds(12)));
+        cluster.sim.after(
+                16_000, () -> cluster.interruptMachine(cluster.worker((int) seed % 4), Duration.ofSeconds(12)));
         cluster.sim.after(26_000, () -> cluster.crash((int) seed % 3, Duration.ofMillis(300)));
         cluster.sim.run(Duration.ofSeconds(400));
         assertEquals(List.of(), cluster.broken);
@@ -364,7 +365,7 @@
                 all.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
         assertTrue(!used.isEmpty());
         cluster.freeze(leader, Duration.ofSeconds(seconds));
-        all.forEach(w -> cluster.cut(w, Duration.ofSeconds(seconds).plusMillis(2500)));
+        all.forEach(w -> cluster.disconnect(w, Duration.ofSeconds(seconds).plusMillis(2500)));
         cluster.sim.run(Duration.ofSeconds(75 + seconds + 8));
         assertEquals(
                 List.of(),
@@ -386,7 +387,7 @@
                 .toList();
         assertTrue(!used.isEmpty());
         int deaf = (cluster.leader() + offset) % 3;
-        cluster.deafNode = deaf;
+        cluster.workerPartitionedNode = deaf;
         cluster.sim.run(Duration.ofSeconds(110));
         if (offset == 0) {
             assertTrue(cluster.leader() >= 0 && cluster.leader() != deaf, "it is still the leader");
@@ -399,7 +400,7 @@
                 List.of(),
                 used.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "workers with expired leases");
-        cluster.deafNode = -1;
+        cluster.workerPartitionedNode = -1;
         cluster.sim.run(Duration.ofSeconds(125));
         assertTrue(
                 cluster.admin(deaf, "GET", "/v1/controllers", "")
@@ -425,13 +426,13 @@
         List<FakeWorker> used = cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
                 .toList();
-        cluster.peersRefuse = true;
+        cluster.peersPartitioned = true;
         cluster.sim.run(Duration.ofSeconds(150));
         assertEquals(
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "terminated machines");
-        cluster.peersRefuse = false;
+        cluster.peersPartitioned = false;
         cluster.submit(ClusterTest.job("wk-000003", "red", JobKind.GANG, 3, false, false));
         cluster.sim.run(Duration.ofSeconds(200));
         assertEquals(List.of(), cluster.broken);
@@ -475,7 +476,7 @@
         List<FakeWorker> used =
                 cut.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
         assertTrue(cut.size() >= 4 && !used.isEmpty());
-        cut.forEach(w -> cluster.cut(w, Duration.ofSeconds(seconds)));
+        cut.forEach(w -> cluster.disconnect(w, Duration.ofSeconds(seconds)));
         // The next leader takes over machines that it cannot reach yet.
         cluster.crash(cluster.leader(), Duration.ofSeconds(8));
         cluster.sim.run(Duration.ofSeconds(125));
@@ -493,8 +494,8 @@
     @CsvSource({"211, west, 2", "212, west, 0", "213, east, 0", "214, east, 2", "215, west, 1", "216, east, 1"})
     void jobsCompleteAndMachinesAreKeptThroughAZonePartition(long seed, String zone, int crashed) {
         var cluster = new SimulatedCluster(seed, 120, 3);
-        cluster.provide(40);
-        cluster.taskTime = Optional.of(Duration.ofMinutes(10));
+        cluster.addMachines(40);
+        cluster.taskDuration = Optional.of(Duration.ofMinutes(10));
         for (String id : List.of("wk-000101", "wk-000102")) {
             cluster.submit(SubmissionBuilder.submission(id)
                     .team(id.endsWith("1") ? "red" : "blue")
@@ -505,16 +506,16 @@
                     .build());
         }
         cluster.sim.run(Duration.ofSeconds(70));
-        cluster.taskTime = Optional.empty();
+        cluster.taskDuration = Optional.empty();
         List<FakeWorker> used = cluster.alive().stream()
                 .filter(w -> w.zone.equals(zone) && w.tasks().iterator().hasNext())
                 .toList();
         assertTrue(!used.isEmpty());
-        cluster.zoneCut = zone;
+        cluster.partitionedZone = zone;
         cluster.sim.after(4000, () -> cluster.crash(crashed, Duration.ofMillis(700)));
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 6);
         cluster.sim.run(Duration.ofSeconds(96));
-        cluster.zoneCut = "";
+        cluster.partitionedZone = "";
         cluster.sim.run(Duration.ofSeconds(101));
         assertEquals(
                 List.of(),
--- a/src/test/java/org/dunespindle/sim/FakeCloud.java
+++ b/src/test/java/org/dunespindle/sim/FakeCloud.java
@@ -37,7 +37,7 @@
             body.path("hosts").forEach(h -> {
                 FakeWorker w = cluster.workers.remove(h.asText());
                 if (w != null) {
-                    cluster.returned += w.dead ? 0 : 1;
+                    cluster.terminatedMachines += w.dead ? 0 : 1;
                     w.dead = true;
                 }
             });
@@ -67,7 +67,7 @@
     private List<String> rent(JsonNode body) {
         var names = new ArrayList<String>();
         for (int i = 0;
-                i < body.path("count").asInt() && cluster.workers.size() + names.size() < cluster.mostMachines;
+                i < body.path("count").asInt() && cluster.workers.size() + names.size() < cluster.maxMachines;
                 i++) {
             String id = "i-%04d".formatted(cluster.nextMachine);
             cluster.nextMachine += cluster.nameStep;
--- a/src/test/java/org/dunespindle/sim/FakeStateStore.java
+++ b/src/test/java/org/dunespindle/sim/FakeStateStore.java
@@ -14,15 +14,15 @@
 
 /** An in-memory state store that implements the protocol of the real one. Its rates are unlimited until a test sets them. */
 public final class FakeStateStore {
-    private static final int MOST_BYTES = 64 << 10;
-    private int txnOps = 16;
-    private int valueBytes = 8 << 10;
+    private static final int MAX_TRANSACTION_BYTES = 64 << 10;
+    private int maxTransactionChanges = 16;
+    private int maxValueBytes = 8 << 10;
     private Optional<RateLimit> requests = Optional.empty();
     private Optional<RateLimit> writes = Optional.empty();
     /** The number of transactions rejected for their size. */
-    public int refusedAsTheyAre;
+    public int rejectedForSize;
     /** The number of requests and transactions rejected by a rate limit. */
-    public int refusedTooFast;
+    public int rejectedByRateLimit;
 
     private Optional<Listener> listener = Optional.empty();
 
@@ -30,7 +30,7 @@
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private final Map<Long, Duration> leases = new HashMap<>();
     private final List<ObjectNode> log = new ArrayList<>();
-    private long epoch = 1;
+    private long revision = 1;
     private long nextLease = 1;
     public boolean out;
 
@@ -62,9 +62,9 @@
             return new Reply(503, MessagePackCodec.map());
         }
         expire();
-        if (requests.filter(limit -> !limit.allows(1)).isPresent()) {
-            refusedTooFast++;
-            return tooMany();
+        if (requests.filter(limit -> !limit.tryAcquire(1)).isPresent()) {
+            rejectedByRateLimit++;
+            return tooManyRequests();
         }
         String path = target.contains("?") ? target.substring(0, target.indexOf('?')) : target;
         if (path.equals("/txn")) {
@@ -90,7 +90,7 @@
         }
         if (path.equals("/watch")) {
             long since = Long.parseLong(parameter(target, "since"));
-            ObjectNode n = MessagePackCodec.map().put("epoch", epoch);
+            ObjectNode n = MessagePackCodec.map().put("epoch", revision);
             var list = n.putArray("log");
             log.stream().filter(e -> e.path("stamp").asLong() > since).forEach(list::add);
             return new Reply(200, n);
@@ -98,7 +98,7 @@
         String under = parameter(target, "under");
         String since = parameter(target, "since");
         int limit = Integer.parseInt(parameter(target, "limit"));
-        ObjectNode n = MessagePackCodec.map().put("epoch", epoch);
+        ObjectNode n = MessagePackCodec.map().put("epoch", revision);
         var list = n.putArray("rows");
         boolean more = false;
         for (var e :
@@ -135,7 +135,7 @@
                 leases.remove(e.getKey());
                 for (var r : List.copyOf(rows.entrySet())) {
                     if (r.getValue().lease() == e.getKey()) {
-                        epoch++;
+                        revision++;
                         remove(r.getKey());
                     }
                 }
@@ -157,7 +157,7 @@
                 rows.put(key, row);
             }
         });
-        epoch = before.values().stream().mapToLong(Row::stamp).max().orElse(0) + 1;
+        revision = before.values().stream().mapToLong(Row::stamp).max().orElse(0) + 1;
         log.clear();
         leases.clear();
         listener.ifPresent(told -> told.putBack(rows));
@@ -165,13 +165,13 @@
 
     private void remove(String key) {
         rows.remove(key);
-        log.add(MessagePackCodec.map().put("remove", key).put("stamp", epoch));
+        log.add(MessagePackCodec.map().put("remove", key).put("stamp", revision));
     }
 
     /** Lowers the limits of the store without notice. */
-    void lower(int newValueBytes, int newTxnOps, double newWritesPerSecond) {
-        valueBytes = newValueBytes;
-        txnOps = newTxnOps;
+    void lowerLimits(int newMaxValueBytes, int newMaxChanges, double newWritesPerSecond) {
+        maxValueBytes = newMaxValueBytes;
+        maxTransactionChanges = newMaxChanges;
         writes = Optional.of(new RateLimit(sim, newWritesPerSecond));
     }
 
@@ -182,18 +182,18 @@
     }
 
     /** Sets the listener for all later changes. */
-    void listen(Listener newListener) {
+    void setListener(Listener newListener) {
         listener = Optional.of(newListener);
     }
 
     private Reply txn(JsonNode body) {
         int changes = body.path("apply").size();
         // Transactions with failed preconditions count against the limit as well.
-        if (writes.filter(limit -> !limit.allows(changes)).isPresent()) {
-            refusedTooFast++;
-            return tooMany();
+        if (writes.filter(limit -> !limit.tryAcquire(changes)).isPresent()) {
+            rejectedByRateLimit++;
+            return tooManyRequests();
         }
-        ObjectNode conflict = MessagePackCodec.map().put("epoch", epoch);
+        ObjectNode conflict = MessagePackCodec.map().put("epoch", revision);
         for (JsonNode g : body.path("guards")) {
             Row r = rows.get(g.path("key").asText());
             if ((r == null ? 0 : r.stamp()) != g.path("stamp").asLong()) {
@@ -203,15 +203,15 @@
         if (conflict.has("failed")) {
             return new Reply(409, conflict);
         }
-        if (body.path("apply").size() > txnOps
-                || body.path("guards").size() > 4 * txnOps
-                || MessagePackCodec.countedSize(body) > MOST_BYTES) {
-            refusedAsTheyAre++;
+        if (body.path("apply").size() > maxTransactionChanges
+                || body.path("guards").size() > 4 * maxTransactionChanges
+                || MessagePackCodec.countedSize(body) > MAX_TRANSACTION_BYTES) {
+            rejectedForSize++;
             return new Reply(400, MessagePackCodec.map().put("error", "too large"));
         }
         for (JsonNode a : body.path("apply")) {
-            if (MessagePackCodec.countedSize(a.path("v")) > valueBytes) {
-                refusedAsTheyAre++;
+            if (MessagePackCodec.countedSize(a.path("v")) > maxValueBytes) {
+                rejectedForSize++;
                 return new Reply(400, MessagePackCodec.map().put("error", "value too large"));
             }
         }
@@ -220,7 +220,7 @@
                 return new Reply(400, MessagePackCodec.map().put("error", "no such lease"));
             }
         }
-        epoch++;
+        revision++;
         for (JsonNode a : body.path("apply")) {
             if (a.has("remove")) {
                 if (rows.containsKey(a.path("remove").asText())) {
@@ -228,18 +228,18 @@
                 }
             } else {
                 String key = a.path("write").asText();
-                rows.put(key, new Row(a.path("v"), epoch, a.path("tether").asLong(0)));
-                ObjectNode e = MessagePackCodec.map().put("write", key).put("stamp", epoch);
+                rows.put(key, new Row(a.path("v"), revision, a.path("tether").asLong(0)));
+                ObjectNode e = MessagePackCodec.map().put("write", key).put("stamp", revision);
                 e.set("v", a.path("v"));
                 log.add(e);
             }
         }
-        listener.ifPresent(told -> told.applied(epoch, changesOf(body)));
-        return new Reply(200, MessagePackCodec.map().put("epoch", epoch));
+        listener.ifPresent(told -> told.applied(revision, changesOf(body)));
+        return new Reply(200, MessagePackCodec.map().put("epoch", revision));
     }
 
     /** Returns the answer to a request beyond the rate limit. */
-    static Reply tooMany() {
+    static Reply tooManyRequests() {
         return new Reply(429, MessagePackCodec.map().put("error", "too many"));
     }
 
--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -10,7 +10,7 @@
 
 /** A simulated worker: fencing tokens, lease sessions, and tasks that fetch their image, wait for their gang, run and exit. */
 public final class FakeWorker {
-    private static final Duration FETCH = Duration.ofSeconds(2);
+    private static final Duration FETCH_TIME = Duration.ofSeconds(2);
     final String id;
     final String zone;
     final boolean spot;
@@ -23,19 +23,19 @@
     private Duration leaseFrom;
     private int node;
     boolean dead;
-    boolean cut;
+    boolean disconnected;
     /** When the cloud terminates the machine; null before the spot interruption notice. */
-    Duration takenAt;
+    Duration interruptedAt;
     /** Cannot receive: its heartbeats arrive, but answers and commands to it are lost. */
-    boolean oneWay;
+    boolean cannotReceive;
     /** Cannot send heartbeats: all of them are lost, while commands reach it and are answered. */
-    boolean mute;
+    boolean cannotSend;
     /** Every task on it fails. */
-    boolean sick;
-    /** Its heartbeats arrive {@link #heldFor} late, after it has stopped waiting for their answers. */
-    boolean heldReports;
+    boolean faulty;
+    /** Its heartbeats arrive {@link #heartbeatDelay} late, after it has stopped waiting for their answers. */
+    boolean delaysHeartbeats;
 
-    Duration heldFor = Duration.ZERO;
+    Duration heartbeatDelay = Duration.ZERO;
     private Duration hungSince = Duration.ZERO;
     private Duration hungUntil = Duration.ZERO;
 
@@ -74,7 +74,7 @@
         void exit(String why) {
             phase = "exited";
             cause = why;
-            cluster.changed();
+            cluster.markTasksChanged();
         }
     }
 
@@ -94,14 +94,14 @@
         return tasks.values();
     }
 
-    void oneWay(boolean yes) {
-        oneWay = yes;
+    void cannotReceive(boolean yes) {
+        cannotReceive = yes;
     }
 
     /** Delays its heartbeats by the given time from now on; zero ends the delay. */
-    void holdReports(Duration length) {
-        heldReports = !length.isZero();
-        heldFor = length;
+    void delayHeartbeats(Duration length) {
+        delaysHeartbeats = !length.isZero();
+        heartbeatDelay = length;
     }
 
     /** Returns session, token, controller and lease age for debugging. */
@@ -111,23 +111,23 @@
     }
 
     /** Returns the number of occupied slots. */
-    long held() {
+    long occupiedSlots() {
         return tasks.values().stream().filter(t -> !t.phase.equals("exited")).count();
     }
 
-    void sick(boolean yes) {
-        sick = yes;
+    void faulty(boolean yes) {
+        faulty = yes;
     }
 
-    void mute(boolean yes) {
-        mute = yes;
+    void cannotSend(boolean yes) {
+        cannotSend = yes;
     }
 
     /** Hangs: its tasks make no progress and messages to it are delayed, while its lease keeps running out. */
     void hang(Duration length) {
         hungSince = sim.now();
         hungUntil = sim.now().plus(length);
-        sim.after(length.plusMillis(1), this::endLeaseIfDue); // before messages sent during the hang are processed
+        sim.after(length.plusMillis(1), this::expireLease); // before messages sent during the hang are processed
         tasks.values().forEach(t -> {
             if (t.phase.equals("running")) {
                 t.endsAt = t.endsAt.plus(length);
@@ -135,21 +135,21 @@
         });
     }
 
-    boolean hung() {
+    boolean isHung() {
         return sim.now().compareTo(hungUntil) <= 0 && hungUntil.compareTo(Duration.ZERO) > 0;
     }
 
     /** Whether it has hung for longer than the timeout after which other gang members abort. */
     boolean hangNoticed() {
-        return hung() && sim.now().minus(hungSince).compareTo(SimulatedCluster.GANG_PEER) > 0;
+        return isHung() && sim.now().minus(hungSince).compareTo(SimulatedCluster.GANG_PEER_TIMEOUT) > 0;
     }
 
-    private void endLeaseIfDue() {
+    private void expireLease() {
         if (sim.now().minus(leaseFrom).compareTo(SimulatedCluster.LEASE) > 0) {
             tasks.clear();
             session++;
             leaseFrom = sim.now();
-            cluster.changed();
+            cluster.markTasksChanged();
         }
     }
 
@@ -162,7 +162,7 @@
     }
 
     /** Whether a task of a job holds its place on the machine (neither fetching its image nor exited). */
-    boolean holds(String job) {
+    boolean hasTaskOf(String job) {
         return tasks.values().stream()
                 .anyMatch(t -> t.onMachine() && t.task.job().equals(job));
     }
@@ -189,8 +189,8 @@
                 .put("tenure", session)
                 .put("tick", ++tick)
                 .put("baton", token);
-        if (takenAt != null) {
-            n.put("warningS", takenAt.minus(sim.now()).toMillis() / 1000.0);
+        if (interruptedAt != null) {
+            n.put("warningS", interruptedAt.minus(sim.now()).toMillis() / 1000.0);
         }
         var list = n.putArray("pieces");
         for (Task t : tasks.values()) {
@@ -212,15 +212,15 @@
         if (dead) {
             return;
         }
-        if (hung()) {
+        if (isHung()) {
             sim.after(200, this::beat);
             return;
         }
         long sentIn = session;
         Duration sentAt = sim.now();
         var done = new boolean[1];
-        cluster.toNode(node, this, report(), (status, body) -> {
-            if (done[0] || hung()) {
+        cluster.sendHeartbeat(node, this, report(), (status, body) -> {
+            if (done[0] || isHung()) {
                 return;
             }
             done[0] = true;
@@ -272,10 +272,10 @@
                     Duration linger = Duration.ofMillis(o.path("lingerS").asLong() * 1000);
                     if (t != null
                             && t.phase.equals("running")
-                            && cluster.saveTime(task).compareTo(Duration.ZERO) > 0
-                            && linger.compareTo(cluster.saveTime(task)) >= 0) {
+                            && cluster.checkpointTime(task).compareTo(Duration.ZERO) > 0
+                            && linger.compareTo(cluster.checkpointTime(task)) >= 0) {
                         t.phase = "saving";
-                        t.savedAt = sim.now().plus(cluster.saveTime(task));
+                        t.savedAt = sim.now().plus(cluster.checkpointTime(task));
                     } else if (t != null
                             && !t.phase.equals("exited")
                             && !(t.phase.equals("saving") && linger.compareTo(Duration.ZERO) > 0)) {
@@ -304,13 +304,13 @@
         } else if (used >= SimulatedCluster.SLOTS) {
             t.exit("no_room");
         } else {
-            fetch(FETCH, t, key, task);
+            fetch(FETCH_TIME, t, key, task);
         }
     }
 
     private void fetch(Duration time, Task t, String key, TaskId task) {
         sim.after(time, () -> {
-            if (hung()) {
+            if (isHung()) {
                 fetch(Duration.ofMillis(200), t, key, task);
                 return;
             }
@@ -319,11 +319,11 @@
                 t.endsAt = sim.now()
                         .plus(cluster.lengthOf
                                 .apply(task)
-                                .or(() -> cluster.taskTime)
+                                .or(() -> cluster.taskDuration)
                                 .orElse(Duration.ofMillis(2000 + sim.random.nextInt(6000))));
-                t.gatherUntil = sim.now().plus(SimulatedCluster.GANG_WAIT);
-                cluster.rules.started(this, t);
-                cluster.changed();
+                t.gatherUntil = sim.now().plus(SimulatedCluster.GANG_TIMEOUT);
+                cluster.rules.checkStart(this, t);
+                cluster.markTasksChanged();
             }
         });
     }
@@ -332,11 +332,11 @@
         if (dead) {
             return;
         }
-        if (hung()) {
+        if (isHung()) {
             sim.after(100, this::step);
             return;
         }
-        endLeaseIfDue();
+        expireLease();
         for (Task t : tasks.values()) {
             if (t.phase.equals("gathering")) {
                 if (cluster.runs.gangComplete(t)) {
@@ -347,11 +347,11 @@
             } else if (t.phase.equals("saving")) {
                 if (sim.now().compareTo(t.savedAt) >= 0) {
                     t.saved = true;
-                    cluster.saves++;
+                    cluster.checkpointsWritten++;
                     t.exit("stopped");
                 }
             } else if (t.phase.equals("running")) {
-                if (sick || cluster.faultyJobs.contains(t.task.job())) {
+                if (faulty || cluster.faultyJobs.contains(t.task.job())) {
                     cluster.errors.merge(t.task.job(), 1, Integer::sum);
                     t.exit("error");
                 } else if (cluster.runs.isGang(t.task) && !cluster.runs.gangIntact(t)) {
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -27,8 +27,8 @@
 
     private static SimulatedCluster busy(int machines) {
         var cluster = new SimulatedCluster(201, machines, 1);
-        cluster.provide(machines);
-        cluster.taskTime = Optional.of(Duration.ofMinutes(10));
+        cluster.addMachines(machines);
+        cluster.taskDuration = Optional.of(Duration.ofMinutes(10));
         for (int i = 0; i < machines / TASKS; i++) {
             Submission submission = SubmissionBuilder.submission("wk-%06d".formatted(i))
                     .team(i % 2 == 0 ? "red" : "blue")
@@ -57,7 +57,7 @@
                 cluster.alive().stream().mapToLong(FakeWorker::session).sum(),
                 "lease expiries");
         assertEquals(0, cluster.broken.size(), cluster.broken.toString());
-        assertTrue(cluster.mostOpen <= MOST_CALLS, cluster.mostOpen + " calls at once");
+        assertTrue(cluster.maxOpenWorkerCalls <= MOST_CALLS, cluster.maxOpenWorkerCalls + " calls at once");
     }
 
     /** Crashes all controllers and returns the number of calls by kind in the following 30 s. */
@@ -116,10 +116,10 @@
         SimulatedCluster cluster = busy(SMALL * 2);
         cluster.alive().stream()
                 .filter(w -> w.id().hashCode() % 3 == 0)
-                .forEach(w -> cluster.cut(w, Duration.ofSeconds(25)));
+                .forEach(w -> cluster.disconnect(w, Duration.ofSeconds(25)));
         int before = cluster.counts.get("worker");
         cluster.sim.run(Duration.ofSeconds(84));
-        assertTrue(cluster.mostOpen <= MOST_CALLS, cluster.mostOpen + " calls at once");
+        assertTrue(cluster.maxOpenWorkerCalls <= MOST_CALLS, cluster.maxOpenWorkerCalls + " calls at once");
         assertTrue(
                 cluster.counts.get("worker") - before < 20 * SMALL,
                 "calls to machines: " + (cluster.counts.get("worker") - before));
@@ -134,8 +134,8 @@
         cluster.sim.run(Duration.ofSeconds(5));
         var answers = new ArrayList<CompletableFuture<UserApi.Answer>>();
         for (int i = 0; i < 2000; i++) {
-            answers.add(
-                    cluster.offerTo(0, ClusterTest.job("wk-%06d".formatted(i), "red", JobKind.ARRAY, 1, false, false)));
+            answers.add(cluster.submitTo(
+                    0, ClusterTest.job("wk-%06d".formatted(i), "red", JobKind.ARRAY, 1, false, false)));
         }
         var refused = answers.stream()
                 .filter(CompletableFuture::isDone)
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -12,22 +12,22 @@
 
 /** Checks the scheduler's invariants against the tasks on the workers of a simulated cluster, and the criteria that a whole run must meet. */
 final class InvariantChecker {
-    private static final Duration LONGEST_WAIT = Duration.ofSeconds(90);
-    private static final Duration LARGEST_BEGIN = Duration.ofMinutes(4);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(90);
+    private static final Duration MAX_START_DELAY_OF_LARGEST = Duration.ofMinutes(4);
     private final SimulatedCluster cluster;
     /** Tasks that started after the cancellation of their job had been confirmed, with the details that decide whether this was avoidable. */
     final List<LateStart> lateStarts = new ArrayList<>();
 
-    private final Map<String, Duration> waitsBesideRoom = new HashMap<>();
+    private final Map<String, Duration> waitingSince = new HashMap<>();
 
     /**
      * A task that started after the cancellation of its job had been confirmed to the user.
      *
      * @param commandedLater whether the start command, too, arrived after the confirmation
      * @param after time between the confirmation and the start
-     * @param ownerPauses whether the controller that owns the machine, the only one that may stop the task, is frozen
+     * @param ownerFrozen whether the controller that owns the machine, the only one that may stop the task, is frozen
      */
-    record LateStart(String task, boolean commandedLater, Duration after, boolean ownerPauses) {}
+    record LateStart(String task, boolean commandedLater, Duration after, boolean ownerFrozen) {}
 
     InvariantChecker(SimulatedCluster cluster) {
         this.cluster = cluster;
@@ -47,16 +47,16 @@
     }
 
     /** Checks that no team exceeds its limit and that no task of a job runs longer than allowed after its cancellation. */
-    void quota() {
+    void checkLimitsAndCancelledTasks() {
         var use = new HashMap<String, Integer>();
         for (FakeWorker.Task t : live()) {
             use.merge(cluster.jobs.get(t.task.job()).team(), 1, Integer::sum);
             Duration c = cluster.cancelled.get(t.task.job());
-            if (c != null && cluster.sim.now().minus(c).compareTo(SimulatedCluster.CANCEL) > 0) {
+            if (c != null && cluster.sim.now().minus(c).compareTo(SimulatedCluster.CANCEL_TIMEOUT) > 0) {
                 cluster.broken.add("ran_cancelled: " + t.task);
             }
         }
-        if (cluster.mostMachines == 7
+        if (cluster.maxMachines == 7
                 && cluster.shape.limits().entrySet().stream()
                         .anyMatch(limit -> use.getOrDefault(limit.getKey(), 0) > limit.getValue())) {
             cluster.broken.add("quota: " + use);
@@ -64,7 +64,7 @@
     }
 
     /** Checks the accelerator limits of teams. Large clusters set other limits and are skipped. */
-    void accelerators() {
+    void checkAcceleratorLimits() {
         if (cluster.shape.large()) {
             return;
         }
@@ -80,7 +80,7 @@
     }
 
     /** Checks that a starting task runs nowhere else and that its placement satisfies the job's constraints. */
-    void started(FakeWorker worker, FakeWorker.Task started) {
+    void checkStart(FakeWorker worker, FakeWorker.Task started) {
         Submission job = cluster.jobs.get(started.task.job());
         var zones = new HashSet<String>();
         for (FakeWorker.Task t : live()) {
@@ -110,19 +110,19 @@
                     started.task.toString(),
                     started.commandedAt.compareTo(told) > 0,
                     cluster.sim.now().minus(told),
-                    cluster.ownerPauses(worker)));
+                    cluster.isOwnerFrozen(worker)));
         }
     }
 
     /** Checks, once all faults are over, that no job waits long while a suitable machine has free slots and its team is below its limit. */
-    void waits() {
-        if (!cluster.calm || cluster.mostMachines != 7) {
+    void checkWaits() {
+        if (!cluster.faultsOver || cluster.maxMachines != 7) {
             return;
         }
         List<FakeWorker.Task> live = live();
         for (Submission job : cluster.jobs.values()) {
             boolean isOver = cluster.over(job.id())
-                    || cluster.wantedGone.contains(job.id())
+                    || cluster.cancelRequested.contains(job.id())
                     || !cluster.told.containsKey(job.id());
             int ended = cluster.done.getOrDefault(job.id(), Set.of()).size();
             long here = live.stream().filter(t -> t.task.job().equals(job.id())).count();
@@ -132,32 +132,32 @@
                     .count();
             long needs = job.isGang() ? job.tasks() - here : 1;
             boolean underLimit =
-                    used + needs <= cluster.shape.limits().getOrDefault(job.team(), SimulatedCluster.QUOTA_BLUE);
-            if (isOver || !missing || !underLimit || room(job) < needs) {
-                waitsBesideRoom.remove(job.id());
+                    used + needs <= cluster.shape.limits().getOrDefault(job.team(), SimulatedCluster.LIMIT_BLUE);
+            if (isOver || !missing || !underLimit || freeCapacity(job) < needs) {
+                waitingSince.remove(job.id());
             } else if (cluster.sim
                             .now()
-                            .minus(waitsBesideRoom.computeIfAbsent(job.id(), k -> cluster.sim.now()))
-                            .compareTo(LONGEST_WAIT)
+                            .minus(waitingSince.computeIfAbsent(job.id(), k -> cluster.sim.now()))
+                            .compareTo(MAX_WAIT)
                     > 0) {
                 cluster.broken.add("waits despite free capacity: " + job.id());
-                waitsBesideRoom.remove(job.id());
+                waitingSince.remove(job.id());
             }
         }
     }
 
     /** Returns how many tasks of a job fit on the machines now, in a single zone if the job requires one. */
-    private int room(Submission job) {
+    private int freeCapacity(Submission job) {
         var perZone = new HashMap<String, Integer>();
         for (FakeWorker w : cluster.workers.values()) {
             boolean fits = !w.dead
-                    && !w.mute
-                    && !w.oneWay
-                    && w.takenAt == null
+                    && !w.cannotSend
+                    && !w.cannotReceive
+                    && w.interruptedAt == null
                     && (job.spot() || !w.spot)
                     && job.zone().map(w.zone::equals).orElse(true);
             if (fits) {
-                perZone.merge(w.zone, SimulatedCluster.SLOTS - (int) w.held(), Integer::sum);
+                perZone.merge(w.zone, SimulatedCluster.SLOTS - (int) w.occupiedSlots(), Integer::sum);
             }
         }
         return job.sameZone()
@@ -168,7 +168,7 @@
     /**
      * Returns the criteria that the run failed: every controller knows every accepted job; of each job class, each team and the largest jobs of each kind at least half are done; the largest jobs started in time; something ran at all.
      */
-    List<String> dayFailures() {
+    List<String> failedCriteria() {
         var failures = new ArrayList<String>();
         for (String id : cluster.told.keySet()) {
             for (int node = 0; node < 3; node++) {
@@ -179,7 +179,7 @@
             }
         }
         var kept = cluster.jobs.values().stream()
-                .filter(j -> cluster.told.containsKey(j.id()) && !cluster.wantedGone.contains(j.id()))
+                .filter(j -> cluster.told.containsKey(j.id()) && !cluster.cancelRequested.contains(j.id()))
                 .toList();
         var groups = new TreeMap<String, List<Submission>>();
         for (Submission j : kept) {
@@ -213,7 +213,7 @@
                                 || cluster.begunAt
                                                 .get(j.id())
                                                 .minus(cluster.submittedAt.get(j.id()))
-                                                .compareTo(LARGEST_BEGIN)
+                                                .compareTo(MAX_START_DELAY_OF_LARGEST)
                                         > 0)
                         .forEach(j -> failures.add(name + " started late: " + j.id()));
             }
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -81,7 +81,7 @@
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 16);
         cluster.sim.run(Duration.ofSeconds(5));
         FakeWorker sick = cluster.worker(0);
-        sick.sick(true);
+        sick.faulty(true);
         cluster.sim.run(Duration.ofSeconds(300));
         assertTrue(sick.dead(), "the machine was not terminated");
         ClusterTest.assertAllDone(cluster, ids);
@@ -98,7 +98,7 @@
         cluster.submit(ClusterTest.job("wk-000102", "blue", JobKind.SERVICE, 4, false, false));
         cluster.sim.run(Duration.ofSeconds(60));
         List<FakeWorker> used =
-                cluster.alive().stream().filter(w -> w.held() > 0).toList();
+                cluster.alive().stream().filter(w -> w.occupiedSlots() > 0).toList();
         int leader = cluster.leader();
         int silent = seed % 2 == 0 ? leader : (leader + 1) % 3;
         cluster.freeze(silent, Duration.ofSeconds(90));
@@ -138,7 +138,7 @@
         for (int k = 0; k < 200; k++) {
             cluster.sim.after(10L * k, () -> {
                 for (int n = 0; n < 20; n++) {
-                    answers.add(cluster.question(n % 3, "wk-000001"));
+                    answers.add(cluster.pollAsync(n % 3, "wk-000001"));
                 }
             });
         }
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -54,7 +54,7 @@
         cluster.submit(ClusterTest.job("wk-000102", "blue", JobKind.SERVICE, 4, false, false));
         cluster.sim.run(Duration.ofSeconds(60));
         List<FakeWorker> used =
-                cluster.alive().stream().filter(w -> w.held() > 0).toList();
+                cluster.alive().stream().filter(w -> w.occupiedSlots() > 0).toList();
         int left = (int) (seed % 3);
         // A worker waits 4 s for each paused controller and 1 s before it tries the next: only the workers that try
         // both paused ones first exceed their lease.
@@ -98,11 +98,11 @@
         Duration length =
                 random.nextInt(3) == 0 ? A_MINUTE_AND_A_HALF : Duration.ofMillis(5000 + random.nextInt(15_000));
         pause(cluster, paused, pauseOf(seed), length);
-        cluster.usersAt = (paused + 1) % 3;
+        cluster.userNode = (paused + 1) % 3;
         var cancelled = ids.subList(0, 4);
         cancelled.forEach(id -> cluster.sim.after(random.nextInt(9000), () -> cluster.cancel(id)));
-        cluster.sim.after(length.minusMillis(5), () -> cluster.usersAt = paused);
-        cluster.sim.after(length.plusSeconds(8), () -> cluster.usersAt = -1);
+        cluster.sim.after(length.minusMillis(5), () -> cluster.userNode = paused);
+        cluster.sim.after(length.plusSeconds(8), () -> cluster.userNode = -1);
         cluster.sim.run(Duration.ofSeconds(300));
         assertEquals(List.of(), cluster.broken);
         // While the only controller that may stop a task is paused, an image that was being fetched may arrive and the
@@ -112,7 +112,7 @@
                 List.of(),
                 cluster.rules.lateStarts.stream()
                         .filter(start -> start.commandedLater()
-                                || (start.after().compareTo(HALT_ARRIVES) > 0 && !start.ownerPauses()))
+                                || (start.after().compareTo(HALT_ARRIVES) > 0 && !start.ownerFrozen()))
                         .toList());
         List<String> kept = ids.subList(4, ids.size());
         assertTrue(
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -143,10 +143,10 @@
 
     /** Runs the schedule and returns the violated invariants, the failed criteria of the run and the unfinished jobs. */
     List<String> play() {
-        cluster.sim.after(OVER, () -> cluster.calm = true);
+        cluster.sim.after(OVER, () -> cluster.faultsOver = true);
         cluster.sim.run(END);
         var wrong = new ArrayList<>(cluster.broken);
-        wrong.addAll(cluster.rules.dayFailures());
+        wrong.addAll(cluster.rules.failedCriteria());
         for (String id : ids) {
             if (!List.of("done", "cancelled").contains(cluster.lastTold(id))) {
                 wrong.add(id + " is " + cluster.lastTold(id));
@@ -201,8 +201,8 @@
                 until(millis(4000, 45_000), cluster.state::recover);
             }
             case ZONE_CUT -> {
-                cluster.zoneCut = random.nextBoolean() ? "east" : "west";
-                until(millis(6000, 30_000), () -> cluster.zoneCut = "");
+                cluster.partitionedZone = random.nextBoolean() ? "east" : "west";
+                until(millis(6000, 30_000), () -> cluster.partitionedZone = "");
             }
             case ONE_CRASHES -> cluster.crash(random.nextInt(3), millis(50, 9000));
             case ALL_CRASH -> {
@@ -217,12 +217,12 @@
             }
             case STANDS_STILL -> cluster.freeze((leader() + random.nextInt(2)) % 3, millis(2000, 20_000));
             case PEERS_REFUSE -> {
-                cluster.peersRefuse = true;
-                until(millis(5000, 40_000), () -> cluster.peersRefuse = false);
+                cluster.peersPartitioned = true;
+                until(millis(5000, 40_000), () -> cluster.peersPartitioned = false);
             }
             case LEADER_DEAF -> {
-                cluster.deafNode = leader();
-                until(millis(8000, 40_000), () -> cluster.deafNode = -1);
+                cluster.workerPartitionedNode = leader();
+                until(millis(8000, 40_000), () -> cluster.workerPartitionedNode = -1);
             }
             default -> {}
         }
@@ -232,20 +232,20 @@
         switch (trouble) {
             case MUTE ->
                 someMachines().forEach(w -> {
-                    w.mute(true);
-                    until(millis(5000, 45_000), () -> w.mute(false));
+                    w.cannotSend(true);
+                    until(millis(5000, 45_000), () -> w.cannotSend(false));
                 });
             case DEAF ->
                 someMachines().forEach(w -> {
-                    w.oneWay(true);
-                    until(millis(5000, 45_000), () -> w.oneWay(false));
+                    w.cannotReceive(true);
+                    until(millis(5000, 45_000), () -> w.cannotReceive(false));
                 });
             case HANG -> someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
-            case MACHINES_CUT -> someMachines().forEach(w -> cluster.cut(w, millis(2000, 30_000)));
+            case MACHINES_CUT -> someMachines().forEach(w -> cluster.disconnect(w, millis(2000, 30_000)));
             case HELD_REPORTS ->
                 someMachines().forEach(w -> {
-                    w.holdReports(millis(3000, 25_000));
-                    until(millis(3000, 15_000), () -> w.holdReports(Duration.ZERO));
+                    w.delayHeartbeats(millis(3000, 25_000));
+                    until(millis(3000, 15_000), () -> w.delayHeartbeats(Duration.ZERO));
                 });
             case BLOCKED -> {
                 List<FakeWorker> some = someMachines();
@@ -253,11 +253,11 @@
                 some.forEach(w -> cluster.block(node, w));
                 until(millis(10_000, 60_000), () -> some.forEach(w -> cluster.unblock(node, w)));
             }
-            case DIES -> someMachines().stream().limit(1).forEach(cluster::die);
+            case DIES -> someMachines().stream().limit(1).forEach(cluster::crashMachine);
             case TAKEN ->
                 someMachines().stream()
-                        .filter(w -> w.takenAt == null)
-                        .forEach(w -> cluster.take(w, millis(6000, 14_000)));
+                        .filter(w -> w.interruptedAt == null)
+                        .forEach(w -> cluster.interruptMachine(w, millis(6000, 14_000)));
             default -> {}
         }
     }
@@ -269,18 +269,18 @@
                 until(millis(10_000, 50_000), () -> cluster.lateWrites = 0);
             }
             case LATE_REPORTS -> {
-                cluster.lateCopies = 2;
-                until(millis(20_000, 60_000), () -> cluster.lateCopies = 0);
+                cluster.delayedDuplicates = 2;
+                until(millis(20_000, 60_000), () -> cluster.delayedDuplicates = 0);
             }
             case LOSS -> {
-                cluster.loss = 0.03;
-                cluster.repeat = 0.1;
+                cluster.lossRate = 0.03;
+                cluster.duplicateRate = 0.1;
                 until(millis(10_000, 50_000), () -> {
-                    cluster.loss = 0;
-                    cluster.repeat = 0;
+                    cluster.lossRate = 0;
+                    cluster.duplicateRate = 0;
                 });
             }
-            case LATE_RENTAL -> cluster.lateRentals = true;
+            case LATE_RENTAL -> cluster.delayNextRental = true;
             default -> {}
         }
     }
@@ -297,14 +297,14 @@
                 }
             }
             case CANCEL_AT_END -> {
-                cluster.cancelledAtEnd = 0.5;
-                until(millis(20_000, 50_000), () -> cluster.cancelledAtEnd = 0);
+                cluster.cancelAtCompletionRate = 0.5;
+                until(millis(20_000, 50_000), () -> cluster.cancelAtCompletionRate = 0);
             }
             case ODD_REQUESTS -> {
                 for (int k = 0; k < 20; k++) {
                     String id = ids.get(random.nextInt(ids.size()));
-                    cluster.sim.after(millis(0, 40_000), () -> cluster.repeat(id));
-                    cluster.sim.after(millis(0, 40_000), () -> cluster.askForStranger("wk-9" + random.nextInt(9999)));
+                    cluster.sim.after(millis(0, 40_000), () -> cluster.resubmit(id));
+                    cluster.sim.after(millis(0, 40_000), () -> cluster.pollUnknownJob("wk-9" + random.nextInt(9999)));
                     cluster.sim.after(millis(0, 40_000), () -> {
                         if (cluster.lastTold(id).equals("done")) {
                             cluster.cancel(id);
--- a/src/test/java/org/dunespindle/sim/RateLimit.java
+++ b/src/test/java/org/dunespindle/sim/RateLimit.java
@@ -6,25 +6,25 @@
 final class RateLimit {
     private final VirtualTime sim;
     private final double perSecond;
-    private double left;
-    private Duration filledAt;
+    private double tokens;
+    private Duration refilledAt;
 
     RateLimit(VirtualTime sim, double perSecond) {
         this.sim = sim;
         this.perSecond = perSecond;
-        this.left = perSecond;
-        this.filledAt = sim.now();
+        this.tokens = perSecond;
+        this.refilledAt = sim.now();
     }
 
     /** Takes the given number of tokens if there are that many, and returns whether there were. */
-    boolean allows(int units) {
-        double passed = sim.now().minus(filledAt).toNanos() / 1e9;
-        left = Math.min(perSecond, left + passed * perSecond);
-        filledAt = sim.now();
-        if (left < units) {
+    boolean tryAcquire(int units) {
+        double passed = sim.now().minus(refilledAt).toNanos() / 1e9;
+        tokens = Math.min(perSecond, tokens + passed * perSecond);
+        refilledAt = sim.now();
+        if (tokens < units) {
             return false;
         }
-        left -= units;
+        tokens -= units;
         return true;
     }
 }
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -131,7 +131,7 @@
     @Test
     void submissionsAreRetriableWhileTheCatalogIsUnknown() {
         var cluster = new SimulatedCluster(502);
-        cluster.cloudSilent = true;
+        cluster.cloudUnreachable = true;
         cluster.sim.run(Duration.ofSeconds(6));
         for (Submission submission :
                 List.of(good(1), ClusterTest.job("wk-000002", "red", JobKind.GANG, 50, false, true))) {
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -65,7 +65,7 @@
     /** Cancels the service and asserts that its replicas end in time and that no invariant was violated. */
     private static void cancelAndAssertGone(SimulatedCluster cluster) {
         cluster.cancel(ID);
-        cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL));
+        cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL_TIMEOUT));
         assertEquals("cancelled", cluster.lastTold(ID));
         assertEquals(List.of(), replicas(cluster));
         assertEquals(List.of(), cluster.broken);
@@ -83,7 +83,7 @@
     void servicesNeedNoEstimateAndNeverComplete() {
         SimulatedCluster cluster = running(901, false, false);
         cluster.sim.run(Duration.ofSeconds(200));
-        var answer = cluster.question(0, ID);
+        var answer = cluster.pollAsync(0, ID);
         cluster.sim.run(cluster.sim.now().plusSeconds(2));
         assertEquals("running", answer.join().body().path("phase").asText());
         assertEquals(4, answer.join().body().path("running").asInt());
@@ -94,8 +94,8 @@
     void serviceBeyondItsTeamsLimitIsRejected() {
         var cluster = new SimulatedCluster(902);
         cluster.sim.run(Duration.ofSeconds(5));
-        Submission large = ClusterTest.job(ID, "blue", JobKind.SERVICE, SimulatedCluster.QUOTA_BLUE + 1, false, false);
-        var answer = cluster.offerTo(0, large);
+        Submission large = ClusterTest.job(ID, "blue", JobKind.SERVICE, SimulatedCluster.LIMIT_BLUE + 1, false, false);
+        var answer = cluster.submitTo(0, large);
         cluster.sim.run(cluster.sim.now().plusSeconds(2));
         assertEquals(422, answer.join().status());
     }
@@ -105,7 +105,7 @@
     @ValueSource(longs = {903, 904, 905})
     void replicasOfACrashedMachineAreRestarted(long seed) {
         SimulatedCluster cluster = running(seed, false, false);
-        cluster.die(cluster.workers.get(machines(cluster).iterator().next()));
+        cluster.crashMachine(cluster.workers.get(machines(cluster).iterator().next()));
         await(cluster, Duration.ofSeconds(45));
         cancelAndAssertGone(cluster);
     }
@@ -116,7 +116,7 @@
     void replicasMoveBeforeASpotInterruption(long seed) {
         SimulatedCluster cluster = running(seed, false, true);
         FakeWorker noticed = cluster.workers.get(machines(cluster).iterator().next());
-        cluster.take(noticed, Duration.ofSeconds(20));
+        cluster.interruptMachine(noticed, Duration.ofSeconds(20));
         cluster.sim.run(cluster.sim.now().plusSeconds(18));
         assertTrue(!noticed.dead && !machines(cluster).contains(noticed.id()), "still on the machine");
         assertEquals(4, replicas(cluster).size());
@@ -145,7 +145,7 @@
     @ValueSource(longs = {909, 910, 911})
     void replicasOfTheOtherZoneRunAfterAZoneFailure(long seed) {
         SimulatedCluster cluster = running(seed, true, false);
-        cluster.alive().stream().filter(w -> w.zone.equals("east")).forEach(cluster::die);
+        cluster.alive().stream().filter(w -> w.zone.equals("east")).forEach(cluster::crashMachine);
         cluster.crash(cluster.leader(), Duration.ofSeconds(8));
         cluster.sim.run(cluster.sim.now().plusSeconds(60));
         long west = cluster.rules.live().stream()
@@ -162,9 +162,9 @@
     void replicasLeaveFaultyMachines(long seed) {
         SimulatedCluster cluster = running(seed, false, false);
         FakeWorker sick = cluster.workers.get(machines(cluster).iterator().next());
-        sick.sick = true;
+        sick.faulty = true;
         sick.tasks().forEach(t -> t.exit("error"));
-        cluster.changed();
+        cluster.markTasksChanged();
         await(cluster, Duration.ofSeconds(60));
         cancelAndAssertGone(cluster);
     }
@@ -173,7 +173,7 @@
     @Test
     void lowerPriorityTasksArePreempted() {
         SimulatedCluster cluster = cluster(914);
-        cluster.taskTime = Optional.of(Duration.ofMinutes(20));
+        cluster.taskDuration = Optional.of(Duration.ofMinutes(20));
         cluster.submit(OperationsTest.array("wk-000001", "red", Priority.LOW, 10));
         cluster.submit(OperationsTest.array("wk-000002", "green", Priority.LOW, 40));
         cluster.sim.run(Duration.ofSeconds(60));
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -36,16 +36,16 @@
 public final class SimulatedCluster {
     static final int SLOTS = 4;
     static final Duration LEASE = Duration.ofSeconds(10);
-    static final Duration GANG_WAIT = Duration.ofSeconds(30);
-    static final Duration GANG_PEER = Duration.ofSeconds(5);
-    static final int QUOTA_RED = 10;
-    static final int QUOTA_BLUE = 6;
+    static final Duration GANG_TIMEOUT = Duration.ofSeconds(30);
+    static final Duration GANG_PEER_TIMEOUT = Duration.ofSeconds(5);
+    static final int LIMIT_RED = 10;
+    static final int LIMIT_BLUE = 6;
     private static final int CONFLICT = 409;
     /** The state store's highest response time if its rates are limited. */
-    private static final int SLOW_STATE_MILLIS = 80;
+    private static final int MAX_STATE_DELAY_MILLIS = 80;
 
-    private static final Duration ANSWER_WITHIN = Duration.ofSeconds(4);
-    static final Duration CANCEL = Duration.ofSeconds(30);
+    private static final Duration HEARTBEAT_TIMEOUT = Duration.ofSeconds(4);
+    static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(30);
     static final List<String> ZONES = List.of("east", "west");
     public final VirtualTime sim;
     public final FakeStateStore state;
@@ -53,7 +53,7 @@
     final TaskRuns runs = new TaskRuns(this);
     final FakeCloud cloud = new FakeCloud(this);
     final List<String> broken = new ArrayList<>();
-    private final Controller[] nodes = new Controller[3];
+    private final Controller[] controllers = new Controller[3];
     final VirtualTime.SimulatedProcess[] processes = new VirtualTime.SimulatedProcess[3];
     final Map<String, FakeWorker> workers = new TreeMap<>();
     final Map<String, Submission> jobs;
@@ -66,29 +66,29 @@
     /** The only controller that the state store answers with 503, or -1. */
     public int refusedNode = -1;
     /** Requests to the cloud are lost. */
-    public boolean cloudSilent;
+    public boolean cloudUnreachable;
     /** The next rental takes effect 30 s late and its answer is lost. */
-    public boolean lateRentals;
+    public boolean delayNextRental;
 
     private final Set<String> blocked = new HashSet<>();
     /** A controller that can reach its workers, but neither the state store nor the other controllers; or -1. */
     public int isolatedNode = -1;
     /** A controller partitioned from all workers but from nothing else, or -1. */
-    public int deafNode = -1;
+    public int workerPartitionedNode = -1;
     /** The zone partitioned from everything else, or empty. Regional services (state store, cloud, users) are in no zone. */
-    public String zoneCut = "";
+    public String partitionedZone = "";
     /** The zone of each controller. */
-    public final String[] areas = {"east", "east", "west"};
+    public final String[] controllerZones = {"east", "east", "west"};
     /** All messages between controllers are lost. */
-    public boolean peersRefuse;
+    public boolean peersPartitioned;
     /** The one-way links between controllers on which messages are lost, each as {@code from * 3 + to}. */
-    final Set<Integer> peersBlocked = new HashSet<>();
+    final Set<Integer> blockedPeerLinks = new HashSet<>();
     /** The highest additional delay of a message between controllers. */
-    public int peerDelayMillis;
-    /** How many delayed duplicates of each worker heartbeat arrive, each at most {@link #latestCopy} late. */
-    public int lateCopies;
+    public int maxPeerDelayMillis;
+    /** How many delayed duplicates of each worker heartbeat arrive, each at most {@link #maxDuplicateDelay} late. */
+    public int delayedDuplicates;
 
-    Duration latestCopy = Duration.ofSeconds(25);
+    Duration maxDuplicateDelay = Duration.ofSeconds(25);
     /** The newest stored format that each controller announces when it starts. */
     final int[] formats = {
         FormatVersion.NEWEST_WITHOUT_FEATURES,
@@ -99,43 +99,43 @@
     JsonNode nextLimits;
 
     final ClusterShape shape;
-    final int mostMachines;
+    final int maxMachines;
     final int nameStep;
-    public double loss;
-    public double repeat;
+    public double lossRate;
+    public double duplicateRate;
     int nextMachine = 1;
     /** The fraction of transactions whose answer is lost and that are applied 2 to 12 s later, after newer ones. */
     public double lateWrites;
     /** The fraction of jobs that are cancelled within milliseconds of their completion. */
-    public double cancelledAtEnd;
+    public double cancelAtCompletionRate;
     /** Every job is polled and resubmitted within 300 ms of its completion. */
-    public boolean repeatedAtEnd;
+    public boolean requestsAtCompletion;
     /** Jobs whose tasks fail as soon as they run. */
     final Set<String> faultyJobs = new HashSet<>();
     /** The number of failed task attempts by job. */
     final Map<String, Integer> errors = new HashMap<>();
     /** The only controller that users send requests to, or -1 for any healthy one. */
-    public int usersAt = -1;
+    public int userNode = -1;
     /** Whether all faults are over. Invariants that hold only without faults are checked from then on. */
-    public boolean calm;
+    public boolean faultsOver;
     /** How often each named event occurred. Tests assert that the fault combination under test took place. */
     final Map<String, Integer> met = new TreeMap<>();
 
-    final Set<String> wantedGone = new HashSet<>();
+    final Set<String> cancelRequested = new HashSet<>();
     final Map<String, Duration> submittedAt = new HashMap<>();
     final Map<String, Duration> begunAt = new HashMap<>();
     /** Tasks that started after the cancellation of their job had been confirmed to the user. */
     final List<String> startsAfterCancel = new ArrayList<>();
 
-    private boolean dirty;
+    private boolean tasksChanged;
 
     SimulatedCluster(long seed) {
         this(seed, 7, 1);
     }
 
     /** Creates a cluster of a given size. A larger name step makes fewer machines share a record. */
-    SimulatedCluster(long seed, int mostMachines, int nameStep) {
-        this(seed, ClusterShape.of(mostMachines, nameStep));
+    SimulatedCluster(long seed, int maxMachines, int nameStep) {
+        this(seed, ClusterShape.of(maxMachines, nameStep));
     }
 
     /** Creates a stand-alone cluster. */
@@ -144,15 +144,15 @@
     }
 
     /** Creates a cluster whose controllers announce the given stored format when they start. */
-    SimulatedCluster(long seed, int mostMachines, int nameStep, int format) {
-        this(seed, ClusterShape.of(mostMachines, nameStep).withFormat(format));
+    SimulatedCluster(long seed, int maxMachines, int nameStep, int format) {
+        this(seed, ClusterShape.of(maxMachines, nameStep).withFormat(format));
     }
 
     /** Creates a cluster that shares virtual time and the record of jobs with other clusters. */
     SimulatedCluster(SimulatedEnvironment surroundings, ClusterShape shape) {
         Arrays.fill(formats, shape.format());
         this.shape = shape;
-        this.mostMachines = shape.mostMachines();
+        this.maxMachines = shape.maxMachines();
         this.nameStep = shape.nameStep();
         this.surroundings = surroundings;
         jobs = surroundings.jobs();
@@ -160,36 +160,36 @@
         completed = surroundings.completed();
         cancelled = surroundings.cancelled();
         sim = surroundings.sim();
-        operators = new SimulatedOperators(sim, node -> nodes[node], broken::add);
+        operators = new SimulatedOperators(sim, node -> controllers[node], broken::add);
         state = new FakeStateStore(sim);
         shape.stateRates().ifPresent(rates -> {
             state.limitRates(rates.requests(), rates.writes());
-            slowStateMillis = SLOW_STATE_MILLIS;
+            maxStateDelayMillis = MAX_STATE_DELAY_MILLIS;
         });
         if (!shape.large()) {
-            state.listen(new StoredAllocations(this));
+            state.setListener(new StoredAllocations(this));
         }
         if (surroundings.outside().isEmpty()) {
             for (int i = 0; i < 3; i++) {
-                boot(i);
+                startController(i);
             }
-            sim.after(100, this::watch);
+            sim.after(100, this::pollAndCheck);
         }
-        if (mostMachines < 100) {
+        if (maxMachines < 100) {
             sim.afterEach(() -> {
-                if (dirty) {
-                    dirty = false;
-                    rules.quota();
-                    rules.accelerators();
+                if (tasksChanged) {
+                    tasksChanged = false;
+                    rules.checkLimitsAndCancelledTasks();
+                    rules.checkAcceleratorLimits();
                 }
             });
         }
     }
 
-    private void boot(int i) {
+    private void startController(int i) {
         var process = sim.new SimulatedProcess();
         processes[i] = process;
-        nodes[i] = new Controller(
+        controllers[i] = new Controller(
                 ClusterSettings.of(this, i),
                 caller(process, i),
                 process,
@@ -199,11 +199,11 @@
                     process.kill();
                 },
                 context -> surroundings.connector().connect(i, process, context));
-        nodes[i].start();
+        controllers[i].start();
     }
 
     /** Adds running machines, alternating between the zones. */
-    void provide(int count) {
+    void addMachines(int count) {
         for (int i = 0; i < count; i++) {
             String id = "i-%04d".formatted(nextMachine);
             nextMachine += nameStep;
@@ -212,15 +212,15 @@
     }
 
     /** Adds one running machine. */
-    void provide(String id, String zone, boolean spot) {
+    void addMachine(String id, String zone, boolean spot) {
         workers.put(id, new FakeWorker(this, id, zone, spot));
     }
 
     /** Additional delay of every message. */
-    public int slowMillis;
+    public int extraDelayMillis;
 
     /** The highest additional delay of an answer of the state store. */
-    public int slowStateMillis;
+    public int maxStateDelayMillis;
     /** A controller whose transactions are delayed by {@link #slowWritesMillis} while its reads are not, or -1. */
     public int slowWritesNode = -1;
 
@@ -235,21 +235,21 @@
     }
 
     /** Returns when a user first received a final state (done or cancelled) of a job. */
-    Optional<Duration> toldOverAt(String id) {
-        return users.toldOverAt(id);
+    Optional<Duration> finalStateReportedAt(String id) {
+        return users.finalStateReportedAt(id);
     }
 
     final Map<String, Duration> completed;
     /** The duration of tasks; if empty it is drawn between 2 and 8 s. */
-    Optional<Duration> taskTime = Optional.empty();
+    Optional<Duration> taskDuration = Optional.empty();
     /** Calls of controllers by target ("state", "cloud", "node", "worker"), and key changes in transactions ("writes"). */
     final Map<String, Integer> counts = new TreeMap<>();
 
-    private final int[] open = new int[3];
+    private final int[] openWorkerCalls = new int[3];
     /** The highest number of concurrent calls to workers by one controller. */
-    public int mostOpen;
+    public int maxOpenWorkerCalls;
 
-    private void count(
+    private void countCall(
             int from, String address, String target, byte[] body, CompletableFuture<HttpClientResponse> result) {
         String kind = address.substring(0, address.indexOf(':'));
         counts.merge(kind, 1, Integer::sum);
@@ -261,8 +261,8 @@
             }
         }
         if (kind.equals("worker")) {
-            mostOpen = Math.max(mostOpen, ++open[from]);
-            result.whenComplete((response, e) -> open[from]--);
+            maxOpenWorkerCalls = Math.max(maxOpenWorkerCalls, ++openWorkerCalls[from]);
+            result.whenComplete((response, e) -> openWorkerCalls[from]--);
         }
     }
 
@@ -272,9 +272,9 @@
             return; // already down: a second restart would start two processes of the same name
         }
         processes[i].kill();
-        open[i] = 0;
-        nodes[i] = null;
-        sim.after(pause, () -> boot(i));
+        openWorkerCalls[i] = 0;
+        controllers[i] = null;
+        sim.after(pause, () -> startController(i));
     }
 
     /** Suspends a controller's execution for a while; its clocks advance. */
@@ -283,8 +283,8 @@
     }
 
     /** Marks the set of tasks on machines as changed, so that limits are checked after the current event. */
-    void changed() {
-        dirty = true;
+    void markTasksChanged() {
+        tasksChanged = true;
     }
 
     void met(String what) {
@@ -302,33 +302,33 @@
     }
 
     /** Returns whether the controller that owns a machine according to the state store is frozen. */
-    boolean ownerPauses(FakeWorker w) {
+    boolean isOwnerFrozen(FakeWorker w) {
         int owner = owner(w);
-        return owner >= 0 && processes[owner].frozen();
+        return owner >= 0 && processes[owner].isFrozen();
     }
 
     /** The number of live machines terminated through the cloud API so far. */
-    public int returned;
+    public int terminatedMachines;
 
     FakeWorker worker(int index) {
         List<FakeWorker> all = workers.values().stream().filter(w -> !w.dead).toList();
         return all.isEmpty() ? null : all.get(index % all.size());
     }
 
-    void die(FakeWorker w) {
+    void crashMachine(FakeWorker w) {
         w.dead = true;
     }
 
     /** The number of tasks that wrote a checkpoint when they were stopped. */
-    public int saves;
+    public int checkpointsWritten;
 
-    Duration saveTime(TaskId task) {
+    Duration checkpointTime(TaskId task) {
         return jobs.get(task.job()).checkpointTime();
     }
 
     /** Terminates a spot machine after an interruption notice. */
-    void take(FakeWorker w, Duration notice) {
-        w.takenAt = sim.now().plus(notice);
+    void interruptMachine(FakeWorker w, Duration notice) {
+        w.interruptedAt = sim.now().plus(notice);
         sim.after(notice, () -> {
             w.dead = true;
             workers.remove(w.id);
@@ -336,9 +336,9 @@
     }
 
     /** Disconnects a machine for a while: its heartbeats are lost, commands to it are delivered late. */
-    void cut(FakeWorker w, Duration length) {
-        w.cut = true;
-        sim.after(length, () -> w.cut = false);
+    void disconnect(FakeWorker w, Duration length) {
+        w.disconnected = true;
+        sim.after(length, () -> w.disconnected = false);
     }
 
     /** Blocks all messages between a controller and a machine. */
@@ -351,16 +351,16 @@
     }
 
     private long delay() {
-        return 2L + slowMillis + sim.random.nextInt(15) + (sim.random.nextInt(50) == 0 ? 300 : 0);
+        return 2L + extraDelayMillis + sim.random.nextInt(15) + (sim.random.nextInt(50) == 0 ? 300 : 0);
     }
 
     private HttpClient caller(VirtualTime.SimulatedProcess owner, int from) {
         return (address, method, target, body, type, timeout) -> {
             var result = new CompletableFuture<HttpClientResponse>();
-            count(from, address, target, body, result);
+            countCall(from, address, target, body, result);
             owner.schedule(
                     timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
-            boolean twice = sim.random.nextDouble() < repeat && address.startsWith("worker");
+            boolean twice = sim.random.nextDouble() < duplicateRate && address.startsWith("worker");
             if (lateWrites > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWrites) {
                 met("late write");
                 sim.after(
@@ -369,7 +369,7 @@
                 return result;
             }
             for (int copy = 0; copy < (twice ? 2 : 1); copy++) {
-                int held = heldOnTheWay(from, address, target);
+                int held = faultDelayMillis(from, address, target);
                 sim.after(
                         delay() + held + (long) copy * sim.random.nextInt(8000),
                         () -> deliver(owner, from, address, method, target, body, result));
@@ -378,15 +378,15 @@
         };
     }
 
-    private int heldOnTheWay(int from, String address, String target) {
+    private int faultDelayMillis(int from, String address, String target) {
         if (from == slowWritesNode && target.equals("/txn")) {
             return slowWritesMillis;
         }
-        return peerDelayMillis > 0 && address.startsWith("node") ? sim.random.nextInt(peerDelayMillis) : 0;
+        return maxPeerDelayMillis > 0 && address.startsWith("node") ? sim.random.nextInt(maxPeerDelayMillis) : 0;
     }
 
-    private boolean apart(String one, String other) {
-        return !zoneCut.isEmpty() && one.equals(zoneCut) != other.equals(zoneCut);
+    private boolean partitioned(String one, String other) {
+        return !partitionedZone.isEmpty() && one.equals(partitionedZone) != other.equals(partitionedZone);
     }
 
     private void deliver(
@@ -407,8 +407,8 @@
         if (isLost(from, address, worker)) {
             return;
         }
-        if (lateRentals && address.startsWith("cloud") && target.equals("/rentals")) {
-            lateRentals = false; // applied 30 s later, the answer is lost
+        if (delayNextRental && address.startsWith("cloud") && target.equals("/rentals")) {
+            delayNextRental = false; // applied 30 s later, the answer is lost
             sim.after(30_000, () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
             return;
         }
@@ -430,12 +430,12 @@
             throw new IllegalStateException(e);
         }
         noteConflict(from, reply);
-        if (reply == null || sim.random.nextDouble() < loss) {
+        if (reply == null || sim.random.nextDouble() < lossRate) {
             return; // the target is down, or the request was executed and its answer is lost
         }
         byte[] bytes =
                 address.startsWith("node") ? JsonCodec.write(reply.body()) : MessagePackCodec.write(reply.body());
-        int slow = slowStateMillis > 0 && address.startsWith("state") ? sim.random.nextInt(slowStateMillis) : 0;
+        int slow = maxStateDelayMillis > 0 && address.startsWith("state") ? sim.random.nextInt(maxStateDelayMillis) : 0;
         sim.after(
                 delay() + slow,
                 () -> owner.arrive(() -> result.complete(new HttpClientResponse(reply.status(), bytes))));
@@ -443,22 +443,27 @@
 
     /** Whether a message is blocked by a partition, a disconnection or a hang. Messages to workers are retried until it ends. */
     private boolean isHeldBack(int from, String address, FakeWorker worker) {
-        String area = worker != null ? worker.zone : address.startsWith("node") ? areas[address.charAt(5) - '0'] : "";
-        return apart(areas[from], area) || (worker != null && (worker.cut || worker.hung()) && !worker.dead);
+        String area = worker != null
+                ? worker.zone
+                : address.startsWith("node") ? controllerZones[address.charAt(5) - '0'] : "";
+        return partitioned(controllerZones[from], area)
+                || (worker != null && (worker.disconnected || worker.isHung()) && !worker.dead);
     }
 
     /** Whether a fault in effect drops a message. */
     private boolean isLost(int from, String address, FakeWorker worker) {
-        if (worker != null && (blocked.contains(from + worker.id) || worker.oneWay || from == deafNode)) {
+        if (worker != null
+                && (blocked.contains(from + worker.id) || worker.cannotReceive || from == workerPartitionedNode)) {
             return true;
         }
-        if (address.startsWith("node") && (peersRefuse || peersBlocked.contains(from * 3 + address.charAt(5) - '0'))) {
+        if (address.startsWith("node")
+                && (peersPartitioned || blockedPeerLinks.contains(from * 3 + address.charAt(5) - '0'))) {
             return true;
         }
         boolean toIsolated =
                 address.startsWith("node") && (from == isolatedNode || address.endsWith(":" + isolatedNode));
         boolean fromIsolated = address.startsWith("state") && from == isolatedNode;
-        return fromIsolated || toIsolated || (cloudSilent && address.startsWith("cloud"));
+        return fromIsolated || toIsolated || (cloudUnreachable && address.startsWith("cloud"));
     }
 
     private void noteConflict(int from, FakeStateStore.Reply reply) {
@@ -471,18 +476,18 @@
             int from, String address, String method, String target, JsonNode body, byte[] raw, FakeWorker w) {
         if (address.startsWith("state")) {
             return from == writesRefusedNode && target.equals("/txn")
-                    ? FakeStateStore.tooMany()
+                    ? FakeStateStore.tooManyRequests()
                     : state.answer(method, target, body);
         }
         if (address.startsWith("cloud")) {
             return cloud.answer(target, body);
         }
         if (address.startsWith("node")) {
-            Controller c = nodes[address.charAt(5) - '0'];
+            Controller c = controllers[address.charAt(5) - '0'];
             if (c == null) {
                 return null;
             }
-            if (processes[address.charAt(5) - '0'].frozen()) {
+            if (processes[address.charAt(5) - '0'].isFrozen()) {
                 processes[address.charAt(5) - '0'].arrive(
                         () -> c.onPeerHeartbeat(raw)); // the caller has timed out by then
                 return null;
@@ -494,39 +499,39 @@
                 : target.equals("/inspect") ? new FakeStateStore.Reply(200, w.report()) : w.commands(body);
     }
 
-    void toNode(int node, FakeWorker from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
+    void sendHeartbeat(int node, FakeWorker from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
         if (surroundings.outside().isPresent()) {
             surroundings.outside().get().report(node, report, answer);
             return;
         }
-        for (int copy = 0; copy < lateCopies; copy++) {
+        for (int copy = 0; copy < delayedDuplicates; copy++) {
             // A delayed duplicate arrives even if the machine has ended since; its answer is dropped.
-            sim.after(2000 + sim.random.nextInt((int) latestCopy.toMillis()), () -> {
-                if (nodes[node] != null) {
-                    Controller late = nodes[node];
-                    processes[node].arrive(() -> receive(late, report, (status, body) -> {}));
+            sim.after(2000 + sim.random.nextInt((int) maxDuplicateDelay.toMillis()), () -> {
+                if (controllers[node] != null) {
+                    Controller late = controllers[node];
+                    processes[node].arrive(() -> deliverHeartbeat(late, report, (status, body) -> {}));
                 }
             });
         }
-        if (from.heldReports && !from.mute) {
+        if (from.delaysHeartbeats && !from.cannotSend) {
             // It arrives at its original receiver, even if the leader has changed since.
-            sim.after(from.heldFor, () -> {
+            sim.after(from.heartbeatDelay, () -> {
                 met("held report");
-                if (nodes[node] != null) {
-                    Controller late = nodes[node];
-                    processes[node].arrive(() -> receive(late, report, (status, body) -> {}));
+                if (controllers[node] != null) {
+                    Controller late = controllers[node];
+                    processes[node].arrive(() -> deliverHeartbeat(late, report, (status, body) -> {}));
                 }
             });
             return;
         }
         VirtualTime.SimulatedProcess target = processes[node];
-        Controller c = nodes[node];
+        Controller c = controllers[node];
         sim.after(delay(), () -> {
-            if (from.cut
+            if (from.disconnected
                     || from.dead
-                    || from.mute
-                    || node == deafNode
-                    || apart(from.zone, areas[node])
+                    || from.cannotSend
+                    || node == workerPartitionedNode
+                    || partitioned(from.zone, controllerZones[node])
                     || blocked.contains(node + from.id)) {
                 return;
             }
@@ -535,22 +540,22 @@
                 return;
             }
             Duration sentAt = sim.now();
-            target.arrive(() -> receive(
+            target.arrive(() -> deliverHeartbeat(
                     c,
                     report,
                     (status, body) -> sim.after(delay(), () -> {
-                        if (sim.now().minus(sentAt).compareTo(ANSWER_WITHIN) < 0
-                                && !from.cut
-                                && !from.oneWay
+                        if (sim.now().minus(sentAt).compareTo(HEARTBEAT_TIMEOUT) < 0
+                                && !from.disconnected
+                                && !from.cannotReceive
                                 && !from.dead
-                                && sim.random.nextDouble() >= loss) {
+                                && sim.random.nextDouble() >= lossRate) {
                             answer.accept(status, body);
                         }
                     })));
         });
     }
 
-    private static void receive(Controller c, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
+    private static void deliverHeartbeat(Controller c, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
         try {
             c.heartbeatHandler()
                     .onHeartbeat(
@@ -562,9 +567,9 @@
     }
 
     /** Delivers a worker's heartbeat and returns the status of an immediate answer, or 0. */
-    int answer(int node, FakeWorker w) {
+    int heartbeatStatus(int node, FakeWorker w) {
         var status = new int[1];
-        receive(nodes[node], w.report(), (code, body) -> status[0] = code);
+        deliverHeartbeat(controllers[node], w.report(), (code, body) -> status[0] = code);
         return status[0];
     }
 
@@ -586,18 +591,18 @@
     }
 
     /** Resubmits an accepted job as its user; the answer must show that the job is known, whatever its state. */
-    void repeat(String id) {
-        users.repeat(id);
+    void resubmit(String id) {
+        users.resubmit(id);
     }
 
     /** Polls the state of an accepted job as its user. */
-    void askAbout(String id) {
-        users.askAbout(id);
+    void pollJob(String id) {
+        users.pollJob(id);
     }
 
     /** Polls a job that was never submitted; the answer must not be 200. */
-    void askForStranger(String id) {
-        users.askForStranger(id);
+    void pollUnknownJob(String id) {
+        users.pollUnknownJob(id);
     }
 
     /** Cancels a job as its user, retrying until it is confirmed. */
@@ -605,15 +610,18 @@
         users.cancel(id);
     }
 
-    /** Returns the API of a reachable, healthy controller, drawn at random unless {@link #usersAt} is set. */
-    Optional<UserApi> reachable() {
-        int i = usersAt >= 0 ? usersAt : sim.random.nextInt(3);
-        boolean reached = nodes[i] != null && !processes[i].frozen() && !apart("", areas[i]) && nodes[i].isHealthy();
-        return reached ? Optional.of(nodes[i].userApi()) : Optional.empty();
+    /** Returns the API of a reachable, healthy controller, drawn at random unless {@link #userNode} is set. */
+    Optional<UserApi> reachableApi() {
+        int i = userNode >= 0 ? userNode : sim.random.nextInt(3);
+        boolean reached = controllers[i] != null
+                && !processes[i].isFrozen()
+                && !partitioned("", controllerZones[i])
+                && controllers[i].isHealthy();
+        return reached ? Optional.of(controllers[i].userApi()) : Optional.empty();
     }
 
     /** Submits a job at one controller; the answer arrives in virtual time. */
-    CompletableFuture<UserApi.Answer> offerTo(int node, Submission job) {
+    CompletableFuture<UserApi.Answer> submitTo(int node, Submission job) {
         jobs.put(job.id(), job);
         return offer(node, job.toNode());
     }
@@ -621,14 +629,14 @@
     /** Submits any body, valid or not, at one controller; the answer arrives in virtual time. */
     CompletableFuture<UserApi.Answer> offer(int node, ObjectNode body) {
         var result = new CompletableFuture<UserApi.Answer>();
-        nodes[node].userApi().submit(MessagePackCodec.write(body), result::complete);
+        controllers[node].userApi().submit(MessagePackCodec.write(body), result::complete);
         return result;
     }
 
     /** Polls a job at one controller; the answer arrives in virtual time. */
-    CompletableFuture<UserApi.Answer> question(int node, String id) {
+    CompletableFuture<UserApi.Answer> pollAsync(int node, String id) {
         var result = new CompletableFuture<UserApi.Answer>();
-        nodes[node].userApi().poll(id, result::complete);
+        controllers[node].userApi().poll(id, result::complete);
         return result;
     }
 
@@ -640,20 +648,20 @@
     /** Cancels a job at one controller, runs 2 s of virtual time and returns the answer. */
     UserApi.Answer cancelAt(int node, String id) {
         var result = new CompletableFuture<UserApi.Answer>();
-        nodes[node].userApi().cancel(id, result::complete);
+        controllers[node].userApi().cancel(id, result::complete);
         sim.run(sim.now().plusSeconds(2));
         return result.join();
     }
 
     /** Cancels a job at one controller without advancing virtual time. */
     void cancelAsked(int node, String id, Consumer<UserApi.Answer> answer) {
-        wantedGone.add(id);
-        nodes[node].userApi().cancel(id, answer);
+        cancelRequested.add(id);
+        controllers[node].userApi().cancel(id, answer);
     }
 
     /** Polls a job at one controller and runs 2 s of virtual time. */
     CompletableFuture<UserApi.Answer> poll(int node, String id) {
-        CompletableFuture<UserApi.Answer> result = question(node, id);
+        CompletableFuture<UserApi.Answer> result = pollAsync(node, id);
         sim.run(sim.now().plusSeconds(2));
         return result;
     }
@@ -677,15 +685,15 @@
         return told.getOrDefault(id, "");
     }
 
-    private void watch() {
+    private void pollAndCheck() {
         for (String id : jobs.keySet()) {
             if (sim.random.nextInt(20) == 0 && told.containsKey(id)) {
-                askAbout(id);
+                pollJob(id);
             }
         }
-        rules.quota();
-        rules.waits();
-        sim.after(250, this::watch);
+        rules.checkLimitsAndCancelledTasks();
+        rules.checkWaits();
+        sim.after(250, this::pollAndCheck);
     }
 
     boolean over(String id) {
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -13,26 +13,26 @@
 /** The users of a simulated cluster: they submit, poll, resubmit and cancel jobs, and record answers that violate the API's guarantees. */
 final class SimulatedUsers {
     private final SimulatedCluster cluster;
-    private final Map<String, Duration> overAt = new HashMap<>();
-    private final Map<String, Duration> offered = new HashMap<>();
+    private final Map<String, Duration> finalStateAt = new HashMap<>();
+    private final Map<String, Duration> submissionSentAt = new HashMap<>();
 
     SimulatedUsers(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
     /** Returns when a user first received a final state (done or cancelled) of a job. */
-    Optional<Duration> toldOverAt(String id) {
-        return cluster.over(id) ? Optional.ofNullable(overAt.get(id)) : Optional.empty();
+    Optional<Duration> finalStateReportedAt(String id) {
+        return cluster.over(id) ? Optional.ofNullable(finalStateAt.get(id)) : Optional.empty();
     }
 
     void submit(Submission job) {
         cluster.jobs.put(job.id(), job);
         cluster.submittedAt.putIfAbsent(job.id(), cluster.sim.now());
-        offer(job);
+        sendSubmission(job);
     }
 
     /** Resubmits an accepted job; the answer must show that the job is known, whatever its state. */
-    void repeat(String id) {
+    void resubmit(String id) {
         Duration asked = cluster.sim.now();
         if (!cluster.told.containsKey(id)) {
             return;
@@ -40,7 +40,7 @@
         ask(
                 n -> n.submit(MessagePackCodec.write(cluster.jobs.get(id).toNode()), a -> {
                     if (a.status() == 200 || a.status() == 201) {
-                        told(id, asked, a);
+                        onAnswer(id, asked, a);
                     } else if (a.status() != 503) {
                         cluster.broken.add("forgotten: repeated submission of " + id + " answered " + a.status());
                     }
@@ -49,12 +49,12 @@
     }
 
     /** Polls the state of an accepted job. */
-    void askAbout(String id) {
+    void pollJob(String id) {
         Duration asked = cluster.sim.now();
         ask(
                 n -> n.poll(id, a -> {
                     if (a.status() == 200) {
-                        told(id, asked, a);
+                        onAnswer(id, asked, a);
                     } else if (a.status() == 404) {
                         cluster.broken.add("forgotten: " + id);
                     }
@@ -63,7 +63,7 @@
     }
 
     /** Polls a job that was never submitted; the answer must not be 200. */
-    void askForStranger(String id) {
+    void pollUnknownJob(String id) {
         ask(
                 n -> n.poll(id, a -> {
                     if (a.status() == 200) {
@@ -73,39 +73,40 @@
                 () -> {});
     }
 
-    private void offer(Submission job) {
+    private void sendSubmission(Submission job) {
         Duration asked = cluster.sim.now();
         // A controller that crashes with the request never answers it; the user retries after 5 s.
         cluster.sim.after(5000, () -> {
-            if (!cluster.told.containsKey(job.id()) && !(offered.get(job.id()).compareTo(asked) > 0)) {
-                offer(job);
+            if (!cluster.told.containsKey(job.id())
+                    && !(submissionSentAt.get(job.id()).compareTo(asked) > 0)) {
+                sendSubmission(job);
             }
         });
-        offered.put(job.id(), asked);
+        submissionSentAt.put(job.id(), asked);
         ask(
                 n -> n.submit(MessagePackCodec.write(job.toNode()), a -> {
                     if (a.status() == 200 || a.status() == 201) {
-                        told(job.id(), asked, a);
+                        onAnswer(job.id(), asked, a);
                     } else if (a.status() != 503) {
                         cluster.broken.add("submission of " + job.id() + " answered " + a.status());
                     } else {
-                        cluster.sim.after(1000, () -> offer(job));
+                        cluster.sim.after(1000, () -> sendSubmission(job));
                     }
                 }),
-                () -> offer(job));
+                () -> sendSubmission(job));
     }
 
     private void ask(Consumer<UserApi> question, Runnable otherwise) {
-        cluster.reachable().ifPresentOrElse(question, () -> cluster.sim.after(500, otherwise));
+        cluster.reachableApi().ifPresentOrElse(question, () -> cluster.sim.after(500, otherwise));
     }
 
     void cancel(String id) {
         Duration asked = cluster.sim.now();
-        cluster.wantedGone.add(id);
+        cluster.cancelRequested.add(id);
         ask(
                 n -> n.cancel(id, a -> {
                     if (a.status() == 200) {
-                        told(id, asked, a);
+                        onAnswer(id, asked, a);
                     } else {
                         cluster.sim.after(1000, () -> cancel(id));
                     }
@@ -114,25 +115,26 @@
     }
 
     /** Checks an answer against earlier ones. Answers to overlapping requests may arrive in any order, so only a request sent after a final state was received must return that state. */
-    private void told(String id, Duration asked, UserApi.Answer a) {
+    private void onAnswer(String id, Duration asked, UserApi.Answer a) {
         String phase = a.body().path("phase").asText();
         String before = cluster.told.getOrDefault(id, "");
         boolean over = before.equals("done") || before.equals("cancelled");
-        if (over && !before.equals(phase) && asked.compareTo(overAt.get(id)) > 0) {
+        if (over && !before.equals(phase) && asked.compareTo(finalStateAt.get(id)) > 0) {
             cluster.broken.add("went_back: " + id + " was " + before + ", now " + phase);
         }
         if (!over) {
             cluster.told.put(id, phase);
-            overAt.put(id, cluster.sim.now());
+            finalStateAt.put(id, cluster.sim.now());
         } else if (!before.equals(phase) && (phase.equals("done") || phase.equals("cancelled"))) {
             cluster.broken.add("went_back: " + id + " was reported as " + before + " and as " + phase);
         }
         if (phase.equals("cancelled")) {
-            if (!cluster.wantedGone.contains(id)) {
+            if (!cluster.cancelRequested.contains(id)) {
                 cluster.broken.add("went_back: " + id + " cancelled without a request");
             }
             if (cluster.cancelled.putIfAbsent(id, cluster.sim.now()) == null) {
-                cluster.sim.after(SimulatedCluster.CANCEL.plusMillis(1), cluster.rules::quota);
+                cluster.sim.after(
+                        SimulatedCluster.CANCEL_TIMEOUT.plusMillis(1), cluster.rules::checkLimitsAndCancelledTasks);
             }
         }
         if (phase.equals("done")
--- a/src/test/java/org/dunespindle/sim/StoredAllocations.java
+++ b/src/test/java/org/dunespindle/sim/StoredAllocations.java
@@ -16,31 +16,32 @@
 final class StoredAllocations implements FakeStateStore.Listener {
     private static final double ROUNDING = 1e-6;
     private final SimulatedCluster cluster;
-    private StateReplica copy;
+    private StateReplica replica;
     /** The highest use beyond its limit seen so far for each team; only a new maximum is reported. */
     private final Map<String, Double> excess = new TreeMap<>();
 
     StoredAllocations(SimulatedCluster cluster) {
         this.cluster = cluster;
-        this.copy = empty();
+        this.replica = emptyReplica();
     }
 
-    private StateReplica empty() {
+    private StateReplica emptyReplica() {
         return new StateReplica(null, cluster.sim.new SimulatedProcess(), Duration.ZERO, () -> {});
     }
 
     @Override
     public void applied(long revision, Map<String, Optional<JsonNode>> changes) {
         var transaction = new Transaction();
-        boolean ofJobs = false;
+        boolean changesJobs = false;
         for (var change : changes.entrySet()) {
             change.getValue()
                     .ifPresentOrElse(
                             v -> transaction.write(change.getKey(), v), () -> transaction.remove(change.getKey()));
-            ofJobs |= change.getKey().startsWith(Keys.JOB) || change.getKey().startsWith(Keys.CHUNK);
+            changesJobs |=
+                    change.getKey().startsWith(Keys.JOB) || change.getKey().startsWith(Keys.CHUNK);
         }
-        copy.applyCommitted(transaction, revision);
-        if (ofJobs) {
+        replica.applyCommitted(transaction, revision);
+        if (changesJobs) {
             checkLimits(revision);
         }
         changes.forEach((key, value) -> {
@@ -52,8 +53,8 @@
 
     @Override
     public void putBack(Map<String, FakeStateStore.Row> rows) {
-        copy = empty();
-        rows.forEach((key, row) -> copy.applyCommitted(new Transaction().write(key, row.value()), row.stamp()));
+        replica = emptyReplica();
+        rows.forEach((key, row) -> replica.applyCommitted(new Transaction().write(key, row.value()), row.stamp()));
     }
 
     private void checkBound(String team, JsonNode ledger, long revision) {
@@ -85,7 +86,7 @@
 
     private Map<String, Double> gpus() {
         var sums = new TreeMap<String, Double>();
-        for (JobRecord job : copy.activeJobs()) {
+        for (JobRecord job : replica.activeJobs()) {
             sums.merge(
                     job.submission().team(),
                     job.submission().perTask().gpus() * job.allocations().size(),
--- a/src/test/java/org/dunespindle/sim/TaskRuns.java
+++ b/src/test/java/org/dunespindle/sim/TaskRuns.java
@@ -36,7 +36,8 @@
     }
 
     void startGang(FakeWorker.Task one) {
-        Duration end = cluster.sim.now().plusSeconds(cluster.saveTime(one.task).isZero() ? 5 : 25);
+        Duration end =
+                cluster.sim.now().plusSeconds(cluster.checkpointTime(one.task).isZero() ? 5 : 25);
         members(one).forEach(t -> {
             t.phase = "running";
             t.endsAt = end;
@@ -47,7 +48,7 @@
         List<FakeWorker.Task> all = isGang(one.task) ? members(one) : List.of(one);
         if (all.stream()
                 .anyMatch(t -> cluster.workers.containsKey(t.host())
-                        && cluster.workers.get(t.host()).hung())) {
+                        && cluster.workers.get(t.host()).isHung())) {
             return; // a gang makes no progress while a machine of a member hangs
         }
         all.forEach(t -> {
@@ -58,14 +59,14 @@
         String id = one.task.job();
         if (cluster.done.get(id).size() == cluster.jobs.get(id).tasks()) {
             cluster.completed.putIfAbsent(id, cluster.sim.now());
-            if (cluster.repeatedAtEnd) {
-                cluster.sim.after(cluster.sim.random.nextInt(300), () -> cluster.repeat(id));
-                cluster.sim.after(cluster.sim.random.nextInt(300), () -> cluster.askAbout(id));
+            if (cluster.requestsAtCompletion) {
+                cluster.sim.after(cluster.sim.random.nextInt(300), () -> cluster.resubmit(id));
+                cluster.sim.after(cluster.sim.random.nextInt(300), () -> cluster.pollJob(id));
             }
         }
         if (cluster.done.get(id).size() == cluster.jobs.get(id).tasks()
-                && cluster.cancelledAtEnd > 0
-                && cluster.sim.random.nextDouble() < cluster.cancelledAtEnd) {
+                && cluster.cancelAtCompletionRate > 0
+                && cluster.sim.random.nextDouble() < cluster.cancelAtCompletionRate) {
             cluster.met("cancelled at its end");
             cluster.sim.after(cluster.sim.random.nextInt(5), () -> cluster.cancel(id));
         }
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -81,9 +81,9 @@
                 seed, ClusterShape.of(MACHINES, NAME_STEP).withLimits(Map.of("red", LIMIT, "blue", LIMIT)));
         Membership membership = threeControllers();
         List<String> ofWest = namesOf(west, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5);
-        ofWest.forEach(id -> cluster.provide(id, "west", ofWest.indexOf(id) >= 2));
+        ofWest.forEach(id -> cluster.addMachine(id, "west", ofWest.indexOf(id) >= 2));
         namesOf(east, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5)
-                .forEach(id -> cluster.provide(id, "east", false));
+                .forEach(id -> cluster.addMachine(id, "east", false));
         return cluster;
     }
 
@@ -121,8 +121,8 @@
         String shared = jobs.get(1);
         String last = jobs.get(2);
         SimulatedCluster cluster = cluster(seed, refused, other);
-        cluster.taskTime = Optional.of(RUNS);
-        cluster.usersAt = other;
+        cluster.taskDuration = Optional.of(RUNS);
+        cluster.userNode = other;
         cluster.sim.run(Duration.ofSeconds(15));
         // Grants the quota shares: from now on each controller may place up to seven tasks without writing the team
         // record.
@@ -161,9 +161,9 @@
                 seed, ClusterShape.of(MACHINES, NAME_STEP).withLimits(Map.of("red", LIMIT, "blue", LIMIT)));
         for (int node = 0; node < 3; node++) {
             namesOf(node, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5)
-                    .forEach(id -> cluster.provide(id, "east", false));
+                    .forEach(id -> cluster.addMachine(id, "east", false));
         }
-        cluster.taskTime = Optional.of(RUNS);
+        cluster.taskDuration = Optional.of(RUNS);
         cluster.sim.run(Duration.ofSeconds(15));
         cluster.setOptions(0, Map.of("idle_return_s", IDLE_RETURN_SECONDS));
         List<String> ofRestarted = namesOf(restarted, "wk-%06d", 1, membership::controllerOfJob, 2);
@@ -182,8 +182,8 @@
         cluster.sim.run(cluster.sim.now().plusSeconds(12));
         assertEquals(granted, cluster.state.rows().get(Keys.team("red")).stamp(), "the share is still granted");
         // Three jobs at once, one for each controller; none has read the others' placements yet.
-        cluster.slowStateMillis = SLOW_ANSWERS_MILLIS;
-        cluster.usersAt = (restarted + 1) % 3;
+        cluster.maxStateDelayMillis = SLOW_ANSWERS_MILLIS;
+        cluster.userNode = (restarted + 1) % 3;
         cluster.submit(array(ofRestarted.get(1), 7, Optional.empty(), true));
         for (int by = 1; by < 3; by++) {
             int node = (restarted + by) % 3;
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -50,9 +50,9 @@
                         .withLimits(Map.of("red", red, "blue", blue))
                         .withStateRates(REQUESTS, writes));
         story.add("limits %d and %d, %.0f changes/s".formatted(red, blue, writes));
-        cluster.slowStateMillis = 20 + random.nextInt(300);
+        cluster.maxStateDelayMillis = 20 + random.nextInt(300);
         cluster.lengthOf = task -> Optional.of(Duration.ofSeconds(6 + task.index() * 7L % 17));
-        cluster.provide(MACHINES);
+        cluster.addMachines(MACHINES);
         submitJobs();
         add(Trouble.values()[(int) (seed % Trouble.values().length)]);
         add(Trouble.values()[random.nextInt(Trouble.values().length)]);
@@ -68,7 +68,7 @@
 
     /** Runs the schedule and returns the violated invariants. */
     List<String> play() {
-        cluster.sim.after(OVER, () -> cluster.calm = true);
+        cluster.sim.after(OVER, () -> cluster.faultsOver = true);
         cluster.sim.run(END);
         return cluster.broken;
     }
@@ -120,9 +120,9 @@
     private void begin(Trouble trouble) {
         switch (trouble) {
             case SLOW_STATE -> {
-                int usual = cluster.slowStateMillis;
-                cluster.slowStateMillis = 300 + random.nextInt(900);
-                after(10_000 + random.nextInt(25_000), () -> cluster.slowStateMillis = usual);
+                int usual = cluster.maxStateDelayMillis;
+                cluster.maxStateDelayMillis = 300 + random.nextInt(900);
+                after(10_000 + random.nextInt(25_000), () -> cluster.maxStateDelayMillis = usual);
             }
             case SLOW_WRITES -> {
                 cluster.slowWritesNode = random.nextInt(3);
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -99,7 +99,8 @@
             cluster.sim.after(12_000 + 7000L * i, () -> upgrade(cluster, node));
         }
         // The limits are lowered 1 to 21 s after the last controller is stopped for its upgrade.
-        cluster.sim.after(27_000 + random.nextInt(20_000), () -> cluster.state.lower(LOW_VALUE, LOW_OPS, LOW_RATE));
+        cluster.sim.after(
+                27_000 + random.nextInt(20_000), () -> cluster.state.lowerLimits(LOW_VALUE, LOW_OPS, LOW_RATE));
         cluster.sim.after(
                 33_000 + random.nextInt(15_000), () -> cluster.crash(random.nextInt(3), Duration.ofSeconds(2)));
         var called = new ArrayList<>(ids.subList(0, 3));
--- a/src/test/java/org/dunespindle/sim/VirtualTime.java
+++ b/src/test/java/org/dunespindle/sim/VirtualTime.java
@@ -65,7 +65,7 @@
         private boolean dead;
         private Duration frozenUntil = Duration.ZERO;
         /** How far its monotonic clock lags behind virtual time because of suspensions. */
-        private Duration behind = Duration.ZERO;
+        private Duration monotonicLag = Duration.ZERO;
 
         /** Ends the process; no timer of it fires afterwards. */
         public void kill() {
@@ -87,11 +87,11 @@
          */
         public void suspend(Duration length) {
             freeze(length);
-            VirtualTime.this.after(length, () -> behind = behind.plus(length));
+            VirtualTime.this.after(length, () -> monotonicLag = monotonicLag.plus(length));
         }
 
         /** Returns whether execution is stopped. */
-        public boolean frozen() {
+        public boolean isFrozen() {
             return now.compareTo(frozenUntil) < 0;
         }
 
@@ -100,7 +100,7 @@
             if (dead) {
                 return;
             }
-            if (frozen()) {
+            if (isFrozen()) {
                 VirtualTime.this.after(frozenUntil.minus(now), () -> arrive(work));
             } else {
                 work.run();
@@ -111,7 +111,7 @@
             if (dead) {
                 return;
             }
-            if (frozen()) {
+            if (isFrozen()) {
                 VirtualTime.this.after(frozenUntil.minus(now).plusMillis(1), () -> fire(due, work));
             } else if (now().compareTo(due) < 0) {
                 VirtualTime.this.after(due.minus(now()), () -> fire(due, work));
@@ -122,7 +122,7 @@
 
         @Override
         public Duration now() {
-            return now.minus(behind);
+            return now.minus(monotonicLag);
         }
 
         @Override
