--- a/src/main/java/org/dunespindle/controller/Controller.java
+++ b/src/main/java/org/dunespindle/controller/Controller.java
@@ -16,7 +16,7 @@
 import org.dunespindle.transport.HttpClient;
 import org.dunespindle.worker.HeartbeatHandler;
 
-/** One controller of a cell: its lifecycle, its periodic work, and what its listeners call. */
+/** One controller of a cell: its lifecycle, its periodic work and the entry points of its servers. Runs on a single event loop. */
 public final class Controller {
     private static final Duration MAX_ROUND_INTERVAL = Duration.ofMillis(500);
     private static final Duration PEER_HEARTBEAT_INTERVAL = Duration.ofSeconds(1);
@@ -24,11 +24,11 @@
     private final ControllerParts parts;
 
     /**
-     * Wires a controller together; nothing happens before {@link #start}.
+     * Creates and wires the components of a controller. It does nothing before {@link #start}.
      *
-     * @param formats the versions of the stored forms that are announced and understood
-     * @param terminate called, with a reason for operators, when this controller must end
-     * @param connector links the controller to other cells
+     * @param formats the announced and the readable versions of the storage format
+     * @param terminate called, with a reason for operators, when this controller must terminate
+     * @param connector creates the connection of the controller to other cells
      */
     public Controller(
             Settings settings,
@@ -40,22 +40,22 @@
         parts = new ControllerParts(settings, httpClient, timeSource, formats, terminate, connector);
     }
 
-    /** The administration API. */
+    /** The handler of the administration API. */
     public AdminApi adminApi() {
         return parts.adminApi;
     }
 
-    /** The API for users. */
+    /** The handler of the user API. */
     public UserApi userApi() {
         return parts.userApi;
     }
 
-    /** Answers workers' heartbeats. */
+    /** The handler of workers' heartbeats. */
     public HeartbeatHandler heartbeatHandler() {
         return parts.workers.heartbeatHandler;
     }
 
-    /** Begins to read the state store and to take part in the cell. */
+    /** Starts reading the state store and joins the cell. */
     public void start() {
         parts.shared.replica.start();
         parts.machines.catalog.start();
@@ -64,12 +64,12 @@
         sendPeerHeartbeat();
     }
 
-    /** Whether users' requests can be served here. */
+    /** Whether this controller can serve users' requests. */
     public boolean isHealthy() {
         return parts.health.isHealthy();
     }
 
-    /** Handles another controller's heartbeat; returns the reply to it. */
+    /** Handles another controller's heartbeat and returns the reply. */
     public ObjectNode onPeerHeartbeat(byte[] heartbeat) {
         return parts.workers.peerHeartbeats.receive(
                 heartbeat, parts.shared.replica.staleness(), parts.workers.writeRateAllocator.demand());
@@ -91,13 +91,13 @@
                     parts.workers.peerHeartbeats.hasRemoteLeader()
                             ? parts.machines.statusReporter.ownedMachineStatuses()
                             : List.of());
-            forgetWhatIsGone();
+            pruneStaleState();
         }
         parts.shared.timeSource.schedule(PEER_HEARTBEAT_INTERVAL, this::sendPeerHeartbeat);
     }
 
-    /** Bounds memory: drops what is known of machines and jobs that no record names any more. */
-    private void forgetWhatIsGone() {
+    /** Bounds memory by dropping state about machines and jobs that have no record any more. */
+    private void pruneStaleState() {
         Set<String> present = parts.shared.replica.machines().keySet();
         parts.workers.peerHeartbeats.retainMachines(present);
         parts.workers.cancellationTracker.prune();
--- a/src/main/java/org/dunespindle/controller/ControllerHealth.java
+++ b/src/main/java/org/dunespindle/controller/ControllerHealth.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import org.dunespindle.peer.PeerState;
 
-/** Whether this controller can serve requests, and whether it is partitioned from the state store. */
+/** Determines whether this controller can serve requests, and whether it is partitioned from the state store. */
 final class ControllerHealth {
     private static final Duration CATALOG_TIMEOUT = Duration.ofSeconds(10);
-    /** A replica that is staler than this counts as partitioned, unless the other controllers' are stale too. */
+    /** The replica staleness from which this controller counts as partitioned, unless the other controllers' replicas are stale too. */
     private static final Duration MIN_STALENESS_OF_PARTITION = Duration.ofSeconds(4);
 
     private final ControllerParts parts;
@@ -16,25 +16,31 @@
         this.parts = parts;
     }
 
-    /** Whether users' requests can be served here. In an outage that all share, staying in is better than all leaving. */
+    /**
+     * Whether this controller can serve requests. It stays healthy in an outage of the state store that affects all controllers: staying in
+     * service is then better than all of them leaving it.
+     */
     boolean isHealthy() {
         return parts.shared.replica.isLoaded()
                 && !parts.shared.formatUpgrade.isStoredFormatTooNew()
-                && !awaitsCatalog()
+                && !isWaitingForCatalog()
                 && parts.shared.membership.incarnation() > 0
                 && !isPartitioned();
     }
 
-    /** Polls need no catalog, so a cloud that stays silent must not make this controller unhealthy for good. */
-    private boolean awaitsCatalog() {
+    /**
+     * Whether this controller still waits for the catalog after its start. Status requests need no catalog, so a cloud that does not answer must
+     * not make this controller unhealthy permanently.
+     */
+    private boolean isWaitingForCatalog() {
         return parts.machines.catalog.types().isEmpty()
                 && parts.shared.timeSource.now().compareTo(CATALOG_TIMEOUT) < 0;
     }
 
     /**
-     * Whether this controller alone cannot read the state store. In an outage that all share, the other controllers still
-     * answer, and report that their replicas are stale too; if none answers, it must be assumed that they go on without
-     * this one.
+     * Whether only this controller cannot read the state store. In an outage for all controllers, the others still answer
+     * and report that their replicas are stale too. If none answers, it must be assumed that they continue without this
+     * controller.
      */
     boolean isPartitioned() {
         if (parts.shared.replica.staleness().compareTo(MIN_STALENESS_OF_PARTITION) < 0) {
--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -24,8 +24,8 @@
 import org.dunespindle.transport.HttpClient;
 
 /**
- * The parts of one controller and how they are wired together. Nothing happens before the controller is started. All of
- * them run on one event loop.
+ * Creates the components of one controller and wires them together. They do nothing before the controller is started, and
+ * all run on one event loop.
  */
 final class ControllerParts implements ControllerStatus {
     final SharedParts shared;
@@ -43,11 +43,11 @@
     private final Histogram acceptTimes = LatencyHistograms.create();
 
     /**
-     * Wires the parts together.
+     * Creates and wires the components.
      *
-     * @param formats the versions of the stored forms that are announced and understood
-     * @param terminate called, with a reason for operators, when this controller must end
-     * @param connector links the controller to other cells
+     * @param formats the announced and the readable versions of the storage format
+     * @param terminate called, with a reason for operators, when this controller must terminate
+     * @param connector creates the connection of the controller to other cells
      */
     ControllerParts(
             Settings settings,
@@ -114,13 +114,13 @@
                 shared.commitQueue,
                 shared.context.eventRecorder(),
                 shared.options,
-                this::neverRuns,
+                this::checkFeasibility,
                 waitExplainer::explain,
                 () -> machines.catalog.types().orElse(List.of()));
     }
 
-    /** Whether a job can ever run here; unknown before the cloud has told its machine types. */
-    private Optional<DelegationContext.NeverVerdict> neverRuns(Submission job) {
+    /** Whether a job can ever run in this cell; empty until the catalog of machine types is available. */
+    private Optional<DelegationContext.NeverVerdict> checkFeasibility(Submission job) {
         return machines.catalog
                 .types()
                 .map(types -> new DelegationContext.NeverVerdict(
--- a/src/main/java/org/dunespindle/controller/DecisionLoop.java
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -16,22 +16,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The controller's main loop: rounds that compare what is wanted with what is and propose the difference. Machines about
- * which something changed are reconciled in every round; the whole is planned less often, and the less often the longer a
- * plan takes, so that requests of users and workers keep their turn.
+ * The controller's reconciliation loop: each round compares the desired with the observed state and proposes changes.
+ * Machines with changes are reconciled in every round. Plans for the whole cluster are made less often, with pauses in
+ * proportion to the planning time, so that requests of users and workers are not delayed.
  */
 final class DecisionLoop implements RoundScheduler.Round {
     private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
-    /** With a staler replica nothing new is placed. */
+    /** With a staler replica no tasks are placed. */
     static final Duration MAX_STALENESS_FOR_PLACEMENT = Duration.ofSeconds(3);
 
-    /** For work that goes through all machines or jobs. */
+    /** Interval of steps that go through all machines or jobs. */
     private static final Duration MIN_SCAN_INTERVAL = Duration.ofMillis(100);
 
     private static final Duration MIN_PLAN_INTERVAL = Duration.ofMillis(150);
     private static final Duration MAX_PLAN_INTERVAL = Duration.ofSeconds(1);
-    /** The pause after a plan, in multiples of the time that planning took. */
-    private static final int PAUSE_PER_PLAN_TIME = 10;
+    /** The pause after a plan, as a multiple of the planning time. */
+    private static final int PAUSE_PER_PLANNING_TIME = 10;
 
     private final ControllerParts parts;
     private final Consumer<String> terminate;
@@ -40,7 +40,7 @@
     private Duration lastScanAt = Duration.ZERO;
     private Duration lastPlanAt = Duration.ZERO;
     private Duration lastPlanTime = Duration.ZERO;
-    /** The versions of stored and reported state that the last plan was made for. */
+    /** The version of the stored and reported state from which the last plan was made; see {@link #observedVersion}. */
     private long plannedVersion = -1;
 
     DecisionLoop(ControllerParts parts, Consumer<String> terminate) {
@@ -48,12 +48,12 @@
         this.terminate = terminate;
     }
 
-    /** The last plan that was made here. */
+    /** The last plan made by this controller. */
     Plan lastPlan() {
         return plan;
     }
 
-    /** The time that plans took, with carrying them out. */
+    /** The time taken by planning, including the execution of the plan. */
     Histogram planTimes() {
         return planTimes;
     }
@@ -70,24 +70,25 @@
                     + "; this program reads up to " + parts.shared.formatUpgrade.newestReadableVersion());
             return;
         }
-        // In every round, not only on the timer: after a crash of all controllers the workers' leases are about to
-        // expire.
+        // Called in every round, not only on the timer: after a crash of all controllers, the workers' leases are about
+        // to expire.
         parts.shared.membership.tick();
         if (!parts.shared.membership.isLeader()) {
-            // Also when it leads again by the next plan: it has not observed the fleet in between.
+            // Needed even if this controller is the leader again by the next plan, since it has not observed the fleet
+            // in between.
             parts.machines.fleetManager.standDown();
         }
         if (!parts.shared.replica.isLoaded() || parts.shared.membership.incarnation() == 0) {
             return;
         }
         parts.workers.workerClient.reconcilePending();
-        boolean scans = scanIsDue();
-        if (scans) {
+        boolean scanDue = scanIsDue();
+        if (scanDue) {
             parts.jobs.terminationWriter.storePending(
                     parts.shared.membership.isLeader() ? terminationsOnLostMachines() : List.of());
         }
         if (parts.shared.membership.isMember()) {
-            runAsMember(scans);
+            runAsMember(scanDue);
         }
     }
 
@@ -100,18 +101,18 @@
         return true;
     }
 
-    private void runAsMember(boolean scans) {
+    private void runAsMember(boolean scanDue) {
         parts.machines.shardOwnership.tick(plan);
         if (parts.shared.replica.staleness().compareTo(MAX_STALENESS_FOR_PLACEMENT) > 0
                 || parts.machines.catalog.types().isEmpty()) {
-            return; // an outage: what runs goes on, nothing new is placed
+            return; // an outage of the state store or the cloud: running tasks continue, no tasks are placed
         }
         if (parts.shared.membership.isLeader()) {
             parts.jobs.gangLifecycle.tick();
             parts.shared.formatUpgrade.tick();
             parts.shared.oversizeRecordSplitter.tick();
         }
-        if (scans) {
+        if (scanDue) {
             parts.jobs.interruptionNoticeDrainer.drain();
         }
         if (planIsDue()) {
@@ -120,7 +121,7 @@
         parts.loadReporter.reportIfDue();
     }
 
-    /** Terminations on machines that the cloud confirmed as gone, or that have no record any more, which comes later still. */
+    /** Terminations of tasks on machines that the cloud has confirmed as terminated, or whose record has been removed, which happens after that. */
     private List<TaskTermination> terminationsOnLostMachines() {
         var lostMachines = new ArrayList<>(parts.machines.terminator.terminatedMachines());
         parts.shared.replica.machinesWithAllocations().stream()
@@ -144,7 +145,7 @@
     private boolean planIsDue() {
         Duration sincePlan = parts.shared.timeSource.now().minus(lastPlanAt);
         Duration pause =
-                Durations.max(Duration.ofNanos(lastPlanTime.toNanos() * PAUSE_PER_PLAN_TIME), MIN_PLAN_INTERVAL);
+                Durations.max(Duration.ofNanos(lastPlanTime.toNanos() * PAUSE_PER_PLANNING_TIME), MIN_PLAN_INTERVAL);
         boolean changed = observedVersion() != plannedVersion;
         return sincePlan.compareTo(pause) >= 0 && (changed || sincePlan.compareTo(MAX_PLAN_INTERVAL) >= 0);
     }
@@ -160,15 +161,15 @@
         ClusterSnapshot snapshot = parts.jobs.snapshotBuilder.build();
         plan = Planner.plan(snapshot);
         if (LOG.isDebugEnabled() && parts.shared.membership.isLeader()) {
-            logChangedReasons(previous);
+            logChangedWaitReasons(previous);
         }
-        carryOut(snapshot);
+        execute(snapshot);
         lastPlanAt = parts.shared.timeSource.now();
         lastPlanTime = lastPlanAt.minus(start);
         LatencyHistograms.record(planTimes, lastPlanTime);
     }
 
-    private void carryOut(ClusterSnapshot snapshot) {
+    private void execute(ClusterSnapshot snapshot) {
         parts.workers.pendingPreemptions.prune(parts.shared.replica);
         if (parts.shared.membership.isLeader()) {
             parts.machines.shardOwnership.acquireForGangs(plan);
@@ -180,7 +181,7 @@
         parts.machines.fleetManager.tick(plan);
     }
 
-    private void logChangedReasons(Plan previous) {
+    private void logChangedWaitReasons(Plan previous) {
         plan.waitReasons().forEach((job, reason) -> {
             if (!reason.equals(previous.waitReasons().get(job))) {
                 LOG.debug("job waits job={} reason=\"{}\"", job, reason);
--- a/src/main/java/org/dunespindle/controller/JobParts.java
+++ b/src/main/java/org/dunespindle/controller/JobParts.java
@@ -11,7 +11,7 @@
 import org.dunespindle.scheduling.ServiceLevelObjectives;
 import org.dunespindle.worker.WorkerClient;
 
-/** What carries out plans: placements, preemptions, terminations and the gang life cycle. */
+/** The components that build snapshots and execute plans: placements, preemptions, terminations and the gang lifecycle. */
 final class JobParts {
     final TerminationWriter terminationWriter;
     final PlacementWriter placementWriter;
--- a/src/main/java/org/dunespindle/controller/LoadReporter.java
+++ b/src/main/java/org/dunespindle/controller/LoadReporter.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs the load of this controller every few seconds at debug level. */
+/** Periodically logs the load of this controller at debug level. */
 final class LoadReporter {
     private static final Logger LOG = LoggerFactory.getLogger(LoadReporter.class);
     private static final Duration REPORT_INTERVAL = Duration.ofSeconds(10);
@@ -49,7 +49,7 @@
         this.plans = plans;
     }
 
-    /** Writes the log lines if the interval is over and debug logging is on. */
+    /** Writes the log lines if the interval has elapsed and debug logging is enabled. */
     void reportIfDue() {
         Duration now = context.timeSource().now();
         if (!LOG.isDebugEnabled() || now.minus(lastReportAt).compareTo(REPORT_INTERVAL) < 0) {
--- a/src/main/java/org/dunespindle/controller/MachineParts.java
+++ b/src/main/java/org/dunespindle/controller/MachineParts.java
@@ -15,7 +15,7 @@
 import org.dunespindle.scheduling.ServiceLevelObjectives;
 import org.dunespindle.transport.HttpClient;
 
-/** The machine fleet of the cell and this controller's shard of it. */
+/** The components that manage the cell's machine fleet and this controller's shard of it. */
 final class MachineParts {
     final CrashLoopDetector crashLoopDetector;
     final CloudClient cloud;
--- a/src/main/java/org/dunespindle/controller/RoundScheduler.java
+++ b/src/main/java/org/dunespindle/controller/RoundScheduler.java
@@ -9,14 +9,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts decision rounds on request, at a bounded pace. A costly round is followed by a longer pause, so that requests of
- * users and workers keep their turn on the event loop.
+ * Starts decision rounds on request, at a limited rate. A long round is followed by a longer pause, so that requests of
+ * users and workers are not delayed on the event loop.
  */
 final class RoundScheduler {
     private static final Logger LOG = LoggerFactory.getLogger(RoundScheduler.class);
     private static final Duration MIN_ROUND_INTERVAL = Duration.ofMillis(25);
     private static final Duration MIN_DELAY = Duration.ofMillis(2);
-    /** The pause after a round, in multiples of the time that the round took. */
+    /** The pause after a round, as a multiple of the time that the round took. */
     private static final int PAUSE_PER_ROUND_TIME = 4;
 
     private final TimeSource timeSource;
@@ -29,10 +29,10 @@
 
     /** The work of one round. */
     interface Round {
-        /** Compares what is wanted with what is, and proposes the difference. */
+        /** Compares the desired with the observed state and proposes changes. */
         void run();
 
-        /** How long planning took since the given time; planning is paced on its own and delays no rounds. */
+        /** Time spent on planning since the given time. Planning has its own rate limit and does not lengthen the pause between rounds. */
         Duration planningTimeSince(Duration start);
     }
 
@@ -41,17 +41,17 @@
         this.pauseDetector = pauseDetector;
     }
 
-    /** Sets the work that each round does; called once, while the controller is wired together. */
+    /** Sets the work of each round; called once, while the controller is being wired. */
     void setRound(Round newRound) {
         round = newRound;
     }
 
-    /** The time that rounds took, without planning. */
+    /** The duration of rounds without planning. */
     Histogram roundTimes() {
         return roundTimes;
     }
 
-    /** Asks for a round as soon as the pace allows it; requests before that round are merged. */
+    /** Requests a round as soon as the rate limit allows it; requests before that round are merged. */
     void requestRound() {
         if (scheduled) {
             return;
--- a/src/main/java/org/dunespindle/controller/SharedParts.java
+++ b/src/main/java/org/dunespindle/controller/SharedParts.java
@@ -18,7 +18,7 @@
 import org.dunespindle.time.TimeSource;
 import org.dunespindle.transport.HttpClient;
 
-/** What every other part uses: the replica of the state store, membership, the queue of changes, what is known of workers. */
+/** The components that all others use: state store client and replica, membership, commit queue, options and the worker registry. */
 final class SharedParts {
     private static final Duration REPLICA_SYNC_INTERVAL = Duration.ofMillis(300);
 
--- a/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
+++ b/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
@@ -37,16 +37,16 @@
 import org.dunespindle.storage.JobRecord;
 import org.dunespindle.storage.MachineRecord;
 
-/** Builds the snapshot that a plan rests on: all machines and gangs for the leader, its own machines for any other controller. */
+/** Builds the input of a plan: all machines and gangs on the leader, only the owned machines and no gangs on any other controller. */
 final class SnapshotBuilder {
-    /** What a job record holds beside its allocations, in bytes. */
+    /** Size of a job record apart from its allocations, in bytes. */
     private static final int RECORD_BYTES_RESERVED = 1600;
-    /** What a task takes of its job's record at least, however many share a machine: a run of indices breaks up as they end. */
+    /** Minimum size of a task in its job's record, however many tasks share a machine: runs of indices become fragmented as tasks end. */
     private static final int RECORD_BYTES_PER_TASK = 6;
-    /** Tasks of an array that may be under way at once however small the records are. */
-    private static final int MIN_TASKS_UNDER_WAY = 8;
-    /** A crash-looping job may try one task at a time. */
-    private static final int TASKS_OF_CRASH_LOOPING_JOB = 1;
+    /** Minimum number of tasks of an array that may be allocated at once, regardless of the record size. */
+    private static final int MIN_ALLOCATED_TASKS = 8;
+    /** A crash-looping job is retried with one task at a time. */
+    private static final int MAX_TASKS_OF_CRASH_LOOPING_JOB = 1;
 
     private final ControllerContext context;
     private final Sources sources;
@@ -54,9 +54,9 @@
     private final DemandForecast demandForecast;
     private final Supplier<Options> options;
     private final Map<String, MachinePool> poolsByMachine = new HashMap<>();
-    private final Map<JobAttempt, Duration> firstSeenAt = new HashMap<>();
+    private final Map<JobAttempt, Duration> firstObservedAt = new HashMap<>();
 
-    /** The parts of a controller that know what a plan depends on. */
+    /** The components of a controller from which a snapshot is built. */
     record Sources(
             MachineCatalog catalog,
             FleetManager fleetManager,
@@ -78,27 +78,27 @@
         this.options = options;
     }
 
-    /** Builds a snapshot of the state as it is known now. */
+    /** Builds a snapshot of the current state, as observed by this controller. */
     ClusterSnapshot build() {
-        boolean leads = context.membership().isLeader();
+        boolean isLeader = context.membership().isLeader();
         ProjectedJobs projection = sources.placementWriter.projection();
         List<JobRecord> jobs = projection.records();
         demandForecast.observe(jobs);
         return new ClusterSnapshot(
                 context.timeSource().wallTime(),
                 projection,
-                schedulableMachines(leads),
+                schedulableMachines(isLeader),
                 context.settings().teams(),
                 poolsByMachine,
                 sources.provisioner.poolsWithoutCapacity(),
-                maxTasksUnderWay(),
+                maxAllocatedTasks(),
                 sources.terminationWriter.unstoredTerminations(),
                 sources.pacing.deferredJobs(jobs),
-                leads,
-                drainingMachines(leads),
-                leads ? forecastJobs() : List.of(),
+                isLeader,
+                drainingMachines(isLeader),
+                isLeader ? forecastJobs() : List.of(),
                 objectives,
-                elapsedTimes(jobs, leads));
+                runtimes(jobs, isLeader));
     }
 
     private List<DemandForecast.ForecastJob> forecastJobs() {
@@ -106,27 +106,26 @@
                 options.get().spareJobs(), context.timeSource().wallTime());
     }
 
-    /** How many tasks of an array may be under way at once: as many as its record can hold. */
-    private ToIntFunction<JobRecord> maxTasksUnderWay() {
+    /** The number of tasks of a job that may be allocated at once: as many as its record can hold, or one if the job is crash-looping. */
+    private ToIntFunction<JobRecord> maxAllocatedTasks() {
         int bytesForTasks = context.jobWriter().maxRecordBytes() - RECORD_BYTES_RESERVED;
-        int maxTasks = Math.max(MIN_TASKS_UNDER_WAY, bytesForTasks / RECORD_BYTES_PER_TASK);
-        return job -> sources.crashLoopDetector.isCrashLooping(job.id()) ? TASKS_OF_CRASH_LOOPING_JOB : maxTasks;
+        int maxTasks = Math.max(MIN_ALLOCATED_TASKS, bytesForTasks / RECORD_BYTES_PER_TASK);
+        return job -> sources.crashLoopDetector.isCrashLooping(job.id()) ? MAX_TASKS_OF_CRASH_LOOPING_JOB : maxTasks;
     }
 
-    private List<MachineSnapshot> schedulableMachines(boolean leads) {
+    private List<MachineSnapshot> schedulableMachines(boolean isLeader) {
         var schedulable = new ArrayList<MachineSnapshot>();
         var liveOwners = new HashMap<String, Boolean>();
         Map<String, MachineRecord> machines = context.replica().machines();
         poolsByMachine.keySet().retainAll(machines.keySet());
-        // A plain loop: this runs for every machine with every plan, and capturing lambdas are costly with the
-        // first-tier
-        // compiler.
+        // A plain loop, because this runs for every machine in every plan, and capturing lambdas are costly in code
+        // compiled by the first-tier compiler.
         for (MachineRecord machine : machines.values()) {
             if (!poolsByMachine.containsKey(machine.id())) {
                 poolsByMachine.put(machine.id(), new MachinePool(machine.type(), machine.zone(), machine.spot()));
             }
             boolean owned = context.membership().owns(machine);
-            if ((owned || leads) && !sources.terminator.isTerminating(machine)) {
+            if ((owned || isLeader) && !sources.terminator.isTerminating(machine)) {
                 Optional<MachineType> type = sources.catalog.type(machine.type());
                 if (type.isPresent()) {
                     boolean up =
@@ -151,13 +150,13 @@
                 machine.id(), machine.type(), machine.zone(), machine.spot(), type.size(), up, owned, images);
     }
 
-    /** Machines about to be drained or lost: their owners move replicas ahead, and the leader rents capacity for those without room. */
-    private Set<String> drainingMachines(boolean leads) {
+    /** Ids of machines that are draining or about to be lost: owners move replicas in advance, and the leader rents any missing capacity. */
+    private Set<String> drainingMachines(boolean isLeader) {
         var draining = new HashSet<String>();
         for (MachineRecord machine : context.replica().machines().values()) {
             if (!context.replica().allocationsOn(machine.id()).isEmpty()) {
                 boolean owned = context.membership().owns(machine);
-                if (owned ? sources.statusReporter.isDeparting(machine) : leads && isDrainingElsewhere(machine)) {
+                if (owned ? sources.statusReporter.isDeparting(machine) : isLeader && isDrainingElsewhere(machine)) {
                     draining.add(machine.id());
                 }
             }
@@ -165,29 +164,30 @@
         return draining;
     }
 
-    /** A machine that its owner hears from but gives nothing new, as after a termination notice. */
+    /** Whether a machine owned by another controller is draining: its worker is reachable but accepts no tasks, as after an interruption notice. */
     private boolean isDrainingElsewhere(MachineRecord machine) {
         Duration maxSilence = context.settings().workers().report().multipliedBy(2);
         Optional<ReportedMachine> reported = sources.peerHeartbeats.currentReport(machine);
-        boolean closed = reported.isPresent()
+        boolean rejectsTasks = reported.isPresent()
                 && !reported.get().up()
                 && reported.get().silentFor().compareTo(maxSilence) < 0;
-        return machine.draining() || closed;
+        return machine.draining() || rejectsTasks;
     }
 
     /**
-     * Whether another controller's machine takes tasks, as its owner last reported: also while the owner, though alive, cannot
-     * reach this controller. Otherwise gangs would go without its machines until then; nothing is placed on one before this
-     * controller has acquired it and has received a heartbeat from it.
+     * Whether a machine of another controller accepts tasks, according to its owner's latest report. The report also counts
+     * while the owner is alive but cannot reach this controller; otherwise gangs could not use its machines during that time.
+     * This is safe, because nothing is placed on a machine before this controller has acquired it and has received a
+     * heartbeat from it.
      */
     private boolean isUpElsewhere(MachineRecord machine, Map<String, Boolean> liveOwners) {
-        Boolean ownerReaches = liveOwners.get(machine.owner());
-        if (ownerReaches == null) {
-            ownerReaches =
+        Boolean ownerReachesThis = liveOwners.get(machine.owner());
+        if (ownerReachesThis == null) {
+            ownerReachesThis =
                     sources.peerHeartbeats.recentHeartbeat(machine.owner()).isPresent();
-            liveOwners.put(machine.owner(), ownerReaches);
+            liveOwners.put(machine.owner(), ownerReachesThis);
         }
-        if (!ownerReaches && !context.membership().isAlive(machine.owner(), machine.incarnation())) {
+        if (!ownerReachesThis && !context.membership().isAlive(machine.owner(), machine.incarnation())) {
             return false;
         }
         Optional<ReportedMachine> reported = sources.peerHeartbeats.lastReport(machine);
@@ -195,21 +195,21 @@
     }
 
     /**
-     * How long tasks placed together have been under way: since they were first seen here, which is a little late, or much
-     * after a restart of this process.
+     * How long tasks that were placed together have been allocated, measured from when this process first observed them. The
+     * result is slightly too short, and much too short after a restart of this process.
      */
-    private Function<JobAttempt, Duration> elapsedTimes(List<JobRecord> jobs, boolean leads) {
+    private Function<JobAttempt, Duration> runtimes(List<JobRecord> jobs, boolean isLeader) {
         Duration now = context.timeSource().now();
         var present = new HashSet<JobAttempt>();
         for (JobRecord job : jobs) {
-            if (leads || (job.spec().isPresent() && job.submission().isService())) {
+            if (isLeader || (job.spec().isPresent() && job.submission().isService())) {
                 for (Allocation allocation : job.allocations()) {
                     present.add(new JobAttempt(job.id(), allocation.attemptBase()));
                 }
             }
         }
-        firstSeenAt.keySet().retainAll(present);
-        present.forEach(attempt -> firstSeenAt.putIfAbsent(attempt, now));
-        return attempt -> now.minus(firstSeenAt.getOrDefault(attempt, now));
+        firstObservedAt.keySet().retainAll(present);
+        present.forEach(attempt -> firstObservedAt.putIfAbsent(attempt, now));
+        return attempt -> now.minus(firstObservedAt.getOrDefault(attempt, now));
     }
 }
--- a/src/main/java/org/dunespindle/controller/StoredOptions.java
+++ b/src/main/java/org/dunespindle/controller/StoredOptions.java
@@ -6,7 +6,7 @@
 import org.dunespindle.storage.Keys;
 import org.dunespindle.storage.StateReplica;
 
-/** The operators' options as last read from the state store; parsed once a revision. */
+/** The operators' options, as in the replica of the state store; parsed once per revision. */
 final class StoredOptions implements Supplier<Options> {
     private final StateReplica replica;
     private final Duration workerLease;
--- a/src/main/java/org/dunespindle/controller/WaitExplainer.java
+++ b/src/main/java/org/dunespindle/controller/WaitExplainer.java
@@ -4,7 +4,7 @@
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.storage.JobRecord;
 
-/** Explains to users why an unfinished job waits in this cell. */
+/** Explains to users why an unfinished job waits. */
 final class WaitExplainer {
     private final ControllerParts parts;
     private final Supplier<Plan> lastPlan;
@@ -16,7 +16,7 @@
 
     String explain(JobRecord job) {
         if (parts.shared.replica.staleness().compareTo(DecisionLoop.MAX_STALENESS_FOR_PLACEMENT) > 0) {
-            return "the state service does not answer; nothing new is placed";
+            return "the state store does not answer; no tasks are placed";
         }
         if (job.spec().isPresent() && job.submission().isGang() && job.gangPhase() == JobRecord.GangPhase.STOPPING) {
             return "its members are being stopped before it is placed again";
@@ -27,13 +27,13 @@
                             .crashLoopDetector
                             .machinesWithFailuresOf(job.id())
                             .size()
-                    + " machines seen from here, and none ended well; one is tried at a time, with growing pauses";
+                    + " machines according to this controller, and none succeeded; one task is retried at a time, with increasing back-off";
         }
         if (job.isDelegatedAway()) {
-            return "cell " + job.outboundDelegation().orElseThrow().cell() + " may hold it";
+            return "cell " + job.outboundDelegation().orElseThrow().cell() + " may have accepted it";
         }
         if (job.unplacedCount() == 0) {
-            return "its placeholders fetch the image";
+            return "its placeholders are fetching the image";
         }
         String plannedReason = lastPlan.get().waitReasons().get(job.id());
         return plannedReason != null ? plannedReason : explainUnplanned(job);
@@ -41,7 +41,7 @@
 
     private String explainUnplanned(JobRecord job) {
         if (job.submission().isGang() && !parts.shared.membership.isLeader()) {
-            return "the leading controller places gangs; ask "
+            return "gangs are placed by the leader; ask "
                     + parts.shared.membership.leader().orElse("it");
         }
         return "it is about to be placed";
--- a/src/main/java/org/dunespindle/controller/WorkerParts.java
+++ b/src/main/java/org/dunespindle/controller/WorkerParts.java
@@ -15,7 +15,7 @@
 import org.dunespindle.worker.PendingPreemptions;
 import org.dunespindle.worker.WorkerClient;
 
-/** Dealings with workers and with the other controllers. */
+/** The components that communicate with workers and with the other controllers of the cell. */
 final class WorkerParts {
     final CancellationTracker cancellationTracker;
     final PendingPreemptions pendingPreemptions = new PendingPreemptions();
@@ -51,7 +51,7 @@
         partitionDetector = new PartitionDetector(context, workerClient, peerHeartbeats);
     }
 
-    /** Passes on what the other controllers' heartbeats tell that concerns other parts. */
+    /** Forwards the contents of other controllers' heartbeats to the components concerned. */
     private final class PeerListener implements PeerHeartbeats.Listener {
         private final WorkerRegistry workers;
 
@@ -61,7 +61,7 @@
 
         @Override
         public void onImageCached(String machineId, String image) {
-            // The images that a machine has fetched outlive a change of its owner.
+            // The record of fetched images must survive a change of the machine's owner.
             workers.getOrCreate(machineId).imageFetched(image);
         }
 
--- a/src/main/java/org/dunespindle/controller/package-info.java
+++ b/src/main/java/org/dunespindle/controller/package-info.java
@@ -1,2 +1,2 @@
-/** The wiring of one controller and its main loop. */
+/** The components of one controller and its reconciliation loop. */
 package org.dunespindle.controller;
