--- a/src/main/java/org/dunespindle/controller/DecisionLoop.java
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -74,8 +74,7 @@
         // to expire.
         parts.shared.membership.tick();
         if (!parts.shared.membership.isLeader()) {
-            // Needed even if this controller is the leader again by the next plan, since it has not observed the fleet
-            // in between.
+            // Also needed if this controller is the leader again by the next plan: it has not observed the fleet since.
             parts.machines.fleetManager.standDown();
         }
         if (!parts.shared.replica.isLoaded() || parts.shared.membership.incarnation() == 0) {
--- a/src/main/java/org/dunespindle/controller/WaitExplainer.java
+++ b/src/main/java/org/dunespindle/controller/WaitExplainer.java
@@ -4,7 +4,7 @@
 import org.dunespindle.scheduling.Plan;
 import org.dunespindle.storage.JobRecord;
 
-/** Explains to users why an unfinished job waits. */
+/** Explains to users why an unfinished job waits in this cell. */
 final class WaitExplainer {
     private final ControllerParts parts;
     private final Supplier<Plan> lastPlan;
--- a/src/main/java/org/dunespindle/job/JobTransitions.java
+++ b/src/main/java/org/dunespindle/job/JobTransitions.java
@@ -109,7 +109,7 @@
         return MAX_FAILURES_WITHOUT_BACKOFF + replicas;
     }
 
-    /** When the back-off of a failing job ends. Without a back-off, a job that fails everywhere would occupy one machine after another. */
+    /** When the back-off of a failing job ends. The back-off keeps a job that fails everywhere from failing on one machine after another. */
     private static Optional<Instant> backoffUntil(int failures, int withoutBackoff, Instant now) {
         if (failures <= withoutBackoff) {
             return Optional.empty();
--- a/src/main/java/org/dunespindle/job/PlacementWriter.java
+++ b/src/main/java/org/dunespindle/job/PlacementWriter.java
@@ -109,15 +109,13 @@
         if (plan.bindings().isEmpty()) {
             return;
         }
-        // Counts both stored and proposed allocations. Since this controller proposed a placement, other controllers
-        // may
-        // have stored more tasks of the job and a new reservation of its team, so the proposed record must not replace
-        // the stored one here.
+        // Counts both stored and proposed allocations. After this controller proposed a placement, others may have
+        // stored more tasks of the job and a new reservation of its team, so the proposed record must not replace the
+        // stored one here.
         TeamUsage usage = projection.usage();
         for (Binding binding : plan.bindings()) {
             Submission submission = binding.job().submission();
-            // Instead of being queued, the tasks are planned again later, more of them at once: batches grow with the
-            // load.
+            // Tasks that would only be queued are planned again later, more at once: batches grow with the load.
             if (commitQueue.pendingCount() >= maxQueuedTransactions(submission)) {
                 return;
             }
@@ -201,7 +199,7 @@
     private static JobRecord withPlacement(JobRecord job, Map<Integer, String> places) {
         JobRecord placed = job.withPlaced(places);
         Submission submission = job.submission();
-        // A gang with a single task needs no placeholder: the placeholder would be the whole gang and start at once.
+        // A gang with a single task runs it directly: its placeholder would be the whole gang and start at once.
         return submission.isGang() && submission.tasks() == 1 ? placed.withGangRunning() : placed;
     }
 
--- a/src/main/java/org/dunespindle/job/TaskPreemptor.java
+++ b/src/main/java/org/dunespindle/job/TaskPreemptor.java
@@ -30,7 +30,7 @@
         this.workerClient = workerClient;
     }
 
-    /** Stops service replicas that the plan moves to other machines. */
+    /** Stops service replicas that the plan moves, each of which has capacity on another machine. */
     public void moveReplicas(Plan plan) {
         plan.moves().forEach(eviction -> stop(eviction, "moves to another machine"));
     }
--- a/src/main/java/org/dunespindle/job/TerminationWriter.java
+++ b/src/main/java/org/dunespindle/job/TerminationWriter.java
@@ -137,7 +137,7 @@
 
     /**
      * Applies a job's pending terminations to its record, which the caller is about to write, and adds the preconditions to the transaction.
-     * The number of machines is limited to what half of a transaction's preconditions allow; the other terminations are stored later.
+     * The number of machines is limited to what half of a transaction's preconditions allow; the other terminations follow once these are stored.
      *
      * @param applied receives the terminations that were applied
      */
--- a/src/main/java/org/dunespindle/scheduling/DemandForecast.java
+++ b/src/main/java/org/dunespindle/scheduling/DemandForecast.java
@@ -130,7 +130,7 @@
     /**
      * Creates one forecast job for each class with recent arrivals.
      *
-     * @param perClass how many jobs of median size each forecast job stands for
+     * @param perClass the number of jobs of median size that each forecast job represents
      */
     public List<ForecastJob> forecastJobs(int perClass, Instant now) {
         var forecast = new ArrayList<ForecastJob>();
--- a/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
@@ -19,7 +19,7 @@
     /** Tasks that may be preempted, the latest allocated first, because these lose the least work. */
     private final List<Victim> victims = new ArrayList<>(2);
 
-    /** Images of the tasks on the machine, whether fetched or pending; {@link #pendingFetches} tells which are pending. */
+    /** Images of the tasks on the machine, whether fetched or pending; {@link #pendingFetches} finds the pending ones on demand. */
     private final List<String> taskImages = new ArrayList<>(2);
     /** Number of tasks that were allocated when planning began. */
     private int tasks;
