--- a/src/main/java/org/dunespindle/controller/DecisionLoop.java
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -70,8 +70,8 @@
                     + "; this program reads up to " + parts.shared.formatUpgrade.newestReadableVersion());
             return;
         }
-        // Called in every round, not only on the timer: after a crash of all controllers, the workers' leases are about
-        // to expire.
+        // Called in every round, not only on the timer: after a crash of all controllers, the workers' leases are
+        // about to expire.
         parts.shared.membership.tick();
         if (!parts.shared.membership.isLeader()) {
             // Also needed if this controller is the leader again by the next plan: it has not observed the fleet since.
--- a/src/main/java/org/dunespindle/job/JobTransitions.java
+++ b/src/main/java/org/dunespindle/job/JobTransitions.java
@@ -77,8 +77,7 @@
         }
         JobRecord after = job;
         if (gang && job.isOpen() && job.gangPhase() == JobRecord.GangPhase.RUNNING) {
-            // Without this member the attempt fails: the others exit with it or wait for it forever, so all are
-            // stopped.
+            // Without this member the attempt fails: the others exit too or wait in vain, so all are stopped.
             after = after.withGangStopping();
         }
         after = after.withReleased(termination.task(), isDone(termination));
--- a/src/main/java/org/dunespindle/scheduling/GangQueues.java
+++ b/src/main/java/org/dunespindle/scheduling/GangQueues.java
@@ -12,7 +12,7 @@
  * partial capacity.
  */
 final class GangQueues {
-    /** After this time the quota for a waiting gang is reserved, so that later jobs of its team cannot use it. */
+    /** A gang at the head of its queue that has waited longer for quota has it reserved, so that later jobs of its team cannot use it. */
     private static final Duration MAX_WAIT_BEFORE_QUOTA_RESERVATION = Duration.ofSeconds(20);
 
     private final PlanState state;
--- a/src/main/java/org/dunespindle/scheduling/JobAttempt.java
+++ b/src/main/java/org/dunespindle/scheduling/JobAttempt.java
@@ -1,7 +1,7 @@
 package org.dunespindle.scheduling;
 
 /**
- * Identifies the tasks of a job that were allocated in the same transaction, and therefore have run for the same time.
+ * Identifies the tasks of a job that were allocated together, and therefore have run for the same time.
  *
  * @param job the id of the job
  * @param attemptBase the attempt base shared by their allocations
--- a/src/main/java/org/dunespindle/scheduling/JobOrder.java
+++ b/src/main/java/org/dunespindle/scheduling/JobOrder.java
@@ -55,8 +55,7 @@
             }
         }
         // Guarantees cover the oldest unfinished jobs first. Jobs that miss all their objectives come later, so that
-        // they
-        // do not make other jobs miss theirs.
+        // they do not make other jobs miss theirs.
         ordered.sort(Comparator.comparing((JobRecord job) -> job.submission().priority(), Comparator.reverseOrder())
                 .thenComparing(job -> job.inboundDelegation().isPresent()) // local jobs before inbound delegations
                 .thenComparing(job -> ranks.get(job.id()).tier() == MISSED_ALL_OBJECTIVES_TIER)
--- a/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
+++ b/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
@@ -161,10 +161,9 @@
             return new Decision.AdmitWithReservation(reservationFor(view.team, newBound, view.controllers));
         }
         // The usage in the replica is within the limit, so the bound is too coarse: it includes unseen shares or
-        // unacknowledged placements. A new reservation fails the preconditions of transactions that are still in
-        // flight,
-        // and a replica that has applied it shows all those that were stored. Otherwise, after a few missing answers, a
-        // team near its quota would wait forever.
+        // unacknowledged placements. A new reservation fails the preconditions of transactions in flight, and a
+        // replica that has applied it shows all those that were stored. Without this, a team near its quota would
+        // wait forever after a few missing answers.
         return new Decision.RevokeShares(new Reservation(bound, Resources.NONE));
     }
 
--- a/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
@@ -107,8 +107,7 @@
                 .filter(machine -> machine.snapshot().owned())
                 .toList();
         boolean deferred = state.snapshot().deferredJobs().contains(job.id());
-        // Tasks can be bound only to owned machines; the others are included to determine whether the cluster lacks
-        // capacity.
+        // Tasks can be bound only to owned machines; the others show whether the cluster lacks capacity.
         fill(service, owned, true);
         fill(service, candidates, true);
         if (service.remaining > 0 && !deferred) {
--- a/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
+++ b/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
@@ -169,8 +169,7 @@
         boolean applied = store.commit(controller.reservationRevision, change, written);
         if (applied) {
             controller.accountedUsage += change;
-            // The controller's own change is replicated at once; earlier changes of others may be missing, which the
-            // bound covers.
+            // The own change is replicated at once; earlier changes of others may be missing, which the bound covers.
             if (written == null && random.nextBoolean()) {
                 controller.unacknowledged += change; // replicated late: counted as unacknowledged until then
             } else {
--- a/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
+++ b/src/test/java/org/dunespindle/scheduling/TeamUsageTest.java
@@ -238,8 +238,7 @@
         History(long seed) {
             random = new Random(seed);
             team = new Settings.Team(TEAM, 0, Double.POSITIVE_INFINITY, 0, 20 + random.nextInt(100));
-            // With fewer controllers, the allowance for unseen placements is smaller and hides fewer errors in the
-            // usage.
+            // With fewer controllers, the allowance for unseen placements hides fewer errors in the usage.
             int controllerCount = 1 + random.nextInt(MAX_CONTROLLERS);
             for (int i = 0; i < controllerCount; i++) {
                 controllers.add(new Controller(controllerCount, store));
