--- a/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
@@ -92,9 +92,7 @@
     }
 
     /** Whether the machine has tasks that may be preempted or are being stopped. */
-    @SuppressWarnings(
-            "ReferenceEquality") // identity with the constant means that no task is stopping, even if a stopping task
-    // needs no resources
+    @SuppressWarnings("ReferenceEquality") // only the constant itself means that no task is stopping
     boolean hasPreemptibleOrStopping() {
         return !victims.isEmpty() || stopping != Resources.NONE;
     }
--- a/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
@@ -106,7 +106,7 @@
         return cost;
     }
 
-    /** The work that is lost by stopping a task: its running time, but at most one checkpoint interval or the maximum. */
+    /** The work that is lost by stopping a task: its running time, but at most one checkpoint interval, or the maximum without checkpoints. */
     private Duration lostWork(MachineCapacity.Victim victim) {
         Submission job = victim.job().submission();
         var started = new JobAttempt(victim.job().id(), victim.allocation().attemptBase());
--- a/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
+++ b/src/main/java/org/dunespindle/scheduling/QuotaAdmission.java
@@ -14,7 +14,7 @@
  * reservation changes, each controller may add up to one share of usage; such placements have the reservation's revision as a
  * precondition but do not write it. The bound and all shares together never exceed the quota.
  *
- * <p>A controller that has used up its share writes a new reservation. Its bound is the usage in the controller's replica, plus
+ * <p>A controller that has used up its share writes a new reservation. Its bound is the usage known to the controller, plus
  * everything that the other controllers may have added unseen. If that bound is too coarse for a request, the shares are
  * revoked first: from then on every placement writes the reservation, so a replica that has applied the reservation's revision shows
  * the exact usage.
@@ -89,7 +89,7 @@
 
     /** Why a request is deferred. */
     public enum DeferReason {
-        /** The usage in the replica and the request together exceed the quota. */
+        /** The usage known to the controller and the request together exceed the quota. */
         LIMIT_REACHED("its limit is used up by stored and proposed placements"),
         /** The replica has not applied the reservation's revision yet, so the usage it shows may be too low. */
         REPLICA_BEHIND_RESERVATION("this controller's replica has not applied the team's reservation yet");
@@ -160,7 +160,7 @@
         if (view.team.withinLimit(newBound)) {
             return new Decision.AdmitWithReservation(reservationFor(view.team, newBound, view.controllers));
         }
-        // The usage in the replica is within the limit, so the bound is too coarse: it includes unseen shares or
+        // The known usage is within the limit, so the bound is too coarse: it includes unseen shares or
         // unacknowledged placements. A new reservation fails the preconditions of transactions in flight, and a
         // replica that has applied it shows all those that were stored. Without this, a team near its quota would
         // wait forever after a few missing answers.
--- a/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
@@ -29,7 +29,7 @@
     private static final double OTHER_FETCHES_PENALTY = 2;
     /** Penalty for each replica of the service in the machine's zone. */
     private static final double SAME_ZONE_PENALTY = 2;
-    /** Score of a machine with replicas of other services, up to the maximum below. */
+    /** Score of a machine with replicas of other services, if fewer than the maximum below. */
     private static final double OTHER_SERVICES_SCORE = 2;
     /** A machine with this many replicas is no longer preferred, because its failure would affect too many of them. */
     private static final int MAX_SHARED_REPLICAS = 6;
