--- a/src/main/java/org/dunespindle/job/JobTransitions.java
+++ b/src/main/java/org/dunespindle/job/JobTransitions.java
@@ -77,8 +77,7 @@
         }
         JobRecord after = job;
         if (gang && job.isOpen() && job.gangPhase() == JobRecord.GangPhase.RUNNING) {
-            // Without this member the attempt fails: the others exit with it or wait for it forever, so all are
-            // stopped.
+            // Without this member the attempt fails: the others exit too or wait in vain, so all are stopped.
             after = after.withGangStopping();
         }
         after = after.withReleased(termination.task(), isDone(termination));
@@ -109,7 +108,7 @@
         return MAX_FAILURES_WITHOUT_BACKOFF + replicas;
     }
 
-    /** When the back-off of a failing job ends. Without a back-off, a job that fails everywhere would occupy one machine after another. */
+    /** When the back-off of a failing job ends. The back-off keeps a job that fails everywhere from failing on one machine after another. */
     private static Optional<Instant> backoffUntil(int failures, int withoutBackoff, Instant now) {
         if (failures <= withoutBackoff) {
             return Optional.empty();
--- a/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
+++ b/src/main/java/org/dunespindle/scheduling/MachineCapacity.java
@@ -19,7 +19,7 @@
     /** Tasks that may be preempted, the latest allocated first, because these lose the least work. */
     private final List<Victim> victims = new ArrayList<>(2);
 
-    /** Images of the tasks on the machine, whether fetched or pending; {@link #pendingFetches} tells which are pending. */
+    /** Images of the tasks on the machine, whether fetched or pending; {@link #pendingFetches} finds the pending ones on demand. */
     private final List<String> taskImages = new ArrayList<>(2);
     /** Number of tasks that were allocated when planning began. */
     private int tasks;
@@ -92,9 +92,7 @@
     }
 
     /** Whether the machine has tasks that may be preempted or are being stopped. */
-    @SuppressWarnings(
-            "ReferenceEquality") // identity with the constant means that no task is stopping, even if a stopping task
-    // needs no resources
+    @SuppressWarnings("ReferenceEquality") // only the constant itself means that no task is stopping
     boolean hasPreemptibleOrStopping() {
         return !victims.isEmpty() || stopping != Resources.NONE;
     }
--- a/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
@@ -29,7 +29,7 @@
     private static final double OTHER_FETCHES_PENALTY = 2;
     /** Penalty for each replica of the service in the machine's zone. */
     private static final double SAME_ZONE_PENALTY = 2;
-    /** Score of a machine with replicas of other services, up to the maximum below. */
+    /** Score of a machine with replicas of other services, if fewer than the maximum below. */
     private static final double OTHER_SERVICES_SCORE = 2;
     /** A machine with this many replicas is no longer preferred, because its failure would affect too many of them. */
     private static final int MAX_SHARED_REPLICAS = 6;
@@ -107,8 +107,7 @@
                 .filter(machine -> machine.snapshot().owned())
                 .toList();
         boolean deferred = state.snapshot().deferredJobs().contains(job.id());
-        // Tasks can be bound only to owned machines; the others are included to determine whether the cluster lacks
-        // capacity.
+        // Tasks can be bound only to owned machines; the others show whether the cluster lacks capacity.
         fill(service, owned, true);
         fill(service, candidates, true);
         if (service.remaining > 0 && !deferred) {
