--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -234,27 +234,27 @@
      * @param machineIds the machine id by task index
      */
     public JobRecord withPlaced(Map<Integer, String> machineIds) {
-        return JobTransitions.place(this, machineIds);
+        return JobRecordTransitions.place(this, machineIds);
     }
 
     /** Starts the real tasks of a gang under a new common attempt, once all its placeholders are ready. */
     public JobRecord withGangRunning() {
-        return JobTransitions.runGang(this);
+        return JobRecordTransitions.runGang(this);
     }
 
     /** Places a placeholder that ended unexpectedly on the same machine again, under a new attempt. */
     public JobRecord withPlaceholderReplaced(int task) {
-        return JobTransitions.replacePlaceholder(this, task);
+        return JobRecordTransitions.replacePlaceholder(this, task);
     }
 
     /** Stops all tasks of a gang, which is queued again once every task is released. */
     public JobRecord withGangStopping() {
-        return JobTransitions.stopGang(this);
+        return JobRecordTransitions.stopGang(this);
     }
 
     /** Marks one task's allocation as being stopped. */
     public JobRecord withTaskStopping(int task) {
-        return JobTransitions.stopTask(this, task);
+        return JobRecordTransitions.stopTask(this, task);
     }
 
     /** Releases the allocation of a task that has provably ended. An array's task is requeued unless it is done. */
@@ -268,22 +268,22 @@
      * @param doneByTask by index of an ended task, whether it is done
      */
     public JobRecord withReleased(Map<Integer, Boolean> doneByTask) {
-        return JobTransitions.release(this, doneByTask);
+        return JobRecordTransitions.release(this, doneByTask);
     }
 
     /** Completes a gang, whose tasks are all done. */
     public JobRecord gangCompleted() {
-        return JobTransitions.complete(this);
+        return JobRecordTransitions.complete(this);
     }
 
     /** Completes a delegated job, all of whose tasks are done according to the remote cell. */
     public JobRecord completedRemotely() {
-        return JobTransitions.complete(this);
+        return JobRecordTransitions.complete(this);
     }
 
     /** Cancels the job. Its allocations remain until each task has provably ended. */
     public JobRecord cancelled() {
-        return JobTransitions.cancel(this);
+        return JobRecordTransitions.cancel(this);
     }
 
     /** Ends a job accepted from another cell before any of its tasks was placed, so that its origin may place it. */
--- a/src/main/java/org/dunespindle/storage/JobTransitions.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordTransitions.java
@@ -8,8 +8,8 @@
 import java.util.function.UnaryOperator;
 
 /** Transitions of a job's record: placement, stop, release, completion and cancellation. */
-final class JobTransitions {
-    private JobTransitions() {}
+final class JobRecordTransitions {
+    private JobRecordTransitions() {}
 
     /** Places tasks on machines. */
     static JobRecord place(JobRecord job, Map<Integer, String> machineIds) {
