--- a/src/main/java/org/dunespindle/api/JobSubmission.java
+++ b/src/main/java/org/dunespindle/api/JobSubmission.java
@@ -108,7 +108,7 @@
 
     private void store(Submission job, Consumer<Answer> answer) {
         JobRecord record = JobRecord.accepted(job, context.timeSource().wallTime());
-        if (MessagePackCodec.countedSize(record.toNode()) > context.jobWriter().maxDescriptionBytes()) {
+        if (MessagePackCodec.countedSize(record.toNode()) > context.jobWriter().maxSubmissionBytes()) {
             answer.accept(Answer.error(HttpStatus.BAD_REQUEST, "the job's description is too long"));
         } else if (commitQueue.isLocked(Keys.job(job.id()))) {
             answer.accept(Answer.retrySoon("the same submission is being stored"));
--- a/src/main/java/org/dunespindle/storage/JobRecordWriter.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordWriter.java
@@ -115,7 +115,7 @@
     }
 
     /** The maximum size in bytes of a new job's record at submission. Announced lower limits do not reduce it. */
-    public int maxDescriptionBytes() {
+    public int maxSubmissionBytes() {
         return currentLimits.valueBytes() / SUBMISSION_DIVISOR;
     }
 }
