--- a/src/main/java/org/dunespindle/control/CommitQueue.java
+++ b/src/main/java/org/dunespindle/control/CommitQueue.java
@@ -133,7 +133,7 @@
     private Duration delayBeforeSending(Proposal proposal) {
         Duration backoff = nextSendAt.minus(timeSource.now());
         double requiredWrites = requiredWrites(proposal);
-        if (backoff.isNegative() && stateStore.writeLimiter().isShortOf(requiredWrites)) {
+        if (backoff.isNegative() && stateStore.writeLimiter().lacksTokensFor(requiredWrites)) {
             return stateStore.writeLimiter().timeUntil(requiredWrites);
         }
         return backoff;
--- a/src/main/java/org/dunespindle/control/OversizeRecordSplitter.java
+++ b/src/main/java/org/dunespindle/control/OversizeRecordSplitter.java
@@ -72,7 +72,7 @@
 
     private void split(JobRecord job) {
         Transaction transaction = jobWriter.write(new Transaction(), job);
-        if (stateStore.writeLimiter().isShortOf(transaction.changeCount())) {
+        if (stateStore.writeLimiter().lacksTokensFor(transaction.changeCount())) {
             return;
         }
         commitQueue.propose(CommitPriority.MAINTENANCE, transaction, result -> {
--- a/src/main/java/org/dunespindle/storage/RateLimiter.java
+++ b/src/main/java/org/dunespindle/storage/RateLimiter.java
@@ -57,7 +57,7 @@
     }
 
     /** Whether too few tokens are available for a cost. A cost above the burst requires only a full bucket. */
-    public boolean isShortOf(double cost) {
+    public boolean lacksTokensFor(double cost) {
         return requiredTokens(cost) > available() + ROUNDING_TOLERANCE;
     }
 
