--- a/src/main/java/org/dunespindle/control/MembershipLease.java
+++ b/src/main/java/org/dunespindle/control/MembershipLease.java
@@ -67,7 +67,7 @@
 
     /** Ends the lease and with it every key written under it; without an answer it expires by itself. */
     void release() {
-        leaseId.ifPresent(stateStore::endLease);
+        leaseId.ifPresent(stateStore::revokeLease);
         leaseId = OptionalLong.empty();
     }
 
@@ -89,7 +89,7 @@
     }
 
     private void openLease() {
-        stateStore.openLease(LEASE_TTL).whenComplete((opened, failure) -> {
+        stateStore.grantLease(LEASE_TTL).whenComplete((opened, failure) -> {
             if (failure != null || opened.isEmpty()) {
                 LOG.debug("membership lease not opened, retrying node={} reason={}", node, String.valueOf(failure));
                 retryLater();
--- a/src/main/java/org/dunespindle/storage/StateStoreClient.java
+++ b/src/main/java/org/dunespindle/storage/StateStoreClient.java
@@ -81,7 +81,7 @@
     }
 
     /** Requests a new lease and returns the id that the store assigned to it. */
-    public CompletableFuture<OptionalLong> openLease(Duration ttl) {
+    public CompletableFuture<OptionalLong> grantLease(Duration ttl) {
         return requireOk(call(true, "POST", "/holds", MessagePackCodec.write(StateMessages.lease(ttl))))
                 .thenApply(StateMessages::leaseId);
     }
@@ -97,7 +97,7 @@
     }
 
     /** Revokes a lease and removes the keys attached to it. A failure is only logged, since the lease then expires. */
-    public void endLease(long lease) {
+    public void revokeLease(long lease) {
         call(true, "DELETE", "/holds/" + lease, NO_BODY).whenComplete((response, failure) -> {
             if (failure != null) {
                 LOG.debug("lease not ended lease={} cause={}", lease, failure.toString());
