--- a/src/main/java/org/dunespindle/machine/CloudInventory.java
+++ b/src/main/java/org/dunespindle/machine/CloudInventory.java
@@ -83,7 +83,7 @@
         cloud.list().whenComplete((machines, failure) -> {
             requestInFlight = false;
             if (failure != null) {
-                LOG.debug("machine list not read cause={}", failure.toString());
+                LOG.debug("machine list request failed cause={}", failure.toString());
             } else if (context.membership().isLeader()) {
                 replace(machines);
                 adoptUnrecorded();
--- a/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
+++ b/src/main/java/org/dunespindle/machine/CrashLoopDetector.java
@@ -49,7 +49,7 @@
         failuresByMachine.remove(machineId);
     }
 
-    /** Whether a job fails on every machine that this controller has observed it on. */
+    /** Whether a job failed on several machines and, as far as this controller has observed, never succeeded. */
     public boolean isCrashLooping(String jobId) {
         return !succeededJobs.contains(jobId) && machinesWithFailuresOf(jobId).size() >= MIN_CRASH_LOOP_MACHINES;
     }
--- a/src/main/java/org/dunespindle/machine/FleetManager.java
+++ b/src/main/java/org/dunespindle/machine/FleetManager.java
@@ -17,7 +17,7 @@
 /** Manages the fleet on the leader: rents, evaluates and terminates machines and removes their records. */
 public final class FleetManager {
     private static final Duration EVALUATION_INTERVAL = Duration.ofMillis(900);
-    /** During this time after its start, a controller does not treat a missing first heartbeat as a failed boot. */
+    /** A controller that has just started has not received heartbeats yet, so it treats no machine as late to boot for this time. */
     private static final Duration STARTUP_GRACE = Duration.ofSeconds(15);
 
     private final ControllerContext context;
--- a/src/main/java/org/dunespindle/machine/MachineCatalog.java
+++ b/src/main/java/org/dunespindle/machine/MachineCatalog.java
@@ -40,7 +40,7 @@
             if (failure == null) {
                 replace(read);
             } else {
-                LOG.debug("machine catalog not read cause={}", failure.toString());
+                LOG.debug("machine catalog request failed cause={}", failure.toString());
             }
             timeSource.schedule(types.isPresent() ? REFRESH_INTERVAL : INITIAL_RETRY_DELAY, this::start);
         });
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -16,9 +16,9 @@
 
 /** Decides on the leader whether a machine is to be drained or terminated, and for which reason. */
 final class MachineEvaluator {
-    /** Added to the heartbeat timeout: how long a new leader waits before it evaluates machines without any heartbeat. */
+    /** Added to the heartbeat timeout as the time that a new leader waits before it evaluates machines without any heartbeat. */
     private static final Duration LEADER_WARM_UP = Duration.ofSeconds(15);
-    /** Added to the heartbeat timeout: how long a machine that the cloud lists as running may send no heartbeat. */
+    /** Added to the heartbeat timeout of machines without any heartbeat that the cloud lists as running. */
     private static final Duration EXTRA_TIMEOUT_WHILE_RUNNING = Duration.ofSeconds(20);
     /** Tenths of the heartbeat timeout that apply to machines that hold service replicas. */
     private static final int REPLICA_TIMEOUT_TENTHS = 6;
--- a/src/main/java/org/dunespindle/storage/MachineRecord.java
+++ b/src/main/java/org/dunespindle/storage/MachineRecord.java
@@ -12,7 +12,7 @@
  * @param owner the name of the owning controller
  * @param incarnation the incarnation of the owning controller
  * @param token the fencing token that commands to the machine's worker carry
- * @param keepUntil until when rebalancing is suspended, since the owner took the machine over because its worker could not
+ * @param keepUntil until when rebalancing skips the machine, since the owner took the machine over because its worker could not
  *     reach the previous owner
  * @param draining whether the machine is to be terminated; no further task may be placed on it
  * @param drainReason why the machine is draining; empty while it is not
--- a/src/main/java/org/dunespindle/storage/ReplicaUpdater.java
+++ b/src/main/java/org/dunespindle/storage/ReplicaUpdater.java
@@ -33,7 +33,7 @@
     private boolean reading;
     private boolean readScheduled;
     private int unansweredLogReads;
-    /** Whether the log cannot be followed any more, so that another snapshot is needed. */
+    /** Whether the log can no longer be followed, so that another snapshot is needed. */
     private boolean logLost;
 
     private List<PendingRefresh> pendingRefreshes = new ArrayList<>();
--- a/src/main/java/org/dunespindle/storage/StateReplica.java
+++ b/src/main/java/org/dunespindle/storage/StateReplica.java
@@ -11,7 +11,7 @@
 /**
  * A local replica of the complete state store, which follows the store's change log.
  *
- * <p>Reads are linearizable after a {@link #refresh}: a read of the log that started after a query arrived reflects all earlier
+ * <p>A query is linearizable after a {@link #refresh}: a read of the log that started after the query arrived reflects all earlier
  * commits, and one such read serves all queries waiting for it. Transactions of this process are applied as soon as they are
  * committed, at the revision that the store assigned to them.
  */
--- a/src/main/java/org/dunespindle/storage/StateStoreClient.java
+++ b/src/main/java/org/dunespindle/storage/StateStoreClient.java
@@ -23,7 +23,7 @@
 public final class StateStoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateStoreClient.class);
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1800);
-    /** The part of the rate limit that the controllers use in total, since their clocks run at slightly different rates. */
+    /** The part of the rate limit that the controllers use in total, since their clocks differ slightly. */
     private static final double USABLE_RATE_FRACTION = 0.9;
 
     private static final int MIN_CONSECUTIVE_FAILURES_FOR_OUTAGE = 2;
@@ -100,7 +100,7 @@
     public void revokeLease(long lease) {
         call(true, "DELETE", "/holds/" + lease, NO_BODY).whenComplete((response, failure) -> {
             if (failure != null) {
-                LOG.debug("lease not ended lease={} cause={}", lease, failure.toString());
+                LOG.debug("lease revocation failed lease={} cause={}", lease, failure.toString());
             }
         });
     }
--- a/src/main/java/org/dunespindle/time/TimeSource.java
+++ b/src/main/java/org/dunespindle/time/TimeSource.java
@@ -11,7 +11,7 @@
     /** The monotonic time since an arbitrary origin that is fixed for the lifetime of the process. */
     Duration now();
 
-    /** The wall-clock time, which may deviate by up to the clock skew in the settings. */
+    /** The wall-clock time, which may deviate from the true time within the tolerance of the settings. */
     Instant wallTime();
 
     /** Runs a task on the process's event loop after a delay. */
--- a/src/test/java/org/dunespindle/machine/DrainReasonCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/machine/DrainReasonCompatibilityTest.java
@@ -21,7 +21,7 @@
                 DrainReason.noHeartbeatFor(Duration.ofMillis(17_900)).text());
     }
 
-    /** Only machines with heartbeats are stored as draining, and idle ones only while no commits queue. */
+    /** Only machines with heartbeats are stored as draining; an idle one is not worth that write while commits are queued. */
     @Test
     void onlyMachinesWithHeartbeatsAreDrainedFirst() {
         assertEquals(DrainReason.Procedure.DRAIN_UNLESS_COMMITS_QUEUE, DrainReason.IDLE.procedure());
