--- a/src/main/java/org/dunespindle/machine/Quarantine.java
+++ b/src/main/java/org/dunespindle/machine/Quarantine.java
@@ -42,7 +42,7 @@
         return crashLoopDetector.jobsFailedOn(machineId) >= options.get().quarantineFailures();
     }
 
-    /** Whether a machine, quarantined by this controller or by its owner's report, has been so long enough to be terminated. */
+    /** Whether a machine has been in quarantine, according to this controller or to its owner, for long enough to be terminated. */
     boolean isTerminationDue(MachineRecord machine) {
         if (!isReportedQuarantined(machine) && !isQuarantined(machine.id())) {
             quarantinedSince.remove(machine.id());
--- a/src/main/java/org/dunespindle/machine/ShardFailover.java
+++ b/src/main/java/org/dunespindle/machine/ShardFailover.java
@@ -83,7 +83,7 @@
         return now.minus(firstCheckAt.get()).compareTo(deferralToPeers) < 0;
     }
 
-    /** Machines without a live owner, those with allocations first: their workers' leases are about to expire. */
+    /** Machines without a live owner, those with allocations first: their workers' leases are about to expire, whereas idle machines can wait. */
     private List<MachineRecord> orphansMostUrgentFirst() {
         var orphans = new ArrayList<MachineRecord>();
         for (MachineRecord machine : context.replica().machines().values()) {
--- a/src/main/java/org/dunespindle/storage/ChunkedJobRecordCodec.java
+++ b/src/main/java/org/dunespindle/storage/ChunkedJobRecordCodec.java
@@ -11,8 +11,8 @@
 import org.dunespindle.protocol.Submission;
 
 /**
- * The stored form of a job's record that does not fit into one value. The main value contains the fields of fixed length; the
- * fields of variable length are joined into one text, which is split between the main value and the chunks.
+ * The stored form of a job's record that does not fit into one value. The main value contains the job's progress; all fields
+ * of variable length are joined into one text, which is split between the main value and the chunks.
  */
 final class ChunkedJobRecordCodec {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -51,9 +51,8 @@
     }
 
     private static String text(JobRecord job) {
-        // Sections that change come last, so that few chunks are rewritten: the submission never changes, and a
-        // cancellation only
-        // removes the requeued tasks.
+        // Sections that change come last: the submission never changes, and a cancellation only removes the requeued
+        // tasks, so it needs no additional chunk.
         return String.join(
                 SECTION_SEPARATOR,
                 job.submission().toNode().toString(),
