--- a/src/main/java/org/dunespindle/storage/AllocationCodec.java
+++ b/src/main/java/org/dunespindle/storage/AllocationCodec.java
@@ -149,7 +149,7 @@
     private static void parseGroup(String text, List<Allocation> into) throws MalformedMessageException {
         int end = text.indexOf(GROUP_KEY_END);
         if (end < 1) {
-            throw malformed();
+            throw malformed("no attempt before '" + GROUP_KEY_END + "'");
         }
         boolean stopping = text.charAt(end - 1) == STOPPING_SUFFIX;
         long attemptBase = Long.parseLong(text.substring(0, stopping ? end - 1 : end));
@@ -165,7 +165,7 @@
             String machine = pageAndMachines[i];
             int tasksStart = machine.indexOf(TASKS_START);
             if (tasksStart < 0) {
-                throw malformed();
+                throw malformed("no '" + TASKS_START + "' after a machine id");
             }
             String machineId = pageAndMachines[0] + machine.substring(0, tasksStart);
             for (int task : TaskIndexSet.parse(machine.substring(tasksStart + 1))) {
@@ -174,8 +174,8 @@
         }
     }
 
-    private static MalformedMessageException malformed() {
-        return new MalformedMessageException("malformed allocations");
+    private static MalformedMessageException malformed(String reason) {
+        return new MalformedMessageException("malformed allocations: " + reason);
     }
 
     private static Map<GroupKey, Map<String, IntRBTreeSet>> group(List<Allocation> allocations) {
