--- a/src/main/java/org/dunespindle/control/OptionDefinitions.java
+++ b/src/main/java/org/dunespindle/control/OptionDefinitions.java
@@ -21,12 +21,12 @@
                     + " by the square root of its size, down to 8 s");
     static final OptionDefinition SPOT_IDLE_TIMEOUT =
             decimal("idle_spot_return_s", 0, 86_400, 60, "the same for spot machines");
-    static final OptionDefinition SILENCE_TIMEOUT = new OptionDefinition(
+    static final OptionDefinition FAILURE_TIMEOUT = new OptionDefinition(
             "silent_return_s",
             OptionDefinition.NumberType.DECIMAL,
             3,
             3600,
-            OptionDefinitions::defaultHeartbeatTimeout,
+            OptionDefinitions::defaultFailureTimeout,
             "silence after which a machine is given back and its tasks start elsewhere");
     static final OptionDefinition QUARANTINE_FAILURES = whole(
             "quarantine_errors",
@@ -76,7 +76,7 @@
             GANG_PLACEMENT_TIMEOUT,
             IDLE_TIMEOUT,
             SPOT_IDLE_TIMEOUT,
-            SILENCE_TIMEOUT,
+            FAILURE_TIMEOUT,
             QUARANTINE_FAILURES,
             BOOT_TIMEOUT_MULTIPLE,
             SPARE_JOBS,
@@ -88,13 +88,13 @@
             MAX_DELEGATIONS_PER_JOB,
             MAX_INBOUND_JOBS);
 
-    private static final Duration MAX_DEFAULT_HEARTBEAT_TIMEOUT = Duration.ofSeconds(16);
+    private static final Duration MAX_DEFAULT_FAILURE_TIMEOUT = Duration.ofSeconds(16);
 
     private OptionDefinitions() {}
 
     /** The default is the workers' lease, up to a maximum. */
-    private static double defaultHeartbeatTimeout(Duration workerLease) {
-        return Math.min(workerLease.toSeconds(), MAX_DEFAULT_HEARTBEAT_TIMEOUT.toSeconds());
+    private static double defaultFailureTimeout(Duration workerLease) {
+        return Math.min(workerLease.toSeconds(), MAX_DEFAULT_FAILURE_TIMEOUT.toSeconds());
     }
 
     /** The option of this name. */
--- a/src/main/java/org/dunespindle/control/Options.java
+++ b/src/main/java/org/dunespindle/control/Options.java
@@ -79,8 +79,8 @@
     }
 
     /** The time without a sign of life after which a machine is terminated. */
-    public Duration silenceTimeout() {
-        return duration(OptionDefinitions.SILENCE_TIMEOUT);
+    public Duration failureTimeout() {
+        return duration(OptionDefinitions.FAILURE_TIMEOUT);
     }
 
     /** The number of failures in a row, of different jobs, after which a machine is quarantined. */
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -85,7 +85,7 @@
     /** Evaluates a machine that no controller has heard since it was rented. */
     private Optional<DrainReason> evaluateUnheard(
             MachineRecord machine, Optional<ListedMachine> listed, Duration now, Duration leadingSince) {
-        Duration silentLimit = options.get().silenceTimeout();
+        Duration silentLimit = options.get().failureTimeout();
         Duration leading = context.pauseDetector().observedTimeSince(leadingSince);
         Duration unheard = now.minus(unheardSince.computeIfAbsent(machine.id(), id -> now));
         if (leading.compareTo(silentLimit.plus(LEADER_WARM_UP)) <= 0
@@ -103,7 +103,7 @@
     }
 
     private boolean takesNoCommands(MachineRecord machine, Duration silence, Duration leadingSince) {
-        Duration silentLimit = options.get().silenceTimeout();
+        Duration silentLimit = options.get().failureTimeout();
         boolean reports = silence.compareTo(
                         Durations.multiply(context.settings().workers().report(), 2))
                 < 0;
@@ -121,7 +121,7 @@
      * terminated, sooner; but not for a few late reports.
      */
     private Duration silenceLimit(MachineRecord machine) {
-        Duration limit = options.get().silenceTimeout();
+        Duration limit = options.get().failureTimeout();
         if (!holdsReplicas(machine)) {
             return limit;
         }
--- a/src/test/java/org/dunespindle/control/OptionsTest.java
+++ b/src/test/java/org/dunespindle/control/OptionsTest.java
@@ -50,11 +50,11 @@
     }
 
     @Test
-    void theSilenceTimeoutFollowsTheWorkersLeaseUpToABound() {
+    void theFailureTimeoutIsTheWorkersLeaseUpToAMaximum() {
         assertEquals(
-                Duration.ofSeconds(12), Options.defaults(Duration.ofSeconds(12)).silenceTimeout());
+                Duration.ofSeconds(12), Options.defaults(Duration.ofSeconds(12)).failureTimeout());
         assertEquals(
-                Duration.ofSeconds(16), Options.defaults(Duration.ofSeconds(40)).silenceTimeout());
+                Duration.ofSeconds(16), Options.defaults(Duration.ofSeconds(40)).failureTimeout());
     }
 
     @Test
--- a/src/test/java/org/dunespindle/control/StoredControlFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/control/StoredControlFormsCompatibilityTest.java
@@ -86,7 +86,7 @@
         assertEquals(Duration.ofSeconds(11), options.gangPlacementTimeout());
         assertEquals(Duration.ofMillis(12_500), options.idleTimeout(false));
         assertEquals(Duration.ofSeconds(13), options.idleTimeout(true));
-        assertEquals(Duration.ofSeconds(14), options.silenceTimeout());
+        assertEquals(Duration.ofSeconds(14), options.failureTimeout());
         assertEquals(15, options.quarantineFailures());
         assertEquals(16, options.bootTimeoutMultiple());
         assertEquals(7, options.spareJobs());
