--- a/src/main/java/org/dunespindle/control/CommitQueue.java
+++ b/src/main/java/org/dunespindle/control/CommitQueue.java
@@ -38,7 +38,7 @@
 
     private static final int MAX_BATCH_CHANGES_AFTER_CONFLICT = 2;
     private static final int PENDING_PROPOSALS_PER_BATCH_CHANGE = 10;
-    private static final Duration SMALL_BATCHES_AFTER_CONFLICT = Duration.ofSeconds(2);
+    private static final Duration SMALL_BATCH_PERIOD_AFTER_CONFLICT = Duration.ofSeconds(2);
     private static final Duration RATE_LIMIT_BACKOFF = Duration.ofMillis(150);
     private final StateStoreClient stateStore;
     private final StateReplica replica;
@@ -216,7 +216,7 @@
      */
     private void onConflict(ProposalBatch batch, TransactionResult.Conflict conflict) {
         statistics.conflicted(batch.transaction(), conflict.failedKeys());
-        smallBatchesUntil = timeSource.now().plus(SMALL_BATCHES_AFTER_CONFLICT);
+        smallBatchesUntil = timeSource.now().plus(SMALL_BATCH_PERIOD_AFTER_CONFLICT);
         var stale = new ArrayList<Proposal>();
         var unaffected = new ArrayList<Proposal>();
         for (Proposal proposal : batch.proposals()) {
--- a/src/main/java/org/dunespindle/control/WorkerState.java
+++ b/src/main/java/org/dunespindle/control/WorkerState.java
@@ -11,7 +11,7 @@
 
 /** The state of one worker's agent as observed by this controller. It is kept in memory only; safety does not depend on it. */
 public final class WorkerState {
-    private static final int MAX_REMEMBERED_IMAGES = 12;
+    private static final int MAX_CACHED_IMAGES = 12;
     private Optional<WorkerHeartbeat> lastHeartbeat = Optional.empty();
     private Optional<Duration> lastHeartbeatAt = Optional.empty();
     private Optional<Duration> lastAnswerAt = Optional.empty();
@@ -256,7 +256,7 @@
     public void imageFetched(String image) {
         images.remove(image);
         images.put(image, true); // now the most recently used
-        if (images.size() > MAX_REMEMBERED_IMAGES) {
+        if (images.size() > MAX_CACHED_IMAGES) {
             images.remove(images.keySet().iterator().next());
         }
     }
--- a/src/main/java/org/dunespindle/worker/LeaseRenewal.java
+++ b/src/main/java/org/dunespindle/worker/LeaseRenewal.java
@@ -46,11 +46,11 @@
 
     /** A reply that only renews a worker's lease and halts tasks of cancelled jobs. */
     HeartbeatReply renew(ReceivedHeartbeat received, MachineRecord machine) {
-        return reply(machine, allocations.haltsOfCancelledTasks(received.heartbeat()));
+        return renewWithCommands(machine, allocations.haltsOfCancelledTasks(received.heartbeat()));
     }
 
     /** A reply that renews a worker's lease and carries commands, up to the limit of one message. */
-    HeartbeatReply reply(MachineRecord machine, List<WorkerCommand> commands) {
+    HeartbeatReply renewWithCommands(MachineRecord machine, List<WorkerCommand> commands) {
         return new HeartbeatReply.Commands(
                 machine.token(),
                 commands.stream()
--- a/src/main/java/org/dunespindle/worker/MachineReconciler.java
+++ b/src/main/java/org/dunespindle/worker/MachineReconciler.java
@@ -69,7 +69,7 @@
         if (worker.callInFlight()) {
             return; // the machine is queued again when the call ends
         }
-        if (!startFencing.isFenced(machine, worker)) {
+        if (!startFencing.ensureFenced(machine, worker)) {
             return;
         }
         long seenToken = worker.lastReportedToken().orElse(machine.token());
--- a/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
+++ b/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
@@ -21,7 +21,7 @@
             return new HeartbeatReply.Unavailable("the fencing token of the machine is being raised");
         }
         return isConclusive(received, machine)
-                ? leaseRenewal.reply(machine, commands(received, machine))
+                ? leaseRenewal.renewWithCommands(machine, commands(received, machine))
                 : leaseRenewal.renew(received, machine);
     }
 
--- a/src/main/java/org/dunespindle/worker/StartFencing.java
+++ b/src/main/java/org/dunespindle/worker/StartFencing.java
@@ -29,7 +29,7 @@
      * worker until it gives a sign of life, then raises the token. A machine without signs of life needs no new token: it is
      * terminated.
      */
-    boolean isFenced(MachineRecord machine, WorkerState worker) {
+    boolean ensureFenced(MachineRecord machine, WorkerState worker) {
         if (worker.unansweredStartToken().isEmpty()) {
             return true;
         }
--- a/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
@@ -65,7 +65,7 @@
         return new TaskStatus(TASK, attempt, TaskPhase.EXITED, Optional.of(cause), false);
     }
 
-    private static long placeholder(JobRecord job) {
+    private static long placeholderAttempt(JobRecord job) {
         return job.allocation(0).orElseThrow().attemptBase();
     }
 
@@ -73,36 +73,36 @@
     void aGangTaskStartsOnceItsPlaceholderIsConfirmedToHaveEnded() {
         JobRecord running = gangOfPlaceholders().withGangRunning();
         assertEquals(
-                List.of(new WorkerCommand.Halt(TASK, placeholder(running), Duration.ZERO)),
-                reconcile(running, status(placeholder(running), TaskPhase.ASSEMBLING))
+                List.of(new WorkerCommand.Halt(TASK, placeholderAttempt(running), Duration.ZERO)),
+                reconcile(running, status(placeholderAttempt(running), TaskPhase.ASSEMBLING))
                         .commands());
-        var confirmed = reconcile(running, exited(placeholder(running), ExitCause.STOPPED))
+        var confirmed = reconcile(running, exited(placeholderAttempt(running), ExitCause.STOPPED))
                 .commands();
         assertTrue(confirmed.contains(new WorkerCommand.Run(TASK, running.gangAttempt())));
-        assertTrue(confirmed.contains(new WorkerCommand.Forget(TASK, placeholder(running))));
+        assertTrue(confirmed.contains(new WorkerCommand.Forget(TASK, placeholderAttempt(running))));
     }
 
     @Test
     void aPlaceholderWhoseAssemblyTimedOutIsReplaced() {
         JobRecord job = gangOfPlaceholders();
-        var terminations =
-                reconcile(job, exited(placeholder(job), ExitCause.INCOMPLETE)).terminations();
+        var terminations = reconcile(job, exited(placeholderAttempt(job), ExitCause.INCOMPLETE))
+                .terminations();
         assertEquals(TerminationCause.ASSEMBLY_TIMEOUT, terminations.get(0).cause());
         JobRecord after = JobTransitions.apply(job, terminations, Instant.EPOCH);
         assertEquals(2, after.allocations().size());
-        assertTrue(placeholder(after) > placeholder(job));
+        assertTrue(placeholderAttempt(after) > placeholderAttempt(job));
     }
 
     @Test
     void aTerminationIsStoredBeforeItsAttemptIsForgotten() {
         JobRecord job = job(JobKind.ARRAY, 1, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h")));
-        var result = reconcile(job, exited(placeholder(job), ExitCause.DONE));
+        var result = reconcile(job, exited(placeholderAttempt(job), ExitCause.DONE));
         assertEquals(List.of(), result.commands());
         JobRecord done = JobTransitions.apply(job, result.terminations(), Instant.EPOCH);
         assertEquals(JobRecord.Outcome.DONE, done.outcome());
         assertEquals(
-                List.of(new WorkerCommand.Forget(TASK, placeholder(job))),
-                reconcile(done, exited(placeholder(job), ExitCause.DONE)).commands());
+                List.of(new WorkerCommand.Forget(TASK, placeholderAttempt(job))),
+                reconcile(done, exited(placeholderAttempt(job), ExitCause.DONE)).commands());
     }
 
     @Test
@@ -111,8 +111,9 @@
                 .withPlaced(new TreeMap<>(Map.of(0, "h")))
                 .cancelled();
         assertEquals(
-                List.of(new WorkerCommand.Halt(TASK, placeholder(job), Duration.ZERO)),
-                reconcile(job, status(placeholder(job), TaskPhase.SAVING)).commands());
+                List.of(new WorkerCommand.Halt(TASK, placeholderAttempt(job), Duration.ZERO)),
+                reconcile(job, status(placeholderAttempt(job), TaskPhase.SAVING))
+                        .commands());
         assertEquals(TerminationCause.GONE, reconcile(job).terminations().get(0).cause());
     }
 
@@ -121,17 +122,19 @@
         JobRecord job = job(JobKind.ARRAY, 1, Duration.ofSeconds(5))
                 .withPlaced(new TreeMap<>(Map.of(0, "h")))
                 .withTaskStopping(0);
-        WorkerCommand.Halt halt = (WorkerCommand.Halt) reconcile(job, status(placeholder(job), TaskPhase.RUNNING))
-                .commands()
-                .get(0);
+        WorkerCommand.Halt halt =
+                (WorkerCommand.Halt) reconcile(job, status(placeholderAttempt(job), TaskPhase.RUNNING))
+                        .commands()
+                        .get(0);
         assertTrue(halt.grace().compareTo(job.submission().checkpointTime()) >= 0);
         assertEquals(
                 List.of(),
-                reconcile(job, status(placeholder(job), TaskPhase.SAVING)).commands());
+                reconcile(job, status(placeholderAttempt(job), TaskPhase.SAVING))
+                        .commands());
     }
 
     @Test
-    void oneLostMemberRequeuesTheWholeGang() {
+    void theLossOfOneMemberRequeuesTheWholeGang() {
         JobRecord running = gangOfPlaceholders().withGangRunning();
         var terminations = reconcile(running, exited(running.gangAttempt(), ExitCause.PEERS))
                 .terminations();
@@ -147,8 +150,8 @@
     @Test
     void anOldTerminationDoesNotEndALaterAttempt() {
         JobRecord first = job(JobKind.ARRAY, 1, Duration.ZERO).withPlaced(new TreeMap<>(Map.of(0, "h")));
-        var oldTerminations =
-                reconcile(first, exited(placeholder(first), ExitCause.STOPPED)).terminations();
+        var oldTerminations = reconcile(first, exited(placeholderAttempt(first), ExitCause.STOPPED))
+                .terminations();
         JobRecord placedAgain =
                 JobTransitions.apply(first, oldTerminations, Instant.EPOCH).withPlaced(new TreeMap<>(Map.of(0, "h")));
         assertEquals(placedAgain, JobTransitions.apply(placedAgain, oldTerminations, Instant.EPOCH));
@@ -166,7 +169,7 @@
     }
 
     @Test
-    void aJobThatFailsEverywhereBacksOff() {
+    void aJobThatFailsRepeatedlyBacksOff() {
         JobRecord job = job(JobKind.ARRAY, 1, Duration.ZERO);
         for (int i = 0; i < 6; i++) {
             job = job.withPlaced(new TreeMap<>(Map.of(0, "h")));
@@ -184,7 +187,7 @@
     }
 
     @Test
-    void tasksWithoutAnAllocationAreHalted() {
+    void reportedTasksWithoutAnAllocationAreHalted() {
         var result = HeartbeatReconciler.reconcile(
                 List.of(),
                 new WorkerHeartbeat(
--- a/src/test/java/org/dunespindle/control/OptionsTest.java
+++ b/src/test/java/org/dunespindle/control/OptionsTest.java
@@ -13,7 +13,7 @@
 class OptionsTest {
     private static final Duration LEASE = Duration.ofSeconds(10);
 
-    private static String complaint(String name, String value) {
+    private static String validationError(String name, String value) {
         return Options.validate(name, StateServiceStub.json(value)).orElse("");
     }
 
@@ -58,20 +58,20 @@
     }
 
     @Test
-    void whatIsWrongWithAValueIsTold() {
-        assertEquals("idle_return_s must be a number from 0 to 86400", complaint("idle_return_s", "-1"));
-        assertEquals("idle_return_s must be a number from 0 to 86400", complaint("idle_return_s", "\"5\""));
-        assertEquals("spare_jobs must be a whole number from 0 to 10", complaint("spare_jobs", "1.5"));
-        assertEquals("", complaint("idle_return_s", "1.5"));
+    void anInvalidValueIsRejectedWithTheAllowedRange() {
+        assertEquals("idle_return_s must be a number from 0 to 86400", validationError("idle_return_s", "-1"));
+        assertEquals("idle_return_s must be a number from 0 to 86400", validationError("idle_return_s", "\"5\""));
+        assertEquals("spare_jobs must be a whole number from 0 to 10", validationError("spare_jobs", "1.5"));
+        assertEquals("", validationError("idle_return_s", "1.5"));
         assertEquals(
                 "unknown option nonsense; there are first_hold_timer_s, idle_return_s, idle_spot_return_s,"
                         + " silent_return_s, quarantine_errors, boot_patience, spare_jobs, borrowed_machines, lent_s,"
                         + " spill_after_s, recall_after_s, spill_pause_s, most_transfers, most_visitors",
-                complaint("nonsense", "1"));
+                validationError("nonsense", "1"));
     }
 
     @Test
-    void aStoredValueOutOfRangeCountsAsNotSet() {
+    void aStoredValueOutOfRangeIsIgnored() {
         JsonNode stored = StateServiceStub.json("{\"idle_return_s\":90000,\"spare_jobs\":3}");
         Options options = Options.of(Optional.of(stored), LEASE);
         assertEquals(Duration.ofSeconds(25), options.idleTimeout(false));
--- a/src/test/java/org/dunespindle/control/RedirectCounterTest.java
+++ b/src/test/java/org/dunespindle/control/RedirectCounterTest.java
@@ -16,28 +16,28 @@
     }
 
     @Test
-    void aWorkerThatComesBackIsCounted() {
+    void aWorkerThatReturnsIsCounted() {
         assertAttempts(1, REVISION, 20_000);
         assertAttempts(2, REVISION, 20_701);
         assertAttempts(3, REVISION, 32_701);
     }
 
     @Test
-    void heartbeatsSentAgainAtOnceAreOneAttempt() {
+    void immediateRetriesCountAsOneAttempt() {
         assertAttempts(1, REVISION, 20_000);
         assertAttempts(1, REVISION, 20_400);
         assertAttempts(1, REVISION, 20_700);
     }
 
     @Test
-    void aWorkerThatComesBackLateIsCountedAnew() {
+    void aLateReturnResetsTheCount() {
         assertAttempts(1, REVISION, 20_000);
         assertAttempts(2, REVISION, 21_000);
         assertAttempts(1, REVISION, 33_001);
     }
 
     @Test
-    void aChangedMachineRecordStartsOver() {
+    void aChangedMachineRecordResetsTheCount() {
         assertAttempts(1, REVISION, 20_000);
         assertAttempts(2, REVISION, 21_000);
         assertAttempts(1, REVISION + 1, 22_000);
--- a/src/test/java/org/dunespindle/control/RendezvousHashTest.java
+++ b/src/test/java/org/dunespindle/control/RendezvousHashTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void onlyTheKeysOfALeavingNodeMove() {
+    void onlyTheKeysOfALeavingNodeAreReassigned() {
         Set<String> remaining = new TreeSet<>(List.of("n0", "n2"));
         IntStream.range(0, 1000).mapToObj(i -> "h-" + i).forEach(key -> {
             String before = RendezvousHash.choose(NODES, key).orElseThrow();
--- a/src/test/java/org/dunespindle/peer/MachineReportBatchTest.java
+++ b/src/test/java/org/dunespindle/peer/MachineReportBatchTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void theNextBatchContinuesWhereABoundedOneEnds() {
+    void theNextBatchContinuesWhereALimitedOneEnds() {
         List<MachineStatus> statuses = statuses(5000, Set.of());
         MachineReportBatch first = MachineReportBatch.select(statuses, 0);
         assertEquals(4000, first.throughSequence());
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void manyImagesBoundABatchByItsLength() {
+    void aBatchWithManyImagesIsLimitedByItsLength() {
         MachineReportBatch batch = MachineReportBatch.select(statuses(100, Set.of("x".repeat(100_000))), 0);
         assertEquals(6, batch.reports().size());
         assertEquals(6, batch.throughSequence());
--- a/src/test/java/org/dunespindle/worker/ConcurrentCallLimiterTest.java
+++ b/src/test/java/org/dunespindle/worker/ConcurrentCallLimiterTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void callsToUnresponsiveWorkersUseHalfOfTheLimit() {
+    void callsToUnresponsiveWorkersAreLimitedToHalf() {
         startCalls(MAX_CALLS / 2, true);
         assertTrue(limiter.isFull(true));
         assertFalse(limiter.isFull(false));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void queuedMachinesFollowInOrderAsCallsEnd() {
+    void queuedMachinesAreCalledInOrderAsCallsEnd() {
         startCalls(MAX_CALLS, false);
         limiter.enqueue("i-1");
         limiter.enqueue("i-2");
