--- a/src/main/java/org/dunespindle/worker/StartFencing.java
+++ b/src/main/java/org/dunespindle/worker/StartFencing.java
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Whether no start is unanswered under a machine's current token. If one is, takes the next step towards that state: it calls the
+     * Returns whether no start is unanswered under a machine's current token. If one is, takes the next step towards that state: it calls the
      * worker until it gives a sign of life, then raises the token. A machine without signs of life needs no new token: it is
      * terminated.
      */
