--- a/src/main/java/org/dunespindle/control/Options.java
+++ b/src/main/java/org/dunespindle/control/Options.java
@@ -118,7 +118,7 @@
         return duration(OptionDefinitions.RECALL_TIMEOUT);
     }
 
-    /** The back-off before a recalled job is delegated again, after the first recall. */
+    /** The back-off before a job that returned from its first delegation is delegated again. */
     public Duration delegationBackoff() {
         return duration(OptionDefinitions.DELEGATION_BACKOFF);
     }
