--- a/src/main/java/org/dunespindle/control/OptionDefinitions.java
+++ b/src/main/java/org/dunespindle/control/OptionDefinitions.java
@@ -11,65 +11,81 @@
 /** The table of the options that operators may set. */
 final class OptionDefinitions {
     static final OptionDefinition GANG_PLACEMENT_TIMEOUT = decimal(
-            "first_hold_timer_s", 5, 3600, 60, "how long a gang's placement may take from its first placeholder on");
+            "first_hold_timer_s", 5, 3600, 60, "time limit of a gang's placement, from its first placeholder on");
     static final OptionDefinition IDLE_TIMEOUT = decimal(
             "idle_return_s",
             0,
             86_400,
             25,
-            "how long an ordinary machine may idle before it is given back, in a fleet of up to 30; less in a larger one,"
-                    + " by the square root of its size, down to 8 s");
-    static final OptionDefinition SPOT_IDLE_TIMEOUT =
-            decimal("idle_spot_return_s", 0, 86_400, 60, "the same for spot machines");
+            "idle time after which an on-demand machine is terminated, in a fleet of up to 30 machines; shorter in a larger"
+                    + " fleet, by the square root of its size, down to 8 s");
+    static final OptionDefinition SPOT_IDLE_TIMEOUT = decimal(
+            "idle_spot_return_s",
+            0,
+            86_400,
+            60,
+            "idle time after which a spot machine is terminated, with the same dependence on the fleet size");
     static final OptionDefinition FAILURE_TIMEOUT = new OptionDefinition(
             "silent_return_s",
             OptionDefinition.NumberType.DECIMAL,
             3,
             3600,
             OptionDefinitions::defaultFailureTimeout,
-            "silence after which a machine is given back and its tasks start elsewhere");
+            "time without a sign of life after which a machine is terminated and its tasks start elsewhere");
     static final OptionDefinition QUARANTINE_FAILURES = whole(
             "quarantine_errors",
             1,
             100,
             2,
-            "failures in a row, of different jobs, after which a machine is given back");
+            "number of failures in a row, of different jobs, after which a machine is terminated");
     static final OptionDefinition BOOT_TIMEOUT_MULTIPLE = whole(
             "boot_patience",
             1,
             20,
             3,
-            "multiple of the boot time after which a machine that never reported is given back");
+            "multiple of the boot time after which a machine that never sent a heartbeat is terminated");
     static final OptionDefinition SPARE_JOBS = whole(
-            "spare_jobs", 0, 10, 1, "typical next jobs of each class with a wait aim that spare room is kept for");
+            "spare_jobs",
+            0,
+            10,
+            1,
+            "number of typical next jobs that spare capacity is kept for, of each class with a wait-time objective");
     static final OptionDefinition MAX_BORROWED_MACHINES = whole(
             "borrowed_machines",
             0,
             100_000,
             100_000,
-            "machines of other controllers that the leader may borrow at a time for gangs");
-    static final OptionDefinition BORROWED_MACHINE_IDLE_TIMEOUT =
-            decimal("lent_s", 0, 86_400, 60, "how long the leader keeps a borrowed machine after the last gang on it");
+            "number of machines of other controllers that the leader may borrow at the same time for gangs");
+    static final OptionDefinition BORROWED_MACHINE_IDLE_TIMEOUT = decimal(
+            "lent_s",
+            0,
+            86_400,
+            60,
+            "how long the leader keeps a borrowed machine after the end of the last gang on it");
 
     // Options of the federation; they have no effect without one.
     static final OptionDefinition DELEGATION_DELAY = decimal(
-            "spill_after_s", 1, 86_400, 30, "how long a job waits for room before other cells are asked to take it");
+            "spill_after_s", 1, 86_400, 30, "how long a job waits for capacity before it is offered to other cells");
     static final OptionDefinition RECALL_TIMEOUT = decimal(
             "recall_after_s",
             5,
             86_400,
             60,
-            "how long a job may wait in another cell, or for its answer, before it is wanted back");
+            "how long a job may wait in another cell, or for the answer of that cell, before it is recalled");
     static final OptionDefinition DELEGATION_BACKOFF = decimal(
             "spill_pause_s",
             1,
             3600,
             30,
-            "how long a job that came back is not given away again; twice as long after each further time");
+            "back-off before a returned job is delegated again; doubled after each further delegation");
     static final OptionDefinition MAX_DELEGATIONS_PER_JOB = whole(
-            "most_transfers", 1, 20, 3, "how often a job may be given away before it waits for room at home for good");
+            "most_transfers",
+            1,
+            20,
+            3,
+            "number of times a job may be delegated; after that it waits for capacity in its origin cell");
     static final OptionDefinition MAX_INBOUND_JOBS =
-            whole("most_visitors", 0, 10_000, 200, "unfinished jobs of other cells that are taken in");
+            whole("most_visitors", 0, 10_000, 200, "limit of the unfinished jobs accepted from other cells");
 
     /** All options, in the order of the administration API's list. */
     static final List<OptionDefinition> ALL = List.of(
