--- a/src/main/java/org/dunespindle/worker/EffectiveAllocations.java
+++ b/src/main/java/org/dunespindle/worker/EffectiveAllocations.java
@@ -8,7 +8,7 @@
 import org.dunespindle.storage.PlacedTask;
 import org.dunespindle.storage.StateReplica;
 
-/** Machines' allocations, with those preemptions and cancellations applied that the replica's records do not contain yet. */
+/** Machines' allocations, with the preemptions and cancellations applied that this controller knows and the replica's records lack. */
 final class EffectiveAllocations {
     private final StateReplica replica;
     private final PendingPreemptions pendingPreemptions;
--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -18,7 +18,7 @@
  * partitioned, its owner does not reach its workers or the leader, the machine has just changed its owner, or this process was paused.
  */
 public final class FailureDetector {
-    /** Added to the heartbeat timeout while no heartbeats arrive from the machine's owner. */
+    /** Added to the failure timeout while no heartbeats arrive from the machine's owner. */
     private static final Duration EXTRA_TIMEOUT_WITHOUT_OWNER = Duration.ofSeconds(25);
 
     private final ControllerContext context;
@@ -33,7 +33,7 @@
     /**
      * Creates a detector.
      *
-     * @param listedAddress a machine's address in the cloud's list: the record of a rented machine has none until its first heartbeat
+     * @param listedAddress a machine's address in the cloud's list; the record of a rented machine lacks it until the first heartbeat
      */
     public FailureDetector(
             ControllerContext context,
--- a/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
+++ b/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
@@ -25,7 +25,7 @@
                 : leaseRenewal.renew(received, machine);
     }
 
-    /** Whether the heartbeat is a conclusive status of the machine, and this controller may send commands to it. */
+    /** Whether the heartbeat is a conclusive status of the machine, and the replica contains what is allocated there. */
     private boolean isConclusive(ReceivedHeartbeat received, MachineRecord machine) {
         WorkerState worker = received.worker();
         return received.newer()
--- a/src/main/java/org/dunespindle/worker/PartitionDetector.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -87,7 +87,10 @@
                                         .isPresent());
     }
 
-    /** The unresponsive machines among those that sent heartbeats under their current token; empty unless nearly all are unresponsive. */
+    /**
+     * The unresponsive ones among this controller's machines that sent heartbeats under their current token; empty unless nearly all of
+     * these machines are unresponsive.
+     */
     private List<MachineRecord> unresponsiveMachinesIfNearlyAll() {
         var unresponsive = new ArrayList<MachineRecord>();
         int total = 0;
@@ -137,8 +140,8 @@
     }
 
     /**
-     * Inspects a sample of the unresponsive machines and of all machines seen here. Only if none answers
-     * is this controller partitioned; otherwise some machines have failed.
+     * Inspects a sample of the unresponsive machines and of all machines seen here. Only if none answers is this controller
+     * partitioned; otherwise some machines have failed.
      */
     private void resignIfNoneAnswers(List<MachineRecord> unresponsive) {
         var sample = new LinkedHashSet<>(evenSample(unresponsive));
--- a/src/main/java/org/dunespindle/worker/StartFencing.java
+++ b/src/main/java/org/dunespindle/worker/StartFencing.java
@@ -25,9 +25,9 @@
     }
 
     /**
-     * Returns whether no start is unanswered under a machine's current token. If one is, takes the next step towards that state: it calls the
-     * worker until it gives a sign of life, then raises the token. A machine without signs of life needs no new token: it is
-     * terminated.
+     * Returns whether no start is unanswered under a machine's current token. If one is, takes the next step towards that state: it
+     * calls the worker until it gives a sign of life, then raises the token. A machine without signs of life needs no new token: it
+     * is terminated.
      */
     boolean ensureFenced(MachineRecord machine, WorkerState worker) {
         if (worker.unansweredStartToken().isEmpty()) {
--- a/src/main/java/org/dunespindle/worker/SuspectInspection.java
+++ b/src/main/java/org/dunespindle/worker/SuspectInspection.java
@@ -36,7 +36,7 @@
     /**
      * Creates an inspection without results.
      *
-     * @param listedAddress a machine's address in the cloud's list: the record of a rented machine has none until its first heartbeat
+     * @param listedAddress a machine's address in the cloud's list; the record of a rented machine lacks it until the first heartbeat
      */
     SuspectInspection(
             TimeSource timeSource,
