--- a/src/main/java/org/dunespindle/control/Options.java
+++ b/src/main/java/org/dunespindle/control/Options.java
@@ -79,8 +79,8 @@
     }
 
     /** The time without a sign of life after which a machine is terminated. */
-    public Duration silenceTimeout() {
-        return duration(OptionDefinitions.SILENCE_TIMEOUT);
+    public Duration failureTimeout() {
+        return duration(OptionDefinitions.FAILURE_TIMEOUT);
     }
 
     /** The number of failures in a row, of different jobs, after which a machine is quarantined. */
@@ -118,7 +118,7 @@
         return duration(OptionDefinitions.RECALL_TIMEOUT);
     }
 
-    /** The back-off before a recalled job is delegated again, after the first recall. */
+    /** The back-off before a job that returned from its first delegation is delegated again. */
     public Duration delegationBackoff() {
         return duration(OptionDefinitions.DELEGATION_BACKOFF);
     }
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -85,7 +85,7 @@
     /** Evaluates a machine from which no controller has received a heartbeat since it was rented. */
     private Optional<DrainReason> evaluateWithoutHeartbeat(
             MachineRecord machine, Optional<ListedMachine> listed, Duration now, Duration leadingSince) {
-        Duration heartbeatTimeout = options.get().silenceTimeout();
+        Duration heartbeatTimeout = options.get().failureTimeout();
         Duration leadingFor = context.pauseDetector().observedTimeSince(leadingSince);
         Duration withoutHeartbeatFor = now.minus(withoutHeartbeatSince.computeIfAbsent(machine.id(), id -> now));
         if (leadingFor.compareTo(heartbeatTimeout.plus(LEADER_WARM_UP)) <= 0
@@ -104,7 +104,7 @@
     }
 
     private boolean isUnreachableForCommands(MachineRecord machine, Duration heartbeatAge, Duration leadingSince) {
-        Duration heartbeatTimeout = options.get().silenceTimeout();
+        Duration heartbeatTimeout = options.get().failureTimeout();
         boolean sendsHeartbeats = heartbeatAge.compareTo(
                         Durations.multiply(context.settings().workers().report(), 2))
                 < 0;
@@ -122,7 +122,7 @@
      * machines that hold some are probed and terminated sooner, but not because of a few late heartbeats.
      */
     private Duration heartbeatTimeout(MachineRecord machine) {
-        Duration limit = options.get().silenceTimeout();
+        Duration limit = options.get().failureTimeout();
         if (!holdsReplicas(machine)) {
             return limit;
         }
--- a/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
+++ b/src/main/java/org/dunespindle/worker/OwnedMachineResponder.java
@@ -21,11 +21,11 @@
             return new HeartbeatReply.Unavailable("the fencing token of the machine is being raised");
         }
         return isConclusive(received, machine)
-                ? leaseRenewal.reply(machine, commands(received, machine))
+                ? leaseRenewal.renewWithCommands(machine, commands(received, machine))
                 : leaseRenewal.renew(received, machine);
     }
 
-    /** Whether the heartbeat is a conclusive status of the machine, and this controller may send commands to it. */
+    /** Whether the heartbeat is a conclusive status of the machine, and the replica contains what is allocated there. */
     private boolean isConclusive(ReceivedHeartbeat received, MachineRecord machine) {
         WorkerState worker = received.worker();
         return received.newer()
