--- a/src/test/java/org/dunespindle/federation/AdmissionTest.java
+++ b/src/test/java/org/dunespindle/federation/AdmissionTest.java
@@ -26,7 +26,7 @@
 import org.dunespindle.storage.JobRecord;
 import org.junit.jupiter.api.Test;
 
-/** What a cell tells of its room, and which jobs of other cells it takes. */
+/** The capacity hints of a cell, and its decisions on offered jobs. */
 class AdmissionTest {
     private static final Resources SIZE = new Resources(4, 4, 4);
     private static final MachineType BOX =
@@ -85,7 +85,7 @@
         JobRecord gang = running("wk-000002", JobKind.GANG, Priority.LOW, "i-2", 3);
         CapacitySurvey survey = survey(List.of(low, gang), ALL_REFUSED);
         assertEquals(Optional.empty(), refusal(survey, TestJobs.gang("wk-000003", Priority.URGENT, 3, false), 0));
-        // The team's limit is 10, seven are in use, and gangs do not give way.
+        // The team's limit is 10, seven tasks are in use, and tasks of gangs are not preemptible.
         assertEquals(
                 Optional.of(Rejection.Reason.NO_ROOM),
                 refusal(survey, TestJobs.gang("wk-000003", Priority.URGENT, 4, false), 0));
@@ -146,7 +146,7 @@
                 .sum();
     }
 
-    /** Where all ask for the same room, the order in which the plan books tells who goes first. */
+    /** Both jobs need the same capacity, so the plan's only binding shows which of them is placed first. */
     @Test
     void visitorsKeepTheirPriorityButOwnWorkOfTheSameGoesFirst() {
         Instant early = Instant.EPOCH;
--- a/src/test/java/org/dunespindle/federation/CellMessageCodecTest.java
+++ b/src/test/java/org/dunespindle/federation/CellMessageCodecTest.java
@@ -18,7 +18,7 @@
 import org.dunespindle.protocol.Resources;
 import org.junit.jupiter.api.Test;
 
-/** Messages between cells survive their way, and bad ones are refused. */
+/** Encoding and decoding of the messages between cells, and rejection of malformed ones. */
 class CellMessageCodecTest {
     private static CellId cell(Random random, String name) {
         return new CellId(
--- a/src/test/java/org/dunespindle/federation/CellMessagesCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/federation/CellMessagesCompatibilityTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What cells send one another, and keep of one another, letter by letter: other cells run other versions, so neither may change
- * with the names in the sources.
+ * The exact encoding of the messages between cells and of the stored records of cells. Other cells may run other versions, so neither
+ * encoding may change with the names in the sources.
  */
 class CellMessagesCompatibilityTest {
     private static final CellId A = new CellId("a", "id-a", 4, "mark-a");
--- a/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
+++ b/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The hand-off of one job as a state machine: its own cell by {@link DelegationRules}, the other cell as its specification, and
- * between them messages in any order, any number of times, or never.
+ * Model test of the delegation protocol for one job: the origin uses {@link DelegationRules}, the remote cell is modelled by its
+ * specification, and messages between them are reordered, duplicated and lost. Guards against a job that runs in both cells.
  */
 class DelegationProtocolTest {
     private static final Duration PATIENCE = Duration.ofSeconds(60);
@@ -37,7 +37,7 @@
         record Told(long number, InboundJobState state, OutboundDelegation.Phase askedIn) implements Message {}
     }
 
-    /** The other cell, as specified: one record for the job, replaced only by that of a higher transfer. */
+    /** The specification of the remote cell: one record for the job, replaced only by that of a higher transfer. */
     private static final class Receiver {
         long number;
         InboundJobState state = InboundJobState.UNKNOWN;
@@ -64,7 +64,7 @@
         }
     }
 
-    /** A world of two cells; fields are what is stored. */
+    /** A model of the origin and the remote cell; its fields are their stored state. */
     private static final class World {
         final Random random;
         final Receiver receiver = new Receiver();
@@ -137,7 +137,7 @@
             }
         }
 
-        /** Any message of those ever sent; most stay, and come again. */
+        /** Delivers any message sent so far. Two thirds of them stay in the network and may be delivered again. */
         private void deliver() {
             if (network.isEmpty()) {
                 return;
@@ -301,7 +301,7 @@
                 InboundJobStatus.of(transfer, InboundJobState.UNKNOWN),
                 OutboundDelegation.Phase.OFFERED,
                 Duration.ofSeconds(9));
-        assertTrue(reports.of(job).isEmpty(), "it may not have arrived yet");
+        assertTrue(reports.of(job).isEmpty(), "the offer may not have arrived yet");
         reports.record(
                 InboundJobStatus.of(transfer, InboundJobState.BEGUN),
                 OutboundDelegation.Phase.ACCEPTED,
--- a/src/test/java/org/dunespindle/federation/SpillPolicyTest.java
+++ b/src/test/java/org/dunespindle/federation/SpillPolicyTest.java
@@ -21,7 +21,7 @@
 import org.dunespindle.storage.OutboundDelegation;
 import org.junit.jupiter.api.Test;
 
-/** Which jobs are offered to which cells. */
+/** The choice of the jobs to offer and of the cells to offer them to. */
 class SpillPolicyTest {
     private static final Instant NOW = Instant.ofEpochSecond(1000);
     private static final int MAX_TRANSFERS = 3;
@@ -97,7 +97,7 @@
                 OutboundDelegation.offer(Optional.empty(), "b", 1).returned(NOW);
         JobRecord back = paused.withDelegationLink(due);
         List<SpillPolicy.Choice> choices = choose(List.of(back), List.of(target("b", 9), target("c", 2)), List.of());
-        assertEquals("c", choices.get(0).cell(), "not to the one that gave it back, while there is another");
+        assertEquals("c", choices.get(0).cell(), "a cell that returned the job is the last resort");
         OutboundDelegation last = due;
         for (int transfer = 2; transfer <= MAX_TRANSFERS; transfer++) {
             last = OutboundDelegation.offer(Optional.of(last), "c", transfer).returned(NOW);
@@ -114,10 +114,10 @@
         assertTrue(SpillPolicy.isDelegable(job));
         JobRecord placed = job.withPlaced(Map.of(0, "i-1"));
         assertFalse(SpillPolicy.isDelegable(placed));
-        assertFalse(SpillPolicy.isDelegable(placed.withReleased(0, false)), "a task of it was booked once");
+        assertFalse(SpillPolicy.isDelegable(placed.withReleased(0, false)), "one of its tasks was placed before");
         assertFalse(
                 SpillPolicy.isDelegable(job.withDelegationLink(InboundDelegation.of("c", 4))),
-                "visitors are never passed on");
+                "inbound jobs are never delegated further");
         assertFalse(
                 SpillPolicy.isDelegable(job.withDelegationLink(OutboundDelegation.offer(Optional.empty(), "b", 1))));
         JobRecord service = JobRecord.accepted(
--- a/src/test/java/org/dunespindle/federation/TestJobs.java
+++ b/src/test/java/org/dunespindle/federation/TestJobs.java
@@ -7,7 +7,7 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.protocol.SubmissionBuilder;
 
-/** Jobs for tests of the federation's parts. */
+/** Submissions for the tests of the federation. */
 final class TestJobs {
     private TestJobs() {}
 
--- a/src/test/java/org/dunespindle/federation/grpc/CellMethodsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/federation/grpc/CellMethodsCompatibilityTest.java
@@ -7,7 +7,7 @@
 import org.dunespindle.federation.CellRequest;
 import org.junit.jupiter.api.Test;
 
-/** The names by which cells call one another: other cells run other versions, so none may change with the names in the sources. */
+/** The gRPC method names. Other cells may run other versions, so no name may change with the names in the sources. */
 class CellMethodsCompatibilityTest {
     @Test
     void fullNames() {
--- a/src/test/java/org/dunespindle/federation/grpc/GrpcCellTest.java
+++ b/src/test/java/org/dunespindle/federation/grpc/GrpcCellTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests between cells over gRPC: answers, deadlines, and bad input, which changes nothing. */
+/** Requests between cells over gRPC: replies, deadlines, and malformed input, which must not reach the handler. */
 @Timeout(60)
 class GrpcCellTest {
     private static final CellId SELF = new CellId("a", "id", 3, "mark");
@@ -60,9 +60,9 @@
     private void handle(CellRequest request, Consumer<CellReply> reply) {
         handled.incrementAndGet();
         if (request instanceof CellRequest.Hello hello && hello.lowestOpenTransfer() == 13) {
-            throw new IllegalStateException("an unlucky number");
+            throw new IllegalStateException("this request makes the handler fail");
         }
-        if (!(request instanceof CellRequest.Recall)) { // a recall is never answered here
+        if (!(request instanceof CellRequest.Recall)) { // the handler never replies to a recall
             reply.accept(new CellReply.NotServed(CellReply.Reason.NOT_LEADER, java.util.Optional.of("n2")));
         }
     }
@@ -84,7 +84,9 @@
         var failure = assertThrows(CompletionException.class, () -> call(recall, Duration.ofMillis(300)));
         assertTrue(failure.getCause() instanceof CellCallException);
         assertEquals("DEADLINE_EXCEEDED", failure.getCause().getMessage());
-        assertTrue(call(new CellRequest.Hello(SELF, 5), DEADLINE) instanceof CellReply.NotServed, "others go on");
+        assertTrue(
+                call(new CellRequest.Hello(SELF, 5), DEADLINE) instanceof CellReply.NotServed,
+                "other calls are not affected");
     }
 
     @Test
--- a/src/test/java/org/dunespindle/federation/grpc/package-info.java
+++ b/src/test/java/org/dunespindle/federation/grpc/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of requests between cells over real sockets. */
+/** Tests of gRPC requests between cells, over real sockets. */
 package org.dunespindle.federation.grpc;
--- a/src/test/java/org/dunespindle/federation/package-info.java
+++ b/src/test/java/org/dunespindle/federation/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the federation's parts; whole cells are tested in {@code sim}. */
+/** Unit tests of the federation; {@code sim} has the tests of whole cells. */
 package org.dunespindle.federation;
--- a/src/test/java/org/dunespindle/sim/CellInvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/CellInvariantChecker.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Watches tasks of several cells: a job is in one at a time, and each of its tasks completes in one. */
+/** Checks that a job runs in at most one of several cells, and that each of its tasks completes in one cell only. */
 final class CellInvariantChecker implements SimulatedEnvironment.Watcher {
-    /** What must never happen, and did. */
+    /** Violated invariants. */
     final List<String> broken = new ArrayList<>();
 
     private final List<SimulatedCluster> cells;
@@ -39,7 +39,8 @@
             places.add(name(cluster));
         }
         if (places.size() > 1) {
-            // A job moves only as long as no task of it has begun, so it never begins in a second cell.
+            // A job is delegated or returned only before any of its tasks is placed, so its tasks never start in a
+            // second cell.
             broken.add("begun in two cells: " + job + " in " + places);
         }
     }
@@ -52,7 +53,7 @@
         }
     }
 
-    /** Where a job's first task completed; empty if it did not. */
+    /** The cell in which a job's first task completed; empty if it did not. */
     String finishedIn(String job) {
         return finishedIn.getOrDefault(job + "/0", "");
     }
--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -22,8 +22,9 @@
 import org.knowm.xchart.XYChartBuilder;
 
 /**
- * Measures the federation against the project's own stand-ins and writes an HTML report: waiting times with and without spilling as
- * one cell fills, what a moved job costs, how long a cut is felt, and what controllers use as processes. Not part of the tests:
+ * Measures the federation in the simulation and writes an HTML report: waiting times with and without spillover at increasing load of
+ * one cell, the state writes and calls of each job, the recovery time after a partition, and the resources of controllers that run as
+ * processes. Not part of the tests:
  * {@code mvn -q package -DskipTests test-compile dependency:build-classpath -Dmdep.outputFile=target/cp} and then
  * {@code java -cp target/test-classes:target/classes:$(cat target/cp) org.dunespindle.sim.FederationLoad REPORT.html}.
  */
@@ -53,10 +54,10 @@
         recovery();
         processes();
         Files.writeString(file, html);
-        System.exit(0); // threads of the libraries that are still winding down
+        System.exit(0); // does not wait for threads of libraries that are still shutting down
     }
 
-    /** What one run of three cells gave. */
+    /** The results of a run of three cells. */
     private static final class Run {
         final Histogram waits = new Histogram(3_600_000L, 3);
         int jobs;
@@ -159,7 +160,7 @@
         plot("90% start within", "fill of cell a", "seconds", FILLS, curves);
     }
 
-    /** A cut between the home and both others while jobs are given away: how long after its end all of them are done. */
+    /** Partitions the origin from both other cells while jobs are delegated, and measures how long after its end all jobs are done. */
     private void recovery() {
         html.append("<h2>A cut of 60 s between cell a and both others while jobs move</h2><table>");
         row("seed", "jobs away at the cut", "done after its end (s)", "broken");
@@ -189,7 +190,7 @@
         html.append("</table>");
     }
 
-    /** Nine controllers as processes, idle and while builds move, with the feature off and on. */
+    /** Nine controllers as processes, with the feature off and on, idle and while jobs are delegated. */
     private void processes() throws Exception {
         html.append("<h2>Controllers as processes (deploy file's command line), ")
                 .append(MEASURED.toSeconds())
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Three cells of whole controllers in virtual time: what one cannot place runs in another, once. */
+/** Three federated cells in virtual time: a job that one cell cannot place runs in exactly one of the others. */
 class FederationTest {
     static final Duration LONG = Duration.ofMinutes(8);
     private static final String BUILD = "wk-000007";
@@ -45,7 +45,7 @@
                 .build();
     }
 
-    /** Cell a is filled with its own urgent work for minutes; nothing gives way to work of the same priority. */
+    /** Fills cell a for minutes with work of the highest priority, which nothing can preempt. */
     static SimulatedFederation filled(long seed, int... machines) {
         var federation = new SimulatedFederation(seed, machines);
         SimulatedCluster a = federation.cell("a");
@@ -98,11 +98,11 @@
         return row == null ? "" : row.value().path("away").path(2).asText();
     }
 
-    /** Runs until something holds, looking ten times a second. */
+    /** Runs until a condition holds, checking it ten times a second. */
     static void until(SimulatedFederation federation, String what, long seconds, BooleanSupplier condition) {
         Duration end = federation.sim.now().plusSeconds(seconds);
         while (!condition.getAsBoolean()) {
-            assertTrue(federation.sim.now().compareTo(end) < 0, "did not come to this: " + what);
+            assertTrue(federation.sim.now().compareTo(end) < 0, "timed out waiting for: " + what);
             federation.sim.run(federation.sim.now().plusMillis(100));
         }
     }
@@ -116,7 +116,7 @@
         return federation;
     }
 
-    /** Agency builds go before the receiver's own experiments, which give way; work of the same priority there does not. */
+    /** A delegated job preempts the remote cell's own work of a lower priority, but not that of the same priority. */
     @Test
     void priorityHoldsAfterTheMove() {
         SimulatedFederation federation = filled(2, 2, 2, 2);
@@ -147,7 +147,7 @@
         SimulatedCluster a = federation.cell("a");
         until(
                 federation,
-                "it runs elsewhere",
+                "the job runs in a remote cell",
                 150,
                 () -> phase(a, BUILD).equals("ACCEPTED") && a.lastTold(BUILD).equals("running"));
         SimulatedCluster receiver = receiverOf(federation);
@@ -159,7 +159,7 @@
         assertTrue(
                 List.of("b", "c").contains(own.body().path("cell").asText()),
                 own.body().toString());
-        // The id is in use there, so a job of the same name waits to be taken, and is never mistaken for the visitor.
+        // The id is in use there, so a submission with the same id is not accepted, nor confused with the inbound job.
         Submission same = job(BUILD, "red", JobKind.ARRAY, Priority.LOW, 1);
         CompletableFuture<UserApi.Answer> refused = receiver.offer(2, same.toNode());
         run(federation, 2);
@@ -181,7 +181,11 @@
     void aCancellationIsConfirmedOnlyOnceTheOtherCellHasStoredIt() {
         SimulatedFederation federation = withOneBuild(4, Duration.ofSeconds(200));
         SimulatedCluster a = federation.cell("a");
-        until(federation, "it runs elsewhere", 150, () -> a.lastTold(BUILD).equals("running"));
+        until(
+                federation,
+                "the job runs in a remote cell",
+                150,
+                () -> a.lastTold(BUILD).equals("running"));
         int there = federation.cells.indexOf(receiverOf(federation));
         federation.cut(0, there, true);
         var answer = new CompletableFuture<UserApi.Answer>();
@@ -190,7 +194,11 @@
         assertEquals(503, answer.join().status(), answer.join().body().toString());
         federation.cut(0, there, false);
         a.cancel(BUILD);
-        until(federation, "its user is told", 30, () -> a.lastTold(BUILD).equals("cancelled"));
+        until(
+                federation,
+                "the user receives the cancellation",
+                30,
+                () -> a.lastTold(BUILD).equals("cancelled"));
         run(federation, 60);
         assertTrue(federation.cells.get(there).rules.live().isEmpty());
         assertEquals(List.of(), federation.violations());
@@ -199,7 +207,7 @@
     @Test
     void aJobThatWaitsThereComesBackAndIsGivenAwayABoundedNumberOfTimes() {
         SimulatedFederation federation = filled(5, 2, 2, 2);
-        // Both others are filled the moment that they have accepted; their own work goes before visitors.
+        // Both other cells are filled with work of a higher priority as soon as they have accepted the job.
         federation.tamper = new SimulatedFederation.Tamper() {
             @Override
             public CellReply reply(int from, CellReply reply) {
@@ -235,7 +243,7 @@
         assertEquals(List.of(), federation.violations());
     }
 
-    /** The leader of either cell ends at every step of the hand-off, as seen in what is stored and on the way. */
+    /** The leader of the origin or of the remote cell crashes at each step of the protocol. */
     @ParameterizedTest
     @MethodSource("steps")
     void aLeaderEndsAtAnyStep(String step, boolean home) {
@@ -284,7 +292,7 @@
         return cell.admin(node, "GET", "/v1/" + path, "").join().body().toString();
     }
 
-    /** The state that a cell's service had when it was asked to remember; put back later. */
+    /** Copies the present contents of a cell's state store; the returned action restores them and restarts all controllers. */
     private static Runnable remember(SimulatedCluster cell) {
         var rows = new TreeMap<>(cell.state.rows());
         return () -> {
@@ -299,7 +307,11 @@
     void aCellThatWasRebuiltEmptyIsNotTakenForTheOneThatHoldsTheJob() {
         SimulatedFederation federation = withOneBuild(8, Duration.ofSeconds(400));
         SimulatedCluster a = federation.cell("a");
-        until(federation, "it runs elsewhere", 150, () -> a.lastTold(BUILD).equals("running"));
+        until(
+                federation,
+                "the job runs in a remote cell",
+                150,
+                () -> a.lastTold(BUILD).equals("running"));
         SimulatedCluster receiver = receiverOf(federation);
         receiver.state.putBack(new TreeMap<>());
         for (int node = 0; node < 3; node++) {
@@ -307,7 +319,7 @@
         }
         run(federation, 90);
         assertTrue(shown(a, "cells").contains("rebuilt empty"), shown(a, "cells"));
-        assertEquals("ACCEPTED", phase(a, BUILD), "nothing is concluded");
+        assertEquals("ACCEPTED", phase(a, BUILD), "the transfer stays as it is");
         String name = SimulatedFederation.NAMES.get(federation.cells.indexOf(receiver));
         int node = a.leader();
         assertEquals(
@@ -323,8 +335,8 @@
                         .status());
         run(federation, 40);
         boolean home = phase(a, BUILD).equals("HOME") || federation.transfers(a, BUILD) > 1 || a.over(BUILD);
-        assertTrue(home, "an operator's word brings it home, and it may be given away anew");
-        // The rebuilt cell is met anew, and may be given work again.
+        assertTrue(home, "the job returns after the abandonment, and may be delegated again");
+        // The rebuilt cell's new identity is stored, and it may receive jobs again.
         assertFalse(shown(a, "cells").contains("rebuilt empty"), shown(a, "cells"));
     }
 
@@ -334,11 +346,15 @@
         SimulatedCluster a = federation.cell("a");
         run(federation, 14);
         List<Runnable> putBack = List.of(remember(federation.cell("b")), remember(federation.cell("c")));
-        until(federation, "it runs elsewhere", 150, () -> a.lastTold(BUILD).equals("running"));
+        until(
+                federation,
+                "the job runs in a remote cell",
+                150,
+                () -> a.lastTold(BUILD).equals("running"));
         int there = federation.cells.indexOf(receiverOf(federation));
         putBack.get(there - 1).run();
         run(federation, 60);
-        assertEquals("ACCEPTED", phase(a, BUILD), "nothing is concluded");
+        assertEquals("ACCEPTED", phase(a, BUILD), "the transfer stays as it is");
         String waits = shown(a, "delegations");
         assertTrue(waits.contains("does not know a job that it had accepted"), waits);
         assertTrue(shown(a, "cells").contains("needs an operator"), shown(a, "cells"));
@@ -350,7 +366,11 @@
         SimulatedCluster a = federation.cell("a");
         run(federation, 14);
         Runnable putBack = remember(a);
-        until(federation, "it runs elsewhere", 150, () -> a.lastTold(BUILD).equals("running"));
+        until(
+                federation,
+                "the job runs in a remote cell",
+                150,
+                () -> a.lastTold(BUILD).equals("running"));
         run(federation, 10);
         putBack.run();
         run(federation, 60);
@@ -376,7 +396,7 @@
         assertTrue(shown(federation.cell("a"), "cells").contains("two bear the name"));
     }
 
-    /** The checks above must notice: a receiver that says that a job is not there, but stores nothing, is a wrong one. */
+    /** Checks the invariant checker: a remote cell that reports a transfer as withdrawn, but does not store that, must be detected. */
     @Test
     void anAnswerThatIsNotStoredIsNoticed() {
         SimulatedFederation federation = withOneBuild(12, Duration.ofSeconds(60));
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -40,18 +40,18 @@
 import org.dunespindle.transport.NettyHttpServer;
 
 /**
- * Three cells of three real controllers each on loopback, with real sockets between all parts. State services, clouds and workers are
- * the stand-ins of the simulation, whose clock follows real time on a thread of their own.
+ * Three cells of three real controllers each on the loopback interface, with real sockets between all parts. State stores, clouds and
+ * workers are those of the simulation, whose clock follows real time on a thread of its own.
  */
 final class LoopbackCells implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
     private static final int CONTROLLERS = 3;
-    /** More workers than this, returned ones included, are not reached. */
+    /** The maximum number of workers of a cell, terminated ones included. */
     private static final int WORKER_PORTS = 16;
 
     private static final int FIRST_PORT = 12_000;
     private static final int PORTS = 18_000;
-    /** Several builds on one machine begin at different places. */
+    /** Depends on the process id, so that concurrent test runs on one machine start at different ports. */
     private static int nextPort = (int) (ProcessHandle.current().pid() * 131 % PORTS);
 
     private static final int BODY_LIMIT = 1 << 20;
@@ -71,7 +71,7 @@
 
     private record Waiting(BooleanSupplier condition, CompletableFuture<Void> met) {}
 
-    /** One cell: its stand-ins and its controllers. */
+    /** One cell: its simulated surroundings and its controllers. */
     final class Cell implements SimulatedEnvironment.Outside {
         final String name;
         SimulatedCluster standIns;
@@ -83,7 +83,7 @@
         private final List<Integer> freePorts = new ArrayList<>();
         private int statePort;
         private int cloudPort;
-        /** How long the state service takes for each answer. */
+        /** The delay of each reply of the state store. */
         Duration stateDelay = Duration.ZERO;
 
         Cell(String name) throws IOException {
@@ -172,12 +172,12 @@
             return new FederationSettings(name, federation[node], others);
         }
 
-        /** The controller that leads, as stored; -1 if none does. */
+        /** The stored leader's number; -1 if there is none. */
         int leader() {
             return standIns.leader();
         }
 
-        /** Submits a job until it is accepted, and asks about it until it is over. */
+        /** Submits a job, retrying until it is accepted, and polls it until it has ended. */
         void submit(Submission job) {
             standIns.jobs.put(job.id(), job);
             offer(job, 0);
@@ -208,7 +208,7 @@
                     });
         }
 
-        /** Changes one of the operators' settings. */
+        /** Sets an operator option. */
         void set(String option, double value) throws Exception {
             HttpClientResponse now = await(admin(0, "GET", "/v1/options", MessagePackCodec.map()));
             ObjectNode change =
@@ -216,11 +216,11 @@
             change.putObject("values").put(option, value);
             HttpClientResponse set = await(admin(0, "PUT", "/v1/options", change));
             if (set.status() != 200) {
-                throw new IllegalStateException(option + " is not taken: " + json(set));
+                throw new IllegalStateException("option " + option + " was not accepted: " + json(set));
             }
         }
 
-        /** Asks a controller's administration API. */
+        /** Calls a controller's administration API. */
         CompletableFuture<HttpClientResponse> admin(int node, String method, String path, ObjectNode body) {
             byte[] bytes = method.equals("GET")
                     ? new byte[0]
@@ -229,7 +229,7 @@
         }
     }
 
-    /** A controller that runs, in this process or in one of its own. */
+    /** A running controller, in this process or in one of its own. */
     interface Running extends AutoCloseable {
         @Override
         void close();
@@ -240,7 +240,7 @@
         Running start(String cell, JsonNode settings, FederationSettings federation) throws Exception;
     }
 
-    /** Controllers that are part of this process. */
+    /** Starts controllers in this process. */
     static final Starter IN_PROCESS = (cell, settings, federation) ->
             new Daemon(Settings.parse(settings), Optional.of(new FederationExtension(federation)))::close;
 
@@ -281,25 +281,25 @@
         }
     }
 
-    /** The simulation's clock follows the real one; whoever waits for something is told once it is so. */
+    /** Advances the simulation to the real time, and completes the futures of conditions that hold now. */
     private void pump() {
         sim.run(Duration.ofNanos(System.nanoTime() - origin));
         waiting.removeIf(one -> one.condition.getAsBoolean() && one.met.complete(null));
     }
 
-    /** Runs something on the stand-ins' thread. */
+    /** Runs an action on the simulation's thread. */
     <T> T on(Callable<T> work) throws Exception {
         return await(group.next().submit(work));
     }
 
-    /** Waits until something holds, as seen on the stand-ins' thread. */
+    /** Waits until a condition holds; it is evaluated on the simulation's thread. */
     void await(String what, Duration within, BooleanSupplier condition) throws Exception {
         var met = new CompletableFuture<Void>();
         group.next().execute(() -> waiting.add(new Waiting(condition, met)));
         try {
             met.get(within.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            throw new AssertionError("within " + within.toSeconds() + " s it did not come to this: " + what, e);
+            throw new AssertionError("timed out after " + within.toSeconds() + " s waiting for: " + what, e);
         }
     }
 
@@ -361,14 +361,13 @@
         }
     }
 
-    /** A JSON answer of the administration API. */
+    /** Parses a JSON response of the administration API. */
     static JsonNode json(HttpClientResponse response) throws IOException {
         return new ObjectMapper().readTree(response.body());
     }
 
     /**
-     * A port that nobody listens on, below those that the system gives to outgoing connections: between the choice and its use none of
-     * those can take it.
+     * Finds a free port below the ephemeral range, so that no outgoing connection can occupy it before it is used.
      */
     private static int freePort() throws IOException {
         for (int tries = 0; tries < PORTS; tries++) {
@@ -377,20 +376,20 @@
                 socket.bind(new InetSocketAddress(HOST, port));
                 return port;
             } catch (BindException e) {
-                // Somebody else uses it: the next one is tried.
+                // The port is in use; try the next one.
             }
         }
         throw new IOException("no free port from " + FIRST_PORT + " on");
     }
 
-    /** What must never happen, and did. */
+    /** All violations of invariants, within cells and between them. */
     List<String> violations() {
         var all = new ArrayList<>(watch.broken);
         cells.forEach(cell -> all.addAll(cell.standIns.broken));
         return all;
     }
 
-    /** Jobs whose tasks have all completed. */
+    /** The ids of jobs whose tasks have all completed. */
     Set<String> completed() {
         return Set.copyOf(cells.get(0).standIns.completed.keySet());
     }
--- a/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
@@ -25,14 +25,14 @@
             LoopbackCells.Cell a = cells.cells.get(0);
             LoopbackCells.Cell b = cells.cells.get(1);
             fill(cells, a);
-            cells.cells.get(2).stateDelay = Duration.ofMillis(400); // it answers slowly from now on
+            cells.cells.get(2).stateDelay = Duration.ofMillis(400); // the state store of cell c is slow from now on
             List<String> builds = submitBuilds(cells, a);
-            cells.await("a build is on its way", Duration.ofSeconds(60), () -> anyAway(a));
+            cells.await("a job is being delegated", Duration.ofSeconds(60), () -> anyAway(a));
             int killed = cells.on(b::leader);
             b.controllers[killed].close();
 
             cells.await(
-                    "all builds are done",
+                    "all jobs are done",
                     Duration.ofSeconds(150),
                     () -> builds.stream().allMatch(id -> a.standIns.lastTold(id).equals("done")));
             assertEquals(List.of(), cells.on(cells::violations));
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Fills a cell with work that gives way to nothing. */
+    /** Fills a cell with work of the highest priority, which nothing can preempt. */
     private static void fill(LoopbackCells cells, LoopbackCells.Cell a) throws Exception {
         cells.cells.forEach(cell -> cell.standIns.lengthOf =
                 task -> Optional.of(task.job().startsWith("fill-") ? LONG : Duration.ofSeconds(3)));
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -10,7 +10,7 @@
 import org.dunespindle.protocol.Priority;
 import org.dunespindle.protocol.Submission;
 
-/** A day of three cells on which one is filled, its builds move, and troubles drawn from a seed meet. */
+/** A run of three cells: one cell is full, its jobs are delegated, and faults drawn from a seed are injected at the same time. */
 final class RandomFederationFaults {
     private static final int FILLED_AT_LEAST_MILLIS = 50_000;
     private static final int FILLED_AT_MOST_MILLIS = 240_000;
@@ -18,7 +18,7 @@
     private static final int TROUBLES_WITHIN_MILLIS = 45_000;
     private static final Duration END = Duration.ofMinutes(16);
 
-    /** What may go wrong. */
+    /** The faults that can be injected. */
     enum Trouble {
         LEADER_CRASHES,
         CELL_CRASHES,
@@ -46,7 +46,7 @@
     RandomFederationFaults(long seed, RandomFaultSchedule.StateService stateService) {
         federation = new SimulatedFederation(seed, stateService, 2, 3, 3);
         random = new Random(seed * 37 + 11);
-        // On some days room comes back while jobs are on their way.
+        // In some runs capacity becomes free in cell a while jobs are being delegated.
         Duration filled = millis(FILLED_AT_LEAST_MILLIS, FILLED_AT_MOST_MILLIS);
         federation.cells.forEach(cell -> cell.lengthOf = task -> task.job().startsWith("fill-")
                 ? Optional.of(filled)
@@ -56,7 +56,7 @@
         submitBuilds();
     }
 
-    /** Jobs move sooner, and are wanted back sooner, than by default: so that there is more to meet. */
+    /** Shortens the delays of delegation and recall, so that more transfers coincide with faults. */
     private void hurry() {
         double spillAfter = 3 + random.nextInt(10);
         double recallAfter = 5 + random.nextInt(20);
@@ -68,7 +68,7 @@
         return story;
     }
 
-    /** How many builds completed in another cell than their own. */
+    /** How many jobs completed in a cell other than their origin. */
     long moved() {
         return builds.stream()
                 .filter(id -> List.of("b", "c").contains(federation.finishedIn(id)))
@@ -98,7 +98,7 @@
         return Duration.ofMillis(least + random.nextInt(most - least));
     }
 
-    /** So many troubles, at moments at which jobs are on their way. */
+    /** Adds random faults at times at which jobs are being delegated. */
     void addAny(int count) {
         Trouble[] all = Trouble.values();
         for (int i = 0; i < count; i++) {
@@ -183,18 +183,18 @@
                 fill(1, random.nextInt(8000));
                 fill(2, random.nextInt(8000));
             }
-            default -> throw new IllegalArgumentException(trouble + " is none of the network");
+            default -> throw new IllegalArgumentException(trouble + " is not a network fault");
         }
     }
 
-    /** Runs the day; rules broken, and jobs that did not end. */
+    /** Runs to the end; returns the violated invariants and the jobs that did not end. */
     List<String> play() {
         federation.sim.run(END);
         var wrong = new ArrayList<>(federation.violations());
         SimulatedCluster home = federation.cells.get(0);
         for (String id : builds) {
             if (!home.over(id)) {
-                wrong.add(id + " is " + home.lastTold(id) + " in phase "
+                wrong.add(id + " is " + home.lastTold(id) + ", with the delegation link "
                         + home.state.rows().get("ds/job/" + id).value().path("away"));
             }
         }
--- a/src/test/java/org/dunespindle/sim/SimulatedFederation.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedFederation.java
@@ -25,48 +25,49 @@
 import org.dunespindle.storage.FormatVersion;
 
 /**
- * Three cells under one clock, each a whole simulated cluster, with a network between them that delays, loses, repeats, holds and
- * cuts. Watches over what must hold of jobs that move.
+ * Three simulated clusters in virtual time, federated over a network that can delay, lose, duplicate and block messages. Checks the
+ * invariants of delegated jobs.
  */
 final class SimulatedFederation {
     static final List<String> NAMES = List.of("a", "b", "c");
     private static final int CONTROLLERS = 3;
     final VirtualTime sim;
     final List<SimulatedCluster> cells = new ArrayList<>();
-    /** What must never happen, and did. */
+    /** Violated invariants between cells. */
     private final List<String> broken;
 
     private final CellInvariantChecker watch;
-    /** Calls between cells by kind. */
+    /** The number of calls between cells, by type of request. */
     final Map<String, Integer> calls = new TreeMap<>();
 
     private final Federation[][] federations = new Federation[NAMES.size()][CONTROLLERS];
-    /** Cells that do not hear one another, as from * 3 + to. */
+    /** Whether messages from one cell to another are blocked, at index from * 3 + to. */
     final boolean[] cut = new boolean[NAMES.size() * NAMES.size()];
 
     private final Duration[] heldUntil = new Duration[NAMES.size() * NAMES.size()];
-    /** The part of messages, in either direction, that is held for up to so long. */
+    /** The probability that a request or a reply is delayed. */
     double held;
 
+    /** The maximum delay of delayed messages and of duplicates. */
     Duration heldAtMost = Duration.ofMinutes(2);
-    /** The part of requests that arrive once more, later. */
+    /** The probability that a request arrives a second time, later. */
     double repeated;
 
     double loss;
-    /** How often a job may be given away; a test that changes the option changes this too. */
+    /** How often a job may be delegated; a test that changes the option has to change this too. */
     int maxTransfers = 3;
 
     Tamper tamper = new Tamper() {};
     private final Random network;
 
-    /** Changes messages on their way, for tests of what cells make of them, and of whether the checks here notice. */
+    /** Changes messages in transit, to test how cells handle them and whether the invariant checks detect violations. */
     interface Tamper {
-        /** The request that arrives in place of one; null for none. */
+        /** Returns the request to deliver instead; null to drop it. */
         default CellRequest request(int to, CellRequest request) {
             return request;
         }
 
-        /** The answer that arrives in place of one; null for none. */
+        /** Returns the reply to deliver instead; null to drop it. */
         default CellReply reply(int from, CellReply reply) {
             return reply;
         }
@@ -76,7 +77,7 @@
         this(seed, RandomFaultSchedule.StateService.UNLIMITED, machines);
     }
 
-    /** Cells whose state services all serve in one way. */
+    /** Creates cells whose state stores have the same limits. */
     SimulatedFederation(long seed, RandomFaultSchedule.StateService stateService, int... machines) {
         sim = new VirtualTime(seed);
         network = new Random(seed ^ 0x5eedL);
@@ -130,7 +131,9 @@
             calls.merge(request.getClass().getSimpleName(), 1, Integer::sum);
             int to = address.charAt(0) - '0';
             int node = address.charAt(2) - '0';
-            process.schedule(deadline, () -> result.completeExceptionally(new CellCallException("no answer in time")));
+            process.schedule(
+                    deadline,
+                    () -> result.completeExceptionally(new CellCallException("no reply before the deadline")));
             byte[] body = CellMessageCodec.write(request);
             int copies = network.nextDouble() < repeated ? 2 : 1;
             for (int copy = 0; copy < copies; copy++) {
@@ -204,13 +207,13 @@
         }
     }
 
-    /** Cuts two cells off from each other, or joins them again. */
+    /** Starts or ends a partition between two cells, in both directions. */
     void cut(int one, int other, boolean yes) {
         cut[one * NAMES.size() + other] = yes;
         cut[other * NAMES.size() + one] = yes;
     }
 
-    /** Requests of one cell to another are held back for a while, and all arrive then. */
+    /** Delays all requests of one cell to another until the given time has passed. */
     void hold(int from, int to, Duration length) {
         heldUntil[from * NAMES.size() + to] = sim.now().plus(length);
     }
@@ -219,7 +222,7 @@
         return cells.get(NAMES.indexOf(name));
     }
 
-    /** Everything that is wrong, in any cell or between them. */
+    /** All violated invariants, within cells and between them. */
     List<String> violations() {
         var all = new ArrayList<>(broken);
         for (SimulatedCluster cell : cells) {
@@ -228,7 +231,7 @@
         return all;
     }
 
-    /** How often a job's own cell has given it away, as stored; 0 once it has ended. */
+    /** How often the origin has delegated a job, as stored; 0 once the job has ended. */
     int transfers(SimulatedCluster home, String job) {
         FakeStateStore.Row row = home.state.rows().get("ds/job/" + job);
         return row == null ? 0 : row.value().path("away").path(3).asInt();
@@ -245,7 +248,7 @@
         sim.after(500, this::watch);
     }
 
-    /** Where a job's first task completed. */
+    /** The cell in which a job's first task completed; empty if it did not. */
     String finishedIn(String job) {
         return watch.finishedIn(job);
     }
--- a/src/test/java/org/dunespindle/sim/SimulatedOperators.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedOperators.java
@@ -11,7 +11,7 @@
 import org.dunespindle.protocol.JsonCodec;
 import org.dunespindle.protocol.MessagePackCodec;
 
-/** The operators of a simulated cluster: they use the administration API of single controllers. */
+/** The operators of a simulated cluster, who use the administration API of its controllers. */
 final class SimulatedOperators {
     private static final int CONTROLLERS = 3;
     private final VirtualTime sim;
@@ -21,7 +21,7 @@
     /**
      * Creates the operators.
      *
-     * @param broken told what must not happen
+     * @param broken receives the violations of invariants
      */
     SimulatedOperators(VirtualTime sim, IntFunction<Controller> controllers, Consumer<String> broken) {
         this.sim = sim;
@@ -29,7 +29,7 @@
         this.broken = broken;
     }
 
-    /** What all controllers decided lately, in words. */
+    /** The texts of the recent decisions of all controllers, one per line. */
     String decisions() {
         var text = new StringBuilder();
         for (int node = 0; node < CONTROLLERS; node++) {
@@ -42,7 +42,7 @@
         return text.toString();
     }
 
-    /** Asks a controller's administration API; the answer comes within the next second of virtual time. */
+    /** Calls a controller's administration API, and runs the simulation for a second, within which the response arrives. */
     CompletableFuture<AdminResponse> ask(int node, String method, String path, String body) {
         var result = new CompletableFuture<AdminResponse>();
         controllers
@@ -53,14 +53,14 @@
         return result;
     }
 
-    /** Has a controller store some of the operators' settings, which nobody has changed before. */
+    /** Sets operator options through a controller. They must not have been changed before. */
     void setOptions(int node, Map<String, Double> values) {
         ObjectNode change = MessagePackCodec.map().put("stamp", 0);
         ObjectNode list = change.putObject("values");
         values.forEach(list::put);
         controllers.apply(node).adminApi().handle("PUT", "/v1/options", JsonCodec.write(change), answer -> {
             if (answer.status() != 200) {
-                broken.accept("options are not taken: " + answer.body());
+                broken.accept("options were not accepted: " + answer.body());
             }
         });
     }
