--- a/src/test/java/org/dunespindle/federation/AdmissionTest.java
+++ b/src/test/java/org/dunespindle/federation/AdmissionTest.java
@@ -31,7 +31,7 @@
     private static final Resources SIZE = new Resources(4, 4, 4);
     private static final MachineType BOX =
             new MachineType("box", SIZE, 50, 1, 10, 4, Duration.ofSeconds(30), List.of("east", "west"));
-    private static final Set<MachinePool> ALL_REFUSED = Set.of(
+    private static final Set<MachinePool> ALL_POOLS_REFUSED = Set.of(
             new MachinePool("box", "east", false),
             new MachinePool("box", "east", true),
             new MachinePool("box", "west", false),
@@ -65,74 +65,77 @@
         return new CapacitySurvey(snapshot, Planner.plan(snapshot), List.of(BOX));
     }
 
-    private static JobRecord running(String id, JobKind shape, Priority priority, String host, int tasks) {
+    private static JobRecord running(String id, JobKind kind, Priority priority, String host, int tasks) {
         var places = new java.util.LinkedHashMap<Integer, String>();
         for (int task = 0; task < tasks; task++) {
             places.put(task, host);
         }
-        Submission job = TestJobs.of(id, shape, priority, tasks, Optional.empty(), false);
+        Submission job = TestJobs.of(id, kind, priority, tasks, Optional.empty(), false);
         return JobRecord.accepted(job, Instant.EPOCH).withPlaced(places);
     }
 
-    private static Optional<Rejection.Reason> refusal(CapacitySurvey survey, Submission job, int visitors) {
+    private static Optional<Rejection.Reason> rejectionReason(CapacitySurvey survey, Submission job, int inboundJobs) {
         return AdmissionPolicy.rejectionReason(
-                job, new AdmissionPolicy.View(survey, Optional.empty(), visitors, 5, List.of()));
+                job, new AdmissionPolicy.View(survey, Optional.empty(), inboundJobs, 5, List.of()));
     }
 
     @Test
-    void roomIsWhatIsFreeOrHeldByLowerWork() {
+    void freeAndPreemptibleCapacityCountsForOffers() {
         JobRecord low = running("wk-000001", JobKind.ARRAY, Priority.LOW, "i-1", 4);
         JobRecord gang = running("wk-000002", JobKind.GANG, Priority.LOW, "i-2", 3);
-        CapacitySurvey survey = survey(List.of(low, gang), ALL_REFUSED);
-        assertEquals(Optional.empty(), refusal(survey, TestJobs.gang("wk-000003", Priority.URGENT, 3, false), 0));
+        CapacitySurvey survey = survey(List.of(low, gang), ALL_POOLS_REFUSED);
+        assertEquals(
+                Optional.empty(), rejectionReason(survey, TestJobs.gang("wk-000003", Priority.URGENT, 3, false), 0));
         // The team's limit is 10, seven tasks are in use, and tasks of gangs are not preemptible.
         assertEquals(
                 Optional.of(Rejection.Reason.NO_ROOM),
-                refusal(survey, TestJobs.gang("wk-000003", Priority.URGENT, 4, false), 0));
+                rejectionReason(survey, TestJobs.gang("wk-000003", Priority.URGENT, 4, false), 0));
         assertEquals(
                 Optional.of(Rejection.Reason.NO_ROOM),
-                refusal(survey, TestJobs.gang("wk-000003", Priority.LOW, 2, false), 0));
+                rejectionReason(survey, TestJobs.gang("wk-000003", Priority.LOW, 2, false), 0));
         assertEquals(
                 Optional.of(Rejection.Reason.NO_ROOM),
-                refusal(survey, TestJobs.gang("wk-000003", Priority.NORMAL, 5, true), 0));
+                rejectionReason(survey, TestJobs.gang("wk-000003", Priority.NORMAL, 5, true), 0));
     }
 
     @Test
-    void machinesThatMayBeRentedAreRoom() {
+    void rentablePoolsCountForOffers() {
         JobRecord low = running("wk-000001", JobKind.ARRAY, Priority.CRITICAL, "i-1", 4);
         Submission job = TestJobs.gang("wk-000003", Priority.URGENT, 6, true);
-        assertEquals(Optional.of(Rejection.Reason.NO_ROOM), refusal(survey(List.of(low), ALL_REFUSED), job, 0));
-        assertEquals(Optional.empty(), refusal(survey(List.of(low), Set.of()), job, 0));
+        assertEquals(
+                Optional.of(Rejection.Reason.NO_ROOM),
+                rejectionReason(survey(List.of(low), ALL_POOLS_REFUSED), job, 0));
+        assertEquals(Optional.empty(), rejectionReason(survey(List.of(low), Set.of()), job, 0));
     }
 
     @Test
-    void ownWorkOfTheSamePriorityThatWaitsGoesFirst() {
+    void offersAreDeclinedWhileOwnWorkOfTheSamePriorityWaits() {
         JobRecord full = running("wk-000001", JobKind.GANG, Priority.CRITICAL, "i-1", 4);
-        JobRecord waits = JobRecord.accepted(TestJobs.gang("wk-000002", Priority.URGENT, 6, false), Instant.EPOCH);
-        CapacitySurvey survey = survey(List.of(full, waits), ALL_REFUSED);
+        JobRecord waiting = JobRecord.accepted(TestJobs.gang("wk-000002", Priority.URGENT, 6, false), Instant.EPOCH);
+        CapacitySurvey survey = survey(List.of(full, waiting), ALL_POOLS_REFUSED);
         assertEquals(
                 List.of("wk-000002"),
                 survey.unplacedJobs().stream().map(JobRecord::id).toList());
         assertEquals(
                 Optional.of(Rejection.Reason.NO_ROOM),
-                refusal(survey, TestJobs.gang("wk-000003", Priority.URGENT, 1, false), 0));
+                rejectionReason(survey, TestJobs.gang("wk-000003", Priority.URGENT, 1, false), 0));
     }
 
     @Test
-    void eachRefusalNamesItsReason() {
+    void eachRejectionNamesItsReason() {
         CapacitySurvey survey = survey(List.of(), Set.of());
         Submission job = TestJobs.array("wk-000003", 2);
-        assertEquals(Optional.of(Rejection.Reason.TOO_MANY_VISITORS), refusal(survey, job, 5));
+        assertEquals(Optional.of(Rejection.Reason.TOO_MANY_VISITORS), rejectionReason(survey, job, 5));
         var never = new AdmissionPolicy.View(survey, Optional.of("team red is unknown"), 0, 5, List.of());
         assertEquals(Optional.of(Rejection.Reason.NEVER_FITS), AdmissionPolicy.rejectionReason(job, never));
-        var gives = new AdmissionPolicy.View(survey, Optional.empty(), 0, 5, List.of(ResourceKind.of(job)));
-        assertEquals(Optional.of(Rejection.Reason.GIVES_AWAY), AdmissionPolicy.rejectionReason(job, gives));
+        var delegating = new AdmissionPolicy.View(survey, Optional.empty(), 0, 5, List.of(ResourceKind.of(job)));
+        assertEquals(Optional.of(Rejection.Reason.GIVES_AWAY), AdmissionPolicy.rejectionReason(job, delegating));
     }
 
     @Test
-    void hintsTellRoomByPriority() {
+    void hintsShowCapacityByPriority() {
         JobRecord low = running("wk-000001", JobKind.ARRAY, Priority.LOW, "i-1", 3);
-        List<CapacityHint> hints = survey(List.of(low), ALL_REFUSED).hints();
+        List<CapacityHint> hints = survey(List.of(low), ALL_POOLS_REFUSED).hints();
         assertEquals(1, tasks(hints, "east", Priority.LOW));
         assertEquals(4, tasks(hints, "east", Priority.NORMAL));
         assertEquals(4, tasks(hints, "west", Priority.LOW));
@@ -148,20 +151,20 @@
 
     /** Both jobs need the same capacity, so the plan's only binding shows which of them is placed first. */
     @Test
-    void visitorsKeepTheirPriorityButOwnWorkOfTheSameGoesFirst() {
+    void inboundJobsKeepTheirPriorityButOwnJobsOfTheSamePriorityGoFirst() {
         Instant early = Instant.EPOCH;
         Instant late = Instant.EPOCH.plusSeconds(60);
-        JobRecord visitor = JobRecord.acceptedFromOrigin(
+        JobRecord inboundJob = JobRecord.acceptedFromOrigin(
                 TestJobs.gang("wk-000001", Priority.URGENT, 8, false), early, InboundDelegation.of("a", 1));
         JobRecord own = JobRecord.accepted(TestJobs.gang("wk-000002", Priority.URGENT, 8, false), late);
         JobRecord ownLow = JobRecord.accepted(TestJobs.gang("wk-000003", Priority.LOW, 8, false), early);
-        assertEquals(List.of("wk-000002"), placed(List.of(visitor, own)));
-        assertEquals(List.of("wk-000001"), placed(List.of(visitor, ownLow)));
+        assertEquals(List.of("wk-000002"), placed(List.of(inboundJob, own)));
+        assertEquals(List.of("wk-000001"), placed(List.of(inboundJob, ownLow)));
     }
 
     private static List<String> placed(List<JobRecord> jobs) {
-        Plan plan = Planner.plan(snapshot(Instant.EPOCH.plusSeconds(70), jobs, ALL_REFUSED, 100));
+        Plan plan = Planner.plan(snapshot(Instant.EPOCH.plusSeconds(70), jobs, ALL_POOLS_REFUSED, 100));
         assertTrue(plan.bindings().size() <= 1);
-        return plan.bindings().stream().map(booking -> booking.job().id()).toList();
+        return plan.bindings().stream().map(binding -> binding.job().id()).toList();
     }
 }
--- a/src/test/java/org/dunespindle/federation/CellMessageCodecTest.java
+++ b/src/test/java/org/dunespindle/federation/CellMessageCodecTest.java
@@ -101,7 +101,7 @@
     }
 
     @Property(seed = "41", tries = 500)
-    void messagesSurvive(@ForAll long seed) throws MalformedMessageException {
+    void messagesRoundTrip(@ForAll long seed) throws MalformedMessageException {
         var random = new Random(seed);
         CellRequest request = request(random);
         assertEquals(request, CellMessageCodec.readRequest(CellMessageCodec.write(request)));
@@ -110,7 +110,7 @@
     }
 
     @Property(seed = "42", tries = 1000)
-    void whatIsCutOrGarbledIsRefusedOrUnderstoodButNeverCrashes(@ForAll long seed) {
+    void truncatedOrCorruptedMessagesCauseNoOtherException(@ForAll long seed) {
         var random = new Random(seed);
         byte[] body = CellMessageCodec.write(request(random));
         for (int i = 1 + random.nextInt(3); i > 0; i--) {
@@ -125,27 +125,28 @@
         }
     }
 
-    private static void refused(String text, String complaint) {
+    private static void assertMalformed(String text, String message) {
         var failure = assertThrows(
                 MalformedMessageException.class,
                 () -> CellMessageCodec.readRequest(text.getBytes(StandardCharsets.UTF_8)));
-        assertTrue(failure.getMessage().contains(complaint), failure.getMessage());
+        assertTrue(failure.getMessage().contains(message), failure.getMessage());
     }
 
     @Test
-    void complaintsNameTheField() {
+    void errorMessagesNameTheField() {
         String from = "\"from\":{\"name\":\"a\",\"identity\":\"i\",\"incarnation\":1,\"mark\":\"m\"}";
-        refused("[]", "not a JSON object");
-        refused("{", "not JSON");
-        refused("{}", "name must be text");
-        refused("{" + from + "}", "kind must be text");
-        refused("{" + from + ",\"kind\":\"party\"}", "kind is unknown");
-        refused("{" + from + ",\"kind\":\"hello\",\"floor\":-1}", "floor must be a whole number");
-        refused(
+        assertMalformed("[]", "not a JSON object");
+        assertMalformed("{", "not JSON");
+        assertMalformed("{}", "name must be text");
+        assertMalformed("{" + from + "}", "kind must be text");
+        assertMalformed("{" + from + ",\"kind\":\"party\"}", "kind is unknown");
+        assertMalformed("{" + from + ",\"kind\":\"hello\",\"floor\":-1}", "floor must be a whole number");
+        assertMalformed(
                 "{" + from + ",\"kind\":\"recall\",\"to\":\"x\",\"job\":\"../etc\",\"number\":1}",
                 "job must look like");
-        refused("{" + from + ",\"kind\":\"offer\",\"to\":{},\"job\":\"wk-000001\",\"number\":1}", "not a map");
+        assertMalformed("{" + from + ",\"kind\":\"offer\",\"to\":{},\"job\":\"wk-000001\",\"number\":1}", "not a map");
         String list = "[" + "{},".repeat(CellMessageCodec.MAX_TRANSFERS) + "{}]";
-        refused("{" + from + ",\"kind\":\"progress\",\"to\":\"x\",\"transfers\":" + list + "}", "list of at most");
+        assertMalformed(
+                "{" + from + ",\"kind\":\"progress\",\"to\":\"x\",\"transfers\":" + list + "}", "list of at most");
     }
 }
--- a/src/test/java/org/dunespindle/federation/CellMessagesCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/federation/CellMessagesCompatibilityTest.java
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void refusalsForEveryReason() throws MalformedMessageException {
+    void rejectionsForEveryReason() throws MalformedMessageException {
         var reasons = new EnumMap<>(Map.of(
                 Rejection.Reason.NO_ROOM, "NO_ROOM",
                 Rejection.Reason.NEVER_FITS, "NEVER_FITS",
--- a/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
+++ b/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
@@ -23,7 +23,7 @@
  * specification, and messages between them are reordered, duplicated and lost. Guards against a job that runs in both cells.
  */
 class DelegationProtocolTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
     private static final int STEPS = 400;
     private static final int MAX_TRANSFERS = 4;
 
@@ -32,27 +32,27 @@
 
         record Recall(long number) implements Message {}
 
-        record Ask(long number) implements Message {}
+        record Poll(long number) implements Message {}
 
-        record Told(long number, InboundJobState state, OutboundDelegation.Phase askedIn) implements Message {}
+        record Report(long number, InboundJobState state, OutboundDelegation.Phase requestPhase) implements Message {}
     }
 
     /** The specification of the remote cell: one record for the job, replaced only by that of a higher transfer. */
-    private static final class Receiver {
+    private static final class RemoteCell {
         long number;
         InboundJobState state = InboundJobState.UNKNOWN;
 
-        InboundJobState told(long asked) {
-            return asked == number ? state : asked < number ? InboundJobState.CLOSED : InboundJobState.UNKNOWN;
+        InboundJobState reportFor(long polled) {
+            return polled == number ? state : polled < number ? InboundJobState.CLOSED : InboundJobState.UNKNOWN;
         }
 
-        InboundJobState offer(long offered, boolean room) {
-            boolean free = state == InboundJobState.UNKNOWN || state == InboundJobState.WITHDRAWN;
-            if (offered > number && free) {
+        InboundJobState offer(long offered, boolean accepts) {
+            boolean replaceable = state == InboundJobState.UNKNOWN || state == InboundJobState.WITHDRAWN;
+            if (offered > number && replaceable) {
                 number = offered;
-                state = room ? InboundJobState.QUEUED : InboundJobState.WITHDRAWN;
+                state = accepts ? InboundJobState.QUEUED : InboundJobState.WITHDRAWN;
             }
-            return told(offered);
+            return reportFor(offered);
         }
 
         InboundJobState recall(long recalled) {
@@ -60,78 +60,80 @@
                 number = recalled;
                 state = InboundJobState.WITHDRAWN;
             }
-            return told(recalled);
+            return reportFor(recalled);
         }
     }
 
     /** A model of the origin and the remote cell; its fields are their stored state. */
-    private static final class World {
+    private static final class Model {
         final Random random;
-        final Receiver receiver = new Receiver();
+        final RemoteCell remote = new RemoteCell();
         final List<Message> network = new ArrayList<>();
-        Optional<OutboundDelegation> home = Optional.empty();
-        InboundJobState told = InboundJobState.UNKNOWN;
-        long toldOf;
-        long numbers;
-        boolean placedAtHome;
-        boolean overAtHome;
+        Optional<OutboundDelegation> delegation = Optional.empty();
+        InboundJobState reported = InboundJobState.UNKNOWN;
+        long reportedTransfer;
+        long lastNumber;
+        boolean placedAtOrigin;
+        boolean endedAtOrigin;
         int runs;
 
-        World(long seed) {
+        Model(long seed) {
             random = new Random(seed);
         }
 
         void step() {
             switch (random.nextInt(6)) {
-                case 0 -> give();
-                case 1 -> drive();
+                case 0 -> offerJob();
+                case 1 -> takeStep();
                 case 2, 3 -> deliver();
-                case 4 -> work();
-                default -> placeAtHome();
+                case 4 -> runRemotely();
+                default -> placeAtOrigin();
             }
         }
 
-        private boolean away() {
-            return home.filter(OutboundDelegation::outstanding).isPresent();
+        private boolean isDelegated() {
+            return delegation.filter(OutboundDelegation::outstanding).isPresent();
         }
 
-        private void give() {
-            boolean may = home.map(OutboundDelegation::transfers).orElse(0) < MAX_TRANSFERS;
-            if (!placedAtHome && !overAtHome && !away() && may) {
-                home = Optional.of(OutboundDelegation.offer(home, "b", ++numbers));
+        private void offerJob() {
+            boolean permitted = delegation.map(OutboundDelegation::transfers).orElse(0) < MAX_TRANSFERS;
+            if (!placedAtOrigin && !endedAtOrigin && !isDelegated() && permitted) {
+                delegation = Optional.of(OutboundDelegation.offer(delegation, "b", ++lastNumber));
             }
         }
 
-        private void placeAtHome() {
-            if (!away() && !overAtHome && !placedAtHome && random.nextInt(6) == 0) {
-                placedAtHome = true;
+        private void placeAtOrigin() {
+            if (!isDelegated() && !endedAtOrigin && !placedAtOrigin && random.nextInt(6) == 0) {
+                placedAtOrigin = true;
                 runs++;
-                assertNotEquals(InboundJobState.QUEUED, receiver.state, "placed in both cells");
-                assertNotEquals(InboundJobState.BEGUN, receiver.state, "placed in both cells");
+                assertNotEquals(InboundJobState.QUEUED, remote.state, "placed in both cells");
+                assertNotEquals(InboundJobState.BEGUN, remote.state, "placed in both cells");
             }
         }
 
-        private void drive() {
-            if (!away() || overAtHome) {
+        private void takeStep() {
+            if (!isDelegated() || endedAtOrigin) {
                 return;
             }
-            OutboundDelegation now = home.orElseThrow();
-            Optional<InboundJobState> heard =
-                    toldOf == now.transfer() && told != InboundJobState.UNKNOWN ? Optional.of(told) : Optional.empty();
-            Duration waited = random.nextInt(4) == 0 ? PATIENCE.multipliedBy(2) : Duration.ZERO;
-            var view = new DelegationRules.View(now, heard, waited, PATIENCE, Instant.EPOCH);
+            OutboundDelegation now = delegation.orElseThrow();
+            Optional<InboundJobState> remoteState =
+                    reportedTransfer == now.transfer() && reported != InboundJobState.UNKNOWN
+                            ? Optional.of(reported)
+                            : Optional.empty();
+            Duration elapsed = random.nextInt(4) == 0 ? TIMEOUT.multipliedBy(2) : Duration.ZERO;
+            var view = new DelegationRules.View(now, remoteState, elapsed, TIMEOUT, Instant.EPOCH);
             DelegationRules.Step step = DelegationRules.next(view);
             if (step instanceof DelegationRules.Step.SendOffer) {
                 network.add(new Message.Offer(now.transfer()));
             } else if (step instanceof DelegationRules.Step.SendRecall) {
                 network.add(new Message.Recall(now.transfer()));
             } else if (step instanceof DelegationRules.Step.Poll) {
-                network.add(new Message.Ask(now.transfer()));
+                network.add(new Message.Poll(now.transfer()));
             } else if (step instanceof DelegationRules.Step.Store store) {
-                home = Optional.of(store.delegation());
+                delegation = Optional.of(store.delegation());
             } else if (step instanceof DelegationRules.Step.StoreDone) {
-                assertEquals(InboundJobState.DONE, receiver.state);
-                overAtHome = true;
+                assertEquals(InboundJobState.DONE, remote.state);
+                endedAtOrigin = true;
             } else {
                 throw new AssertionError("unexpected " + step);
             }
@@ -144,70 +146,73 @@
             }
             int index = random.nextInt(network.size());
             Message message = random.nextInt(3) == 0 ? network.remove(index) : network.get(index);
-            OutboundDelegation.Phase phase = home.map(OutboundDelegation::phase).orElse(OutboundDelegation.Phase.HOME);
+            OutboundDelegation.Phase phase =
+                    delegation.map(OutboundDelegation::phase).orElse(OutboundDelegation.Phase.HOME);
             if (message instanceof Message.Offer offer) {
-                InboundJobState state = receiver.offer(offer.number, random.nextInt(3) > 0);
-                network.add(new Message.Told(offer.number, state, phase));
+                InboundJobState state = remote.offer(offer.number, random.nextInt(3) > 0);
+                network.add(new Message.Report(offer.number, state, phase));
             } else if (message instanceof Message.Recall recall) {
-                network.add(new Message.Told(recall.number, receiver.recall(recall.number), phase));
-            } else if (message instanceof Message.Ask ask) {
-                network.add(new Message.Told(ask.number, receiver.told(ask.number), phase));
-            } else if (message instanceof Message.Told answer && home.isPresent()) {
-                hear(answer);
+                network.add(new Message.Report(recall.number, remote.recall(recall.number), phase));
+            } else if (message instanceof Message.Poll poll) {
+                network.add(new Message.Report(poll.number, remote.reportFor(poll.number), phase));
+            } else if (message instanceof Message.Report report && delegation.isPresent()) {
+                receive(report);
             }
         }
 
-        private void hear(Message.Told answer) {
-            if (answer.number != home.orElseThrow().transfer() || answer.state == InboundJobState.UNKNOWN) {
+        private void receive(Message.Report report) {
+            if (report.number != delegation.orElseThrow().transfer() || report.state == InboundJobState.UNKNOWN) {
                 return;
             }
-            boolean later = toldOf != answer.number || answer.state.compareTo(told) > 0;
-            if (later) {
-                toldOf = answer.number;
-                told = answer.state;
+            boolean newer = reportedTransfer != report.number || report.state.compareTo(reported) > 0;
+            if (newer) {
+                reportedTransfer = report.number;
+                reported = report.state;
             }
         }
 
-        private void work() {
-            if (receiver.state == InboundJobState.QUEUED && random.nextInt(3) == 0) {
-                assertFalse(placedAtHome, "placed in both cells");
-                receiver.state = InboundJobState.BEGUN;
+        private void runRemotely() {
+            if (remote.state == InboundJobState.QUEUED && random.nextInt(3) == 0) {
+                assertFalse(placedAtOrigin, "placed in both cells");
+                remote.state = InboundJobState.BEGUN;
                 runs++;
-            } else if (receiver.state == InboundJobState.BEGUN && random.nextInt(3) == 0) {
-                receiver.state = InboundJobState.DONE;
+            } else if (remote.state == InboundJobState.BEGUN && random.nextInt(3) == 0) {
+                remote.state = InboundJobState.DONE;
             }
         }
     }
 
     @Property(seed = "21", tries = 3000)
-    void aJobRunsInOneCellAtMostWhateverArrives(@ForAll long seed) {
-        var world = new World(seed);
+    void aJobRunsInAtMostOneCellForAnySequenceOfMessages(@ForAll long seed) {
+        var model = new Model(seed);
         for (int step = 0; step < STEPS; step++) {
-            world.step();
-            assertTrue(world.runs <= 1, "ran in both cells");
-            assertTrue(world.home.map(OutboundDelegation::transfers).orElse(0) <= MAX_TRANSFERS);
+            model.step();
+            assertTrue(model.runs <= 1, "ran in both cells");
+            assertTrue(model.delegation.map(OutboundDelegation::transfers).orElse(0) <= MAX_TRANSFERS);
         }
     }
 
     @Test
-    void theStateMachineReachesEveryEnd() {
-        int home = 0;
-        int elsewhere = 0;
-        int back = 0;
+    void randomRunsReachEveryOutcome() {
+        int placedAtOrigin = 0;
+        int endedRemotely = 0;
+        int redelegated = 0;
         for (long seed = 0; seed < 400; seed++) {
-            var world = new World(seed);
+            var model = new Model(seed);
             for (int step = 0; step < STEPS; step++) {
-                world.step();
+                model.step();
             }
-            home += world.placedAtHome ? 1 : 0;
-            elsewhere += world.overAtHome ? 1 : 0;
-            back += world.home.filter(d -> d.transfers() > 1).isPresent() ? 1 : 0;
+            placedAtOrigin += model.placedAtOrigin ? 1 : 0;
+            endedRemotely += model.endedAtOrigin ? 1 : 0;
+            redelegated += model.delegation.filter(d -> d.transfers() > 1).isPresent() ? 1 : 0;
         }
-        assertTrue(home > 40 && elsewhere > 40 && back > 20, home + " " + elsewhere + " " + back);
+        assertTrue(
+                placedAtOrigin > 40 && endedRemotely > 40 && redelegated > 20,
+                placedAtOrigin + " " + endedRemotely + " " + redelegated);
     }
 
     @Property(seed = "22", tries = 500)
-    void phasesChangeOnlyAsStated(@ForAll long seed) {
+    void onlySpecifiedPhaseTransitionsArePermitted(@ForAll long seed) {
         var random = new Random(seed);
         OutboundDelegation delegation = OutboundDelegation.offer(Optional.empty(), "b", 1);
         for (int step = 0; step < 30; step++) {
@@ -241,33 +246,33 @@
     }
 
     @Test
-    void aTransferNumberIsNeverUsedAgain() {
+    void aTransferNumberCannotBeReused() {
         OutboundDelegation back =
                 OutboundDelegation.offer(Optional.empty(), "b", 5).returned(Instant.EPOCH);
         assertThrows(IllegalStateException.class, () -> OutboundDelegation.offer(Optional.of(back), "c", 5));
     }
 
     private static DelegationRules.Step next(
-            OutboundDelegation delegation, Optional<InboundJobState> told, Duration waited) {
+            OutboundDelegation delegation, Optional<InboundJobState> reported, Duration elapsed) {
         return DelegationRules.next(
-                new DelegationRules.View(delegation, told, waited, PATIENCE, Instant.EPOCH.plusSeconds(9)));
+                new DelegationRules.View(delegation, reported, elapsed, TIMEOUT, Instant.EPOCH.plusSeconds(9)));
     }
 
     @Test
-    void silenceNeverBringsAJobHome() {
+    void missingRepliesNeverReturnAJob() {
         OutboundDelegation offered = OutboundDelegation.offer(Optional.empty(), "b", 1);
         for (OutboundDelegation delegation : List.of(offered, offered.accepted(), offered.recalled())) {
-            for (Duration waited : List.of(Duration.ZERO, PATIENCE.plusMillis(1), Duration.ofDays(30))) {
-                DelegationRules.Step step = next(delegation, Optional.empty(), waited);
-                boolean home = step instanceof DelegationRules.Step.Store store
+            for (Duration elapsed : List.of(Duration.ZERO, TIMEOUT.plusMillis(1), Duration.ofDays(30))) {
+                DelegationRules.Step step = next(delegation, Optional.empty(), elapsed);
+                boolean returned = step instanceof DelegationRules.Step.Store store
                         && !store.delegation().outstanding();
-                assertFalse(home, delegation + " after " + waited);
+                assertFalse(returned, delegation + " after " + elapsed);
             }
         }
     }
 
     @Test
-    void whatCannotBeIsNotGuessedAt() {
+    void contradictoryReportsLeaveTheTransferUnchanged() {
         OutboundDelegation accepted =
                 OutboundDelegation.offer(Optional.empty(), "b", 1).accepted();
         assertTrue(
@@ -279,19 +284,19 @@
     }
 
     @Test
-    void aJobThatBeganElsewhereStaysThereHoweverLongItWaits() {
+    void aJobWithPlacedTasksStaysInTheRemoteCell() {
         OutboundDelegation accepted =
                 OutboundDelegation.offer(Optional.empty(), "b", 1).accepted();
         assertEquals(
                 new DelegationRules.Step.Poll(),
-                next(accepted, Optional.of(InboundJobState.BEGUN), PATIENCE.multipliedBy(9)));
+                next(accepted, Optional.of(InboundJobState.BEGUN), TIMEOUT.multipliedBy(9)));
         assertEquals(
                 new DelegationRules.Step.Store(accepted),
                 next(accepted.recalled(), Optional.of(InboundJobState.BEGUN), Duration.ZERO));
     }
 
     @Test
-    void reportsThatArriveOutOfOrderChangeNothing() {
+    void reportsOutOfOrderDoNotReplaceLaterStates() {
         var reports = new RemoteJobStates();
         var transfer = new Transfer("wk-000001", 7);
         var job = org.dunespindle.storage.JobRecord.accepted(TestJobs.array("wk-000001", 2), Instant.EPOCH)
--- a/src/test/java/org/dunespindle/federation/SpillPolicyTest.java
+++ b/src/test/java/org/dunespindle/federation/SpillPolicyTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void theHighestPriorityGoesFirstAndWhereMostRoomIs() {
+    void theHighestPriorityIsOfferedFirstToTheCellWithTheMostCapacity() {
         List<JobRecord> jobs = List.of(
                 waiting("wk-000001", Priority.LOW, 3),
                 waiting("wk-000002", Priority.URGENT, 3),
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aGangNeedsRoomForAllAndInOneZoneWhereItMustBeTogether() {
+    void aGangNeedsCapacityForAllTasksAndInOneZoneIfRequired() {
         var both = new SpillPolicy.Target(
                 "b", List.of(hint("east", Priority.URGENT, 3), hint("west", Priority.URGENT, 3)), kind -> false);
         JobRecord apart = JobRecord.accepted(TestJobs.gang("wk-000001", Priority.URGENT, 5, false), Instant.EPOCH);
@@ -71,45 +71,46 @@
     }
 
     @Test
-    void whoTakesInWorkOfAKindGivesNoneAway() {
+    void aCellThatAcceptsAKindOfWorkOffersNone() {
         JobRecord job = waiting("wk-000001", Priority.URGENT, 1);
         var other = new ResourceKind(Optional.of(List.of("big")));
         assertEquals(
                 0,
                 choose(List.of(job), List.of(target("b", 4)), List.of(ResourceKind.of(job.submission())))
                         .size());
-        JobRecord boxes = JobRecord.accepted(
+        JobRecord boxJob = JobRecord.accepted(
                 TestJobs.of("wk-000002", JobKind.GANG, Priority.URGENT, 1, Optional.of(List.of("box")), false),
                 Instant.EPOCH);
         assertEquals(
                 1,
-                choose(List.of(boxes), List.of(target("b", 4)), List.of(other)).size());
+                choose(List.of(boxJob), List.of(target("b", 4)), List.of(other)).size());
     }
 
     @Test
-    void whatCameBackIsGivenAgainOnlyLaterAndNotForEver() {
-        OutboundDelegation once =
+    void aReturnedJobIsOfferedAgainAfterItsBackoffAndALimitedNumberOfTimes() {
+        OutboundDelegation returnedOnce =
                 OutboundDelegation.offer(Optional.empty(), "b", 1).returned(NOW.plusSeconds(5));
-        JobRecord paused = waiting("wk-000001", Priority.URGENT, 1).withDelegationLink(once);
+        JobRecord pausedJob = waiting("wk-000001", Priority.URGENT, 1).withDelegationLink(returnedOnce);
         assertEquals(
-                0, choose(List.of(paused), List.of(target("b", 4)), List.of()).size());
-        OutboundDelegation due =
+                0,
+                choose(List.of(pausedJob), List.of(target("b", 4)), List.of()).size());
+        OutboundDelegation dueDelegation =
                 OutboundDelegation.offer(Optional.empty(), "b", 1).returned(NOW);
-        JobRecord back = paused.withDelegationLink(due);
-        List<SpillPolicy.Choice> choices = choose(List.of(back), List.of(target("b", 9), target("c", 2)), List.of());
+        JobRecord dueJob = pausedJob.withDelegationLink(dueDelegation);
+        List<SpillPolicy.Choice> choices = choose(List.of(dueJob), List.of(target("b", 9), target("c", 2)), List.of());
         assertEquals("c", choices.get(0).cell(), "a cell that returned the job is the last resort");
-        OutboundDelegation last = due;
+        OutboundDelegation last = dueDelegation;
         for (int transfer = 2; transfer <= MAX_TRANSFERS; transfer++) {
             last = OutboundDelegation.offer(Optional.of(last), "c", transfer).returned(NOW);
         }
         assertEquals(
                 0,
-                choose(List.of(back.withDelegationLink(last)), List.of(target("b", 4)), List.of())
+                choose(List.of(dueJob.withDelegationLink(last)), List.of(target("b", 4)), List.of())
                         .size());
     }
 
     @Test
-    void onlyWholeJobsOfThisCellMove() {
+    void onlyOwnJobsWithoutPlacedTasksAreDelegable() {
         JobRecord job = waiting("wk-000001", Priority.URGENT, 2);
         assertTrue(SpillPolicy.isDelegable(job));
         JobRecord placed = job.withPlaced(Map.of(0, "i-1"));
@@ -126,20 +127,21 @@
     }
 
     @Property(seed = "31", tries = 300)
-    void noMoreIsPromisedThanTold(@ForAll long seed) {
+    void offersNeverExceedTheHintedCapacity(@ForAll long seed) {
         var random = new Random(seed);
         var jobs = new ArrayList<JobRecord>();
         for (int i = 0; i < 12; i++) {
             Priority priority = Priority.values()[random.nextInt(4)];
             jobs.add(waiting("wk-%06d".formatted(i), priority, 1 + random.nextInt(6)));
         }
-        int roomB = random.nextInt(12);
-        int roomC = random.nextInt(12);
-        List<SpillPolicy.Choice> choices = choose(jobs, List.of(target("b", roomB), target("c", roomC)), List.of());
+        int capacityB = random.nextInt(12);
+        int capacityC = random.nextInt(12);
+        List<SpillPolicy.Choice> choices =
+                choose(jobs, List.of(target("b", capacityB), target("c", capacityC)), List.of());
         var seen = new HashSet<String>();
         choices.forEach(choice -> assertTrue(seen.add(choice.job().id()), "chosen twice"));
-        assertTrue(tasks(choices, "b") <= roomB);
-        assertTrue(tasks(choices, "c") <= roomC);
+        assertTrue(tasks(choices, "b") <= capacityB);
+        assertTrue(tasks(choices, "c") <= capacityC);
     }
 
     private static int tasks(List<SpillPolicy.Choice> choices, String cell) {
--- a/src/test/java/org/dunespindle/federation/TestJobs.java
+++ b/src/test/java/org/dunespindle/federation/TestJobs.java
@@ -20,9 +20,9 @@
     }
 
     static Submission of(
-            String id, JobKind shape, Priority priority, int tasks, Optional<List<String>> types, boolean sameZone) {
+            String id, JobKind kind, Priority priority, int tasks, Optional<List<String>> types, boolean sameZone) {
         return SubmissionBuilder.submission(id)
-                .kind(shape)
+                .kind(kind)
                 .priority(priority)
                 .tasks(tasks)
                 .types(types)
--- a/src/test/java/org/dunespindle/federation/grpc/GrpcCellTest.java
+++ b/src/test/java/org/dunespindle/federation/grpc/GrpcCellTest.java
@@ -72,14 +72,14 @@
     }
 
     @Test
-    void aRequestIsAnswered() {
+    void aRequestReceivesItsReply() {
         assertEquals(
                 new CellReply.NotServed(CellReply.Reason.NOT_LEADER, java.util.Optional.of("n2")),
                 call(new CellRequest.Hello(SELF, 5), DEADLINE));
     }
 
     @Test
-    void whoeverDoesNotAnswerInTimeFailsTheCall() {
+    void anExpiredDeadlineFailsTheCall() {
         var recall = new CellRequest.Recall(SELF, "to", new Transfer("wk-000001", 4));
         var failure = assertThrows(CompletionException.class, () -> call(recall, Duration.ofMillis(300)));
         assertTrue(failure.getCause() instanceof CellCallException);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void nobodyThereFailsTheCall() {
+    void anUnreachableAddressFailsTheCall() {
         var failure = assertThrows(
                 CompletionException.class,
                 () -> transport
@@ -122,10 +122,10 @@
     }
 
     @Test
-    void badInputGetsAStatusAndChangesNothing() {
-        Status garbled = rawCall("Hello", text("{"));
-        assertEquals(Status.Code.INVALID_ARGUMENT, garbled.getCode());
-        assertEquals("the message is not JSON", garbled.getDescription());
+    void malformedInputReturnsAStatusAndDoesNotReachTheHandler() {
+        Status malformed = rawCall("Hello", text("{"));
+        assertEquals(Status.Code.INVALID_ARGUMENT, malformed.getCode());
+        assertEquals("the message is not JSON", malformed.getDescription());
         Status wrongMethod = rawCall(
                 "Offer",
                 text("{\"from\":{\"name\":\"a\",\"identity\":\"i\",\"incarnation\":1,\"mark\":\"m\"},"
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aFailureOfTheServiceIsToldWithoutATrace() {
+    void aHandlerExceptionReturnsInternalWithoutDetails() {
         var failure = assertThrows(CompletionException.class, () -> call(new CellRequest.Hello(SELF, 13), DEADLINE));
         assertEquals("INTERNAL", failure.getCause().getMessage());
         assertTrue(call(new CellRequest.Hello(SELF, 5), DEADLINE) instanceof CellReply.NotServed);
