--- a/src/test/java/org/dunespindle/sim/CellInvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/CellInvariantChecker.java
@@ -9,7 +9,7 @@
 /** Checks that a job runs in at most one of several cells, and that each of its tasks completes in one cell only. */
 final class CellInvariantChecker implements SimulatedEnvironment.Watcher {
     /** Violated invariants. */
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
 
     private final List<SimulatedCluster> cells;
     private final Map<String, List<String>> startedIn = new LinkedHashMap<>();
@@ -27,29 +27,29 @@
     public void started(SimulatedCluster cluster, FakeWorker.Task task) {
         String job = task.task.job();
         for (SimulatedCluster other : cells) {
-            boolean there = other != cluster
+            boolean runsThere = other != cluster
                     && other.rules.live().stream()
                             .anyMatch(live -> live.task.job().equals(job));
-            if (there) {
-                broken.add("in two cells: " + job + " in " + name(other) + " and " + name(cluster));
+            if (runsThere) {
+                violations.add("runs in two cells: " + job + " in " + name(other) + " and " + name(cluster));
             }
         }
-        List<String> places = startedIn.computeIfAbsent(job, id -> new ArrayList<>());
-        if (!places.contains(name(cluster))) {
-            places.add(name(cluster));
+        List<String> cellNames = startedIn.computeIfAbsent(job, id -> new ArrayList<>());
+        if (!cellNames.contains(name(cluster))) {
+            cellNames.add(name(cluster));
         }
-        if (places.size() > 1) {
+        if (cellNames.size() > 1) {
             // A job is delegated or returned only before any of its tasks is placed, so its tasks never start in a
             // second cell.
-            broken.add("begun in two cells: " + job + " in " + places);
+            violations.add("started in two cells: " + job + " in " + cellNames);
         }
     }
 
     @Override
     public void finished(SimulatedCluster cluster, FakeWorker.Task task) {
-        String before = finishedIn.putIfAbsent(task.task.toString(), name(cluster));
-        if (before != null && !before.equals(name(cluster))) {
-            broken.add("finished in two cells: " + task.task);
+        String previous = finishedIn.putIfAbsent(task.task.toString(), name(cluster));
+        if (previous != null && !previous.equals(name(cluster))) {
+            violations.add("finished in two cells: " + task.task);
         }
     }
 
--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -29,12 +29,12 @@
  * {@code java -cp target/test-classes:target/classes:$(cat target/cp) org.dunespindle.sim.FederationLoad REPORT.html}.
  */
 public final class FederationLoad {
-    private static final int SLOTS_OF_A = 8;
-    private static final int LENGTH_S = 20;
-    private static final int ARRIVALS_S = 600;
-    private static final double[] FILLS = {0.5, 0.75, 1.0, 1.25, 1.5};
+    private static final int SLOTS_OF_CELL_A = 8;
+    private static final int TASK_DURATION_S = 20;
+    private static final int ARRIVAL_PERIOD_S = 600;
+    private static final double[] LOADS = {0.5, 0.75, 1.0, 1.25, 1.5};
     private static final double[] PERCENTILES = {50, 90, 99};
-    private static final Duration MEASURED = Duration.ofSeconds(60);
+    private static final Duration MEASUREMENT_TIME = Duration.ofSeconds(60);
     private static final int SEEDS = 5;
 
     private final StringBuilder html = new StringBuilder();
@@ -49,9 +49,9 @@
     private void report(Path file) throws Exception {
         html.append("<!doctype html><meta charset=\"utf-8\"><title>Federation</title>"
                 + "<style>body{font-family:sans-serif;max-width:60em;margin:2em auto}td,th{padding:0 1em;text-align:right}</style>"
-                + "<h1>Spilling between three cells</h1><p>Own stand-ins on one machine, not a real deployment.</p>");
-        waits();
-        recovery();
+                + "<h1>Spillover between three cells</h1><p>A simulation on one machine, not a real deployment.</p>");
+        reportWaitTimes();
+        reportRecovery();
         processes();
         Files.writeString(file, html);
         System.exit(0); // does not wait for threads of libraries that are still shutting down
@@ -59,26 +59,26 @@
 
     /** The results of a run of three cells. */
     private static final class Run {
-        final Histogram waits = new Histogram(3_600_000L, 3);
+        final Histogram waitTimes = new Histogram(3_600_000L, 3);
         int jobs;
-        int moved;
+        int delegated;
         int writes;
         int calls;
-        List<String> broken = List.of();
+        List<String> violations = List.of();
     }
 
-    private static Run run(double fill, boolean spilling, long seed) {
+    private static Run run(double load, boolean spillover, long seed) {
         var federation = new SimulatedFederation(seed, 2, 4, 4);
         var random = new Random(seed);
         federation.cells.forEach(cell -> {
-            cell.lengthOf = task -> Optional.of(Duration.ofSeconds(LENGTH_S));
-            federation.sim.after(3000, () -> cell.setOptions(0, Map.of("spill_after_s", spilling ? 5.0 : 86_400.0)));
+            cell.lengthOf = task -> Optional.of(Duration.ofSeconds(TASK_DURATION_S));
+            federation.sim.after(3000, () -> cell.setOptions(0, Map.of("spill_after_s", spillover ? 5.0 : 86_400.0)));
         });
         var run = new Run();
         var ids = new ArrayList<String>();
-        double perSecond = fill * SLOTS_OF_A / (LENGTH_S + 2.0) / 2; // arrays of two tasks
+        double perSecond = load * SLOTS_OF_CELL_A / (TASK_DURATION_S + 2.0) / 2; // arrays of two tasks
         double at = 15;
-        while (at < ARRIVALS_S) {
+        while (at < ARRIVAL_PERIOD_S) {
             String id = "wk-%06d".formatted(ids.size());
             ids.add(id);
             String team = random.nextBoolean() ? "red" : "blue";
@@ -86,105 +86,105 @@
             federation.sim.after((long) (at * 1000), () -> federation.cell("a").submit(job));
             at += -Math.log(1 - random.nextDouble()) / perSecond;
         }
-        federation.sim.run(Duration.ofSeconds(ARRIVALS_S + 900));
+        federation.sim.run(Duration.ofSeconds(ARRIVAL_PERIOD_S + 900));
         SimulatedCluster a = federation.cell("a");
         for (String id : ids) {
-            Duration begun = null;
+            Duration startedAt = null;
             for (SimulatedCluster cell : federation.cells) {
-                begun = cell.begunAt.getOrDefault(id, begun);
+                startedAt = cell.begunAt.getOrDefault(id, startedAt);
             }
-            if (begun != null) {
-                run.waits.recordValue(begun.minus(a.submittedAt.get(id)).toMillis());
+            if (startedAt != null) {
+                run.waitTimes.recordValue(startedAt.minus(a.submittedAt.get(id)).toMillis());
             }
-            run.moved += List.of("b", "c").contains(federation.finishedIn(id)) ? 1 : 0;
+            run.delegated += List.of("b", "c").contains(federation.finishedIn(id)) ? 1 : 0;
         }
         run.jobs = ids.size();
         federation.cells.forEach(cell -> run.writes += cell.counts.getOrDefault("writes", 0));
-        federation.calls.forEach((kind, count) -> run.calls += count);
-        run.broken = federation.violations();
+        federation.callsByType.forEach((kind, count) -> run.calls += count);
+        run.violations = federation.violations();
         return run;
     }
 
-    private static Run runs(double fill, boolean spilling) {
+    private static Run runs(double load, boolean spillover) {
         var sum = new Run();
-        var broken = new ArrayList<String>();
+        var violations = new ArrayList<String>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Run one = run(fill, spilling, seed);
-            sum.waits.add(one.waits);
+            Run one = run(load, spillover, seed);
+            sum.waitTimes.add(one.waitTimes);
             sum.jobs += one.jobs;
-            sum.moved += one.moved;
+            sum.delegated += one.delegated;
             sum.writes += one.writes;
             sum.calls += one.calls;
-            broken.addAll(one.broken);
+            violations.addAll(one.violations);
         }
-        sum.broken = broken;
+        sum.violations = violations;
         return sum;
     }
 
-    private void waits() throws IOException {
+    private void reportWaitTimes() throws IOException {
         html.append("<h2>Seconds from submission to the first start (virtual time, ")
                 .append(SEEDS)
                 .append(" seeds)</h2><table>");
         row(
-                "fill of cell a",
-                "spilling",
+                "load of cell a",
+                "spillover",
                 "jobs",
-                "moved",
+                "delegated",
                 "p50",
                 "p90",
                 "p99",
                 "max",
                 "writes/job",
                 "calls/job",
-                "broken");
+                "violations");
         var curves = new LinkedHashMap<String, double[]>();
-        for (boolean spilling : new boolean[] {false, true}) {
-            var p90 = new double[FILLS.length];
-            for (int i = 0; i < FILLS.length; i++) {
-                Run run = runs(FILLS[i], spilling);
-                p90[i] = run.waits.getValueAtPercentile(90) / 1000.0;
+        for (boolean spillover : new boolean[] {false, true}) {
+            var p90 = new double[LOADS.length];
+            for (int i = 0; i < LOADS.length; i++) {
+                Run run = runs(LOADS[i], spillover);
+                p90[i] = run.waitTimes.getValueAtPercentile(90) / 1000.0;
                 var cells = new ArrayList<String>(
-                        List.of(FILLS[i] + "", spilling ? "on" : "off", run.jobs + "", run.moved + ""));
+                        List.of(LOADS[i] + "", spillover ? "on" : "off", run.jobs + "", run.delegated + ""));
                 for (double percentile : PERCENTILES) {
-                    cells.add(seconds(run.waits.getValueAtPercentile(percentile)));
+                    cells.add(seconds(run.waitTimes.getValueAtPercentile(percentile)));
                 }
-                cells.add(seconds(run.waits.getMaxValue()));
+                cells.add(seconds(run.waitTimes.getMaxValue()));
                 cells.add("%.2f".formatted(run.writes / (double) run.jobs));
                 cells.add("%.2f".formatted(run.calls / (double) run.jobs));
-                cells.add(run.broken.size() + "");
+                cells.add(run.violations.size() + "");
                 row(cells.toArray(new String[0]));
             }
-            curves.put(spilling ? "with spilling" : "without", p90);
+            curves.put(spillover ? "with spillover" : "without", p90);
         }
         html.append("</table>");
-        plot("90% start within", "fill of cell a", "seconds", FILLS, curves);
+        plot("90% start within", "load of cell a", "seconds", LOADS, curves);
     }
 
     /** Partitions the origin from both other cells while jobs are delegated, and measures how long after its end all jobs are done. */
-    private void recovery() {
-        html.append("<h2>A cut of 60 s between cell a and both others while jobs move</h2><table>");
-        row("seed", "jobs away at the cut", "done after its end (s)", "broken");
+    private void reportRecovery() {
+        html.append("<h2>A partition of 60 s between cell a and both others while jobs are delegated</h2><table>");
+        row("seed", "jobs delegated at its start", "done after its end (s)", "violations");
         for (long seed = 1; seed <= SEEDS; seed++) {
-            SimulatedFederation federation = FederationTest.filled(seed, 2, 4, 4);
-            List<String> builds = FederationTest.submitBuilds(federation, 6);
+            SimulatedFederation federation = FederationTest.withFullOrigin(seed, 2, 4, 4);
+            List<String> jobs = FederationTest.submitJobs(federation, 6);
             federation.sim.run(Duration.ofSeconds(58));
-            long away = federation.cell("a").state.rows().values().stream()
+            long delegatedAtStart = federation.cell("a").state.rows().values().stream()
                     .filter(row -> row.value().has("away"))
                     .count();
-            federation.cut(0, 1, true);
-            federation.cut(0, 2, true);
+            federation.setPartitioned(0, 1, true);
+            federation.setPartitioned(0, 2, true);
             FederationTest.run(federation, 60);
-            federation.cut(0, 1, false);
-            federation.cut(0, 2, false);
-            Duration joined = federation.sim.now();
-            while (!builds.stream().allMatch(federation.cell("a")::over)
-                    && federation.sim.now().minus(joined).toSeconds() < 600) {
+            federation.setPartitioned(0, 1, false);
+            federation.setPartitioned(0, 2, false);
+            Duration partitionEnd = federation.sim.now();
+            while (!jobs.stream().allMatch(federation.cell("a")::over)
+                    && federation.sim.now().minus(partitionEnd).toSeconds() < 600) {
                 federation.sim.run(federation.sim.now().plusMillis(200));
             }
             row(
                     seed + "",
-                    away + "",
-                    seconds(federation.sim.now().minus(joined).toMillis()),
+                    delegatedAtStart + "",
+                    seconds(federation.sim.now().minus(partitionEnd).toMillis()),
                     federation.violations().size() + "");
         }
         html.append("</table>");
@@ -193,18 +193,18 @@
     /** Nine controllers as processes, with the feature off and on, idle and while jobs are delegated. */
     private void processes() throws Exception {
         html.append("<h2>Controllers as processes (deploy file's command line), ")
-                .append(MEASURED.toSeconds())
+                .append(MEASUREMENT_TIME.toSeconds())
                 .append(" s each</h2><table>");
-        row("feature", "builds", "processor time per controller (% of a core)", "most memory (MB)", "done");
+        row("feature", "jobs submitted", "processor time per controller (% of a core)", "maximum memory (MB)", "done");
         for (boolean federated : new boolean[] {false, true}) {
-            for (int builds : federated ? new int[] {0, 30} : new int[] {0}) {
-                processes(federated, builds);
+            for (int jobs : federated ? new int[] {0, 30} : new int[] {0}) {
+                processes(federated, jobs);
             }
         }
         html.append("</table>");
     }
 
-    private void processes(boolean federated, int builds) throws Exception {
+    private void processes(boolean federated, int jobs) throws Exception {
         Path folder = Files.createTempDirectory("cells");
         var processes = new ArrayList<ControllerProcess>();
         LoopbackCells.Starter starter = (String cell, JsonNode settings, FederationSettings federation) -> {
@@ -213,17 +213,17 @@
             return process;
         };
         try (var cells = new LoopbackCells(starter, 2, 3, 3)) {
-            cells.cells.forEach(cell -> cell.standIns.lengthOf = task ->
+            cells.cells.forEach(cell -> cell.cluster.lengthOf = task ->
                     Optional.of(task.job().startsWith("fill-") ? Duration.ofMinutes(5) : Duration.ofSeconds(2)));
             for (LoopbackCells.Cell cell : cells.cells) {
                 String key = federated ? "ds/federation" : "ds/leader";
                 cells.await(
                         "it is ready",
                         Duration.ofSeconds(60),
-                        () -> cell.standIns.state.rows().containsKey(key));
+                        () -> cell.cluster.state.rows().containsKey(key));
             }
             LoopbackCells.Cell a = cells.cells.get(0);
-            if (builds > 0) {
+            if (jobs > 0) {
                 a.set("spill_after_s", 2);
                 Submission fill = FederationTest.job("fill-000001", "red", JobKind.ARRAY, Priority.CRITICAL, 8);
                 cells.on(() -> {
@@ -233,21 +233,21 @@
                 cells.await(
                         "a is full",
                         Duration.ofSeconds(60),
-                        () -> a.standIns.rules.live().size() == 8);
+                        () -> a.cluster.rules.live().size() == 8);
             }
-            measure(cells, a, processes, federated, builds);
+            measure(cells, a, processes, federated, jobs);
         }
     }
 
     private void measure(
-            LoopbackCells cells, LoopbackCells.Cell a, List<ControllerProcess> processes, boolean federated, int builds)
+            LoopbackCells cells, LoopbackCells.Cell a, List<ControllerProcess> processes, boolean federated, int jobs)
             throws Exception {
         var before = new ArrayList<Duration>();
         for (ControllerProcess process : processes) {
             before.add(process.processorTime());
         }
-        Duration begun = Duration.ofNanos(System.nanoTime());
-        for (int i = 0; i < builds; i++) {
+        Duration startedAt = Duration.ofNanos(System.nanoTime());
+        for (int i = 0; i < jobs; i++) {
             Submission build = FederationTest.job("wk-%06d".formatted(i), "blue", JobKind.ARRAY, Priority.URGENT, 1);
             cells.on(() -> {
                 a.submit(build);
@@ -256,8 +256,8 @@
         }
         cells.await(
                 "the time is over",
-                MEASURED.plusSeconds(30),
-                () -> Duration.ofNanos(System.nanoTime()).minus(begun).compareTo(MEASURED) >= 0);
+                MEASUREMENT_TIME.plusSeconds(30),
+                () -> Duration.ofNanos(System.nanoTime()).minus(startedAt).compareTo(MEASUREMENT_TIME) >= 0);
         double time = 0;
         double memory = 0;
         for (int i = 0; i < processes.size(); i++) {
@@ -267,8 +267,8 @@
         int done = cells.on(() -> cells.completed().size());
         row(
                 federated ? "on" : "off",
-                builds + "",
-                "%.1f".formatted(100 * time / processes.size() / MEASURED.toMillis()),
+                jobs + "",
+                "%.1f".formatted(100 * time / processes.size() / MEASUREMENT_TIME.toMillis()),
                 "%.0f".formatted(memory),
                 done + "");
     }
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -32,13 +32,13 @@
 
 /** Three federated cells in virtual time: a job that one cell cannot place runs in exactly one of the others. */
 class FederationTest {
-    static final Duration LONG = Duration.ofMinutes(8);
-    private static final String BUILD = "wk-000007";
+    static final Duration FILLER_DURATION = Duration.ofMinutes(8);
+    private static final String JOB_ID = "wk-000007";
 
-    static Submission job(String id, String team, JobKind shape, Priority priority, int tasks) {
+    static Submission job(String id, String team, JobKind kind, Priority priority, int tasks) {
         return SubmissionBuilder.submission(id)
                 .team(team)
-                .kind(shape)
+                .kind(kind)
                 .priority(priority)
                 .tasks(tasks)
                 .image("image-1")
@@ -46,11 +46,11 @@
     }
 
     /** Fills cell a for minutes with work of the highest priority, which nothing can preempt. */
-    static SimulatedFederation filled(long seed, int... machines) {
+    static SimulatedFederation withFullOrigin(long seed, int... machines) {
         var federation = new SimulatedFederation(seed, machines);
         SimulatedCluster a = federation.cell("a");
-        federation.cells.forEach(cell -> cell.lengthOf =
-                task -> task.job().startsWith("fill-") ? Optional.of(LONG) : Optional.of(Duration.ofSeconds(20)));
+        federation.cells.forEach(cell -> cell.lengthOf = task ->
+                task.job().startsWith("fill-") ? Optional.of(FILLER_DURATION) : Optional.of(Duration.ofSeconds(20)));
         for (int i = 0; i < 2; i++) {
             Submission fill = job("fill-00000" + i, "red", JobKind.ARRAY, Priority.CRITICAL, 4);
             federation.sim.after(2000, () -> a.submit(fill));
@@ -58,17 +58,17 @@
         return federation;
     }
 
-    static List<String> submitBuilds(SimulatedFederation federation, int count) {
+    static List<String> submitJobs(SimulatedFederation federation, int count) {
         var ids = new ArrayList<String>();
         for (int i = 0; i < count; i++) {
-            Submission build = job(
+            Submission job = job(
                     "wk-%06d".formatted(i),
                     "blue",
                     i % 2 == 0 ? JobKind.GANG : JobKind.ARRAY,
                     Priority.URGENT,
                     1 + i % 3);
-            ids.add(build.id());
-            federation.sim.after(20_000 + 1000L * i, () -> federation.cell("a").submit(build));
+            ids.add(job.id());
+            federation.sim.after(20_000 + 1000L * i, () -> federation.cell("a").submit(job));
         }
         return ids;
     }
@@ -78,13 +78,13 @@
     }
 
     @Test
-    void whatOneCellCannotPlaceFinishesElsewhereOnce() {
-        SimulatedFederation federation = filled(1, 2, 3, 3);
-        List<String> builds = submitBuilds(federation, 6);
+    void jobsThatOneCellCannotPlaceFinishInAnotherExactlyOnce() {
+        SimulatedFederation federation = withFullOrigin(1, 2, 3, 3);
+        List<String> jobIds = submitJobs(federation, 6);
         run(federation, 240);
         assertEquals(List.of(), federation.violations());
-        for (String id : builds) {
-            assertEquals("done", federation.cell("a").lastTold(id), id + " " + federation.calls);
+        for (String id : jobIds) {
+            assertEquals("done", federation.cell("a").lastTold(id), id + " " + federation.callsByType);
             assertTrue(List.of("b", "c").contains(federation.finishedIn(id)), id);
         }
     }
@@ -99,116 +99,116 @@
     }
 
     /** Runs until a condition holds, checking it ten times a second. */
-    static void until(SimulatedFederation federation, String what, long seconds, BooleanSupplier condition) {
+    static void until(SimulatedFederation federation, String description, long seconds, BooleanSupplier condition) {
         Duration end = federation.sim.now().plusSeconds(seconds);
         while (!condition.getAsBoolean()) {
-            assertTrue(federation.sim.now().compareTo(end) < 0, "timed out waiting for: " + what);
+            assertTrue(federation.sim.now().compareTo(end) < 0, "timed out waiting for: " + description);
             federation.sim.run(federation.sim.now().plusMillis(100));
         }
     }
 
-    private static SimulatedFederation withOneBuild(long seed, Duration length) {
-        SimulatedFederation federation = filled(seed, 2, 3, 3);
+    private static SimulatedFederation withOneDelegableJob(long seed, Duration length) {
+        SimulatedFederation federation = withFullOrigin(seed, 2, 3, 3);
         federation.cells.forEach(
-                cell -> cell.lengthOf = task -> Optional.of(task.job().startsWith("fill-") ? LONG : length));
-        Submission build = job(BUILD, "blue", JobKind.ARRAY, Priority.URGENT, 2);
-        federation.sim.after(15_000, () -> federation.cell("a").submit(build));
+                cell -> cell.lengthOf = task -> Optional.of(task.job().startsWith("fill-") ? FILLER_DURATION : length));
+        Submission job = job(JOB_ID, "blue", JobKind.ARRAY, Priority.URGENT, 2);
+        federation.sim.after(15_000, () -> federation.cell("a").submit(job));
         return federation;
     }
 
     /** A delegated job preempts the remote cell's own work of a lower priority, but not that of the same priority. */
     @Test
-    void priorityHoldsAfterTheMove() {
-        SimulatedFederation federation = filled(2, 2, 2, 2);
+    void aDelegatedJobKeepsItsPriority() {
+        SimulatedFederation federation = withFullOrigin(2, 2, 2, 2);
         for (String name : List.of("b", "c")) {
             SimulatedCluster cell = federation.cell(name);
-            cell.lengthOf = task -> Optional.of(task.job().startsWith("wk-") ? Duration.ofSeconds(5) : LONG);
+            cell.lengthOf = task -> Optional.of(task.job().startsWith("wk-") ? Duration.ofSeconds(5) : FILLER_DURATION);
             Priority own = name.equals("b") ? Priority.LOW : Priority.URGENT;
-            Submission experiments = job("exp-00000" + name.charAt(0) % 10, "red", JobKind.ARRAY, own, 8);
-            federation.sim.after(2000, () -> cell.submit(experiments));
+            Submission ownWork = job("exp-00000" + name.charAt(0) % 10, "red", JobKind.ARRAY, own, 8);
+            federation.sim.after(2000, () -> cell.submit(ownWork));
         }
-        var builds = new ArrayList<String>();
+        var jobIds = new ArrayList<String>();
         for (int i = 0; i < 3; i++) {
-            Submission build = job("wk-00000" + i, "blue", JobKind.GANG, Priority.URGENT, 2);
-            builds.add(build.id());
-            federation.sim.after(25_000 + 1000L * i, () -> federation.cell("a").submit(build));
+            Submission job = job("wk-00000" + i, "blue", JobKind.GANG, Priority.URGENT, 2);
+            jobIds.add(job.id());
+            federation.sim.after(25_000 + 1000L * i, () -> federation.cell("a").submit(job));
         }
         run(federation, 300);
         assertEquals(List.of(), federation.violations());
-        for (String id : builds) {
+        for (String id : jobIds) {
             assertEquals("done", federation.cell("a").lastTold(id), id);
             assertEquals("b", federation.finishedIn(id), id);
         }
     }
 
     @Test
-    void usersAreAnsweredByTheirOwnCellAlone() {
-        SimulatedFederation federation = withOneBuild(3, Duration.ofSeconds(60));
+    void onlyTheOriginAnswersUsersOfADelegatedJob() {
+        SimulatedFederation federation = withOneDelegableJob(3, Duration.ofSeconds(60));
         SimulatedCluster a = federation.cell("a");
         until(
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> phase(a, BUILD).equals("ACCEPTED") && a.lastTold(BUILD).equals("running"));
-        SimulatedCluster receiver = receiverOf(federation);
-        assertEquals(404, receiver.poll(0, BUILD).join().status());
-        assertEquals(404, receiver.cancelAt(1, BUILD).status());
-        UserApi.Answer own = a.poll(1, BUILD).join();
+                () -> phase(a, JOB_ID).equals("ACCEPTED") && a.lastTold(JOB_ID).equals("running"));
+        SimulatedCluster remote = remoteOf(federation);
+        assertEquals(404, remote.poll(0, JOB_ID).join().status());
+        assertEquals(404, remote.cancelAt(1, JOB_ID).status());
+        UserApi.Answer own = a.poll(1, JOB_ID).join();
         assertEquals("running", own.body().path("phase").asText());
         assertTrue(own.body().path("ageMs").asLong() < 10_000, own.body().toString());
         assertTrue(
                 List.of("b", "c").contains(own.body().path("cell").asText()),
                 own.body().toString());
         // The id is in use there, so a submission with the same id is not accepted, nor confused with the inbound job.
-        Submission same = job(BUILD, "red", JobKind.ARRAY, Priority.LOW, 1);
-        CompletableFuture<UserApi.Answer> refused = receiver.offer(2, same.toNode());
+        Submission same = job(JOB_ID, "red", JobKind.ARRAY, Priority.LOW, 1);
+        CompletableFuture<UserApi.Answer> refused = remote.offer(2, same.toNode());
         run(federation, 2);
         assertEquals(503, refused.join().status());
         run(federation, 120);
-        assertEquals("done", a.lastTold(BUILD));
+        assertEquals("done", a.lastTold(JOB_ID));
         assertEquals(List.of(), federation.violations());
     }
 
-    private static SimulatedCluster receiverOf(SimulatedFederation federation) {
+    private static SimulatedCluster remoteOf(SimulatedFederation federation) {
         return federation.cells.stream()
                 .skip(1)
-                .filter(cell -> record(cell, BUILD) != null)
+                .filter(cell -> record(cell, JOB_ID) != null)
                 .findFirst()
                 .orElseThrow();
     }
 
     @Test
-    void aCancellationIsConfirmedOnlyOnceTheOtherCellHasStoredIt() {
-        SimulatedFederation federation = withOneBuild(4, Duration.ofSeconds(200));
+    void aCancellationIsConfirmedOnlyAfterTheRemoteCellHasStoredIt() {
+        SimulatedFederation federation = withOneDelegableJob(4, Duration.ofSeconds(200));
         SimulatedCluster a = federation.cell("a");
         until(
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> a.lastTold(BUILD).equals("running"));
-        int there = federation.cells.indexOf(receiverOf(federation));
-        federation.cut(0, there, true);
+                () -> a.lastTold(JOB_ID).equals("running"));
+        int remoteIndex = federation.cells.indexOf(remoteOf(federation));
+        federation.setPartitioned(0, remoteIndex, true);
         var answer = new CompletableFuture<UserApi.Answer>();
-        a.cancelAsked(1, BUILD, answer::complete);
+        a.cancelAsked(1, JOB_ID, answer::complete);
         run(federation, 8);
         assertEquals(503, answer.join().status(), answer.join().body().toString());
-        federation.cut(0, there, false);
-        a.cancel(BUILD);
+        federation.setPartitioned(0, remoteIndex, false);
+        a.cancel(JOB_ID);
         until(
                 federation,
                 "the user receives the cancellation",
                 30,
-                () -> a.lastTold(BUILD).equals("cancelled"));
+                () -> a.lastTold(JOB_ID).equals("cancelled"));
         run(federation, 60);
-        assertTrue(federation.cells.get(there).rules.live().isEmpty());
+        assertTrue(federation.cells.get(remoteIndex).rules.live().isEmpty());
         assertEquals(List.of(), federation.violations());
     }
 
     @Test
-    void aJobThatWaitsThereComesBackAndIsGivenAwayABoundedNumberOfTimes() {
-        SimulatedFederation federation = filled(5, 2, 2, 2);
+    void aJobThatTheRemoteCellCannotPlaceReturnsAndIsDelegatedABoundedNumberOfTimes() {
+        SimulatedFederation federation = withFullOrigin(5, 2, 2, 2);
         // Both other cells are filled with work of a higher priority as soon as they have accepted the job.
-        federation.tamper = new SimulatedFederation.Tamper() {
+        federation.interceptor = new SimulatedFederation.MessageInterceptor() {
             @Override
             public CellReply reply(int from, CellReply reply) {
                 boolean accepted = reply instanceof CellReply.Reports reports
@@ -220,22 +220,22 @@
                 return reply;
             }
         };
-        Submission build = job(BUILD, "blue", JobKind.GANG, Priority.URGENT, 4);
-        federation.sim.after(15_000, () -> federation.cell("a").submit(build));
+        Submission job = job(JOB_ID, "blue", JobKind.GANG, Priority.URGENT, 4);
+        federation.sim.after(15_000, () -> federation.cell("a").submit(job));
         run(federation, 900);
         assertEquals(List.of(), federation.violations());
-        assertEquals("done", federation.cell("a").lastTold(BUILD));
+        assertEquals("done", federation.cell("a").lastTold(JOB_ID));
     }
 
     @Test
-    void nothingIsExchangedBeforeAllControllersOfACellHaveTheFeature() {
-        SimulatedFederation federation = filled(6, 2, 3, 3);
+    void noOffersAreSentUntilAllControllersSupportTheFormat() {
+        SimulatedFederation federation = withFullOrigin(6, 2, 3, 3);
         federation.cell("a").formats[1] = FormatVersion.NEWEST_WITHOUT_FEATURES;
         federation.cell("a").crash(1, Duration.ofMillis(200));
-        submitBuilds(federation, 2);
+        submitJobs(federation, 2);
         run(federation, 120);
         assertFalse(federation.cell("a").state.rows().containsKey("ds/federation"));
-        assertTrue(federation.calls.getOrDefault("Offer", 0) == 0);
+        assertTrue(federation.callsByType.getOrDefault("Offer", 0) == 0);
         federation.cell("a").formats[1] = FormatVersion.DELEGATION_LINKS;
         federation.cell("a").crash(1, Duration.ofMillis(200));
         run(federation, 150);
@@ -246,16 +246,16 @@
     /** The leader of the origin or of the remote cell crashes at each step of the protocol. */
     @ParameterizedTest
     @MethodSource("steps")
-    void aLeaderEndsAtAnyStep(String step, boolean home) {
-        SimulatedFederation federation = withOneBuild(7, Duration.ofSeconds(20));
+    void aDelegatedJobFinishesIfALeaderCrashesAtAnyStep(String step, boolean atOrigin) {
+        SimulatedFederation federation = withOneDelegableJob(7, Duration.ofSeconds(20));
         SimulatedCluster a = federation.cell("a");
-        federation.tamper = new SimulatedFederation.Tamper() {
-            private boolean done;
+        federation.interceptor = new SimulatedFederation.MessageInterceptor() {
+            private boolean crashed;
 
-            private void end(String now, int to) {
-                if (!done && now.equals(step)) {
-                    done = true;
-                    SimulatedCluster cell = home ? a : federation.cells.get(to);
+            private void crashAt(String current, int to) {
+                if (!crashed && current.equals(step)) {
+                    crashed = true;
+                    SimulatedCluster cell = atOrigin ? a : federation.cells.get(to);
                     cell.crash(Math.max(0, cell.leader()), Duration.ofSeconds(4));
                 }
             }
@@ -263,7 +263,7 @@
             @Override
             public CellRequest request(int to, CellRequest request) {
                 if (to != 0) {
-                    end("before " + request.getClass().getSimpleName(), to);
+                    crashAt("before " + request.getClass().getSimpleName(), to);
                 }
                 return request;
             }
@@ -271,15 +271,15 @@
             @Override
             public CellReply reply(int from, CellReply reply) {
                 if (from != 0 && reply instanceof CellReply.Reports reports) {
-                    reports.reports().forEach(report -> end("told " + report.state(), from));
+                    reports.reports().forEach(report -> crashAt("told " + report.state(), from));
                 }
                 return reply;
             }
         };
         run(federation, 300);
         assertEquals(List.of(), federation.violations());
-        assertEquals("done", a.lastTold(BUILD));
-        assertTrue(federation.finishedIn(BUILD).matches("[bc]"));
+        assertEquals("done", a.lastTold(JOB_ID));
+        assertTrue(federation.finishedIn(JOB_ID).matches("[bc]"));
     }
 
     static Stream<Arguments> steps() {
@@ -287,13 +287,13 @@
                 .flatMap(step -> Stream.of(Arguments.of(step, true), Arguments.of(step, false)));
     }
 
-    private static String shown(SimulatedCluster cell, String path) {
+    private static String adminAnswer(SimulatedCluster cell, String path) {
         int node = Math.max(0, cell.leader());
         return cell.admin(node, "GET", "/v1/" + path, "").join().body().toString();
     }
 
     /** Copies the present contents of a cell's state store; the returned action restores them and restarts all controllers. */
-    private static Runnable remember(SimulatedCluster cell) {
+    private static Runnable snapshot(SimulatedCluster cell) {
         var rows = new TreeMap<>(cell.state.rows());
         return () -> {
             for (int node = 0; node < 3; node++) {
@@ -304,23 +304,23 @@
     }
 
     @Test
-    void aCellThatWasRebuiltEmptyIsNotTakenForTheOneThatHoldsTheJob() {
-        SimulatedFederation federation = withOneBuild(8, Duration.ofSeconds(400));
+    void aCellRebuiltEmptyIsDetectedAndItsJobsReturnOnlyByAbandonment() {
+        SimulatedFederation federation = withOneDelegableJob(8, Duration.ofSeconds(400));
         SimulatedCluster a = federation.cell("a");
         until(
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> a.lastTold(BUILD).equals("running"));
-        SimulatedCluster receiver = receiverOf(federation);
-        receiver.state.putBack(new TreeMap<>());
+                () -> a.lastTold(JOB_ID).equals("running"));
+        SimulatedCluster remote = remoteOf(federation);
+        remote.state.putBack(new TreeMap<>());
         for (int node = 0; node < 3; node++) {
-            receiver.crash(node, Duration.ofSeconds(2));
+            remote.crash(node, Duration.ofSeconds(2));
         }
         run(federation, 90);
-        assertTrue(shown(a, "cells").contains("rebuilt empty"), shown(a, "cells"));
-        assertEquals("ACCEPTED", phase(a, BUILD), "the transfer stays as it is");
-        String name = SimulatedFederation.NAMES.get(federation.cells.indexOf(receiver));
+        assertTrue(adminAnswer(a, "cells").contains("rebuilt empty"), adminAnswer(a, "cells"));
+        assertEquals("ACCEPTED", phase(a, JOB_ID), "the transfer stays as it is");
+        String name = SimulatedFederation.NAMES.get(federation.cells.indexOf(remote));
         int node = a.leader();
         assertEquals(
                 400,
@@ -334,55 +334,55 @@
                         .join()
                         .status());
         run(federation, 40);
-        boolean home = phase(a, BUILD).equals("HOME") || federation.transfers(a, BUILD) > 1 || a.over(BUILD);
-        assertTrue(home, "the job returns after the abandonment, and may be delegated again");
+        boolean returned = phase(a, JOB_ID).equals("HOME") || federation.transfers(a, JOB_ID) > 1 || a.over(JOB_ID);
+        assertTrue(returned, "the job returns after the abandonment, and may be delegated again");
         // The rebuilt cell's new identity is stored, and it may receive jobs again.
-        assertFalse(shown(a, "cells").contains("rebuilt empty"), shown(a, "cells"));
+        assertFalse(adminAnswer(a, "cells").contains("rebuilt empty"), adminAnswer(a, "cells"));
     }
 
     @Test
-    void aCellWhoseStateWasPutBackIsNotGuessedAt() {
-        SimulatedFederation federation = withOneBuild(9, Duration.ofSeconds(400));
+    void aRemoteCellRestoredToAnOlderStateNeedsAnOperator() {
+        SimulatedFederation federation = withOneDelegableJob(9, Duration.ofSeconds(400));
         SimulatedCluster a = federation.cell("a");
         run(federation, 14);
-        List<Runnable> putBack = List.of(remember(federation.cell("b")), remember(federation.cell("c")));
+        List<Runnable> restore = List.of(snapshot(federation.cell("b")), snapshot(federation.cell("c")));
         until(
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> a.lastTold(BUILD).equals("running"));
-        int there = federation.cells.indexOf(receiverOf(federation));
-        putBack.get(there - 1).run();
+                () -> a.lastTold(JOB_ID).equals("running"));
+        int remoteIndex = federation.cells.indexOf(remoteOf(federation));
+        restore.get(remoteIndex - 1).run();
         run(federation, 60);
-        assertEquals("ACCEPTED", phase(a, BUILD), "the transfer stays as it is");
-        String waits = shown(a, "delegations");
+        assertEquals("ACCEPTED", phase(a, JOB_ID), "the transfer stays as it is");
+        String waits = adminAnswer(a, "delegations");
         assertTrue(waits.contains("does not know a job that it had accepted"), waits);
-        assertTrue(shown(a, "cells").contains("needs an operator"), shown(a, "cells"));
+        assertTrue(adminAnswer(a, "cells").contains("needs an operator"), adminAnswer(a, "cells"));
     }
 
     @Test
-    void aHomeWhoseStateWasPutBackIsToldSo() {
-        SimulatedFederation federation = withOneBuild(10, Duration.ofSeconds(400));
+    void anOriginRestoredToAnOlderStateNeedsAnOperator() {
+        SimulatedFederation federation = withOneDelegableJob(10, Duration.ofSeconds(400));
         SimulatedCluster a = federation.cell("a");
         run(federation, 14);
-        Runnable putBack = remember(a);
+        Runnable restore = snapshot(a);
         until(
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> a.lastTold(BUILD).equals("running"));
+                () -> a.lastTold(JOB_ID).equals("running"));
         run(federation, 10);
-        putBack.run();
+        restore.run();
         run(federation, 60);
-        String cells = shown(a, "cells");
+        String cells = adminAnswer(a, "cells");
         assertTrue(cells.contains("needs an operator"), cells);
     }
 
     @Test
-    void twoCellsOfOneNameAreNoticed() {
-        SimulatedFederation federation = filled(11, 2, 3, 3);
+    void twoCellsOfTheSameNameAreDetected() {
+        SimulatedFederation federation = withFullOrigin(11, 2, 3, 3);
         run(federation, 20);
-        federation.tamper = new SimulatedFederation.Tamper() {
+        federation.interceptor = new SimulatedFederation.MessageInterceptor() {
             @Override
             public CellReply reply(int from, CellReply reply) {
                 if (from == 1 && reply instanceof CellReply.Greeting told) {
@@ -393,16 +393,16 @@
             }
         };
         run(federation, 10);
-        assertTrue(shown(federation.cell("a"), "cells").contains("two bear the name"));
+        assertTrue(adminAnswer(federation.cell("a"), "cells").contains("two bear the name"));
     }
 
     /** Checks the invariant checker: a remote cell that reports a transfer as withdrawn, but does not store that, must be detected. */
     @Test
-    void anAnswerThatIsNotStoredIsNoticed() {
-        SimulatedFederation federation = withOneBuild(12, Duration.ofSeconds(60));
+    void aReportThatWasNotStoredIsDetected() {
+        SimulatedFederation federation = withOneDelegableJob(12, Duration.ofSeconds(60));
         federation.cells.forEach(cell -> federation.sim.after(
                 3000, () -> cell.setOptions(0, Map.of("recall_after_s", 5.0, "spill_pause_s", 5.0))));
-        federation.tamper = new SimulatedFederation.Tamper() {
+        federation.interceptor = new SimulatedFederation.MessageInterceptor() {
             @Override
             public CellReply reply(int from, CellReply reply) {
                 if (from == 0
@@ -416,7 +416,7 @@
         };
         run(federation, 300);
         assertTrue(
-                federation.violations().stream().anyMatch(what -> what.contains("two cells")),
+                federation.violations().stream().anyMatch(description -> description.contains("two cells")),
                 federation.violations().toString());
     }
 }
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -47,38 +47,38 @@
     private static final String HOST = "127.0.0.1";
     private static final int CONTROLLERS = 3;
     /** The maximum number of workers of a cell, terminated ones included. */
-    private static final int WORKER_PORTS = 16;
+    private static final int MAX_WORKERS = 16;
 
     private static final int FIRST_PORT = 12_000;
-    private static final int PORTS = 18_000;
+    private static final int PORT_COUNT = 18_000;
     /** Depends on the process id, so that concurrent test runs on one machine start at different ports. */
-    private static int nextPort = (int) (ProcessHandle.current().pid() * 131 % PORTS);
+    private static int nextPort = (int) (ProcessHandle.current().pid() * 131 % PORT_COUNT);
 
-    private static final int BODY_LIMIT = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(4);
-    private static final long PACE_MILLIS = 5;
+    private static final long ADVANCE_INTERVAL_MILLIS = 5;
     private static final String JSON = "application/json";
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final ConnectionBudget connections = new ConnectionBudget(4000);
     private final NettyHttpClient http;
     private final VirtualTime sim = new VirtualTime(1);
-    private final long origin = System.nanoTime();
+    private final long startNanos = System.nanoTime();
     final List<Cell> cells = new ArrayList<>();
-    final CellInvariantChecker watch;
+    final CellInvariantChecker checker;
     private final Starter starter;
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<PendingCondition> pendingConditions = new ArrayList<>();
 
-    private record Waiting(BooleanSupplier condition, CompletableFuture<Void> met) {}
+    private record PendingCondition(BooleanSupplier condition, CompletableFuture<Void> fulfilled) {}
 
     /** One cell: its simulated surroundings and its controllers. */
     final class Cell implements SimulatedEnvironment.Outside {
         final String name;
-        SimulatedCluster standIns;
+        SimulatedCluster cluster;
         final Running[] controllers = new Running[CONTROLLERS];
-        final int[] front = new int[CONTROLLERS];
-        final int[] peer = new int[CONTROLLERS];
-        final int[] federation = new int[CONTROLLERS];
+        final int[] userApiPorts = new int[CONTROLLERS];
+        final int[] peerPorts = new int[CONTROLLERS];
+        final int[] federationPorts = new int[CONTROLLERS];
         private final Map<String, Integer> workerPorts = new HashMap<>();
         private final List<Integer> freePorts = new ArrayList<>();
         private int statePort;
@@ -89,9 +89,9 @@
         Cell(String name) throws IOException {
             this.name = name;
             for (int node = 0; node < CONTROLLERS; node++) {
-                front[node] = freePort();
-                peer[node] = freePort();
-                federation[node] = freePort();
+                userApiPorts[node] = freePort();
+                peerPorts[node] = freePort();
+                federationPorts[node] = freePort();
             }
         }
 
@@ -102,7 +102,7 @@
 
         @Override
         public void report(int node, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
-            call(front[node], "POST", "/agent/beat", MessagePackCodec.write(report), MessagePackCodec.TYPE)
+            call(userApiPorts[node], "POST", "/agent/beat", MessagePackCodec.write(report), MessagePackCodec.TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null) {
                             answer.accept(reply.status(), parsed(reply));
@@ -117,11 +117,10 @@
                     0,
                     (call, answer) -> sim.after(
                             stateDelay,
-                            () -> answer.accept(
-                                    reply(standIns.state.answer(call.method(), target(call), body(call))))));
+                            () -> answer.accept(reply(cluster.state.answer(call.method(), target(call), body(call))))));
             cloudPort =
-                    listen(0, (call, answer) -> answer.accept(reply(standIns.cloud.answer(target(call), body(call)))));
-            for (int i = 0; i < WORKER_PORTS; i++) {
+                    listen(0, (call, answer) -> answer.accept(reply(cluster.cloud.answer(target(call), body(call)))));
+            for (int i = 0; i < MAX_WORKERS; i++) {
                 var port = new int[1];
                 port[0] = listen(0, (call, answer) -> answer.accept(worker(port[0], call)));
                 freePorts.add(port[0]);
@@ -129,7 +128,7 @@
         }
 
         private HttpServerResponse worker(int port, HttpServerRequest call) {
-            for (FakeWorker worker : standIns.alive()) {
+            for (FakeWorker worker : cluster.alive()) {
                 if (workerPorts.getOrDefault(worker.id(), -1) == port) {
                     return reply(
                             call.path().equals("/inspect")
@@ -145,13 +144,13 @@
             for (int other = 0; other < CONTROLLERS; other++) {
                 if (other != node) {
                     seeds.append("[[seeds]]\nnode_name = \"n%d\"\narea = \"east\"\naddress = \"%s:%d\"\n"
-                            .formatted(other, HOST, peer[other]));
+                            .formatted(other, HOST, peerPorts[other]));
                 }
             }
             JsonNode file = TestSettings.node(
                     "n" + node,
-                    HOST + ":" + front[node],
-                    HOST + ":" + peer[node],
+                    HOST + ":" + userApiPorts[node],
+                    HOST + ":" + peerPorts[node],
                     HOST + ":" + cloudPort,
                     HOST + ":" + statePort,
                     seeds.toString());
@@ -164,30 +163,35 @@
                 if (other != this) {
                     var controllers = new LinkedHashMap<String, String>();
                     for (int k = 0; k < CONTROLLERS; k++) {
-                        controllers.put("n" + k, HOST + ":" + other.federation[k]);
+                        controllers.put("n" + k, HOST + ":" + other.federationPorts[k]);
                     }
                     others.add(new FederationSettings.RemoteCell(other.name, controllers));
                 }
             }
-            return new FederationSettings(name, federation[node], others);
+            return new FederationSettings(name, federationPorts[node], others);
         }
 
         /** The stored leader's number; -1 if there is none. */
         int leader() {
-            return standIns.leader();
+            return cluster.leader();
         }
 
         /** Submits a job, retrying until it is accepted, and polls it until it has ended. */
         void submit(Submission job) {
-            standIns.jobs.put(job.id(), job);
+            cluster.jobs.put(job.id(), job);
             offer(job, 0);
         }
 
         private void offer(Submission job, int node) {
-            call(front[node], "POST", "/submissions", MessagePackCodec.write(job.toNode()), MessagePackCodec.TYPE)
+            call(
+                            userApiPorts[node],
+                            "POST",
+                            "/submissions",
+                            MessagePackCodec.write(job.toNode()),
+                            MessagePackCodec.TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null && (reply.status() == 200 || reply.status() == 201)) {
-                            standIns.told.put(job.id(), "queued");
+                            cluster.told.put(job.id(), "queued");
                             poll(job.id(), node);
                         } else {
                             sim.after(500, () -> offer(job, (node + 1) % CONTROLLERS));
@@ -196,13 +200,13 @@
         }
 
         private void poll(String id, int node) {
-            call(front[node], "GET", "/submissions/" + id, new byte[0], MessagePackCodec.TYPE)
+            call(userApiPorts[node], "GET", "/submissions/" + id, new byte[0], MessagePackCodec.TYPE)
                     .whenComplete((reply, failure) -> {
                         String phase = failure == null && reply.status() == 200
                                 ? parsed(reply).path("phase").asText()
-                                : standIns.lastTold(id);
-                        standIns.told.put(id, phase);
-                        if (!standIns.over(id)) {
+                                : cluster.lastTold(id);
+                        cluster.told.put(id, phase);
+                        if (!cluster.over(id)) {
                             sim.after(300, () -> poll(id, (node + 1) % CONTROLLERS));
                         }
                     });
@@ -225,7 +229,7 @@
             byte[] bytes = method.equals("GET")
                     ? new byte[0]
                     : body.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8);
-            return call(peer[node], method, path, bytes, JSON);
+            return call(peerPorts[node], method, path, bytes, JSON);
         }
     }
 
@@ -251,29 +255,31 @@
     LoopbackCells(Starter starter, int... machines) throws Exception {
         this.starter = starter;
         http = new NettyHttpClient(group.next(), 200, connections);
-        var standIns = new ArrayList<SimulatedCluster>();
-        watch = new CellInvariantChecker(standIns);
+        var clusters = new ArrayList<SimulatedCluster>();
+        checker = new CellInvariantChecker(clusters);
         var shared = SimulatedEnvironment.none(sim);
         for (String name : SimulatedFederation.NAMES) {
             cells.add(new Cell(name));
         }
         for (int index = 0; index < cells.size(); index++) {
             Cell cell = cells.get(index);
-            var surroundings = new SimulatedEnvironment(
+            var environment = new SimulatedEnvironment(
                     sim,
                     shared.jobs(),
                     shared.done(),
                     shared.completed(),
                     shared.cancelled(),
                     shared.connector(),
-                    watch,
+                    checker,
                     Optional.of(cell));
-            cell.standIns = new SimulatedCluster(
-                    surroundings, ClusterShape.of(machines[index], 1).withFormat(FormatVersion.DELEGATION_LINKS));
-            standIns.add(cell.standIns);
+            cell.cluster = new SimulatedCluster(
+                    environment, ClusterShape.of(machines[index], 1).withFormat(FormatVersion.DELEGATION_LINKS));
+            clusters.add(cell.cluster);
             cell.serve();
         }
-        group.next().scheduleAtFixedRate(this::pump, PACE_MILLIS, PACE_MILLIS, TimeUnit.MILLISECONDS);
+        group.next()
+                .scheduleAtFixedRate(
+                        this::advance, ADVANCE_INTERVAL_MILLIS, ADVANCE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         for (Cell cell : cells) {
             for (int node = 0; node < CONTROLLERS; node++) {
                 cell.start(node);
@@ -282,9 +288,9 @@
     }
 
     /** Advances the simulation to the real time, and completes the futures of conditions that hold now. */
-    private void pump() {
-        sim.run(Duration.ofNanos(System.nanoTime() - origin));
-        waiting.removeIf(one -> one.condition.getAsBoolean() && one.met.complete(null));
+    private void advance() {
+        sim.run(Duration.ofNanos(System.nanoTime() - startNanos));
+        pendingConditions.removeIf(pending -> pending.condition.getAsBoolean() && pending.fulfilled.complete(null));
     }
 
     /** Runs an action on the simulation's thread. */
@@ -293,13 +299,13 @@
     }
 
     /** Waits until a condition holds; it is evaluated on the simulation's thread. */
-    void await(String what, Duration within, BooleanSupplier condition) throws Exception {
-        var met = new CompletableFuture<Void>();
-        group.next().execute(() -> waiting.add(new Waiting(condition, met)));
+    void await(String description, Duration timeout, BooleanSupplier condition) throws Exception {
+        var fulfilled = new CompletableFuture<Void>();
+        group.next().execute(() -> pendingConditions.add(new PendingCondition(condition, fulfilled)));
         try {
-            met.get(within.toMillis(), TimeUnit.MILLISECONDS);
+            fulfilled.get(timeout.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            throw new AssertionError("timed out after " + within.toSeconds() + " s waiting for: " + what, e);
+            throw new AssertionError("timed out after " + timeout.toSeconds() + " s waiting for: " + description, e);
         }
     }
 
@@ -315,7 +321,7 @@
         var channel = NettyHttpServer.open(
                 group,
                 new InetSocketAddress(HOST, port),
-                BODY_LIMIT,
+                MAX_BODY_BYTES,
                 handler,
                 status -> reply(new FakeStateStore.Reply(status, MessagePackCodec.map())),
                 connections);
@@ -370,8 +376,8 @@
      * Finds a free port below the ephemeral range, so that no outgoing connection can occupy it before it is used.
      */
     private static int freePort() throws IOException {
-        for (int tries = 0; tries < PORTS; tries++) {
-            int port = FIRST_PORT + Math.floorMod(nextPort++, PORTS);
+        for (int tries = 0; tries < PORT_COUNT; tries++) {
+            int port = FIRST_PORT + Math.floorMod(nextPort++, PORT_COUNT);
             try (var socket = new ServerSocket()) {
                 socket.bind(new InetSocketAddress(HOST, port));
                 return port;
@@ -384,14 +390,14 @@
 
     /** All violations of invariants, within cells and between them. */
     List<String> violations() {
-        var all = new ArrayList<>(watch.broken);
-        cells.forEach(cell -> all.addAll(cell.standIns.broken));
+        var all = new ArrayList<>(checker.violations);
+        cells.forEach(cell -> all.addAll(cell.cluster.broken));
         return all;
     }
 
     /** The ids of jobs whose tasks have all completed. */
     Set<String> completed() {
-        return Set.copyOf(cells.get(0).standIns.completed.keySet());
+        return Set.copyOf(cells.get(0).cluster.completed.keySet());
     }
 
     @Override
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
@@ -20,19 +20,19 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void whateverMeets(long seed) {
-        play(seed, RandomFaultSchedule.StateService.UNLIMITED);
+    void delegatedJobsFinishExactlyOnceUnderRandomFaults(long seed) {
+        run(seed, RandomFaultSchedule.StateService.UNLIMITED);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void whateverMeetsWhileWritesAreScarce(long seed) {
-        play(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
+    void delegatedJobsFinishExactlyOnceUnderRandomFaultsAndLimitedWrites(long seed) {
+        run(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
     }
 
-    private static void play(long seed, RandomFaultSchedule.StateService stateService) {
-        var mix = new RandomFederationFaults(seed, stateService);
-        mix.addAny(2 + (int) (seed % 4));
-        assertEquals(List.of(), mix.play(), () -> seed + ": " + mix.story());
+    private static void run(long seed, RandomFaultSchedule.StateService stateService) {
+        var faults = new RandomFederationFaults(seed, stateService);
+        faults.addAny(2 + (int) (seed % 4));
+        assertEquals(List.of(), faults.run(), () -> seed + ": " + faults.faultLog());
     }
 }
--- a/src/test/java/org/dunespindle/sim/SimulatedFederation.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedFederation.java
@@ -34,34 +34,34 @@
     final VirtualTime sim;
     final List<SimulatedCluster> cells = new ArrayList<>();
     /** Violated invariants between cells. */
-    private final List<String> broken;
+    private final List<String> violations;
 
-    private final CellInvariantChecker watch;
+    private final CellInvariantChecker checker;
     /** The number of calls between cells, by type of request. */
-    final Map<String, Integer> calls = new TreeMap<>();
+    final Map<String, Integer> callsByType = new TreeMap<>();
 
     private final Federation[][] federations = new Federation[NAMES.size()][CONTROLLERS];
     /** Whether messages from one cell to another are blocked, at index from * 3 + to. */
-    final boolean[] cut = new boolean[NAMES.size() * NAMES.size()];
+    final boolean[] blocked = new boolean[NAMES.size() * NAMES.size()];
 
-    private final Duration[] heldUntil = new Duration[NAMES.size() * NAMES.size()];
+    private final Duration[] delayedUntil = new Duration[NAMES.size() * NAMES.size()];
     /** The probability that a request or a reply is delayed. */
-    double held;
+    double delayProbability;
 
     /** The maximum delay of delayed messages and of duplicates. */
-    Duration heldAtMost = Duration.ofMinutes(2);
+    Duration maxDelay = Duration.ofMinutes(2);
     /** The probability that a request arrives a second time, later. */
-    double repeated;
+    double duplicateProbability;
 
-    double loss;
+    double lossProbability;
     /** How often a job may be delegated; a test that changes the option has to change this too. */
     int maxTransfers = 3;
 
-    Tamper tamper = new Tamper() {};
+    MessageInterceptor interceptor = new MessageInterceptor() {};
     private final Random network;
 
     /** Changes messages in transit, to test how cells handle them and whether the invariant checks detect violations. */
-    interface Tamper {
+    interface MessageInterceptor {
         /** Returns the request to deliver instead; null to drop it. */
         default CellRequest request(int to, CellRequest request) {
             return request;
@@ -85,24 +85,24 @@
         var done = new HashMap<String, Set<Integer>>();
         var completed = new HashMap<String, Duration>();
         var cancelled = new HashMap<String, Duration>();
-        var watch = new CellInvariantChecker(cells);
-        broken = watch.broken;
-        this.watch = watch;
+        var checker = new CellInvariantChecker(cells);
+        violations = checker.violations;
+        this.checker = checker;
         for (int cell = 0; cell < NAMES.size(); cell++) {
             int index = cell;
-            var surroundings = new SimulatedEnvironment(
+            var environment = new SimulatedEnvironment(
                     sim,
                     jobs,
                     done,
                     completed,
                     cancelled,
                     (node, process, context) -> connect(index, node, process, context),
-                    watch,
+                    checker,
                     Optional.empty());
             ClusterShape shape = ClusterShape.of(machines[cell], 1).withFormat(FormatVersion.DELEGATION_LINKS);
-            cells.add(new SimulatedCluster(surroundings, stateService.of(shape)));
+            cells.add(new SimulatedCluster(environment, stateService.of(shape)));
         }
-        sim.after(500, this::watch);
+        sim.after(500, this::checkTransfers);
     }
 
     private JobDelegation connect(int cell, int node, VirtualTime.SimulatedProcess process, DelegationContext context) {
@@ -128,48 +128,50 @@
     private CellTransport transport(int from, VirtualTime.SimulatedProcess process) {
         return (address, request, deadline) -> {
             var result = new CompletableFuture<CellReply>();
-            calls.merge(request.getClass().getSimpleName(), 1, Integer::sum);
+            callsByType.merge(request.getClass().getSimpleName(), 1, Integer::sum);
             int to = address.charAt(0) - '0';
             int node = address.charAt(2) - '0';
             process.schedule(
                     deadline,
                     () -> result.completeExceptionally(new CellCallException("no reply before the deadline")));
             byte[] body = CellMessageCodec.write(request);
-            int copies = network.nextDouble() < repeated ? 2 : 1;
+            int copies = network.nextDouble() < duplicateProbability ? 2 : 1;
             for (int copy = 0; copy < copies; copy++) {
-                long late = copy == 0 ? 0 : network.nextInt((int) heldAtMost.toMillis());
-                sim.after(delay() + late, () -> arrive(from, to, node, body, process, result));
+                long extraDelay = copy == 0 ? 0 : network.nextInt((int) maxDelay.toMillis());
+                sim.after(delay() + extraDelay, () -> deliver(from, to, node, body, process, result));
             }
             return result;
         };
     }
 
     private long delay() {
-        boolean slow = network.nextDouble() < held;
-        return 5L + network.nextInt(30) + (slow ? network.nextInt((int) heldAtMost.toMillis()) : 0);
+        boolean slow = network.nextDouble() < delayProbability;
+        return 5L + network.nextInt(30) + (slow ? network.nextInt((int) maxDelay.toMillis()) : 0);
     }
 
-    private void arrive(
+    private void deliver(
             int from,
             int to,
             int node,
             byte[] body,
-            VirtualTime.SimulatedProcess asker,
+            VirtualTime.SimulatedProcess caller,
             CompletableFuture<CellReply> result) {
         SimulatedCluster target = cells.get(to);
-        Duration until = heldUntil[from * NAMES.size() + to];
+        Duration until = delayedUntil[from * NAMES.size() + to];
         if (until != null && sim.now().compareTo(until) < 0) {
-            sim.after(until.minus(sim.now()).plusMillis(1), () -> arrive(from, to, node, body, asker, result));
+            sim.after(until.minus(sim.now()).plusMillis(1), () -> deliver(from, to, node, body, caller, result));
             return;
         }
-        if (cut[from * NAMES.size() + to] || network.nextDouble() < loss || target.processes[node].isDead()) {
+        if (blocked[from * NAMES.size() + to]
+                || network.nextDouble() < lossProbability
+                || target.processes[node].isDead()) {
             return;
         }
         Federation federation = federations[to][node];
-        CellRequest request = tamper.request(to, read(body));
+        CellRequest request = interceptor.request(to, read(body));
         if (request != null) {
             target.processes[node].arrive(
-                    () -> federation.handle(request, reply -> answer(from, to, reply, asker, result)));
+                    () -> federation.handle(request, reply -> answer(from, to, reply, caller, result)));
         }
     }
 
@@ -177,16 +179,16 @@
             int from,
             int to,
             CellReply reply,
-            VirtualTime.SimulatedProcess asker,
+            VirtualTime.SimulatedProcess caller,
             CompletableFuture<CellReply> result) {
-        CellReply sent = tamper.reply(to, reply);
+        CellReply sent = interceptor.reply(to, reply);
         if (sent == null) {
             return;
         }
         byte[] body = CellMessageCodec.write(sent);
         sim.after(delay(), () -> {
-            if (!cut[to * NAMES.size() + from] && network.nextDouble() >= loss) {
-                asker.arrive(() -> result.complete(readReply(body)));
+            if (!blocked[to * NAMES.size() + from] && network.nextDouble() >= lossProbability) {
+                caller.arrive(() -> result.complete(readReply(body)));
             }
         });
     }
@@ -208,14 +210,14 @@
     }
 
     /** Starts or ends a partition between two cells, in both directions. */
-    void cut(int one, int other, boolean yes) {
-        cut[one * NAMES.size() + other] = yes;
-        cut[other * NAMES.size() + one] = yes;
+    void setPartitioned(int one, int other, boolean partitioned) {
+        blocked[one * NAMES.size() + other] = partitioned;
+        blocked[other * NAMES.size() + one] = partitioned;
     }
 
     /** Delays all requests of one cell to another until the given time has passed. */
-    void hold(int from, int to, Duration length) {
-        heldUntil[from * NAMES.size() + to] = sim.now().plus(length);
+    void delayRequests(int from, int to, Duration length) {
+        delayedUntil[from * NAMES.size() + to] = sim.now().plus(length);
     }
 
     SimulatedCluster cell(String name) {
@@ -224,7 +226,7 @@
 
     /** All violated invariants, within cells and between them. */
     List<String> violations() {
-        var all = new ArrayList<>(broken);
+        var all = new ArrayList<>(violations);
         for (SimulatedCluster cell : cells) {
             cell.broken.forEach(what -> all.add(NAMES.get(cells.indexOf(cell)) + ": " + what));
         }
@@ -232,24 +234,24 @@
     }
 
     /** How often the origin has delegated a job, as stored; 0 once the job has ended. */
-    int transfers(SimulatedCluster home, String job) {
-        FakeStateStore.Row row = home.state.rows().get("ds/job/" + job);
+    int transfers(SimulatedCluster origin, String job) {
+        FakeStateStore.Row row = origin.state.rows().get("ds/job/" + job);
         return row == null ? 0 : row.value().path("away").path(3).asInt();
     }
 
-    private void watch() {
+    private void checkTransfers() {
         for (SimulatedCluster cell : cells) {
             cell.state.rows().forEach((key, row) -> {
                 if (row.value().path("away").path(3).asInt() > maxTransfers) {
-                    broken.add("too many transfers: " + key);
+                    violations.add("too many transfers: " + key);
                 }
             });
         }
-        sim.after(500, this::watch);
+        sim.after(500, this::checkTransfers);
     }
 
     /** The cell in which a job's first task completed; empty if it did not. */
     String finishedIn(String job) {
-        return watch.finishedIn(job);
+        return checker.finishedIn(job);
     }
 }
--- a/src/test/java/org/dunespindle/sim/SimulatedOperators.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedOperators.java
@@ -16,17 +16,17 @@
     private static final int CONTROLLERS = 3;
     private final VirtualTime sim;
     private final IntFunction<Controller> controllers;
-    private final Consumer<String> broken;
+    private final Consumer<String> onViolation;
 
     /**
      * Creates the operators.
      *
-     * @param broken receives the violations of invariants
+     * @param onViolation receives the violations of invariants
      */
-    SimulatedOperators(VirtualTime sim, IntFunction<Controller> controllers, Consumer<String> broken) {
+    SimulatedOperators(VirtualTime sim, IntFunction<Controller> controllers, Consumer<String> onViolation) {
         this.sim = sim;
         this.controllers = controllers;
-        this.broken = broken;
+        this.onViolation = onViolation;
     }
 
     /** The texts of the recent decisions of all controllers, one per line. */
@@ -60,7 +60,7 @@
         values.forEach(list::put);
         controllers.apply(node).adminApi().handle("PUT", "/v1/options", JsonCodec.write(change), answer -> {
             if (answer.status() != 200) {
-                broken.accept("options were not accepted: " + answer.body());
+                onViolation.accept("options were not accepted: " + answer.body());
             }
         });
     }
