--- a/src/test/java/org/dunespindle/federation/TestJobs.java
+++ b/src/test/java/org/dunespindle/federation/TestJobs.java
@@ -7,7 +7,7 @@
 import org.dunespindle.protocol.Submission;
 import org.dunespindle.protocol.SubmissionBuilder;
 
-/** Jobs for tests of the federation's parts. */
+/** Submissions for the tests of the federation. */
 final class TestJobs {
     private TestJobs() {}
 
@@ -20,9 +20,9 @@
     }
 
     static Submission of(
-            String id, JobKind shape, Priority priority, int tasks, Optional<List<String>> types, boolean sameZone) {
+            String id, JobKind kind, Priority priority, int tasks, Optional<List<String>> types, boolean sameZone) {
         return SubmissionBuilder.submission(id)
-                .kind(shape)
+                .kind(kind)
                 .priority(priority)
                 .tasks(tasks)
                 .types(types)
--- a/src/test/java/org/dunespindle/federation/grpc/GrpcCellTest.java
+++ b/src/test/java/org/dunespindle/federation/grpc/GrpcCellTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Requests between cells over gRPC: answers, deadlines, and bad input, which changes nothing. */
+/** Requests between cells over gRPC: replies, deadlines, and malformed input, which must not reach the handler. */
 @Timeout(60)
 class GrpcCellTest {
     private static final CellId SELF = new CellId("a", "id", 3, "mark");
@@ -60,9 +60,9 @@
     private void handle(CellRequest request, Consumer<CellReply> reply) {
         handled.incrementAndGet();
         if (request instanceof CellRequest.Hello hello && hello.lowestOpenTransfer() == 13) {
-            throw new IllegalStateException("an unlucky number");
+            throw new IllegalStateException("this request makes the handler fail");
         }
-        if (!(request instanceof CellRequest.Recall)) { // a recall is never answered here
+        if (!(request instanceof CellRequest.Recall)) { // the handler never replies to a recall
             reply.accept(new CellReply.NotServed(CellReply.Reason.NOT_LEADER, java.util.Optional.of("n2")));
         }
     }
@@ -72,23 +72,25 @@
     }
 
     @Test
-    void aRequestIsAnswered() {
+    void aRequestReceivesItsReply() {
         assertEquals(
                 new CellReply.NotServed(CellReply.Reason.NOT_LEADER, java.util.Optional.of("n2")),
                 call(new CellRequest.Hello(SELF, 5), DEADLINE));
     }
 
     @Test
-    void whoeverDoesNotAnswerInTimeFailsTheCall() {
+    void anExpiredDeadlineFailsTheCall() {
         var recall = new CellRequest.Recall(SELF, "to", new Transfer("wk-000001", 4));
         var failure = assertThrows(CompletionException.class, () -> call(recall, Duration.ofMillis(300)));
         assertTrue(failure.getCause() instanceof CellCallException);
         assertEquals("DEADLINE_EXCEEDED", failure.getCause().getMessage());
-        assertTrue(call(new CellRequest.Hello(SELF, 5), DEADLINE) instanceof CellReply.NotServed, "others go on");
+        assertTrue(
+                call(new CellRequest.Hello(SELF, 5), DEADLINE) instanceof CellReply.NotServed,
+                "other calls are not affected");
     }
 
     @Test
-    void nobodyThereFailsTheCall() {
+    void anUnreachableAddressFailsTheCall() {
         var failure = assertThrows(
                 CompletionException.class,
                 () -> transport
@@ -120,10 +122,10 @@
     }
 
     @Test
-    void badInputGetsAStatusAndChangesNothing() {
-        Status garbled = rawCall("Hello", text("{"));
-        assertEquals(Status.Code.INVALID_ARGUMENT, garbled.getCode());
-        assertEquals("the message is not JSON", garbled.getDescription());
+    void malformedInputReturnsAStatusAndDoesNotReachTheHandler() {
+        Status malformed = rawCall("Hello", text("{"));
+        assertEquals(Status.Code.INVALID_ARGUMENT, malformed.getCode());
+        assertEquals("the message is not JSON", malformed.getDescription());
         Status wrongMethod = rawCall(
                 "Offer",
                 text("{\"from\":{\"name\":\"a\",\"identity\":\"i\",\"incarnation\":1,\"mark\":\"m\"},"
@@ -139,7 +141,7 @@
     }
 
     @Test
-    void aFailureOfTheServiceIsToldWithoutATrace() {
+    void aHandlerExceptionReturnsInternalWithoutDetails() {
         var failure = assertThrows(CompletionException.class, () -> call(new CellRequest.Hello(SELF, 13), DEADLINE));
         assertEquals("INTERNAL", failure.getCause().getMessage());
         assertTrue(call(new CellRequest.Hello(SELF, 5), DEADLINE) instanceof CellReply.NotServed);
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
@@ -8,7 +8,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Troubles of all kinds between and within three cells, at moments drawn from seeds. More seeds than the usual few are played with
+ * Property test of the federation: faults of all kinds within and between three cells, at times drawn from a seed. A longer run with
+ * more seeds:
  * {@code mvn test -Dtest=RandomFederationFaultsTest -Dcells.from=1000 -Dcells.count=500}.
  */
 class RandomFederationFaultsTest {
@@ -19,19 +20,19 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void whateverMeets(long seed) {
-        play(seed, RandomFaultSchedule.StateService.UNLIMITED);
+    void delegatedJobsFinishExactlyOnceUnderRandomFaults(long seed) {
+        run(seed, RandomFaultSchedule.StateService.UNLIMITED);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void whateverMeetsWhileWritesAreScarce(long seed) {
-        play(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
+    void delegatedJobsFinishExactlyOnceUnderRandomFaultsAndLimitedWrites(long seed) {
+        run(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
     }
 
-    private static void play(long seed, RandomFaultSchedule.StateService stateService) {
-        var mix = new RandomFederationFaults(seed, stateService);
-        mix.addAny(2 + (int) (seed % 4));
-        assertEquals(List.of(), mix.play(), () -> seed + ": " + mix.story());
+    private static void run(long seed, RandomFaultSchedule.StateService stateService) {
+        var faults = new RandomFederationFaults(seed, stateService);
+        faults.addAny(2 + (int) (seed % 4));
+        assertEquals(List.of(), faults.run(), () -> seed + ": " + faults.faultLog());
     }
 }
