--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -66,15 +66,15 @@
         List<FakeWorker> all = cluster.alive();
         cluster.refusedNode = leader;
         cluster.sim.run(cluster.sim.now().plusMillis(300 + 150 * (seed - 301)));
-        List<String> gone = ids.subList(0, 4);
-        cancelAt(cluster, other(leader, 1), gone);
+        List<String> cancelled = ids.subList(0, 4);
+        cancelAt(cluster, other(leader, 1), cancelled);
         cluster.state.out = true;
         Duration begun = cluster.sim.now();
         cluster.sim.run(begun.plusSeconds(6));
         assertEquals(
                 List.of(),
                 all.stream()
-                        .filter(w -> gone.stream().anyMatch(w::hasTaskOf))
+                        .filter(w -> cancelled.stream().anyMatch(w::hasTaskOf))
                         .map(FakeWorker::id)
                         .toList(),
                 "the leader stops them at once when its peers report the cancellations");
@@ -167,20 +167,20 @@
     }
 
     private static RandomFaultSchedule schedule(long seed) {
-        var mix = new RandomFaultSchedule(seed, RandomFaultSchedule.StateService.UNLIMITED);
-        mix.submitJobs(14);
-        return mix;
+        var schedule = new RandomFaultSchedule(seed, RandomFaultSchedule.StateService.UNLIMITED);
+        schedule.submitJobs(14);
+        return schedule;
     }
 
     /** Draws a time within 4 s of the given one, so that faults start in any order. */
-    private static Duration near(RandomFaultSchedule mix, int second) {
-        return Duration.ofMillis(second * 1000L + mix.cluster().sim.random.nextInt(4000));
+    private static Duration around(RandomFaultSchedule schedule, int second) {
+        return Duration.ofMillis(second * 1000L + schedule.cluster().sim.random.nextInt(4000));
     }
 
-    private static void assertHolds(RandomFaultSchedule mix, String... meetings) {
-        assertEquals(List.of(), mix.play(), () -> mix.story().toString());
-        for (String meeting : meetings) {
-            assertTrue(mix.cluster().met.containsKey(meeting), meeting + " did not take place: " + mix.cluster().met);
+    private static void assertHolds(RandomFaultSchedule schedule, String... events) {
+        assertEquals(List.of(), schedule.run(), () -> schedule.faultLog().toString());
+        for (String event : events) {
+            assertTrue(schedule.cluster().met.containsKey(event), event + " did not occur: " + schedule.cluster().met);
         }
     }
 
@@ -212,37 +212,41 @@
     @ParameterizedTest
     @ValueSource(longs = {331, 332, 333, 334})
     void delayedHeartbeatsArriveAfterALeaderChange(long seed) {
-        var mix = schedule(seed);
-        mix.at(near(mix, 18), () -> {
-            mix.cluster().alive().forEach(w -> {
+        var schedule = schedule(seed);
+        schedule.at(around(schedule, 18), () -> {
+            schedule.cluster().alive().forEach(w -> {
                 w.delayHeartbeats(Duration.ofMillis(7000 + 1000 * (seed - 330)));
-                mix.cluster().sim.after(3000, () -> w.delayHeartbeats(Duration.ZERO));
+                schedule.cluster().sim.after(3000, () -> w.delayHeartbeats(Duration.ZERO));
             });
-            mix.cluster()
+            schedule.cluster()
                     .sim
-                    .after(500 * (seed - 331), () -> mix.cluster().crash(mix.leader(), Duration.ofMillis(200)));
+                    .after(
+                            500 * (seed - 331),
+                            () -> schedule.cluster().crash(schedule.leader(), Duration.ofMillis(200)));
         });
-        assertHolds(mix, "held report");
+        assertHolds(schedule, "delayed heartbeat");
     }
 
     /** The leader changes ten times within two minutes, also during a store outage. Quota shares, placements, placeholders and stops of former leaders must be neither lost nor applied twice. */
     @ParameterizedTest
     @ValueSource(longs = {341, 342, 343, 344})
     void tenLeaderChangesInTwoMinutesWithAStoreOutage(long seed) {
-        var mix = schedule(seed);
+        var schedule = schedule(seed);
         for (int k = 0; k < 10; k++) {
-            mix.at(
+            schedule.at(
                     Duration.ofMillis(6000 + 11_500L * k),
-                    () -> mix.cluster()
+                    () -> schedule.cluster()
                             .crash(
-                                    mix.leader(),
+                                    schedule.leader(),
                                     Duration.ofMillis(
-                                            60 + mix.cluster().sim.random.nextInt(1500))));
+                                            60 + schedule.cluster().sim.random.nextInt(1500))));
         }
-        mix.at(near(mix, 40), () -> mix.cluster().state.out = true);
-        mix.at(Duration.ofSeconds(62), mix.cluster().state::recover);
-        mix.at(near(mix, 20), () -> mix.cluster().cancel(mix.ids().get(3)));
-        assertHolds(mix);
+        schedule.at(around(schedule, 40), () -> schedule.cluster().state.out = true);
+        schedule.at(Duration.ofSeconds(62), schedule.cluster().state::recover);
+        schedule.at(
+                around(schedule, 20),
+                () -> schedule.cluster().cancel(schedule.ids().get(3)));
+        assertHolds(schedule);
     }
 
     /**
@@ -264,7 +268,7 @@
         cluster.crash(old, Duration.ofMillis(200 + 37 * (seed % 20)));
         cluster.sim.run(cluster.sim.now().plusSeconds(9));
         if (cluster.leader() != old) {
-            cluster.met("another leads");
+            cluster.met("another leader");
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(30));
         for (String id : List.of("wk-000001", "wk-000002")) {
@@ -292,16 +296,16 @@
         var cluster = new SimulatedCluster(seed);
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 12);
         cluster.sim.run(Duration.ofSeconds(8).plusMillis(400 * (seed - 360)));
-        FakeWorker mute = cluster.alive().stream()
+        FakeWorker affected = cluster.alive().stream()
                 .filter(w -> w.tasks().iterator().hasNext())
                 .findFirst()
                 .orElseThrow();
-        mute.cannotSend(true);
+        affected.cannotSend(true);
         cluster.sim.run(Duration.ofSeconds(30));
-        long held = mute.occupiedSlots();
+        long held = affected.occupiedSlots();
         assertEquals(0, held, "tasks are started on it although its leases expire");
         cluster.sim.run(Duration.ofSeconds(75));
-        assertTrue(mute.dead(), "the machine was not terminated");
+        assertTrue(affected.dead(), "the machine was not terminated");
         cluster.sim.run(Duration.ofSeconds(300));
         ClusterTest.assertAllDone(cluster, ids);
     }
@@ -342,10 +346,10 @@
     @ParameterizedTest
     @ValueSource(longs = {381, 382, 383, 384, 385})
     void leaderCrashesWhileMachinesAreUnreachable(long seed) {
-        var mix = schedule(seed);
-        SimulatedCluster cluster = mix.cluster();
+        var schedule = schedule(seed);
+        SimulatedCluster cluster = schedule.cluster();
         cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(20 + p.index() % 3 * 8L));
-        mix.at(near(mix, 24), () -> {
+        schedule.at(around(schedule, 24), () -> {
             List<FakeWorker> all = cluster.alive();
             for (int i = 0; i < all.size(); i++) {
                 FakeWorker w = all.get(i);
@@ -357,48 +361,48 @@
                 }
             }
             cluster.met("unreachable machines");
-            cluster.crash(mix.leader(), Duration.ofMillis(500 + 2000 * (seed % 3)));
+            cluster.crash(schedule.leader(), Duration.ofMillis(500 + 2000 * (seed % 3)));
         });
-        assertHolds(mix, "unreachable machines");
+        assertHolds(schedule, "unreachable machines");
     }
 
     /** All machines hang several times for up to 9 s, which delays commands and answers, and jobs are cancelled meanwhile. */
     @ParameterizedTest
     @ValueSource(longs = {391, 392, 393, 394, 395})
     void machinesHangAndResumeWhileJobsAreCancelled(long seed) {
-        var mix = schedule(seed);
-        SimulatedCluster cluster = mix.cluster();
+        var schedule = schedule(seed);
+        SimulatedCluster cluster = schedule.cluster();
         for (int k = 0; k < 5; k++) {
-            mix.at(
-                    near(mix, 9 + 7 * k),
+            schedule.at(
+                    around(schedule, 9 + 7 * k),
                     () -> cluster.alive()
                             .forEach(w -> w.hang(Duration.ofMillis(1500 + cluster.sim.random.nextInt(7500)))));
         }
-        mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 25));
-        assertHolds(mix, "CANCEL_NOW");
+        schedule.addFault(RandomFaultSchedule.Fault.CANCEL_RUNNING_JOBS, around(schedule, 25));
+        assertHolds(schedule, "CANCEL_RUNNING_JOBS");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {401, 402, 403})
     void allControllersAreDownForLongerThanALease(long seed) {
-        var mix = schedule(seed);
-        mix.at(near(mix, 22), () -> {
+        var schedule = schedule(seed);
+        schedule.at(around(schedule, 22), () -> {
             for (int n = 0; n < 3; n++) {
-                mix.cluster().crash(n, SimulatedCluster.LEASE.plusMillis(1500 + 1100L * n));
+                schedule.cluster().crash(n, SimulatedCluster.LEASE.plusMillis(1500 + 1100L * n));
             }
         });
-        assertHolds(mix);
+        assertHolds(schedule);
     }
 
     /** Urgent and low-priority jobs exceed the capacity while every message is delayed by 250 ms. */
     @ParameterizedTest
     @ValueSource(longs = {411, 412})
     void jobsBeyondCapacityOverSlowLinks(long seed) {
-        var mix = new RandomFaultSchedule(seed, RandomFaultSchedule.StateService.UNLIMITED);
-        mix.cluster().extraDelayMillis = 250;
-        mix.submitJobs(30);
-        mix.at(Duration.ofSeconds(100), () -> mix.cluster().extraDelayMillis = 0);
-        assertHolds(mix);
+        var schedule = new RandomFaultSchedule(seed, RandomFaultSchedule.StateService.UNLIMITED);
+        schedule.cluster().extraDelayMillis = 250;
+        schedule.submitJobs(30);
+        schedule.at(Duration.ofSeconds(100), () -> schedule.cluster().extraDelayMillis = 0);
+        assertHolds(schedule);
     }
 
     /**
@@ -437,30 +441,30 @@
     @ParameterizedTest
     @ValueSource(longs = {431, 432, 433, 434})
     void controllerRejoinsThenAllCrashAndOneRestartsAtOnce(long seed) {
-        var mix = schedule(seed);
-        SimulatedCluster cluster = mix.cluster();
+        var schedule = schedule(seed);
+        SimulatedCluster cluster = schedule.cluster();
         int node = (int) seed % 3;
-        mix.at(near(mix, 9), () -> cluster.crash(node, Duration.ofMillis(2500)));
-        mix.at(near(mix, 20), () -> {
+        schedule.at(around(schedule, 9), () -> cluster.crash(node, Duration.ofMillis(2500)));
+        schedule.at(around(schedule, 20), () -> {
             cluster.crash(node, Duration.ofMillis(150 + 200 * (seed - 431)));
             cluster.crash((node + 1) % 3, Duration.ofSeconds(25));
             cluster.crash((node + 2) % 3, Duration.ofSeconds(18));
         });
-        assertHolds(mix);
+        assertHolds(schedule);
     }
 
     /** The answers of a quarter of the transactions are lost and these are applied seconds later, after newer ones of the same controller, while leaders change and jobs are cancelled. */
     @ParameterizedTest
     @ValueSource(longs = {441, 442, 443, 444, 445})
     void unacknowledgedTransactionsAreAppliedAfterNewerOnes(long seed) {
-        var mix = schedule(seed);
-        SimulatedCluster cluster = mix.cluster();
+        var schedule = schedule(seed);
+        SimulatedCluster cluster = schedule.cluster();
         cluster.lateWrites = 0.25;
-        mix.at(near(mix, 25), () -> cluster.crash(mix.leader(), Duration.ofMillis(300)));
-        mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 30));
-        mix.add(RandomFaultSchedule.Trouble.ODD_REQUESTS, near(mix, 20));
-        mix.at(Duration.ofSeconds(90), () -> cluster.lateWrites = 0);
-        assertHolds(mix, "late write");
+        schedule.at(around(schedule, 25), () -> cluster.crash(schedule.leader(), Duration.ofMillis(300)));
+        schedule.addFault(RandomFaultSchedule.Fault.CANCEL_RUNNING_JOBS, around(schedule, 30));
+        schedule.addFault(RandomFaultSchedule.Fault.REPEATED_AND_UNKNOWN_REQUESTS, around(schedule, 20));
+        schedule.at(Duration.ofSeconds(90), () -> cluster.lateWrites = 0);
+        assertHolds(schedule, "late write");
     }
 
     /**
@@ -469,20 +473,20 @@
     @ParameterizedTest
     @ValueSource(longs = {451, 452, 453, 454})
     void delayedDuplicateHeartbeatsOfEarlierSessions(long seed) {
-        var mix = schedule(seed);
-        SimulatedCluster cluster = mix.cluster();
+        var schedule = schedule(seed);
+        SimulatedCluster cluster = schedule.cluster();
         cluster.delayedDuplicates = 3;
         cluster.maxDuplicateDelay = Duration.ofSeconds(38);
-        mix.at(
-                near(mix, 12),
+        schedule.at(
+                around(schedule, 12),
                 () -> cluster.alive().stream().limit(3).forEach(w -> cluster.disconnect(w, Duration.ofSeconds(14))));
-        mix.at(near(mix, 33), () -> {
+        schedule.at(around(schedule, 33), () -> {
             assertTrue(cluster.alive().stream().anyMatch(w -> w.session() > 1), "no lease ran out");
             cluster.met("later session");
-            cluster.crash(mix.leader(), Duration.ofMillis(300));
+            cluster.crash(schedule.leader(), Duration.ofMillis(300));
         });
-        mix.at(Duration.ofSeconds(70), () -> cluster.delayedDuplicates = 0);
-        assertHolds(mix, "later session");
+        schedule.at(Duration.ofSeconds(70), () -> cluster.delayedDuplicates = 0);
+        assertHolds(schedule, "later session");
     }
 
     /**
@@ -491,42 +495,43 @@
     @ParameterizedTest
     @ValueSource(longs = {461, 462, 463, 464})
     void requestsAtTheMomentOfCompletionGetOneFinalState(long seed) {
-        var mix = schedule(seed);
-        mix.cluster().cancelAtCompletionRate = 1;
-        mix.cluster().requestsAtCompletion = true;
-        assertHolds(mix, "cancelled at its end");
+        var schedule = schedule(seed);
+        schedule.cluster().cancelAtCompletionRate = 1;
+        schedule.cluster().requestsAtCompletion = true;
+        assertHolds(schedule, "cancelled at completion");
         assertTrue(
-                mix.cluster().met.get("cancelled at its end") >= mix.ids().size(),
-                "not every job was cancelled at its completion: " + mix.cluster().met);
+                schedule.cluster().met.get("cancelled at completion")
+                        >= schedule.ids().size(),
+                "not every job was cancelled at its completion: " + schedule.cluster().met);
     }
 
     /** The state store is slow, then rejects the leader, then all controllers for longer than {@code cancel_s}, while users cancel and poll jobs. */
     @ParameterizedTest
     @ValueSource(longs = {471, 472, 473, 474})
     void slowStoreRejectsTheLeaderThenAllControllers(long seed) {
-        var mix = schedule(seed);
-        SimulatedCluster cluster = mix.cluster();
+        var schedule = schedule(seed);
+        SimulatedCluster cluster = schedule.cluster();
         cluster.maxStateDelayMillis = 900;
-        mix.at(near(mix, 22), () -> cluster.refusedNode = mix.leader());
-        mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 23));
-        mix.add(RandomFaultSchedule.Trouble.CANCEL_NOW, near(mix, 28));
-        mix.at(near(mix, 28), () -> cluster.state.out = true);
-        mix.at(Duration.ofSeconds(66), () -> {
+        schedule.at(around(schedule, 22), () -> cluster.refusedNode = schedule.leader());
+        schedule.addFault(RandomFaultSchedule.Fault.CANCEL_RUNNING_JOBS, around(schedule, 23));
+        schedule.addFault(RandomFaultSchedule.Fault.CANCEL_RUNNING_JOBS, around(schedule, 28));
+        schedule.at(around(schedule, 28), () -> cluster.state.out = true);
+        schedule.at(Duration.ofSeconds(66), () -> {
             cluster.refusedNode = -1;
             cluster.maxStateDelayMillis = 0;
             cluster.state.recover();
         });
-        assertHolds(mix, "CANCEL_NOW");
+        assertHolds(schedule, "CANCEL_RUNNING_JOBS");
     }
 
     /** Four machines are lost while the leader changes. The jobs include arrays spread over zones and jobs bound to a zone. */
     @ParameterizedTest
     @ValueSource(longs = {481, 482, 483, 484})
     void jobsWithZoneConstraintsLoseMachinesDuringALeaderChange(long seed) {
-        var mix = schedule(seed);
-        SimulatedCluster cluster = mix.cluster();
+        var schedule = schedule(seed);
+        SimulatedCluster cluster = schedule.cluster();
         for (int k = 0; k < 4; k++) {
-            mix.at(near(mix, 14 + 8 * k), () -> {
+            schedule.at(around(schedule, 14 + 8 * k), () -> {
                 FakeWorker w = cluster.worker(cluster.sim.random.nextInt(20));
                 if (w != null) {
                     cluster.met("machine lost");
@@ -534,7 +539,7 @@
                 }
             });
         }
-        mix.at(near(mix, 26), () -> cluster.crash(mix.leader(), Duration.ofMillis(200)));
-        assertHolds(mix, "machine lost");
+        schedule.at(around(schedule, 26), () -> cluster.crash(schedule.leader(), Duration.ofMillis(200)));
+        assertHolds(schedule, "machine lost");
     }
 }
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -32,10 +32,10 @@
         var cluster = new SimulatedCluster(seed);
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         cluster.sim.run(Duration.ofSeconds(9));
-        FakeWorker deaf = cluster.worker((int) seed % 3);
-        deaf.cannotReceive(true);
+        FakeWorker affected = cluster.worker((int) seed % 3);
+        affected.cannotReceive(true);
         cluster.sim.run(Duration.ofSeconds(60));
-        assertTrue(deaf.dead(), "the machine was not terminated although it accepts no commands");
+        assertTrue(affected.dead(), "the machine was not terminated although it accepts no commands");
         cluster.sim.run(Duration.ofSeconds(300));
         ClusterTest.assertAllDone(cluster, ids);
     }
@@ -45,8 +45,8 @@
         var cluster = new SimulatedCluster(74);
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 2, false, false));
         cluster.sim.run(Duration.ofSeconds(20));
-        FakeWorker deaf = cluster.worker(0);
-        deaf.cannotReceive(true);
+        FakeWorker affected = cluster.worker(0);
+        affected.cannotReceive(true);
         // Its lease has expired and its tasks are gone, but its heartbeats still arrive.
         cluster.sim.run(Duration.ofSeconds(33));
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.ARRAY, 6, false, false));
@@ -59,7 +59,7 @@
                         .path("places")
                         .findValuesAsText("host")
                         .stream()
-                        .noneMatch(deaf.id()::equals));
+                        .noneMatch(affected.id()::equals));
         cluster.sim.run(Duration.ofSeconds(120));
         ClusterTest.assertAllDone(cluster, List.of("wk-000002"));
     }
@@ -216,7 +216,7 @@
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(300));
         ClusterTest.assertAllDone(cluster, List.of("wk-000001", "wk-000002"));
-        assertTrue(cluster.checkpointsWritten > 0, "nothing was saved");
+        assertTrue(cluster.checkpointsWritten > 0, "no checkpoint was written");
     }
 
     @ParameterizedTest
@@ -386,11 +386,11 @@
                 .filter(w -> w.tasks().iterator().hasNext())
                 .toList();
         assertTrue(!used.isEmpty());
-        int deaf = (cluster.leader() + offset) % 3;
-        cluster.workerPartitionedNode = deaf;
+        int affected = (cluster.leader() + offset) % 3;
+        cluster.workerPartitionedNode = affected;
         cluster.sim.run(Duration.ofSeconds(110));
         if (offset == 0) {
-            assertTrue(cluster.leader() >= 0 && cluster.leader() != deaf, "it is still the leader");
+            assertTrue(cluster.leader() >= 0 && cluster.leader() != affected, "it is still the leader");
         }
         assertEquals(
                 List.of(),
@@ -403,11 +403,11 @@
         cluster.workerPartitionedNode = -1;
         cluster.sim.run(Duration.ofSeconds(125));
         assertTrue(
-                cluster.admin(deaf, "GET", "/v1/controllers", "")
+                cluster.admin(affected, "GET", "/v1/controllers", "")
                         .join()
                         .body()
                         .toString()
-                        .contains("n" + deaf),
+                        .contains("n" + affected),
                 "it did not rejoin");
         List<String> ids = List.of("wk-000003", "wk-000004");
         ids.forEach(id -> cluster.submit(ClusterTest.job(id, "red", JobKind.ARRAY, 2, false, false)));
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -19,20 +19,20 @@
 /** Crashes of controllers of large fleets. The number of calls must grow at most in proportion to the fleet, and no task may be lost. */
 class FleetTest {
     private static final int SMALL = 300;
-    private static final int TIMES = 5;
+    private static final int SCALE = 5;
     private static final int LARGEST = 4000;
-    private static final int TASKS = 50;
+    private static final int TASKS_PER_JOB = 50;
     /** Calls to workers may use an eighth of 1024 sockets. */
-    private static final int MOST_CALLS = 1024 / 8;
+    private static final int MAX_WORKER_CALLS = 1024 / 8;
 
     private static SimulatedCluster busy(int machines) {
         var cluster = new SimulatedCluster(201, machines, 1);
         cluster.addMachines(machines);
         cluster.taskDuration = Optional.of(Duration.ofMinutes(10));
-        for (int i = 0; i < machines / TASKS; i++) {
+        for (int i = 0; i < machines / TASKS_PER_JOB; i++) {
             Submission submission = SubmissionBuilder.submission("wk-%06d".formatted(i))
                     .team(i % 2 == 0 ? "red" : "blue")
-                    .tasks(TASKS)
+                    .tasks(TASKS_PER_JOB)
                     .perTask(new Resources(4, 1, 1))
                     .imageGb(2)
                     .estimate(Duration.ofSeconds(60))
@@ -50,14 +50,14 @@
     }
 
     /** Asserts that all machines are still busy in the same sessions and that no invariant was violated. */
-    private static void assertUnharmed(SimulatedCluster cluster, int machines, long sessions) {
+    private static void assertNoTaskLost(SimulatedCluster cluster, int machines, long sessions) {
         assertEquals(machines, busyMachines(cluster));
         assertEquals(
                 sessions,
                 cluster.alive().stream().mapToLong(FakeWorker::session).sum(),
                 "lease expiries");
         assertEquals(0, cluster.broken.size(), cluster.broken.toString());
-        assertTrue(cluster.maxOpenWorkerCalls <= MOST_CALLS, cluster.maxOpenWorkerCalls + " calls at once");
+        assertTrue(cluster.maxOpenWorkerCalls <= MAX_WORKER_CALLS, cluster.maxOpenWorkerCalls + " calls at once");
     }
 
     /** Crashes all controllers and returns the number of calls by kind in the following 30 s. */
@@ -70,22 +70,22 @@
             cluster.crash(n, Duration.ofMillis(1500 + 700L * n));
         }
         cluster.sim.run(Duration.ofSeconds(90));
-        assertUnharmed(cluster, machines, sessions);
+        assertNoTaskLost(cluster, machines, sessions);
         String hosts = cluster.admin(0, "GET", "/v1/hosts", "").join().body().toString();
         assertTrue(hosts.contains("i-0001"), hosts.substring(0, Math.min(200, hosts.length())));
-        var took = new TreeMap<String, Integer>();
-        cluster.counts.forEach((kind, n) -> took.put(kind, n - before.getOrDefault(kind, 0)));
-        return took;
+        var calls = new TreeMap<String, Integer>();
+        cluster.counts.forEach((kind, n) -> calls.put(kind, n - before.getOrDefault(kind, 0)));
+        return calls;
     }
 
     @Test
     void callsAfterACrashOfAllGrowAtMostWithTheFleet() {
         Map<String, Integer> small = crashOfAll(SMALL);
-        Map<String, Integer> large = crashOfAll(SMALL * TIMES);
+        Map<String, Integer> large = crashOfAll(SMALL * SCALE);
         for (String kind : small.keySet()) {
             assertTrue(
-                    large.get(kind) <= small.get(kind) * TIMES * 1.3 + 20,
-                    kind + ": " + small + " with " + SMALL + " machines, " + large + " with " + SMALL * TIMES);
+                    large.get(kind) <= small.get(kind) * SCALE * 1.3 + 20,
+                    kind + ": " + small + " with " + SMALL + " machines, " + large + " with " + SMALL * SCALE);
         }
         // Calls between controllers and to the cloud do not depend on the number of machines.
         for (String kind : new String[] {"node", "cloud"}) {
@@ -107,7 +107,7 @@
             cluster.crash(n, Duration.ofMillis(1500 + 700L * n));
         }
         cluster.sim.run(Duration.ofSeconds(110));
-        assertUnharmed(cluster, LARGEST, sessions);
+        assertNoTaskLost(cluster, LARGEST, sessions);
     }
 
     /** A third of all machines is disconnected for longer than a lease. */
@@ -119,7 +119,7 @@
                 .forEach(w -> cluster.disconnect(w, Duration.ofSeconds(25)));
         int before = cluster.counts.get("worker");
         cluster.sim.run(Duration.ofSeconds(84));
-        assertTrue(cluster.maxOpenWorkerCalls <= MOST_CALLS, cluster.maxOpenWorkerCalls + " calls at once");
+        assertTrue(cluster.maxOpenWorkerCalls <= MAX_WORKER_CALLS, cluster.maxOpenWorkerCalls + " calls at once");
         assertTrue(
                 cluster.counts.get("worker") - before < 20 * SMALL,
                 "calls to machines: " + (cluster.counts.get("worker") - before));
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -80,10 +80,10 @@
         var cluster = new SimulatedCluster(seed);
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 16);
         cluster.sim.run(Duration.ofSeconds(5));
-        FakeWorker sick = cluster.worker(0);
-        sick.faulty(true);
+        FakeWorker faultyMachine = cluster.worker(0);
+        faultyMachine.faulty(true);
         cluster.sim.run(Duration.ofSeconds(300));
-        assertTrue(sick.dead(), "the machine was not terminated");
+        assertTrue(faultyMachine.dead(), "the machine was not terminated");
         ClusterTest.assertAllDone(cluster, ids);
     }
 
@@ -100,8 +100,8 @@
         List<FakeWorker> used =
                 cluster.alive().stream().filter(w -> w.occupiedSlots() > 0).toList();
         int leader = cluster.leader();
-        int silent = seed % 2 == 0 ? leader : (leader + 1) % 3;
-        cluster.freeze(silent, Duration.ofSeconds(90));
+        int frozen = seed % 2 == 0 ? leader : (leader + 1) % 3;
+        cluster.freeze(frozen, Duration.ofSeconds(90));
         var ids = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
             String id = "wk-%06d".formatted(i);
@@ -111,7 +111,7 @@
         cluster.sim.run(Duration.ofSeconds(145));
         ids.forEach(id -> assertEquals(
                 "done",
-                cluster.poll((silent + 1) % 3, id).join().body().path("phase").asText(),
+                cluster.poll((frozen + 1) % 3, id).join().body().path("phase").asText(),
                 id + " during the pause"));
         cluster.sim.run(Duration.ofSeconds(220));
         String decisions = cluster.decisions();
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -16,14 +16,14 @@
 /** Controllers that are paused and resume, alone or two at once, with and without advancing clocks. */
 class PausedControllersTest {
     /** The time within which a machine's owner reads a cancellation and its stop command arrives. */
-    private static final Duration HALT_ARRIVES = Duration.ofSeconds(1);
+    private static final Duration MAX_STOP_DELAY = Duration.ofSeconds(1);
 
-    private static final Duration A_MINUTE_AND_A_HALF = Duration.ofSeconds(90);
+    private static final Duration LONG_PAUSE = Duration.ofSeconds(90);
 
     /** How a controller pauses. */
     private enum Pause {
         /** Its clocks advance. */
-        STANDS_STILL,
+        FROZEN,
         /** Its monotonic clock stops too, so that it observes no elapsed time. */
         SUSPENDED
     }
@@ -60,8 +60,8 @@
         // both paused ones first exceed their lease.
         List<FakeWorker> inTime =
                 used.stream().filter(w -> w.reportsTo() != (left + 1) % 3).toList();
-        pause(cluster, (left + 1) % 3, pauseOf(seed), A_MINUTE_AND_A_HALF);
-        pause(cluster, (left + 2) % 3, pauseOf(seed / 2), A_MINUTE_AND_A_HALF);
+        pause(cluster, (left + 1) % 3, pauseOf(seed), LONG_PAUSE);
+        pause(cluster, (left + 2) % 3, pauseOf(seed / 2), LONG_PAUSE);
         var ids = new ArrayList<String>();
         for (int i = 0; i < 4; i++) {
             String id = "wk-%06d".formatted(i);
@@ -95,8 +95,7 @@
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         cluster.sim.run(Duration.ofMillis(2500 + random.nextInt(9000)));
         int paused = random.nextBoolean() ? Math.max(0, cluster.leader()) : random.nextInt(3);
-        Duration length =
-                random.nextInt(3) == 0 ? A_MINUTE_AND_A_HALF : Duration.ofMillis(5000 + random.nextInt(15_000));
+        Duration length = random.nextInt(3) == 0 ? LONG_PAUSE : Duration.ofMillis(5000 + random.nextInt(15_000));
         pause(cluster, paused, pauseOf(seed), length);
         cluster.userNode = (paused + 1) % 3;
         var cancelled = ids.subList(0, 4);
@@ -112,7 +111,7 @@
                 List.of(),
                 cluster.rules.lateStarts.stream()
                         .filter(start -> start.commandedLater()
-                                || (start.after().compareTo(HALT_ARRIVES) > 0 && !start.ownerFrozen()))
+                                || (start.after().compareTo(MAX_STOP_DELAY) > 0 && !start.ownerFrozen()))
                         .toList());
         List<String> kept = ids.subList(4, ids.size());
         assertTrue(
--- a/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
@@ -14,30 +14,30 @@
 class RandomFailuresTest {
     private static final int JOBS = 14;
     /** Seeds that once failed: tasks were lost or ended, seen only in the answer to an inspection or in a heartbeat during an outage. */
-    private static final long[] FOUND = {25645, 22145, 24021, 23629, 20279, 41553};
+    private static final long[] FORMERLY_FAILING = {25645, 22145, 24021, 23629, 20279, 41553};
 
     static LongStream seeds() {
         long from = Long.getLong("mix.from", 500);
         return LongStream.concat(
-                LongStream.of(FOUND), LongStream.range(from, from + Integer.getInteger("mix.count", 24)));
+                LongStream.of(FORMERLY_FAILING), LongStream.range(from, from + Integer.getInteger("mix.count", 24)));
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
     void invariantsHoldUnderRandomFaults(long seed) {
-        play(seed, RandomFaultSchedule.StateService.UNLIMITED);
+        runSchedule(seed, RandomFaultSchedule.StateService.UNLIMITED);
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
     void invariantsHoldUnderRandomFaultsWithALimitedStore(long seed) {
-        play(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
+        runSchedule(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
     }
 
-    private static void play(long seed, RandomFaultSchedule.StateService stateService) {
-        var mix = new RandomFaultSchedule(seed, stateService);
-        mix.submitJobs(JOBS);
-        mix.addAny(2 + (int) (seed % 5));
-        assertEquals(List.of(), mix.play(), () -> seed + ": " + mix.story());
+    private static void runSchedule(long seed, RandomFaultSchedule.StateService stateService) {
+        var schedule = new RandomFaultSchedule(seed, stateService);
+        schedule.submitJobs(JOBS);
+        schedule.addRandomFaults(2 + (int) (seed % 5));
+        assertEquals(List.of(), schedule.run(), () -> seed + ": " + schedule.faultLog());
     }
 }
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -12,12 +12,12 @@
 /** A run of a cluster with a few overlapping faults drawn from a seed. A seed always gives the same run. */
 final class RandomFaultSchedule {
     /** All faults have ended by this time; the last delayed messages arrive soon after. */
-    static final Duration OVER = Duration.ofSeconds(130);
+    static final Duration FAULTS_OVER = Duration.ofSeconds(130);
 
-    static final Duration END = Duration.ofSeconds(420);
-    private static final int MACHINES_ASKED = 3;
-    private static final double REQUESTS = 250;
-    private static final double WRITES = 20;
+    static final Duration RUN_LENGTH = Duration.ofSeconds(420);
+    private static final int MAX_AFFECTED_MACHINES = 3;
+    private static final double REQUESTS_PER_SECOND = 250;
+    private static final double WRITES_PER_SECOND = 20;
 
     /** The load that the state store accepts from all controllers together. */
     enum StateService {
@@ -27,43 +27,43 @@
         SCARCE_AND_SLOW;
 
         ClusterShape of(ClusterShape shape) {
-            return this == SCARCE_AND_SLOW ? shape.withStateRates(REQUESTS, WRITES) : shape;
+            return this == SCARCE_AND_SLOW ? shape.withStateRates(REQUESTS_PER_SECOND, WRITES_PER_SECOND) : shape;
         }
     }
 
     /** A fault that ends by itself after a random time. */
-    enum Trouble {
-        LEADER_WITHOUT_STATE_AND_PEERS,
-        LEADER_REFUSED,
-        STATE_OUT,
-        ZONE_CUT,
-        ONE_CRASHES,
-        ALL_CRASH,
-        LEADERS_CHANGE,
-        STANDS_STILL,
-        MUTE,
-        DEAF,
-        HANG,
-        MACHINES_CUT,
+    enum Fault {
+        LEADER_ISOLATED,
+        LEADER_REJECTED_BY_STORE,
+        STORE_OUTAGE,
+        ZONE_PARTITION,
+        CONTROLLER_CRASH,
+        ALL_CONTROLLERS_CRASH,
+        REPEATED_LEADER_CRASHES,
+        CONTROLLER_FREEZE,
+        MACHINES_CANNOT_SEND,
+        MACHINES_CANNOT_RECEIVE,
+        MACHINES_HANG,
+        MACHINES_DISCONNECTED,
         LATE_WRITES,
-        LATE_REPORTS,
-        HELD_REPORTS,
-        CANCEL_NOW,
-        CANCEL_AT_END,
-        ODD_REQUESTS,
-        BLOCKED,
-        PEERS_REFUSE,
-        LOSS,
-        LATE_RENTAL,
-        DIES,
-        TAKEN,
-        LEADER_DEAF
+        DUPLICATED_HEARTBEATS,
+        DELAYED_HEARTBEATS,
+        CANCEL_RUNNING_JOBS,
+        CANCEL_AT_COMPLETION,
+        REPEATED_AND_UNKNOWN_REQUESTS,
+        MACHINES_BLOCKED_FROM_CONTROLLER,
+        PEERS_PARTITIONED,
+        LOSS_AND_DUPLICATES,
+        DELAYED_RENTAL,
+        MACHINE_CRASH,
+        SPOT_INTERRUPTION,
+        LEADER_PARTITIONED_FROM_WORKERS
     }
 
     private final SimulatedCluster cluster;
     private final Random random;
     private final List<String> ids = new ArrayList<>();
-    private final List<String> story = new ArrayList<>();
+    private final List<String> faultLog = new ArrayList<>();
 
     RandomFaultSchedule(long seed, StateService stateService) {
         // One seed in four stores a record for each machine; in the others up to ten machines share a record.
@@ -80,8 +80,8 @@
     }
 
     /** Returns the injected faults with their times, for the message of a failed assertion. */
-    List<String> story() {
-        return story;
+    List<String> faultLog() {
+        return faultLog;
     }
 
     List<String> ids() {
@@ -95,8 +95,9 @@
             ids.add(id);
             boolean gang = i % 3 == 0;
             int tasks = gang ? 1 + random.nextInt(4) : 2 + random.nextInt(6);
-            boolean apart = !gang && i % 5 == 4;
-            Optional<String> zone = i % 7 == 2 && !apart ? Optional.of(i % 2 == 0 ? "east" : "west") : Optional.empty();
+            boolean spread = !gang && i % 5 == 4;
+            Optional<String> zone =
+                    i % 7 == 2 && !spread ? Optional.of(i % 2 == 0 ? "east" : "west") : Optional.empty();
             Duration saves = i % 4 == 1 ? Duration.ofSeconds(5) : Duration.ZERO;
             var job = SubmissionBuilder.submission(id)
                     .jobClass(gang ? "gang" : "array")
@@ -106,7 +107,7 @@
                     .tasks(tasks)
                     .zone(zone)
                     .sameZone(gang && i % 2 == 0)
-                    .spread(apart)
+                    .spread(spread)
                     .spot(i % 4 != 0)
                     .image("image-" + tasks % 2)
                     .imageGb(2)
@@ -119,11 +120,11 @@
     }
 
     /** Schedules a fault. */
-    void add(Trouble trouble, Duration at) {
+    void addFault(Fault fault, Duration at) {
         cluster.sim.after(at, () -> {
-            story.add(cluster.sim.now().toMillis() + " ms: " + trouble);
-            cluster.met(trouble.name());
-            begin(trouble);
+            faultLog.add(cluster.sim.now().toMillis() + " ms: " + fault);
+            cluster.met(fault.name());
+            inject(fault);
         });
     }
 
@@ -133,26 +134,26 @@
     }
 
     /** Schedules random faults within 15 s of one another, so that they overlap. */
-    void addAny(int count) {
-        Trouble[] all = Trouble.values();
+    void addRandomFaults(int count) {
+        Fault[] all = Fault.values();
         int from = 8000 + random.nextInt(25_000);
         for (int i = 0; i < count; i++) {
-            add(all[random.nextInt(all.length)], Duration.ofMillis(from + random.nextInt(15_000)));
+            addFault(all[random.nextInt(all.length)], Duration.ofMillis(from + random.nextInt(15_000)));
         }
     }
 
     /** Runs the schedule and returns the violated invariants, the failed criteria of the run and the unfinished jobs. */
-    List<String> play() {
-        cluster.sim.after(OVER, () -> cluster.faultsOver = true);
-        cluster.sim.run(END);
-        var wrong = new ArrayList<>(cluster.broken);
-        wrong.addAll(cluster.rules.failedCriteria());
+    List<String> run() {
+        cluster.sim.after(FAULTS_OVER, () -> cluster.faultsOver = true);
+        cluster.sim.run(RUN_LENGTH);
+        var failures = new ArrayList<>(cluster.broken);
+        failures.addAll(cluster.rules.failedCriteria());
         for (String id : ids) {
             if (!List.of("done", "cancelled").contains(cluster.lastTold(id))) {
-                wrong.add(id + " is " + cluster.lastTold(id));
+                failures.add(id + " is " + cluster.lastTold(id));
             }
         }
-        return wrong;
+        return failures;
     }
 
     int leader() {
@@ -163,13 +164,13 @@
         return Duration.ofMillis(least + random.nextInt(most - least));
     }
 
-    private void until(Duration length, Runnable end) {
+    private void endAfter(Duration length, Runnable end) {
         cluster.sim.after(length, end);
     }
 
     private List<FakeWorker> someMachines() {
         var some = new ArrayList<FakeWorker>();
-        for (int i = 0; i < 1 + random.nextInt(MACHINES_ASKED); i++) {
+        for (int i = 0; i < 1 + random.nextInt(MAX_AFFECTED_MACHINES); i++) {
             FakeWorker w = cluster.worker(random.nextInt(50));
             if (w != null) {
                 some.add(w);
@@ -179,82 +180,82 @@
     }
 
     /** Starts a fault. Each fault belongs to one of the groups; the others ignore it. */
-    private void begin(Trouble trouble) {
-        controllerTrouble(trouble);
-        machineTrouble(trouble);
-        messageTrouble(trouble);
-        userTrouble(trouble);
+    private void inject(Fault fault) {
+        controllerFault(fault);
+        machineFault(fault);
+        messageFault(fault);
+        userFault(fault);
     }
 
-    private void controllerTrouble(Trouble trouble) {
-        switch (trouble) {
-            case LEADER_WITHOUT_STATE_AND_PEERS -> {
+    private void controllerFault(Fault fault) {
+        switch (fault) {
+            case LEADER_ISOLATED -> {
                 cluster.isolatedNode = leader();
-                until(millis(6000, 45_000), () -> cluster.isolatedNode = -1);
+                endAfter(millis(6000, 45_000), () -> cluster.isolatedNode = -1);
             }
-            case LEADER_REFUSED -> {
+            case LEADER_REJECTED_BY_STORE -> {
                 cluster.refusedNode = leader();
-                until(millis(2000, 40_000), () -> cluster.refusedNode = -1);
+                endAfter(millis(2000, 40_000), () -> cluster.refusedNode = -1);
             }
-            case STATE_OUT -> {
+            case STORE_OUTAGE -> {
                 cluster.state.out = true;
-                until(millis(4000, 45_000), cluster.state::recover);
+                endAfter(millis(4000, 45_000), cluster.state::recover);
             }
-            case ZONE_CUT -> {
+            case ZONE_PARTITION -> {
                 cluster.partitionedZone = random.nextBoolean() ? "east" : "west";
-                until(millis(6000, 30_000), () -> cluster.partitionedZone = "");
+                endAfter(millis(6000, 30_000), () -> cluster.partitionedZone = "");
             }
-            case ONE_CRASHES -> cluster.crash(random.nextInt(3), millis(50, 9000));
-            case ALL_CRASH -> {
+            case CONTROLLER_CRASH -> cluster.crash(random.nextInt(3), millis(50, 9000));
+            case ALL_CONTROLLERS_CRASH -> {
                 for (int n = 0; n < 3; n++) {
                     cluster.crash(n, millis(50, 12_000));
                 }
             }
-            case LEADERS_CHANGE -> {
+            case REPEATED_LEADER_CRASHES -> {
                 for (int k = 0; k < 6; k++) {
                     cluster.sim.after(millis(0, 45_000), () -> cluster.crash(leader(), millis(50, 900)));
                 }
             }
-            case STANDS_STILL -> cluster.freeze((leader() + random.nextInt(2)) % 3, millis(2000, 20_000));
-            case PEERS_REFUSE -> {
+            case CONTROLLER_FREEZE -> cluster.freeze((leader() + random.nextInt(2)) % 3, millis(2000, 20_000));
+            case PEERS_PARTITIONED -> {
                 cluster.peersPartitioned = true;
-                until(millis(5000, 40_000), () -> cluster.peersPartitioned = false);
+                endAfter(millis(5000, 40_000), () -> cluster.peersPartitioned = false);
             }
-            case LEADER_DEAF -> {
+            case LEADER_PARTITIONED_FROM_WORKERS -> {
                 cluster.workerPartitionedNode = leader();
-                until(millis(8000, 40_000), () -> cluster.workerPartitionedNode = -1);
+                endAfter(millis(8000, 40_000), () -> cluster.workerPartitionedNode = -1);
             }
             default -> {}
         }
     }
 
-    private void machineTrouble(Trouble trouble) {
-        switch (trouble) {
-            case MUTE ->
+    private void machineFault(Fault fault) {
+        switch (fault) {
+            case MACHINES_CANNOT_SEND ->
                 someMachines().forEach(w -> {
                     w.cannotSend(true);
-                    until(millis(5000, 45_000), () -> w.cannotSend(false));
+                    endAfter(millis(5000, 45_000), () -> w.cannotSend(false));
                 });
-            case DEAF ->
+            case MACHINES_CANNOT_RECEIVE ->
                 someMachines().forEach(w -> {
                     w.cannotReceive(true);
-                    until(millis(5000, 45_000), () -> w.cannotReceive(false));
+                    endAfter(millis(5000, 45_000), () -> w.cannotReceive(false));
                 });
-            case HANG -> someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
-            case MACHINES_CUT -> someMachines().forEach(w -> cluster.disconnect(w, millis(2000, 30_000)));
-            case HELD_REPORTS ->
+            case MACHINES_HANG -> someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
+            case MACHINES_DISCONNECTED -> someMachines().forEach(w -> cluster.disconnect(w, millis(2000, 30_000)));
+            case DELAYED_HEARTBEATS ->
                 someMachines().forEach(w -> {
                     w.delayHeartbeats(millis(3000, 25_000));
-                    until(millis(3000, 15_000), () -> w.delayHeartbeats(Duration.ZERO));
+                    endAfter(millis(3000, 15_000), () -> w.delayHeartbeats(Duration.ZERO));
                 });
-            case BLOCKED -> {
+            case MACHINES_BLOCKED_FROM_CONTROLLER -> {
                 List<FakeWorker> some = someMachines();
                 int node = random.nextInt(3);
                 some.forEach(w -> cluster.block(node, w));
-                until(millis(10_000, 60_000), () -> some.forEach(w -> cluster.unblock(node, w)));
+                endAfter(millis(10_000, 60_000), () -> some.forEach(w -> cluster.unblock(node, w)));
             }
-            case DIES -> someMachines().stream().limit(1).forEach(cluster::crashMachine);
-            case TAKEN ->
+            case MACHINE_CRASH -> someMachines().stream().limit(1).forEach(cluster::crashMachine);
+            case SPOT_INTERRUPTION ->
                 someMachines().stream()
                         .filter(w -> w.interruptedAt == null)
                         .forEach(w -> cluster.interruptMachine(w, millis(6000, 14_000)));
@@ -262,32 +263,32 @@
         }
     }
 
-    private void messageTrouble(Trouble trouble) {
-        switch (trouble) {
+    private void messageFault(Fault fault) {
+        switch (fault) {
             case LATE_WRITES -> {
                 cluster.lateWrites = 0.1 + random.nextDouble() * 0.3;
-                until(millis(10_000, 50_000), () -> cluster.lateWrites = 0);
+                endAfter(millis(10_000, 50_000), () -> cluster.lateWrites = 0);
             }
-            case LATE_REPORTS -> {
+            case DUPLICATED_HEARTBEATS -> {
                 cluster.delayedDuplicates = 2;
-                until(millis(20_000, 60_000), () -> cluster.delayedDuplicates = 0);
+                endAfter(millis(20_000, 60_000), () -> cluster.delayedDuplicates = 0);
             }
-            case LOSS -> {
+            case LOSS_AND_DUPLICATES -> {
                 cluster.lossRate = 0.03;
                 cluster.duplicateRate = 0.1;
-                until(millis(10_000, 50_000), () -> {
+                endAfter(millis(10_000, 50_000), () -> {
                     cluster.lossRate = 0;
                     cluster.duplicateRate = 0;
                 });
             }
-            case LATE_RENTAL -> cluster.delayNextRental = true;
+            case DELAYED_RENTAL -> cluster.delayNextRental = true;
             default -> {}
         }
     }
 
-    private void userTrouble(Trouble trouble) {
-        switch (trouble) {
-            case CANCEL_NOW -> {
+    private void userFault(Fault fault) {
+        switch (fault) {
+            case CANCEL_RUNNING_JOBS -> {
                 ids.stream()
                         .filter(id -> cluster.lastTold(id).equals("running"))
                         .limit(4)
@@ -296,11 +297,11 @@
                     someMachines().forEach(w -> w.hang(millis(2000, 25_000)));
                 }
             }
-            case CANCEL_AT_END -> {
+            case CANCEL_AT_COMPLETION -> {
                 cluster.cancelAtCompletionRate = 0.5;
-                until(millis(20_000, 50_000), () -> cluster.cancelAtCompletionRate = 0);
+                endAfter(millis(20_000, 50_000), () -> cluster.cancelAtCompletionRate = 0);
             }
-            case ODD_REQUESTS -> {
+            case REPEATED_AND_UNKNOWN_REQUESTS -> {
                 for (int k = 0; k < 20; k++) {
                     String id = ids.get(random.nextInt(ids.size()));
                     cluster.sim.after(millis(0, 40_000), () -> cluster.resubmit(id));
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -32,26 +32,26 @@
     private static final List<String> AMOUNTS =
             List.of("vcpus", "accelerators", "ramGb", "imageGb", "guessS", "snapshotS", "flushS", "dueS");
     private static final List<String> FLAGS = List.of("samePlace", "apart", "driftwood");
-    private static final List<JsonNode> NO_TEXT =
+    private static final List<JsonNode> INVALID_TEXTS =
             List.of(NullNode.instance, IntNode.valueOf(3), BooleanNode.TRUE, TextNode.valueOf(""));
-    private static final List<JsonNode> NO_COUNT = List.of(
+    private static final List<JsonNode> INVALID_COUNTS = List.of(
             NullNode.instance,
             TextNode.valueOf("3"),
             DoubleNode.valueOf(2.5),
             IntNode.valueOf(0),
             IntNode.valueOf(-1),
             LongNode.valueOf(1L << 40));
-    private static final List<JsonNode> NO_AMOUNT = List.of(
+    private static final List<JsonNode> INVALID_AMOUNTS = List.of(
             TextNode.valueOf("8"),
             BooleanNode.TRUE,
             DoubleNode.valueOf(-0.5),
             DoubleNode.valueOf(Double.NaN),
             DoubleNode.valueOf(Double.POSITIVE_INFINITY),
             DoubleNode.valueOf(1e300));
-    private static final List<JsonNode> NO_FLAG =
+    private static final List<JsonNode> INVALID_FLAGS =
             List.of(NullNode.instance, IntNode.valueOf(1), TextNode.valueOf("true"));
 
-    private static SimulatedCluster ready() {
+    private static SimulatedCluster startedCluster() {
         var cluster = new SimulatedCluster(501);
         cluster.sim.run(Duration.ofSeconds(5));
         return cluster;
@@ -63,7 +63,7 @@
         return result.join();
     }
 
-    private static Submission good(int number) {
+    private static Submission validJob(int number) {
         return ClusterTest.job("wk-%06d".formatted(number), "red", JobKind.ARRAY, 2, false, true);
     }
 
@@ -71,14 +71,15 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void rejectionNamesTheMissingOrInvalidField(long seed) {
-        SimulatedCluster cluster = ready();
+        SimulatedCluster cluster = startedCluster();
         var random = new Random(seed);
         int number = 0;
         for (List<String> fields : List.of(TEXTS, COUNTS, AMOUNTS, FLAGS)) {
-            List<JsonNode> bad =
-                    fields == TEXTS ? NO_TEXT : fields == COUNTS ? NO_COUNT : fields == AMOUNTS ? NO_AMOUNT : NO_FLAG;
+            List<JsonNode> bad = fields == TEXTS
+                    ? INVALID_TEXTS
+                    : fields == COUNTS ? INVALID_COUNTS : fields == AMOUNTS ? INVALID_AMOUNTS : INVALID_FLAGS;
             for (String field : fields) {
-                ObjectNode body = good(++number).toNode();
+                ObjectNode body = validJob(++number).toNode();
                 body.set(field, bad.get(random.nextInt(bad.size())));
                 var answer = submit(cluster, body);
                 assertEquals(400, answer.status(), field + " is " + body.get(field));
@@ -108,7 +109,7 @@
     })
     void jobsThatCanNeverRunAreRejected(
             String team, JobKind shape, int tasks, double gpus, String type, String zone, String zoneRules) {
-        SimulatedCluster cluster = ready();
+        SimulatedCluster cluster = startedCluster();
         var job = SubmissionBuilder.submission("wk-000001")
                 .team(team)
                 .kind(shape)
@@ -134,7 +135,7 @@
         cluster.cloudUnreachable = true;
         cluster.sim.run(Duration.ofSeconds(6));
         for (Submission submission :
-                List.of(good(1), ClusterTest.job("wk-000002", "red", JobKind.GANG, 50, false, true))) {
+                List.of(validJob(1), ClusterTest.job("wk-000002", "red", JobKind.GANG, 50, false, true))) {
             var answer = submit(cluster, submission.toNode());
             assertEquals(503, answer.status());
             assertTrue(answer.retryAfter().isPresent());
@@ -144,15 +145,16 @@
     /** Resubmission and cancellation of a known job return its current state; cancellation of an unknown job returns 404. */
     @Test
     void repeatedRequestsReturnTheCurrentState() {
-        SimulatedCluster cluster = ready();
-        cluster.jobs.put("wk-000001", good(1)); // its tasks may start before the submission is answered
-        assertEquals(201, submit(cluster, good(1).toNode()).status());
-        assertEquals(200, submit(cluster, good(1).toNode()).status());
-        cluster.submit(good(1));
+        SimulatedCluster cluster = startedCluster();
+        cluster.jobs.put("wk-000001", validJob(1)); // its tasks may start before the submission is answered
+        assertEquals(201, submit(cluster, validJob(1).toNode()).status());
+        assertEquals(200, submit(cluster, validJob(1).toNode()).status());
+        cluster.submit(validJob(1));
         cluster.sim.run(Duration.ofSeconds(60));
         assertEquals("done", cluster.lastTold("wk-000001"));
         assertEquals(
-                "done", submit(cluster, good(1).toNode()).body().path("phase").asText());
+                "done",
+                submit(cluster, validJob(1).toNode()).body().path("phase").asText());
         var cancelled = cluster.cancelAt(2, "wk-000001");
         assertEquals(200, cancelled.status());
         assertEquals("done", cancelled.body().path("phase").asText());
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -161,9 +161,10 @@
     @ValueSource(longs = {912, 913})
     void replicasLeaveFaultyMachines(long seed) {
         SimulatedCluster cluster = running(seed, false, false);
-        FakeWorker sick = cluster.workers.get(machines(cluster).iterator().next());
-        sick.faulty = true;
-        sick.tasks().forEach(t -> t.exit("error"));
+        FakeWorker faultyMachine =
+                cluster.workers.get(machines(cluster).iterator().next());
+        faultyMachine.faulty = true;
+        faultyMachine.tasks().forEach(t -> t.exit("error"));
         cluster.markTasksChanged();
         await(cluster, Duration.ofSeconds(60));
         cancelAndAssertGone(cluster);
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -195,7 +195,7 @@
                 process,
                 surroundings.formats(formats[i]),
                 why -> {
-                    met("cannot go on");
+                    met("controller gave up");
                     process.kill();
                 },
                 context -> surroundings.connector().connect(i, process, context));
@@ -516,7 +516,7 @@
         if (from.delaysHeartbeats && !from.cannotSend) {
             // It arrives at its original receiver, even if the leader has changed since.
             sim.after(from.heartbeatDelay, () -> {
-                met("held report");
+                met("delayed heartbeat");
                 if (controllers[node] != null) {
                     Controller late = controllers[node];
                     processes[node].arrive(() -> deliverHeartbeat(late, report, (status, body) -> {}));
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -41,14 +41,14 @@
     private static final int NAME_STEP = 10;
 
     /** The number of stored tasks from which on the limit is exceeded if they are not counted. */
-    private static final int MOST_OF_THEM = 12;
+    private static final int MIN_STORED_TASKS = 12;
 
     /** Longer than the test, so that idle machines are kept. */
     private static final double IDLE_RETURN_SECONDS = 600;
 
-    private static final int SLOW_ANSWERS_MILLIS = 400;
+    private static final int STATE_DELAY_MILLIS = 400;
 
-    private static final Duration RUNS = Duration.ofSeconds(60);
+    private static final Duration TASK_DURATION = Duration.ofSeconds(60);
 
     static LongStream seeds() {
         long from = Long.getLong("limits.from", 30);
@@ -95,7 +95,7 @@
                 .zone(zone)
                 .spot(spot)
                 .image("image-0")
-                .estimate(RUNS)
+                .estimate(TASK_DURATION)
                 .build();
     }
 
@@ -121,7 +121,7 @@
         String shared = jobs.get(1);
         String last = jobs.get(2);
         SimulatedCluster cluster = cluster(seed, refused, other);
-        cluster.taskDuration = Optional.of(RUNS);
+        cluster.taskDuration = Optional.of(TASK_DURATION);
         cluster.userNode = other;
         cluster.sim.run(Duration.ofSeconds(15));
         // Grants the quota shares: from now on each controller may place up to seven tasks without writing the team
@@ -134,7 +134,8 @@
         cluster.writesRefusedNode = refused;
         cluster.submit(array(shared, 20, Optional.empty(), false));
         cluster.sim.run(cluster.sim.now().plusSeconds(5));
-        assertTrue(allocated(cluster, shared) >= MOST_OF_THEM, () -> "stored by then: " + allocated(cluster, shared));
+        assertTrue(
+                allocated(cluster, shared) >= MIN_STORED_TASKS, () -> "stored by then: " + allocated(cluster, shared));
         // Only the first controller has capacity for these.
         cluster.submit(array(last, 12, Optional.of("west"), true));
         cluster.sim.run(cluster.sim.now().plusMillis(1500));
@@ -163,7 +164,7 @@
             namesOf(node, "i-%04d", NAME_STEP, membership::controllerOfMachine, 5)
                     .forEach(id -> cluster.addMachine(id, "east", false));
         }
-        cluster.taskDuration = Optional.of(RUNS);
+        cluster.taskDuration = Optional.of(TASK_DURATION);
         cluster.sim.run(Duration.ofSeconds(15));
         cluster.setOptions(0, Map.of("idle_return_s", IDLE_RETURN_SECONDS));
         List<String> ofRestarted = namesOf(restarted, "wk-%06d", 1, membership::controllerOfJob, 2);
@@ -182,7 +183,7 @@
         cluster.sim.run(cluster.sim.now().plusSeconds(12));
         assertEquals(granted, cluster.state.rows().get(Keys.team("red")).stamp(), "the share is still granted");
         // Three jobs at once, one for each controller; none has read the others' placements yet.
-        cluster.maxStateDelayMillis = SLOW_ANSWERS_MILLIS;
+        cluster.maxStateDelayMillis = STATE_DELAY_MILLIS;
         cluster.userNode = (restarted + 1) % 3;
         cluster.submit(array(ofRestarted.get(1), 7, Optional.empty(), true));
         for (int by = 1; by < 3; by++) {
@@ -199,8 +200,8 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void noTeamExceedsItsLimitWithALimitedWriteRate(long seed) {
-        var day = new TightLimitsDay(seed);
-        assertEquals(List.of(), day.play(), () -> seed + ": " + day.story());
-        assertEquals(List.of(), day.unfinished(), () -> seed + ": " + day.story());
+        var schedule = new TightLimitsDay(seed);
+        assertEquals(List.of(), schedule.run(), () -> seed + ": " + schedule.faultLog());
+        assertEquals(List.of(), schedule.unfinished(), () -> seed + ": " + schedule.faultLog());
     }
 }
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -17,19 +17,19 @@
 final class TightLimitsDay {
     private static final int MACHINES = 30;
     private static final Duration LAST_JOB = Duration.ofSeconds(30);
-    private static final Duration OVER = Duration.ofSeconds(90);
-    private static final Duration END = Duration.ofSeconds(600);
-    private static final double REQUESTS = 250;
+    private static final Duration FAULTS_OVER = Duration.ofSeconds(90);
+    private static final Duration RUN_LENGTH = Duration.ofSeconds(600);
+    private static final double REQUESTS_PER_SECOND = 250;
 
     /** Faults in addition to the limited write rate. */
-    enum Trouble {
+    enum Fault {
         NONE,
-        SLOW_STATE,
+        SLOW_STORE,
         SLOW_WRITES,
-        REFUSED_TOO_FAST,
-        STATE_REFUSES,
-        STANDS_STILL,
-        LEADER_ENDS,
+        STORE_RATE_LIMITED,
+        STORE_OUTAGE,
+        CONTROLLER_FREEZE,
+        LEADER_CRASH,
         LATE_WRITES,
         CANCELLATIONS
     }
@@ -37,7 +37,7 @@
     private final SimulatedCluster cluster;
     private final Random random;
     private final List<String> ids = new ArrayList<>();
-    private final List<String> story = new ArrayList<>();
+    private final List<String> faultLog = new ArrayList<>();
 
     TightLimitsDay(long seed) {
         random = new Random(seed * 37 + 11);
@@ -48,28 +48,28 @@
                 seed,
                 ClusterShape.of(MACHINES, 1 + 9 * random.nextInt(2))
                         .withLimits(Map.of("red", red, "blue", blue))
-                        .withStateRates(REQUESTS, writes));
-        story.add("limits %d and %d, %.0f changes/s".formatted(red, blue, writes));
+                        .withStateRates(REQUESTS_PER_SECOND, writes));
+        faultLog.add("limits %d and %d, %.0f changes/s".formatted(red, blue, writes));
         cluster.maxStateDelayMillis = 20 + random.nextInt(300);
         cluster.lengthOf = task -> Optional.of(Duration.ofSeconds(6 + task.index() * 7L % 17));
         cluster.addMachines(MACHINES);
         submitJobs();
-        add(Trouble.values()[(int) (seed % Trouble.values().length)]);
-        add(Trouble.values()[random.nextInt(Trouble.values().length)]);
+        addFault(Fault.values()[(int) (seed % Fault.values().length)]);
+        addFault(Fault.values()[random.nextInt(Fault.values().length)]);
     }
 
     SimulatedCluster cluster() {
         return cluster;
     }
 
-    List<String> story() {
-        return story;
+    List<String> faultLog() {
+        return faultLog;
     }
 
     /** Runs the schedule and returns the violated invariants. */
-    List<String> play() {
-        cluster.sim.after(OVER, () -> cluster.faultsOver = true);
-        cluster.sim.run(END);
+    List<String> run() {
+        cluster.sim.after(FAULTS_OVER, () -> cluster.faultsOver = true);
+        cluster.sim.run(RUN_LENGTH);
         return cluster.broken;
     }
 
@@ -109,17 +109,17 @@
         return random.nextInt(5) == 0 ? 10 + random.nextInt(20) : 2 + random.nextInt(7);
     }
 
-    private void add(Trouble trouble) {
+    private void addFault(Fault fault) {
         Duration at = Duration.ofSeconds(5 + random.nextInt(30));
         cluster.sim.after(at, () -> {
-            story.add(cluster.sim.now().toMillis() + " ms: " + trouble);
-            begin(trouble);
+            faultLog.add(cluster.sim.now().toMillis() + " ms: " + fault);
+            inject(fault);
         });
     }
 
-    private void begin(Trouble trouble) {
-        switch (trouble) {
-            case SLOW_STATE -> {
+    private void inject(Fault fault) {
+        switch (fault) {
+            case SLOW_STORE -> {
                 int usual = cluster.maxStateDelayMillis;
                 cluster.maxStateDelayMillis = 300 + random.nextInt(900);
                 after(10_000 + random.nextInt(25_000), () -> cluster.maxStateDelayMillis = usual);
@@ -129,7 +129,7 @@
                 cluster.slowWritesMillis = 300 + random.nextInt(1200);
                 after(15_000 + random.nextInt(40_000), () -> cluster.slowWritesNode = -1);
             }
-            case REFUSED_TOO_FAST -> {
+            case STORE_RATE_LIMITED -> {
                 // Other clients use the store too, so that it rejects rates within the configured limits.
                 double share = 0.3 + random.nextDouble() * 0.4;
                 ClusterShape.StateRates rates = cluster.shape.stateRates().orElseThrow();
@@ -138,12 +138,13 @@
                         10_000 + random.nextInt(20_000),
                         () -> cluster.state.limitRates(rates.requests(), rates.writes()));
             }
-            case STATE_REFUSES -> {
+            case STORE_OUTAGE -> {
                 cluster.state.out = true;
                 after(2000 + random.nextInt(8000), cluster.state::recover);
             }
-            case STANDS_STILL -> cluster.freeze(random.nextInt(3), Duration.ofMillis(2000 + random.nextInt(12_000)));
-            case LEADER_ENDS ->
+            case CONTROLLER_FREEZE ->
+                cluster.freeze(random.nextInt(3), Duration.ofMillis(2000 + random.nextInt(12_000)));
+            case LEADER_CRASH ->
                 cluster.crash(Math.max(0, cluster.leader()), Duration.ofMillis(100 + random.nextInt(4000)));
             case LATE_WRITES -> {
                 cluster.lateWrites = 0.05 + random.nextDouble() * 0.25;
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -19,10 +19,10 @@
 /** Rolling upgrades: controllers of the older and the newer stored format run at the same time, and the limits of the state store are lowered. */
 class UpgradeTest {
     /** Too few bytes for a job's description and a few allocations in one value. */
-    private static final int LOW_VALUE = 460;
+    private static final int LOWERED_VALUE_BYTES = 460;
 
-    private static final int LOW_OPS = 5;
-    private static final double LOW_RATE = 21;
+    private static final int LOWERED_TXN_OPS = 5;
+    private static final double LOWERED_WRITE_RATE = 21;
 
     static LongStream seeds() {
         long from = Long.getLong("upgrades.from", 801);
@@ -31,12 +31,12 @@
 
     private static ObjectNode announced() {
         return MessagePackCodec.map()
-                .put("value_kb", LOW_VALUE / 1024.0)
-                .put("txn_ops", LOW_OPS)
-                .put("write_rps", LOW_RATE);
+                .put("value_kb", LOWERED_VALUE_BYTES / 1024.0)
+                .put("txn_ops", LOWERED_TXN_OPS)
+                .put("write_rps", LOWERED_WRITE_RATE);
     }
 
-    private static SimulatedCluster older(long seed) {
+    private static SimulatedCluster clusterOfOldFormat(long seed) {
         var cluster = new SimulatedCluster(seed, 7, 10, FormatVersion.WHOLE_RECORDS);
         cluster.nextLimits = announced();
         return cluster;
@@ -54,7 +54,7 @@
 
     @Test
     void newFormatIsNotStoredBeforeAllControllersAnnounceIt() {
-        var cluster = older(800);
+        var cluster = clusterOfOldFormat(800);
         ClusterTest.submitMixedJobs(cluster, 8);
         upgrade(cluster, 0);
         upgrade(cluster, 2);
@@ -77,7 +77,7 @@
         cluster.formats[1] = FormatVersion.WHOLE_RECORDS;
         cluster.crash(1, Duration.ofMillis(300));
         cluster.sim.run(Duration.ofSeconds(30));
-        assertEquals(1, cluster.met.get("cannot go on"));
+        assertEquals(1, cluster.met.get("controller gave up"));
         assertEquals(List.of(), cluster.broken);
     }
 
@@ -86,25 +86,27 @@
     @MethodSource("seeds")
     void jobsCompleteThroughARollingUpgradeWithLoweredLimits(long seed) {
         var random = new Random(seed);
-        var cluster = older(seed);
+        var cluster = clusterOfOldFormat(seed);
         cluster.lateWrites = seed % 2 == 0 ? 0.02 : 0;
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         cluster.submit(ClusterTest.job("wk-000900", "blue", JobKind.SERVICE, 3, false, false));
         var order = new ArrayList<>(List.of(0, 1, 2));
         java.util.Collections.shuffle(order, random);
-        int early = order.get(2);
-        cluster.sim.after(6000 + random.nextInt(4000), () -> cluster.crash(early, Duration.ofMillis(200)));
+        int crashedBeforeUpgrade = order.get(2);
+        cluster.sim.after(
+                6000 + random.nextInt(4000), () -> cluster.crash(crashedBeforeUpgrade, Duration.ofMillis(200)));
         for (int i = 0; i < 3; i++) {
             int node = order.get(i);
             cluster.sim.after(12_000 + 7000L * i, () -> upgrade(cluster, node));
         }
         // The limits are lowered 1 to 21 s after the last controller is stopped for its upgrade.
         cluster.sim.after(
-                27_000 + random.nextInt(20_000), () -> cluster.state.lowerLimits(LOW_VALUE, LOW_OPS, LOW_RATE));
+                27_000 + random.nextInt(20_000),
+                () -> cluster.state.lowerLimits(LOWERED_VALUE_BYTES, LOWERED_TXN_OPS, LOWERED_WRITE_RATE));
         cluster.sim.after(
                 33_000 + random.nextInt(15_000), () -> cluster.crash(random.nextInt(3), Duration.ofSeconds(2)));
-        var called = new ArrayList<>(ids.subList(0, 3));
-        called.forEach(id -> cluster.sim.after(20_000 + random.nextInt(40_000), () -> cluster.cancel(id)));
+        var cancelled = new ArrayList<>(ids.subList(0, 3));
+        cancelled.forEach(id -> cluster.sim.after(20_000 + random.nextInt(40_000), () -> cluster.cancel(id)));
         cluster.sim.after(60_000, () -> cluster.cancel("wk-000900"));
         // A job that is submitted after the upgrade.
         ids.add("wk-000950");
@@ -113,16 +115,16 @@
         for (int second = 1; second <= 150; second++) {
             cluster.sim.run(Duration.ofSeconds(second));
             if (partsStored(cluster)) {
-                cluster.met("parts");
+                cluster.met("stored parts");
             }
         }
         cluster.sim.run(Duration.ofSeconds(420));
         assertEquals(List.of(), cluster.broken);
         ids.forEach(id -> assertTrue(
-                cluster.lastTold(id).equals("done") || (called.contains(id) && cluster.over(id)),
+                cluster.lastTold(id).equals("done") || (cancelled.contains(id) && cluster.over(id)),
                 id + " is " + cluster.lastTold(id)));
         assertEquals("cancelled", cluster.lastTold("wk-000900"));
-        assertTrue(cluster.met.containsKey("parts"), "no record was split into parts");
+        assertTrue(cluster.met.containsKey("stored parts"), "no record was split into parts");
         assertTrue(!partsStored(cluster), "parts of ended jobs are still stored");
     }
 }
