--- a/src/test/java/org/dunespindle/sim/AdminTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminTest.java
@@ -129,7 +129,7 @@
                 .body()
                 .path("hosts")
                 .forEach(h -> assertTrue(!h.path("id").asText().equals(host), "the drained machine is still listed"));
-        assertEquals(java.util.List.of(), cluster.broken);
+        assertEquals(java.util.List.of(), cluster.violations);
         assertEquals("done", cluster.lastTold("wk-000001"));
     }
 }
--- a/src/test/java/org/dunespindle/sim/ClusterTest.java
+++ b/src/test/java/org/dunespindle/sim/ClusterTest.java
@@ -47,7 +47,7 @@
     }
 
     static void assertAllDone(SimulatedCluster cluster, List<String> ids) {
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         for (String id : ids) {
             assertEquals("done", cluster.lastTold(id), id);
         }
@@ -119,7 +119,7 @@
         }
         cluster.sim.run(Duration.ofSeconds(115));
         assertEquals(before, cluster.terminatedMachines);
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @ParameterizedTest
@@ -180,7 +180,7 @@
         });
         cluster.sim.after(12_000, () -> cluster.crash(pick % 3, Duration.ofSeconds(6)));
         cluster.sim.run(Duration.ofSeconds(400));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         for (String id : ids) {
             String last = cluster.lastTold(id);
             assertEquals(true, last.equals("done") || last.equals("cancelled"), id + " is " + last);
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -79,7 +79,7 @@
                         .toList(),
                 "the leader stops them at once when its peers report the cancellations");
         cluster.sim.run(begun.plus(SimulatedCluster.CANCEL_TIMEOUT).plusSeconds(15));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         assertEquals(
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
@@ -88,7 +88,7 @@
         cluster.state.recover();
         ids.subList(4, 8).forEach(cluster::cancel);
         cluster.sim.run(cluster.sim.now().plusSeconds(60));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         assertEquals(List.of(), cluster.startsAfterCancel);
     }
 
@@ -110,13 +110,13 @@
             cluster.crash(confirms, Duration.ofSeconds(2));
         }
         cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL_TIMEOUT).plusSeconds(25));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         cluster.peersPartitioned = false;
         cluster.refusedNode = -1;
         cluster.state.recover();
         ids.subList(4, 8).forEach(cluster::cancel);
         cluster.sim.run(cluster.sim.now().plusSeconds(90));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /**
@@ -158,7 +158,7 @@
             cluster.sim.run(cluster.sim.now().plusMillis(2000 + random.nextInt(12_000)));
         }
         cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL_TIMEOUT).plusSeconds(5));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     static LongStream outageSeeds() {
@@ -199,7 +199,7 @@
         cluster.sim.run(cluster.sim.now().plusSeconds(25 + 5 * (seed - 321)));
         cluster.isolatedNode = -1;
         cluster.sim.run(cluster.sim.now().plusSeconds(60));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         assertEquals(List.of(), cluster.startsAfterCancel);
         assertEquals(
                 List.of(),
@@ -276,7 +276,7 @@
                     List.of("running", "done").contains(cluster.lastTold(id)),
                     id + " still waits for its placement timeout: " + cluster.rules.dump());
         }
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     private static String mode(SimulatedCluster cluster, String id) {
@@ -430,7 +430,7 @@
         cluster.sim.run(cluster.sim.now().plusMillis(200 * (seed - 421)));
         cluster.cancel(held);
         cluster.sim.run(Duration.ofSeconds(260));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         for (int i = 0; i < 4; i++) {
             String id = "wk-%06d".formatted(i);
             assertEquals(id.equals(held) ? "cancelled" : "done", cluster.lastTold(id), id);
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -97,7 +97,7 @@
         assertTrue(
                 cluster.alive().stream().anyMatch(w -> w.tasks().iterator().hasNext()),
                 "the task did not move while duplicated heartbeats of its dead machine arrive");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @ParameterizedTest
@@ -114,7 +114,7 @@
         cluster.sim.run(Duration.ofSeconds(75));
         cluster.isolatedNode = -1;
         cluster.sim.run(Duration.ofSeconds(100));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         assertEquals(
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
@@ -143,7 +143,7 @@
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "workers with expired leases");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
@@ -160,7 +160,7 @@
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "workers with expired leases");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @ParameterizedTest
@@ -294,7 +294,7 @@
                 .build();
         cluster.sim.after(30_000, () -> cluster.submit(large));
         cluster.sim.run(Duration.ofSeconds(270));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         assertTrue(
                 List.of("running", "done").contains(cluster.lastTold("wk-000001")),
                 cluster.admin(0, "GET", "/v1/jobs/wk-000001", "").join().body().toString());
@@ -320,7 +320,7 @@
                 16_000, () -> cluster.interruptMachine(cluster.worker((int) seed % 4), Duration.ofSeconds(12)));
         cluster.sim.after(26_000, () -> cluster.crash((int) seed % 3, Duration.ofMillis(300)));
         cluster.sim.run(Duration.ofSeconds(400));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         ids.stream().filter(id -> !id.equals(ids.get(9))).forEach(id -> assertEquals("done", cluster.lastTold(id), id));
         assertTrue(List.of("done", "cancelled").contains(cluster.lastTold(ids.get(9))));
     }
@@ -345,7 +345,7 @@
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "terminated machines");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** A controller freezes while the others are down. It received no heartbeats because it was frozen, so it must not terminate machines for missing ones. */
@@ -371,7 +371,7 @@
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "terminated machines");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** A controller partitioned from all workers must give up leadership and its machines; otherwise it would terminate the machines for missing heartbeats. */
@@ -412,7 +412,7 @@
         List<String> ids = List.of("wk-000003", "wk-000004");
         ids.forEach(id -> cluster.submit(ClusterTest.job(id, "red", JobKind.ARRAY, 2, false, false)));
         cluster.sim.run(Duration.ofSeconds(200));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** The leader gets no information on machines of other controllers for far longer than a lease, while those controllers receive their heartbeats throughout. */
@@ -435,7 +435,7 @@
         cluster.peersPartitioned = false;
         cluster.submit(ClusterTest.job("wk-000003", "red", JobKind.GANG, 3, false, false));
         cluster.sim.run(Duration.ofSeconds(200));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Returns a service that may run in one zone only. */
@@ -484,7 +484,7 @@
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "terminated machines");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /**
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -56,7 +56,7 @@
                 sessions,
                 cluster.alive().stream().mapToLong(FakeWorker::session).sum(),
                 "lease expiries");
-        assertEquals(0, cluster.broken.size(), cluster.broken.toString());
+        assertEquals(0, cluster.violations.size(), cluster.violations.toString());
         assertTrue(cluster.maxOpenWorkerCalls <= MAX_WORKER_CALLS, cluster.maxOpenWorkerCalls + " calls at once");
     }
 
@@ -124,7 +124,7 @@
                 cluster.counts.get("worker") - before < 20 * SMALL,
                 "calls to machines: " + (cluster.counts.get("worker") - before));
         cluster.sim.run(Duration.ofSeconds(130));
-        assertEquals(0, cluster.broken.size(), cluster.broken.toString());
+        assertEquals(0, cluster.violations.size(), cluster.violations.toString());
     }
 
     /** More submissions at once than can be stored before their users time out: the excess is rejected at once with a time to retry. */
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -53,13 +53,13 @@
             use.merge(cluster.jobs.get(t.task.job()).team(), 1, Integer::sum);
             Duration c = cluster.cancelled.get(t.task.job());
             if (c != null && cluster.sim.now().minus(c).compareTo(SimulatedCluster.CANCEL_TIMEOUT) > 0) {
-                cluster.broken.add("ran_cancelled: " + t.task);
+                cluster.violations.add("ran_cancelled: " + t.task);
             }
         }
         if (cluster.maxMachines == 7
                 && cluster.shape.limits().entrySet().stream()
                         .anyMatch(limit -> use.getOrDefault(limit.getKey(), 0) > limit.getValue())) {
-            cluster.broken.add("quota: " + use);
+            cluster.violations.add("quota: " + use);
         }
     }
 
@@ -75,7 +75,7 @@
         }
         if (cluster.shape.limits().entrySet().stream()
                 .anyMatch(limit -> use.getOrDefault(limit.getKey(), 0.0) > limit.getValue())) {
-            cluster.broken.add("quota: " + use);
+            cluster.violations.add("quota: " + use);
         }
     }
 
@@ -85,7 +85,7 @@
         var zones = new HashSet<String>();
         for (FakeWorker.Task t : live()) {
             if (t != started && t.task.equals(started.task)) {
-                cluster.broken.add("ran_twice: " + t.task + " on " + t.host() + " and " + started.host());
+                cluster.violations.add("ran_twice: " + t.task + " on " + t.host() + " and " + started.host());
             }
             if (t.task.job().equals(started.task.job()) && cluster.workers.containsKey(t.host())) {
                 zones.add(cluster.workers.get(t.host()).zone);
@@ -99,7 +99,7 @@
         boolean tooMany = job.spread() && inZone > (job.tasks() + 1) / 2;
         boolean otherZone = job.zone().filter(z -> !z.equals(worker.zone)).isPresent();
         if ((job.sameZone() && zones.size() > 1) || (worker.spot && !job.spot()) || tooMany || otherZone) {
-            cluster.broken.add("wrong_place: " + started.task);
+            cluster.violations.add("wrong_place: " + started.task);
         }
         cluster.begunAt.putIfAbsent(started.task.job(), cluster.sim.now());
         cluster.surroundings.watcher().started(cluster, started);
@@ -140,7 +140,7 @@
                             .minus(waitingSince.computeIfAbsent(job.id(), k -> cluster.sim.now()))
                             .compareTo(MAX_WAIT)
                     > 0) {
-                cluster.broken.add("waits despite free capacity: " + job.id());
+                cluster.violations.add("waits despite free capacity: " + job.id());
                 waitingSince.remove(job.id());
             }
         }
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -386,7 +386,7 @@
     /** What must never happen, and did. */
     List<String> violations() {
         var all = new ArrayList<>(watch.broken);
-        cells.forEach(cell -> all.addAll(cell.standIns.broken));
+        cells.forEach(cell -> all.addAll(cell.standIns.violations));
         return all;
     }
 
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -69,7 +69,7 @@
                 "the user's answer shows no failures");
         faulty.forEach(cluster::cancel);
         cluster.sim.run(Duration.ofSeconds(200));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         faulty.forEach(id -> assertEquals("cancelled", cluster.lastTold(id)));
     }
 
@@ -124,7 +124,7 @@
                 List.of(),
                 used.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "workers with expired leases");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** One read of the store answers all polls that wait for it, so a burst of polls causes few store calls. */
@@ -147,7 +147,7 @@
         assertTrue(answers.stream().allMatch(a -> a.isDone() && a.join().status() == 200));
         int readings = cluster.counts.get("state") - before;
         assertTrue(readings < 500, readings + " calls to the state store for 4,000 polls");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** A team without a guarantee fills the fleet with one huge array. Jobs within another team's guarantee are done in time, and the array is done too. */
@@ -176,6 +176,6 @@
                 "done", cluster.lastTold(id), id + " is within its team's guarantee but is not done in time"));
         cluster.sim.run(Duration.ofSeconds(300));
         assertEquals("done", cluster.lastTold("wk-000100"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 }
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -81,7 +81,7 @@
         String decisions = cluster.decisions();
         List.of("has been silent", "no controller hears", "takes no commands")
                 .forEach(why -> assertTrue(!decisions.contains(why), decisions));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /**
@@ -103,7 +103,7 @@
         cluster.sim.after(length.minusMillis(5), () -> cluster.userNode = paused);
         cluster.sim.after(length.plusSeconds(8), () -> cluster.userNode = -1);
         cluster.sim.run(Duration.ofSeconds(300));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         // While the only controller that may stop a task is paused, an image that was being fetched may arrive and the
         // task starts. No start command may be sent, and no task may start that a running controller had the time to
         // stop.
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -146,7 +146,7 @@
     List<String> run() {
         cluster.sim.after(FAULTS_OVER, () -> cluster.faultsOver = true);
         cluster.sim.run(RUN_LENGTH);
-        var failures = new ArrayList<>(cluster.broken);
+        var failures = new ArrayList<>(cluster.violations);
         failures.addAll(cluster.rules.failedCriteria());
         for (String id : ids) {
             if (!List.of("done", "cancelled").contains(cluster.lastTold(id))) {
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -159,6 +159,6 @@
         assertEquals(200, cancelled.status());
         assertEquals("done", cancelled.body().path("phase").asText());
         assertEquals(404, cluster.cancelAt(0, "wk-000099").status());
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 }
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -68,7 +68,7 @@
         cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL_TIMEOUT));
         assertEquals("cancelled", cluster.lastTold(ID));
         assertEquals(List.of(), replicas(cluster));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     private static void await(SimulatedCluster cluster, Duration longest) {
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -52,7 +52,7 @@
     final InvariantChecker rules = new InvariantChecker(this);
     final TaskRuns runs = new TaskRuns(this);
     final FakeCloud cloud = new FakeCloud(this);
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     private final Controller[] controllers = new Controller[3];
     final VirtualTime.SimulatedProcess[] processes = new VirtualTime.SimulatedProcess[3];
     final Map<String, FakeWorker> workers = new TreeMap<>();
@@ -160,7 +160,7 @@
         completed = surroundings.completed();
         cancelled = surroundings.cancelled();
         sim = surroundings.sim();
-        operators = new SimulatedOperators(sim, node -> controllers[node], broken::add);
+        operators = new SimulatedOperators(sim, node -> controllers[node], violations::add);
         state = new FakeStateStore(sim);
         shape.stateRates().ifPresent(rates -> {
             state.limitRates(rates.requests(), rates.writes());
--- a/src/test/java/org/dunespindle/sim/SimulatedFederation.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedFederation.java
@@ -223,7 +223,7 @@
     List<String> violations() {
         var all = new ArrayList<>(broken);
         for (SimulatedCluster cell : cells) {
-            cell.broken.forEach(what -> all.add(NAMES.get(cells.indexOf(cell)) + ": " + what));
+            cell.violations.forEach(what -> all.add(NAMES.get(cells.indexOf(cell)) + ": " + what));
         }
         return all;
     }
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -42,7 +42,7 @@
                     if (a.status() == 200 || a.status() == 201) {
                         onAnswer(id, asked, a);
                     } else if (a.status() != 503) {
-                        cluster.broken.add("forgotten: repeated submission of " + id + " answered " + a.status());
+                        cluster.violations.add("forgotten: repeated submission of " + id + " answered " + a.status());
                     }
                 }),
                 () -> {});
@@ -56,7 +56,7 @@
                     if (a.status() == 200) {
                         onAnswer(id, asked, a);
                     } else if (a.status() == 404) {
-                        cluster.broken.add("forgotten: " + id);
+                        cluster.violations.add("forgotten: " + id);
                     }
                 }),
                 () -> {});
@@ -67,7 +67,7 @@
         ask(
                 n -> n.poll(id, a -> {
                     if (a.status() == 200) {
-                        cluster.broken.add("invented: " + id);
+                        cluster.violations.add("invented: " + id);
                     }
                 }),
                 () -> {});
@@ -88,7 +88,7 @@
                     if (a.status() == 200 || a.status() == 201) {
                         onAnswer(job.id(), asked, a);
                     } else if (a.status() != 503) {
-                        cluster.broken.add("submission of " + job.id() + " answered " + a.status());
+                        cluster.violations.add("submission of " + job.id() + " answered " + a.status());
                     } else {
                         cluster.sim.after(1000, () -> sendSubmission(job));
                     }
@@ -120,17 +120,17 @@
         String before = cluster.told.getOrDefault(id, "");
         boolean over = before.equals("done") || before.equals("cancelled");
         if (over && !before.equals(phase) && asked.compareTo(finalStateAt.get(id)) > 0) {
-            cluster.broken.add("went_back: " + id + " was " + before + ", now " + phase);
+            cluster.violations.add("went_back: " + id + " was " + before + ", now " + phase);
         }
         if (!over) {
             cluster.told.put(id, phase);
             finalStateAt.put(id, cluster.sim.now());
         } else if (!before.equals(phase) && (phase.equals("done") || phase.equals("cancelled"))) {
-            cluster.broken.add("went_back: " + id + " was reported as " + before + " and as " + phase);
+            cluster.violations.add("went_back: " + id + " was reported as " + before + " and as " + phase);
         }
         if (phase.equals("cancelled")) {
             if (!cluster.cancelRequested.contains(id)) {
-                cluster.broken.add("went_back: " + id + " cancelled without a request");
+                cluster.violations.add("went_back: " + id + " cancelled without a request");
             }
             if (cluster.cancelled.putIfAbsent(id, cluster.sim.now()) == null) {
                 cluster.sim.after(
@@ -140,7 +140,7 @@
         if (phase.equals("done")
                 && cluster.done.getOrDefault(id, Set.of()).size()
                         < cluster.jobs.get(id).tasks()) {
-            cluster.broken.add("not_done: " + id);
+            cluster.violations.add("not_done: " + id);
         }
     }
 }
--- a/src/test/java/org/dunespindle/sim/StoredAllocations.java
+++ b/src/test/java/org/dunespindle/sim/StoredAllocations.java
@@ -61,7 +61,7 @@
         double stored = gpus().getOrDefault(team, 0.0);
         double bound = ledger.path("gpus").asDouble();
         if (stored > bound + ROUNDING) {
-            cluster.broken.add(
+            cluster.violations.add(
                     "stored bound: team record of %s allows %.0f, but %.0f are allocated at revision %d, %d ms"
                             .formatted(
                                     team,
@@ -77,7 +77,7 @@
             int limit = cluster.shape.limits().getOrDefault(team, Integer.MAX_VALUE);
             if (gpus > limit && gpus > excess.getOrDefault(team, 0.0)) {
                 excess.put(team, gpus);
-                cluster.broken.add("stored quota: %s is allocated %.0f with a limit of %d at revision %d, %d ms"
+                cluster.violations.add("stored quota: %s is allocated %.0f with a limit of %d at revision %d, %d ms"
                         .formatted(
                                 team, gpus, limit, revision, cluster.sim.now().toMillis()));
             }
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -144,9 +144,9 @@
         assertTrue(
                 cluster.met.containsKey("conflict of n" + refused + " about " + Keys.job(shared)),
                 () -> "its placement had no conflict: " + cluster.met);
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         cluster.sim.run(cluster.sim.now().plusSeconds(180));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         assertEquals("done", cluster.lastTold(last));
     }
 
@@ -192,7 +192,7 @@
                     namesOf(node, "wk-%06d", 1, membership::controllerOfJob, 1).get(0), 7, Optional.empty(), true));
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(180));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         assertEquals("done", cluster.lastTold(ofRestarted.get(1)));
     }
 
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -70,7 +70,7 @@
     List<String> run() {
         cluster.sim.after(FAULTS_OVER, () -> cluster.faultsOver = true);
         cluster.sim.run(RUN_LENGTH);
-        return cluster.broken;
+        return cluster.violations;
     }
 
     /** Returns the jobs that are neither done nor cancelled. */
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -67,7 +67,7 @@
         assertEquals(
                 FormatVersion.NEWEST_WITHOUT_FEATURES,
                 cluster.state.rows().get("ds/format").value().path("version").asInt());
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
@@ -78,7 +78,7 @@
         cluster.crash(1, Duration.ofMillis(300));
         cluster.sim.run(Duration.ofSeconds(30));
         assertEquals(1, cluster.met.get("controller gave up"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Controllers are upgraded one by one in random order with crashes in between; one restarts with the old version before its upgrade. The store's limits are lowered during or after the upgrade. */
@@ -119,7 +119,7 @@
             }
         }
         cluster.sim.run(Duration.ofSeconds(420));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         ids.forEach(id -> assertTrue(
                 cluster.lastTold(id).equals("done") || (cancelled.contains(id) && cluster.over(id)),
                 id + " is " + cluster.lastTold(id)));
