--- a/src/test/java/org/dunespindle/sim/CellInvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/CellInvariantChecker.java
@@ -28,7 +28,7 @@
         String job = task.task.job();
         for (SimulatedCluster other : cells) {
             boolean there = other != cluster
-                    && other.rules.live().stream()
+                    && other.invariants.live().stream()
                             .anyMatch(live -> live.task.job().equals(job));
             if (there) {
                 broken.add("in two cells: " + job + " in " + name(other) + " and " + name(cluster));
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -274,7 +274,7 @@
         for (String id : List.of("wk-000001", "wk-000002")) {
             assertTrue(
                     List.of("running", "done").contains(cluster.lastTold(id)),
-                    id + " still waits for its placement timeout: " + cluster.rules.dump());
+                    id + " still waits for its placement timeout: " + cluster.invariants.dump());
         }
         assertEquals(List.of(), cluster.violations);
     }
--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -322,7 +322,7 @@
                                 .or(() -> cluster.taskDuration)
                                 .orElse(Duration.ofMillis(2000 + sim.random.nextInt(6000))));
                 t.gatherUntil = sim.now().plus(SimulatedCluster.GANG_TIMEOUT);
-                cluster.rules.checkStart(this, t);
+                cluster.invariants.checkStart(this, t);
                 cluster.markTasksChanged();
             }
         });
--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -232,7 +232,7 @@
                 cells.await(
                         "a is full",
                         Duration.ofSeconds(60),
-                        () -> a.standIns.rules.live().size() == 8);
+                        () -> a.standIns.invariants.live().size() == 8);
             }
             measure(cells, a, processes, federated, builds);
         }
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -192,7 +192,7 @@
         a.cancel(BUILD);
         until(federation, "its user is told", 30, () -> a.lastTold(BUILD).equals("cancelled"));
         run(federation, 60);
-        assertTrue(federation.cells.get(there).rules.live().isEmpty());
+        assertTrue(federation.cells.get(there).invariants.live().isEmpty());
         assertEquals(List.of(), federation.violations());
     }
 
--- a/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
@@ -65,7 +65,7 @@
         cells.await(
                 "cell a is filled",
                 Duration.ofSeconds(60),
-                () -> a.standIns.rules.live().size() == 8);
+                () -> a.standIns.invariants.live().size() == 8);
     }
 
     private static List<String> submitBuilds(LoopbackCells cells, LoopbackCells.Cell a) throws Exception {
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -109,7 +109,7 @@
         // stop.
         assertEquals(
                 List.of(),
-                cluster.rules.lateStarts.stream()
+                cluster.invariants.lateStarts.stream()
                         .filter(start -> start.commandedLater()
                                 || (start.after().compareTo(MAX_STOP_DELAY) > 0 && !start.ownerFrozen()))
                         .toList());
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -147,7 +147,7 @@
         cluster.sim.after(FAULTS_OVER, () -> cluster.faultsOver = true);
         cluster.sim.run(RUN_LENGTH);
         var failures = new ArrayList<>(cluster.violations);
-        failures.addAll(cluster.rules.failedCriteria());
+        failures.addAll(cluster.invariants.failedCriteria());
         for (String id : ids) {
             if (!List.of("done", "cancelled").contains(cluster.lastTold(id))) {
                 failures.add(id + " is " + cluster.lastTold(id));
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -38,7 +38,7 @@
     }
 
     private static List<FakeWorker.Task> replicas(SimulatedCluster cluster) {
-        return cluster.rules.live().stream()
+        return cluster.invariants.live().stream()
                 .filter(t -> t.task.job().equals(ID) && t.phase.equals("running"))
                 .toList();
     }
@@ -148,7 +148,7 @@
         cluster.alive().stream().filter(w -> w.zone.equals("east")).forEach(cluster::crashMachine);
         cluster.crash(cluster.leader(), Duration.ofSeconds(8));
         cluster.sim.run(cluster.sim.now().plusSeconds(60));
-        long west = cluster.rules.live().stream()
+        long west = cluster.invariants.live().stream()
                 .filter(t -> t.task.job().equals(ID)
                         && cluster.workers.get(t.host()).zone.equals("west"))
                 .count();
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -49,7 +49,7 @@
     static final List<String> ZONES = List.of("east", "west");
     public final VirtualTime sim;
     public final FakeStateStore state;
-    final InvariantChecker rules = new InvariantChecker(this);
+    final InvariantChecker invariants = new InvariantChecker(this);
     final TaskRuns runs = new TaskRuns(this);
     final FakeCloud cloud = new FakeCloud(this);
     final List<String> violations = new ArrayList<>();
@@ -179,8 +179,8 @@
             sim.afterEach(() -> {
                 if (tasksChanged) {
                     tasksChanged = false;
-                    rules.checkLimitsAndCancelledTasks();
-                    rules.checkAcceleratorLimits();
+                    invariants.checkLimitsAndCancelledTasks();
+                    invariants.checkAcceleratorLimits();
                 }
             });
         }
@@ -691,8 +691,8 @@
                 pollJob(id);
             }
         }
-        rules.checkLimitsAndCancelledTasks();
-        rules.checkWaits();
+        invariants.checkLimitsAndCancelledTasks();
+        invariants.checkWaits();
         sim.after(250, this::pollAndCheck);
     }
 
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -134,7 +134,8 @@
             }
             if (cluster.cancelled.putIfAbsent(id, cluster.sim.now()) == null) {
                 cluster.sim.after(
-                        SimulatedCluster.CANCEL_TIMEOUT.plusMillis(1), cluster.rules::checkLimitsAndCancelledTasks);
+                        SimulatedCluster.CANCEL_TIMEOUT.plusMillis(1),
+                        cluster.invariants::checkLimitsAndCancelledTasks);
             }
         }
         if (phase.equals("done")
--- a/src/test/java/org/dunespindle/sim/TaskRuns.java
+++ b/src/test/java/org/dunespindle/sim/TaskRuns.java
@@ -18,7 +18,7 @@
     }
 
     private List<FakeWorker.Task> members(FakeWorker.Task one) {
-        return cluster.rules.live().stream()
+        return cluster.invariants.live().stream()
                 .filter(t -> t.task.job().equals(one.task.job()) && t.attempt == one.attempt)
                 .toList();
     }
