--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -206,7 +206,7 @@
                 boolean accepted = reply instanceof CellReply.Reports reports
                         && reports.reports().stream().anyMatch(r -> r.state() == InboundJobState.QUEUED);
                 SimulatedCluster cell = federation.cells.get(from);
-                if (accepted && !cell.told.containsKey("fill-00010" + from)) {
+                if (accepted && !cell.reportedPhases.containsKey("fill-00010" + from)) {
                     cell.submit(job("fill-00010" + from, "red", JobKind.ARRAY, Priority.CRITICAL, 8));
                 }
                 return reply;
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -123,7 +123,7 @@
         for (Submission job : cluster.jobs.values()) {
             boolean isOver = cluster.over(job.id())
                     || cluster.cancelRequested.contains(job.id())
-                    || !cluster.told.containsKey(job.id());
+                    || !cluster.reportedPhases.containsKey(job.id());
             int ended = cluster.done.getOrDefault(job.id(), Set.of()).size();
             long here = live.stream().filter(t -> t.task.job().equals(job.id())).count();
             boolean missing = job.isGang() ? here < job.tasks() : here + ended < job.tasks();
@@ -170,7 +170,7 @@
      */
     List<String> failedCriteria() {
         var failures = new ArrayList<String>();
-        for (String id : cluster.told.keySet()) {
+        for (String id : cluster.reportedPhases.keySet()) {
             for (int node = 0; node < 3; node++) {
                 var answer = cluster.poll(node, id);
                 if (!answer.isDone() || answer.join().status() != 200) {
@@ -179,7 +179,7 @@
             }
         }
         var kept = cluster.jobs.values().stream()
-                .filter(j -> cluster.told.containsKey(j.id()) && !cluster.cancelRequested.contains(j.id()))
+                .filter(j -> cluster.reportedPhases.containsKey(j.id()) && !cluster.cancelRequested.contains(j.id()))
                 .toList();
         var groups = new TreeMap<String, List<Submission>>();
         for (Submission j : kept) {
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -187,7 +187,7 @@
             call(front[node], "POST", "/submissions", MessagePackCodec.write(job.toNode()), MessagePackCodec.TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null && (reply.status() == 200 || reply.status() == 201)) {
-                            standIns.told.put(job.id(), "queued");
+                            standIns.reportedPhases.put(job.id(), "queued");
                             poll(job.id(), node);
                         } else {
                             sim.after(500, () -> offer(job, (node + 1) % CONTROLLERS));
@@ -201,7 +201,7 @@
                         String phase = failure == null && reply.status() == 200
                                 ? parsed(reply).path("phase").asText()
                                 : standIns.lastTold(id);
-                        standIns.told.put(id, phase);
+                        standIns.reportedPhases.put(id, phase);
                         if (!standIns.over(id)) {
                             sim.after(300, () -> poll(id, (node + 1) % CONTROLLERS));
                         }
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -152,7 +152,7 @@
     private void cancelSome() {
         SimulatedCluster home = federation.cells.get(0);
         for (String id : builds) {
-            if (random.nextInt(3) == 0 && !home.over(id) && home.told.containsKey(id)) {
+            if (random.nextInt(3) == 0 && !home.over(id) && home.reportedPhases.containsKey(id)) {
                 federation.sim.after(millis(0, 20_000), () -> home.cancel(id));
             }
         }
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -62,7 +62,7 @@
     final SimulatedEnvironment surroundings;
     private final SimulatedUsers users = new SimulatedUsers(this);
     private final SimulatedOperators operators;
-    final Map<String, String> told = new HashMap<>();
+    final Map<String, String> reportedPhases = new HashMap<>();
     /** The only controller that the state store answers with 503, or -1. */
     public int refusedNode = -1;
     /** Requests to the cloud are lost. */
@@ -682,12 +682,12 @@
     }
 
     String lastTold(String id) {
-        return told.getOrDefault(id, "");
+        return reportedPhases.getOrDefault(id, "");
     }
 
     private void pollAndCheck() {
         for (String id : jobs.keySet()) {
-            if (sim.random.nextInt(20) == 0 && told.containsKey(id)) {
+            if (sim.random.nextInt(20) == 0 && reportedPhases.containsKey(id)) {
                 pollJob(id);
             }
         }
@@ -697,6 +697,6 @@
     }
 
     boolean over(String id) {
-        return List.of("done", "cancelled").contains(told.getOrDefault(id, ""));
+        return List.of("done", "cancelled").contains(reportedPhases.getOrDefault(id, ""));
     }
 }
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -34,7 +34,7 @@
     /** Resubmits an accepted job; the answer must show that the job is known, whatever its state. */
     void resubmit(String id) {
         Duration asked = cluster.sim.now();
-        if (!cluster.told.containsKey(id)) {
+        if (!cluster.reportedPhases.containsKey(id)) {
             return;
         }
         ask(
@@ -77,7 +77,7 @@
         Duration asked = cluster.sim.now();
         // A controller that crashes with the request never answers it; the user retries after 5 s.
         cluster.sim.after(5000, () -> {
-            if (!cluster.told.containsKey(job.id())
+            if (!cluster.reportedPhases.containsKey(job.id())
                     && !(submissionSentAt.get(job.id()).compareTo(asked) > 0)) {
                 sendSubmission(job);
             }
@@ -117,13 +117,13 @@
     /** Checks an answer against earlier ones. Answers to overlapping requests may arrive in any order, so only a request sent after a final state was received must return that state. */
     private void onAnswer(String id, Duration asked, UserApi.Answer a) {
         String phase = a.body().path("phase").asText();
-        String before = cluster.told.getOrDefault(id, "");
+        String before = cluster.reportedPhases.getOrDefault(id, "");
         boolean over = before.equals("done") || before.equals("cancelled");
         if (over && !before.equals(phase) && asked.compareTo(finalStateAt.get(id)) > 0) {
             cluster.violations.add("went_back: " + id + " was " + before + ", now " + phase);
         }
         if (!over) {
-            cluster.told.put(id, phase);
+            cluster.reportedPhases.put(id, phase);
             finalStateAt.put(id, cluster.sim.now());
         } else if (!before.equals(phase) && (phase.equals("done") || phase.equals("cancelled"))) {
             cluster.violations.add("went_back: " + id + " was reported as " + before + " and as " + phase);
