--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -176,7 +176,7 @@
             federation.cut(0, 1, false);
             federation.cut(0, 2, false);
             Duration joined = federation.sim.now();
-            while (!builds.stream().allMatch(federation.cell("a")::over)
+            while (!builds.stream().allMatch(federation.cell("a")::isOver)
                     && federation.sim.now().minus(joined).toSeconds() < 600) {
                 federation.sim.run(federation.sim.now().plusMillis(200));
             }
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -322,7 +322,7 @@
                         .join()
                         .status());
         run(federation, 40);
-        boolean home = phase(a, BUILD).equals("HOME") || federation.transfers(a, BUILD) > 1 || a.over(BUILD);
+        boolean home = phase(a, BUILD).equals("HOME") || federation.transfers(a, BUILD) > 1 || a.isOver(BUILD);
         assertTrue(home, "an operator's word brings it home, and it may be given away anew");
         // The rebuilt cell is met anew, and may be given work again.
         assertFalse(shown(a, "cells").contains("rebuilt empty"), shown(a, "cells"));
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -121,7 +121,7 @@
         }
         List<FakeWorker.Task> live = live();
         for (Submission job : cluster.jobs.values()) {
-            boolean isOver = cluster.over(job.id())
+            boolean isOver = cluster.isOver(job.id())
                     || cluster.cancelRequested.contains(job.id())
                     || !cluster.reportedPhases.containsKey(job.id());
             int ended = cluster.done.getOrDefault(job.id(), Set.of()).size();
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -202,7 +202,7 @@
                                 ? parsed(reply).path("phase").asText()
                                 : standIns.lastTold(id);
                         standIns.reportedPhases.put(id, phase);
-                        if (!standIns.over(id)) {
+                        if (!standIns.isOver(id)) {
                             sim.after(300, () -> poll(id, (node + 1) % CONTROLLERS));
                         }
                     });
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -152,7 +152,7 @@
     private void cancelSome() {
         SimulatedCluster home = federation.cells.get(0);
         for (String id : builds) {
-            if (random.nextInt(3) == 0 && !home.over(id) && home.reportedPhases.containsKey(id)) {
+            if (random.nextInt(3) == 0 && !home.isOver(id) && home.reportedPhases.containsKey(id)) {
                 federation.sim.after(millis(0, 20_000), () -> home.cancel(id));
             }
         }
@@ -193,7 +193,7 @@
         var wrong = new ArrayList<>(federation.violations());
         SimulatedCluster home = federation.cells.get(0);
         for (String id : builds) {
-            if (!home.over(id)) {
+            if (!home.isOver(id)) {
                 wrong.add(id + " is " + home.lastTold(id) + " in phase "
                         + home.state.rows().get("ds/job/" + id).value().path("away"));
             }
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -696,7 +696,7 @@
         sim.after(250, this::pollAndCheck);
     }
 
-    boolean over(String id) {
+    boolean isOver(String id) {
         return List.of("done", "cancelled").contains(reportedPhases.getOrDefault(id, ""));
     }
 }
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -22,7 +22,7 @@
 
     /** Returns when a user first received a final state (done or cancelled) of a job. */
     Optional<Duration> finalStateReportedAt(String id) {
-        return cluster.over(id) ? Optional.ofNullable(finalStateAt.get(id)) : Optional.empty();
+        return cluster.isOver(id) ? Optional.ofNullable(finalStateAt.get(id)) : Optional.empty();
     }
 
     void submit(Submission job) {
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -121,7 +121,7 @@
         cluster.sim.run(Duration.ofSeconds(420));
         assertEquals(List.of(), cluster.violations);
         ids.forEach(id -> assertTrue(
-                cluster.lastTold(id).equals("done") || (cancelled.contains(id) && cluster.over(id)),
+                cluster.lastTold(id).equals("done") || (cancelled.contains(id) && cluster.isOver(id)),
                 id + " is " + cluster.lastTold(id)));
         assertEquals("cancelled", cluster.lastTold("wk-000900"));
         assertTrue(cluster.met.containsKey("stored parts"), "no record was split into parts");
