--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -315,7 +315,7 @@
     @ValueSource(longs = {371, 372, 373, 374})
     void jobIsNotDoneBeforeItsLastTaskAcrossLeaderChanges(long seed) {
         var cluster = new SimulatedCluster(seed);
-        cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(4 + 17L * p.index()));
+        cluster.taskDurationOverride = p -> Optional.of(Duration.ofSeconds(4 + 17L * p.index()));
         var ids = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
             String id = "wk-%06d".formatted(i);
@@ -348,7 +348,7 @@
     void leaderCrashesWhileMachinesAreUnreachable(long seed) {
         var schedule = schedule(seed);
         SimulatedCluster cluster = schedule.cluster();
-        cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(20 + p.index() % 3 * 8L));
+        cluster.taskDurationOverride = p -> Optional.of(Duration.ofSeconds(20 + p.index() % 3 * 8L));
         schedule.at(around(schedule, 24), () -> {
             List<FakeWorker> all = cluster.alive();
             for (int i = 0; i < all.size(); i++) {
--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -317,7 +317,7 @@
             if (t.phase.equals("pulling") && tasks.get(key) == t && !dead) {
                 t.phase = cluster.runs.isGang(task) ? "gathering" : "running";
                 t.endsAt = sim.now()
-                        .plus(cluster.lengthOf
+                        .plus(cluster.taskDurationOverride
                                 .apply(task)
                                 .or(() -> cluster.taskDuration)
                                 .orElse(Duration.ofMillis(2000 + sim.random.nextInt(6000))));
--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -70,7 +70,7 @@
         var federation = new SimulatedFederation(seed, 2, 4, 4);
         var random = new Random(seed);
         federation.cells.forEach(cell -> {
-            cell.lengthOf = task -> Optional.of(Duration.ofSeconds(LENGTH_S));
+            cell.taskDurationOverride = task -> Optional.of(Duration.ofSeconds(LENGTH_S));
             federation.sim.after(3000, () -> cell.setOptions(0, Map.of("spill_after_s", spilling ? 5.0 : 86_400.0)));
         });
         var run = new Run();
@@ -212,7 +212,7 @@
             return process;
         };
         try (var cells = new LoopbackCells(starter, 2, 3, 3)) {
-            cells.cells.forEach(cell -> cell.standIns.lengthOf = task ->
+            cells.cells.forEach(cell -> cell.standIns.taskDurationOverride = task ->
                     Optional.of(task.job().startsWith("fill-") ? Duration.ofMinutes(5) : Duration.ofSeconds(2)));
             for (LoopbackCells.Cell cell : cells.cells) {
                 String key = federated ? "ds/federation" : "ds/leader";
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -49,7 +49,7 @@
     static SimulatedFederation filled(long seed, int... machines) {
         var federation = new SimulatedFederation(seed, machines);
         SimulatedCluster a = federation.cell("a");
-        federation.cells.forEach(cell -> cell.lengthOf =
+        federation.cells.forEach(cell -> cell.taskDurationOverride =
                 task -> task.job().startsWith("fill-") ? Optional.of(LONG) : Optional.of(Duration.ofSeconds(20)));
         for (int i = 0; i < 2; i++) {
             Submission fill = job("fill-00000" + i, "red", JobKind.ARRAY, Priority.CRITICAL, 4);
@@ -109,8 +109,8 @@
 
     private static SimulatedFederation withOneBuild(long seed, Duration length) {
         SimulatedFederation federation = filled(seed, 2, 3, 3);
-        federation.cells.forEach(
-                cell -> cell.lengthOf = task -> Optional.of(task.job().startsWith("fill-") ? LONG : length));
+        federation.cells.forEach(cell ->
+                cell.taskDurationOverride = task -> Optional.of(task.job().startsWith("fill-") ? LONG : length));
         Submission build = job(BUILD, "blue", JobKind.ARRAY, Priority.URGENT, 2);
         federation.sim.after(15_000, () -> federation.cell("a").submit(build));
         return federation;
@@ -122,7 +122,8 @@
         SimulatedFederation federation = filled(2, 2, 2, 2);
         for (String name : List.of("b", "c")) {
             SimulatedCluster cell = federation.cell(name);
-            cell.lengthOf = task -> Optional.of(task.job().startsWith("wk-") ? Duration.ofSeconds(5) : LONG);
+            cell.taskDurationOverride =
+                    task -> Optional.of(task.job().startsWith("wk-") ? Duration.ofSeconds(5) : LONG);
             Priority own = name.equals("b") ? Priority.LOW : Priority.URGENT;
             Submission experiments = job("exp-00000" + name.charAt(0) % 10, "red", JobKind.ARRAY, own, 8);
             federation.sim.after(2000, () -> cell.submit(experiments));
--- a/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
@@ -48,7 +48,7 @@
 
     /** Fills a cell with work that gives way to nothing. */
     private static void fill(LoopbackCells cells, LoopbackCells.Cell a) throws Exception {
-        cells.cells.forEach(cell -> cell.standIns.lengthOf =
+        cells.cells.forEach(cell -> cell.standIns.taskDurationOverride =
                 task -> Optional.of(task.job().startsWith("fill-") ? LONG : Duration.ofSeconds(3)));
         for (LoopbackCells.Cell cell : cells.cells) {
             cells.await(
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -71,7 +71,7 @@
         cluster = new SimulatedCluster(seed, stateService.of(shape));
         random = new Random(seed * 31 + 7);
         if (seed % 3 == 2) {
-            cluster.lengthOf = p -> Optional.of(Duration.ofSeconds(5 + p.index() * 11L % 30));
+            cluster.taskDurationOverride = p -> Optional.of(Duration.ofSeconds(5 + p.index() * 11L % 30));
         }
     }
 
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -48,9 +48,10 @@
         random = new Random(seed * 37 + 11);
         // On some days room comes back while jobs are on their way.
         Duration filled = millis(FILLED_AT_LEAST_MILLIS, FILLED_AT_MOST_MILLIS);
-        federation.cells.forEach(cell -> cell.lengthOf = task -> task.job().startsWith("fill-")
-                ? Optional.of(filled)
-                : Optional.of(Duration.ofSeconds(5 + task.index() * 7L)));
+        federation.cells.forEach(cell ->
+                cell.taskDurationOverride = task -> task.job().startsWith("fill-")
+                        ? Optional.of(filled)
+                        : Optional.of(Duration.ofSeconds(5 + task.index() * 7L)));
         federation.sim.after(3000, this::hurry);
         fill(0, 2000);
         submitBuilds();
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -50,7 +50,8 @@
     /** Creates a cluster in which replicas run until they are stopped. */
     private static SimulatedCluster cluster(long seed) {
         var cluster = new SimulatedCluster(seed);
-        cluster.lengthOf = task -> task.job().equals(ID) ? Optional.of(Duration.ofHours(1)) : Optional.empty();
+        cluster.taskDurationOverride =
+                task -> task.job().equals(ID) ? Optional.of(Duration.ofHours(1)) : Optional.empty();
         return cluster;
     }
 
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -228,7 +228,7 @@
     /** A controller whose transactions the state store answers with 429, or -1. */
     public int writesRefusedNode = -1;
     /** Overrides the duration of individual tasks. */
-    Function<TaskId, Optional<Duration>> lengthOf = p -> Optional.empty();
+    Function<TaskId, Optional<Duration>> taskDurationOverride = p -> Optional.empty();
     /** Returns when the last task of a job completed. */
     Optional<Duration> completedAt(String id) {
         return Optional.ofNullable(completed.get(id));
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -51,7 +51,7 @@
                         .withStateRates(REQUESTS_PER_SECOND, writes));
         faultLog.add("limits %d and %d, %.0f changes/s".formatted(red, blue, writes));
         cluster.maxStateDelayMillis = 20 + random.nextInt(300);
-        cluster.lengthOf = task -> Optional.of(Duration.ofSeconds(6 + task.index() * 7L % 17));
+        cluster.taskDurationOverride = task -> Optional.of(Duration.ofSeconds(6 + task.index() * 7L % 17));
         cluster.addMachines(MACHINES);
         submitJobs();
         addFault(Fault.values()[(int) (seed % Fault.values().length)]);
