--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -90,7 +90,7 @@
         for (String id : ids) {
             Duration begun = null;
             for (SimulatedCluster cell : federation.cells) {
-                begun = cell.begunAt.getOrDefault(id, begun);
+                begun = cell.startedAt.getOrDefault(id, begun);
             }
             if (begun != null) {
                 run.waits.recordValue(begun.minus(a.submittedAt.get(id)).toMillis());
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -101,7 +101,7 @@
         if ((job.sameZone() && zones.size() > 1) || (worker.spot && !job.spot()) || tooMany || otherZone) {
             cluster.violations.add("wrong_place: " + started.task);
         }
-        cluster.begunAt.putIfAbsent(started.task.job(), cluster.sim.now());
+        cluster.startedAt.putIfAbsent(started.task.job(), cluster.sim.now());
         cluster.surroundings.watcher().started(cluster, started);
         if (cluster.cancelled.containsKey(started.task.job())) {
             cluster.startsAfterCancel.add(started.task.toString());
@@ -209,8 +209,8 @@
             }
             if (name.startsWith("largest")) {
                 members.stream()
-                        .filter(j -> !cluster.begunAt.containsKey(j.id())
-                                || cluster.begunAt
+                        .filter(j -> !cluster.startedAt.containsKey(j.id())
+                                || cluster.startedAt
                                                 .get(j.id())
                                                 .minus(cluster.submittedAt.get(j.id()))
                                                 .compareTo(MAX_START_DELAY_OF_LARGEST)
@@ -218,7 +218,7 @@
                         .forEach(j -> failures.add(name + " started late: " + j.id()));
             }
         });
-        if (cluster.begunAt.isEmpty()) {
+        if (cluster.startedAt.isEmpty()) {
             failures.add("nothing_ran");
         }
         return failures;
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -123,7 +123,7 @@
 
     final Set<String> cancelRequested = new HashSet<>();
     final Map<String, Duration> submittedAt = new HashMap<>();
-    final Map<String, Duration> begunAt = new HashMap<>();
+    final Map<String, Duration> startedAt = new HashMap<>();
     /** Tasks that started after the cancellation of their job had been confirmed to the user. */
     final List<String> startsAfterCancel = new ArrayList<>();
 
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -128,7 +128,7 @@
         // record.
         cluster.submit(array(first, 1, Optional.of("west"), false));
         cluster.sim.run(cluster.sim.now().plusSeconds(6));
-        assertTrue(cluster.begunAt.containsKey(first));
+        assertTrue(cluster.startedAt.containsKey(first));
         // One controller has capacity for seven of these tasks and places them, but its writes are rejected; another
         // one stores all of them.
         cluster.writesRefusedNode = refused;
