--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -180,7 +180,9 @@
     private static void assertHolds(RandomFaultSchedule schedule, String... events) {
         assertEquals(List.of(), schedule.run(), () -> schedule.faultLog().toString());
         for (String event : events) {
-            assertTrue(schedule.cluster().met.containsKey(event), event + " did not occur: " + schedule.cluster().met);
+            assertTrue(
+                    schedule.cluster().events.containsKey(event),
+                    event + " did not occur: " + schedule.cluster().events);
         }
     }
 
@@ -268,7 +270,7 @@
         cluster.crash(old, Duration.ofMillis(200 + 37 * (seed % 20)));
         cluster.sim.run(cluster.sim.now().plusSeconds(9));
         if (cluster.leader() != old) {
-            cluster.met("another leader");
+            cluster.recordEvent("another leader");
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(30));
         for (String id : List.of("wk-000001", "wk-000002")) {
@@ -360,7 +362,7 @@
                     cluster.sim.after(8000 + 4000 * (seed % 5), () -> w.cannotReceive(false));
                 }
             }
-            cluster.met("unreachable machines");
+            cluster.recordEvent("unreachable machines");
             cluster.crash(schedule.leader(), Duration.ofMillis(500 + 2000 * (seed % 3)));
         });
         assertHolds(schedule, "unreachable machines");
@@ -482,7 +484,7 @@
                 () -> cluster.alive().stream().limit(3).forEach(w -> cluster.disconnect(w, Duration.ofSeconds(14))));
         schedule.at(around(schedule, 33), () -> {
             assertTrue(cluster.alive().stream().anyMatch(w -> w.session() > 1), "no lease ran out");
-            cluster.met("later session");
+            cluster.recordEvent("later session");
             cluster.crash(schedule.leader(), Duration.ofMillis(300));
         });
         schedule.at(Duration.ofSeconds(70), () -> cluster.delayedDuplicates = 0);
@@ -500,9 +502,9 @@
         schedule.cluster().requestsAtCompletion = true;
         assertHolds(schedule, "cancelled at completion");
         assertTrue(
-                schedule.cluster().met.get("cancelled at completion")
+                schedule.cluster().events.get("cancelled at completion")
                         >= schedule.ids().size(),
-                "not every job was cancelled at its completion: " + schedule.cluster().met);
+                "not every job was cancelled at its completion: " + schedule.cluster().events);
     }
 
     /** The state store is slow, then rejects the leader, then all controllers for longer than {@code cancel_s}, while users cancel and poll jobs. */
@@ -534,7 +536,7 @@
             schedule.at(around(schedule, 14 + 8 * k), () -> {
                 FakeWorker w = cluster.worker(cluster.sim.random.nextInt(20));
                 if (w != null) {
-                    cluster.met("machine lost");
+                    cluster.recordEvent("machine lost");
                     cluster.crashMachine(w);
                 }
             });
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -123,7 +123,7 @@
     void addFault(Fault fault, Duration at) {
         cluster.sim.after(at, () -> {
             faultLog.add(cluster.sim.now().toMillis() + " ms: " + fault);
-            cluster.met(fault.name());
+            cluster.recordEvent(fault.name());
             inject(fault);
         });
     }
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -119,7 +119,7 @@
     /** Whether all faults are over. Invariants that hold only without faults are checked from then on. */
     public boolean faultsOver;
     /** How often each named event occurred. Tests assert that the fault combination under test took place. */
-    final Map<String, Integer> met = new TreeMap<>();
+    final Map<String, Integer> events = new TreeMap<>();
 
     final Set<String> cancelRequested = new HashSet<>();
     final Map<String, Duration> submittedAt = new HashMap<>();
@@ -195,7 +195,7 @@
                 process,
                 surroundings.formats(formats[i]),
                 why -> {
-                    met("controller gave up");
+                    recordEvent("controller gave up");
                     process.kill();
                 },
                 context -> surroundings.connector().connect(i, process, context));
@@ -287,8 +287,8 @@
         tasksChanged = true;
     }
 
-    void met(String what) {
-        met.merge(what, 1, Integer::sum);
+    void recordEvent(String what) {
+        events.merge(what, 1, Integer::sum);
     }
 
     int nodeIndex(String name) {
@@ -362,7 +362,7 @@
                     timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
             boolean twice = sim.random.nextDouble() < duplicateRate && address.startsWith("worker");
             if (lateWrites > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWrites) {
-                met("late write");
+                recordEvent("late write");
                 sim.after(
                         2000 + sim.random.nextInt(10_000),
                         () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
@@ -468,7 +468,7 @@
 
     private void noteConflict(int from, FakeStateStore.Reply reply) {
         if (reply != null && reply.status() == CONFLICT) {
-            reply.body().path("failed").forEach(key -> met("conflict of n" + from + " about " + key.asText()));
+            reply.body().path("failed").forEach(key -> recordEvent("conflict of n" + from + " about " + key.asText()));
         }
     }
 
@@ -516,7 +516,7 @@
         if (from.delaysHeartbeats && !from.cannotSend) {
             // It arrives at its original receiver, even if the leader has changed since.
             sim.after(from.heartbeatDelay, () -> {
-                met("delayed heartbeat");
+                recordEvent("delayed heartbeat");
                 if (controllers[node] != null) {
                     Controller late = controllers[node];
                     processes[node].arrive(() -> deliverHeartbeat(late, report, (status, body) -> {}));
--- a/src/test/java/org/dunespindle/sim/TaskRuns.java
+++ b/src/test/java/org/dunespindle/sim/TaskRuns.java
@@ -67,7 +67,7 @@
         if (cluster.done.get(id).size() == cluster.jobs.get(id).tasks()
                 && cluster.cancelAtCompletionRate > 0
                 && cluster.sim.random.nextDouble() < cluster.cancelAtCompletionRate) {
-            cluster.met("cancelled at completion");
+            cluster.recordEvent("cancelled at completion");
             cluster.sim.after(cluster.sim.random.nextInt(5), () -> cluster.cancel(id));
         }
     }
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -142,8 +142,8 @@
         cluster.writesRefusedNode = -1;
         cluster.sim.run(cluster.sim.now().plusSeconds(6));
         assertTrue(
-                cluster.met.containsKey("conflict of n" + refused + " about " + Keys.job(shared)),
-                () -> "its placement had no conflict: " + cluster.met);
+                cluster.events.containsKey("conflict of n" + refused + " about " + Keys.job(shared)),
+                () -> "its placement had no conflict: " + cluster.events);
         assertEquals(List.of(), cluster.violations);
         cluster.sim.run(cluster.sim.now().plusSeconds(180));
         assertEquals(List.of(), cluster.violations);
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -77,7 +77,7 @@
         cluster.formats[1] = FormatVersion.WHOLE_RECORDS;
         cluster.crash(1, Duration.ofMillis(300));
         cluster.sim.run(Duration.ofSeconds(30));
-        assertEquals(1, cluster.met.get("controller gave up"));
+        assertEquals(1, cluster.events.get("controller gave up"));
         assertEquals(List.of(), cluster.violations);
     }
 
@@ -115,7 +115,7 @@
         for (int second = 1; second <= 150; second++) {
             cluster.sim.run(Duration.ofSeconds(second));
             if (partsStored(cluster)) {
-                cluster.met("stored parts");
+                cluster.recordEvent("stored parts");
             }
         }
         cluster.sim.run(Duration.ofSeconds(420));
@@ -124,7 +124,7 @@
                 cluster.lastTold(id).equals("done") || (cancelled.contains(id) && cluster.isOver(id)),
                 id + " is " + cluster.lastTold(id)));
         assertEquals("cancelled", cluster.lastTold("wk-000900"));
-        assertTrue(cluster.met.containsKey("stored parts"), "no record was split into parts");
+        assertTrue(cluster.events.containsKey("stored parts"), "no record was split into parts");
         assertTrue(!partsStored(cluster), "parts of ended jobs are still stored");
     }
 }
