--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -461,11 +461,11 @@
     void unacknowledgedTransactionsAreAppliedAfterNewerOnes(long seed) {
         var schedule = schedule(seed);
         SimulatedCluster cluster = schedule.cluster();
-        cluster.lateWrites = 0.25;
+        cluster.lateWriteRate = 0.25;
         schedule.at(around(schedule, 25), () -> cluster.crash(schedule.leader(), Duration.ofMillis(300)));
         schedule.addFault(RandomFaultSchedule.Fault.CANCEL_RUNNING_JOBS, around(schedule, 30));
         schedule.addFault(RandomFaultSchedule.Fault.REPEATED_AND_UNKNOWN_REQUESTS, around(schedule, 20));
-        schedule.at(Duration.ofSeconds(90), () -> cluster.lateWrites = 0);
+        schedule.at(Duration.ofSeconds(90), () -> cluster.lateWriteRate = 0);
         assertHolds(schedule, "late write");
     }
 
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -266,8 +266,8 @@
     private void messageFault(Fault fault) {
         switch (fault) {
             case LATE_WRITES -> {
-                cluster.lateWrites = 0.1 + random.nextDouble() * 0.3;
-                endAfter(millis(10_000, 50_000), () -> cluster.lateWrites = 0);
+                cluster.lateWriteRate = 0.1 + random.nextDouble() * 0.3;
+                endAfter(millis(10_000, 50_000), () -> cluster.lateWriteRate = 0);
             }
             case DUPLICATED_HEARTBEATS -> {
                 cluster.delayedDuplicates = 2;
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -141,8 +141,8 @@
                 federation.sim.after(millis(2000, 40_000), () -> cell.refusedNode = -1);
             }
             case LATE_WRITES -> {
-                cell.lateWrites = 0.1 + random.nextDouble() * 0.3;
-                federation.sim.after(millis(10_000, 60_000), () -> cell.lateWrites = 0);
+                cell.lateWriteRate = 0.1 + random.nextDouble() * 0.3;
+                federation.sim.after(millis(10_000, 60_000), () -> cell.lateWriteRate = 0);
             }
             case LEADER_STANDS_STILL -> cell.freeze(leader, millis(2000, 40_000));
             case USERS_CANCEL -> cancelSome();
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -105,7 +105,7 @@
     public double duplicateRate;
     int nextMachine = 1;
     /** The fraction of transactions whose answer is lost and that are applied 2 to 12 s later, after newer ones. */
-    public double lateWrites;
+    public double lateWriteRate;
     /** The fraction of jobs that are cancelled within milliseconds of their completion. */
     public double cancelAtCompletionRate;
     /** Every job is polled and resubmitted within 300 ms of its completion. */
@@ -361,7 +361,7 @@
             owner.schedule(
                     timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
             boolean twice = sim.random.nextDouble() < duplicateRate && address.startsWith("worker");
-            if (lateWrites > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWrites) {
+            if (lateWriteRate > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWriteRate) {
                 recordEvent("late write");
                 sim.after(
                         2000 + sim.random.nextInt(10_000),
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -147,8 +147,8 @@
             case LEADER_CRASH ->
                 cluster.crash(Math.max(0, cluster.leader()), Duration.ofMillis(100 + random.nextInt(4000)));
             case LATE_WRITES -> {
-                cluster.lateWrites = 0.05 + random.nextDouble() * 0.25;
-                after(10_000 + random.nextInt(25_000), () -> cluster.lateWrites = 0);
+                cluster.lateWriteRate = 0.05 + random.nextDouble() * 0.25;
+                after(10_000 + random.nextInt(25_000), () -> cluster.lateWriteRate = 0);
             }
             case CANCELLATIONS ->
                 ids.stream()
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -87,7 +87,7 @@
     void jobsCompleteThroughARollingUpgradeWithLoweredLimits(long seed) {
         var random = new Random(seed);
         var cluster = clusterOfOldFormat(seed);
-        cluster.lateWrites = seed % 2 == 0 ? 0.02 : 0;
+        cluster.lateWriteRate = seed % 2 == 0 ? 0.02 : 0;
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         cluster.submit(ClusterTest.job("wk-000900", "blue", JobKind.SERVICE, 3, false, false));
         var order = new ArrayList<>(List.of(0, 1, 2));
