--- a/src/test/java/org/dunespindle/sim/ClusterTest.java
+++ b/src/test/java/org/dunespindle/sim/ClusterTest.java
@@ -85,7 +85,7 @@
                 cluster.crashMachine(cluster.worker(dead));
             }
         });
-        cluster.sim.after(20_000L + cluster.sim.random.nextInt(20_000), () -> cluster.state.out = true);
+        cluster.sim.after(20_000L + cluster.sim.random.nextInt(20_000), () -> cluster.state.unavailable = true);
         cluster.sim.after(48_000, cluster.state::recover);
         cluster.sim.run(Duration.ofSeconds(500));
         assertAllDone(cluster, ids);
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -68,7 +68,7 @@
         cluster.sim.run(cluster.sim.now().plusMillis(300 + 150 * (seed - 301)));
         List<String> cancelled = ids.subList(0, 4);
         cancelAt(cluster, other(leader, 1), cancelled);
-        cluster.state.out = true;
+        cluster.state.unavailable = true;
         Duration begun = cluster.sim.now();
         cluster.sim.run(begun.plusSeconds(6));
         assertEquals(
@@ -104,7 +104,7 @@
         cluster.sim.run(cluster.sim.now().plusMillis(100 + 100 * (seed - 311)));
         int confirms = other(leader, 1 + (int) seed / 2 % 2);
         cancelAt(cluster, confirms, ids.subList(0, 4));
-        cluster.state.out = true;
+        cluster.state.unavailable = true;
         if (!cluster.peersPartitioned) {
             // Once restarted, it cannot read the store, so it has nothing to report to its peers.
             cluster.crash(confirms, Duration.ofSeconds(2));
@@ -144,7 +144,7 @@
             some.forEach(cluster::cancel);
             cluster.sim.run(cluster.sim.now().plusMillis(30 + random.nextInt(250)));
             cluster.userNode = -1;
-            cluster.state.out = true;
+            cluster.state.unavailable = true;
             cluster.sim.run(cluster.sim.now().plusMillis(random.nextInt(1500)));
             switch (random.nextInt(4)) {
                 case 0, 1 -> cluster.crash(confirms, Duration.ofMillis(50 + random.nextInt(3000)));
@@ -243,7 +243,7 @@
                                     Duration.ofMillis(
                                             60 + schedule.cluster().sim.random.nextInt(1500))));
         }
-        schedule.at(around(schedule, 40), () -> schedule.cluster().state.out = true);
+        schedule.at(around(schedule, 40), () -> schedule.cluster().state.unavailable = true);
         schedule.at(Duration.ofSeconds(62), schedule.cluster().state::recover);
         schedule.at(
                 around(schedule, 20),
@@ -517,7 +517,7 @@
         schedule.at(around(schedule, 22), () -> cluster.refusedNode = schedule.leader());
         schedule.addFault(RandomFaultSchedule.Fault.CANCEL_RUNNING_JOBS, around(schedule, 23));
         schedule.addFault(RandomFaultSchedule.Fault.CANCEL_RUNNING_JOBS, around(schedule, 28));
-        schedule.at(around(schedule, 28), () -> cluster.state.out = true);
+        schedule.at(around(schedule, 28), () -> cluster.state.unavailable = true);
         schedule.at(Duration.ofSeconds(66), () -> {
             cluster.refusedNode = -1;
             cluster.maxStateDelayMillis = 0;
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -152,7 +152,7 @@
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 8, false, false));
         cluster.sim.run(Duration.ofSeconds(30));
         List<FakeWorker> all = cluster.alive();
-        cluster.state.out = true;
+        cluster.state.unavailable = true;
         cluster.sim.run(Duration.ofSeconds(48));
         cluster.state.recover();
         cluster.sim.run(Duration.ofSeconds(70));
@@ -228,7 +228,7 @@
         cluster.sim.after(8000, () -> cluster.isolatedNode = (int) seed % 3);
         cluster.sim.after(22_000, () -> cluster.isolatedNode = -1);
         cluster.sim.after(15_000, () -> cluster.crash((int) (seed + 1) % 3, Duration.ofMillis(200)));
-        cluster.sim.after(30_000, () -> cluster.state.out = true);
+        cluster.sim.after(30_000, () -> cluster.state.unavailable = true);
         cluster.sim.after(44_000, cluster.state::recover);
         cluster.sim.after(44_100, () -> cluster.lossRate = 0);
         cluster.sim.run(Duration.ofSeconds(119)); // 75 s after the last trouble
--- a/src/test/java/org/dunespindle/sim/FakeStateStore.java
+++ b/src/test/java/org/dunespindle/sim/FakeStateStore.java
@@ -32,7 +32,7 @@
     private final List<ObjectNode> log = new ArrayList<>();
     private long revision = 1;
     private long nextLease = 1;
-    public boolean out;
+    public boolean unavailable;
 
     /** Observes changes of the stored data. */
     interface Listener {
@@ -58,7 +58,7 @@
     }
 
     Reply answer(String method, String target, JsonNode body) {
-        if (out) {
+        if (unavailable) {
             return new Reply(503, MessagePackCodec.map());
         }
         expire();
@@ -145,7 +145,7 @@
 
     /** Ends an outage and renews every lease to its full duration. */
     void recover() {
-        out = false;
+        unavailable = false;
         leases.replaceAll((id, t) -> sim.now().plusMillis(ttl.get(id)));
     }
 
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -198,7 +198,7 @@
                 endAfter(millis(2000, 40_000), () -> cluster.refusedNode = -1);
             }
             case STORE_OUTAGE -> {
-                cluster.state.out = true;
+                cluster.state.unavailable = true;
                 endAfter(millis(4000, 45_000), cluster.state::recover);
             }
             case ZONE_PARTITION -> {
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -133,7 +133,7 @@
                 }
             }
             case STATE_OUT -> {
-                cell.state.out = true;
+                cell.state.unavailable = true;
                 federation.sim.after(millis(4000, 40_000), cell.state::recover);
             }
             case LEADER_REFUSED -> {
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -139,7 +139,7 @@
                         () -> cluster.state.limitRates(rates.requests(), rates.writes()));
             }
             case STORE_OUTAGE -> {
-                cluster.state.out = true;
+                cluster.state.unavailable = true;
                 after(2000 + random.nextInt(8000), cluster.state::recover);
             }
             case CONTROLLER_FREEZE ->
