--- a/src/test/java/org/dunespindle/sim/FakeStateStore.java
+++ b/src/test/java/org/dunespindle/sim/FakeStateStore.java
@@ -40,7 +40,7 @@
         void applied(long revision, Map<String, Optional<JsonNode>> changes);
 
         /** Called after the store was restored from an older snapshot. */
-        void putBack(Map<String, Row> rows);
+        void restore(Map<String, Row> rows);
     }
 
     /** A key's value, revision ({@code stamp}) and lease; lease 0 means none. */
@@ -150,7 +150,7 @@
     }
 
     /** Restores an older snapshot without leased keys, as an operator would. The change log restarts just above the snapshot's highest revision. */
-    void putBack(Map<String, Row> before) {
+    void restore(Map<String, Row> before) {
         rows.clear();
         before.forEach((key, row) -> {
             if (row.lease() == 0) {
@@ -160,7 +160,7 @@
         revision = before.values().stream().mapToLong(Row::stamp).max().orElse(0) + 1;
         log.clear();
         leases.clear();
-        listener.ifPresent(told -> told.putBack(rows));
+        listener.ifPresent(told -> told.restore(rows));
     }
 
     private void remove(String key) {
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -292,7 +292,7 @@
             for (int node = 0; node < 3; node++) {
                 cell.crash(node, Duration.ofSeconds(2));
             }
-            cell.state.putBack(rows);
+            cell.state.restore(rows);
         };
     }
 
@@ -302,7 +302,7 @@
         SimulatedCluster a = federation.cell("a");
         until(federation, "it runs elsewhere", 150, () -> a.lastTold(BUILD).equals("running"));
         SimulatedCluster receiver = receiverOf(federation);
-        receiver.state.putBack(new TreeMap<>());
+        receiver.state.restore(new TreeMap<>());
         for (int node = 0; node < 3; node++) {
             receiver.crash(node, Duration.ofSeconds(2));
         }
--- a/src/test/java/org/dunespindle/sim/StoredAllocations.java
+++ b/src/test/java/org/dunespindle/sim/StoredAllocations.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void putBack(Map<String, FakeStateStore.Row> rows) {
+    public void restore(Map<String, FakeStateStore.Row> rows) {
         replica = emptyReplica();
         rows.forEach((key, row) -> replica.applyCommitted(new Transaction().write(key, row.value()), row.stamp()));
     }
