--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -162,7 +162,7 @@
                 own.body().toString());
         // The id is in use there, so a job of the same name waits to be taken, and is never mistaken for the visitor.
         Submission same = job(BUILD, "red", JobKind.ARRAY, Priority.LOW, 1);
-        CompletableFuture<UserApi.Answer> refused = receiver.offer(2, same.toNode());
+        CompletableFuture<UserApi.Answer> refused = receiver.submitBodyTo(2, same.toNode());
         run(federation, 2);
         assertEquals(503, refused.join().status());
         run(federation, 120);
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -58,7 +58,7 @@
     }
 
     private static UserApi.Answer submit(SimulatedCluster cluster, ObjectNode body) {
-        var result = cluster.offer(1, body);
+        var result = cluster.submitBodyTo(1, body);
         cluster.sim.run(cluster.sim.now().plusSeconds(2));
         return result.join();
     }
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -623,11 +623,11 @@
     /** Submits a job at one controller; the answer arrives in virtual time. */
     CompletableFuture<UserApi.Answer> submitTo(int node, Submission job) {
         jobs.put(job.id(), job);
-        return offer(node, job.toNode());
+        return submitBodyTo(node, job.toNode());
     }
 
     /** Submits any body, valid or not, at one controller; the answer arrives in virtual time. */
-    CompletableFuture<UserApi.Answer> offer(int node, ObjectNode body) {
+    CompletableFuture<UserApi.Answer> submitBodyTo(int node, ObjectNode body) {
         var result = new CompletableFuture<UserApi.Answer>();
         controllers[node].userApi().submit(MessagePackCodec.write(body), result::complete);
         return result;
