--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -186,7 +186,7 @@
         int there = federation.cells.indexOf(receiverOf(federation));
         federation.cut(0, there, true);
         var answer = new CompletableFuture<UserApi.Answer>();
-        a.cancelAsked(1, BUILD, answer::complete);
+        a.cancelAsync(1, BUILD, answer::complete);
         run(federation, 8);
         assertEquals(503, answer.join().status(), answer.join().body().toString());
         federation.cut(0, there, false);
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -654,7 +654,7 @@
     }
 
     /** Cancels a job at one controller without advancing virtual time. */
-    void cancelAsked(int node, String id, Consumer<UserApi.Answer> answer) {
+    void cancelAsync(int node, String id, Consumer<UserApi.Answer> answer) {
         cancelRequested.add(id);
         controllers[node].userApi().cancel(id, answer);
     }
