--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -32,10 +32,10 @@
         var cluster = new SimulatedCluster(seed);
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 14);
         cluster.sim.run(Duration.ofSeconds(9));
-        FakeWorker deaf = cluster.worker((int) seed % 3);
-        deaf.cannotReceive(true);
+        FakeWorker affected = cluster.worker((int) seed % 3);
+        affected.cannotReceive(true);
         cluster.sim.run(Duration.ofSeconds(60));
-        assertTrue(deaf.dead(), "the machine was not terminated although it accepts no commands");
+        assertTrue(affected.dead(), "the machine was not terminated although it accepts no commands");
         cluster.sim.run(Duration.ofSeconds(300));
         ClusterTest.assertAllDone(cluster, ids);
     }
@@ -45,8 +45,8 @@
         var cluster = new SimulatedCluster(74);
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 2, false, false));
         cluster.sim.run(Duration.ofSeconds(20));
-        FakeWorker deaf = cluster.worker(0);
-        deaf.cannotReceive(true);
+        FakeWorker affected = cluster.worker(0);
+        affected.cannotReceive(true);
         // Its lease has expired and its tasks are gone, but its heartbeats still arrive.
         cluster.sim.run(Duration.ofSeconds(33));
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.ARRAY, 6, false, false));
@@ -59,7 +59,7 @@
                         .path("places")
                         .findValuesAsText("host")
                         .stream()
-                        .noneMatch(deaf.id()::equals));
+                        .noneMatch(affected.id()::equals));
         cluster.sim.run(Duration.ofSeconds(120));
         ClusterTest.assertAllDone(cluster, List.of("wk-000002"));
     }
@@ -97,7 +97,7 @@
         assertTrue(
                 cluster.alive().stream().anyMatch(w -> w.tasks().iterator().hasNext()),
                 "the task did not move while duplicated heartbeats of its dead machine arrive");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @ParameterizedTest
@@ -114,7 +114,7 @@
         cluster.sim.run(Duration.ofSeconds(75));
         cluster.isolatedNode = -1;
         cluster.sim.run(Duration.ofSeconds(100));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         assertEquals(
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
@@ -143,7 +143,7 @@
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "workers with expired leases");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
@@ -152,7 +152,7 @@
         cluster.submit(ClusterTest.job("wk-000001", "red", JobKind.SERVICE, 8, false, false));
         cluster.sim.run(Duration.ofSeconds(30));
         List<FakeWorker> all = cluster.alive();
-        cluster.state.out = true;
+        cluster.state.unavailable = true;
         cluster.sim.run(Duration.ofSeconds(48));
         cluster.state.recover();
         cluster.sim.run(Duration.ofSeconds(70));
@@ -160,7 +160,7 @@
                 List.of(),
                 all.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "workers with expired leases");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @ParameterizedTest
@@ -216,7 +216,7 @@
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(300));
         ClusterTest.assertAllDone(cluster, List.of("wk-000001", "wk-000002"));
-        assertTrue(cluster.checkpointsWritten > 0, "nothing was saved");
+        assertTrue(cluster.checkpointsWritten > 0, "no checkpoint was written");
     }
 
     @ParameterizedTest
@@ -228,7 +228,7 @@
         cluster.sim.after(8000, () -> cluster.isolatedNode = (int) seed % 3);
         cluster.sim.after(22_000, () -> cluster.isolatedNode = -1);
         cluster.sim.after(15_000, () -> cluster.crash((int) (seed + 1) % 3, Duration.ofMillis(200)));
-        cluster.sim.after(30_000, () -> cluster.state.out = true);
+        cluster.sim.after(30_000, () -> cluster.state.unavailable = true);
         cluster.sim.after(44_000, cluster.state::recover);
         cluster.sim.after(44_100, () -> cluster.lossRate = 0);
         cluster.sim.run(Duration.ofSeconds(119)); // 75 s after the last trouble
@@ -294,7 +294,7 @@
                 .build();
         cluster.sim.after(30_000, () -> cluster.submit(large));
         cluster.sim.run(Duration.ofSeconds(270));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         assertTrue(
                 List.of("running", "done").contains(cluster.lastTold("wk-000001")),
                 cluster.admin(0, "GET", "/v1/jobs/wk-000001", "").join().body().toString());
@@ -320,7 +320,7 @@
                 16_000, () -> cluster.interruptMachine(cluster.worker((int) seed % 4), Duration.ofSeconds(12)));
         cluster.sim.after(26_000, () -> cluster.crash((int) seed % 3, Duration.ofMillis(300)));
         cluster.sim.run(Duration.ofSeconds(400));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         ids.stream().filter(id -> !id.equals(ids.get(9))).forEach(id -> assertEquals("done", cluster.lastTold(id), id));
         assertTrue(List.of("done", "cancelled").contains(cluster.lastTold(ids.get(9))));
     }
@@ -345,7 +345,7 @@
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "terminated machines");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** A controller freezes while the others are down. It received no heartbeats because it was frozen, so it must not terminate machines for missing ones. */
@@ -371,7 +371,7 @@
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "terminated machines");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** A controller partitioned from all workers must give up leadership and its machines; otherwise it would terminate the machines for missing heartbeats. */
@@ -386,11 +386,11 @@
                 .filter(w -> w.tasks().iterator().hasNext())
                 .toList();
         assertTrue(!used.isEmpty());
-        int deaf = (cluster.leader() + offset) % 3;
-        cluster.workerPartitionedNode = deaf;
+        int affected = (cluster.leader() + offset) % 3;
+        cluster.workerPartitionedNode = affected;
         cluster.sim.run(Duration.ofSeconds(110));
         if (offset == 0) {
-            assertTrue(cluster.leader() >= 0 && cluster.leader() != deaf, "it is still the leader");
+            assertTrue(cluster.leader() >= 0 && cluster.leader() != affected, "it is still the leader");
         }
         assertEquals(
                 List.of(),
@@ -403,16 +403,16 @@
         cluster.workerPartitionedNode = -1;
         cluster.sim.run(Duration.ofSeconds(125));
         assertTrue(
-                cluster.admin(deaf, "GET", "/v1/controllers", "")
+                cluster.admin(affected, "GET", "/v1/controllers", "")
                         .join()
                         .body()
                         .toString()
-                        .contains("n" + deaf),
+                        .contains("n" + affected),
                 "it did not rejoin");
         List<String> ids = List.of("wk-000003", "wk-000004");
         ids.forEach(id -> cluster.submit(ClusterTest.job(id, "red", JobKind.ARRAY, 2, false, false)));
         cluster.sim.run(Duration.ofSeconds(200));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** The leader gets no information on machines of other controllers for far longer than a lease, while those controllers receive their heartbeats throughout. */
@@ -435,7 +435,7 @@
         cluster.peersPartitioned = false;
         cluster.submit(ClusterTest.job("wk-000003", "red", JobKind.GANG, 3, false, false));
         cluster.sim.run(Duration.ofSeconds(200));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Returns a service that may run in one zone only. */
@@ -484,7 +484,7 @@
                 List.of(),
                 used.stream().filter(FakeWorker::dead).map(FakeWorker::id).toList(),
                 "terminated machines");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /**
--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -71,7 +71,7 @@
         var federation = new SimulatedFederation(seed, 2, 4, 4);
         var random = new Random(seed);
         federation.cells.forEach(cell -> {
-            cell.lengthOf = task -> Optional.of(Duration.ofSeconds(TASK_DURATION_S));
+            cell.taskDurationOverride = task -> Optional.of(Duration.ofSeconds(TASK_DURATION_S));
             federation.sim.after(3000, () -> cell.setOptions(0, Map.of("spill_after_s", spillover ? 5.0 : 86_400.0)));
         });
         var run = new Run();
@@ -91,7 +91,7 @@
         for (String id : ids) {
             Duration startedAt = null;
             for (SimulatedCluster cell : federation.cells) {
-                startedAt = cell.begunAt.getOrDefault(id, startedAt);
+                startedAt = cell.startedAt.getOrDefault(id, startedAt);
             }
             if (startedAt != null) {
                 run.waitTimes.recordValue(startedAt.minus(a.submittedAt.get(id)).toMillis());
@@ -177,7 +177,7 @@
             federation.setPartitioned(0, 1, false);
             federation.setPartitioned(0, 2, false);
             Duration partitionEnd = federation.sim.now();
-            while (!jobs.stream().allMatch(federation.cell("a")::over)
+            while (!jobs.stream().allMatch(federation.cell("a")::isOver)
                     && federation.sim.now().minus(partitionEnd).toSeconds() < 600) {
                 federation.sim.run(federation.sim.now().plusMillis(200));
             }
@@ -213,7 +213,7 @@
             return process;
         };
         try (var cells = new LoopbackCells(starter, 2, 3, 3)) {
-            cells.cells.forEach(cell -> cell.cluster.lengthOf = task ->
+            cells.cells.forEach(cell -> cell.cluster.taskDurationOverride = task ->
                     Optional.of(task.job().startsWith("fill-") ? Duration.ofMinutes(5) : Duration.ofSeconds(2)));
             for (LoopbackCells.Cell cell : cells.cells) {
                 String key = federated ? "ds/federation" : "ds/leader";
@@ -233,7 +233,7 @@
                 cells.await(
                         "a is full",
                         Duration.ofSeconds(60),
-                        () -> a.cluster.rules.live().size() == 8);
+                        () -> a.cluster.invariants.live().size() == 8);
             }
             measure(cells, a, processes, federated, jobs);
         }
@@ -255,7 +255,7 @@
             });
         }
         cells.await(
-                "the time is over",
+                "the time is isOver",
                 MEASUREMENT_TIME.plusSeconds(30),
                 () -> Duration.ofNanos(System.nanoTime()).minus(startedAt).compareTo(MEASUREMENT_TIME) >= 0);
         double time = 0;
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -49,7 +49,7 @@
     static SimulatedFederation withFullOrigin(long seed, int... machines) {
         var federation = new SimulatedFederation(seed, machines);
         SimulatedCluster a = federation.cell("a");
-        federation.cells.forEach(cell -> cell.lengthOf = task ->
+        federation.cells.forEach(cell -> cell.taskDurationOverride = task ->
                 task.job().startsWith("fill-") ? Optional.of(FILLER_DURATION) : Optional.of(Duration.ofSeconds(20)));
         for (int i = 0; i < 2; i++) {
             Submission fill = job("fill-00000" + i, "red", JobKind.ARRAY, Priority.CRITICAL, 4);
@@ -110,7 +110,7 @@
     private static SimulatedFederation withOneDelegableJob(long seed, Duration length) {
         SimulatedFederation federation = withFullOrigin(seed, 2, 3, 3);
         federation.cells.forEach(
-                cell -> cell.lengthOf = task -> Optional.of(task.job().startsWith("fill-") ? FILLER_DURATION : length));
+                cell -> cell.taskDurationOverride = task -> Optional.of(task.job().startsWith("fill-") ? FILLER_DURATION : length));
         Submission job = job(JOB_ID, "blue", JobKind.ARRAY, Priority.URGENT, 2);
         federation.sim.after(15_000, () -> federation.cell("a").submit(job));
         return federation;
@@ -122,7 +122,7 @@
         SimulatedFederation federation = withFullOrigin(2, 2, 2, 2);
         for (String name : List.of("b", "c")) {
             SimulatedCluster cell = federation.cell(name);
-            cell.lengthOf = task -> Optional.of(task.job().startsWith("wk-") ? Duration.ofSeconds(5) : FILLER_DURATION);
+            cell.taskDurationOverride = task -> Optional.of(task.job().startsWith("wk-") ? Duration.ofSeconds(5) : FILLER_DURATION);
             Priority own = name.equals("b") ? Priority.LOW : Priority.URGENT;
             Submission ownWork = job("exp-00000" + name.charAt(0) % 10, "red", JobKind.ARRAY, own, 8);
             federation.sim.after(2000, () -> cell.submit(ownWork));
@@ -161,7 +161,7 @@
                 own.body().toString());
         // The id is in use there, so a submission with the same id is not accepted, nor confused with the inbound job.
         Submission same = job(JOB_ID, "red", JobKind.ARRAY, Priority.LOW, 1);
-        CompletableFuture<UserApi.Answer> refused = remote.offer(2, same.toNode());
+        CompletableFuture<UserApi.Answer> refused = remote.submitBodyTo(2, same.toNode());
         run(federation, 2);
         assertEquals(503, refused.join().status());
         run(federation, 120);
@@ -189,7 +189,7 @@
         int remoteIndex = federation.cells.indexOf(remoteOf(federation));
         federation.setPartitioned(0, remoteIndex, true);
         var answer = new CompletableFuture<UserApi.Answer>();
-        a.cancelAsked(1, JOB_ID, answer::complete);
+        a.cancelAsync(1, JOB_ID, answer::complete);
         run(federation, 8);
         assertEquals(503, answer.join().status(), answer.join().body().toString());
         federation.setPartitioned(0, remoteIndex, false);
@@ -200,7 +200,7 @@
                 30,
                 () -> a.lastTold(JOB_ID).equals("cancelled"));
         run(federation, 60);
-        assertTrue(federation.cells.get(remoteIndex).rules.live().isEmpty());
+        assertTrue(federation.cells.get(remoteIndex).invariants.live().isEmpty());
         assertEquals(List.of(), federation.violations());
     }
 
@@ -214,7 +214,7 @@
                 boolean accepted = reply instanceof CellReply.Reports reports
                         && reports.reports().stream().anyMatch(r -> r.state() == InboundJobState.QUEUED);
                 SimulatedCluster cell = federation.cells.get(from);
-                if (accepted && !cell.told.containsKey("fill-00010" + from)) {
+                if (accepted && !cell.reportedPhases.containsKey("fill-00010" + from)) {
                     cell.submit(job("fill-00010" + from, "red", JobKind.ARRAY, Priority.CRITICAL, 8));
                 }
                 return reply;
@@ -271,7 +271,7 @@
             @Override
             public CellReply reply(int from, CellReply reply) {
                 if (from != 0 && reply instanceof CellReply.Reports reports) {
-                    reports.reports().forEach(report -> crashAt("told " + report.state(), from));
+                    reports.reports().forEach(report -> crashAt("reportedPhases " + report.state(), from));
                 }
                 return reply;
             }
@@ -283,7 +283,7 @@
     }
 
     static Stream<Arguments> steps() {
-        return Stream.of("before Offer", "told QUEUED", "before Progress", "told BEGUN", "told DONE")
+        return Stream.of("before Offer", "reportedPhases QUEUED", "before Progress", "reportedPhases BEGUN", "reportedPhases DONE")
                 .flatMap(step -> Stream.of(Arguments.of(step, true), Arguments.of(step, false)));
     }
 
@@ -299,7 +299,7 @@
             for (int node = 0; node < 3; node++) {
                 cell.crash(node, Duration.ofSeconds(2));
             }
-            cell.state.putBack(rows);
+            cell.state.restore(rows);
         };
     }
 
@@ -313,7 +313,7 @@
                 150,
                 () -> a.lastTold(JOB_ID).equals("running"));
         SimulatedCluster remote = remoteOf(federation);
-        remote.state.putBack(new TreeMap<>());
+        remote.state.restore(new TreeMap<>());
         for (int node = 0; node < 3; node++) {
             remote.crash(node, Duration.ofSeconds(2));
         }
@@ -334,7 +334,7 @@
                         .join()
                         .status());
         run(federation, 40);
-        boolean returned = phase(a, JOB_ID).equals("HOME") || federation.transfers(a, JOB_ID) > 1 || a.over(JOB_ID);
+        boolean returned = phase(a, JOB_ID).equals("HOME") || federation.transfers(a, JOB_ID) > 1 || a.isOver(JOB_ID);
         assertTrue(returned, "the job returns after the abandonment, and may be delegated again");
         // The rebuilt cell's new identity is stored, and it may receive jobs again.
         assertFalse(adminAnswer(a, "cells").contains("rebuilt empty"), adminAnswer(a, "cells"));
@@ -385,9 +385,9 @@
         federation.interceptor = new SimulatedFederation.MessageInterceptor() {
             @Override
             public CellReply reply(int from, CellReply reply) {
-                if (from == 1 && reply instanceof CellReply.Greeting told) {
-                    var other = new CellId("b", "another", told.self().incarnation(), "mark");
-                    return new CellReply.Greeting(other, told.leads(), told.leader(), told.capacityHints());
+                if (from == 1 && reply instanceof CellReply.Greeting reportedPhases) {
+                    var other = new CellId("b", "another", reportedPhases.self().incarnation(), "mark");
+                    return new CellReply.Greeting(other, reportedPhases.leads(), reportedPhases.leader(), reportedPhases.capacityHints());
                 }
                 return reply;
             }
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -53,13 +53,13 @@
             use.merge(cluster.jobs.get(t.task.job()).team(), 1, Integer::sum);
             Duration c = cluster.cancelled.get(t.task.job());
             if (c != null && cluster.sim.now().minus(c).compareTo(SimulatedCluster.CANCEL_TIMEOUT) > 0) {
-                cluster.broken.add("ran_cancelled: " + t.task);
+                cluster.violations.add("ran_cancelled: " + t.task);
             }
         }
         if (cluster.maxMachines == 7
                 && cluster.shape.limits().entrySet().stream()
                         .anyMatch(limit -> use.getOrDefault(limit.getKey(), 0) > limit.getValue())) {
-            cluster.broken.add("quota: " + use);
+            cluster.violations.add("quota: " + use);
         }
     }
 
@@ -75,7 +75,7 @@
         }
         if (cluster.shape.limits().entrySet().stream()
                 .anyMatch(limit -> use.getOrDefault(limit.getKey(), 0.0) > limit.getValue())) {
-            cluster.broken.add("quota: " + use);
+            cluster.violations.add("quota: " + use);
         }
     }
 
@@ -85,7 +85,7 @@
         var zones = new HashSet<String>();
         for (FakeWorker.Task t : live()) {
             if (t != started && t.task.equals(started.task)) {
-                cluster.broken.add("ran_twice: " + t.task + " on " + t.host() + " and " + started.host());
+                cluster.violations.add("ran_twice: " + t.task + " on " + t.host() + " and " + started.host());
             }
             if (t.task.job().equals(started.task.job()) && cluster.workers.containsKey(t.host())) {
                 zones.add(cluster.workers.get(t.host()).zone);
@@ -99,9 +99,9 @@
         boolean tooMany = job.spread() && inZone > (job.tasks() + 1) / 2;
         boolean otherZone = job.zone().filter(z -> !z.equals(worker.zone)).isPresent();
         if ((job.sameZone() && zones.size() > 1) || (worker.spot && !job.spot()) || tooMany || otherZone) {
-            cluster.broken.add("wrong_place: " + started.task);
+            cluster.violations.add("wrong_place: " + started.task);
         }
-        cluster.begunAt.putIfAbsent(started.task.job(), cluster.sim.now());
+        cluster.startedAt.putIfAbsent(started.task.job(), cluster.sim.now());
         cluster.surroundings.watcher().started(cluster, started);
         if (cluster.cancelled.containsKey(started.task.job())) {
             cluster.startsAfterCancel.add(started.task.toString());
@@ -121,9 +121,9 @@
         }
         List<FakeWorker.Task> live = live();
         for (Submission job : cluster.jobs.values()) {
-            boolean isOver = cluster.over(job.id())
+            boolean isOver = cluster.isOver(job.id())
                     || cluster.cancelRequested.contains(job.id())
-                    || !cluster.told.containsKey(job.id());
+                    || !cluster.reportedPhases.containsKey(job.id());
             int ended = cluster.done.getOrDefault(job.id(), Set.of()).size();
             long here = live.stream().filter(t -> t.task.job().equals(job.id())).count();
             boolean missing = job.isGang() ? here < job.tasks() : here + ended < job.tasks();
@@ -140,7 +140,7 @@
                             .minus(waitingSince.computeIfAbsent(job.id(), k -> cluster.sim.now()))
                             .compareTo(MAX_WAIT)
                     > 0) {
-                cluster.broken.add("waits despite free capacity: " + job.id());
+                cluster.violations.add("waits despite free capacity: " + job.id());
                 waitingSince.remove(job.id());
             }
         }
@@ -170,7 +170,7 @@
      */
     List<String> failedCriteria() {
         var failures = new ArrayList<String>();
-        for (String id : cluster.told.keySet()) {
+        for (String id : cluster.reportedPhases.keySet()) {
             for (int node = 0; node < 3; node++) {
                 var answer = cluster.poll(node, id);
                 if (!answer.isDone() || answer.join().status() != 200) {
@@ -179,7 +179,7 @@
             }
         }
         var kept = cluster.jobs.values().stream()
-                .filter(j -> cluster.told.containsKey(j.id()) && !cluster.cancelRequested.contains(j.id()))
+                .filter(j -> cluster.reportedPhases.containsKey(j.id()) && !cluster.cancelRequested.contains(j.id()))
                 .toList();
         var groups = new TreeMap<String, List<Submission>>();
         for (Submission j : kept) {
@@ -209,8 +209,8 @@
             }
             if (name.startsWith("largest")) {
                 members.stream()
-                        .filter(j -> !cluster.begunAt.containsKey(j.id())
-                                || cluster.begunAt
+                        .filter(j -> !cluster.startedAt.containsKey(j.id())
+                                || cluster.startedAt
                                                 .get(j.id())
                                                 .minus(cluster.submittedAt.get(j.id()))
                                                 .compareTo(MAX_START_DELAY_OF_LARGEST)
@@ -218,7 +218,7 @@
                         .forEach(j -> failures.add(name + " started late: " + j.id()));
             }
         });
-        if (cluster.begunAt.isEmpty()) {
+        if (cluster.startedAt.isEmpty()) {
             failures.add("nothing_ran");
         }
         return failures;
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -191,7 +191,7 @@
                             MessagePackCodec.TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null && (reply.status() == 200 || reply.status() == 201)) {
-                            cluster.told.put(job.id(), "queued");
+                            cluster.reportedPhases.put(job.id(), "queued");
                             poll(job.id(), node);
                         } else {
                             sim.after(500, () -> offer(job, (node + 1) % CONTROLLERS));
@@ -205,8 +205,8 @@
                         String phase = failure == null && reply.status() == 200
                                 ? parsed(reply).path("phase").asText()
                                 : cluster.lastTold(id);
-                        cluster.told.put(id, phase);
-                        if (!cluster.over(id)) {
+                        cluster.reportedPhases.put(id, phase);
+                        if (!cluster.isOver(id)) {
                             sim.after(300, () -> poll(id, (node + 1) % CONTROLLERS));
                         }
                     });
@@ -391,7 +391,7 @@
     /** All violations of invariants, within cells and between them. */
     List<String> violations() {
         var all = new ArrayList<>(checker.violations);
-        cells.forEach(cell -> all.addAll(cell.cluster.broken));
+        cells.forEach(cell -> all.addAll(cell.cluster.violations));
         return all;
     }
 
--- a/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
@@ -48,7 +48,7 @@
 
     /** Fills a cell with work of the highest priority, which nothing can preempt. */
     private static void fill(LoopbackCells cells, LoopbackCells.Cell a) throws Exception {
-        cells.cells.forEach(cell -> cell.cluster.lengthOf =
+        cells.cells.forEach(cell -> cell.cluster.taskDurationOverride =
                 task -> Optional.of(task.job().startsWith("fill-") ? FILLER_DURATION : Duration.ofSeconds(3)));
         for (LoopbackCells.Cell cell : cells.cells) {
             cells.await(
@@ -65,7 +65,7 @@
         cells.await(
                 "cell a is filled",
                 Duration.ofSeconds(60),
-                () -> a.cluster.rules.live().size() == 8);
+                () -> a.cluster.invariants.live().size() == 8);
     }
 
     private static List<String> submitJobs(LoopbackCells cells, LoopbackCells.Cell a) throws Exception {
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -69,7 +69,7 @@
                 "the user's answer shows no failures");
         faulty.forEach(cluster::cancel);
         cluster.sim.run(Duration.ofSeconds(200));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         faulty.forEach(id -> assertEquals("cancelled", cluster.lastTold(id)));
     }
 
@@ -80,10 +80,10 @@
         var cluster = new SimulatedCluster(seed);
         List<String> ids = ClusterTest.submitMixedJobs(cluster, 16);
         cluster.sim.run(Duration.ofSeconds(5));
-        FakeWorker sick = cluster.worker(0);
-        sick.faulty(true);
+        FakeWorker faultyMachine = cluster.worker(0);
+        faultyMachine.faulty(true);
         cluster.sim.run(Duration.ofSeconds(300));
-        assertTrue(sick.dead(), "the machine was not terminated");
+        assertTrue(faultyMachine.dead(), "the machine was not terminated");
         ClusterTest.assertAllDone(cluster, ids);
     }
 
@@ -100,8 +100,8 @@
         List<FakeWorker> used =
                 cluster.alive().stream().filter(w -> w.occupiedSlots() > 0).toList();
         int leader = cluster.leader();
-        int silent = seed % 2 == 0 ? leader : (leader + 1) % 3;
-        cluster.freeze(silent, Duration.ofSeconds(90));
+        int frozen = seed % 2 == 0 ? leader : (leader + 1) % 3;
+        cluster.freeze(frozen, Duration.ofSeconds(90));
         var ids = new ArrayList<String>();
         for (int i = 0; i < 6; i++) {
             String id = "wk-%06d".formatted(i);
@@ -111,7 +111,7 @@
         cluster.sim.run(Duration.ofSeconds(145));
         ids.forEach(id -> assertEquals(
                 "done",
-                cluster.poll((silent + 1) % 3, id).join().body().path("phase").asText(),
+                cluster.poll((frozen + 1) % 3, id).join().body().path("phase").asText(),
                 id + " during the pause"));
         cluster.sim.run(Duration.ofSeconds(220));
         String decisions = cluster.decisions();
@@ -124,7 +124,7 @@
                 List.of(),
                 used.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList(),
                 "workers with expired leases");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** One read of the store answers all polls that wait for it, so a burst of polls causes few store calls. */
@@ -147,7 +147,7 @@
         assertTrue(answers.stream().allMatch(a -> a.isDone() && a.join().status() == 200));
         int readings = cluster.counts.get("state") - before;
         assertTrue(readings < 500, readings + " calls to the state store for 4,000 polls");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** A team without a guarantee fills the fleet with one huge array. Jobs within another team's guarantee are done in time, and the array is done too. */
@@ -176,6 +176,6 @@
                 "done", cluster.lastTold(id), id + " is within its team's guarantee but is not done in time"));
         cluster.sim.run(Duration.ofSeconds(300));
         assertEquals("done", cluster.lastTold("wk-000100"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 }
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -48,7 +48,7 @@
         random = new Random(seed * 37 + 11);
         // In some runs capacity becomes free in cell a while jobs are being delegated.
         Duration fillerDuration = millis(MIN_FILLER_MILLIS, MAX_FILLER_MILLIS);
-        federation.cells.forEach(cell -> cell.lengthOf = task -> task.job().startsWith("fill-")
+        federation.cells.forEach(cell -> cell.taskDurationOverride = task -> task.job().startsWith("fill-")
                 ? Optional.of(fillerDuration)
                 : Optional.of(Duration.ofSeconds(5 + task.index() * 7L)));
         federation.sim.after(3000, this::shortenDelays);
@@ -132,7 +132,7 @@
                 }
             }
             case STATE_STORE_OUTAGE -> {
-                cell.state.out = true;
+                cell.state.unavailable = true;
                 federation.sim.after(millis(4000, 40_000), cell.state::recover);
             }
             case LEADER_REFUSED_BY_STORE -> {
@@ -140,8 +140,8 @@
                 federation.sim.after(millis(2000, 40_000), () -> cell.refusedNode = -1);
             }
             case DELAYED_WRITES -> {
-                cell.lateWrites = 0.1 + random.nextDouble() * 0.3;
-                federation.sim.after(millis(10_000, 60_000), () -> cell.lateWrites = 0);
+                cell.lateWriteRate = 0.1 + random.nextDouble() * 0.3;
+                federation.sim.after(millis(10_000, 60_000), () -> cell.lateWriteRate = 0);
             }
             case LEADER_PAUSE -> cell.freeze(leader, millis(2000, 40_000));
             case CANCELLATIONS -> cancelSomeJobs();
@@ -152,7 +152,7 @@
     private void cancelSomeJobs() {
         SimulatedCluster origin = federation.cells.get(0);
         for (String id : jobIds) {
-            if (random.nextInt(3) == 0 && !origin.over(id) && origin.told.containsKey(id)) {
+            if (random.nextInt(3) == 0 && !origin.isOver(id) && origin.reportedPhases.containsKey(id)) {
                 federation.sim.after(millis(0, 20_000), () -> origin.cancel(id));
             }
         }
@@ -193,7 +193,7 @@
         var violations = new ArrayList<>(federation.violations());
         SimulatedCluster origin = federation.cells.get(0);
         for (String id : jobIds) {
-            if (!origin.over(id)) {
+            if (!origin.isOver(id)) {
                 violations.add(id + " is " + origin.lastTold(id) + ", with the delegation link "
                         + origin.state.rows().get("ds/job/" + id).value().path("away"));
             }
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -38,7 +38,7 @@
     }
 
     private static List<FakeWorker.Task> replicas(SimulatedCluster cluster) {
-        return cluster.rules.live().stream()
+        return cluster.invariants.live().stream()
                 .filter(t -> t.task.job().equals(ID) && t.phase.equals("running"))
                 .toList();
     }
@@ -50,7 +50,8 @@
     /** Creates a cluster in which replicas run until they are stopped. */
     private static SimulatedCluster cluster(long seed) {
         var cluster = new SimulatedCluster(seed);
-        cluster.lengthOf = task -> task.job().equals(ID) ? Optional.of(Duration.ofHours(1)) : Optional.empty();
+        cluster.taskDurationOverride =
+                task -> task.job().equals(ID) ? Optional.of(Duration.ofHours(1)) : Optional.empty();
         return cluster;
     }
 
@@ -68,7 +69,7 @@
         cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL_TIMEOUT));
         assertEquals("cancelled", cluster.lastTold(ID));
         assertEquals(List.of(), replicas(cluster));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     private static void await(SimulatedCluster cluster, Duration longest) {
@@ -148,7 +149,7 @@
         cluster.alive().stream().filter(w -> w.zone.equals("east")).forEach(cluster::crashMachine);
         cluster.crash(cluster.leader(), Duration.ofSeconds(8));
         cluster.sim.run(cluster.sim.now().plusSeconds(60));
-        long west = cluster.rules.live().stream()
+        long west = cluster.invariants.live().stream()
                 .filter(t -> t.task.job().equals(ID)
                         && cluster.workers.get(t.host()).zone.equals("west"))
                 .count();
@@ -161,9 +162,10 @@
     @ValueSource(longs = {912, 913})
     void replicasLeaveFaultyMachines(long seed) {
         SimulatedCluster cluster = running(seed, false, false);
-        FakeWorker sick = cluster.workers.get(machines(cluster).iterator().next());
-        sick.faulty = true;
-        sick.tasks().forEach(t -> t.exit("error"));
+        FakeWorker faultyMachine =
+                cluster.workers.get(machines(cluster).iterator().next());
+        faultyMachine.faulty = true;
+        faultyMachine.tasks().forEach(t -> t.exit("error"));
         cluster.markTasksChanged();
         await(cluster, Duration.ofSeconds(60));
         cancelAndAssertGone(cluster);
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -49,10 +49,10 @@
     static final List<String> ZONES = List.of("east", "west");
     public final VirtualTime sim;
     public final FakeStateStore state;
-    final InvariantChecker rules = new InvariantChecker(this);
+    final InvariantChecker invariants = new InvariantChecker(this);
     final TaskRuns runs = new TaskRuns(this);
     final FakeCloud cloud = new FakeCloud(this);
-    final List<String> broken = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     private final Controller[] controllers = new Controller[3];
     final VirtualTime.SimulatedProcess[] processes = new VirtualTime.SimulatedProcess[3];
     final Map<String, FakeWorker> workers = new TreeMap<>();
@@ -62,7 +62,7 @@
     final SimulatedEnvironment surroundings;
     private final SimulatedUsers users = new SimulatedUsers(this);
     private final SimulatedOperators operators;
-    final Map<String, String> told = new HashMap<>();
+    final Map<String, String> reportedPhases = new HashMap<>();
     /** The only controller that the state store answers with 503, or -1. */
     public int refusedNode = -1;
     /** Requests to the cloud are lost. */
@@ -105,7 +105,7 @@
     public double duplicateRate;
     int nextMachine = 1;
     /** The fraction of transactions whose answer is lost and that are applied 2 to 12 s later, after newer ones. */
-    public double lateWrites;
+    public double lateWriteRate;
     /** The fraction of jobs that are cancelled within milliseconds of their completion. */
     public double cancelAtCompletionRate;
     /** Every job is polled and resubmitted within 300 ms of its completion. */
@@ -119,11 +119,11 @@
     /** Whether all faults are over. Invariants that hold only without faults are checked from then on. */
     public boolean faultsOver;
     /** How often each named event occurred. Tests assert that the fault combination under test took place. */
-    final Map<String, Integer> met = new TreeMap<>();
+    final Map<String, Integer> events = new TreeMap<>();
 
     final Set<String> cancelRequested = new HashSet<>();
     final Map<String, Duration> submittedAt = new HashMap<>();
-    final Map<String, Duration> begunAt = new HashMap<>();
+    final Map<String, Duration> startedAt = new HashMap<>();
     /** Tasks that started after the cancellation of their job had been confirmed to the user. */
     final List<String> startsAfterCancel = new ArrayList<>();
 
@@ -160,7 +160,7 @@
         completed = surroundings.completed();
         cancelled = surroundings.cancelled();
         sim = surroundings.sim();
-        operators = new SimulatedOperators(sim, node -> controllers[node], broken::add);
+        operators = new SimulatedOperators(sim, node -> controllers[node], violations::add);
         state = new FakeStateStore(sim);
         shape.stateRates().ifPresent(rates -> {
             state.limitRates(rates.requests(), rates.writes());
@@ -179,8 +179,8 @@
             sim.afterEach(() -> {
                 if (tasksChanged) {
                     tasksChanged = false;
-                    rules.checkLimitsAndCancelledTasks();
-                    rules.checkAcceleratorLimits();
+                    invariants.checkLimitsAndCancelledTasks();
+                    invariants.checkAcceleratorLimits();
                 }
             });
         }
@@ -195,7 +195,7 @@
                 process,
                 surroundings.formats(formats[i]),
                 why -> {
-                    met("cannot go on");
+                    recordEvent("controller gave up");
                     process.kill();
                 },
                 context -> surroundings.connector().connect(i, process, context));
@@ -228,7 +228,7 @@
     /** A controller whose transactions the state store answers with 429, or -1. */
     public int writesRefusedNode = -1;
     /** Overrides the duration of individual tasks. */
-    Function<TaskId, Optional<Duration>> lengthOf = p -> Optional.empty();
+    Function<TaskId, Optional<Duration>> taskDurationOverride = p -> Optional.empty();
     /** Returns when the last task of a job completed. */
     Optional<Duration> completedAt(String id) {
         return Optional.ofNullable(completed.get(id));
@@ -287,8 +287,8 @@
         tasksChanged = true;
     }
 
-    void met(String what) {
-        met.merge(what, 1, Integer::sum);
+    void recordEvent(String what) {
+        events.merge(what, 1, Integer::sum);
     }
 
     int nodeIndex(String name) {
@@ -361,8 +361,8 @@
             owner.schedule(
                     timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
             boolean twice = sim.random.nextDouble() < duplicateRate && address.startsWith("worker");
-            if (lateWrites > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWrites) {
-                met("late write");
+            if (lateWriteRate > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWriteRate) {
+                recordEvent("late write");
                 sim.after(
                         2000 + sim.random.nextInt(10_000),
                         () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
@@ -468,7 +468,7 @@
 
     private void noteConflict(int from, FakeStateStore.Reply reply) {
         if (reply != null && reply.status() == CONFLICT) {
-            reply.body().path("failed").forEach(key -> met("conflict of n" + from + " about " + key.asText()));
+            reply.body().path("failed").forEach(key -> recordEvent("conflict of n" + from + " about " + key.asText()));
         }
     }
 
@@ -516,7 +516,7 @@
         if (from.delaysHeartbeats && !from.cannotSend) {
             // It arrives at its original receiver, even if the leader has changed since.
             sim.after(from.heartbeatDelay, () -> {
-                met("held report");
+                recordEvent("delayed heartbeat");
                 if (controllers[node] != null) {
                     Controller late = controllers[node];
                     processes[node].arrive(() -> deliverHeartbeat(late, report, (status, body) -> {}));
@@ -623,11 +623,11 @@
     /** Submits a job at one controller; the answer arrives in virtual time. */
     CompletableFuture<UserApi.Answer> submitTo(int node, Submission job) {
         jobs.put(job.id(), job);
-        return offer(node, job.toNode());
+        return submitBodyTo(node, job.toNode());
     }
 
     /** Submits any body, valid or not, at one controller; the answer arrives in virtual time. */
-    CompletableFuture<UserApi.Answer> offer(int node, ObjectNode body) {
+    CompletableFuture<UserApi.Answer> submitBodyTo(int node, ObjectNode body) {
         var result = new CompletableFuture<UserApi.Answer>();
         controllers[node].userApi().submit(MessagePackCodec.write(body), result::complete);
         return result;
@@ -654,7 +654,7 @@
     }
 
     /** Cancels a job at one controller without advancing virtual time. */
-    void cancelAsked(int node, String id, Consumer<UserApi.Answer> answer) {
+    void cancelAsync(int node, String id, Consumer<UserApi.Answer> answer) {
         cancelRequested.add(id);
         controllers[node].userApi().cancel(id, answer);
     }
@@ -682,21 +682,21 @@
     }
 
     String lastTold(String id) {
-        return told.getOrDefault(id, "");
+        return reportedPhases.getOrDefault(id, "");
     }
 
     private void pollAndCheck() {
         for (String id : jobs.keySet()) {
-            if (sim.random.nextInt(20) == 0 && told.containsKey(id)) {
+            if (sim.random.nextInt(20) == 0 && reportedPhases.containsKey(id)) {
                 pollJob(id);
             }
         }
-        rules.checkLimitsAndCancelledTasks();
-        rules.checkWaits();
+        invariants.checkLimitsAndCancelledTasks();
+        invariants.checkWaits();
         sim.after(250, this::pollAndCheck);
     }
 
-    boolean over(String id) {
-        return List.of("done", "cancelled").contains(told.getOrDefault(id, ""));
+    boolean isOver(String id) {
+        return List.of("done", "cancelled").contains(reportedPhases.getOrDefault(id, ""));
     }
 }
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -22,7 +22,7 @@
 
     /** Returns when a user first received a final state (done or cancelled) of a job. */
     Optional<Duration> finalStateReportedAt(String id) {
-        return cluster.over(id) ? Optional.ofNullable(finalStateAt.get(id)) : Optional.empty();
+        return cluster.isOver(id) ? Optional.ofNullable(finalStateAt.get(id)) : Optional.empty();
     }
 
     void submit(Submission job) {
@@ -34,7 +34,7 @@
     /** Resubmits an accepted job; the answer must show that the job is known, whatever its state. */
     void resubmit(String id) {
         Duration asked = cluster.sim.now();
-        if (!cluster.told.containsKey(id)) {
+        if (!cluster.reportedPhases.containsKey(id)) {
             return;
         }
         ask(
@@ -42,7 +42,7 @@
                     if (a.status() == 200 || a.status() == 201) {
                         onAnswer(id, asked, a);
                     } else if (a.status() != 503) {
-                        cluster.broken.add("forgotten: repeated submission of " + id + " answered " + a.status());
+                        cluster.violations.add("forgotten: repeated submission of " + id + " answered " + a.status());
                     }
                 }),
                 () -> {});
@@ -56,7 +56,7 @@
                     if (a.status() == 200) {
                         onAnswer(id, asked, a);
                     } else if (a.status() == 404) {
-                        cluster.broken.add("forgotten: " + id);
+                        cluster.violations.add("forgotten: " + id);
                     }
                 }),
                 () -> {});
@@ -67,7 +67,7 @@
         ask(
                 n -> n.poll(id, a -> {
                     if (a.status() == 200) {
-                        cluster.broken.add("invented: " + id);
+                        cluster.violations.add("invented: " + id);
                     }
                 }),
                 () -> {});
@@ -77,7 +77,7 @@
         Duration asked = cluster.sim.now();
         // A controller that crashes with the request never answers it; the user retries after 5 s.
         cluster.sim.after(5000, () -> {
-            if (!cluster.told.containsKey(job.id())
+            if (!cluster.reportedPhases.containsKey(job.id())
                     && !(submissionSentAt.get(job.id()).compareTo(asked) > 0)) {
                 sendSubmission(job);
             }
@@ -88,7 +88,7 @@
                     if (a.status() == 200 || a.status() == 201) {
                         onAnswer(job.id(), asked, a);
                     } else if (a.status() != 503) {
-                        cluster.broken.add("submission of " + job.id() + " answered " + a.status());
+                        cluster.violations.add("submission of " + job.id() + " answered " + a.status());
                     } else {
                         cluster.sim.after(1000, () -> sendSubmission(job));
                     }
@@ -117,30 +117,31 @@
     /** Checks an answer against earlier ones. Answers to overlapping requests may arrive in any order, so only a request sent after a final state was received must return that state. */
     private void onAnswer(String id, Duration asked, UserApi.Answer a) {
         String phase = a.body().path("phase").asText();
-        String before = cluster.told.getOrDefault(id, "");
+        String before = cluster.reportedPhases.getOrDefault(id, "");
         boolean over = before.equals("done") || before.equals("cancelled");
         if (over && !before.equals(phase) && asked.compareTo(finalStateAt.get(id)) > 0) {
-            cluster.broken.add("went_back: " + id + " was " + before + ", now " + phase);
+            cluster.violations.add("went_back: " + id + " was " + before + ", now " + phase);
         }
         if (!over) {
-            cluster.told.put(id, phase);
+            cluster.reportedPhases.put(id, phase);
             finalStateAt.put(id, cluster.sim.now());
         } else if (!before.equals(phase) && (phase.equals("done") || phase.equals("cancelled"))) {
-            cluster.broken.add("went_back: " + id + " was reported as " + before + " and as " + phase);
+            cluster.violations.add("went_back: " + id + " was reported as " + before + " and as " + phase);
         }
         if (phase.equals("cancelled")) {
             if (!cluster.cancelRequested.contains(id)) {
-                cluster.broken.add("went_back: " + id + " cancelled without a request");
+                cluster.violations.add("went_back: " + id + " cancelled without a request");
             }
             if (cluster.cancelled.putIfAbsent(id, cluster.sim.now()) == null) {
                 cluster.sim.after(
-                        SimulatedCluster.CANCEL_TIMEOUT.plusMillis(1), cluster.rules::checkLimitsAndCancelledTasks);
+                        SimulatedCluster.CANCEL_TIMEOUT.plusMillis(1),
+                        cluster.invariants::checkLimitsAndCancelledTasks);
             }
         }
         if (phase.equals("done")
                 && cluster.done.getOrDefault(id, Set.of()).size()
                         < cluster.jobs.get(id).tasks()) {
-            cluster.broken.add("not_done: " + id);
+            cluster.violations.add("not_done: " + id);
         }
     }
 }
--- a/src/test/java/org/dunespindle/sim/TaskRuns.java
+++ b/src/test/java/org/dunespindle/sim/TaskRuns.java
@@ -18,7 +18,7 @@
     }
 
     private List<FakeWorker.Task> members(FakeWorker.Task one) {
-        return cluster.rules.live().stream()
+        return cluster.invariants.live().stream()
                 .filter(t -> t.task.job().equals(one.task.job()) && t.attempt == one.attempt)
                 .toList();
     }
@@ -67,7 +67,7 @@
         if (cluster.done.get(id).size() == cluster.jobs.get(id).tasks()
                 && cluster.cancelAtCompletionRate > 0
                 && cluster.sim.random.nextDouble() < cluster.cancelAtCompletionRate) {
-            cluster.met("cancelled at its end");
+            cluster.recordEvent("cancelled at completion");
             cluster.sim.after(cluster.sim.random.nextInt(5), () -> cluster.cancel(id));
         }
     }
