--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -109,8 +109,8 @@
 
     private static SimulatedFederation withOneDelegableJob(long seed, Duration length) {
         SimulatedFederation federation = withFullOrigin(seed, 2, 3, 3);
-        federation.cells.forEach(
-                cell -> cell.taskDurationOverride = task -> Optional.of(task.job().startsWith("fill-") ? FILLER_DURATION : length));
+        federation.cells.forEach(cell -> cell.taskDurationOverride =
+                task -> Optional.of(task.job().startsWith("fill-") ? FILLER_DURATION : length));
         Submission job = job(JOB_ID, "blue", JobKind.ARRAY, Priority.URGENT, 2);
         federation.sim.after(15_000, () -> federation.cell("a").submit(job));
         return federation;
@@ -122,7 +122,8 @@
         SimulatedFederation federation = withFullOrigin(2, 2, 2, 2);
         for (String name : List.of("b", "c")) {
             SimulatedCluster cell = federation.cell(name);
-            cell.taskDurationOverride = task -> Optional.of(task.job().startsWith("wk-") ? Duration.ofSeconds(5) : FILLER_DURATION);
+            cell.taskDurationOverride =
+                    task -> Optional.of(task.job().startsWith("wk-") ? Duration.ofSeconds(5) : FILLER_DURATION);
             Priority own = name.equals("b") ? Priority.LOW : Priority.URGENT;
             Submission ownWork = job("exp-00000" + name.charAt(0) % 10, "red", JobKind.ARRAY, own, 8);
             federation.sim.after(2000, () -> cell.submit(ownWork));
@@ -283,7 +284,12 @@
     }
 
     static Stream<Arguments> steps() {
-        return Stream.of("before Offer", "reportedPhases QUEUED", "before Progress", "reportedPhases BEGUN", "reportedPhases DONE")
+        return Stream.of(
+                        "before Offer",
+                        "reportedPhases QUEUED",
+                        "before Progress",
+                        "reportedPhases BEGUN",
+                        "reportedPhases DONE")
                 .flatMap(step -> Stream.of(Arguments.of(step, true), Arguments.of(step, false)));
     }
 
@@ -387,7 +393,8 @@
             public CellReply reply(int from, CellReply reply) {
                 if (from == 1 && reply instanceof CellReply.Greeting reportedPhases) {
                     var other = new CellId("b", "another", reportedPhases.self().incarnation(), "mark");
-                    return new CellReply.Greeting(other, reportedPhases.leads(), reportedPhases.leader(), reportedPhases.capacityHints());
+                    return new CellReply.Greeting(
+                            other, reportedPhases.leads(), reportedPhases.leader(), reportedPhases.capacityHints());
                 }
                 return reply;
             }
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -48,9 +48,10 @@
         random = new Random(seed * 37 + 11);
         // In some runs capacity becomes free in cell a while jobs are being delegated.
         Duration fillerDuration = millis(MIN_FILLER_MILLIS, MAX_FILLER_MILLIS);
-        federation.cells.forEach(cell -> cell.taskDurationOverride = task -> task.job().startsWith("fill-")
-                ? Optional.of(fillerDuration)
-                : Optional.of(Duration.ofSeconds(5 + task.index() * 7L)));
+        federation.cells.forEach(cell ->
+                cell.taskDurationOverride = task -> task.job().startsWith("fill-")
+                        ? Optional.of(fillerDuration)
+                        : Optional.of(Duration.ofSeconds(5 + task.index() * 7L)));
         federation.sim.after(3000, this::shortenDelays);
         fill(0, 2000);
         submitJobs();
