--- a/src/main/java/org/dunespindle/federation/CapacitySurvey.java
+++ b/src/main/java/org/dunespindle/federation/CapacitySurvey.java
@@ -30,18 +30,18 @@
     private static final int ARRAY_START_DIVISOR = 4;
 
     private final ClusterSnapshot snapshot;
-    private final List<MachineCapacity> machines = new ArrayList<>();
+    private final List<MachineAvailability> machines = new ArrayList<>();
     private final TeamUsage usage;
     private final List<JobRecord> unplacedJobs = new ArrayList<>();
     /** The pools that can be rented from, as far as known: those that the cloud did not refuse recently. */
     private final Map<MachinePool, MachineType> rentable = new LinkedHashMap<>();
 
-    private static final class MachineCapacity {
+    private static final class MachineAvailability {
         final MachineSnapshot host;
         Resources free;
         final Map<Priority, Resources> preemptibleByPriority = new HashMap<>();
 
-        MachineCapacity(MachineSnapshot machine) {
+        MachineAvailability(MachineSnapshot machine) {
             this.host = machine;
             this.free = machine.capacity();
         }
@@ -62,9 +62,9 @@
     public CapacitySurvey(ClusterSnapshot snapshot, Plan plan, List<MachineType> types) {
         this.snapshot = snapshot;
         this.usage = snapshot.projection().usage();
-        var byId = new HashMap<String, MachineCapacity>();
+        var byId = new HashMap<String, MachineAvailability>();
         for (MachineSnapshot host : snapshot.machines()) {
-            var machine = new MachineCapacity(host);
+            var machine = new MachineAvailability(host);
             machines.add(machine);
             byId.put(host.id(), machine);
         }
@@ -93,9 +93,9 @@
         }
     }
 
-    private void addAllocations(JobRecord job, List<Allocation> allocations, Map<String, MachineCapacity> byId) {
+    private void addAllocations(JobRecord job, List<Allocation> allocations, Map<String, MachineAvailability> byId) {
         for (Allocation allocation : allocations) {
-            MachineCapacity machine = byId.get(allocation.machineId());
+            MachineAvailability machine = byId.get(allocation.machineId());
             boolean ended = snapshot.endedTasks()
                     .contains(new TaskAttempt(job.id(), allocation.task(), allocation.attemptBase()));
             if (machine != null && !ended) {
@@ -104,16 +104,16 @@
         }
     }
 
-    private void addBinding(Binding binding, Map<String, MachineCapacity> byId) {
+    private void addBinding(Binding binding, Map<String, MachineAvailability> byId) {
         for (String host : binding.machineByTask().values()) {
-            MachineCapacity machine = byId.get(host);
+            MachineAvailability machine = byId.get(host);
             if (machine != null) {
                 allocate(machine, binding.job(), false);
             }
         }
     }
 
-    private static void allocate(MachineCapacity machine, JobRecord job, boolean preemptible) {
+    private static void allocate(MachineAvailability machine, JobRecord job, boolean preemptible) {
         Resources perTask = job.submission().perTask();
         machine.free = machine.free.minus(perTask);
         if (preemptible) {
@@ -154,7 +154,7 @@
 
     private Map<String, Integer> tasksByZone(Submission job) {
         var byZone = new TreeMap<String, Integer>();
-        for (MachineCapacity machine : machines) {
+        for (MachineAvailability machine : machines) {
             MachineSnapshot host = machine.host;
             if (isUsable(job, new MachinePool(host.type(), host.zone(), host.spot()))) {
                 byZone.merge(host.zone(), countFitting(job, machine.availableFor(job.priority())), Integer::sum);
@@ -184,9 +184,9 @@
 
     /** The capacity hints for other cells, one for each pool and priority. */
     public List<CapacityHint> hints() {
-        var byPool = new LinkedHashMap<MachinePool, List<MachineCapacity>>();
+        var byPool = new LinkedHashMap<MachinePool, List<MachineAvailability>>();
         rentable.keySet().forEach(pool -> byPool.put(pool, new ArrayList<>()));
-        for (MachineCapacity machine : machines) {
+        for (MachineAvailability machine : machines) {
             MachineSnapshot host = machine.host;
             var pool = new MachinePool(host.type(), host.zone(), host.spot());
             byPool.computeIfAbsent(pool, key -> new ArrayList<>()).add(machine);
@@ -200,11 +200,11 @@
         return hints;
     }
 
-    private CapacityHint hint(MachinePool pool, List<MachineCapacity> machinesOfPool, Priority priority) {
+    private CapacityHint hint(MachinePool pool, List<MachineAvailability> machinesOfPool, Priority priority) {
         MachineType rentableType = rentable.get(pool);
         Resources sum = Resources.NONE;
         Resources largest = rentableType == null ? Resources.NONE : rentableType.size();
-        for (MachineCapacity machine : machinesOfPool) {
+        for (MachineAvailability machine : machinesOfPool) {
             Resources available = machine.availableFor(priority);
             sum = sum.plus(available);
             boolean larger = available.gpus() > largest.gpus()
--- a/src/main/java/org/dunespindle/federation/InboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationService.java
@@ -44,13 +44,13 @@
     private record Change(JobRecord record, CellReply reply) {}
 
     /** The decision on a request: either an immediate reply, or a change that has to be stored first. */
-    private record Decision(Optional<Change> change, Optional<CellReply> reply) {
-        static Decision answer(CellReply reply) {
-            return new Decision(Optional.empty(), Optional.of(reply));
+    private record RequestDecision(Optional<Change> change, Optional<CellReply> reply) {
+        static RequestDecision answer(CellReply reply) {
+            return new RequestDecision(Optional.empty(), Optional.of(reply));
         }
 
-        static Decision store(JobRecord job, CellReply reply) {
-            return new Decision(Optional.of(new Change(job, reply)), Optional.empty());
+        static RequestDecision store(JobRecord job, CellReply reply) {
+            return new RequestDecision(Optional.of(new Change(job, reply)), Optional.empty());
         }
     }
 
@@ -208,7 +208,7 @@
                         < knownCells.cell(from.name()).orElseThrow().lowestOpenTransfer();
     }
 
-    private Decision offer(CellRequest.Offer offer) {
+    private RequestDecision offer(CellRequest.Offer offer) {
         Transfer transfer = offer.transfer();
         Optional<JobRecord> existing = inboundJob(offer.from(), transfer);
         if (existing.isPresent()) {
@@ -218,90 +218,90 @@
             return answer(InboundJobStatus.of(transfer, InboundJobState.CLOSED));
         }
         if (!identityKeeper.isActiveLeader()) {
-            return Decision.answer(new CellReply.NotServed(
+            return RequestDecision.answer(new CellReply.NotServed(
                     CellReply.Reason.NOT_LEADER, context.membership().leader()));
         }
         if (!offer.to().equals(identityKeeper.id().orElseThrow())) {
-            return Decision.answer(
+            return RequestDecision.answer(
                     CellReply.NotServed.of(CellReply.Reason.NOT_READY)); // addressed to an earlier incarnation
         }
-        Optional<Decision> idConflict = idConflict(offer.from(), transfer);
+        Optional<RequestDecision> idConflict = idConflict(offer.from(), transfer);
         if (idConflict.isPresent()) {
             return idConflict.get();
         }
         InboundDelegation delegation = InboundDelegation.of(offer.from().name(), transfer.number());
         Optional<Rejection.Reason> rejectionReason = admission.apply(offer.job());
         if (rejectionReason.isPresent()) {
-            return Decision.store(
+            return RequestDecision.store(
                     JobRecord.tombstone(transfer.job(), now(), delegation, false),
                     new CellReply.Declined(transfer, Rejection.of(rejectionReason.get())));
         }
         JobRecord accepted = JobRecord.acceptedFromOrigin(offer.job(), offer.arrived(), delegation);
-        return Decision.store(
+        return RequestDecision.store(
                 accepted, new CellReply.Reports(List.of(InboundJobStatus.of(transfer, InboundJobState.QUEUED))));
     }
 
     /** The decision if the job's key is in use: permanently by a job of this cell, or temporarily by a job of another cell. */
-    private Optional<Decision> idConflict(CellId from, Transfer transfer) {
+    private Optional<RequestDecision> idConflict(CellId from, Transfer transfer) {
         Optional<JobRecord> existing = replica.job(transfer.job());
         if (replica.isUnreadable(Keys.job(transfer.job()))) {
-            return Optional.of(Decision.answer(CellReply.NotServed.of(CellReply.Reason.ID_IN_USE)));
+            return Optional.of(RequestDecision.answer(CellReply.NotServed.of(CellReply.Reason.ID_IN_USE)));
         }
         if (existing.isEmpty()) {
             return Optional.empty();
         }
         if (existing.get().inboundDelegation().isEmpty()) {
             return Optional.of(
-                    Decision.answer(new CellReply.Declined(transfer, Rejection.of(Rejection.Reason.ID_TAKEN))));
+                    RequestDecision.answer(new CellReply.Declined(transfer, Rejection.of(Rejection.Reason.ID_TAKEN))));
         }
         boolean sameOrigin = existing.get().inboundDelegation().get().origin().equals(from.name());
         boolean withdrawn = existing.get().inboundDelegation().get().withdrawn();
         return sameOrigin && withdrawn
                 ? Optional.empty()
-                : Optional.of(Decision.answer(CellReply.NotServed.of(CellReply.Reason.ID_IN_USE)));
+                : Optional.of(RequestDecision.answer(CellReply.NotServed.of(CellReply.Reason.ID_IN_USE)));
     }
 
-    private Decision recall(CellRequest.Recall recall) {
+    private RequestDecision recall(CellRequest.Recall recall) {
         Transfer transfer = recall.transfer();
         Optional<JobRecord> existing = inboundJob(recall.from(), transfer);
         if (existing.isPresent()) {
             JobRecord job = existing.get();
             return job.isOpen() && job.neverPlaced()
-                    ? Decision.store(job.withdrawn(), reports(transfer, InboundJobState.WITHDRAWN))
+                    ? RequestDecision.store(job.withdrawn(), reports(transfer, InboundJobState.WITHDRAWN))
                     : answer(report(transfer, job));
         }
         return tombstone(recall.from(), transfer, false);
     }
 
-    private Decision cancel(CellRequest.Cancel cancel) {
+    private RequestDecision cancel(CellRequest.Cancel cancel) {
         Transfer transfer = cancel.transfer();
         Optional<JobRecord> existing = inboundJob(cancel.from(), transfer);
         if (existing.isPresent()) {
             JobRecord job = existing.get();
             return job.isOpen()
-                    ? Decision.store(job.cancelled(), reports(transfer, InboundJobState.CANCELLED))
+                    ? RequestDecision.store(job.cancelled(), reports(transfer, InboundJobState.CANCELLED))
                     : answer(report(transfer, job));
         }
         return tombstone(cancel.from(), transfer, true);
     }
 
     /** Stores that a transfer has ended whose offer has not arrived, so that a later offer is refused. */
-    private Decision tombstone(CellId from, Transfer transfer, boolean cancelled) {
+    private RequestDecision tombstone(CellId from, Transfer transfer, boolean cancelled) {
         if (isClosed(from, transfer)) {
             return answer(InboundJobStatus.of(transfer, InboundJobState.CLOSED));
         }
         InboundJobState ended = cancelled ? InboundJobState.CANCELLED : InboundJobState.WITHDRAWN;
-        Optional<Decision> idConflict = idConflict(from, transfer);
+        Optional<RequestDecision> idConflict = idConflict(from, transfer);
         if (idConflict.isPresent()) {
             boolean permanent = idConflict
                     .get()
                     .reply()
                     .filter(CellReply.Declined.class::isInstance)
                     .isPresent();
-            return permanent ? Decision.answer(reports(transfer, ended)) : idConflict.get();
+            return permanent ? RequestDecision.answer(reports(transfer, ended)) : idConflict.get();
         }
         InboundDelegation delegation = InboundDelegation.of(from.name(), transfer.number());
-        return Decision.store(
+        return RequestDecision.store(
                 JobRecord.tombstone(transfer.job(), now(), delegation, cancelled), reports(transfer, ended));
     }
 
@@ -309,8 +309,8 @@
         return context.timeSource().wallTime();
     }
 
-    private static Decision answer(InboundJobStatus report) {
-        return Decision.answer(new CellReply.Reports(List.of(report)));
+    private static RequestDecision answer(InboundJobStatus report) {
+        return RequestDecision.answer(new CellReply.Reports(List.of(report)));
     }
 
     private static CellReply reports(Transfer transfer, InboundJobState state) {
@@ -324,7 +324,7 @@
     private void apply(
             CellRequest request,
             Transfer transfer,
-            Decision decision,
+            RequestDecision decision,
             Duration retryDeadline,
             Consumer<CellReply> reply) {
         if (decision.reply.isPresent()) {
--- a/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
+++ b/src/test/java/org/dunespindle/federation/DelegationProtocolTest.java
@@ -38,7 +38,7 @@
     }
 
     /** The specification of the remote cell: one record for the job, replaced only by that of a higher transfer. */
-    private static final class RemoteCell {
+    private static final class RemoteCellModel {
         long number;
         InboundJobState state = InboundJobState.UNKNOWN;
 
@@ -67,7 +67,7 @@
     /** A model of the origin and the remote cell; its fields are their stored state. */
     private static final class Model {
         final Random random;
-        final RemoteCell remote = new RemoteCell();
+        final RemoteCellModel remote = new RemoteCellModel();
         final List<Message> network = new ArrayList<>();
         Optional<OutboundDelegation> delegation = Optional.empty();
         InboundJobState reported = InboundJobState.UNKNOWN;
--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -218,20 +218,20 @@
             for (LoopbackCells.Cell cell : cells.cells) {
                 String key = federated ? "ds/federation" : "ds/leader";
                 cells.await(
-                        "it is ready",
+                        "the cell is ready",
                         Duration.ofSeconds(60),
                         () -> cell.cluster.state.rows().containsKey(key));
             }
             LoopbackCells.Cell a = cells.cells.get(0);
             if (jobs > 0) {
                 a.set("spill_after_s", 2);
-                Submission fill = FederationTest.job("fill-000001", "red", JobKind.ARRAY, Priority.CRITICAL, 8);
+                Submission filler = FederationTest.job("fill-000001", "red", JobKind.ARRAY, Priority.CRITICAL, 8);
                 cells.on(() -> {
-                    a.submit(fill);
+                    a.submit(filler);
                     return null;
                 });
                 cells.await(
-                        "a is full",
+                        "cell a is full",
                         Duration.ofSeconds(60),
                         () -> a.cluster.rules.live().size() == 8);
             }
@@ -248,14 +248,14 @@
         }
         Duration startedAt = Duration.ofNanos(System.nanoTime());
         for (int i = 0; i < jobs; i++) {
-            Submission build = FederationTest.job("wk-%06d".formatted(i), "blue", JobKind.ARRAY, Priority.URGENT, 1);
+            Submission job = FederationTest.job("wk-%06d".formatted(i), "blue", JobKind.ARRAY, Priority.URGENT, 1);
             cells.on(() -> {
-                a.submit(build);
+                a.submit(job);
                 return null;
             });
         }
         cells.await(
-                "the time is over",
+                "the measurement time has passed",
                 MEASUREMENT_TIME.plusSeconds(30),
                 () -> Duration.ofNanos(System.nanoTime()).minus(startedAt).compareTo(MEASUREMENT_TIME) >= 0);
         double time = 0;
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -52,8 +52,8 @@
         federation.cells.forEach(cell -> cell.lengthOf = task ->
                 task.job().startsWith("fill-") ? Optional.of(FILLER_DURATION) : Optional.of(Duration.ofSeconds(20)));
         for (int i = 0; i < 2; i++) {
-            Submission fill = job("fill-00000" + i, "red", JobKind.ARRAY, Priority.CRITICAL, 4);
-            federation.sim.after(2000, () -> a.submit(fill));
+            Submission filler = job("fill-00000" + i, "red", JobKind.ARRAY, Priority.CRITICAL, 4);
+            federation.sim.after(2000, () -> a.submit(filler));
         }
         return federation;
     }
@@ -160,8 +160,8 @@
                 List.of("b", "c").contains(own.body().path("cell").asText()),
                 own.body().toString());
         // The id is in use there, so a submission with the same id is not accepted, nor confused with the inbound job.
-        Submission same = job(JOB_ID, "red", JobKind.ARRAY, Priority.LOW, 1);
-        CompletableFuture<UserApi.Answer> refused = remote.offer(2, same.toNode());
+        Submission duplicate = job(JOB_ID, "red", JobKind.ARRAY, Priority.LOW, 1);
+        CompletableFuture<UserApi.Answer> refused = remote.offer(2, duplicate.toNode());
         run(federation, 2);
         assertEquals(503, refused.join().status());
         run(federation, 120);
@@ -271,7 +271,7 @@
             @Override
             public CellReply reply(int from, CellReply reply) {
                 if (from != 0 && reply instanceof CellReply.Reports reports) {
-                    reports.reports().forEach(report -> crashAt("told " + report.state(), from));
+                    reports.reports().forEach(report -> crashAt("reported " + report.state(), from));
                 }
                 return reply;
             }
@@ -283,7 +283,7 @@
     }
 
     static Stream<Arguments> steps() {
-        return Stream.of("before Offer", "told QUEUED", "before Progress", "told BEGUN", "told DONE")
+        return Stream.of("before Offer", "reported QUEUED", "before Progress", "reported BEGUN", "reported DONE")
                 .flatMap(step -> Stream.of(Arguments.of(step, true), Arguments.of(step, false)));
     }
 
@@ -385,9 +385,9 @@
         federation.interceptor = new SimulatedFederation.MessageInterceptor() {
             @Override
             public CellReply reply(int from, CellReply reply) {
-                if (from == 1 && reply instanceof CellReply.Greeting told) {
-                    var other = new CellId("b", "another", told.self().incarnation(), "mark");
-                    return new CellReply.Greeting(other, told.leads(), told.leader(), told.capacityHints());
+                if (from == 1 && reply instanceof CellReply.Greeting greeting) {
+                    var other = new CellId("b", "another", greeting.self().incarnation(), "mark");
+                    return new CellReply.Greeting(other, greeting.leads(), greeting.leader(), greeting.capacityHints());
                 }
                 return reply;
             }
--- a/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
@@ -57,9 +57,9 @@
                     () -> cell.cluster.state.rows().containsKey("ds/federation"));
         }
         a.set("spill_after_s", 2);
-        Submission fill = FederationTest.job("fill-000001", "red", JobKind.ARRAY, Priority.CRITICAL, 8);
+        Submission filler = FederationTest.job("fill-000001", "red", JobKind.ARRAY, Priority.CRITICAL, 8);
         cells.on(() -> {
-            a.submit(fill);
+            a.submit(filler);
             return null;
         });
         cells.await(
