--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -50,10 +50,10 @@
         var federation = new SimulatedFederation(seed, machines);
         SimulatedCluster a = federation.cell("a");
         federation.cells.forEach(cell -> cell.taskDurationOverride = task ->
-                task.job().startsWith("fill-") ? Optional.of(FILLER_DURATION) : Optional.of(Duration.ofSeconds(20)));
+                task.job().startsWith("filler-") ? Optional.of(FILLER_DURATION) : Optional.of(Duration.ofSeconds(20)));
         for (int i = 0; i < 2; i++) {
-            Submission fill = job("fill-00000" + i, "red", JobKind.ARRAY, Priority.CRITICAL, 4);
-            federation.sim.after(2000, () -> a.submit(fill));
+            Submission filler = job("filler-00000" + i, "red", JobKind.ARRAY, Priority.CRITICAL, 4);
+            federation.sim.after(2000, () -> a.submit(filler));
         }
         return federation;
     }
@@ -110,13 +110,13 @@
     private static SimulatedFederation withOneDelegableJob(long seed, Duration length) {
         SimulatedFederation federation = withFullOrigin(seed, 2, 3, 3);
         federation.cells.forEach(cell -> cell.taskDurationOverride =
-                task -> Optional.of(task.job().startsWith("fill-") ? FILLER_DURATION : length));
+                task -> Optional.of(task.job().startsWith("filler-") ? FILLER_DURATION : length));
         Submission job = job(JOB_ID, "blue", JobKind.ARRAY, Priority.URGENT, 2);
         federation.sim.after(15_000, () -> federation.cell("a").submit(job));
         return federation;
     }
 
-    /** A delegated job preempts the remote cell's own work of a lower priority, but not that of the same priority. */
+    /** A delegated job preempts the remote cell's own work of a lower priority, but not that of the duplicate priority. */
     @Test
     void aDelegatedJobKeepsItsPriority() {
         SimulatedFederation federation = withFullOrigin(2, 2, 2, 2);
@@ -160,9 +160,9 @@
         assertTrue(
                 List.of("b", "c").contains(own.body().path("cell").asText()),
                 own.body().toString());
-        // The id is in use there, so a submission with the same id is not accepted, nor confused with the inbound job.
-        Submission same = job(JOB_ID, "red", JobKind.ARRAY, Priority.LOW, 1);
-        CompletableFuture<UserApi.Answer> refused = remote.submitBodyTo(2, same.toNode());
+        // The id is in use there, so a submission with the duplicate id is not accepted, nor confused with the inbound job.
+        Submission duplicate = job(JOB_ID, "red", JobKind.ARRAY, Priority.LOW, 1);
+        CompletableFuture<UserApi.Answer> refused = remote.submitBodyTo(2, duplicate.toNode());
         run(federation, 2);
         assertEquals(503, refused.join().status());
         run(federation, 120);
@@ -215,8 +215,8 @@
                 boolean accepted = reply instanceof CellReply.Reports reports
                         && reports.reports().stream().anyMatch(r -> r.state() == InboundJobState.QUEUED);
                 SimulatedCluster cell = federation.cells.get(from);
-                if (accepted && !cell.reportedPhases.containsKey("fill-00010" + from)) {
-                    cell.submit(job("fill-00010" + from, "red", JobKind.ARRAY, Priority.CRITICAL, 8));
+                if (accepted && !cell.reportedPhases.containsKey("filler-00010" + from)) {
+                    cell.submit(job("filler-00010" + from, "red", JobKind.ARRAY, Priority.CRITICAL, 8));
                 }
                 return reply;
             }
