--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -173,7 +173,7 @@
     }
 
     String address() {
-        return cluster.surroundings
+        return cluster.environment
                 .outside()
                 .map(outside -> outside.addressOf(this))
                 .orElseGet(() -> "worker:" + id.substring(2));
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -102,7 +102,7 @@
             cluster.violations.add("wrong_place: " + started.task);
         }
         cluster.startedAt.putIfAbsent(started.task.job(), cluster.sim.now());
-        cluster.surroundings.watcher().started(cluster, started);
+        cluster.environment.watcher().started(cluster, started);
         if (cluster.cancelled.containsKey(started.task.job())) {
             cluster.startsAfterCancel.add(started.task.toString());
             Duration told = cluster.cancelled.get(started.task.job());
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -59,7 +59,7 @@
     final Map<String, Submission> jobs;
     final Map<String, Set<Integer>> done;
     final Map<String, Duration> cancelled;
-    final SimulatedEnvironment surroundings;
+    final SimulatedEnvironment environment;
     private final SimulatedUsers users = new SimulatedUsers(this);
     private final SimulatedOperators operators;
     final Map<String, String> reportedPhases = new HashMap<>();
@@ -149,17 +149,17 @@
     }
 
     /** Creates a cluster that shares virtual time and the record of jobs with other clusters. */
-    SimulatedCluster(SimulatedEnvironment surroundings, ClusterShape shape) {
+    SimulatedCluster(SimulatedEnvironment environment, ClusterShape shape) {
         Arrays.fill(formats, shape.format());
         this.shape = shape;
         this.maxMachines = shape.maxMachines();
         this.nameStep = shape.nameStep();
-        this.surroundings = surroundings;
-        jobs = surroundings.jobs();
-        done = surroundings.done();
-        completed = surroundings.completed();
-        cancelled = surroundings.cancelled();
-        sim = surroundings.sim();
+        this.environment = environment;
+        jobs = environment.jobs();
+        done = environment.done();
+        completed = environment.completed();
+        cancelled = environment.cancelled();
+        sim = environment.sim();
         operators = new SimulatedOperators(sim, node -> controllers[node], violations::add);
         state = new FakeStateStore(sim);
         shape.stateRates().ifPresent(rates -> {
@@ -169,7 +169,7 @@
         if (!shape.large()) {
             state.setListener(new StoredAllocations(this));
         }
-        if (surroundings.outside().isEmpty()) {
+        if (environment.outside().isEmpty()) {
             for (int i = 0; i < 3; i++) {
                 startController(i);
             }
@@ -193,12 +193,12 @@
                 ClusterSettings.of(this, i),
                 caller(process, i),
                 process,
-                surroundings.formats(formats[i]),
+                environment.formats(formats[i]),
                 why -> {
                     recordEvent("controller gave up");
                     process.kill();
                 },
-                context -> surroundings.connector().connect(i, process, context));
+                context -> environment.connector().connect(i, process, context));
         controllers[i].start();
     }
 
@@ -500,8 +500,8 @@
     }
 
     void sendHeartbeat(int node, FakeWorker from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
-        if (surroundings.outside().isPresent()) {
-            surroundings.outside().get().report(node, report, answer);
+        if (environment.outside().isPresent()) {
+            environment.outside().get().report(node, report, answer);
             return;
         }
         for (int copy = 0; copy < delayedDuplicates; copy++) {
--- a/src/test/java/org/dunespindle/sim/TaskRuns.java
+++ b/src/test/java/org/dunespindle/sim/TaskRuns.java
@@ -53,7 +53,7 @@
         }
         all.forEach(t -> {
             cluster.done.computeIfAbsent(t.task.job(), j -> new HashSet<>()).add(t.task.index());
-            cluster.surroundings.watcher().finished(cluster, t);
+            cluster.environment.watcher().finished(cluster, t);
             t.exit("done");
         });
         String id = one.task.job();
