--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -174,8 +174,8 @@
 
     String address() {
         return cluster.environment
-                .outside()
-                .map(outside -> outside.addressOf(this))
+                .externalControllers()
+                .map(externalControllers -> externalControllers.addressOf(this))
                 .orElseGet(() -> "worker:" + id.substring(2));
     }
 
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -72,7 +72,7 @@
     private record Waiting(BooleanSupplier condition, CompletableFuture<Void> met) {}
 
     /** One cell: its stand-ins and its controllers. */
-    final class Cell implements SimulatedEnvironment.Outside {
+    final class Cell implements SimulatedEnvironment.ExternalControllers {
         final String name;
         SimulatedCluster standIns;
         final Running[] controllers = new Running[CONTROLLERS];
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -169,7 +169,7 @@
         if (!shape.large()) {
             state.setListener(new StoredAllocations(this));
         }
-        if (environment.outside().isEmpty()) {
+        if (environment.externalControllers().isEmpty()) {
             for (int i = 0; i < 3; i++) {
                 startController(i);
             }
@@ -500,8 +500,8 @@
     }
 
     void sendHeartbeat(int node, FakeWorker from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
-        if (environment.outside().isPresent()) {
-            environment.outside().get().report(node, report, answer);
+        if (environment.externalControllers().isPresent()) {
+            environment.externalControllers().get().report(node, report, answer);
             return;
         }
         for (int copy = 0; copy < delayedDuplicates; copy++) {
--- a/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
@@ -20,7 +20,7 @@
  *
  * @param connector links controllers to other cells
  * @param watcher called for every task that starts or completes
- * @param outside transport between workers and controllers that run as separate processes; empty if controllers are simulated
+ * @param externalControllers transport between workers and controllers that run as separate processes; empty if controllers are simulated
  */
 record SimulatedEnvironment(
         VirtualTime sim,
@@ -30,10 +30,10 @@
         Map<String, Duration> cancelled,
         Connector connector,
         Watcher watcher,
-        Optional<Outside> outside) {
+        Optional<ExternalControllers> externalControllers) {
 
     /** Transport to controllers that run outside the simulation. */
-    interface Outside {
+    interface ExternalControllers {
         /** Sends a worker's heartbeat to a controller; the status is 0 if there is no answer. */
         void report(int node, ObjectNode report, BiConsumer<Integer, JsonNode> answer);
 
