--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -98,7 +98,7 @@
             run.moved += List.of("b", "c").contains(federation.finishedIn(id)) ? 1 : 0;
         }
         run.jobs = ids.size();
-        federation.cells.forEach(cell -> run.writes += cell.counts.getOrDefault("writes", 0));
+        federation.cells.forEach(cell -> run.writes += cell.callCounts.getOrDefault("writes", 0));
         federation.calls.forEach((kind, count) -> run.calls += count);
         run.broken = federation.violations();
         return run;
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -64,7 +64,7 @@
     private static Map<String, Integer> crashOfAll(int machines) {
         SimulatedCluster cluster = busy(machines);
         assertEquals(machines, busyMachines(cluster));
-        var before = new TreeMap<>(cluster.counts);
+        var before = new TreeMap<>(cluster.callCounts);
         long sessions = cluster.alive().stream().mapToLong(FakeWorker::session).sum();
         for (int n = 0; n < 3; n++) {
             cluster.crash(n, Duration.ofMillis(1500 + 700L * n));
@@ -74,7 +74,7 @@
         String hosts = cluster.admin(0, "GET", "/v1/hosts", "").join().body().toString();
         assertTrue(hosts.contains("i-0001"), hosts.substring(0, Math.min(200, hosts.length())));
         var calls = new TreeMap<String, Integer>();
-        cluster.counts.forEach((kind, n) -> calls.put(kind, n - before.getOrDefault(kind, 0)));
+        cluster.callCounts.forEach((kind, n) -> calls.put(kind, n - before.getOrDefault(kind, 0)));
         return calls;
     }
 
@@ -117,12 +117,12 @@
         cluster.alive().stream()
                 .filter(w -> w.id().hashCode() % 3 == 0)
                 .forEach(w -> cluster.disconnect(w, Duration.ofSeconds(25)));
-        int before = cluster.counts.get("worker");
+        int before = cluster.callCounts.get("worker");
         cluster.sim.run(Duration.ofSeconds(84));
         assertTrue(cluster.maxOpenWorkerCalls <= MAX_WORKER_CALLS, cluster.maxOpenWorkerCalls + " calls at once");
         assertTrue(
-                cluster.counts.get("worker") - before < 20 * SMALL,
-                "calls to machines: " + (cluster.counts.get("worker") - before));
+                cluster.callCounts.get("worker") - before < 20 * SMALL,
+                "calls to machines: " + (cluster.callCounts.get("worker") - before));
         cluster.sim.run(Duration.ofSeconds(130));
         assertEquals(0, cluster.violations.size(), cluster.violations.toString());
     }
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -133,7 +133,7 @@
         var cluster = new SimulatedCluster(631);
         cluster.submit(array("wk-000001", "red", Priority.LOW, 4));
         cluster.sim.run(Duration.ofSeconds(7));
-        int before = cluster.counts.get("state");
+        int before = cluster.callCounts.get("state");
         var answers = new ArrayList<CompletableFuture<UserApi.Answer>>();
         for (int k = 0; k < 200; k++) {
             cluster.sim.after(10L * k, () -> {
@@ -145,7 +145,7 @@
         cluster.sim.run(Duration.ofSeconds(11));
         assertEquals(4000, answers.size());
         assertTrue(answers.stream().allMatch(a -> a.isDone() && a.join().status() == 200));
-        int readings = cluster.counts.get("state") - before;
+        int readings = cluster.callCounts.get("state") - before;
         assertTrue(readings < 500, readings + " calls to the state store for 4,000 polls");
         assertEquals(List.of(), cluster.violations);
     }
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -243,7 +243,7 @@
     /** The duration of tasks; if empty it is drawn between 2 and 8 s. */
     Optional<Duration> taskDuration = Optional.empty();
     /** Calls of controllers by target ("state", "cloud", "node", "worker"), and key changes in transactions ("writes"). */
-    final Map<String, Integer> counts = new TreeMap<>();
+    final Map<String, Integer> callCounts = new TreeMap<>();
 
     private final int[] openWorkerCalls = new int[3];
     /** The highest number of concurrent calls to workers by one controller. */
@@ -252,10 +252,11 @@
     private void countCall(
             int from, String address, String target, byte[] body, CompletableFuture<HttpClientResponse> result) {
         String kind = address.substring(0, address.indexOf(':'));
-        counts.merge(kind, 1, Integer::sum);
+        callCounts.merge(kind, 1, Integer::sum);
         if (target.equals("/txn")) {
             try {
-                counts.merge("writes", MessagePackCodec.read(body).path("apply").size(), Integer::sum);
+                callCounts.merge(
+                        "writes", MessagePackCodec.read(body).path("apply").size(), Integer::sum);
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
