--- a/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
@@ -31,7 +31,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void invariantsHoldUnderRandomFaultsWithALimitedStore(long seed) {
-        runSchedule(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
+        runSchedule(seed, RandomFaultSchedule.StateService.LIMITED_AND_SLOW);
     }
 
     private static void runSchedule(long seed, RandomFaultSchedule.StateService stateService) {
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -24,10 +24,10 @@
         /** No rate limit, no additional delay. */
         UNLIMITED,
         /** Requests beyond the rate limits are rejected, and answers are delayed. */
-        SCARCE_AND_SLOW;
+        LIMITED_AND_SLOW;
 
         ClusterShape of(ClusterShape shape) {
-            return this == SCARCE_AND_SLOW ? shape.withStateRates(REQUESTS_PER_SECOND, WRITES_PER_SECOND) : shape;
+            return this == LIMITED_AND_SLOW ? shape.withStateRates(REQUESTS_PER_SECOND, WRITES_PER_SECOND) : shape;
         }
     }
 
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
@@ -26,7 +26,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void whateverMeetsWhileWritesAreScarce(long seed) {
-        play(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
+        play(seed, RandomFaultSchedule.StateService.LIMITED_AND_SLOW);
     }
 
     private static void play(long seed, RandomFaultSchedule.StateService stateService) {
