--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -179,7 +179,7 @@
                 .orElseGet(() -> "worker:" + id.substring(2));
     }
 
-    ObjectNode report() {
+    ObjectNode heartbeat() {
         ObjectNode n = MessagePackCodec.map()
                 .put("host", id)
                 .put("address", address())
@@ -219,7 +219,7 @@
         long sentIn = session;
         Duration sentAt = sim.now();
         var done = new boolean[1];
-        cluster.sendHeartbeat(node, this, report(), (status, body) -> {
+        cluster.sendHeartbeat(node, this, heartbeat(), (status, body) -> {
             if (done[0] || isHung()) {
                 return;
             }
@@ -250,11 +250,11 @@
 
     FakeStateStore.Reply commands(JsonNode body) {
         if (body.path("baton").asLong() < token || body.path("tenure").asLong() != session) {
-            return new FakeStateStore.Reply(409, report());
+            return new FakeStateStore.Reply(409, heartbeat());
         }
         token = body.path("baton").asLong();
         execute(body.path("orders"));
-        return new FakeStateStore.Reply(200, report());
+        return new FakeStateStore.Reply(200, heartbeat());
     }
 
     private void execute(JsonNode commands) {
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -133,7 +133,7 @@
                 if (workerPorts.getOrDefault(worker.id(), -1) == port) {
                     return reply(
                             call.path().equals("/inspect")
-                                    ? new FakeStateStore.Reply(200, worker.report())
+                                    ? new FakeStateStore.Reply(200, worker.heartbeat())
                                     : worker.commands(body(call)));
                 }
             }
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -497,7 +497,7 @@
         }
         return w == null || w.dead
                 ? null
-                : target.equals("/inspect") ? new FakeStateStore.Reply(200, w.report()) : w.commands(body);
+                : target.equals("/inspect") ? new FakeStateStore.Reply(200, w.heartbeat()) : w.commands(body);
     }
 
     void sendHeartbeat(int node, FakeWorker from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
@@ -570,7 +570,7 @@
     /** Delivers a worker's heartbeat and returns the status of an immediate answer, or 0. */
     int heartbeatStatus(int node, FakeWorker w) {
         var status = new int[1];
-        deliverHeartbeat(controllers[node], w.report(), (code, body) -> status[0] = code);
+        deliverHeartbeat(controllers[node], w.heartbeat(), (code, body) -> status[0] = code);
         return status[0];
     }
 
