--- a/src/test/java/org/dunespindle/sim/AdminTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminTest.java
@@ -130,6 +130,6 @@
                 .path("hosts")
                 .forEach(h -> assertTrue(!h.path("id").asText().equals(host), "the drained machine is still listed"));
         assertEquals(java.util.List.of(), cluster.violations);
-        assertEquals("done", cluster.lastTold("wk-000001"));
+        assertEquals("done", cluster.lastReportedPhase("wk-000001"));
     }
 }
--- a/src/test/java/org/dunespindle/sim/ClusterTest.java
+++ b/src/test/java/org/dunespindle/sim/ClusterTest.java
@@ -49,7 +49,7 @@
     static void assertAllDone(SimulatedCluster cluster, List<String> ids) {
         assertEquals(List.of(), cluster.violations);
         for (String id : ids) {
-            assertEquals("done", cluster.lastTold(id), id);
+            assertEquals("done", cluster.lastReportedPhase(id), id);
         }
     }
 
@@ -182,7 +182,7 @@
         cluster.sim.run(Duration.ofSeconds(400));
         assertEquals(List.of(), cluster.violations);
         for (String id : ids) {
-            String last = cluster.lastTold(id);
+            String last = cluster.lastReportedPhase(id);
             assertEquals(true, last.equals("done") || last.equals("cancelled"), id + " is " + last);
         }
     }
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -275,7 +275,7 @@
         cluster.sim.run(cluster.sim.now().plusSeconds(30));
         for (String id : List.of("wk-000001", "wk-000002")) {
             assertTrue(
-                    List.of("running", "done").contains(cluster.lastTold(id)),
+                    List.of("running", "done").contains(cluster.lastReportedPhase(id)),
                     id + " still waits for its placement timeout: " + cluster.invariants.dump());
         }
         assertEquals(List.of(), cluster.violations);
@@ -435,7 +435,7 @@
         assertEquals(List.of(), cluster.violations);
         for (int i = 0; i < 4; i++) {
             String id = "wk-%06d".formatted(i);
-            assertEquals(id.equals(held) ? "cancelled" : "done", cluster.lastTold(id), id);
+            assertEquals(id.equals(held) ? "cancelled" : "done", cluster.lastReportedPhase(id), id);
         }
     }
 
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -199,7 +199,7 @@
                 .build();
         cluster.submit(gang);
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.ARRAY, 5, false, true));
-        while (!cluster.lastTold("wk-000001").equals("running")
+        while (!cluster.lastReportedPhase("wk-000001").equals("running")
                 && cluster.sim.now().compareTo(Duration.ofSeconds(60)) < 0) {
             cluster.sim.run(cluster.sim.now().plusSeconds(1));
         }
@@ -296,7 +296,7 @@
         cluster.sim.run(Duration.ofSeconds(270));
         assertEquals(List.of(), cluster.violations);
         assertTrue(
-                List.of("running", "done").contains(cluster.lastTold("wk-000001")),
+                List.of("running", "done").contains(cluster.lastReportedPhase("wk-000001")),
                 cluster.admin(0, "GET", "/v1/jobs/wk-000001", "").join().body().toString());
     }
 
@@ -321,8 +321,10 @@
         cluster.sim.after(26_000, () -> cluster.crash((int) seed % 3, Duration.ofMillis(300)));
         cluster.sim.run(Duration.ofSeconds(400));
         assertEquals(List.of(), cluster.violations);
-        ids.stream().filter(id -> !id.equals(ids.get(9))).forEach(id -> assertEquals("done", cluster.lastTold(id), id));
-        assertTrue(List.of("done", "cancelled").contains(cluster.lastTold(ids.get(9))));
+        ids.stream()
+                .filter(id -> !id.equals(ids.get(9)))
+                .forEach(id -> assertEquals("done", cluster.lastReportedPhase(id), id));
+        assertTrue(List.of("done", "cancelled").contains(cluster.lastReportedPhase(ids.get(9))));
     }
 
     /** Two controllers crash and the third takes over their machines. A running machine is reported only once, so the last contact reported by a former owner may be minutes old and must not count against the machine. */
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -84,7 +84,7 @@
         run(federation, 240);
         assertEquals(List.of(), federation.violations());
         for (String id : builds) {
-            assertEquals("done", federation.cell("a").lastTold(id), id + " " + federation.calls);
+            assertEquals("done", federation.cell("a").lastReportedPhase(id), id + " " + federation.calls);
             assertTrue(List.of("b", "c").contains(federation.finishedIn(id)), id);
         }
     }
@@ -137,7 +137,7 @@
         run(federation, 300);
         assertEquals(List.of(), federation.violations());
         for (String id : builds) {
-            assertEquals("done", federation.cell("a").lastTold(id), id);
+            assertEquals("done", federation.cell("a").lastReportedPhase(id), id);
             assertEquals("b", federation.finishedIn(id), id);
         }
     }
@@ -150,7 +150,8 @@
                 federation,
                 "it runs elsewhere",
                 150,
-                () -> phase(a, BUILD).equals("ACCEPTED") && a.lastTold(BUILD).equals("running"));
+                () -> phase(a, BUILD).equals("ACCEPTED")
+                        && a.lastReportedPhase(BUILD).equals("running"));
         SimulatedCluster receiver = receiverOf(federation);
         assertEquals(404, receiver.poll(0, BUILD).join().status());
         assertEquals(404, receiver.cancelAt(1, BUILD).status());
@@ -166,7 +167,7 @@
         run(federation, 2);
         assertEquals(503, refused.join().status());
         run(federation, 120);
-        assertEquals("done", a.lastTold(BUILD));
+        assertEquals("done", a.lastReportedPhase(BUILD));
         assertEquals(List.of(), federation.violations());
     }
 
@@ -182,7 +183,11 @@
     void aCancellationIsConfirmedOnlyOnceTheOtherCellHasStoredIt() {
         SimulatedFederation federation = withOneBuild(4, Duration.ofSeconds(200));
         SimulatedCluster a = federation.cell("a");
-        until(federation, "it runs elsewhere", 150, () -> a.lastTold(BUILD).equals("running"));
+        until(
+                federation,
+                "it runs elsewhere",
+                150,
+                () -> a.lastReportedPhase(BUILD).equals("running"));
         int there = federation.cells.indexOf(receiverOf(federation));
         federation.cut(0, there, true);
         var answer = new CompletableFuture<UserApi.Answer>();
@@ -191,7 +196,11 @@
         assertEquals(503, answer.join().status(), answer.join().body().toString());
         federation.cut(0, there, false);
         a.cancel(BUILD);
-        until(federation, "its user is told", 30, () -> a.lastTold(BUILD).equals("cancelled"));
+        until(
+                federation,
+                "its user is told",
+                30,
+                () -> a.lastReportedPhase(BUILD).equals("cancelled"));
         run(federation, 60);
         assertTrue(federation.cells.get(there).invariants.live().isEmpty());
         assertEquals(List.of(), federation.violations());
@@ -217,7 +226,7 @@
         federation.sim.after(15_000, () -> federation.cell("a").submit(build));
         run(federation, 900);
         assertEquals(List.of(), federation.violations());
-        assertEquals("done", federation.cell("a").lastTold(BUILD));
+        assertEquals("done", federation.cell("a").lastReportedPhase(BUILD));
     }
 
     @Test
@@ -232,7 +241,7 @@
         federation.cell("a").formats[1] = FormatVersion.DELEGATION_LINKS;
         federation.cell("a").crash(1, Duration.ofMillis(200));
         run(federation, 150);
-        assertEquals("done", federation.cell("a").lastTold("wk-000000"));
+        assertEquals("done", federation.cell("a").lastReportedPhase("wk-000000"));
         assertEquals(List.of(), federation.violations());
     }
 
@@ -271,7 +280,7 @@
         };
         run(federation, 300);
         assertEquals(List.of(), federation.violations());
-        assertEquals("done", a.lastTold(BUILD));
+        assertEquals("done", a.lastReportedPhase(BUILD));
         assertTrue(federation.finishedIn(BUILD).matches("[bc]"));
     }
 
@@ -300,7 +309,11 @@
     void aCellThatWasRebuiltEmptyIsNotTakenForTheOneThatHoldsTheJob() {
         SimulatedFederation federation = withOneBuild(8, Duration.ofSeconds(400));
         SimulatedCluster a = federation.cell("a");
-        until(federation, "it runs elsewhere", 150, () -> a.lastTold(BUILD).equals("running"));
+        until(
+                federation,
+                "it runs elsewhere",
+                150,
+                () -> a.lastReportedPhase(BUILD).equals("running"));
         SimulatedCluster receiver = receiverOf(federation);
         receiver.state.restore(new TreeMap<>());
         for (int node = 0; node < 3; node++) {
@@ -335,7 +348,11 @@
         SimulatedCluster a = federation.cell("a");
         run(federation, 14);
         List<Runnable> putBack = List.of(remember(federation.cell("b")), remember(federation.cell("c")));
-        until(federation, "it runs elsewhere", 150, () -> a.lastTold(BUILD).equals("running"));
+        until(
+                federation,
+                "it runs elsewhere",
+                150,
+                () -> a.lastReportedPhase(BUILD).equals("running"));
         int there = federation.cells.indexOf(receiverOf(federation));
         putBack.get(there - 1).run();
         run(federation, 60);
@@ -351,7 +368,11 @@
         SimulatedCluster a = federation.cell("a");
         run(federation, 14);
         Runnable putBack = remember(a);
-        until(federation, "it runs elsewhere", 150, () -> a.lastTold(BUILD).equals("running"));
+        until(
+                federation,
+                "it runs elsewhere",
+                150,
+                () -> a.lastReportedPhase(BUILD).equals("running"));
         run(federation, 10);
         putBack.run();
         run(federation, 60);
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -201,7 +201,8 @@
         }
         groups.forEach((name, members) -> {
             if (members.stream()
-                                    .filter(j -> cluster.lastTold(j.id()).equals("done"))
+                                    .filter(j ->
+                                            cluster.lastReportedPhase(j.id()).equals("done"))
                                     .count()
                             * 2
                     < members.size()) {
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -200,7 +200,7 @@
                     .whenComplete((reply, failure) -> {
                         String phase = failure == null && reply.status() == 200
                                 ? parsed(reply).path("phase").asText()
-                                : standIns.lastTold(id);
+                                : standIns.lastReportedPhase(id);
                         standIns.reportedPhases.put(id, phase);
                         if (!standIns.isOver(id)) {
                             sim.after(300, () -> poll(id, (node + 1) % CONTROLLERS));
--- a/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
@@ -34,7 +34,8 @@
             cells.await(
                     "all builds are done",
                     Duration.ofSeconds(150),
-                    () -> builds.stream().allMatch(id -> a.standIns.lastTold(id).equals("done")));
+                    () -> builds.stream()
+                            .allMatch(id -> a.standIns.lastReportedPhase(id).equals("done")));
             assertEquals(List.of(), cells.on(cells::violations));
             for (String id : builds) {
                 assertTrue(List.of("b", "c").contains(cells.on(() -> cells.watch.finishedIn(id))), id);
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -70,7 +70,7 @@
         faulty.forEach(cluster::cancel);
         cluster.sim.run(Duration.ofSeconds(200));
         assertEquals(List.of(), cluster.violations);
-        faulty.forEach(id -> assertEquals("cancelled", cluster.lastTold(id)));
+        faulty.forEach(id -> assertEquals("cancelled", cluster.lastReportedPhase(id)));
     }
 
     /** If the machine is faulty, its jobs run elsewhere and the machine is terminated. */
@@ -173,9 +173,9 @@
         }
         cluster.sim.run(Duration.ofSeconds(90));
         ids.forEach(id -> assertEquals(
-                "done", cluster.lastTold(id), id + " is within its team's guarantee but is not done in time"));
+                "done", cluster.lastReportedPhase(id), id + " is within its team's guarantee but is not done in time"));
         cluster.sim.run(Duration.ofSeconds(300));
-        assertEquals("done", cluster.lastTold("wk-000100"));
+        assertEquals("done", cluster.lastReportedPhase("wk-000100"));
         assertEquals(List.of(), cluster.violations);
     }
 }
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -115,9 +115,9 @@
                         .toList());
         List<String> kept = ids.subList(4, ids.size());
         assertTrue(
-                kept.stream().allMatch(id -> cluster.lastTold(id).equals("done")),
+                kept.stream().allMatch(id -> cluster.lastReportedPhase(id).equals("done")),
                 () -> kept.stream()
-                                .filter(id -> !cluster.lastTold(id).equals("done"))
+                                .filter(id -> !cluster.lastReportedPhase(id).equals("done"))
                                 .toList() + " are not done");
     }
 }
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -149,8 +149,8 @@
         var failures = new ArrayList<>(cluster.violations);
         failures.addAll(cluster.invariants.failedCriteria());
         for (String id : ids) {
-            if (!List.of("done", "cancelled").contains(cluster.lastTold(id))) {
-                failures.add(id + " is " + cluster.lastTold(id));
+            if (!List.of("done", "cancelled").contains(cluster.lastReportedPhase(id))) {
+                failures.add(id + " is " + cluster.lastReportedPhase(id));
             }
         }
         return failures;
@@ -290,7 +290,7 @@
         switch (fault) {
             case CANCEL_RUNNING_JOBS -> {
                 ids.stream()
-                        .filter(id -> cluster.lastTold(id).equals("running"))
+                        .filter(id -> cluster.lastReportedPhase(id).equals("running"))
                         .limit(4)
                         .forEach(id -> cluster.sim.after(random.nextInt(200), () -> cluster.cancel(id)));
                 if (random.nextBoolean()) {
@@ -307,7 +307,7 @@
                     cluster.sim.after(millis(0, 40_000), () -> cluster.resubmit(id));
                     cluster.sim.after(millis(0, 40_000), () -> cluster.pollUnknownJob("wk-9" + random.nextInt(9999)));
                     cluster.sim.after(millis(0, 40_000), () -> {
-                        if (cluster.lastTold(id).equals("done")) {
+                        if (cluster.lastReportedPhase(id).equals("done")) {
                             cluster.cancel(id);
                         }
                     });
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -195,7 +195,7 @@
         SimulatedCluster home = federation.cells.get(0);
         for (String id : builds) {
             if (!home.isOver(id)) {
-                wrong.add(id + " is " + home.lastTold(id) + " in phase "
+                wrong.add(id + " is " + home.lastReportedPhase(id) + " in phase "
                         + home.state.rows().get("ds/job/" + id).value().path("away"));
             }
         }
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -151,7 +151,7 @@
         assertEquals(200, submit(cluster, validJob(1).toNode()).status());
         cluster.submit(validJob(1));
         cluster.sim.run(Duration.ofSeconds(60));
-        assertEquals("done", cluster.lastTold("wk-000001"));
+        assertEquals("done", cluster.lastReportedPhase("wk-000001"));
         assertEquals(
                 "done",
                 submit(cluster, validJob(1).toNode()).body().path("phase").asText());
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -67,7 +67,7 @@
     private static void cancelAndAssertGone(SimulatedCluster cluster) {
         cluster.cancel(ID);
         cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL_TIMEOUT));
-        assertEquals("cancelled", cluster.lastTold(ID));
+        assertEquals("cancelled", cluster.lastReportedPhase(ID));
         assertEquals(List.of(), replicas(cluster));
         assertEquals(List.of(), cluster.violations);
     }
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -682,7 +682,7 @@
         return Optional.ofNullable(cancelled.get(id));
     }
 
-    String lastTold(String id) {
+    String lastReportedPhase(String id) {
         return reportedPhases.getOrDefault(id, "");
     }
 
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -147,7 +147,7 @@
         assertEquals(List.of(), cluster.violations);
         cluster.sim.run(cluster.sim.now().plusSeconds(180));
         assertEquals(List.of(), cluster.violations);
-        assertEquals("done", cluster.lastTold(last));
+        assertEquals("done", cluster.lastReportedPhase(last));
     }
 
     /**
@@ -193,7 +193,7 @@
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(180));
         assertEquals(List.of(), cluster.violations);
-        assertEquals("done", cluster.lastTold(ofRestarted.get(1)));
+        assertEquals("done", cluster.lastReportedPhase(ofRestarted.get(1)));
     }
 
     /** More seeds than the default are run with {@code mvn test -Dtest=TeamLimitTest -Dlimits.from=1000 -Dlimits.count=500}. */
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsDay.java
@@ -76,7 +76,7 @@
     /** Returns the jobs that are neither done nor cancelled. */
     List<String> unfinished() {
         return ids.stream()
-                .filter(id -> !List.of("done", "cancelled").contains(cluster.lastTold(id)))
+                .filter(id -> !List.of("done", "cancelled").contains(cluster.lastReportedPhase(id)))
                 .toList();
     }
 
@@ -152,7 +152,7 @@
             }
             case CANCELLATIONS ->
                 ids.stream()
-                        .filter(id -> cluster.lastTold(id).equals("running"))
+                        .filter(id -> cluster.lastReportedPhase(id).equals("running"))
                         .limit(3)
                         .forEach(cluster::cancel);
             default -> {}
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -121,9 +121,9 @@
         cluster.sim.run(Duration.ofSeconds(420));
         assertEquals(List.of(), cluster.violations);
         ids.forEach(id -> assertTrue(
-                cluster.lastTold(id).equals("done") || (cancelled.contains(id) && cluster.isOver(id)),
-                id + " is " + cluster.lastTold(id)));
-        assertEquals("cancelled", cluster.lastTold("wk-000900"));
+                cluster.lastReportedPhase(id).equals("done") || (cancelled.contains(id) && cluster.isOver(id)),
+                id + " is " + cluster.lastReportedPhase(id)));
+        assertEquals("cancelled", cluster.lastReportedPhase("wk-000900"));
         assertTrue(cluster.events.containsKey("stored parts"), "no record was split into parts");
         assertTrue(!partsStored(cluster), "parts of ended jobs are still stored");
     }
