--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -69,8 +69,8 @@
         List<String> cancelled = ids.subList(0, 4);
         cancelAt(cluster, other(leader, 1), cancelled);
         cluster.state.unavailable = true;
-        Duration begun = cluster.sim.now();
-        cluster.sim.run(begun.plusSeconds(6));
+        Duration outageStart = cluster.sim.now();
+        cluster.sim.run(outageStart.plusSeconds(6));
         assertEquals(
                 List.of(),
                 all.stream()
@@ -78,7 +78,7 @@
                         .map(FakeWorker::id)
                         .toList(),
                 "the leader stops them at once when its peers report the cancellations");
-        cluster.sim.run(begun.plus(SimulatedCluster.CANCEL_TIMEOUT).plusSeconds(15));
+        cluster.sim.run(outageStart.plus(SimulatedCluster.CANCEL_TIMEOUT).plusSeconds(15));
         assertEquals(List.of(), cluster.violations);
         assertEquals(
                 List.of(),
@@ -102,12 +102,12 @@
         cluster.refusedNode = leader;
         cluster.peersPartitioned = seed % 2 == 0;
         cluster.sim.run(cluster.sim.now().plusMillis(100 + 100 * (seed - 311)));
-        int confirms = other(leader, 1 + (int) seed / 2 % 2);
-        cancelAt(cluster, confirms, ids.subList(0, 4));
+        int confirmingNode = other(leader, 1 + (int) seed / 2 % 2);
+        cancelAt(cluster, confirmingNode, ids.subList(0, 4));
         cluster.state.unavailable = true;
         if (!cluster.peersPartitioned) {
             // Once restarted, it cannot read the store, so it has nothing to report to its peers.
-            cluster.crash(confirms, Duration.ofSeconds(2));
+            cluster.crash(confirmingNode, Duration.ofSeconds(2));
         }
         cluster.sim.run(cluster.sim.now().plus(SimulatedCluster.CANCEL_TIMEOUT).plusSeconds(25));
         assertEquals(List.of(), cluster.violations);
@@ -129,26 +129,26 @@
         var random = new Random(seed);
         List<String> ids = longJobs(cluster, 8);
         for (int round = 0; round < 2; round++) {
-            int refused = random.nextInt(4) == 0 ? random.nextInt(3) : cluster.leader();
-            cluster.refusedNode = refused;
-            for (int pair = 0; pair < 9; pair++) {
+            int rejectedNode = random.nextInt(4) == 0 ? random.nextInt(3) : cluster.leader();
+            cluster.refusedNode = rejectedNode;
+            for (int link = 0; link < 9; link++) {
                 if (random.nextInt(5) == 0) {
-                    cluster.blockedPeerLinks.add(pair);
+                    cluster.blockedPeerLinks.add(link);
                 }
             }
             cluster.maxPeerDelayMillis = random.nextInt(3) == 0 ? 1400 : 0;
             cluster.sim.run(cluster.sim.now().plusMillis(random.nextInt(5000)));
-            int confirms = other(Math.max(0, refused), 1 + random.nextInt(2));
+            int confirmingNode = other(Math.max(0, rejectedNode), 1 + random.nextInt(2));
             List<String> some = ids.subList(4 * round, 4 * round + 1 + random.nextInt(3));
-            cluster.userNode = confirms;
+            cluster.userNode = confirmingNode;
             some.forEach(cluster::cancel);
             cluster.sim.run(cluster.sim.now().plusMillis(30 + random.nextInt(250)));
             cluster.userNode = -1;
             cluster.state.unavailable = true;
             cluster.sim.run(cluster.sim.now().plusMillis(random.nextInt(1500)));
             switch (random.nextInt(4)) {
-                case 0, 1 -> cluster.crash(confirms, Duration.ofMillis(50 + random.nextInt(3000)));
-                case 2 -> cluster.freeze(confirms, Duration.ofMillis(2000 + random.nextInt(20_000)));
+                case 0, 1 -> cluster.crash(confirmingNode, Duration.ofMillis(50 + random.nextInt(3000)));
+                case 2 -> cluster.freeze(confirmingNode, Duration.ofMillis(2000 + random.nextInt(20_000)));
                 default -> {}
             }
             cluster.sim.run(cluster.sim.now().plusMillis(3000 + random.nextInt(45_000)));
@@ -304,8 +304,8 @@
                 .orElseThrow();
         affected.cannotSend(true);
         cluster.sim.run(Duration.ofSeconds(30));
-        long held = affected.occupiedSlots();
-        assertEquals(0, held, "tasks are started on it although its leases expire");
+        long occupied = affected.occupiedSlots();
+        assertEquals(0, occupied, "tasks are started on it although its leases expire");
         cluster.sim.run(Duration.ofSeconds(75));
         assertTrue(affected.dead(), "the machine was not terminated");
         cluster.sim.run(Duration.ofSeconds(300));
@@ -331,12 +331,12 @@
                     () -> cluster.crash(Math.max(0, cluster.leader()), Duration.ofMillis(300)));
         }
         cluster.sim.run(Duration.ofSeconds(55));
-        Duration calm = cluster.sim.now();
+        Duration lastCrash = cluster.sim.now();
         cluster.sim.run(Duration.ofSeconds(200));
         ClusterTest.assertAllDone(cluster, ids);
         for (String id : ids) {
             Duration last = cluster.completedAt(id).orElseThrow();
-            if (last.compareTo(calm) > 0) {
+            if (last.compareTo(lastCrash) > 0) {
                 // The simulated user polls about every five seconds.
                 assertEquals(200, cluster.poll(0, id).join().status());
             }
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -133,7 +133,7 @@
         for (int n = 0; n < 3; n++) {
             cluster.crash(n, n == 0 ? Duration.ofMillis(5300) : Duration.ofSeconds(20));
         }
-        // By then one has restarted, but has not taken over the others' machines yet.
+        // One controller has restarted, but has not taken over the others' machines yet.
         cluster.sim.run(cluster.sim.now().plusMillis(6300));
         for (FakeWorker w : all) {
             assertEquals(200, cluster.heartbeatStatus(0, w), w.id());
@@ -231,7 +231,7 @@
         cluster.sim.after(30_000, () -> cluster.state.unavailable = true);
         cluster.sim.after(44_000, cluster.state::recover);
         cluster.sim.after(44_100, () -> cluster.lossRate = 0);
-        cluster.sim.run(Duration.ofSeconds(119)); // 75 s after the last trouble
+        cluster.sim.run(Duration.ofSeconds(119)); // 75 s after the last fault
         for (int node = 0; node < 3; node++) {
             for (String id : ids) {
                 assertEquals(200, cluster.poll(node, id).join().status(), id + " at controller " + node);
@@ -361,7 +361,7 @@
         cluster.crash((leader + 1) % 3, Duration.ofSeconds(200));
         cluster.crash((leader + 2) % 3, Duration.ofSeconds(200));
         cluster.sim.run(Duration.ofSeconds(75));
-        // Its workers cannot reach it right after it wakes, so their last heartbeats are old by then.
+        // Its workers cannot reach it right after it wakes, so their last heartbeats are old.
         List<FakeWorker> all = cluster.alive();
         List<FakeWorker> used =
                 all.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
@@ -376,7 +376,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A controller partitioned from all workers must give up leadership and its machines; otherwise it would terminate the machines for missing heartbeats. */
+    /** A controller partitioned from all workers must resign leadership and release its machines; otherwise it would terminate the machines for missing heartbeats. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void controllerPartitionedFromItsWorkersGivesUpItsMachines(int offset) {
@@ -467,7 +467,7 @@
     /** Machines are disconnected for longer than a lease and the leader crashes. When the disconnection ends, all delayed messages arrive at once, and commands that failed before must not count against the machines. */
     @ParameterizedTest
     @CsvSource({"191, 27", "192, 27", "193, 27", "191, 33", "192, 33", "193, 33"
-    }) // a new leader gives up a machine without a heartbeat after 25 s
+    }) // a new leader abandons a machine without a heartbeat after 25 s
     void machinesAreKeptWhenTheirDisconnectionEnds(long seed, int seconds) {
         var cluster = new SimulatedCluster(seed, 7, 10);
         cluster.submit(serviceIn("east", "wk-000001", "red", 10));
--- a/src/test/java/org/dunespindle/sim/FakeStateStore.java
+++ b/src/test/java/org/dunespindle/sim/FakeStateStore.java
@@ -160,7 +160,7 @@
         revision = before.values().stream().mapToLong(Row::stamp).max().orElse(0) + 1;
         log.clear();
         leases.clear();
-        listener.ifPresent(told -> told.restore(rows));
+        listener.ifPresent(observer -> observer.restore(rows));
     }
 
     private void remove(String key) {
@@ -234,7 +234,7 @@
                 log.add(e);
             }
         }
-        listener.ifPresent(told -> told.applied(revision, changesOf(body)));
+        listener.ifPresent(observer -> observer.applied(revision, changesOf(body)));
         return new Reply(200, MessagePackCodec.map().put("epoch", revision));
     }
 
--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -18,7 +18,7 @@
     private final VirtualTime sim;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private long session = 1;
-    private long tick;
+    private long heartbeatCount;
     private long token;
     private Duration leaseFrom;
     private int node;
@@ -55,7 +55,7 @@
         String cause = "";
         Duration endsAt = Duration.ofDays(1);
         Duration gatherUntil = Duration.ofDays(1);
-        Duration savedAt = Duration.ofDays(1);
+        Duration checkpointDoneAt = Duration.ofDays(1);
         boolean saved;
 
         Task(TaskId task, long attempt) {
@@ -187,7 +187,7 @@
                 .put("dune", zone)
                 .put("driftwood", spot)
                 .put("tenure", session)
-                .put("tick", ++tick)
+                .put("tick", ++heartbeatCount)
                 .put("baton", token);
         if (interruptedAt != null) {
             n.put("warningS", interruptedAt.minus(sim.now()).toMillis() / 1000.0);
@@ -275,7 +275,7 @@
                             && cluster.checkpointTime(task).compareTo(Duration.ZERO) > 0
                             && linger.compareTo(cluster.checkpointTime(task)) >= 0) {
                         t.phase = "saving";
-                        t.savedAt = sim.now().plus(cluster.checkpointTime(task));
+                        t.checkpointDoneAt = sim.now().plus(cluster.checkpointTime(task));
                     } else if (t != null
                             && !t.phase.equals("exited")
                             && !(t.phase.equals("saving") && linger.compareTo(Duration.ZERO) > 0)) {
@@ -294,12 +294,12 @@
     private void start(TaskId task, long attempt, String key) {
         Task t = new Task(task, attempt);
         tasks.put(key, t);
-        boolean held =
+        boolean alreadyRunning =
                 tasks.values().stream().anyMatch(o -> o != t && o.task.equals(task) && !o.phase.equals("exited"));
         long used = tasks.values().stream()
                 .filter(o -> o != t && !o.phase.equals("exited"))
                 .count();
-        if (held) {
+        if (alreadyRunning) {
             t.exit("busy");
         } else if (used >= SimulatedCluster.SLOTS) {
             t.exit("no_room");
@@ -345,7 +345,7 @@
                     t.exit("incomplete");
                 }
             } else if (t.phase.equals("saving")) {
-                if (sim.now().compareTo(t.savedAt) >= 0) {
+                if (sim.now().compareTo(t.checkpointDoneAt) >= 0) {
                     t.saved = true;
                     cluster.checkpointsWritten++;
                     t.exit("stopped");
--- a/src/test/java/org/dunespindle/sim/FleetTest.java
+++ b/src/test/java/org/dunespindle/sim/FleetTest.java
@@ -25,7 +25,7 @@
     /** Calls to workers may use an eighth of 1024 sockets. */
     private static final int MAX_WORKER_CALLS = 1024 / 8;
 
-    private static SimulatedCluster busy(int machines) {
+    private static SimulatedCluster busyCluster(int machines) {
         var cluster = new SimulatedCluster(201, machines, 1);
         cluster.addMachines(machines);
         cluster.taskDuration = Optional.of(Duration.ofMinutes(10));
@@ -61,8 +61,8 @@
     }
 
     /** Crashes all controllers and returns the number of calls by kind in the following 30 s. */
-    private static Map<String, Integer> crashOfAll(int machines) {
-        SimulatedCluster cluster = busy(machines);
+    private static Map<String, Integer> callsAfterCrashOfAll(int machines) {
+        SimulatedCluster cluster = busyCluster(machines);
         assertEquals(machines, busyMachines(cluster));
         var before = new TreeMap<>(cluster.callCounts);
         long sessions = cluster.alive().stream().mapToLong(FakeWorker::session).sum();
@@ -80,8 +80,8 @@
 
     @Test
     void callsAfterACrashOfAllGrowAtMostWithTheFleet() {
-        Map<String, Integer> small = crashOfAll(SMALL);
-        Map<String, Integer> large = crashOfAll(SMALL * SCALE);
+        Map<String, Integer> small = callsAfterCrashOfAll(SMALL);
+        Map<String, Integer> large = callsAfterCrashOfAll(SMALL * SCALE);
         for (String kind : small.keySet()) {
             assertTrue(
                     large.get(kind) <= small.get(kind) * SCALE * 1.3 + 20,
@@ -96,7 +96,7 @@
     /** A fleet of the required size starts, then the leader crashes, then all controllers; no task may be lost. */
     @Test
     void fourThousandMachinesKeepTheirTasksThroughCrashesOfTheLeaderAndOfAll() {
-        var cluster = busy(LARGEST);
+        var cluster = busyCluster(LARGEST);
         assertEquals(LARGEST, busyMachines(cluster));
         long sessions = cluster.alive().stream().mapToLong(FakeWorker::session).sum();
         int first = cluster.leader();
@@ -113,7 +113,7 @@
     /** A third of all machines is disconnected for longer than a lease. */
     @Test
     void callsStayBoundedWhileAThirdOfMachinesIsDisconnected() {
-        SimulatedCluster cluster = busy(SMALL * 2);
+        SimulatedCluster cluster = busyCluster(SMALL * 2);
         cluster.alive().stream()
                 .filter(w -> w.id().hashCode() % 3 == 0)
                 .forEach(w -> cluster.disconnect(w, Duration.ofSeconds(25)));
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.dunespindle.protocol.Submission;
 
-/** Checks the scheduler's invariants against the tasks on the workers of a simulated cluster, and the criteria that a whole run must meet. */
+/** Checks the scheduler's invariants against the tasks on the workers of a simulated cluster, and the criteria for a whole run. */
 final class InvariantChecker {
     private static final Duration MAX_WAIT = Duration.ofSeconds(90);
     private static final Duration MAX_START_DELAY_OF_LARGEST = Duration.ofMinutes(4);
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -54,10 +54,10 @@
         String decisions = cluster.decisions();
         assertTrue(!decisions.contains("it fails its tasks"), decisions);
         assertTrue(decisions.contains("taken for faulty"), decisions);
-        int tries = faulty.stream()
+        int attempts = faulty.stream()
                 .mapToInt(id -> cluster.errors.getOrDefault(id, 0))
                 .sum();
-        assertTrue(tries >= 4 && tries < 90, tries + " attempts in 150 s");
+        assertTrue(attempts >= 4 && attempts < 90, attempts + " attempts in 150 s");
         assertTrue(cluster.admin(0, "GET", "/v1/jobs/wk-000101", "")
                         .join()
                         .body()
@@ -145,8 +145,8 @@
         cluster.sim.run(Duration.ofSeconds(11));
         assertEquals(4000, answers.size());
         assertTrue(answers.stream().allMatch(a -> a.isDone() && a.join().status() == 200));
-        int readings = cluster.callCounts.get("state") - before;
-        assertTrue(readings < 500, readings + " calls to the state store for 4,000 polls");
+        int storeCalls = cluster.callCounts.get("state") - before;
+        assertTrue(storeCalls < 500, storeCalls + " calls to the state store for 4,000 polls");
         assertEquals(List.of(), cluster.violations);
     }
 
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -55,13 +55,13 @@
         cluster.sim.run(Duration.ofSeconds(60));
         List<FakeWorker> used =
                 cluster.alive().stream().filter(w -> w.occupiedSlots() > 0).toList();
-        int left = (int) (seed % 3);
+        int remaining = (int) (seed % 3);
         // A worker waits 4 s for each paused controller and 1 s before it tries the next: only the workers that try
         // both paused ones first exceed their lease.
-        List<FakeWorker> inTime =
-                used.stream().filter(w -> w.reportsTo() != (left + 1) % 3).toList();
-        pause(cluster, (left + 1) % 3, pauseOf(seed), LONG_PAUSE);
-        pause(cluster, (left + 2) % 3, pauseOf(seed / 2), LONG_PAUSE);
+        List<FakeWorker> withinLease =
+                used.stream().filter(w -> w.reportsTo() != (remaining + 1) % 3).toList();
+        pause(cluster, (remaining + 1) % 3, pauseOf(seed), LONG_PAUSE);
+        pause(cluster, (remaining + 2) % 3, pauseOf(seed / 2), LONG_PAUSE);
         var ids = new ArrayList<String>();
         for (int i = 0; i < 4; i++) {
             String id = "wk-%06d".formatted(i);
@@ -71,11 +71,16 @@
         cluster.sim.run(Duration.ofSeconds(146));
         // Polled directly, because simulated users pick a controller at random and seldom reach the one that answers.
         ids.forEach(id -> assertEquals(
-                "done", cluster.poll(left, id).join().body().path("phase").asText(), id + " while two are silent"));
+                "done",
+                cluster.poll(remaining, id).join().body().path("phase").asText(),
+                id + " while two are silent"));
         cluster.sim.run(Duration.ofSeconds(220));
         assertEquals(
                 List.of(),
-                inTime.stream().filter(w -> w.session() > 1).map(FakeWorker::id).toList());
+                withinLease.stream()
+                        .filter(w -> w.session() > 1)
+                        .map(FakeWorker::id)
+                        .toList());
         // A machine that lost its tasks with its lease may be terminated as idle, but none because its controllers were
         // paused.
         String decisions = cluster.decisions();
--- a/src/test/java/org/dunespindle/sim/RequestsTest.java
+++ b/src/test/java/org/dunespindle/sim/RequestsTest.java
@@ -75,12 +75,12 @@
         var random = new Random(seed);
         int number = 0;
         for (List<String> fields : List.of(TEXTS, COUNTS, AMOUNTS, FLAGS)) {
-            List<JsonNode> bad = fields == TEXTS
+            List<JsonNode> invalid = fields == TEXTS
                     ? INVALID_TEXTS
                     : fields == COUNTS ? INVALID_COUNTS : fields == AMOUNTS ? INVALID_AMOUNTS : INVALID_FLAGS;
             for (String field : fields) {
                 ObjectNode body = validJob(++number).toNode();
-                body.set(field, bad.get(random.nextInt(bad.size())));
+                body.set(field, invalid.get(random.nextInt(invalid.size())));
                 var answer = submit(cluster, body);
                 assertEquals(400, answer.status(), field + " is " + body.get(field));
                 assertTrue(
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -20,9 +20,9 @@
 /** Services: replicas run until the service is cancelled and are restarted after any failure. */
 class ServicesTest {
     private static final String ID = "wk-000100";
-    private static final Duration SETTLED = Duration.ofSeconds(40);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(40);
 
-    private static Submission service(String id, int replicas, boolean apart, boolean spot) {
+    private static Submission service(String id, int replicas, boolean spread, boolean spot) {
         return SubmissionBuilder.submission(id)
                 .jobClass("service")
                 .team("blue")
@@ -30,7 +30,7 @@
                 .priority(Priority.CRITICAL)
                 .tasks(replicas)
                 .perTask(new Resources(1, 0, 1))
-                .spread(apart)
+                .spread(spread)
                 .spot(spot)
                 .image("image-1")
                 .estimate(Duration.ZERO)
@@ -55,11 +55,11 @@
         return cluster;
     }
 
-    private static SimulatedCluster running(long seed, boolean apart, boolean spot) {
+    private static SimulatedCluster running(long seed, boolean spread, boolean spot) {
         SimulatedCluster cluster = cluster(seed);
-        cluster.submit(service(ID, 4, apart, spot));
-        cluster.sim.run(SETTLED);
-        assertEquals(4, replicas(cluster).size(), "replicas after " + SETTLED);
+        cluster.submit(service(ID, 4, spread, spot));
+        cluster.sim.run(START_TIMEOUT);
+        assertEquals(4, replicas(cluster).size(), "replicas after " + START_TIMEOUT);
         return cluster;
     }
 
@@ -72,12 +72,12 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    private static void await(SimulatedCluster cluster, Duration longest) {
-        Duration until = cluster.sim.now().plus(longest);
+    private static void awaitReplicas(SimulatedCluster cluster, Duration timeout) {
+        Duration until = cluster.sim.now().plus(timeout);
         while (replicas(cluster).size() < 4 && cluster.sim.now().compareTo(until) < 0) {
             cluster.sim.run(cluster.sim.now().plusMillis(100));
         }
-        assertEquals(4, replicas(cluster).size(), "replicas after " + longest);
+        assertEquals(4, replicas(cluster).size(), "replicas after " + timeout);
     }
 
     @Test
@@ -107,7 +107,7 @@
     void replicasOfACrashedMachineAreRestarted(long seed) {
         SimulatedCluster cluster = running(seed, false, false);
         cluster.crashMachine(cluster.workers.get(machines(cluster).iterator().next()));
-        await(cluster, Duration.ofSeconds(45));
+        awaitReplicas(cluster, Duration.ofSeconds(45));
         cancelAndAssertGone(cluster);
     }
 
@@ -167,7 +167,7 @@
         faultyMachine.faulty = true;
         faultyMachine.tasks().forEach(t -> t.exit("error"));
         cluster.markTasksChanged();
-        await(cluster, Duration.ofSeconds(60));
+        awaitReplicas(cluster, Duration.ofSeconds(60));
         cancelAndAssertGone(cluster);
     }
 
@@ -180,7 +180,7 @@
         cluster.submit(OperationsTest.array("wk-000002", "green", Priority.LOW, 40));
         cluster.sim.run(Duration.ofSeconds(60));
         cluster.submit(service(ID, 4, false, true));
-        await(cluster, Duration.ofSeconds(15));
+        awaitReplicas(cluster, Duration.ofSeconds(15));
         cancelAndAssertGone(cluster);
     }
 
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -101,8 +101,11 @@
     final ClusterShape shape;
     final int maxMachines;
     final int nameStep;
+    /** The fraction of answers that are lost. */
     public double lossRate;
+    /** The fraction of messages to workers that are delivered twice. */
     public double duplicateRate;
+
     int nextMachine = 1;
     /** The fraction of transactions whose answer is lost and that are applied 2 to 12 s later, after newer ones. */
     public double lateWriteRate;
@@ -278,7 +281,7 @@
         sim.after(pause, () -> startController(i));
     }
 
-    /** Suspends a controller's execution for a while; its clocks advance. */
+    /** Freezes a controller for a while; its clocks advance. */
     void freeze(int i, Duration length) {
         processes[i].freeze(length);
     }
@@ -361,7 +364,7 @@
             countCall(from, address, target, body, result);
             owner.schedule(
                     timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
-            boolean twice = sim.random.nextDouble() < duplicateRate && address.startsWith("worker");
+            boolean duplicated = sim.random.nextDouble() < duplicateRate && address.startsWith("worker");
             if (lateWriteRate > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWriteRate) {
                 recordEvent("late write");
                 sim.after(
@@ -369,7 +372,7 @@
                         () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
                 return result;
             }
-            for (int copy = 0; copy < (twice ? 2 : 1); copy++) {
+            for (int copy = 0; copy < (duplicated ? 2 : 1); copy++) {
                 int held = faultDelayMillis(from, address, target);
                 sim.after(
                         delay() + held + (long) copy * sim.random.nextInt(8000),
@@ -490,7 +493,7 @@
             }
             if (processes[address.charAt(5) - '0'].isFrozen()) {
                 processes[address.charAt(5) - '0'].arrive(
-                        () -> c.onPeerHeartbeat(raw)); // the caller has timed out by then
+                        () -> c.onPeerHeartbeat(raw)); // processed on waking, after the caller's timeout
                 return null;
             }
             return new FakeStateStore.Reply(200, c.onPeerHeartbeat(raw));
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -33,14 +33,14 @@
 
     /** Resubmits an accepted job; the answer must show that the job is known, whatever its state. */
     void resubmit(String id) {
-        Duration asked = cluster.sim.now();
+        Duration requestedAt = cluster.sim.now();
         if (!cluster.reportedPhases.containsKey(id)) {
             return;
         }
-        ask(
+        request(
                 n -> n.submit(MessagePackCodec.write(cluster.jobs.get(id).toNode()), a -> {
                     if (a.status() == 200 || a.status() == 201) {
-                        onAnswer(id, asked, a);
+                        onAnswer(id, requestedAt, a);
                     } else if (a.status() != 503) {
                         cluster.violations.add("forgotten: repeated submission of " + id + " answered " + a.status());
                     }
@@ -50,11 +50,11 @@
 
     /** Polls the state of an accepted job. */
     void pollJob(String id) {
-        Duration asked = cluster.sim.now();
-        ask(
+        Duration requestedAt = cluster.sim.now();
+        request(
                 n -> n.poll(id, a -> {
                     if (a.status() == 200) {
-                        onAnswer(id, asked, a);
+                        onAnswer(id, requestedAt, a);
                     } else if (a.status() == 404) {
                         cluster.violations.add("forgotten: " + id);
                     }
@@ -64,7 +64,7 @@
 
     /** Polls a job that was never submitted; the answer must not be 200. */
     void pollUnknownJob(String id) {
-        ask(
+        request(
                 n -> n.poll(id, a -> {
                     if (a.status() == 200) {
                         cluster.violations.add("invented: " + id);
@@ -74,19 +74,19 @@
     }
 
     private void sendSubmission(Submission job) {
-        Duration asked = cluster.sim.now();
+        Duration requestedAt = cluster.sim.now();
         // A controller that crashes with the request never answers it; the user retries after 5 s.
         cluster.sim.after(5000, () -> {
             if (!cluster.reportedPhases.containsKey(job.id())
-                    && !(submissionSentAt.get(job.id()).compareTo(asked) > 0)) {
+                    && !(submissionSentAt.get(job.id()).compareTo(requestedAt) > 0)) {
                 sendSubmission(job);
             }
         });
-        submissionSentAt.put(job.id(), asked);
-        ask(
+        submissionSentAt.put(job.id(), requestedAt);
+        request(
                 n -> n.submit(MessagePackCodec.write(job.toNode()), a -> {
                     if (a.status() == 200 || a.status() == 201) {
-                        onAnswer(job.id(), asked, a);
+                        onAnswer(job.id(), requestedAt, a);
                     } else if (a.status() != 503) {
                         cluster.violations.add("submission of " + job.id() + " answered " + a.status());
                     } else {
@@ -96,17 +96,17 @@
                 () -> sendSubmission(job));
     }
 
-    private void ask(Consumer<UserApi> question, Runnable otherwise) {
-        cluster.reachableApi().ifPresentOrElse(question, () -> cluster.sim.after(500, otherwise));
+    private void request(Consumer<UserApi> call, Runnable ifUnreachable) {
+        cluster.reachableApi().ifPresentOrElse(call, () -> cluster.sim.after(500, ifUnreachable));
     }
 
     void cancel(String id) {
-        Duration asked = cluster.sim.now();
+        Duration requestedAt = cluster.sim.now();
         cluster.cancelRequested.add(id);
-        ask(
+        request(
                 n -> n.cancel(id, a -> {
                     if (a.status() == 200) {
-                        onAnswer(id, asked, a);
+                        onAnswer(id, requestedAt, a);
                     } else {
                         cluster.sim.after(1000, () -> cancel(id));
                     }
@@ -114,19 +114,19 @@
                 () -> cancel(id));
     }
 
-    /** Checks an answer against earlier ones. Answers to overlapping requests may arrive in any order, so only a request sent after a final state was received must return that state. */
-    private void onAnswer(String id, Duration asked, UserApi.Answer a) {
+    /** Checks an answer against earlier ones. Two different final states are always a violation. Answers to overlapping requests may arrive in any order, so a non-final state after a final one is a violation only if its request was sent after the final state was received. */
+    private void onAnswer(String id, Duration requestedAt, UserApi.Answer a) {
         String phase = a.body().path("phase").asText();
-        String before = cluster.reportedPhases.getOrDefault(id, "");
-        boolean over = before.equals("done") || before.equals("cancelled");
-        if (over && !before.equals(phase) && asked.compareTo(finalStateAt.get(id)) > 0) {
-            cluster.violations.add("went_back: " + id + " was " + before + ", now " + phase);
+        String previous = cluster.reportedPhases.getOrDefault(id, "");
+        boolean wasFinal = previous.equals("done") || previous.equals("cancelled");
+        if (wasFinal && !previous.equals(phase) && requestedAt.compareTo(finalStateAt.get(id)) > 0) {
+            cluster.violations.add("went_back: " + id + " was " + previous + ", now " + phase);
         }
-        if (!over) {
+        if (!wasFinal) {
             cluster.reportedPhases.put(id, phase);
             finalStateAt.put(id, cluster.sim.now());
-        } else if (!before.equals(phase) && (phase.equals("done") || phase.equals("cancelled"))) {
-            cluster.violations.add("went_back: " + id + " was reported as " + before + " and as " + phase);
+        } else if (!previous.equals(phase) && (phase.equals("done") || phase.equals("cancelled"))) {
+            cluster.violations.add("went_back: " + id + " was reported as " + previous + " and as " + phase);
         }
         if (phase.equals("cancelled")) {
             if (!cluster.cancelRequested.contains(id)) {
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -67,9 +67,9 @@
 
     /** Returns the first names of a format that are assigned to a controller. */
     private static List<String> namesOf(
-            int node, String form, int step, Function<String, Optional<String>> owner, int count) {
+            int node, String format, int step, Function<String, Optional<String>> owner, int count) {
         return IntStream.iterate(1, i -> i + step)
-                .mapToObj(form::formatted)
+                .mapToObj(format::formatted)
                 .filter(name -> owner.apply(name).equals(Optional.of("n" + node)))
                 .limit(count)
                 .toList();
@@ -114,13 +114,13 @@
     @ParameterizedTest
     @ValueSource(longs = {4, 8, 10, 15, 21, 26})
     void storedAllocationsCountWhileAnOwnPlacementIsPending(long seed) {
-        int refused = (int) (seed % 3);
-        int other = (refused + 1) % 3;
-        List<String> jobs = namesOf(refused, "wk-%06d", 1, threeControllers()::controllerOfJob, 3);
+        int rejectedNode = (int) (seed % 3);
+        int other = (rejectedNode + 1) % 3;
+        List<String> jobs = namesOf(rejectedNode, "wk-%06d", 1, threeControllers()::controllerOfJob, 3);
         String first = jobs.get(0);
         String shared = jobs.get(1);
         String last = jobs.get(2);
-        SimulatedCluster cluster = cluster(seed, refused, other);
+        SimulatedCluster cluster = cluster(seed, rejectedNode, other);
         cluster.taskDuration = Optional.of(TASK_DURATION);
         cluster.userNode = other;
         cluster.sim.run(Duration.ofSeconds(15));
@@ -131,7 +131,7 @@
         assertTrue(cluster.startedAt.containsKey(first));
         // One controller has capacity for seven of these tasks and places them, but its writes are rejected; another
         // one stores all of them.
-        cluster.writesRefusedNode = refused;
+        cluster.writesRefusedNode = rejectedNode;
         cluster.submit(array(shared, 20, Optional.empty(), false));
         cluster.sim.run(cluster.sim.now().plusSeconds(5));
         assertTrue(
@@ -142,7 +142,7 @@
         cluster.writesRefusedNode = -1;
         cluster.sim.run(cluster.sim.now().plusSeconds(6));
         assertTrue(
-                cluster.events.containsKey("conflict of n" + refused + " about " + Keys.job(shared)),
+                cluster.events.containsKey("conflict of n" + rejectedNode + " about " + Keys.job(shared)),
                 () -> "its placement had no conflict: " + cluster.events);
         assertEquals(List.of(), cluster.violations);
         cluster.sim.run(cluster.sim.now().plusSeconds(180));
@@ -200,7 +200,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void noTeamExceedsItsLimitWithALimitedWriteRate(long seed) {
-        var schedule = new TightLimitsDay(seed);
+        var schedule = new TightLimitsSchedule(seed);
         assertEquals(List.of(), schedule.run(), () -> seed + ": " + schedule.faultLog());
         assertEquals(List.of(), schedule.unfinished(), () -> seed + ": " + schedule.faultLog());
     }
--- a/src/test/java/org/dunespindle/sim/TightLimitsDay.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsSchedule.java
@@ -14,7 +14,7 @@
 /**
  * A run drawn from a seed in which every team requests more than its limit while machines have free slots. All three controllers place tasks of the same arrays, and the state store limits the write rate and answers slowly.
  */
-final class TightLimitsDay {
+final class TightLimitsSchedule {
     private static final int MACHINES = 30;
     private static final Duration LAST_JOB = Duration.ofSeconds(30);
     private static final Duration FAULTS_OVER = Duration.ofSeconds(90);
@@ -39,7 +39,7 @@
     private final List<String> ids = new ArrayList<>();
     private final List<String> faultLog = new ArrayList<>();
 
-    TightLimitsDay(long seed) {
+    TightLimitsSchedule(long seed) {
         random = new Random(seed * 37 + 11);
         int red = 30 + random.nextInt(50);
         int blue = 16 + random.nextInt(30);
