--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -133,7 +133,7 @@
         for (int n = 0; n < 3; n++) {
             cluster.crash(n, n == 0 ? Duration.ofMillis(5300) : Duration.ofSeconds(20));
         }
-        // By then one has restarted, but has not taken over the others' machines yet.
+        // One controller has restarted, but has not taken over the others' machines yet.
         cluster.sim.run(cluster.sim.now().plusMillis(6300));
         for (FakeWorker w : all) {
             assertEquals(200, cluster.heartbeatStatus(0, w), w.id());
@@ -199,7 +199,7 @@
                 .build();
         cluster.submit(gang);
         cluster.submit(ClusterTest.job("wk-000002", "blue", JobKind.ARRAY, 5, false, true));
-        while (!cluster.lastTold("wk-000001").equals("running")
+        while (!cluster.lastReportedPhase("wk-000001").equals("running")
                 && cluster.sim.now().compareTo(Duration.ofSeconds(60)) < 0) {
             cluster.sim.run(cluster.sim.now().plusSeconds(1));
         }
@@ -231,7 +231,7 @@
         cluster.sim.after(30_000, () -> cluster.state.unavailable = true);
         cluster.sim.after(44_000, cluster.state::recover);
         cluster.sim.after(44_100, () -> cluster.lossRate = 0);
-        cluster.sim.run(Duration.ofSeconds(119)); // 75 s after the last trouble
+        cluster.sim.run(Duration.ofSeconds(119)); // 75 s after the last fault
         for (int node = 0; node < 3; node++) {
             for (String id : ids) {
                 assertEquals(200, cluster.poll(node, id).join().status(), id + " at controller " + node);
@@ -296,7 +296,7 @@
         cluster.sim.run(Duration.ofSeconds(270));
         assertEquals(List.of(), cluster.violations);
         assertTrue(
-                List.of("running", "done").contains(cluster.lastTold("wk-000001")),
+                List.of("running", "done").contains(cluster.lastReportedPhase("wk-000001")),
                 cluster.admin(0, "GET", "/v1/jobs/wk-000001", "").join().body().toString());
     }
 
@@ -321,8 +321,10 @@
         cluster.sim.after(26_000, () -> cluster.crash((int) seed % 3, Duration.ofMillis(300)));
         cluster.sim.run(Duration.ofSeconds(400));
         assertEquals(List.of(), cluster.violations);
-        ids.stream().filter(id -> !id.equals(ids.get(9))).forEach(id -> assertEquals("done", cluster.lastTold(id), id));
-        assertTrue(List.of("done", "cancelled").contains(cluster.lastTold(ids.get(9))));
+        ids.stream()
+                .filter(id -> !id.equals(ids.get(9)))
+                .forEach(id -> assertEquals("done", cluster.lastReportedPhase(id), id));
+        assertTrue(List.of("done", "cancelled").contains(cluster.lastReportedPhase(ids.get(9))));
     }
 
     /** Two controllers crash and the third takes over their machines. A running machine is reported only once, so the last contact reported by a former owner may be minutes old and must not count against the machine. */
@@ -359,7 +361,7 @@
         cluster.crash((leader + 1) % 3, Duration.ofSeconds(200));
         cluster.crash((leader + 2) % 3, Duration.ofSeconds(200));
         cluster.sim.run(Duration.ofSeconds(75));
-        // Its workers cannot reach it right after it wakes, so their last heartbeats are old by then.
+        // Its workers cannot reach it right after it wakes, so their last heartbeats are old.
         List<FakeWorker> all = cluster.alive();
         List<FakeWorker> used =
                 all.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
@@ -374,7 +376,7 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A controller partitioned from all workers must give up leadership and its machines; otherwise it would terminate the machines for missing heartbeats. */
+    /** A controller partitioned from all workers must resign leadership and release its machines; otherwise it would terminate the machines for missing heartbeats. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void controllerPartitionedFromItsWorkersGivesUpItsMachines(int offset) {
@@ -465,7 +467,7 @@
     /** Machines are disconnected for longer than a lease and the leader crashes. When the disconnection ends, all delayed messages arrive at once, and commands that failed before must not count against the machines. */
     @ParameterizedTest
     @CsvSource({"191, 27", "192, 27", "193, 27", "191, 33", "192, 33", "193, 33"
-    }) // a new leader gives up a machine without a heartbeat after 25 s
+    }) // a new leader abandons a machine without a heartbeat after 25 s
     void machinesAreKeptWhenTheirDisconnectionEnds(long seed, int seconds) {
         var cluster = new SimulatedCluster(seed, 7, 10);
         cluster.submit(serviceIn("east", "wk-000001", "red", 10));
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -84,7 +84,7 @@
         run(federation, 240);
         assertEquals(List.of(), federation.violations());
         for (String id : jobIds) {
-            assertEquals("done", federation.cell("a").lastTold(id), id + " " + federation.callsByType);
+            assertEquals("done", federation.cell("a").lastReportedPhase(id), id + " " + federation.callsByType);
             assertTrue(List.of("b", "c").contains(federation.finishedIn(id)), id);
         }
     }
@@ -137,7 +137,7 @@
         run(federation, 300);
         assertEquals(List.of(), federation.violations());
         for (String id : jobIds) {
-            assertEquals("done", federation.cell("a").lastTold(id), id);
+            assertEquals("done", federation.cell("a").lastReportedPhase(id), id);
             assertEquals("b", federation.finishedIn(id), id);
         }
     }
@@ -150,7 +150,7 @@
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> phase(a, JOB_ID).equals("ACCEPTED") && a.lastTold(JOB_ID).equals("running"));
+                () -> phase(a, JOB_ID).equals("ACCEPTED") && a.lastReportedPhase(JOB_ID).equals("running"));
         SimulatedCluster remote = remoteOf(federation);
         assertEquals(404, remote.poll(0, JOB_ID).join().status());
         assertEquals(404, remote.cancelAt(1, JOB_ID).status());
@@ -166,7 +166,7 @@
         run(federation, 2);
         assertEquals(503, refused.join().status());
         run(federation, 120);
-        assertEquals("done", a.lastTold(JOB_ID));
+        assertEquals("done", a.lastReportedPhase(JOB_ID));
         assertEquals(List.of(), federation.violations());
     }
 
@@ -186,7 +186,7 @@
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> a.lastTold(JOB_ID).equals("running"));
+                () -> a.lastReportedPhase(JOB_ID).equals("running"));
         int remoteIndex = federation.cells.indexOf(remoteOf(federation));
         federation.setPartitioned(0, remoteIndex, true);
         var answer = new CompletableFuture<UserApi.Answer>();
@@ -199,7 +199,7 @@
                 federation,
                 "the user receives the cancellation",
                 30,
-                () -> a.lastTold(JOB_ID).equals("cancelled"));
+                () -> a.lastReportedPhase(JOB_ID).equals("cancelled"));
         run(federation, 60);
         assertTrue(federation.cells.get(remoteIndex).invariants.live().isEmpty());
         assertEquals(List.of(), federation.violations());
@@ -225,7 +225,7 @@
         federation.sim.after(15_000, () -> federation.cell("a").submit(job));
         run(federation, 900);
         assertEquals(List.of(), federation.violations());
-        assertEquals("done", federation.cell("a").lastTold(JOB_ID));
+        assertEquals("done", federation.cell("a").lastReportedPhase(JOB_ID));
     }
 
     @Test
@@ -240,7 +240,7 @@
         federation.cell("a").formats[1] = FormatVersion.DELEGATION_LINKS;
         federation.cell("a").crash(1, Duration.ofMillis(200));
         run(federation, 150);
-        assertEquals("done", federation.cell("a").lastTold("wk-000000"));
+        assertEquals("done", federation.cell("a").lastReportedPhase("wk-000000"));
         assertEquals(List.of(), federation.violations());
     }
 
@@ -279,7 +279,7 @@
         };
         run(federation, 300);
         assertEquals(List.of(), federation.violations());
-        assertEquals("done", a.lastTold(JOB_ID));
+        assertEquals("done", a.lastReportedPhase(JOB_ID));
         assertTrue(federation.finishedIn(JOB_ID).matches("[bc]"));
     }
 
@@ -317,7 +317,7 @@
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> a.lastTold(JOB_ID).equals("running"));
+                () -> a.lastReportedPhase(JOB_ID).equals("running"));
         SimulatedCluster remote = remoteOf(federation);
         remote.state.restore(new TreeMap<>());
         for (int node = 0; node < 3; node++) {
@@ -356,7 +356,7 @@
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> a.lastTold(JOB_ID).equals("running"));
+                () -> a.lastReportedPhase(JOB_ID).equals("running"));
         int remoteIndex = federation.cells.indexOf(remoteOf(federation));
         restore.get(remoteIndex - 1).run();
         run(federation, 60);
@@ -376,7 +376,7 @@
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> a.lastTold(JOB_ID).equals("running"));
+                () -> a.lastReportedPhase(JOB_ID).equals("running"));
         run(federation, 10);
         restore.run();
         run(federation, 60);
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.dunespindle.protocol.Submission;
 
-/** Checks the scheduler's invariants against the tasks on the workers of a simulated cluster, and the criteria that a whole run must meet. */
+/** Checks the scheduler's invariants against the tasks on the workers of a simulated cluster, and the criteria for a whole run. */
 final class InvariantChecker {
     private static final Duration MAX_WAIT = Duration.ofSeconds(90);
     private static final Duration MAX_START_DELAY_OF_LARGEST = Duration.ofMinutes(4);
@@ -102,7 +102,7 @@
             cluster.violations.add("wrong_place: " + started.task);
         }
         cluster.startedAt.putIfAbsent(started.task.job(), cluster.sim.now());
-        cluster.surroundings.watcher().started(cluster, started);
+        cluster.environment.watcher().started(cluster, started);
         if (cluster.cancelled.containsKey(started.task.job())) {
             cluster.startsAfterCancel.add(started.task.toString());
             Duration told = cluster.cancelled.get(started.task.job());
@@ -201,7 +201,8 @@
         }
         groups.forEach((name, members) -> {
             if (members.stream()
-                                    .filter(j -> cluster.lastTold(j.id()).equals("done"))
+                                    .filter(j ->
+                                            cluster.lastReportedPhase(j.id()).equals("done"))
                                     .count()
                             * 2
                     < members.size()) {
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -72,7 +72,7 @@
     private record PendingCondition(BooleanSupplier condition, CompletableFuture<Void> fulfilled) {}
 
     /** One cell: its simulated surroundings and its controllers. */
-    final class Cell implements SimulatedEnvironment.Outside {
+    final class Cell implements SimulatedEnvironment.ExternalControllers {
         final String name;
         SimulatedCluster cluster;
         final Running[] controllers = new Running[CONTROLLERS];
@@ -101,8 +101,8 @@
         }
 
         @Override
-        public void report(int node, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
-            call(userApiPorts[node], "POST", "/agent/beat", MessagePackCodec.write(report), MessagePackCodec.TYPE)
+        public void heartbeat(int node, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer) {
+            call(userApiPorts[node], "POST", "/agent/beat", MessagePackCodec.write(heartbeat), MessagePackCodec.TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null) {
                             answer.accept(reply.status(), parsed(reply));
@@ -132,7 +132,7 @@
                 if (workerPorts.getOrDefault(worker.id(), -1) == port) {
                     return reply(
                             call.path().equals("/inspect")
-                                    ? new FakeStateStore.Reply(200, worker.report())
+                                    ? new FakeStateStore.Reply(200, worker.heartbeat())
                                     : worker.commands(body(call)));
                 }
             }
@@ -204,7 +204,7 @@
                     .whenComplete((reply, failure) -> {
                         String phase = failure == null && reply.status() == 200
                                 ? parsed(reply).path("phase").asText()
-                                : cluster.lastTold(id);
+                                : cluster.lastReportedPhase(id);
                         cluster.reportedPhases.put(id, phase);
                         if (!cluster.isOver(id)) {
                             sim.after(300, () -> poll(id, (node + 1) % CONTROLLERS));
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -54,10 +54,10 @@
         String decisions = cluster.decisions();
         assertTrue(!decisions.contains("it fails its tasks"), decisions);
         assertTrue(decisions.contains("taken for faulty"), decisions);
-        int tries = faulty.stream()
+        int attempts = faulty.stream()
                 .mapToInt(id -> cluster.errors.getOrDefault(id, 0))
                 .sum();
-        assertTrue(tries >= 4 && tries < 90, tries + " attempts in 150 s");
+        assertTrue(attempts >= 4 && attempts < 90, attempts + " attempts in 150 s");
         assertTrue(cluster.admin(0, "GET", "/v1/jobs/wk-000101", "")
                         .join()
                         .body()
@@ -70,7 +70,7 @@
         faulty.forEach(cluster::cancel);
         cluster.sim.run(Duration.ofSeconds(200));
         assertEquals(List.of(), cluster.violations);
-        faulty.forEach(id -> assertEquals("cancelled", cluster.lastTold(id)));
+        faulty.forEach(id -> assertEquals("cancelled", cluster.lastReportedPhase(id)));
     }
 
     /** If the machine is faulty, its jobs run elsewhere and the machine is terminated. */
@@ -133,7 +133,7 @@
         var cluster = new SimulatedCluster(631);
         cluster.submit(array("wk-000001", "red", Priority.LOW, 4));
         cluster.sim.run(Duration.ofSeconds(7));
-        int before = cluster.counts.get("state");
+        int before = cluster.callCounts.get("state");
         var answers = new ArrayList<CompletableFuture<UserApi.Answer>>();
         for (int k = 0; k < 200; k++) {
             cluster.sim.after(10L * k, () -> {
@@ -145,8 +145,8 @@
         cluster.sim.run(Duration.ofSeconds(11));
         assertEquals(4000, answers.size());
         assertTrue(answers.stream().allMatch(a -> a.isDone() && a.join().status() == 200));
-        int readings = cluster.counts.get("state") - before;
-        assertTrue(readings < 500, readings + " calls to the state store for 4,000 polls");
+        int storeCalls = cluster.callCounts.get("state") - before;
+        assertTrue(storeCalls < 500, storeCalls + " calls to the state store for 4,000 polls");
         assertEquals(List.of(), cluster.violations);
     }
 
@@ -173,9 +173,9 @@
         }
         cluster.sim.run(Duration.ofSeconds(90));
         ids.forEach(id -> assertEquals(
-                "done", cluster.lastTold(id), id + " is within its team's guarantee but is not done in time"));
+                "done", cluster.lastReportedPhase(id), id + " is within its team's guarantee but is not done in time"));
         cluster.sim.run(Duration.ofSeconds(300));
-        assertEquals("done", cluster.lastTold("wk-000100"));
+        assertEquals("done", cluster.lastReportedPhase("wk-000100"));
         assertEquals(List.of(), cluster.violations);
     }
 }
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaults.java
@@ -195,7 +195,7 @@
         SimulatedCluster origin = federation.cells.get(0);
         for (String id : jobIds) {
             if (!origin.isOver(id)) {
-                violations.add(id + " is " + origin.lastTold(id) + ", with the delegation link "
+                violations.add(id + " is " + origin.lastReportedPhase(id) + ", with the delegation link "
                         + origin.state.rows().get("ds/job/" + id).value().path("away"));
             }
         }
--- a/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
@@ -27,7 +27,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void delegatedJobsFinishExactlyOnceUnderRandomFaultsAndLimitedWrites(long seed) {
-        run(seed, RandomFaultSchedule.StateService.SCARCE_AND_SLOW);
+        run(seed, RandomFaultSchedule.StateService.LIMITED_AND_SLOW);
     }
 
     private static void run(long seed, RandomFaultSchedule.StateService stateService) {
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -59,7 +59,7 @@
     final Map<String, Submission> jobs;
     final Map<String, Set<Integer>> done;
     final Map<String, Duration> cancelled;
-    final SimulatedEnvironment surroundings;
+    final SimulatedEnvironment environment;
     private final SimulatedUsers users = new SimulatedUsers(this);
     private final SimulatedOperators operators;
     final Map<String, String> reportedPhases = new HashMap<>();
@@ -101,8 +101,11 @@
     final ClusterShape shape;
     final int maxMachines;
     final int nameStep;
+    /** The fraction of answers that are lost. */
     public double lossRate;
+    /** The fraction of messages to workers that are delivered twice. */
     public double duplicateRate;
+
     int nextMachine = 1;
     /** The fraction of transactions whose answer is lost and that are applied 2 to 12 s later, after newer ones. */
     public double lateWriteRate;
@@ -149,17 +152,17 @@
     }
 
     /** Creates a cluster that shares virtual time and the record of jobs with other clusters. */
-    SimulatedCluster(SimulatedEnvironment surroundings, ClusterShape shape) {
+    SimulatedCluster(SimulatedEnvironment environment, ClusterShape shape) {
         Arrays.fill(formats, shape.format());
         this.shape = shape;
         this.maxMachines = shape.maxMachines();
         this.nameStep = shape.nameStep();
-        this.surroundings = surroundings;
-        jobs = surroundings.jobs();
-        done = surroundings.done();
-        completed = surroundings.completed();
-        cancelled = surroundings.cancelled();
-        sim = surroundings.sim();
+        this.environment = environment;
+        jobs = environment.jobs();
+        done = environment.done();
+        completed = environment.completed();
+        cancelled = environment.cancelled();
+        sim = environment.sim();
         operators = new SimulatedOperators(sim, node -> controllers[node], violations::add);
         state = new FakeStateStore(sim);
         shape.stateRates().ifPresent(rates -> {
@@ -169,7 +172,7 @@
         if (!shape.large()) {
             state.setListener(new StoredAllocations(this));
         }
-        if (surroundings.outside().isEmpty()) {
+        if (environment.externalControllers().isEmpty()) {
             for (int i = 0; i < 3; i++) {
                 startController(i);
             }
@@ -193,12 +196,12 @@
                 ClusterSettings.of(this, i),
                 caller(process, i),
                 process,
-                surroundings.formats(formats[i]),
+                environment.formats(formats[i]),
                 why -> {
                     recordEvent("controller gave up");
                     process.kill();
                 },
-                context -> surroundings.connector().connect(i, process, context));
+                context -> environment.connector().connect(i, process, context));
         controllers[i].start();
     }
 
@@ -243,7 +246,7 @@
     /** The duration of tasks; if empty it is drawn between 2 and 8 s. */
     Optional<Duration> taskDuration = Optional.empty();
     /** Calls of controllers by target ("state", "cloud", "node", "worker"), and key changes in transactions ("writes"). */
-    final Map<String, Integer> counts = new TreeMap<>();
+    final Map<String, Integer> callCounts = new TreeMap<>();
 
     private final int[] openWorkerCalls = new int[3];
     /** The highest number of concurrent calls to workers by one controller. */
@@ -252,10 +255,11 @@
     private void countCall(
             int from, String address, String target, byte[] body, CompletableFuture<HttpClientResponse> result) {
         String kind = address.substring(0, address.indexOf(':'));
-        counts.merge(kind, 1, Integer::sum);
+        callCounts.merge(kind, 1, Integer::sum);
         if (target.equals("/txn")) {
             try {
-                counts.merge("writes", MessagePackCodec.read(body).path("apply").size(), Integer::sum);
+                callCounts.merge(
+                        "writes", MessagePackCodec.read(body).path("apply").size(), Integer::sum);
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
@@ -277,7 +281,7 @@
         sim.after(pause, () -> startController(i));
     }
 
-    /** Suspends a controller's execution for a while; its clocks advance. */
+    /** Freezes a controller for a while; its clocks advance. */
     void freeze(int i, Duration length) {
         processes[i].freeze(length);
     }
@@ -360,7 +364,7 @@
             countCall(from, address, target, body, result);
             owner.schedule(
                     timeout, () -> result.completeExceptionally(new HttpCallException("no answer in time", true)));
-            boolean twice = sim.random.nextDouble() < duplicateRate && address.startsWith("worker");
+            boolean duplicated = sim.random.nextDouble() < duplicateRate && address.startsWith("worker");
             if (lateWriteRate > 0 && target.equals("/txn") && sim.random.nextDouble() < lateWriteRate) {
                 recordEvent("late write");
                 sim.after(
@@ -368,7 +372,7 @@
                         () -> deliver(owner, from, address, method, target, body, new CompletableFuture<>()));
                 return result;
             }
-            for (int copy = 0; copy < (twice ? 2 : 1); copy++) {
+            for (int copy = 0; copy < (duplicated ? 2 : 1); copy++) {
                 int held = faultDelayMillis(from, address, target);
                 sim.after(
                         delay() + held + (long) copy * sim.random.nextInt(8000),
@@ -489,19 +493,19 @@
             }
             if (processes[address.charAt(5) - '0'].isFrozen()) {
                 processes[address.charAt(5) - '0'].arrive(
-                        () -> c.onPeerHeartbeat(raw)); // the caller has timed out by then
+                        () -> c.onPeerHeartbeat(raw)); // processed on waking, after the caller's timeout
                 return null;
             }
             return new FakeStateStore.Reply(200, c.onPeerHeartbeat(raw));
         }
         return w == null || w.dead
                 ? null
-                : target.equals("/inspect") ? new FakeStateStore.Reply(200, w.report()) : w.commands(body);
+                : target.equals("/inspect") ? new FakeStateStore.Reply(200, w.heartbeat()) : w.commands(body);
     }
 
     void sendHeartbeat(int node, FakeWorker from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
-        if (surroundings.outside().isPresent()) {
-            surroundings.outside().get().report(node, report, answer);
+        if (environment.externalControllers().isPresent()) {
+            environment.externalControllers().get().report(node, report, answer);
             return;
         }
         for (int copy = 0; copy < delayedDuplicates; copy++) {
@@ -569,7 +573,7 @@
     /** Delivers a worker's heartbeat and returns the status of an immediate answer, or 0. */
     int heartbeatStatus(int node, FakeWorker w) {
         var status = new int[1];
-        deliverHeartbeat(controllers[node], w.report(), (code, body) -> status[0] = code);
+        deliverHeartbeat(controllers[node], w.heartbeat(), (code, body) -> status[0] = code);
         return status[0];
     }
 
@@ -681,7 +685,7 @@
         return Optional.ofNullable(cancelled.get(id));
     }
 
-    String lastTold(String id) {
+    String lastReportedPhase(String id) {
         return reportedPhases.getOrDefault(id, "");
     }
 
