--- a/src/main/java/org/dunespindle/api/AdminApi.java
+++ b/src/main/java/org/dunespindle/api/AdminApi.java
@@ -15,7 +15,7 @@
 import org.dunespindle.storage.StateReplica;
 import org.dunespindle.transport.HttpStatus;
 
-/** The administration API, version 1: JSON on the peers' address. This class routes requests. */
+/** Routes the requests of the administration API, version 1: JSON over HTTP on the {@code peer_listen} address. */
 public final class AdminApi {
     private static final String PREFIX = "/v1/";
     private static final String JOBS = "jobs/";
@@ -35,9 +35,9 @@
     private final AdminChanges changes;
 
     /**
-     * Creates the interface.
+     * Creates the API of one controller.
      *
-     * @param latencies durations in microseconds, by the names under which they are shown
+     * @param latencies histograms in microseconds, by the names under which they are shown
      */
     public AdminApi(
             ControllerContext context,
@@ -58,7 +58,7 @@
         this.changes = new AdminChanges(context, commitQueue, machineWriter);
     }
 
-    /** Answers a request of the administration API. */
+    /** Handles a request; changes are answered once they are stored, possibly after this method has returned. */
     public void handle(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         if (!path.startsWith(PREFIX)) {
             answer.accept(AdminResponse.notFound("no such path"));
@@ -81,7 +81,7 @@
         } else if (method.equals("POST") && resource.startsWith(MACHINES) && resource.endsWith(DRAIN)) {
             changes.drain(resource.substring(MACHINES.length(), resource.length() - DRAIN.length()), answer);
         } else {
-            answer.accept(AdminResponse.error(HttpStatus.METHOD_NOT_ALLOWED, "not possible: " + method + " " + path));
+            answer.accept(AdminResponse.error(HttpStatus.METHOD_NOT_ALLOWED, method + " is not allowed for " + path));
         }
     }
 
@@ -101,7 +101,7 @@
             case "latency" -> AdminResponse.ok(latency());
             default ->
                 AdminResponse.notFound(
-                        "no such path; there are jobs, hosts, teams, controllers, options, decisions, latency");
+                        "no such path; available are jobs, hosts, teams, controllers, options, decisions, latency");
         };
     }
 
--- a/src/main/java/org/dunespindle/api/AdminChanges.java
+++ b/src/main/java/org/dunespindle/api/AdminChanges.java
@@ -21,7 +21,7 @@
 import org.dunespindle.storage.TransactionResult;
 import org.dunespindle.transport.HttpStatus;
 
-/** Stores what operators change: the options, and which machines drain. A change is answered once it is stored. */
+/** Stores operators' changes: to the options, and requests to drain machines. A change is answered once it is stored. */
 final class AdminChanges {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -29,7 +29,11 @@
     private final CommitQueue commitQueue;
     private final MachineRecordWriter machineWriter;
 
-    /** A request to set options, as decoded. */
+    /**
+     * A decoded request to set options.
+     *
+     * @param expectedRevision the revision of the options that the caller has read
+     */
     private record OptionsChange(long expectedRevision, JsonNode values) {}
 
     AdminChanges(ControllerContext context, CommitQueue commitQueue, MachineRecordWriter machineWriter) {
@@ -38,18 +42,18 @@
         this.machineWriter = machineWriter;
     }
 
-    /** Stores options unless somebody changed them since the caller read them. */
+    /** Stores options unless they have changed since the caller read them. */
     void setOptions(byte[] body, Consumer<AdminResponse> answer) {
         Optional<OptionsChange> parsed = parseOptionsChange(body);
         if (parsed.isEmpty()) {
             answer.accept(AdminResponse.error(
-                    HttpStatus.BAD_REQUEST, "expected {\"stamp\": as read, \"values\": {name: value}}"));
+                    HttpStatus.BAD_REQUEST, "expected {\"stamp\": the stamp as read, \"values\": {name: value, ...}}"));
             return;
         }
         OptionsChange change = parsed.get();
-        Optional<String> complaint = findComplaint(change.values);
-        if (complaint.isPresent()) {
-            answer.accept(AdminResponse.error(HttpStatus.BAD_REQUEST, complaint.get()));
+        Optional<String> invalid = findInvalidValue(change.values);
+        if (invalid.isPresent()) {
+            answer.accept(AdminResponse.error(HttpStatus.BAD_REQUEST, invalid.get()));
             return;
         }
         if (commitQueue.isLocked(Keys.OPTIONS)) {
@@ -71,7 +75,7 @@
         try {
             request = JSON.readTree(body);
         } catch (IOException e) {
-            return Optional.empty(); // answered as a malformed request
+            return Optional.empty(); // the caller answers it as a malformed request
         }
         boolean wellFormed = request != null
                 && request.path("stamp").isIntegralNumber()
@@ -81,11 +85,11 @@
                 : Optional.empty();
     }
 
-    private Optional<String> findComplaint(JsonNode values) {
+    private Optional<String> findInvalidValue(JsonNode values) {
         for (Map.Entry<String, JsonNode> value : values.properties()) {
-            Optional<String> complaint = Options.validate(value.getKey(), value.getValue());
-            if (complaint.isPresent()) {
-                return complaint;
+            Optional<String> error = Options.validate(value.getKey(), value.getValue());
+            if (error.isPresent()) {
+                return error;
             }
         }
         return Optional.empty();
@@ -100,7 +104,7 @@
         return merged;
     }
 
-    /** Stores that a machine drains. */
+    /** Marks a machine as draining: it takes no new tasks and is terminated once its tasks have ended. */
     void drain(String machineId, Consumer<AdminResponse> answer) {
         MachineRecord machine = replica.machines().get(machineId);
         if (machine == null) {
@@ -124,7 +128,7 @@
             return AdminResponse.ok(bodyIfApplied.get());
         }
         return result instanceof TransactionResult.Conflict
-                ? AdminResponse.error(HttpStatus.CONFLICT, "changed by somebody else meanwhile; read again and repeat")
+                ? AdminResponse.error(HttpStatus.CONFLICT, "changed concurrently; read again and repeat")
                 : AdminResponse.stateServiceUnavailable();
     }
 }
--- a/src/main/java/org/dunespindle/api/AdminClusterRenderer.java
+++ b/src/main/java/org/dunespindle/api/AdminClusterRenderer.java
@@ -26,7 +26,7 @@
         this.teamQuotas = teamQuotas;
     }
 
-    /** All machines. */
+    /** All machines; a machine on loan is shown with the controller that lent it to the owner. */
     ObjectNode machines() {
         ObjectNode body = MessagePackCodec.map();
         ArrayNode list = body.putArray("hosts");
@@ -47,12 +47,12 @@
                 .put("leaving", machine.draining());
         membership
                 .controllerOfMachine(machine.id())
-                .filter(home -> !home.equals(machine.owner()))
-                .ifPresent(home -> body.put("lentBy", home));
+                .filter(assigned -> !assigned.equals(machine.owner()))
+                .ifPresent(assigned -> body.put("lentBy", assigned));
         return machine.draining() ? body.put("why", machine.drainReason()) : body;
     }
 
-    /** All teams with their quotas and what they use of them. */
+    /** All teams with their usage, guarantees and limits; a limit that is absent is infinite. */
     ObjectNode teams() {
         TeamUsage usage = TeamUsage.stored(replica);
         ObjectNode body = MessagePackCodec.map();
--- a/src/main/java/org/dunespindle/api/AdminJobRenderer.java
+++ b/src/main/java/org/dunespindle/api/AdminJobRenderer.java
@@ -5,7 +5,7 @@
 import org.dunespindle.storage.Allocation;
 import org.dunespindle.storage.JobRecord;
 
-/** Renders jobs for operators: what users see, and more. */
+/** Renders jobs for operators: the users' view plus scheduling details. */
 final class AdminJobRenderer {
     private final JobStatusRenderer userStatus;
     private final ControllerStatus controller;
@@ -15,7 +15,7 @@
         this.controller = controller;
     }
 
-    /** A job as it is listed among others. */
+    /** A job as a row of the list of jobs. */
     ObjectNode summary(JobRecord job) {
         ObjectNode body = userStatus.render(job);
         job.inboundDelegation().ifPresent(delegation -> body.put("visitorOf", delegation.origin()));
@@ -51,7 +51,7 @@
         return gangNotRunning || job.unplacedCount() > 0 || job.isDelegatedAway();
     }
 
-    /** How many replicas there should be, are, and are being started again. */
+    /** Adds how many replicas are wanted, are running and are being restarted. */
     private static void putReplicas(ObjectNode body, JobRecord job) {
         long stopping = job.allocations().stream().filter(Allocation::stopping).count();
         long running = job.allocations().size() - stopping;
@@ -70,7 +70,7 @@
         }
     }
 
-    /** The word for a gang phase that operators' tools know, whatever the constant is called here. */
+    /** The name of a gang phase that operators' tools rely on; it differs from the constant's name. */
     private static String phaseName(JobRecord.GangPhase phase) {
         return switch (phase) {
             case QUEUED -> "idle";
--- a/src/main/java/org/dunespindle/api/AdminResponse.java
+++ b/src/main/java/org/dunespindle/api/AdminResponse.java
@@ -4,7 +4,7 @@
 import org.dunespindle.protocol.MessagePackCodec;
 import org.dunespindle.transport.HttpStatus;
 
-/** An answer of the administration API before it is put on the wire. */
+/** A response of the administration API before it is encoded. */
 public record AdminResponse(int status, ObjectNode body) {
     static AdminResponse ok(ObjectNode body) {
         return new AdminResponse(HttpStatus.OK, body);
@@ -18,12 +18,12 @@
         return error(HttpStatus.SERVICE_UNAVAILABLE, "the state service does not answer");
     }
 
-    /** Another change of the same record is being stored. */
+    /** The response while another change of the same record is being stored. */
     static AdminResponse changeInProgress() {
         return error(HttpStatus.CONFLICT, "another change is under way; read again and repeat");
     }
 
-    /** An answer that says what is wrong. */
+    /** A response whose body holds an error message. */
     public static AdminResponse error(int status, String text) {
         return new AdminResponse(status, MessagePackCodec.map().put("error", text));
     }
--- a/src/main/java/org/dunespindle/api/ControllerStatus.java
+++ b/src/main/java/org/dunespindle/api/ControllerStatus.java
@@ -3,11 +3,11 @@
 import org.dunespindle.control.Options;
 import org.dunespindle.storage.JobRecord;
 
-/** What the administration API shows of the controller that it belongs to. */
+/** The controller's state that the administration API shows. */
 public interface ControllerStatus {
-    /** The operators' settings as stored now. */
+    /** The operators' options as stored now. */
     Options options();
 
-    /** Why an unfinished job waits, in words for its user. */
+    /** Why an unfinished job waits, as text for its user. */
     String whyWaits(JobRecord job);
 }
--- a/src/main/java/org/dunespindle/api/DelegationContext.java
+++ b/src/main/java/org/dunespindle/api/DelegationContext.java
@@ -19,9 +19,9 @@
 /**
  * The parts of a controller that its {@link JobDelegation} uses.
  *
- * @param whyNever whether a job can ever run in this cell; empty while that is not known yet
- * @param whyWaits why an unfinished job waits in this cell
- * @param machineTypes what the cell's cloud rents out; empty while that is not known yet
+ * @param whyNever checks whether a job can ever run in this cell; empty until the machine types have been read
+ * @param whyWaits explains why an unfinished job waits in this cell
+ * @param machineTypes the types that the cell's cloud rents out; empty until they have been read
  */
 public record DelegationContext(
         Settings settings,
@@ -37,9 +37,9 @@
         Supplier<List<MachineType>> machineTypes) {
 
     /**
-     * Whether a job can ever run here, which is known once the machine types have been read.
+     * The result of checking whether a job can ever run in this cell.
      *
-     * @param why why it cannot; empty if it can
+     * @param why the reason why it cannot; empty if it can
      */
     public record NeverVerdict(Optional<String> why) {}
 }
--- a/src/main/java/org/dunespindle/api/JobCancellation.java
+++ b/src/main/java/org/dunespindle/api/JobCancellation.java
@@ -16,7 +16,7 @@
 import org.dunespindle.storage.TransactionResult;
 import org.dunespindle.transport.HttpStatus;
 
-/** Cancels users' jobs. A cancellation is answered once it is stored; until then it is retried for a while. */
+/** Cancels users' jobs. A cancellation is answered once it is stored; until then it is retried up to a timeout. */
 final class JobCancellation {
     private static final Duration RETRY_DELAY = Duration.ofMillis(40);
     private static final Duration RETRY_TIMEOUT = Duration.ofMillis(1800);
@@ -73,7 +73,7 @@
         } else if (job.isDelegatedAway()) {
             jobDelegation.cancel(job, outcome -> onRemoteOutcome(job, outcome, deadline, answer));
         } else if (commitQueue.pendingCount(CommitPriority.USERS) >= maxTransactionsWaiting) {
-            answer.accept(Answer.retryLater("more requests wait than can be stored in time"));
+            answer.accept(Answer.retryLater("too many requests are waiting to be stored"));
         } else {
             store(job, deadline, answer);
         }
@@ -91,14 +91,14 @@
         });
     }
 
-    /** Stores what another cell answered about a job that it may have held; the user is answered only then. */
+    /** Stores the outcome that a remote cell reported for a job that it may have held; the user is answered only then. */
     private void onRemoteOutcome(
             JobRecord requested, JobDelegation.Cancellation outcome, Duration deadline, Consumer<Answer> answer) {
         String id = requested.id();
         if (outcome == JobDelegation.Cancellation.UNKNOWN) {
             String cell = requested.outboundDelegation().orElseThrow().cell();
-            answer.accept(Answer.retryLater(
-                    "cell " + cell + ", which may hold the job, does not confirm that it is cancelled"));
+            answer.accept(
+                    Answer.retryLater("cell " + cell + ", which may hold the job, has not confirmed the cancellation"));
             return;
         }
         boolean isSameTransfer = replica.job(id)
--- a/src/main/java/org/dunespindle/api/JobDelegation.java
+++ b/src/main/java/org/dunespindle/api/JobDelegation.java
@@ -8,59 +8,59 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * Delegation of jobs to other cells, as a controller sees it: the boundary between placing jobs on this cell's machines and delegating
- * them to, or accepting them from, other cells. Everything runs on the controller's event loop.
+ * Delegation of jobs to and from other cells: the boundary between a controller, which places jobs on its own cell's machines, and the
+ * federation. All methods are called on the controller's event loop.
  */
 public interface JobDelegation {
-    /** For a cell that is not federated: no job is ever delegated. */
+    /** Used by a cell that is not federated: no job is ever delegated. */
     JobDelegation NONE = new JobDelegation() {};
 
     /**
-     * The progress of a job in the cell that holds it, by the latest report of that cell.
+     * The progress of a job in the cell that holds it, from the latest report of that cell.
      *
-     * @param begun whether any of its tasks was placed there
-     * @param age how long ago the report was requested
+     * @param begun whether any of its tasks has been placed there
+     * @param age the time since the report was requested
      */
     record RemoteProgress(String cell, boolean begun, int done, int running, int failures, Duration age) {}
 
     /** The outcome of a cancellation that another cell has to store first. */
     enum Cancellation {
-        /** The other cell has stored the cancellation, so this one may store it too. */
+        /** The remote cell has stored the cancellation, so this cell may store it too. */
         CANCELLED,
-        /** The other cell had finished the job before. */
+        /** The remote cell had finished the job before the cancellation arrived. */
         DONE,
-        /** The other cell never had the job, and never will under this transfer. */
+        /** The remote cell has never held the job under this transfer and never will. */
         NOT_THERE,
-        /** Not known: the other cell did not answer. */
+        /** The remote cell did not answer. */
         UNKNOWN
     }
 
-    /** Starts; called once the controller reads the state service. */
+    /** Starts the federation; called once the controller has begun to read the state store. */
     default void start() {}
 
-    /** Receives a new plan of this controller, which covers the whole cell while it leads. */
+    /** Receives each new plan of this controller; it covers the whole cell while this controller is the leader. */
     default void planned(ClusterSnapshot snapshot, Plan plan) {}
 
-    /** Requests that the cell that may hold a job store its cancellation. */
+    /** Requests the remote cell that may hold a job to store the job's cancellation. */
     default void cancel(JobRecord job, Consumer<Cancellation> onOutcome) {
         onOutcome.accept(Cancellation.UNKNOWN);
     }
 
-    /** The known progress of a job that another cell may hold. */
+    /** The last known progress of a job that a remote cell may hold. */
     default Optional<RemoteProgress> progress(JobRecord job) {
         return Optional.empty();
     }
 
-    /** Why a job that is offered to other cells waits, in words for its user. */
+    /** Why a job that is offered to other cells waits, as text for its user. */
     default Optional<String> whyWaits(JobRecord job) {
         return Optional.empty();
     }
 
     /**
-     * Answers a request of the administration API that concerns other cells.
+     * Answers a request of the administration API if it concerns other cells.
      *
-     * @param path the part after the API's version
-     * @return false if the request concerns something else
+     * @param path the part of the path after the API's version
+     * @return false if the request does not concern other cells; it is then not answered
      */
     default boolean administer(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         return false;
--- a/src/main/java/org/dunespindle/api/JobStatusReader.java
+++ b/src/main/java/org/dunespindle/api/JobStatusReader.java
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Answers with the stored state. A final state can be read from the replica as it is: it never changes again. */
+    /** Answers with the stored state. A finished job never changes again, so it is read without refreshing the replica. */
     void answerCurrent(String id, Consumer<Answer> answer) {
         Optional<JobRecord> known = findOwn(id);
         if (known.isPresent() && !known.get().isOpen()) {
@@ -47,17 +47,16 @@
         }
     }
 
-    /** A job that this cell accepted from its user. One taken in from another cell is known to that cell's users only. */
+    /** Finds a job that this cell accepted from its user. A job from another cell is visible to that cell's users only. */
     Optional<JobRecord> findOwn(String id) {
         return replica.job(id).filter(job -> job.inboundDelegation().isEmpty());
     }
 
-    /** The status of a job. */
     Answer status(JobRecord job) {
         return Answer.of(HttpStatus.OK, renderer.render(job));
     }
 
-    /** The answer for a job that was not found. One whose record cannot be understood is not absent: it was accepted. */
+    /** The answer for a job that was not found. A job whose record is unreadable has been accepted, so it is not reported as absent. */
     Answer absent(String id) {
         return replica.isUnreadable(Keys.job(id))
                 ? Answer.retryLater("the job's record cannot be read")
--- a/src/main/java/org/dunespindle/api/JobStatusRenderer.java
+++ b/src/main/java/org/dunespindle/api/JobStatusRenderer.java
@@ -16,7 +16,7 @@
         this.jobDelegation = jobDelegation;
     }
 
-    /** A job's status; what another cell reported of it comes with the age of that report. */
+    /** A job's status; progress reported by a remote cell is rendered with the age of the report. */
     ObjectNode render(JobRecord job) {
         Optional<JobDelegation.RemoteProgress> remote =
                 job.isDelegatedAway() ? jobDelegation.progress(job) : Optional.empty();
--- a/src/main/java/org/dunespindle/api/JobSubmission.java
+++ b/src/main/java/org/dunespindle/api/JobSubmission.java
@@ -22,7 +22,7 @@
 import org.dunespindle.storage.TransactionResult;
 import org.dunespindle.transport.HttpStatus;
 
-/** Accepts users' submissions: a job is accepted once its record is stored. Repeating a submission is idempotent. */
+/** Accepts users' submissions. A job is accepted once its record is stored; submissions are idempotent by the job's id. */
 final class JobSubmission {
     private final ControllerContext context;
     private final StateReplica replica;
@@ -51,7 +51,7 @@
         this.maxTransactionsWaiting = maxTransactionsWaiting;
     }
 
-    /** Answers a submission. */
+    /** Validates and stores a submission; a repeated one is answered with the job's status. */
     void submit(byte[] body, Consumer<Answer> answer) {
         Submission job;
         try {
@@ -63,7 +63,7 @@
         if (!replica.isLoaded()) {
             answer.accept(Answer.notLoaded());
         } else if (statusReader.findOwn(job.id()).isPresent()) {
-            // A job that was accepted once is never refused later, whatever the settings say by then.
+            // An accepted job is never rejected later, even if the settings have changed so that they would exclude it.
             statusReader.answerCurrent(job.id(), answer);
         } else if (replica.job(job.id()).isPresent()) {
             answer.accept(idInUse(job.id()));
@@ -83,7 +83,7 @@
     private void acceptIfFeasible(Submission job, Consumer<Answer> answer) {
         Optional<List<MachineType>> types = catalog.get();
         if (types.isEmpty()) {
-            answer.accept(Answer.retrySoon("the machine types are not known yet"));
+            answer.accept(Answer.retrySoon("the cloud's machine types have not been read yet"));
             return;
         }
         Optional<String> whyNever = SubmissionFeasibility.whyNever(job, types.get(), context.settings());
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Rejects a job for good, unless another controller has accepted it meanwhile. */
+    /** Rejects a job permanently, unless another controller has accepted it in the meantime. */
     private void reject(String id, String reason, Consumer<Answer> answer) {
         replica.refresh(
                 () -> answer.accept(statusReader
@@ -108,12 +108,16 @@
 
     private void store(Submission job, Consumer<Answer> answer) {
         JobRecord record = JobRecord.accepted(job, context.timeSource().wallTime());
-        if (MessagePackCodec.countedSize(record.toNode()) > context.jobWriter().maxDescriptionBytes()) {
-            answer.accept(Answer.error(HttpStatus.BAD_REQUEST, "the job's description is too long"));
+        int size = MessagePackCodec.countedSize(record.toNode());
+        int maxSize = context.jobWriter().maxDescriptionBytes();
+        if (size > maxSize) {
+            answer.accept(Answer.error(
+                    HttpStatus.BAD_REQUEST,
+                    "the job's description takes " + size + " bytes, at most " + maxSize + " are allowed"));
         } else if (commitQueue.isLocked(Keys.job(job.id()))) {
-            answer.accept(Answer.retrySoon("the same submission is being stored"));
+            answer.accept(Answer.retrySoon("this submission is already being stored"));
         } else if (commitQueue.pendingCount(CommitPriority.USERS) >= maxTransactionsWaiting) {
-            answer.accept(Answer.retryLater("more submissions wait than can be stored in time"));
+            answer.accept(Answer.retryLater("too many submissions are waiting to be stored"));
         } else {
             propose(record, answer);
         }
--- a/src/main/java/org/dunespindle/api/SubmissionFeasibility.java
+++ b/src/main/java/org/dunespindle/api/SubmissionFeasibility.java
@@ -8,11 +8,11 @@
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
 
-/** Whether a job can ever run in this cell, whatever is free at the moment. */
+/** Checks whether a job could run in this cell if all of its capacity were free. */
 public final class SubmissionFeasibility {
     private SubmissionFeasibility() {}
 
-    /** Why a job can never run, in words for its user; empty if it can. */
+    /** Why a job can never run, as text for its user; empty if it can. */
     public static Optional<String> whyNever(Submission job, List<MachineType> types, Settings settings) {
         Settings.Team team = settings.teams().get(job.team());
         if (team == null) {
--- a/src/main/java/org/dunespindle/api/UserApi.java
+++ b/src/main/java/org/dunespindle/api/UserApi.java
@@ -14,19 +14,19 @@
 import org.dunespindle.storage.StateStoreClient;
 import org.dunespindle.transport.HttpStatus;
 
-/** The users' interface: submissions, polls and cancellations. Every answer rests on what is stored. */
+/** The users' API: submissions, status polls and cancellations. Every answer reflects stored state. */
 public final class UserApi {
     private static final int MIN_TRANSACTIONS_WAITING = 32;
-    /** What would wait longer than this is of no use, since its user does not wait for it. */
+    /** Requests that would wait longer are rejected at once, since users do not wait longer for an answer. */
     private static final int MAX_COMMIT_WAIT_SECONDS = 2;
-    /** Cancellations may still wait when submissions may not. */
+    /** Cancellations are still queued when new submissions are rejected. */
     private static final int CANCELLATION_FACTOR = 2;
 
     private final JobSubmission submission;
     private final JobStatusReader statusReader;
     private final JobCancellation cancellation;
 
-    /** An answer before it is put on the wire. */
+    /** A response before it is encoded. */
     public record Answer(int status, ObjectNode body, Optional<Duration> retryAfter) {
         private static final Duration SHORT_RETRY_DELAY = Duration.ofSeconds(1);
         private static final Duration RETRY_DELAY = Duration.ofSeconds(3);
@@ -39,7 +39,7 @@
             return of(status, MessagePackCodec.map().put("error", text));
         }
 
-        /** For what passes in a moment. */
+        /** For conditions that end within about a second. */
         static Answer retrySoon(String reason) {
             return unavailable(reason, SHORT_RETRY_DELAY);
         }
@@ -53,7 +53,8 @@
         }
 
         static Answer stateServiceUnavailable() {
-            return retryLater("the state service does not answer; the request was not carried out as far as is known");
+            return retryLater(
+                    "the state service does not answer; it is not confirmed that the request was carried out");
         }
 
         private static Answer unavailable(String reason, Duration retryAfter) {
@@ -65,10 +66,10 @@
     }
 
     /**
-     * Creates the interface.
+     * Creates the API of one controller.
      *
      * @param catalog the machine types; empty until the cloud has answered
-     * @param acceptLatency where it is recorded how long submissions took to be stored, in microseconds
+     * @param acceptLatency records how long submissions take to be stored, in microseconds
      */
     public UserApi(
             ControllerContext context,
@@ -86,17 +87,17 @@
                 context, stateStore, commitQueue, jobDelegation, statusReader, CANCELLATION_FACTOR * maxWaiting);
     }
 
-    /** Answers a submission. */
+    /** Accepts or rejects a submission. */
     public void submit(byte[] body, Consumer<Answer> answer) {
         submission.submit(body, answer);
     }
 
-    /** Answers a poll of a job. */
+    /** Answers with the status of a job. */
     public void poll(String id, Consumer<Answer> answer) {
         statusReader.poll(id, answer);
     }
 
-    /** Cancels a job and answers once that is stored. */
+    /** Cancels a job and answers once the cancellation is stored. */
     public void cancel(String id, Consumer<Answer> answer) {
         cancellation.cancel(id, answer);
     }
--- a/src/main/java/org/dunespindle/api/package-info.java
+++ b/src/main/java/org/dunespindle/api/package-info.java
@@ -1,2 +1,2 @@
-/** The interfaces for users and operators, and the boundary to the federation with other cells. */
+/** The APIs for users and operators, and the boundary to the federation with other cells. */
 package org.dunespindle.api;
--- a/src/main/java/org/dunespindle/protocol/ExitCause.java
+++ b/src/main/java/org/dunespindle/protocol/ExitCause.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Why a task ended. */
+/** Why a task ended; the lower-case names of the constants are sent on the wire. */
 public enum ExitCause {
     DONE,
     STOPPED,
@@ -13,11 +13,11 @@
     BUSY,
     UNKNOWN;
 
-    /** An unheard-of cause counts as {@link #STOPPED}: the task is gone and not done. */
+    /** Reads the name on the wire. An unknown cause is read as {@link #STOPPED}: the task has ended without completing. */
     public static ExitCause parse(String text) {
-        for (ExitCause c : values()) {
-            if (c.name().toLowerCase(Locale.ROOT).equals(text)) {
-                return c;
+        for (ExitCause cause : values()) {
+            if (cause.name().toLowerCase(Locale.ROOT).equals(text)) {
+                return cause;
             }
         }
         return STOPPED;
--- a/src/main/java/org/dunespindle/protocol/JobKind.java
+++ b/src/main/java/org/dunespindle/protocol/JobKind.java
@@ -2,11 +2,11 @@
 
 import java.util.Optional;
 
-/** What a job's tasks are to one another. */
+/** How a job's tasks depend on one another and when they end. */
 public enum JobKind {
     /** Independent tasks, each of which runs to completion. */
     ARRAY("array"),
-    /** All tasks run at the same time or none does. */
+    /** Tasks that all run at the same time or not at all. */
     GANG("group"),
     /** Independent tasks that run until the job is cancelled. */
     SERVICE("daemon");
@@ -22,11 +22,11 @@
         return wire;
     }
 
-    /** Reads the name on the wire. */
+    /** Reads the name on the wire; empty if it is unknown. */
     public static Optional<JobKind> parse(String text) {
-        for (JobKind s : values()) {
-            if (s.wire.equals(text)) {
-                return Optional.of(s);
+        for (JobKind kind : values()) {
+            if (kind.wire.equals(text)) {
+                return Optional.of(kind);
             }
         }
         return Optional.empty();
--- a/src/main/java/org/dunespindle/protocol/JsonCodec.java
+++ b/src/main/java/org/dunespindle/protocol/JsonCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** Writes the JSON bodies of the administration API. */
+/** Writes the JSON bodies of the administration API and of the messages between controllers. */
 public final class JsonCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
--- a/src/main/java/org/dunespindle/protocol/MachineType.java
+++ b/src/main/java/org/dunespindle/protocol/MachineType.java
@@ -5,7 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A rentable machine type from the cloud's catalog. */
+/**
+ * A rentable machine type from the cloud's catalog.
+ *
+ * @param cacheGb the size of the machine's image cache
+ * @param fetchGbPerS the rate at which the machine fetches images
+ * @param boot the nominal boot time
+ */
 public record MachineType(
         String name,
         Resources size,
@@ -20,15 +26,15 @@
         return spot ? spotPrice : price;
     }
 
-    /** Reads {@code GET /catalog}. */
+    /** Reads the answer to {@code GET /catalog}. */
     public static List<MachineType> parseCatalog(JsonNode body) throws MalformedMessageException {
-        JsonNode hulls = body.get("hulls");
-        if (hulls == null || !hulls.isArray()) {
-            throw new MalformedMessageException("hulls is missing");
+        JsonNode rows = body.get("hulls");
+        if (rows == null || !rows.isArray()) {
+            throw new MalformedMessageException("hulls must be a list");
         }
         var types = new ArrayList<MachineType>();
-        for (JsonNode h : hulls) {
-            var f = new Submission.Fields(h);
+        for (JsonNode row : rows) {
+            var f = new Submission.Fields(row);
             types.add(new MachineType(
                     f.text("name", 200),
                     new Resources(f.amount("vcpus"), f.amount("accelerators"), f.amount("ramGb")),
--- a/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
+++ b/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
@@ -17,10 +17,10 @@
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** Bodies outside the service: MessagePack to and from trees. */
+/** Encodes and decodes MessagePack bodies, the format of all messages to and from users, workers, the state store and the cloud. */
 public final class MessagePackCodec {
     public static final String TYPE = "application/msgpack";
-    private static final int DEEPEST = 32;
+    private static final int MAX_DEPTH = 32;
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -32,24 +32,24 @@
     }
 
     /**
-     * Reads one whole value; anything behind it makes the body malformed. The library's own unpacker builds the tree:
-     * Jackson's parser on top of it tells the end of input by an exception, which costs more than most messages.
+     * Reads exactly one value; trailing bytes make the body malformed. The tree is built with the MessagePack library's unpacker,
+     * because Jackson's parser signals the end of input by an exception, which costs more than parsing most messages.
      */
     public static JsonNode read(byte[] body) throws MalformedMessageException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(body)) {
             JsonNode node = value(unpacker, 0);
             if (unpacker.hasNext()) {
-                throw new MalformedMessageException("the body is not one MessagePack value");
+                throw new MalformedMessageException("the body has bytes after its MessagePack value");
             }
             return node;
         } catch (IOException | RuntimeException e) {
-            throw new MalformedMessageException("the body is not MessagePack");
+            throw new MalformedMessageException("the body is not valid MessagePack");
         }
     }
 
     private static JsonNode value(MessageUnpacker in, int depth) throws IOException, MalformedMessageException {
-        if (depth > DEEPEST) {
-            throw new MalformedMessageException("the body is nested too deeply");
+        if (depth > MAX_DEPTH) {
+            throw new MalformedMessageException("the body is nested more than " + MAX_DEPTH + " levels deep");
         }
         MessageFormat format = in.getNextFormat();
         switch (format.getValueType()) {
@@ -87,7 +87,9 @@
                 }
                 return map;
             }
-            default -> throw new MalformedMessageException("the body holds binary data");
+            default ->
+                throw new MalformedMessageException(
+                        "the body contains a binary or extension value, which is not allowed");
         }
     }
 
@@ -100,7 +102,7 @@
         }
     }
 
-    /** The size that the protocol's limits count: that of the JSON form. */
+    /** The size of a value as the protocol's limits count it: the number of bytes of its JSON form. */
     public static int countedSize(JsonNode node) {
         try {
             return JSON.writeValueAsBytes(node).length;
--- a/src/main/java/org/dunespindle/protocol/Priority.java
+++ b/src/main/java/org/dunespindle/protocol/Priority.java
@@ -3,14 +3,14 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Job priorities, lowest first so that {@code compareTo} commands them. */
+/** Job priorities, lowest first, so that {@code compareTo} orders them. The lower-case names are sent on the wire. */
 public enum Priority {
     LOW,
     NORMAL,
     URGENT,
     CRITICAL;
 
-    /** Reads the name on the wire. */
+    /** Reads the name on the wire; empty if it is unknown. */
     public static Optional<Priority> parse(String text) {
         for (Priority p : values()) {
             if (p.wire().equals(text)) {
--- a/src/main/java/org/dunespindle/protocol/RentalRequest.java
+++ b/src/main/java/org/dunespindle/protocol/RentalRequest.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * A request to the cloud for machines of one type, zone and kind.
+ * A request to the cloud for machines of one type and zone, either spot or ordinary.
  *
- * @param id names the request; never reused, since the cloud answers a repeated one as it did before
+ * @param id the idempotency key; never reused, since the cloud repeats its first answer for a known id
  */
 public record RentalRequest(String id, String type, String zone, boolean spot, int count) {
     /** The request body. */
--- a/src/main/java/org/dunespindle/protocol/SampleMessages.java
+++ b/src/main/java/org/dunespindle/protocol/SampleMessages.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Plausible messages of each kind, for the run that trains the JVM's class archive. */
+/** Sample messages of each kind for the training run that records the JVM's class archive. */
 public final class SampleMessages {
     private static final String MACHINE = "i-1";
     private static final String TYPE = "m";
@@ -11,7 +11,7 @@
 
     private SampleMessages() {}
 
-    /** A worker's report with one ended task. */
+    /** A worker's heartbeat with one exited task. */
     public static ObjectNode workerReport(String address, long sequence, long token) {
         ObjectNode report = MessagePackCodec.map()
                 .put("host", MACHINE)
@@ -32,12 +32,12 @@
     }
 
     /** A submission of two tasks. */
-    public static ObjectNode job(String id, JobKind shape) {
+    public static ObjectNode job(String id, JobKind kind) {
         return MessagePackCodec.map()
                 .put("id", id)
                 .put("jobclass", "c")
                 .put("owner", "t")
-                .put("shape", shape.wire())
+                .put("shape", kind.wire())
                 .put("rank", "urgent")
                 .put("pieces", 2)
                 .put("vcpus", 1.0)
@@ -53,7 +53,7 @@
                 .put("flushS", 0.0);
     }
 
-    /** What the state service, the cloud or a worker may answer on a path. */
+    /** An answer of the state store, the cloud or a worker to a request for a path. */
     public static ObjectNode answer(String path, long revision) {
         ObjectNode body = MessagePackCodec.map().put("epoch", revision).put("more", false);
         return switch (path) {
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -1,6 +1,7 @@
 package org.dunespindle.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.TextNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,7 +14,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The platform's settings file, checked. Unknown settings are ignored. */
+/** The validated settings file of the platform. Unknown settings are ignored. */
 public record Settings(
         String nodeName,
         String zone,
@@ -32,42 +33,48 @@
 
     private static final int DEFAULT_SOCKETS = 1024;
     private static final double BYTES_PER_KB = 1024;
-    /** A placement may write its job and its team's record together. */
-    private static final int LEAST_TXN_OPS = 2;
-    /** The part of a job's record that is never cut has to fit into one value. */
-    private static final double LEAST_VALUE_KB = 0.4;
+    /** A placement may write the job's record and its team's record in one transaction. */
+    private static final int MIN_TXN_OPS = 2;
+    /** The part of a job's record that cannot be split has to fit into one value. */
+    private static final double MIN_VALUE_KB = 0.4;
+    /** Absorbs the rounding errors of sums of decimals. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    /** Another controller. */
+    /** Another controller of the cell. */
     public record Seed(String name, String zone, String address) {}
 
-    /** A team; a guarantee or limit of 0 in the file means none, which is infinity here for a limit. */
+    /** A team's guarantees and limits. A value of 0 in the file means that there is none; a missing limit is infinite here. */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-        /** Whether a use keeps within the team's limit. */
-        public boolean withinLimit(Resources use) {
-            return use.cpus() <= cpusMax + 1e-6 && use.gpus() <= gpusMax + 1e-6;
+        /** Whether a usage is within the team's limits. */
+        public boolean withinLimit(Resources usage) {
+            return usage.cpus() <= cpusMax + ROUNDING_TOLERANCE && usage.gpus() <= gpusMax + ROUNDING_TOLERANCE;
         }
 
-        /** Whether a use lies within the guarantee; an amount without a guarantee does not count. */
-        public boolean withinGuarantee(Resources use) {
+        /** Whether a usage is within the team's guarantees; a resource without a guarantee is not compared. */
+        public boolean withinGuarantee(Resources usage) {
             return (cpus > 0 || gpus > 0)
-                    && (cpus == 0 || use.cpus() <= cpus + 1e-6)
-                    && (gpus == 0 || use.gpus() <= gpus + 1e-6);
+                    && (cpus == 0 || usage.cpus() <= cpus + ROUNDING_TOLERANCE)
+                    && (gpus == 0 || usage.gpus() <= gpus + ROUNDING_TOLERANCE);
         }
     }
 
-    /** A restated aim; {@code times} is the multiple of its deadline that a job is measured by. */
+    /**
+     * A service-level objective.
+     *
+     * @param times the multiple of a job's deadline that the job is measured by
+     */
     public record Objective(String kind, String jobClass, Duration within, double share, double times) {}
 
-    /** Timing of the workers. */
+    /** Intervals and timeouts of the workers. */
     public record Workers(Duration report, Duration lease, Duration gangWait, Duration gangPeer, Duration cancel) {}
 
     /**
-     * Limits of the state service.
+     * Limits of the state store.
      *
-     * @param next the limits that it will have from some moment on, of which nobody is told
+     * @param next announced limits that take effect at an unknown time; empty if none are announced
      */
     public record State(double rps, double writeRps, int valueBytes, int txnOps, Optional<State> next) {
-        /** Limits that hold both now and after the announced change. */
+        /** The lower of the present and the announced limits, which hold both before and after the change. */
         public State lowest() {
             return next.map(later -> new State(
                             Math.min(rps, later.rps),
@@ -79,10 +86,14 @@
         }
     }
 
-    /** Limits of the cloud. */
+    /**
+     * Limits of the cloud.
+     *
+     * @param listLag the longest delay until a change appears in the cloud's machine list
+     */
     public record Cloud(double rps, Duration listLag) {}
 
-    /** Reads the file; a complaint names the field. */
+    /** Reads and validates a settings file; the exception names the invalid field. */
     public static Settings load(Path file) throws MalformedMessageException {
         JsonNode root;
         try {
@@ -94,7 +105,7 @@
         return parse(root);
     }
 
-    /** Reads and checks settings; the message of a failure names the field. */
+    /** Validates parsed settings; the exception names the invalid field. */
     public static Settings parse(JsonNode root) throws MalformedMessageException {
         List<Seed> seeds = seeds(root.path("seeds"));
         JsonNode deployment = table(root, "deployment");
@@ -130,7 +141,7 @@
         for (JsonNode row : list) {
             String address = text(row, "seeds.", "address");
             if (!address.matches(".+:\\d{1,5}")) {
-                throw new MalformedMessageException("seeds.address must be address:port, not " + address);
+                throw MalformedMessageException.invalid("seeds.address", "address:port", row.path("address"));
             }
             seeds.add(
                     new Seed(text(row, "seeds.", "node_name"), row.path("area").asText(""), address));
@@ -147,7 +158,7 @@
             }
         }
         if (teams.isEmpty()) {
-            throw new MalformedMessageException("deployment.teams is missing");
+            throw new MalformedMessageException("deployment.teams must list at least one team");
         }
         return Map.copyOf(teams);
     }
@@ -159,7 +170,8 @@
         var team = new Team(name, amount(row, at, "cpus"), cpusMax, amount(row, at, "gpus"), gpusMax);
         if (team.cpus > team.cpusMax || team.gpus > team.gpusMax) {
             String field = team.gpus > team.gpusMax ? "gpus" : "cpus";
-            throw new MalformedMessageException(at + field + " of " + name + " is above its limit");
+            throw new MalformedMessageException(
+                    at + field + " of team " + name + " must not be above " + field + "_max");
         }
         return team;
     }
@@ -193,7 +205,8 @@
                 duration(table, at, "gang_peer_s"),
                 duration(table, at, "cancel_s"));
         if (workers.report.compareTo(workers.lease) >= 0) {
-            throw new MalformedMessageException(at + "lease_s must be longer than report_s");
+            throw MalformedMessageException.invalid(
+                    at + "lease_s", "longer than report_s (" + table.path("report_s") + ")", table.path("lease_s"));
         }
         return workers;
     }
@@ -211,21 +224,21 @@
             return now;
         }
         if (!next.isObject()) {
-            throw new MalformedMessageException(at + "next must be a table");
+            throw MalformedMessageException.invalid(at + "next", "a table", next);
         }
         return new State(now.rps, now.writeRps, now.valueBytes, now.txnOps, Optional.of(nextState(next, now)));
     }
 
-    /** Announced limits; those that the table does not name stay as they are. */
+    /** Reads the announced limits; limits that the table does not contain stay unchanged. */
     private static State nextState(JsonNode table, State now) throws MalformedMessageException {
         String at = "deployment.state.next.";
         double valueKb = table.has("value_kb") ? positive(table, at, "value_kb") : now.valueBytes / BYTES_PER_KB;
         double txnOps = table.has("txn_ops") ? positive(table, at, "txn_ops") : now.txnOps;
-        if (valueKb < LEAST_VALUE_KB) {
-            throw new MalformedMessageException(at + "value_kb must be at least " + LEAST_VALUE_KB);
+        if (valueKb < MIN_VALUE_KB) {
+            throw new MalformedMessageException(at + "value_kb must be at least " + MIN_VALUE_KB + ", not " + valueKb);
         }
-        if (txnOps < LEAST_TXN_OPS) {
-            throw new MalformedMessageException(at + "txn_ops must be at least " + LEAST_TXN_OPS);
+        if (txnOps < MIN_TXN_OPS) {
+            throw new MalformedMessageException(at + "txn_ops must be at least " + MIN_TXN_OPS + ", not " + txnOps);
         }
         return new State(
                 table.has("rps") ? positive(table, at, "rps") : now.rps,
@@ -249,44 +262,44 @@
     }
 
     private static JsonNode table(JsonNode parent, String name) throws MalformedMessageException {
-        JsonNode t = parent.path(name);
-        if (!t.isObject()) {
-            throw new MalformedMessageException("table " + name + " is missing");
+        JsonNode table = parent.path(name);
+        if (!table.isObject()) {
+            throw MalformedMessageException.invalid(name, "a table", table);
         }
-        return t;
+        return table;
     }
 
-    private static String text(JsonNode n, String at, String name) throws MalformedMessageException {
-        JsonNode v = n.path(name);
-        if (!v.isTextual() || v.textValue().isBlank()) {
-            throw new MalformedMessageException(at + name + " must be text");
+    private static String text(JsonNode table, String at, String name) throws MalformedMessageException {
+        JsonNode value = table.path(name);
+        if (!value.isTextual() || value.textValue().isBlank()) {
+            throw MalformedMessageException.invalid(at + name, "non-blank text", value);
         }
-        return v.textValue();
+        return value.textValue();
     }
 
-    private static double amount(JsonNode n, String at, String name) throws MalformedMessageException {
-        JsonNode v = n.path(name);
-        if (!v.isNumber() || !(v.doubleValue() >= 0) || Double.isInfinite(v.doubleValue())) {
-            throw new MalformedMessageException(at + name + " must be a number of at least 0");
+    private static double amount(JsonNode table, String at, String name) throws MalformedMessageException {
+        JsonNode value = table.path(name);
+        if (!value.isNumber() || !(value.doubleValue() >= 0) || Double.isInfinite(value.doubleValue())) {
+            throw MalformedMessageException.invalid(at + name, "a number of at least 0", value);
         }
-        return v.doubleValue();
+        return value.doubleValue();
     }
 
-    private static double optional(JsonNode n, String at, String name, double otherwise)
+    private static double optional(JsonNode table, String at, String name, double defaultValue)
             throws MalformedMessageException {
-        return n.path(name).isMissingNode() ? otherwise : amount(n, at, name);
+        return table.path(name).isMissingNode() ? defaultValue : amount(table, at, name);
     }
 
-    private static double positive(JsonNode n, String at, String name) throws MalformedMessageException {
-        double v = amount(n, at, name);
-        if (v <= 0) {
-            throw new MalformedMessageException(at + name + " must be above 0");
+    private static double positive(JsonNode table, String at, String name) throws MalformedMessageException {
+        double value = amount(table, at, name);
+        if (value <= 0) {
+            throw MalformedMessageException.invalid(at + name, "a number above 0", table.path(name));
         }
-        return v;
+        return value;
     }
 
-    private static Duration duration(JsonNode n, String at, String name) throws MalformedMessageException {
-        return seconds(positive(n, at, name));
+    private static Duration duration(JsonNode table, String at, String name) throws MalformedMessageException {
+        return seconds(positive(table, at, name));
     }
 
     private static Duration seconds(double s) {
@@ -301,8 +314,8 @@
                 return new InetSocketAddress(text.substring(0, colon), port);
             }
         } catch (RuntimeException e) {
-            // falls through to the complaint below
+            // The text is not address:port and is rejected below.
         }
-        throw new MalformedMessageException(name + " must be address:port, not " + text);
+        throw MalformedMessageException.invalid(name, "address:port", TextNode.valueOf(text));
     }
 }
--- a/src/main/java/org/dunespindle/protocol/StateMessages.java
+++ b/src/main/java/org/dunespindle/protocol/StateMessages.java
@@ -12,38 +12,39 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** Messages to and from the state service. */
+/** Messages to and from the state store. */
 public final class StateMessages {
     private StateMessages() {}
 
     /**
      * A change of one key.
      *
-     * @param value what is written; empty removes the key
+     * @param value the value to write; empty to remove the key
      * @param lease the lease that the written key is attached to
      */
     public record Change(Optional<JsonNode> value, OptionalLong lease) {}
 
     /**
-     * A key as it was at some revision.
+     * A key's value at a revision.
      *
-     * @param value empty for a key that was removed
+     * @param value empty if the key was removed
      */
     public record Entry(String key, Optional<JsonNode> value, long revision) {}
 
     /**
-     * Part of what is stored, or of the log of changes.
+     * A page of stored keys, or the entries of the change log.
      *
-     * @param revision the service's revision when it answered
-     * @param more whether further keys follow; never for a log
+     * @param revision the store's revision when it answered
+     * @param more whether more pages follow; always false for the change log
      */
     public record Entries(List<Entry> entries, long revision, boolean more) {}
 
-    /** The body of a transaction: the revisions that keys must have, and the changes. */
-    public static ObjectNode transaction(Map<String, Long> guards, Map<String, Change> changes) {
+    /** The body of a transaction. Its preconditions are the revisions that keys must have. */
+    public static ObjectNode transaction(Map<String, Long> preconditions, Map<String, Change> changes) {
         ObjectNode body = MessagePackCodec.map();
-        ArrayNode guardList = body.putArray("guards");
-        guards.forEach((key, revision) -> guardList.addObject().put("key", key).put("stamp", revision));
+        ArrayNode preconditionList = body.putArray("guards");
+        preconditions.forEach(
+                (key, revision) -> preconditionList.addObject().put("key", key).put("stamp", revision));
         ArrayNode changeList = body.putArray("apply");
         changes.forEach((key, change) -> {
             ObjectNode row = changeList.addObject();
@@ -57,30 +58,30 @@
         return body;
     }
 
-    /** The service's revision after a transaction was applied. */
+    /** Reads the store's revision after a transaction was applied. */
     public static long revision(byte[] body) throws MalformedMessageException {
         return MessagePackCodec.read(body).path("epoch").longValue();
     }
 
-    /** The keys whose guards failed. */
+    /** Reads the keys whose preconditions failed. */
     public static Set<String> failedKeys(byte[] body) throws MalformedMessageException {
         var keys = new HashSet<String>();
         MessagePackCodec.read(body).path("failed").forEach(key -> keys.add(key.asText()));
         return keys;
     }
 
-    /** The body of a request for a lease. */
-    public static ObjectNode lease(Duration length) {
-        return MessagePackCodec.map().put("ttlMs", length.toMillis());
+    /** The body of a request for a lease with the given time to live. */
+    public static ObjectNode lease(Duration ttl) {
+        return MessagePackCodec.map().put("ttlMs", ttl.toMillis());
     }
 
-    /** The number of a new lease. */
+    /** Reads the id of a new lease; empty if the answer has none. */
     public static OptionalLong leaseId(JsonNode body) {
         JsonNode id = body.path("tether");
         return id.isIntegralNumber() ? OptionalLong.of(id.longValue()) : OptionalLong.empty();
     }
 
-    /** A page of keys. */
+    /** Reads a page of keys. */
     public static Entries page(JsonNode body) {
         var entries = new ArrayList<Entry>();
         for (JsonNode row : body.path("rows")) {
@@ -93,7 +94,7 @@
                 entries, body.path("epoch").longValue(), body.path("more").asBoolean(false));
     }
 
-    /** The log of changes after a revision. */
+    /** Reads the entries of the change log after a revision. */
     public static Entries log(byte[] bytes) throws MalformedMessageException {
         JsonNode body = MessagePackCodec.read(bytes);
         var entries = new ArrayList<Entry>();
--- a/src/main/java/org/dunespindle/protocol/Submission.java
+++ b/src/main/java/org/dunespindle/protocol/Submission.java
@@ -8,7 +8,19 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A job as its user describes it. */
+/**
+ * A job as submitted by its user.
+ *
+ * @param types the machine types that the job may use; empty if any
+ * @param zone the only zone that the job may use; empty if any
+ * @param sameZone whether all tasks must run in one zone
+ * @param spread whether the tasks must be spread over at least two zones
+ * @param spot whether the job may run on spot machines
+ * @param estimate the expected run time of a task
+ * @param checkpointEvery the interval between checkpoints; zero if tasks cannot save their progress
+ * @param checkpointTime the time that writing a checkpoint takes
+ * @param due the time from submission within which the job should end; empty if none is set
+ */
 public record Submission(
         String id,
         String jobClass,
@@ -30,7 +42,7 @@
         Optional<Duration> due) {
     public static final int MAX_TASKS = 100_000;
 
-    /** What all tasks take together. */
+    /** The resources of all tasks together. */
     public Resources totalResources() {
         return perTask.times(tasks);
     }
@@ -40,12 +52,12 @@
         return kind == JobKind.GANG;
     }
 
-    /** Whether its tasks run until its user calls it off. */
+    /** Whether its tasks run until its user cancels it. */
     public boolean isService() {
         return kind == JobKind.SERVICE;
     }
 
-    /** Whether it is of use only with all of its tasks: it may then never need more than its team's limit at once. */
+    /** Whether all tasks must run at the same time; the job as a whole must then fit within its team's limit. */
     public boolean runsAsWhole() {
         return isGang() || isService();
     }
@@ -55,7 +67,7 @@
         return !checkpointEvery.isZero();
     }
 
-    /** Reads and checks a submission; what is missing or out of range is named in the exception. */
+    /** Reads and validates a submission; the exception names the field that is missing or invalid. */
     public static Submission parse(JsonNode body) throws MalformedMessageException {
         if (!body.isObject()) {
             throw new MalformedMessageException("the body is not a map");
@@ -63,22 +75,22 @@
         var f = new Fields(body);
         String id = f.text("id", 64);
         if (!wellFormedId(id)) {
-            throw new MalformedMessageException("id must look like wk-000412");
+            throw f.invalid("id", "1 to 16 lower-case letters, a dash and digits, such as wk-000412");
         }
-        JobKind shape = JobKind.parse(f.text("shape", 16))
-                .orElseThrow(() -> new MalformedMessageException("shape must be array, group or daemon"));
+        JobKind kind =
+                JobKind.parse(f.text("shape", 16)).orElseThrow(() -> f.invalid("shape", "array, group or daemon"));
         Priority priority = Priority.parse(f.text("rank", 16))
-                .orElseThrow(() -> new MalformedMessageException("rank must be critical, urgent, normal or low"));
+                .orElseThrow(() -> f.invalid("rank", "critical, urgent, normal or low"));
         long tasks = f.whole("pieces", 1, MAX_TASKS);
-        var per = new Resources(f.amount("vcpus"), f.amount("accelerators"), f.amount("ramGb"));
+        var perTask = new Resources(f.amount("vcpus"), f.amount("accelerators"), f.amount("ramGb"));
         return new Submission(
                 id,
                 f.text("jobclass", 128),
                 f.text("owner", 128),
-                shape,
+                kind,
                 priority,
                 (int) tasks,
-                per,
+                perTask,
                 f.optionalTexts("hulls", 64),
                 f.optionalText("dune", 128),
                 f.flag("samePlace"),
@@ -92,7 +104,7 @@
                 f.optionalSeconds("dueS"));
     }
 
-    /** Ids are letters, a dash, then digits, as in the example; other text is no job's id. */
+    /** Whether a text has the form of a job's id: 1 to 16 lower-case letters, a dash and digits, 64 characters at most. */
     public static boolean wellFormedId(String id) {
         int dash = id.indexOf('-');
         if (dash < 1 || dash > 16 || id.length() == dash + 1 || id.length() > 64) {
@@ -100,15 +112,15 @@
         }
         for (int i = 0; i < id.length(); i++) {
             char c = id.charAt(i);
-            boolean fine = i < dash ? c >= 'a' && c <= 'z' : i == dash || (c >= '0' && c <= '9');
-            if (!fine) {
+            boolean allowed = i < dash ? c >= 'a' && c <= 'z' : i == dash || (c >= '0' && c <= '9');
+            if (!allowed) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The same map that {@link #parse} reads. */
+    /** Encodes the submission as the map that {@link #parse} reads. */
     public ObjectNode toNode() {
         ObjectNode n = JsonNodeFactory.instance.objectNode();
         n.put("id", id)
@@ -135,9 +147,10 @@
         return n;
     }
 
-    /** Typed access to a map's fields with plain complaints. */
+    /** Typed access to a map's fields; an invalid field is reported with its name, the allowed values and the given value. */
     static final class Fields {
-        private static final double MOST = 1e9;
+        private static final double MAX_AMOUNT = 1e9;
+        private static final int MAX_LISTED_TEXT_LENGTH = 128;
         private final JsonNode node;
 
         Fields(JsonNode node) {
@@ -148,63 +161,76 @@
             return d.toNanos() / 1e9;
         }
 
+        MalformedMessageException invalid(String name, String allowed) {
+            return MalformedMessageException.invalid(name, allowed, node.get(name));
+        }
+
         private JsonNode present(String name) throws MalformedMessageException {
-            JsonNode v = node.get(name);
-            if (v == null || v.isNull()) {
+            JsonNode value = node.get(name);
+            if (value == null || value.isNull()) {
                 throw new MalformedMessageException(name + " is missing");
             }
-            return v;
+            return value;
         }
 
         private boolean absent(String name) {
-            JsonNode v = node.get(name);
-            return v == null || v.isNull();
+            JsonNode value = node.get(name);
+            return value == null || value.isNull();
         }
 
-        String text(String name, int most) throws MalformedMessageException {
-            JsonNode v = present(name);
-            if (!v.isTextual() || v.textValue().isEmpty() || v.textValue().length() > most) {
-                throw new MalformedMessageException(name + " must be text of 1 to " + most + " characters");
+        String text(String name, int maxLength) throws MalformedMessageException {
+            JsonNode value = present(name);
+            if (!value.isTextual()
+                    || value.textValue().isEmpty()
+                    || value.textValue().length() > maxLength) {
+                throw invalid(name, "text of 1 to " + maxLength + " characters");
             }
-            return v.textValue();
+            return value.textValue();
         }
 
-        Optional<String> optionalText(String name, int most) throws MalformedMessageException {
-            return absent(name) ? Optional.empty() : Optional.of(text(name, most));
+        Optional<String> optionalText(String name, int maxLength) throws MalformedMessageException {
+            return absent(name) ? Optional.empty() : Optional.of(text(name, maxLength));
         }
 
-        Optional<List<String>> optionalTexts(String name, int most) throws MalformedMessageException {
+        Optional<List<String>> optionalTexts(String name, int maxCount) throws MalformedMessageException {
             if (absent(name)) {
                 return Optional.empty();
             }
-            JsonNode v = node.get(name);
-            if (!v.isArray() || v.size() > most) {
-                throw new MalformedMessageException(name + " must be a list of at most " + most + " texts");
+            JsonNode value = node.get(name);
+            if (!value.isArray() || value.size() > maxCount) {
+                throw invalid(name, "a list of at most " + maxCount + " texts");
             }
-            var list = new ArrayList<String>(v.size());
-            for (JsonNode item : v) {
-                if (!item.isTextual() || item.textValue().length() > 128) {
-                    throw new MalformedMessageException(name + " must hold only texts");
+            var list = new ArrayList<String>(value.size());
+            for (JsonNode item : value) {
+                if (!item.isTextual() || item.textValue().length() > MAX_LISTED_TEXT_LENGTH) {
+                    throw MalformedMessageException.invalid(
+                            "each item of " + name, "text of at most " + MAX_LISTED_TEXT_LENGTH + " characters", item);
                 }
                 list.add(item.textValue());
             }
             return Optional.of(List.copyOf(list));
         }
 
-        long whole(String name, long least, long most) throws MalformedMessageException {
-            JsonNode v = present(name);
-            if (!v.isIntegralNumber() || !v.canConvertToLong() || v.longValue() < least || v.longValue() > most) {
-                throw new MalformedMessageException(name + " must be a whole number from " + least + " to " + most);
+        long whole(String name, long min, long max) throws MalformedMessageException {
+            JsonNode value = present(name);
+            if (!value.isIntegralNumber()
+                    || !value.canConvertToLong()
+                    || value.longValue() < min
+                    || value.longValue() > max) {
+                throw invalid(name, "a whole number from " + min + " to " + max);
             }
-            return v.longValue();
+            return value.longValue();
         }
 
         double amount(String name) throws MalformedMessageException {
-            JsonNode v = present(name);
-            if (!v.isNumber() || !Double.isFinite(v.doubleValue()) || v.doubleValue() < 0 || v.doubleValue() > MOST) {
-                throw new MalformedMessageException(name + " must be a number from 0 to 1e9");
+            JsonNode value = present(name);
+            if (!value.isNumber()
+                    || !Double.isFinite(value.doubleValue())
+                    || value.doubleValue() < 0
+                    || value.doubleValue() > MAX_AMOUNT) {
+                throw invalid(name, "a number from 0 to 1e9");
             }
-            return v.doubleValue();
+            return value.doubleValue();
         }
 
         Duration seconds(String name) throws MalformedMessageException {
@@ -216,11 +242,11 @@
         }
 
         boolean flag(String name) throws MalformedMessageException {
-            JsonNode v = present(name);
-            if (!v.isBoolean()) {
-                throw new MalformedMessageException(name + " must be true or false");
+            JsonNode value = present(name);
+            if (!value.isBoolean()) {
+                throw invalid(name, "true or false");
             }
-            return v.booleanValue();
+            return value.booleanValue();
         }
     }
 }
--- a/src/main/java/org/dunespindle/protocol/TaskId.java
+++ b/src/main/java/org/dunespindle/protocol/TaskId.java
@@ -4,7 +4,7 @@
 
 /** A task's name on the wire: the job's id and the task's index, as in {@code wk-000412/3}. */
 public record TaskId(String job, int index) implements Comparable<TaskId> {
-    /** Reads a task's name; empty if the text is none. */
+    /** Reads a task's name; empty if the text does not have its form. */
     public static Optional<TaskId> parse(String text) {
         int slash = text.lastIndexOf('/');
         if (slash <= 0 || slash == text.length() - 1) {
--- a/src/main/java/org/dunespindle/protocol/TaskPhase.java
+++ b/src/main/java/org/dunespindle/protocol/TaskPhase.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** What a worker says of a task. */
+/** The phase of a task as its worker reports it. */
 public enum TaskPhase {
     FETCHING("pulling"),
     ASSEMBLING("gathering"),
@@ -21,11 +21,11 @@
         return wire;
     }
 
-    /** Reads the name on the wire. */
+    /** Reads the name on the wire; empty if it is unknown. */
     public static Optional<TaskPhase> parse(String text) {
-        for (TaskPhase p : values()) {
-            if (p.wire.equals(text)) {
-                return Optional.of(p);
+        for (TaskPhase phase : values()) {
+            if (phase.wire.equals(text)) {
+                return Optional.of(phase);
             }
         }
         return Optional.empty();
--- a/src/main/java/org/dunespindle/protocol/WorkerCommand.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerCommand.java
@@ -7,46 +7,46 @@
 
 /** A command to a worker. */
 public sealed interface WorkerCommand permits WorkerCommand.Run, WorkerCommand.Halt, WorkerCommand.Forget {
-    /** The task that the command is about. */
+    /** The task that the command applies to. */
     TaskId task();
 
-    /** The attempt that the command is about. */
+    /** The attempt that the command applies to. */
     long attempt();
 
-    /** Starts a task; without effect while the worker holds this attempt in any state. */
+    /** Starts a task; has no effect while the worker lists this attempt in any phase. */
     record Run(TaskId task, long attempt) implements WorkerCommand {}
 
-    /** Stops a task, which may save if the grace allows. */
+    /** Stops a task, which may write a checkpoint within the grace period. */
     record Halt(TaskId task, long attempt, Duration grace) implements WorkerCommand {}
 
-    /** Drops an exited task from the reports. */
+    /** Removes an exited task from the worker's heartbeats. */
     record Forget(TaskId task, long attempt) implements WorkerCommand {}
 
-    /** The body of an answer that sends a worker to another controller. */
+    /** The body of an answer that redirects a worker to another controller. */
     static ObjectNode redirect(String controller) {
         return MessagePackCodec.map().put("steward", controller);
     }
 
-    /** The body of a direct command. */
-    static ObjectNode command(long token, long session, List<WorkerCommand> commands) {
-        return reply(token, commands).put("tenure", session);
+    /** The body of commands sent to a worker outside its heartbeats; the worker ignores them if its agent epoch differs. */
+    static ObjectNode command(long token, long agentEpoch, List<WorkerCommand> commands) {
+        return reply(token, commands).put("tenure", agentEpoch);
     }
 
-    /** The body of the answer to a report. */
+    /** The body of the answer to a heartbeat. */
     static ObjectNode reply(long token, List<WorkerCommand> commands) {
-        ObjectNode n = MessagePackCodec.map().put("baton", token);
-        ArrayNode list = n.putArray("orders");
-        for (WorkerCommand o : commands) {
-            ObjectNode c = list.addObject();
-            if (o instanceof Run) {
-                c.put("verb", "run");
-            } else if (o instanceof Halt h) {
-                c.put("verb", "halt").put("lingerS", Submission.Fields.inSeconds(h.grace()));
+        ObjectNode body = MessagePackCodec.map().put("baton", token);
+        ArrayNode list = body.putArray("orders");
+        for (WorkerCommand command : commands) {
+            ObjectNode row = list.addObject();
+            if (command instanceof Run) {
+                row.put("verb", "run");
+            } else if (command instanceof Halt halt) {
+                row.put("verb", "halt").put("lingerS", Submission.Fields.inSeconds(halt.grace()));
             } else {
-                c.put("verb", "forget");
+                row.put("verb", "forget");
             }
-            c.put("piece", o.task().toString()).put("try", o.attempt());
+            row.put("piece", command.task().toString()).put("try", command.attempt());
         }
-        return n;
+        return body;
     }
 }
--- a/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
@@ -6,7 +6,14 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A worker's report; {@code token} is the highest fencing token it has seen. */
+/**
+ * A worker's heartbeat, which reports the state of its machine and tasks.
+ *
+ * @param agentEpoch the agent's incarnation, which rises whenever the worker has discarded its tasks, as after a lease expiry
+ * @param sequence rises with each heartbeat of one agent epoch
+ * @param token the highest fencing token that the worker has seen
+ * @param notice the time until the spot machine is interrupted, if the cloud has announced it
+ */
 public record WorkerHeartbeat(
         String machineId,
         String address,
@@ -18,12 +25,12 @@
         long token,
         Optional<Duration> notice,
         List<TaskStatus> tasks) {
-    /** Whether this report is newer than another of the same worker. */
+    /** Whether this heartbeat is newer than another of the same worker. */
     public boolean newerThan(WorkerHeartbeat other) {
         return agentEpoch != other.agentEpoch ? agentEpoch > other.agentEpoch : sequence > other.sequence;
     }
 
-    /** Whether it says the same as another but for its number: most reports only say that the machine lives. */
+    /** Whether it differs from another only in its sequence number, as most heartbeats do: they only show that the worker is alive. */
     public boolean sameAs(WorkerHeartbeat other) {
         return agentEpoch == other.agentEpoch
                 && token == other.token
@@ -32,30 +39,30 @@
                 && tasks.equals(other.tasks);
     }
 
-    /** The status of one attempt of a task, if the worker knows it. */
+    /** The status of one attempt of a task, if the worker reports it. */
     public Optional<TaskStatus> find(TaskId task, long attempt) {
-        for (TaskStatus t : tasks) {
-            if (t.attempt() == attempt && t.task().equals(task)) {
-                return Optional.of(t);
+        for (TaskStatus status : tasks) {
+            if (status.attempt() == attempt && status.task().equals(task)) {
+                return Optional.of(status);
             }
         }
         return Optional.empty();
     }
 
-    /** Reads a report. */
-    public static WorkerHeartbeat parse(JsonNode n) throws MalformedMessageException {
-        if (!n.isObject()) {
+    /** Reads and validates a heartbeat; the exception names the field that is missing or invalid. */
+    public static WorkerHeartbeat parse(JsonNode body) throws MalformedMessageException {
+        if (!body.isObject()) {
             throw new MalformedMessageException("the body is not a map");
         }
-        var f = new Submission.Fields(n);
-        JsonNode listed = n.get("pieces");
+        var f = new Submission.Fields(body);
+        JsonNode listed = body.get("pieces");
         var tasks = new ArrayList<TaskStatus>();
         if (listed != null && !listed.isNull()) {
             if (!listed.isArray()) {
-                throw new MalformedMessageException("pieces must be a list");
+                throw f.invalid("pieces", "a list");
             }
-            for (JsonNode p : listed) {
-                tasks.add(status(p));
+            for (JsonNode row : listed) {
+                tasks.add(parseStatus(row));
             }
         }
         return new WorkerHeartbeat(
@@ -63,7 +70,7 @@
                 f.text("address", 200),
                 f.text("hull", 200),
                 f.text("dune", 200),
-                n.path("driftwood").asBoolean(false),
+                body.path("driftwood").asBoolean(false),
                 f.whole("tenure", 0, Long.MAX_VALUE),
                 f.whole("tick", 0, Long.MAX_VALUE),
                 f.whole("baton", 0, Long.MAX_VALUE),
@@ -71,23 +78,23 @@
                 List.copyOf(tasks));
     }
 
-    private static TaskStatus status(JsonNode p) throws MalformedMessageException {
-        if (!p.isObject()) {
-            throw new MalformedMessageException("pieces must hold maps");
+    private static TaskStatus parseStatus(JsonNode row) throws MalformedMessageException {
+        if (!row.isObject()) {
+            throw MalformedMessageException.invalid("each item of pieces", "a map", row);
         }
-        var f = new Submission.Fields(p);
+        var f = new Submission.Fields(row);
         TaskId id = TaskId.parse(f.text("piece", 200))
-                .orElseThrow(() -> new MalformedMessageException("piece must be a task's name"));
+                .orElseThrow(() -> f.invalid("piece", "a job's id, a slash and a task's index, such as wk-000412/3"));
         TaskPhase phase = TaskPhase.parse(f.text("phase", 32))
-                .orElseThrow(() -> new MalformedMessageException("phase is unknown"));
+                .orElseThrow(() -> f.invalid("phase", "pulling, gathering, running, saving or exited"));
         Optional<ExitCause> cause = phase == TaskPhase.EXITED
-                ? Optional.of(ExitCause.parse(p.path("cause").asText("")))
+                ? Optional.of(ExitCause.parse(row.path("cause").asText("")))
                 : Optional.empty();
         return new TaskStatus(
                 id,
                 f.whole("try", 0, Long.MAX_VALUE),
                 phase,
                 cause,
-                p.path("saved").asBoolean(false));
+                row.path("saved").asBoolean(false));
     }
 }
--- a/src/main/java/org/dunespindle/protocol/package-info.java
+++ b/src/main/java/org/dunespindle/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** Messages to and from users, workers and the cloud, and the settings: the only place that knows the words on the wire. */
+/** Messages to and from users, workers, the state store and the cloud, and the settings. Field names on the wire are used only here. */
 package org.dunespindle.protocol;
--- a/src/main/java/org/dunespindle/transport/ConnectionBudget.java
+++ b/src/main/java/org/dunespindle/transport/ConnectionBudget.java
@@ -1,23 +1,25 @@
 package org.dunespindle.transport;
 
 /**
- * Counts this process's connections against the platform's limit. A controller left alone has every worker's connection
- * beside users', health checks' and its own calls; past the limit any new connection fails, whoever's it is, so a
- * part is kept free for those who ask rarely. All on one event loop.
+ * Counts this process's connections against the platform's limit on sockets. The last running controller of a cell holds a connection of
+ * every worker in addition to those of users, health checks and its own calls. Past the limit every new connection fails, so a part is
+ * reserved for clients that connect rarely. Used on one event loop only.
  */
 public final class ConnectionBudget {
-    /** Listeners, the loop's own descriptors, files. */
-    private static final int OTHER = 24;
-    /** The part for users, health checks and the few calls that must always go through. */
-    private static final int KEPT_FREE_PART = 6;
+    /** Descriptors other than connections: listeners, the event loop's own and files. */
+    private static final int OTHER_DESCRIPTORS = 24;
 
-    private final int most;
+    private static final int MIN_CONNECTIONS = 32;
+    /** The divisor of the part reserved for users, health checks and the few calls that must always succeed. */
+    private static final int RESERVED_DIVISOR = 6;
+
+    private final int maxUnreserved;
     private int open;
 
-    /** Counts against this limit. */
+    /** Counts against a limit on this process's open descriptors. */
     public ConnectionBudget(int limit) {
-        int usable = Math.max(32, limit - OTHER);
-        this.most = usable - usable / KEPT_FREE_PART;
+        int usable = Math.max(MIN_CONNECTIONS, limit - OTHER_DESCRIPTORS);
+        this.maxUnreserved = usable - usable / RESERVED_DIVISOR;
     }
 
     void opened() {
@@ -28,8 +30,8 @@
         open--;
     }
 
-    /** Whether what is left is meant for users: others open no more, and end theirs after each answer. */
+    /** Whether only the reserved part is left; idle connections are then closed, and those of workers after each answer. */
     public boolean scarce() {
-        return open >= most;
+        return open >= maxUnreserved;
     }
 }
--- a/src/main/java/org/dunespindle/transport/HttpCallException.java
+++ b/src/main/java/org/dunespindle/transport/HttpCallException.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * A request without an answer. Whether it was {@link #sent} decides what its sender may conclude: an
- * unsent request can never be executed, a sent one may be executed at any later time.
+ * The failure of a request that got no complete response. A request that was not {@link #sent} is never executed; one that was sent may
+ * be executed at any later time.
  */
 public class HttpCallException extends Exception {
     private static final long serialVersionUID = 1L;
     private final boolean sent;
 
-    /** Creates a failure that tells whether the request may have arrived. */
+    /** Creates a failure without a stack trace; {@code sent} is whether the request may have arrived. */
     public HttpCallException(String message, boolean sent) {
         super(message, null, false, false);
         this.sent = sent;
@@ -21,7 +21,7 @@
         return sent;
     }
 
-    /** What a call failed with, without the wrapping that a future's later stages add. */
+    /** The cause of a failed call without the {@link CompletionException} that a future's dependent stages add. */
     public static Throwable cause(Throwable failure) {
         return failure instanceof CompletionException && failure.getCause() != null ? failure.getCause() : failure;
     }
--- a/src/main/java/org/dunespindle/transport/HttpClient.java
+++ b/src/main/java/org/dunespindle/transport/HttpClient.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Sends requests; what the layers above know of the network. */
+/** Sends HTTP requests; the simulation implements it without a network. */
 @FunctionalInterface
 public interface HttpClient {
-    /** Sends a request; the result fails with a {@link HttpCallException} when no whole answer came in time. */
+    /** Sends a request; the result fails with a {@link HttpCallException} if no complete response arrives within the timeout. */
     CompletableFuture<HttpClientResponse> send(
             String address, String method, String target, byte[] body, String contentType, Duration timeout);
 }
--- a/src/main/java/org/dunespindle/transport/HttpClientResponse.java
+++ b/src/main/java/org/dunespindle/transport/HttpClientResponse.java
@@ -1,4 +1,4 @@
 package org.dunespindle.transport;
 
-/** An answer that arrived whole. */
+/** A complete response to a request. */
 public record HttpClientResponse(int status, byte[] body) {}
--- a/src/main/java/org/dunespindle/transport/HttpServerResponse.java
+++ b/src/main/java/org/dunespindle/transport/HttpServerResponse.java
@@ -4,18 +4,19 @@
 import java.util.Optional;
 
 /**
- * What a listener answers.
+ * A response of a listener.
  *
- * @param last whether the connection ends after it
+ * @param retryAfter the value of the Retry-After header, sent in whole seconds and at least 1
+ * @param last whether the connection is closed after this response
  */
 public record HttpServerResponse(
         int status, String contentType, byte[] body, Optional<Duration> retryAfter, boolean last) {
-    /** Creates a reply that leaves the connection open. */
+    /** Creates a response after which the connection stays open. */
     public HttpServerResponse(int status, String contentType, byte[] body, Optional<Duration> retryAfter) {
         this(status, contentType, body, retryAfter, false);
     }
 
-    /** The same, after which the connection ends. */
+    /** A copy of this response after which the connection is closed. */
     public HttpServerResponse andClose() {
         return new HttpServerResponse(status, contentType, body, retryAfter, true);
     }
--- a/src/main/java/org/dunespindle/transport/HttpStatus.java
+++ b/src/main/java/org/dunespindle/transport/HttpStatus.java
@@ -1,6 +1,6 @@
 package org.dunespindle.transport;
 
-/** The HTTP status codes that are sent and understood here. */
+/** The HTTP status codes that this program sends or interprets. */
 public final class HttpStatus {
     public static final int OK = 200;
     public static final int CREATED = 201;
@@ -20,7 +20,7 @@
 
     private HttpStatus() {}
 
-    /** Whether a status blames the request rather than the server. */
+    /** Whether a status is a client error (4xx). */
     public static boolean isClientError(int status) {
         return status >= FIRST_CLIENT_ERROR && status < FIRST_SERVER_ERROR;
     }
--- a/src/main/java/org/dunespindle/transport/NettyHttpClient.java
+++ b/src/main/java/org/dunespindle/transport/NettyHttpClient.java
@@ -27,30 +27,30 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Outgoing requests over kept connections, one request at a time on each. All on one event loop. */
+/** An HTTP/1.1 client that reuses idle connections, with one request at a time on each. Used on one event loop only. */
 public final class NettyHttpClient implements HttpClient {
-    /** Pages of the state service have 512 KiB at most; only a log of changes may be longer, and it is then read as pages. */
-    private static final int ANSWER_LIMIT = 2 << 20;
+    /** Pages of the state store have at most 512 KiB. Only a change log may be longer; the stored state is then read in pages instead. */
+    private static final int MAX_RESPONSE_BYTES = 2 << 20;
 
-    private static final int KEPT_PER_ADDRESS = 3;
-    private final int mostKept;
+    private static final int MAX_IDLE_PER_ADDRESS = 3;
+    private final int maxIdle;
     private final ConnectionBudget connections;
     private final EventLoop loop;
     private final Bootstrap bootstrap;
-    /** Idle connections by address, the longest unused address first. */
-    private final LinkedHashMap<String, ArrayDeque<Channel>> kept = new LinkedHashMap<>(16, 0.75f, true);
+    /** Idle connections by address, the least recently used address first. */
+    private final LinkedHashMap<String, ArrayDeque<Channel>> idleByAddress = new LinkedHashMap<>(16, 0.75f, true);
 
     private int idleCount;
 
     /**
-     * A caller on one event loop.
+     * Creates a client on one event loop.
      *
-     * @param mostKept idle connections kept at most; there may be more workers than sockets
-     * @param connections counts its connections; while they are scarce, none is kept idle
+     * @param maxIdle the maximum number of idle connections, since there may be more workers than sockets
+     * @param connections counts the client's connections; while they are scarce, none is kept idle
      */
-    public NettyHttpClient(EventLoop loop, int mostKept, ConnectionBudget connections) {
+    public NettyHttpClient(EventLoop loop, int maxIdle, ConnectionBudget connections) {
         this.connections = connections;
-        this.mostKept = mostKept;
+        this.maxIdle = maxIdle;
         this.loop = loop;
         this.bootstrap = new Bootstrap()
                 .group(loop)
@@ -59,7 +59,8 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new Bounded(), new Exchange());
+                        channel.pipeline()
+                                .addLast(new HttpClientCodec(), new ResponseAggregator(), new ResponseHandler());
                     }
                 });
     }
@@ -67,11 +68,13 @@
     @Override
     public CompletableFuture<HttpClientResponse> send(
             String address, String method, String target, byte[] body, String contentType, Duration timeout) {
-        var pending = new Pending(address, request(address, method, target, body, contentType));
-        pending.until = System.nanoTime() + timeout.toNanos();
-        pending.timer =
-                loop.schedule(() -> pending.fail("no answer in time"), timeout.toMillis(), TimeUnit.MILLISECONDS);
-        ArrayDeque<Channel> idle = kept.getOrDefault(address, new ArrayDeque<>());
+        var pending = new PendingRequest(address, request(address, method, target, body, contentType));
+        pending.deadlineNanos = System.nanoTime() + timeout.toNanos();
+        pending.timer = loop.schedule(
+                () -> pending.fail("no response within " + timeout.toMillis() + " ms"),
+                timeout.toMillis(),
+                TimeUnit.MILLISECONDS);
+        ArrayDeque<Channel> idle = idleByAddress.getOrDefault(address, new ArrayDeque<>());
         Channel channel;
         while ((channel = idle.pollLast()) != null) {
             idleCount--;
@@ -81,28 +84,27 @@
             }
         }
         int colon = address.lastIndexOf(':');
-        InetSocketAddress target4;
+        InetSocketAddress remote;
         try {
-            target4 =
-                    new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+            remote = new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
         } catch (RuntimeException e) {
-            pending.fail("not an address: " + address);
+            pending.fail("the address must be address:port, not " + address);
             return pending.result;
         }
-        var connecting = bootstrap.connect(target4);
+        var connecting = bootstrap.connect(remote);
         connections.opened();
         connecting.channel().closeFuture().addListener(closed -> connections.closed());
         pending.connecting = connecting.channel();
         connecting.addListener((io.netty.channel.ChannelFuture f) -> {
             if (!f.isSuccess()) {
-                pending.fail("no connection");
+                pending.fail("cannot connect to " + address);
             } else if (pending.result.isDone()) {
                 f.channel().close();
-            } else if (System.nanoTime() - pending.until > 0) {
-                // After this process stood still, connects that finished meanwhile come before overdue timers: what was
-                // decided before is not sent any more.
+            } else if (System.nanoTime() - pending.deadlineNanos > 0) {
+                // After a pause of this process, the event loop handles connects that finished during the pause before
+                // overdue timers. The request is based on outdated state by then, so it is not sent.
                 f.channel().close();
-                pending.fail("no connection in time");
+                pending.fail("not connected to " + address + " within " + timeout.toMillis() + " ms");
             } else {
                 pending.start(f.channel());
             }
@@ -110,13 +112,13 @@
         return pending.result;
     }
 
-    /** Closes what has not been used for longest. */
-    private void trim() {
-        var oldest = kept.values().iterator();
-        int most = connections.scarce() ? 0 : mostKept;
-        while (idleCount > most && oldest.hasNext()) {
+    /** Closes excess idle connections, those of the least recently used addresses first. */
+    private void closeExcessIdle() {
+        var oldest = idleByAddress.values().iterator();
+        int max = connections.scarce() ? 0 : maxIdle;
+        while (idleCount > max && oldest.hasNext()) {
             ArrayDeque<Channel> idle = oldest.next();
-            while (!idle.isEmpty() && idleCount > most) {
+            while (!idle.isEmpty() && idleCount > max) {
                 idle.pollFirst().close();
                 idleCount--;
             }
@@ -138,48 +140,51 @@
         return request;
     }
 
-    private final class Pending {
+    private final class PendingRequest {
         final String address;
         final DefaultFullHttpRequest request;
         final CompletableFuture<HttpClientResponse> result = new CompletableFuture<>();
         ScheduledFuture<?> timer;
-        /** In the loop's own time. */
-        long until;
+        /** In the time of {@link System#nanoTime}. */
+        long deadlineNanos;
 
+        /** The connection that the request was sent on; null before that. */
         Channel channel;
+        /** The connection that was opened for the request; null if an idle one is used. */
         Channel connecting;
+
         boolean tooLong;
 
-        Pending(String address, DefaultFullHttpRequest request) {
+        PendingRequest(String address, DefaultFullHttpRequest request) {
             this.address = address;
             this.request = request;
         }
 
         void start(Channel c) {
             channel = c;
-            c.pipeline().get(Exchange.class).pending = this;
+            c.pipeline().get(ResponseHandler.class).pending = this;
             c.writeAndFlush(request);
         }
 
-        void fail(String why) {
+        void fail(String reason) {
             timer.cancel(false);
             if (channel != null) {
                 channel.close();
             }
             if (connecting != null) {
-                connecting.close(); // one that hangs in a cut would hold its socket for minutes
+                connecting.close(); // during a network partition a pending connect would hold its socket for minutes
             }
             result.completeExceptionally(
-                    tooLong ? new ResponseTooLongException() : new HttpCallException(why, channel != null));
+                    tooLong ? new ResponseTooLongException() : new HttpCallException(reason, channel != null));
         }
 
-        void finish(HttpClientResponse response, boolean keep) {
+        void finish(HttpClientResponse response, boolean keepAlive) {
             timer.cancel(false);
-            ArrayDeque<Channel> idle = kept.computeIfAbsent(address, a -> new ArrayDeque<>());
-            if (keep && idle.size() < KEPT_PER_ADDRESS) {
+            ArrayDeque<Channel> idle = idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>());
+            if (keepAlive && idle.size() < MAX_IDLE_PER_ADDRESS) {
                 idle.addLast(channel);
                 idleCount++;
-                trim();
+                closeExcessIdle();
             } else {
                 channel.close();
             }
@@ -187,57 +192,58 @@
         }
     }
 
-    /** Takes in whole answers up to the limit; what is longer is given up. */
-    private static final class Bounded extends HttpObjectAggregator {
-        Bounded() {
-            super(ANSWER_LIMIT);
+    /** Collects complete responses up to the size limit; a longer one fails its request and closes the connection. */
+    private static final class ResponseAggregator extends HttpObjectAggregator {
+        ResponseAggregator() {
+            super(MAX_RESPONSE_BYTES);
         }
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            Pending p = ctx.pipeline().get(Exchange.class).pending;
-            if (p != null && !p.result.isDone()) {
-                p.tooLong = true;
-                p.fail("too long");
+            PendingRequest request = ctx.pipeline().get(ResponseHandler.class).pending;
+            if (request != null && !request.result.isDone()) {
+                request.tooLong = true;
+                request.fail("response too long");
             }
             ctx.close();
         }
     }
 
-    private static final class Exchange extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private Pending pending;
+    /** Completes the request that is pending on its connection. */
+    private static final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private PendingRequest pending;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            Pending p = pending;
+            PendingRequest request = pending;
             pending = null;
-            if (p == null || p.result.isDone()) {
+            if (request == null || request.result.isDone()) {
                 ctx.close();
             } else if (response.decoderResult().isFailure()) {
-                p.fail("unreadable answer");
+                request.fail("response is not valid HTTP");
             } else {
                 byte[] body = new byte[response.content().readableBytes()];
                 response.content().readBytes(body);
-                p.finish(new HttpClientResponse(response.status().code(), body), HttpUtil.isKeepAlive(response));
+                request.finish(new HttpClientResponse(response.status().code(), body), HttpUtil.isKeepAlive(response));
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end("connection ended");
+            failPending("connection closed before a complete response");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
-            end("connection failed");
+            failPending("connection failed: " + cause.getMessage());
         }
 
-        private void end(String why) {
-            Pending p = pending;
+        private void failPending(String reason) {
+            PendingRequest request = pending;
             pending = null;
-            if (p != null && !p.result.isDone()) {
-                p.fail(why);
+            if (request != null && !request.result.isDone()) {
+                request.fail(reason);
             }
         }
     }
--- a/src/main/java/org/dunespindle/transport/NettyHttpServer.java
+++ b/src/main/java/org/dunespindle/transport/NettyHttpServer.java
@@ -31,35 +31,43 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** An HTTP/1.1 listener that hands whole requests to a handler, one at a time per connection. */
+/** An HTTP/1.1 server that passes complete requests to a handler, one at a time per connection. */
 public final class NettyHttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(NettyHttpServer.class);
 
-    private static final Duration LINGER = Duration.ofSeconds(2);
-    /** All workers come back at once after a cut or a crash; a connection that finds no place waits a second or more for its next try. */
+    private static final Duration CLOSE_DELAY = Duration.ofSeconds(2);
+    /**
+     * After a network partition or a crash all workers reconnect at once; a connection that finds the backlog full is retried by its
+     * client's TCP only after a second or more.
+     */
     private static final int BACKLOG = 4096;
 
-    /** Answers a request now or later, exactly once, on the event loop. */
+    private static final int MAX_INITIAL_LINE_BYTES = 4096;
+    private static final int MAX_HEADER_BYTES = 8192;
+    private static final int MAX_CHUNK_BYTES = 8192;
+
+    /** Handles requests; each is answered exactly once, on the event loop. */
     @FunctionalInterface
     public interface Handler {
-        /** Handles one request; the reply may be given later, on the same thread. */
-        void handle(HttpServerRequest call, Consumer<HttpServerResponse> answer);
+        /** Handles one request; the response may be passed to {@code answer} later, on the same thread. */
+        void handle(HttpServerRequest request, Consumer<HttpServerResponse> answer);
     }
 
     private NettyHttpServer() {}
 
     /**
-     * Binds the listener.
+     * Binds a listener.
      *
-     * @param connections counts its connections
-     * @param refusal builds the answer to a request that cannot be read, from its status code
+     * @param bodyLimit the maximum size of a request's body in bytes
+     * @param errorResponse builds the response with a given status to a request that is malformed, too long or failed in its handler
+     * @param connections counts the listener's connections
      */
     public static Channel open(
             EventLoopGroup loop,
             InetSocketAddress address,
             int bodyLimit,
             Handler handler,
-            IntFunction<HttpServerResponse> refusal,
+            IntFunction<HttpServerResponse> errorResponse,
             ConnectionBudget connections)
             throws InterruptedException {
         return new ServerBootstrap()
@@ -75,9 +83,9 @@
                         channel.closeFuture().addListener(closed -> connections.closed());
                         channel.pipeline()
                                 .addLast(
-                                        new HttpServerCodec(4096, 8192, 8192),
-                                        new Whole(bodyLimit, refusal),
-                                        new Serial(handler, refusal));
+                                        new HttpServerCodec(MAX_INITIAL_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
+                                        new RequestAggregator(bodyLimit, errorResponse),
+                                        new SerialRequestHandler(handler, errorResponse));
                     }
                 })
                 .bind(address)
@@ -85,50 +93,52 @@
                 .channel();
     }
 
-    private static DefaultFullHttpResponse response(HttpServerResponse reply, boolean keepAlive) {
-        var response = new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
-        var headers = response.headers();
-        headers.set(HttpHeaderNames.CONTENT_TYPE, reply.contentType());
-        headers.setInt(HttpHeaderNames.CONTENT_LENGTH, reply.body().length);
-        reply.retryAfter()
+    private static DefaultFullHttpResponse encode(HttpServerResponse response, boolean keepAlive) {
+        var encoded = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1,
+                HttpResponseStatus.valueOf(response.status()),
+                Unpooled.wrappedBuffer(response.body()));
+        var headers = encoded.headers();
+        headers.set(HttpHeaderNames.CONTENT_TYPE, response.contentType());
+        headers.setInt(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+        response.retryAfter()
                 .ifPresent(d -> headers.set(HttpHeaderNames.RETRY_AFTER, Long.toString(Math.max(1, d.toSeconds()))));
         if (!keepAlive) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        return response;
+        return encoded;
     }
 
-    /** Collects bodies; an over-long one gets an answer in the service's own form, then the connection ends. */
-    private static final class Whole extends HttpObjectAggregator {
-        private final IntFunction<HttpServerResponse> refusal;
+    /** Collects complete requests; one with a body above the limit gets an error response, then the connection is closed. */
+    private static final class RequestAggregator extends HttpObjectAggregator {
+        private final IntFunction<HttpServerResponse> errorResponse;
 
-        Whole(int limit, IntFunction<HttpServerResponse> refusal) {
-            super(limit);
-            this.refusal = refusal;
+        RequestAggregator(int bodyLimit, IntFunction<HttpServerResponse> errorResponse) {
+            super(bodyLimit);
+            this.errorResponse = errorResponse;
         }
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            // Closing while the rest still arrives would reset the connection, and the peer might never read the
-            // answer.
-            ctx.writeAndFlush(response(refusal.apply(413), false))
+            // Closing while the rest of the body still arrives would reset the connection, and the client might never
+            // read the response.
+            ctx.writeAndFlush(encode(errorResponse.apply(HttpStatus.CONTENT_TOO_LARGE), false))
                     .addListener(sent ->
-                            ctx.executor().schedule(() -> ctx.close(), LINGER.toMillis(), TimeUnit.MILLISECONDS));
+                            ctx.executor().schedule(() -> ctx.close(), CLOSE_DELAY.toMillis(), TimeUnit.MILLISECONDS));
         }
     }
 
-    /** Keeps the order of answers even when a peer pipelines against the rules. */
-    private static final class Serial extends ChannelInboundHandlerAdapter {
-        private static final int MOST_WAITING = 32;
+    /** Handles the requests of a connection one after another, so that responses keep the order even of pipelined requests. */
+    private static final class SerialRequestHandler extends ChannelInboundHandlerAdapter {
+        private static final int MAX_QUEUED = 32;
         private final Handler handler;
-        private final IntFunction<HttpServerResponse> refusal;
-        private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+        private final IntFunction<HttpServerResponse> errorResponse;
+        private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
         private boolean busy;
 
-        Serial(Handler handler, IntFunction<HttpServerResponse> refusal) {
+        SerialRequestHandler(Handler handler, IntFunction<HttpServerResponse> errorResponse) {
             this.handler = handler;
-            this.refusal = refusal;
+            this.errorResponse = errorResponse;
         }
 
         @Override
@@ -143,8 +153,8 @@
                 request.release();
             }
             if (busy) {
-                waiting.add(work);
-                if (waiting.size() >= MOST_WAITING) {
+                queue.add(work);
+                if (queue.size() >= MAX_QUEUED) {
                     ctx.channel().config().setAutoRead(false);
                 }
                 return;
@@ -155,41 +165,41 @@
 
         private Runnable prepare(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (request.decoderResult().isFailure()) {
-                return () -> answer(ctx, refusal.apply(400), false);
+                return () -> answer(ctx, errorResponse.apply(HttpStatus.BAD_REQUEST), false);
             }
             boolean keepAlive = HttpUtil.isKeepAlive(request);
-            HttpServerRequest call = call(request);
+            HttpServerRequest decoded = decode(request);
             return () -> {
                 try {
-                    handler.handle(call, reply -> answer(ctx, reply, keepAlive));
+                    handler.handle(decoded, response -> answer(ctx, response, keepAlive));
                 } catch (RuntimeException e) {
-                    LOG.error("a request to {} failed inside the service", call.path(), e);
-                    answer(ctx, refusal.apply(500), keepAlive);
+                    LOG.error("request failed method={} path={}", decoded.method(), decoded.path(), e);
+                    answer(ctx, errorResponse.apply(HttpStatus.INTERNAL_SERVER_ERROR), keepAlive);
                 }
             };
         }
 
-        private static HttpServerRequest call(FullHttpRequest request) {
+        private static HttpServerRequest decode(FullHttpRequest request) {
             byte[] body = new byte[request.content().readableBytes()];
             request.content().readBytes(body);
             String uri = ((HttpRequest) request).uri();
-            int mark = uri.indexOf('?');
+            int queryMark = uri.indexOf('?');
             return new HttpServerRequest(
                     request.method().name(),
-                    mark < 0 ? uri : uri.substring(0, mark),
-                    mark < 0 ? "" : uri.substring(mark + 1),
+                    queryMark < 0 ? uri : uri.substring(0, queryMark),
+                    queryMark < 0 ? "" : uri.substring(queryMark + 1),
                     body);
         }
 
-        private void answer(ChannelHandlerContext ctx, HttpServerResponse reply, boolean wanted) {
-            boolean keepAlive = wanted && !reply.last();
-            var sent = ctx.writeAndFlush(response(reply, keepAlive));
+        private void answer(ChannelHandlerContext ctx, HttpServerResponse response, boolean clientKeepsAlive) {
+            boolean keepAlive = clientKeepsAlive && !response.last();
+            var sent = ctx.writeAndFlush(encode(response, keepAlive));
             if (!keepAlive) {
-                waiting.clear();
+                queue.clear();
                 sent.addListener(ChannelFutureListener.CLOSE);
                 return;
             }
-            Runnable next = waiting.poll();
+            Runnable next = queue.poll();
             if (next == null) {
                 busy = false;
                 ctx.channel().config().setAutoRead(true);
@@ -200,7 +210,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.debug("connection from {} ended: {}", ctx.channel().remoteAddress(), cause.toString());
+            LOG.debug("connection failed remote={} cause={}", ctx.channel().remoteAddress(), cause.toString());
             ctx.close();
         }
     }
--- a/src/main/java/org/dunespindle/transport/ResponseTooLongException.java
+++ b/src/main/java/org/dunespindle/transport/ResponseTooLongException.java
@@ -1,11 +1,11 @@
 package org.dunespindle.transport;
 
-/** An answer longer than this process takes in; the same request would fail the same way again. */
+/** A response exceeded the client's size limit; repeating the same request would fail in the same way. */
 public final class ResponseTooLongException extends HttpCallException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates the failure. */
+    /** Creates the failure of a request that was sent. */
     public ResponseTooLongException() {
-        super("the answer is too long", true);
+        super("the response is too long", true);
     }
 }
--- a/src/main/java/org/dunespindle/transport/package-info.java
+++ b/src/main/java/org/dunespindle/transport/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1 on Netty: a listener, a caller, and the count of sockets that both share. Knows nothing of what is sent. */
+/** HTTP/1.1 on Netty: a server, a client, and the connection budget that they share. Independent of the messages' contents. */
 package org.dunespindle.transport;
