--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -150,7 +150,8 @@
                 federation,
                 "the job runs in a remote cell",
                 150,
-                () -> phase(a, JOB_ID).equals("ACCEPTED") && a.lastReportedPhase(JOB_ID).equals("running"));
+                () -> phase(a, JOB_ID).equals("ACCEPTED")
+                        && a.lastReportedPhase(JOB_ID).equals("running"));
         SimulatedCluster remote = remoteOf(federation);
         assertEquals(404, remote.poll(0, JOB_ID).join().status());
         assertEquals(404, remote.cancelAt(1, JOB_ID).status());
@@ -160,7 +161,8 @@
         assertTrue(
                 List.of("b", "c").contains(own.body().path("cell").asText()),
                 own.body().toString());
-        // The id is in use there, so a submission with the duplicate id is not accepted, nor confused with the inbound job.
+        // The id is in use there, so a submission with the duplicate id is not accepted, nor confused with the inbound
+        // job.
         Submission duplicate = job(JOB_ID, "red", JobKind.ARRAY, Priority.LOW, 1);
         CompletableFuture<UserApi.Answer> refused = remote.submitBodyTo(2, duplicate.toNode());
         run(federation, 2);
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -101,7 +101,7 @@
         }
 
         @Override
-        public void heartbeat(int node, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer) {
+        public void report(int node, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer) {
             call(userApiPorts[node], "POST", "/agent/beat", MessagePackCodec.write(heartbeat), MessagePackCodec.TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null) {
--- a/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackFederationTest.java
@@ -34,7 +34,8 @@
             cells.await(
                     "all jobs are done",
                     Duration.ofSeconds(150),
-                    () -> jobIds.stream().allMatch(id -> a.cluster.lastReportedPhase(id).equals("done")));
+                    () -> jobIds.stream()
+                            .allMatch(id -> a.cluster.lastReportedPhase(id).equals("done")));
             assertEquals(List.of(), cells.on(cells::violations));
             for (String id : jobIds) {
                 assertTrue(List.of("b", "c").contains(cells.on(() -> cells.checker.finishedIn(id))), id);
