--- a/src/main/java/org/dunespindle/federation/SpillPolicy.java
+++ b/src/main/java/org/dunespindle/federation/SpillPolicy.java
@@ -47,7 +47,7 @@
             int maxTransfers,
             int maxOffers) {}
 
-    /** Whether a job may be delegated at all: it belongs to this cell, and none of its tasks was ever placed. */
+    /** Whether a job may be delegated, which is only possible as a whole: it must be this cell's own, and no task of it ever placed. */
     public static boolean isDelegable(JobRecord job) {
         return job.isOpen()
                 && !job.submission().isService()
