--- a/src/test/java/org/dunespindle/sim/ControllerProcess.java
+++ b/src/test/java/org/dunespindle/sim/ControllerProcess.java
@@ -12,7 +12,7 @@
 import org.dunespindle.federation.FederationSettings;
 
 /** A controller as a process of its own, started with the deploy file's command line; Linux tells what it uses. */
-final class ControllerProcess implements LoopbackCells.Running {
+final class ControllerProcess implements LoopbackCells.RunningController {
     /** Ticks of processor time in a second, as Linux counts them for every program. */
     private static final int TICKS_PER_SECOND = 100;
 
--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -207,7 +207,7 @@
     private void processes(boolean federated, int jobs) throws Exception {
         Path folder = Files.createTempDirectory("cells");
         var processes = new ArrayList<ControllerProcess>();
-        LoopbackCells.Starter starter = (String cell, JsonNode settings, FederationSettings federation) -> {
+        LoopbackCells.ControllerStarter starter = (String cell, JsonNode settings, FederationSettings federation) -> {
             var process = new ControllerProcess(folder, cell, settings, federation, federated);
             processes.add(process);
             return process;
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -66,7 +66,7 @@
     private final long startNanos = System.nanoTime();
     final List<Cell> cells = new ArrayList<>();
     final CellInvariantChecker checker;
-    private final Starter starter;
+    private final ControllerStarter starter;
     private final List<PendingCondition> pendingConditions = new ArrayList<>();
 
     private record PendingCondition(BooleanSupplier condition, CompletableFuture<Void> fulfilled) {}
@@ -75,7 +75,7 @@
     final class Cell implements SimulatedEnvironment.Outside {
         final String name;
         SimulatedCluster cluster;
-        final Running[] controllers = new Running[CONTROLLERS];
+        final RunningController[] controllers = new RunningController[CONTROLLERS];
         final int[] userApiPorts = new int[CONTROLLERS];
         final int[] peerPorts = new int[CONTROLLERS];
         final int[] federationPorts = new int[CONTROLLERS];
@@ -234,25 +234,25 @@
     }
 
     /** A running controller, in this process or in one of its own. */
-    interface Running extends AutoCloseable {
+    interface RunningController extends AutoCloseable {
         @Override
         void close();
     }
 
     /** Starts one controller. */
-    interface Starter {
-        Running start(String cell, JsonNode settings, FederationSettings federation) throws Exception;
+    interface ControllerStarter {
+        RunningController start(String cell, JsonNode settings, FederationSettings federation) throws Exception;
     }
 
     /** Starts controllers in this process. */
-    static final Starter IN_PROCESS = (cell, settings, federation) ->
+    static final ControllerStarter IN_PROCESS = (cell, settings, federation) ->
             new Daemon(Settings.parse(settings), Optional.of(new FederationExtension(federation)))::close;
 
     LoopbackCells(int... machines) throws Exception {
         this(IN_PROCESS, machines);
     }
 
-    LoopbackCells(Starter starter, int... machines) throws Exception {
+    LoopbackCells(ControllerStarter starter, int... machines) throws Exception {
         this.starter = starter;
         http = new NettyHttpClient(group.next(), 200, connections);
         var clusters = new ArrayList<SimulatedCluster>();
@@ -403,7 +403,7 @@
     @Override
     public void close() {
         for (Cell cell : cells) {
-            for (Running controller : cell.controllers) {
+            for (RunningController controller : cell.controllers) {
                 if (controller != null) {
                     controller.close();
                 }
