--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -661,7 +661,7 @@
 
     /** Asks a controller's administration API; the answer comes within the next second of virtual time. */
     CompletableFuture<AdminResponse> admin(int node, String method, String path, String body) {
-        return operators.ask(node, method, path, body);
+        return operators.call(node, method, path, body);
     }
 
     /** Has a controller store some of the operators' settings, which nobody has changed before. */
--- a/src/test/java/org/dunespindle/sim/SimulatedOperators.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedOperators.java
@@ -33,7 +33,7 @@
     String decisions() {
         var text = new StringBuilder();
         for (int node = 0; node < CONTROLLERS; node++) {
-            ask(node, "GET", "/v1/decisions", "")
+            call(node, "GET", "/v1/decisions", "")
                     .join()
                     .body()
                     .path("decisions")
@@ -43,7 +43,7 @@
     }
 
     /** Calls a controller's administration API, and runs the simulation for a second, within which the response arrives. */
-    CompletableFuture<AdminResponse> ask(int node, String method, String path, String body) {
+    CompletableFuture<AdminResponse> call(int node, String method, String path, String body) {
         var result = new CompletableFuture<AdminResponse>();
         controllers
                 .apply(node)
