--- a/src/test/java/org/dunespindle/sim/ControllerProcess.java
+++ b/src/test/java/org/dunespindle/sim/ControllerProcess.java
@@ -12,7 +12,7 @@
 import org.dunespindle.federation.FederationSettings;
 
 /** A controller in a separate process, started with the deployment file's command line. Its resource usage is read from Linux's /proc. */
-final class ControllerProcess implements LoopbackCells.Running {
+final class ControllerProcess implements LoopbackCells.RunningController {
     /** Clock ticks per second (USER_HZ) in /proc. */
     private static final int TICKS_PER_SECOND = 100;
 
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -672,7 +672,7 @@
 
     /** Sends a request to a controller's administration API and runs 1 s of virtual time, in which it is answered. */
     CompletableFuture<AdminResponse> admin(int node, String method, String path, String body) {
-        return operators.ask(node, method, path, body);
+        return operators.call(node, method, path, body);
     }
 
     /** Stores operator options through a controller; none may have been stored before. */
