--- a/src/test/java/org/dunespindle/sim/AdminAnswersCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/sim/AdminAnswersCompatibilityTest.java
@@ -25,7 +25,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pins the answers of the administration API, which operators' tools read: literally where a record stored by the test determines them, otherwise by their keys. Neither keys nor words may change when names in the sources change.
+ * Pins the answers of the administration API, which operators' tools read: literally where a record stored by the test determines them,
+ * otherwise by their keys. Neither keys nor words may change when names in the sources change.
  */
 class AdminAnswersCompatibilityTest {
     private static final String DESCRIPTION = """
--- a/src/test/java/org/dunespindle/sim/ClusterShape.java
+++ b/src/test/java/org/dunespindle/sim/ClusterShape.java
@@ -19,7 +19,9 @@
     static final Map<String, Integer> DEFAULT_LIMITS =
             Map.of("red", SimulatedCluster.LIMIT_RED, "blue", SimulatedCluster.LIMIT_BLUE);
 
-    /** Requests and key changes per second that the state store accepts from all controllers together; the settings name the same values. */
+    /**
+     * Requests and key changes per second that the state store accepts from all controllers together; the settings name the same values.
+     */
     record StateRates(double requests, double writes) {}
 
     static ClusterShape of(int maxMachines, int nameStep) {
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -55,7 +55,9 @@
     }
 
     /**
-     * The state store rejects only the leader, other controllers confirm cancellations, then the store is down for longer than {@code cancel_s}. Workers keep sending heartbeats to the leader, which has never read the cancellations from the store: it must learn of them from its peers.
+     * The state store rejects only the leader, other controllers confirm cancellations, then the store is down for longer than {@code
+     * cancel_s}. Workers keep sending heartbeats to the leader, which has never read the cancellations from the store: it must learn of
+     * them from its peers.
      */
     @ParameterizedTest
     @ValueSource(longs = {301, 302, 303, 304, 305})
@@ -92,7 +94,10 @@
         assertEquals(List.of(), cluster.startsAfterCancel);
     }
 
-    /** The same fault, but controllers cannot reach one another or the confirming controller has crashed: only lease expiry on the leader's workers can end the cancelled tasks. */
+    /**
+     * The same fault, but controllers cannot reach one another or the confirming controller has crashed: only lease expiry on the leader's
+     * workers can end the cancelled tasks.
+     */
     @ParameterizedTest
     @ValueSource(longs = {311, 312, 313, 314, 315, 316})
     void cancelledTasksUnknownToTheLeaderEndByLeaseExpiry(long seed) {
@@ -120,7 +125,9 @@
     }
 
     /**
-     * Random partitions between controllers, delays of their messages, a controller rejected by the store, crashes, freezes and a store outage; cancellations go through a controller that the store accepts. A controller's conclusions from its peers' answers must be correct in every combination.
+     * Random partitions between controllers, delays of their messages, a controller rejected by the store, crashes, freezes and a store
+     * outage; cancellations go through a controller that the store accepts. A controller's conclusions from its peers' answers must be
+     * correct in every combination.
      */
     @ParameterizedTest
     @MethodSource("outageSeeds")
@@ -186,7 +193,10 @@
         }
     }
 
-    /** The old leader is partitioned from the state store and its peers, but not from workers and users. Jobs whose cancellation the new leader confirms must end on the old leader's machines too. */
+    /**
+     * The old leader is partitioned from the state store and its peers, but not from workers and users. Jobs whose cancellation the new
+     * leader confirms must end on the old leader's machines too.
+     */
     @ParameterizedTest
     @ValueSource(longs = {321, 322, 323, 324})
     void jobsCancelledAtTheNewLeaderEndOnMachinesOfThePartitionedOldLeader(long seed) {
@@ -229,7 +239,10 @@
         assertHolds(schedule, "delayed heartbeat");
     }
 
-    /** The leader changes ten times within two minutes, also during a store outage. Quota shares, placements, placeholders and stops of former leaders must be neither lost nor applied twice. */
+    /**
+     * The leader changes ten times within two minutes, also during a store outage. Quota shares, placements, placeholders and stops of
+     * former leaders must be neither lost nor applied twice.
+     */
     @ParameterizedTest
     @ValueSource(longs = {341, 342, 343, 344})
     void tenLeaderChangesInTwoMinutesWithAStoreOutage(long seed) {
@@ -252,7 +265,9 @@
     }
 
     /**
-     * The leader crashes while placeholders fetch their images and restarts within a second. It takes its machine records again because the leader record still names it, but another controller is elected: then all placeholders wait on machines that the new leader does not own.
+     * The leader crashes while placeholders fetch their images and restarts within a second. It takes its machine records again because
+     * the leader record still names it, but another controller is elected: then all placeholders wait on machines that the new leader
+     * does not own.
      */
     @ParameterizedTest
     @MethodSource("formerLeaderSeeds")
@@ -291,7 +306,10 @@
         return LongStream.range(from, from + Integer.getInteger("former.count", 10));
     }
 
-    /** The heartbeats of a machine are lost while commands reach it and are answered, so its lease expires again and again. It must get no new tasks and must be terminated. */
+    /**
+     * The heartbeats of a machine are lost while commands reach it and are answered, so its lease expires again and again. It must get no
+     * new tasks and must be terminated.
+     */
     @ParameterizedTest
     @ValueSource(longs = {361, 362, 363})
     void machineThatCannotSendHeartbeatsGetsNoTasksAndIsTerminated(long seed) {
@@ -312,7 +330,10 @@
         ClusterTest.assertAllDone(cluster, ids);
     }
 
-    /** The tasks of a job complete far apart with leader changes in between. The job must be reported as done within 3 s of the completion of its last task, and never before. The test checks the latter; simulated users poll too seldom for the former. */
+    /**
+     * The tasks of a job complete far apart with leader changes in between. The job must be reported as done within 3 s of the completion
+     * of its last task, and never before. The test checks the latter; simulated users poll too seldom for the former.
+     */
     @ParameterizedTest
     @ValueSource(longs = {371, 372, 373, 374})
     void jobIsNotDoneBeforeItsLastTaskAcrossLeaderChanges(long seed) {
@@ -408,7 +429,8 @@
     }
 
     /**
-     * The leader changes while a team is at its limit, one of its machines is disconnected and a job on it is cancelled. The use of that job counts until its tasks are proven to have ended.
+     * The leader changes while a team is at its limit, one of its machines is disconnected and a job on it is cancelled. The use of that
+     * job counts until its tasks are proven to have ended.
      */
     @ParameterizedTest
     @ValueSource(longs = {421, 422, 423, 424, 425})
@@ -455,7 +477,10 @@
         assertHolds(schedule);
     }
 
-    /** The answers of a quarter of the transactions are lost and these are applied seconds later, after newer ones of the same controller, while leaders change and jobs are cancelled. */
+    /**
+     * The answers of a quarter of the transactions are lost and these are applied seconds later, after newer ones of the same controller,
+     * while leaders change and jobs are cancelled.
+     */
     @ParameterizedTest
     @ValueSource(longs = {441, 442, 443, 444, 445})
     void unacknowledgedTransactionsAreAppliedAfterNewerOnes(long seed) {
@@ -470,7 +495,8 @@
     }
 
     /**
-     * Delayed duplicates of heartbeats arrive up to 38 s late, after newer ones, also at controllers that have just started. Some are from earlier sessions because leases expire meanwhile.
+     * Delayed duplicates of heartbeats arrive up to 38 s late, after newer ones, also at controllers that have just started. Some are
+     * from earlier sessions because leases expire meanwhile.
      */
     @ParameterizedTest
     @ValueSource(longs = {451, 452, 453, 454})
@@ -492,7 +518,8 @@
     }
 
     /**
-     * A job is cancelled, polled and resubmitted at the moment of its completion, without other faults. It must never be reported as both done and cancelled.
+     * A job is cancelled, polled and resubmitted at the moment of its completion, without other faults. It must never be reported as both
+     * done and cancelled.
      */
     @ParameterizedTest
     @ValueSource(longs = {461, 462, 463, 464})
@@ -507,7 +534,10 @@
                 "not every job was cancelled at its completion: " + schedule.cluster().events);
     }
 
-    /** The state store is slow, then rejects the leader, then all controllers for longer than {@code cancel_s}, while users cancel and poll jobs. */
+    /**
+     * The state store is slow, then rejects the leader, then all controllers for longer than {@code cancel_s}, while users cancel and poll
+     * jobs.
+     */
     @ParameterizedTest
     @ValueSource(longs = {471, 472, 473, 474})
     void slowStoreRejectsTheLeaderThenAllControllers(long seed) {
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -121,7 +121,10 @@
                 "workers with expired leases");
     }
 
-    /** All controllers crash and one restarts after 5.3 s. The worker lease is 10 s, so the restarted controller must answer heartbeats of all workers at once instead of leaving the machines of the others to them first. */
+    /**
+     * All controllers crash and one restarts after 5.3 s. The worker lease is 10 s, so the restarted controller must answer heartbeats of
+     * all workers at once instead of leaving the machines of the others to them first.
+     */
     @ParameterizedTest
     @ValueSource(longs = {93, 94, 95, 96, 97, 98})
     void workersKeepTheirLeasesThroughACrashOfAllControllers(long seed) {
@@ -182,7 +185,10 @@
         ClusterTest.assertAllDone(cluster, ids);
     }
 
-    /** A spot interruption notice for a machine of a running gang makes the gang write a checkpoint; all controllers crash during those seconds. */
+    /**
+     * A spot interruption notice for a machine of a running gang makes the gang write a checkpoint; all controllers crash during those
+     * seconds.
+     */
     @ParameterizedTest
     @ValueSource(longs = {105, 106, 107, 108, 109, 110})
     void allControllersCrashWhileAGangWritesACheckpoint(long seed) {
@@ -266,7 +272,9 @@
         ClusterTest.assertAllDone(cluster, List.of("wk-000001", "wk-000002"));
     }
 
-    /** Small jobs arrive continuously from the gang's team and from another team that exceeds its guarantee. They must not starve the gang. */
+    /**
+     * Small jobs arrive continuously from the gang's team and from another team that exceeds its guarantee. They must not starve the gang.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"URGENT", "NORMAL"})
     void largeGangStartsWithinFourMinutesDespiteSmallJobs(String priority) {
@@ -300,7 +308,10 @@
                 cluster.admin(0, "GET", "/v1/jobs/wk-000001", "").join().body().toString());
     }
 
-    /** Controllers freeze while their clocks advance, the leader first, at any stage of placing, rescheduling, checkpointing and cancelling. */
+    /**
+     * Controllers freeze while their clocks advance, the leader first, at any stage of placing, rescheduling, checkpointing and
+     * cancelling.
+     */
     @ParameterizedTest
     @ValueSource(longs = {141, 142, 143, 144, 145, 146, 147, 148, 149, 150})
     void controllersFreezeAtAnyStage(long seed) {
@@ -327,7 +338,10 @@
         assertTrue(List.of("done", "cancelled").contains(cluster.lastReportedPhase(ids.get(9))));
     }
 
-    /** Two controllers crash and the third takes over their machines. A running machine is reported only once, so the last contact reported by a former owner may be minutes old and must not count against the machine. */
+    /**
+     * Two controllers crash and the third takes over their machines. A running machine is reported only once, so the last contact reported
+     * by a former owner may be minutes old and must not count against the machine.
+     */
     @ParameterizedTest
     @ValueSource(longs = {161, 162, 163, 164})
     void machinesOfCrashedControllersAreKept(long seed) {
@@ -350,7 +364,10 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A controller freezes while the others are down. It received no heartbeats because it was frozen, so it must not terminate machines for missing ones. */
+    /**
+     * A controller freezes while the others are down. It received no heartbeats because it was frozen, so it must not terminate machines
+     * for missing ones.
+     */
     @ParameterizedTest
     @ValueSource(ints = {14, 19, 27})
     void frozenControllerTerminatesNoMachineOnWaking(int seconds) {
@@ -376,7 +393,10 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A controller partitioned from all workers must resign leadership and release its machines; otherwise it would terminate the machines for missing heartbeats. */
+    /**
+     * A controller partitioned from all workers must resign leadership and release its machines; otherwise it would terminate the machines
+     * for missing heartbeats.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void controllerPartitionedFromItsWorkersGivesUpItsMachines(int offset) {
@@ -417,7 +437,10 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** The leader gets no information on machines of other controllers for far longer than a lease, while those controllers receive their heartbeats throughout. */
+    /**
+     * The leader gets no information on machines of other controllers for far longer than a lease, while those controllers receive their
+     * heartbeats throughout.
+     */
     @ParameterizedTest
     @ValueSource(longs = {181, 182, 183})
     void machinesAreKeptWhileControllersCannotReachOneAnother(long seed) {
@@ -464,7 +487,10 @@
                 .build();
     }
 
-    /** Machines are disconnected for longer than a lease and the leader crashes. When the disconnection ends, all delayed messages arrive at once, and commands that failed before must not count against the machines. */
+    /**
+     * Machines are disconnected for longer than a lease and the leader crashes. When the disconnection ends, all delayed messages arrive
+     * at once, and commands that failed before must not count against the machines.
+     */
     @ParameterizedTest
     @CsvSource({"191, 27", "192, 27", "193, 27", "191, 33", "192, 33", "193, 33"
     }) // a new leader abandons a machine without a heartbeat after 25 s
@@ -490,7 +516,8 @@
     }
 
     /**
-     * Three controllers in two zones: a partition isolates either the zone with one controller or the one with two, with the leader on either side. A controller crashes meanwhile.
+     * Three controllers in two zones: a partition isolates either the zone with one controller or the one with two, with the leader on
+     * either side. A controller crashes meanwhile.
      */
     @ParameterizedTest
     @CsvSource({"211, west, 2", "212, west, 0", "213, east, 0", "214, east, 2", "215, west, 1", "216, east, 1"})
--- a/src/test/java/org/dunespindle/sim/FakeStateStore.java
+++ b/src/test/java/org/dunespindle/sim/FakeStateStore.java
@@ -149,7 +149,10 @@
         leases.replaceAll((id, t) -> sim.now().plusMillis(ttl.get(id)));
     }
 
-    /** Restores an older snapshot without leased keys, as an operator would. The change log restarts just above the snapshot's highest revision. */
+    /**
+     * Restores an older snapshot without leased keys, as an operator would. The change log restarts just above the snapshot's highest
+     * revision.
+     */
     void restore(Map<String, Row> before) {
         rows.clear();
         before.forEach((key, row) -> {
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -15,7 +15,9 @@
     private static final Duration MAX_WAIT = Duration.ofSeconds(90);
     private static final Duration MAX_START_DELAY_OF_LARGEST = Duration.ofMinutes(4);
     private final SimulatedCluster cluster;
-    /** Tasks that started after the cancellation of their job had been confirmed, with the details that decide whether this was avoidable. */
+    /**
+     * Tasks that started after the cancellation of their job had been confirmed, with the details that decide whether this was avoidable.
+     */
     final List<LateStart> lateStarts = new ArrayList<>();
 
     private final Map<String, Duration> waitingSince = new HashMap<>();
@@ -166,7 +168,8 @@
     }
 
     /**
-     * Returns the criteria that the run failed: every controller knows every accepted job; of each job class, each team and the largest jobs of each kind at least half are done; the largest jobs started in time; something ran at all.
+     * Returns the criteria that the run failed: every controller knows every accepted job; of each job class, each team and the largest
+     * jobs of each kind at least half are done; the largest jobs started in time; something ran at all.
      */
     List<String> failedCriteria() {
         var failures = new ArrayList<String>();
--- a/src/test/java/org/dunespindle/sim/OperationsTest.java
+++ b/src/test/java/org/dunespindle/sim/OperationsTest.java
@@ -37,7 +37,10 @@
         return LongStream.range(from, from + Integer.getInteger("faulty.count", 4));
     }
 
-    /** Jobs fail on every machine. No machine may be terminated for them, their attempts must stay few, and other jobs proceed. Once cancelled, they end. */
+    /**
+     * Jobs fail on every machine. No machine may be terminated for them, their attempts must stay few, and other jobs proceed. Once
+     * cancelled, they end.
+     */
     @ParameterizedTest
     @MethodSource("faultySeeds")
     void faultyJobsDoNotAffectOtherJobs(long seed) {
@@ -150,7 +153,10 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** A team without a guarantee fills the fleet with one huge array. Jobs within another team's guarantee are done in time, and the array is done too. */
+    /**
+     * A team without a guarantee fills the fleet with one huge array. Jobs within another team's guarantee are done in time, and the array
+     * is done too.
+     */
     @Test
     void hugeArrayWithoutGuaranteeYieldsAndCompletes() {
         var cluster = new SimulatedCluster(641);
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -45,7 +45,10 @@
         return Pause.values()[(int) (seed % Pause.values().length)];
     }
 
-    /** Two of three controllers are paused at once for longer than any lease. The third serves users and keeps all machines and their tasks. */
+    /**
+     * Two of three controllers are paused at once for longer than any lease. The third serves users and keeps all machines and their
+     * tasks.
+     */
     @ParameterizedTest
     @MethodSource("seeds")
     void oneControllerServesWhileTwoArePaused(long seed) {
@@ -90,7 +93,8 @@
     }
 
     /**
-     * A controller pauses for 5 to 20 s or for 90 s, at any stage of placing, rescheduling, checkpointing and lease renewal, while jobs are cancelled through the others. After waking it must not report an older state or start a cancelled task.
+     * A controller pauses for 5 to 20 s or for 90 s, at any stage of placing, rescheduling, checkpointing and lease renewal, while jobs
+     * are cancelled through the others. After waking it must not report an older state or start a cancelled task.
      */
     @ParameterizedTest
     @MethodSource("seeds")
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -88,7 +88,10 @@
         return ids;
     }
 
-    /** Submits jobs of all kinds: with and without zone, same-zone and spread constraints, on spot and other machines, with and without checkpoints. */
+    /**
+     * Submits jobs of all kinds: with and without zone, same-zone and spread constraints, on spot and other machines, with and without
+     * checkpoints.
+     */
     void submitJobs(int count) {
         for (int i = 0; i < count; i++) {
             String id = "wk-%06d".formatted(i);
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -31,7 +31,8 @@
 import org.dunespindle.transport.HttpClientResponse;
 
 /**
- * Runs three real controllers in virtual time against a simulated state store, cloud and workers. The network delays, loses and duplicates messages. The protocol's invariants are checked while it runs.
+ * Runs three real controllers in virtual time against a simulated state store, cloud, workers and an unreliable network, and checks the
+ * protocol's invariants meanwhile.
  */
 public final class SimulatedCluster {
     static final int SLOTS = 4;
@@ -214,7 +215,6 @@
         }
     }
 
-    /** Adds one running machine. */
     void addMachine(String id, String zone, boolean spot) {
         workers.put(id, new FakeWorker(this, id, zone, spot));
     }
@@ -232,7 +232,7 @@
     public int writesRefusedNode = -1;
     /** Overrides the duration of individual tasks. */
     Function<TaskId, Optional<Duration>> taskDurationOverride = p -> Optional.empty();
-    /** Returns when the last task of a job completed. */
+
     Optional<Duration> completedAt(String id) {
         return Optional.ofNullable(completed.get(id));
     }
@@ -577,7 +577,6 @@
         return status[0];
     }
 
-    /** Returns all live machines. */
     List<FakeWorker> alive() {
         return workers.values().stream().filter(w -> !w.dead).toList();
     }
@@ -588,8 +587,6 @@
         return r == null ? -1 : nodeIndex(r.value().path("node").asText());
     }
 
-    // Requests of users
-
     void submit(Submission job) {
         users.submit(job);
     }
@@ -599,12 +596,10 @@
         users.resubmit(id);
     }
 
-    /** Polls the state of an accepted job as its user. */
     void pollJob(String id) {
         users.pollJob(id);
     }
 
-    /** Polls a job that was never submitted; the answer must not be 200. */
     void pollUnknownJob(String id) {
         users.pollUnknownJob(id);
     }
@@ -644,7 +639,6 @@
         return result;
     }
 
-    /** Returns the recent decisions of all controllers as text. */
     String decisions() {
         return operators.decisions();
     }
@@ -657,7 +651,6 @@
         return result.join();
     }
 
-    /** Cancels a job at one controller without advancing virtual time. */
     void cancelAsync(int node, String id, Consumer<UserApi.Answer> answer) {
         cancelRequested.add(id);
         controllers[node].userApi().cancel(id, answer);
--- a/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
@@ -16,7 +16,8 @@
 import org.dunespindle.storage.FormatVersion;
 
 /**
- * The state that simulated clusters share: virtual time and the record of jobs, so that a job may run in another cluster than the one that accepted it.
+ * The state that simulated clusters share: virtual time and the record of jobs, so that a job may run in another cluster than the one
+ * that accepted it.
  *
  * @param connector links controllers to other cells
  * @param watcher called for every task that starts or completes
--- a/src/test/java/org/dunespindle/sim/SimulatedUsers.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedUsers.java
@@ -114,7 +114,10 @@
                 () -> cancel(id));
     }
 
-    /** Checks an answer against earlier ones. Two different final states are always a violation. Answers to overlapping requests may arrive in any order, so a non-final state after a final one is a violation only if its request was sent after the final state was received. */
+    /**
+     * Checks an answer against earlier ones. Two different final states are always a violation. Answers to overlapping requests may arrive
+     * in any order, so a non-final state after a final one is a violation only if its request was sent after the final state was received.
+     */
     private void onAnswer(String id, Duration requestedAt, UserApi.Answer a) {
         String phase = a.body().path("phase").asText();
         String previous = cluster.reportedPhases.getOrDefault(id, "");
--- a/src/test/java/org/dunespindle/sim/StoredAllocations.java
+++ b/src/test/java/org/dunespindle/sim/StoredAllocations.java
@@ -11,7 +11,8 @@
 import org.dunespindle.storage.Transaction;
 
 /**
- * Checks the allocations of each team at every revision of the store. A stored allocation beyond the limit is a violation even if its tasks never reach a machine, and so is a team record whose bound is below the stored use when it is written.
+ * Checks the allocations of each team at every revision of the store. A stored allocation beyond the limit is a violation even if its
+ * tasks never reach a machine, and so is a team record whose bound is below the stored use when it is written.
  */
 final class StoredAllocations implements FakeStateStore.Listener {
     private static final double ROUNDING = 1e-6;
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -26,13 +26,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A team must never be allocated more than its limit. Guards against an incident in which a team with a limit of 60 accelerators had 61 on machines.
+ * A team must never be allocated more than its limit. Guards against an incident in which a team with a limit of 60 accelerators had 61
+ * on machines.
  *
- * <p>Several controllers placed two arrays of the team at once while the state store limited the write rate. Transactions conflicted on the team's record and on a job together. No controller had crashed and no fencing token had changed.
+ * <p>Several controllers placed two arrays of the team at once while the state store limited the write rate. Transactions conflicted on
+ * the team's record and on a job together. No controller had crashed and no fencing token had changed.
  *
- * <p>Sequence: a controller's transaction that places some tasks of a job is pending. Meanwhile another controller stores most of that job's tasks and a new team record. The first controller reads both, but still counts the job as in its own pending transaction. It treats the new team record as fully accounted for and writes a bound for a second job that omits the other controller's allocations.
+ * <p>Sequence: a controller's transaction that places some tasks of a job is pending. Meanwhile another controller stores most of that
+ * job's tasks and a new team record. The first controller reads both, but still counts the job as in its own pending transaction. It
+ * treats the new team record as fully accounted for and writes a bound for a second job that omits the other controller's allocations.
  *
- * <p>Cause: the use of a team was computed from a proposed record instead of the stored one. The first test reproduces the sequence; before the fix it allocated 33 accelerators with a limit of 24.
+ * <p>Cause: the use of a team was computed from a proposed record instead of the stored one. The first test reproduces the sequence;
+ * before the fix it allocated 33 accelerators with a limit of 24.
  */
 class TeamLimitTest {
     private static final int LIMIT = 24;
@@ -151,7 +156,8 @@
     }
 
     /**
-     * A controller restarts while its quota share is granted and used. If the new process used the share a second time, the allocations together with the other controllers' shares would exceed the limit.
+     * A controller restarts while its quota share is granted and used. If the new process used the share a second time, the allocations
+     * together with the other controllers' shares would exceed the limit.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
--- a/src/test/java/org/dunespindle/sim/TightLimitsSchedule.java
+++ b/src/test/java/org/dunespindle/sim/TightLimitsSchedule.java
@@ -12,7 +12,8 @@
 import org.dunespindle.protocol.SubmissionBuilder;
 
 /**
- * A run drawn from a seed in which every team requests more than its limit while machines have free slots. All three controllers place tasks of the same arrays, and the state store limits the write rate and answers slowly.
+ * A run drawn from a seed in which every team requests more than its limit while machines have free slots. All three controllers place
+ * tasks of the same arrays, and the state store limits the write rate and answers slowly.
  */
 final class TightLimitsSchedule {
     private static final int MACHINES = 30;
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Rolling upgrades: controllers of the older and the newer stored format run at the same time, and the limits of the state store are lowered. */
+/**
+ * Rolling upgrades: controllers of the older and the newer stored format run at the same time, and the limits of the state store are
+ * lowered.
+ */
 class UpgradeTest {
     /** Too few bytes for a job's description and a few allocations in one value. */
     private static final int LOWERED_VALUE_BYTES = 460;
@@ -81,7 +84,10 @@
         assertEquals(List.of(), cluster.violations);
     }
 
-    /** Controllers are upgraded one by one in random order with crashes in between; one restarts with the old version before its upgrade. The store's limits are lowered during or after the upgrade. */
+    /**
+     * Controllers are upgraded one by one in random order with crashes in between; one restarts with the old version before its upgrade.
+     * The store's limits are lowered during or after the upgrade.
+     */
     @ParameterizedTest
     @MethodSource("seeds")
     void jobsCompleteThroughARollingUpgradeWithLoweredLimits(long seed) {
--- a/src/test/java/org/dunespindle/sim/VirtualTime.java
+++ b/src/test/java/org/dunespindle/sim/VirtualTime.java
@@ -8,7 +8,10 @@
 import java.util.Random;
 import org.dunespindle.time.TimeSource;
 
-/** A discrete-event scheduler: runs events in the order of their virtual times, without real waiting. Events of equal time run in the order in which they were scheduled. */
+/**
+ * A discrete-event scheduler: runs events in the order of their virtual times, without real waiting. Events of equal time run in the order
+ * in which they were scheduled.
+ */
 public final class VirtualTime {
     private final PriorityQueue<Event> queue = new PriorityQueue<>();
     private Duration now = Duration.ZERO;
@@ -83,7 +86,8 @@
         }
 
         /**
-         * Stops execution and the monotonic clock for a while, like a suspended virtual machine. Afterwards only the wall-clock time has advanced.
+         * Stops execution and the monotonic clock for a while, like a suspended virtual machine. Afterwards only the wall-clock time has
+         * advanced.
          */
         public void suspend(Duration length) {
             freeze(length);
--- a/src/test/java/org/dunespindle/sim/package-info.java
+++ b/src/test/java/org/dunespindle/sim/package-info.java
@@ -1,2 +1,5 @@
-/** Simulation of whole clusters in virtual time: real controllers, simulated state store, cloud, workers and network, with fault injection and invariant checks. */
+/**
+ * Simulation of whole clusters in virtual time: real controllers, simulated state store, cloud, workers and network, with fault injection
+ * and invariant checks.
+ */
 package org.dunespindle.sim;
