--- a/src/main/java/org/dunespindle/ClassArchiveTraining.java
+++ b/src/main/java/org/dunespindle/ClassArchiveTraining.java
@@ -18,20 +18,23 @@
 import org.dunespindle.transport.ConnectionBudget;
 import org.dunespindle.transport.HttpServerRequest;
 import org.dunespindle.transport.HttpServerResponse;
+import org.dunespindle.transport.HttpStatus;
 import org.dunespindle.transport.NettyHttpClient;
 import org.dunespindle.transport.NettyHttpServer;
 
 /**
- * A short life on loopback, so that the build can archive the classes that a real start loads: starting a
- * JVM is dear on a seventh of a core. What it answers itself is canned; nothing is tested here.
+ * Runs a controller on the loopback interface for a short time, so that the build can archive the classes that a start loads: starting a
+ * JVM without the archive is slow on a machine with a seventh of a core. The state store, the cloud and a worker are replaced by fixed
+ * answers; nothing is verified.
  */
 final class ClassArchiveTraining {
     private static final String HOST = "127.0.0.1";
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
-    private static final Duration LENGTH = Duration.ofMillis(2500);
+    private static final Duration RUN_TIME = Duration.ofMillis(2500);
 
-    private static final int SOCKETS = 256;
-    private static final int BODY_LIMIT = 1 << 16;
+    private static final int MAX_SOCKETS = 256;
+    private static final int MAX_IDLE_CONNECTIONS = 4;
+    private static final int MAX_BODY_BYTES = 1 << 16;
     private static final String SETTINGS = """
         node_name = "a"
         front = "%s:0"
@@ -72,31 +75,31 @@
 
     static int run() {
         try {
-            new ClassArchiveTraining().play();
+            new ClassArchiveTraining().train();
             return 0;
         } catch (IOException | MalformedMessageException | RuntimeException e) {
-            System.err.println("dunespindle: class archive training: " + e.getMessage());
+            System.err.println("dunespindle: class archive training failed: " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
             return 1;
         }
     }
 
-    private void play() throws IOException, MalformedMessageException, InterruptedException {
+    private void train() throws IOException, MalformedMessageException, InterruptedException {
         var group = new NioEventLoopGroup(1);
-        var connections = new ConnectionBudget(SOCKETS);
-        Channel outside = listen(group, connections);
-        String there = HOST + ":" + port(outside);
-        String text = SETTINGS.formatted(HOST, HOST, there, there, there);
+        var connections = new ConnectionBudget(MAX_SOCKETS);
+        Channel services = listen(group, connections);
+        String servicesAddress = HOST + ":" + port(services);
+        String text = SETTINGS.formatted(HOST, HOST, servicesAddress, servicesAddress, servicesAddress);
         Path settings = Files.writeString(Files.createTempFile("class-archive-training", ".toml"), text);
         try (Daemon daemon = new Daemon(Settings.load(settings))) {
-            ask(
-                    new NettyHttpClient(group.next(), 4, connections),
+            sendRequests(
+                    new NettyHttpClient(group.next(), MAX_IDLE_CONNECTIONS, connections),
                     HOST + ":" + daemon.frontAddress().getPort(),
-                    there);
+                    servicesAddress);
         } finally {
             Files.delete(settings);
-            outside.close();
+            services.close();
             group.shutdownGracefully(0, 100, java.util.concurrent.TimeUnit.MILLISECONDS);
         }
     }
@@ -104,21 +107,27 @@
     private Channel listen(NioEventLoopGroup group, ConnectionBudget connections) throws InterruptedException {
         var address = new InetSocketAddress(HOST, 0);
         return NettyHttpServer.open(
-                group, address, BODY_LIMIT, this::answer, status -> reply(status, MessagePackCodec.map()), connections);
+                group,
+                address,
+                MAX_BODY_BYTES,
+                this::answer,
+                status -> response(status, MessagePackCodec.map()),
+                connections);
     }
 
-    /** One request of each kind, with time between them for the controller to join and to act. */
-    private static void ask(NettyHttpClient http, String controller, String worker) throws InterruptedException {
-        Thread.sleep(LENGTH.toMillis() / 2);
+    /** Sends one request of each kind, with pauses in which the controller joins the cell and acts on them. */
+    private static void sendRequests(NettyHttpClient http, String controller, String worker)
+            throws InterruptedException {
+        Thread.sleep(RUN_TIME.toMillis() / 2);
         send(http, controller, "GET", "/healthz", MessagePackCodec.map());
         send(http, controller, "POST", "/agent/beat", SampleMessages.workerReport(worker, 1, 0));
         send(http, controller, "POST", "/submissions", SampleMessages.job("wk-1", JobKind.ARRAY));
         send(http, controller, "POST", "/submissions", SampleMessages.job("wk-2", JobKind.GANG));
-        Thread.sleep(LENGTH.toMillis() / 4);
+        Thread.sleep(RUN_TIME.toMillis() / 4);
         send(http, controller, "POST", "/agent/beat", SampleMessages.workerReport(worker, 2, 2));
         send(http, controller, "GET", "/submissions/wk-1", MessagePackCodec.map());
         send(http, controller, "POST", "/submissions/wk-1/withdraw", MessagePackCodec.map());
-        Thread.sleep(LENGTH.toMillis() / 4);
+        Thread.sleep(RUN_TIME.toMillis() / 4);
     }
 
     private static void send(NettyHttpClient http, String address, String method, String path, ObjectNode body) {
@@ -126,16 +135,16 @@
         http.send(address, method, path, bytes, MessagePackCodec.TYPE, TIMEOUT);
     }
 
-    private static int port(Channel c) {
-        return ((InetSocketAddress) c.localAddress()).getPort();
+    private static int port(Channel listener) {
+        return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    private static HttpServerResponse reply(int status, ObjectNode body) {
+    private static HttpServerResponse response(int status, ObjectNode body) {
         return new HttpServerResponse(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), Optional.empty());
     }
 
-    private void answer(HttpServerRequest call, Consumer<HttpServerResponse> out) {
-        revision += call.path().equals("/txn") ? 1 : 0;
-        out.accept(reply(200, SampleMessages.answer(call.path(), revision)));
+    private void answer(HttpServerRequest request, Consumer<HttpServerResponse> answer) {
+        revision += request.path().equals("/txn") ? 1 : 0;
+        answer.accept(response(HttpStatus.OK, SampleMessages.answer(request.path(), revision)));
     }
 }
--- a/src/main/java/org/dunespindle/Daemon.java
+++ b/src/main/java/org/dunespindle/Daemon.java
@@ -15,11 +15,11 @@
 import org.dunespindle.transport.NettyHttpClient;
 import org.dunespindle.transport.NettyHttpServer;
 
-/** Runs a controller and its listeners on one event loop, so that nothing needs a lock. */
+/** Runs a controller and its listeners on one event loop, so that their state needs no locks. */
 public final class Daemon implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 64 << 10;
     private static final int MAX_PEER_BODY_BYTES = 1 << 20;
-    /** Workers keep a connection each to this controller; idle ones to them may take one in so many of the sockets. */
+    /** Limits idle connections to workers to a tenth of the sockets, since each worker also keeps a connection to this controller. */
     private static final int SOCKETS_PER_IDLE_CONNECTION = 10;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
@@ -28,22 +28,22 @@
     private final Optional<Extension> extension;
     private final Channel front;
     private final Channel peer;
-    /** Why the controller cannot go on; written by the event loop, read by the thread that waits for the end. */
+    /** Why the controller has terminated; null while it runs. Written by the event loop, read by the thread in {@link #awaitEnd}. */
     private volatile String terminationReason;
 
-    /** A part that a features file switches on, as the daemon needs it. */
+    /** A part of the program that a features file enables. */
     public interface Extension extends AutoCloseable {
-        /** The stored forms that the controller announces with it. */
+        /** The stored format versions that the controller supports with this extension. */
         FormatSupport formats();
 
-        /** Links a controller to other cells; called once, before the controller starts. */
+        /** Connects the controller to other cells; called once, before the controller starts. */
         JobDelegation connect(DelegationContext context, NioEventLoopGroup group);
 
         @Override
         void close();
     }
 
-    /** Binds the listeners and starts the controller, without any feature. */
+    /** Binds the listeners and starts the controller without an extension. */
     public Daemon(Settings settings) throws InterruptedException {
         this(settings, Optional.empty());
     }
@@ -66,29 +66,29 @@
                 settings.front(),
                 MAX_BODY_BYTES,
                 new FrontRoutes(controller, connections)::handle,
-                FrontRoutes::refuse,
+                FrontRoutes::errorResponse,
                 connections);
         peer = NettyHttpServer.open(
                 group,
                 settings.peerListen(),
                 MAX_PEER_BODY_BYTES,
                 new PeerRoutes(controller)::handle,
-                PeerRoutes::refuse,
+                PeerRoutes::errorResponse,
                 connections);
         loop.execute(controller::start);
     }
 
-    /** Where users and workers reach this controller. */
+    /** The address at which users and workers reach this controller. */
     public InetSocketAddress frontAddress() {
         return (InetSocketAddress) front.localAddress();
     }
 
-    /** Where other controllers and administrators reach it. */
+    /** The address at which other controllers and operators reach this controller. */
     public InetSocketAddress peerAddress() {
         return (InetSocketAddress) peer.localAddress();
     }
 
-    /** Blocks until the process is told to end; fails if the controller itself cannot go on. */
+    /** Blocks until this daemon is closed; throws an exception with the reason if the controller has terminated by itself. */
     public void awaitEnd() throws InterruptedException {
         front.closeFuture().sync();
         if (terminationReason != null) {
--- a/src/main/java/org/dunespindle/EventLoopTimeSource.java
+++ b/src/main/java/org/dunespindle/EventLoopTimeSource.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.dunespindle.time.TimeSource;
 
-/** Clock and timers of a Netty event loop. */
+/** The system's clocks, and timers on a Netty event loop. */
 record EventLoopTimeSource(EventLoop loop, long originNanos) implements TimeSource {
     EventLoopTimeSource(EventLoop loop) {
         this(loop, System.nanoTime());
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void schedule(Duration delay, Runnable work) {
-        loop.schedule(work, delay.toNanos(), TimeUnit.NANOSECONDS);
+    public void schedule(Duration delay, Runnable task) {
+        loop.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
     }
 }
--- a/src/main/java/org/dunespindle/Features.java
+++ b/src/main/java/org/dunespindle/Features.java
@@ -12,15 +12,15 @@
 import org.dunespindle.protocol.MalformedMessageException;
 
 /**
- * The features file: what is switched on beyond the ordinary program. Unlike the platform's settings, what it does not know it
- * refuses: a switch that is misspelt must not stay off unnoticed.
+ * The features file, which enables optional parts of the program. Unlike in the platform's settings, an unknown name is an error, so that
+ * a misspelt switch does not leave a feature disabled unnoticed.
  *
- * @param federation empty while switched off
+ * @param federation empty if the federation is disabled
  */
 record Features(Optional<FederationSettings> federation) {
     private static final Set<String> TABLES = Set.of("federation");
 
-    /** Reads the file; a complaint names the field. */
+    /** Reads and validates a features file; the exception names the invalid field. */
     static Features load(Path file) throws MalformedMessageException {
         JsonNode root;
         try {
@@ -32,11 +32,12 @@
         return parse(root);
     }
 
-    /** Reads and checks the file's content. */
+    /** Validates a parsed features file; the exception names the invalid field. */
     static Features parse(JsonNode root) throws MalformedMessageException {
         for (Map.Entry<String, JsonNode> entry : root.properties()) {
             if (!TABLES.contains(entry.getKey())) {
-                throw new MalformedMessageException(entry.getKey() + " is unknown");
+                throw new MalformedMessageException(
+                        entry.getKey() + " is unknown; known tables are " + String.join(", ", TABLES));
             }
         }
         return new Features(FederationSettings.parse(root.path("federation")));
--- a/src/main/java/org/dunespindle/FrontRoutes.java
+++ b/src/main/java/org/dunespindle/FrontRoutes.java
@@ -34,10 +34,10 @@
     /** Handles one request. */
     void handle(HttpServerRequest request, Consumer<HttpServerResponse> reply) {
         switch (request.path()) {
-            case HEARTBEAT -> only("POST", request, reply, () -> heartbeat(request, reply));
-            case HEALTH -> only("GET", request, reply, () -> reply.accept(health()));
+            case HEARTBEAT -> requireMethod("POST", request, reply, () -> heartbeat(request, reply));
+            case HEALTH -> requireMethod("GET", request, reply, () -> reply.accept(health()));
             case SUBMISSIONS ->
-                only("POST", request, reply, () -> controller.userApi().submit(request.body(), toUser(reply)));
+                requireMethod("POST", request, reply, () -> controller.userApi().submit(request.body(), toUser(reply)));
             default -> {
                 if (request.path().startsWith(SUBMISSION_PREFIX)) {
                     submission(request, request.path().substring(SUBMISSION_PREFIX.length()), reply);
@@ -48,17 +48,17 @@
         }
     }
 
-    /** The answer to a request that was refused before it was routed. */
-    static HttpServerResponse refuse(int status) {
-        return error(status, refusal(status));
+    /** The response to a request that the listener rejected before routing, or whose handler failed. */
+    static HttpServerResponse errorResponse(int status) {
+        return error(status, errorText(status));
     }
 
     private void submission(HttpServerRequest request, String rest, Consumer<HttpServerResponse> reply) {
         if (rest.endsWith(CANCEL_SUFFIX)) {
             String id = rest.substring(0, rest.length() - CANCEL_SUFFIX.length());
-            only("POST", request, reply, () -> controller.userApi().cancel(id, toUser(reply)));
+            requireMethod("POST", request, reply, () -> controller.userApi().cancel(id, toUser(reply)));
         } else if (rest.indexOf('/') < 0 && !rest.isEmpty()) {
-            only("GET", request, reply, () -> controller.userApi().poll(rest, toUser(reply)));
+            requireMethod("GET", request, reply, () -> controller.userApi().poll(rest, toUser(reply)));
         } else {
             notFound(reply);
         }
@@ -91,12 +91,14 @@
         return answer -> reply.accept(encode(answer.status(), answer.body(), answer.retryAfter()));
     }
 
-    private static void only(
+    private static void requireMethod(
             String method, HttpServerRequest request, Consumer<HttpServerResponse> reply, Runnable handler) {
         if (request.method().equals(method)) {
             handler.run();
         } else {
-            reply.accept(error(HttpStatus.METHOD_NOT_ALLOWED, request.path() + " takes " + method));
+            reply.accept(error(
+                    HttpStatus.METHOD_NOT_ALLOWED,
+                    request.path() + " requires the method " + method + ", not " + request.method()));
         }
     }
 
@@ -112,12 +114,12 @@
         return new HttpServerResponse(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), retryAfter);
     }
 
-    /** What a listener tells of a request that no route saw. */
-    static String refusal(int status) {
+    /** The error text for a status with which a listener itself answers. */
+    static String errorText(int status) {
         return switch (status) {
             case HttpStatus.CONTENT_TOO_LARGE -> "the body is longer than 64 KiB";
-            case HttpStatus.INTERNAL_SERVER_ERROR -> "the service failed at this request";
-            default -> "the request is malformed";
+            case HttpStatus.INTERNAL_SERVER_ERROR -> "internal error while handling the request";
+            default -> "the request is not valid HTTP";
         };
     }
 }
--- a/src/main/java/org/dunespindle/Main.java
+++ b/src/main/java/org/dunespindle/Main.java
@@ -9,9 +9,9 @@
 import picocli.CommandLine.Model.OptionSpec;
 import picocli.CommandLine.ParseResult;
 
-/** The program: {@code --config FILE} runs a controller until it is killed. */
+/** The entry point: {@code --config FILE} runs a controller until the process is ended, subcommands call a running controller. */
 public final class Main {
-    private static final int BAD_SETTINGS = 2;
+    private static final int EXIT_BAD_SETTINGS = 2;
 
     private Main() {}
 
@@ -20,12 +20,12 @@
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
         System.setProperty("org.slf4j.simpleLogger.log.io.netty", "warn");
-        // Netty would search the network interfaces for a name that nothing here needs.
+        // Netty would otherwise search the network interfaces for a machine id, which is not needed here.
         System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
-        // The platform's own call is recognised before picocli is loaded: its classes are too old for the class
-        // archive and cost a seventh-of-a-core machine well over a second of every start.
+        // The platform's own command line is handled without picocli: its classes have too old a version for the class
+        // archive, and loading them takes well over a second of each start on a seventh of a core.
         if (args.length == 2 && args[0].equals("--config")) {
             System.exit(serve(Path.of(args[1]), Optional.empty()));
         }
@@ -40,7 +40,7 @@
                 .name("dunespindle")
                 .mixinStandardHelpOptions(true)
                 .version("dunespindle 0.1.0");
-        spec.usageMessage().description("A cluster scheduler: runs arrays and gangs on rented machines.");
+        spec.usageMessage().description("A cluster scheduler: runs job arrays, gangs and services on rented machines.");
         spec.addOption(OptionSpec.builder("--config")
                 .paramLabel("FILE")
                 .type(Path.class)
@@ -49,12 +49,12 @@
         spec.addOption(OptionSpec.builder("--features")
                 .paramLabel("FILE")
                 .type(Path.class)
-                .description("Switch on what this features file (TOML) names.")
+                .description("Enable the features that this file (TOML) switches on.")
                 .build());
         CommandSpec classArchiveTraining = CommandSpec.create().name("train-class-archive");
         classArchiveTraining
                 .usageMessage()
-                .description("Start up against nothing and end, for the build's class archive.")
+                .description("Run briefly against fixed answers to record the build's class archive.")
                 .hidden(true);
         spec.addSubcommand("train-class-archive", classArchiveTraining);
         AdminCommands.addTo(spec);
@@ -71,7 +71,7 @@
         Path file = parsed.matchedOptionValue("--config", null);
         if (file == null) {
             parsed.commandSpec().commandLine().usage(System.err);
-            return BAD_SETTINGS;
+            return EXIT_BAD_SETTINGS;
         }
         return serve(file, Optional.ofNullable(parsed.matchedOptionValue("--features", null)));
     }
@@ -82,7 +82,7 @@
             settings = Settings.load(file);
         } catch (MalformedMessageException e) {
             System.err.println("dunespindle: settings: " + e.getMessage());
-            return BAD_SETTINGS;
+            return EXIT_BAD_SETTINGS;
         }
         Optional<Daemon.Extension> extension = Optional.empty();
         try {
@@ -91,7 +91,7 @@
             }
         } catch (MalformedMessageException e) {
             System.err.println("dunespindle: features: " + e.getMessage());
-            return BAD_SETTINGS;
+            return EXIT_BAD_SETTINGS;
         }
         try (var daemon = new Daemon(settings, extension)) {
             daemon.awaitEnd();
--- a/src/main/java/org/dunespindle/PeerRoutes.java
+++ b/src/main/java/org/dunespindle/PeerRoutes.java
@@ -36,9 +36,9 @@
         }
     }
 
-    /** The answer to a request that was refused before it was routed. */
-    static HttpServerResponse refuse(int status) {
-        return encode(status, MessagePackCodec.map().put("error", FrontRoutes.refusal(status)));
+    /** The response to a request that the listener rejected before routing, or whose handler failed. */
+    static HttpServerResponse errorResponse(int status) {
+        return encode(status, MessagePackCodec.map().put("error", FrontRoutes.errorText(status)));
     }
 
     private static HttpServerResponse encode(int status, ObjectNode body) {
--- a/src/main/java/org/dunespindle/protocol/MalformedMessageException.java
+++ b/src/main/java/org/dunespindle/protocol/MalformedMessageException.java
@@ -18,7 +18,7 @@
     static MalformedMessageException invalid(String field, String allowed, JsonNode given) {
         boolean missing = given == null || given.isMissingNode() || given.isNull();
         return new MalformedMessageException(
-                field + " must be " + allowed + ", but is " + (missing ? "missing" : quote(given)));
+                field + " must be " + allowed + (missing ? ", but is missing" : ", but is " + quote(given)));
     }
 
     private static String quote(JsonNode given) {
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -141,7 +141,8 @@
         for (JsonNode row : list) {
             String address = text(row, "seeds.", "address");
             if (!address.matches(".+:\\d{1,5}")) {
-                throw MalformedMessageException.invalid("seeds.address", "address:port", row.path("address"));
+                throw MalformedMessageException.invalid(
+                        "seeds.address", "of the form address:port", row.path("address"));
             }
             seeds.add(
                     new Seed(text(row, "seeds.", "node_name"), row.path("area").asText(""), address));
@@ -171,7 +172,7 @@
         if (team.cpus > team.cpusMax || team.gpus > team.gpusMax) {
             String field = team.gpus > team.gpusMax ? "gpus" : "cpus";
             throw new MalformedMessageException(
-                    at + field + " of team " + name + " must not be above " + field + "_max");
+                    at + field + " of team " + name + " must not be above " + field + "_max, its limit");
         }
         return team;
     }
@@ -316,6 +317,6 @@
         } catch (RuntimeException e) {
             // The text is not address:port and is rejected below.
         }
-        throw MalformedMessageException.invalid(name, "address:port", TextNode.valueOf(text));
+        throw MalformedMessageException.invalid(name, "of the form address:port", TextNode.valueOf(text));
     }
 }
