--- a/src/test/java/org/dunespindle/ArchitectureTest.java
+++ b/src/test/java/org/dunespindle/ArchitectureTest.java
@@ -13,10 +13,10 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The packages depend on one another in one direction only, as {@code docs/architecture.md} shows it. */
+/** Checks that packages depend on one another in one direction only, as described in {@code docs/architecture.md}. */
 class ArchitectureTest {
     private static final String ROOT = "org.dunespindle";
-    /** The packages from the lowest to the highest: each may use those before it. */
+    /** The packages from the lowest to the highest layer; each may use those listed before it. */
     private static final List<String> BOTTOM_UP = List.of(
             "transport",
             "protocol",
@@ -37,7 +37,7 @@
             .importPackages(ROOT);
 
     @Test
-    void everyPackageUsesOnlyThoseBelowIt() {
+    void packagesUseOnlyLowerLayers() {
         LayeredArchitecture layers = layeredArchitecture().consideringOnlyDependenciesInAnyPackage(ROOT + "..");
         for (String name : BOTTOM_UP) {
             layers = layers.layer(name).definedBy(ROOT + "." + name + "..");
@@ -52,12 +52,12 @@
     }
 
     @Test
-    void packagesHaveNoCycles() {
+    void packageDependenciesHaveNoCycles() {
         slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(CLASSES);
     }
 
     @Test
-    void everyPackageHasItsPlace() {
+    void everyPackageBelongsToALayer() {
         Set<String> present = new TreeSet<>();
         CLASSES.forEach(javaClass -> {
             String name = javaClass.getPackageName();
--- a/src/test/java/org/dunespindle/DaemonTest.java
+++ b/src/test/java/org/dunespindle/DaemonTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Bad input over real sockets: always an answer, never a trace. Nothing outside answers here. */
+/**
+ * Sends malformed requests to a daemon over real sockets. Each must be answered with an error that holds no stack trace. The state store and
+ * the cloud are unreachable here.
+ */
 class DaemonTest {
     private static Daemon daemon;
     private static final HttpClient HTTP = HttpClient.newHttpClient();
@@ -46,40 +49,40 @@
         return send(daemon.frontAddress().getPort(), method, path, body);
     }
 
-    private static void refused(int status, HttpResponse<byte[]> answer) throws Exception {
-        assertEquals(status, answer.statusCode());
-        String error = MessagePackCodec.read(answer.body()).path("error").asText();
+    private static void assertError(int status, HttpResponse<byte[]> response) throws Exception {
+        assertEquals(status, response.statusCode());
+        String error = MessagePackCodec.read(response.body()).path("error").asText();
         assertTrue(!error.isEmpty() && error.length() < 200 && !error.contains("Exception"), error);
     }
 
     @Test
-    void badInputIsAnsweredAtOnce() throws Exception {
+    void malformedRequestsAreAnsweredWithAnError() throws Exception {
         byte[] none = new byte[0];
-        refused(400, front("POST", "/submissions", none));
-        refused(400, front("POST", "/submissions", new byte[] {(byte) 0xc1, 3, 4}));
-        refused(
+        assertError(400, front("POST", "/submissions", none));
+        assertError(400, front("POST", "/submissions", new byte[] {(byte) 0xc1, 3, 4}));
+        assertError(
                 400,
                 front(
                         "POST",
                         "/submissions",
                         MessagePackCodec.write(MessagePackCodec.map().put("id", 7))));
-        refused(
+        assertError(
                 400,
                 front(
                         "POST",
                         "/agent/beat",
                         MessagePackCodec.write(MessagePackCodec.map().put("host", "h"))));
-        refused(404, front("GET", "/nothing", none));
-        refused(404, front("GET", "/submissions/a/b/c", none));
-        refused(405, front("GET", "/submissions", none));
-        refused(405, front("DELETE", "/submissions/wk-000001", none));
-        refused(413, front("POST", "/submissions", new byte[70_000]));
+        assertError(404, front("GET", "/nothing", none));
+        assertError(404, front("GET", "/submissions/a/b/c", none));
+        assertError(405, front("GET", "/submissions", none));
+        assertError(405, front("DELETE", "/submissions/wk-000001", none));
+        assertError(413, front("POST", "/submissions", new byte[70_000]));
     }
 
     @Test
-    void whatCannotBeKnownIsAnsweredWithWhenToComeBack() throws Exception {
+    void requestsBeforeTheStateIsLoadedAreAnsweredWithRetryAfter() throws Exception {
         var poll = front("GET", "/submissions/wk-000001", new byte[0]);
-        refused(503, poll);
+        assertError(503, poll);
         assertTrue(Integer.parseInt(poll.headers().firstValue("Retry-After").orElse("0")) >= 1);
         assertEquals(503, front("GET", "/healthz", new byte[0]).statusCode());
         assertEquals(
@@ -89,12 +92,12 @@
     }
 
     @Test
-    void pipelinedAndGarbledRequestsAreAnsweredInOrder() throws Exception {
+    void pipelinedAndInvalidRequestsAreAnsweredInOrder() throws Exception {
         try (var socket = new Socket("127.0.0.1", daemon.frontAddress().getPort())) {
             socket.setSoTimeout(10_000);
-            String two =
+            String pipelined =
                     "GET /first HTTP/1.1\r\nHost: x\r\n\r\nGET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-            socket.getOutputStream().write(two.getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream().write(pipelined.getBytes(StandardCharsets.US_ASCII));
             String answers = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertTrue(answers.indexOf("404") >= 0 && answers.indexOf("404") < answers.lastIndexOf("503"), answers);
         }
--- a/src/test/java/org/dunespindle/ExternalNamesTest.java
+++ b/src/test/java/org/dunespindle/ExternalNamesTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The names and texts that users, workers, other controllers and cells, the state store, operators and the platform depend on do not change
- * unnoticed. {@code external-names.txt} lists every name with the packages whose sources spell it out; {@code external-texts.txt} lists the
- * messages that the operators' pages quote.
+ * Guards the names and texts that users, workers, other controllers and cells, the state store, operators and the platform depend on: a
+ * rename in the sources must not change them unnoticed. {@code external-names.txt} lists every name with the packages whose sources contain
+ * it; {@code external-texts.txt} lists the messages that the operators' documentation quotes.
  */
 class ExternalNamesTest {
     private static final Path SOURCES = Path.of("src/main/java/org/dunespindle");
@@ -32,9 +32,9 @@
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_./:-]*[A-Za-z][A-Za-z0-9_./:-]*");
     private static final Pattern ENUM_CONSTANT = Pattern.compile("(?m)^ *([A-Z][A-Z0-9_]+)(?=[(,;]|$)");
     private static final String ENUM_SUFFIX = "/enum";
-    /** Messages with made-up contents, which the build uses to train the class archive; they are never sent. */
+    /** Sample messages with which the build records the class archive; they are never sent to other systems. */
     private static final Set<String> TRAINING_FILES = Set.of("ClassArchiveTraining.java", "SampleMessages.java");
-    /** Parts of sentences, system properties of libraries, and rules of the compiler's checks. */
+    /** Literals that are no external names: parts of sentences, system properties of libraries, and names of compiler checks. */
     private static final Set<String> INTERNAL = Set.of(
             "another",
             "controllers.",
@@ -80,7 +80,7 @@
     void everyListedTextIsInTheSources() throws IOException {
         var literals = new StringBuilder();
         for (Path file : sources()) {
-            // A text that is divided over several lines counts as one.
+            // A literal that is split over several lines counts as one text.
             String joined = withoutComments(file).replaceAll("\"\\s*\\n\\s*\\+ \"", "");
             LITERAL.matcher(joined)
                     .results()
@@ -136,7 +136,7 @@
         names.computeIfAbsent(name, key -> new TreeSet<>()).add(place);
     }
 
-    /** One line for each name, so that a failure shows the difference. */
+    /** One line per name, so that a failure shows the differing lines. */
     private static String lines(Map<String, Set<String>> names) {
         var text = new StringBuilder();
         names.forEach((name, places) ->
--- a/src/test/java/org/dunespindle/FeaturesTest.java
+++ b/src/test/java/org/dunespindle/FeaturesTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The features file: what it switches on, and what is refused. */
+/** Tests which features a features file enables and which files are rejected, and that a disabled feature loads no classes. */
 class FeaturesTest {
-    private static final String GOOD = """
+    private static final String VALID = """
             [federation]
             enabled = true
             cell = "graz"
@@ -35,43 +35,44 @@
         return Features.parse(new TomlMapper().readTree(text)).federation();
     }
 
-    private static void refused(String text, String complaint) {
+    private static void assertRejected(String text, String error) {
         var failure = assertThrows(MalformedMessageException.class, () -> parse(text));
-        assertTrue(failure.getMessage().contains(complaint), failure.getMessage());
+        assertTrue(failure.getMessage().contains(error), failure.getMessage());
     }
 
     @Test
-    void theDocumentedFileSwitchesNothingOn() throws Exception {
+    void theDocumentedFileEnablesNothing() throws Exception {
         assertEquals(
                 Optional.empty(), Features.load(Path.of("deploy/features.toml")).federation());
         assertEquals(Optional.empty(), parse(""));
     }
 
     @Test
-    void aGoodFileIsRead() throws Exception {
-        FederationSettings settings = parse(GOOD).orElseThrow();
+    void aValidFileIsRead() throws Exception {
+        FederationSettings settings = parse(VALID).orElseThrow();
         assertEquals("graz", settings.cell());
         assertEquals("10.1.0.2:8082", settings.cells().get(0).controllers().get("spindle-1"));
         String documented =
                 Files.readString(Path.of("deploy/features.toml")).replace("enabled = false", "enabled = true");
-        assertEquals("here", parse(documented).orElseThrow().cell(), "the documented example is a good one");
+        assertEquals("here", parse(documented).orElseThrow().cell(), "the documented example is valid");
     }
 
     @Test
-    void complaintsNameTheField() {
-        refused("[federations]\nenabled = true", "federations is unknown");
-        refused(GOOD + "\n[other]", "other is unknown");
-        refused(GOOD.replace("port = 0", "prot = 0"), "federation.prot is unknown");
-        refused(GOOD.replace("port = 0", "port = 70000"), "federation.port must be");
-        refused(GOOD.replace("enabled = true", "enabled = 1"), "federation.enabled must be");
-        refused(GOOD.replace("\"graz\"", "\"Graz!\""), "federation.cell must be");
-        refused(GOOD.replace("\"graz\"", "\"recife\""), "is this cell's own name");
-        refused(GOOD.replace(":8082\", spindle-1", "\", spindle-1"), "controllers.spindle-0 must be address:port");
-        refused("[federation]\nenabled = true\ncell = \"graz\"\nport = 1", "federation.cells must name");
+    void errorsNameTheField() {
+        assertRejected("[federations]\nenabled = true", "federations is unknown");
+        assertRejected(VALID + "\n[other]", "other is unknown");
+        assertRejected(VALID.replace("port = 0", "prot = 0"), "federation.prot is unknown");
+        assertRejected(VALID.replace("port = 0", "port = 70000"), "federation.port must be");
+        assertRejected(VALID.replace("enabled = true", "enabled = 1"), "federation.enabled must be");
+        assertRejected(VALID.replace("\"graz\"", "\"Graz!\""), "federation.cell must be");
+        assertRejected(VALID.replace("\"graz\"", "\"recife\""), "is this cell's own name");
+        assertRejected(
+                VALID.replace(":8082\", spindle-1", "\", spindle-1"), "controllers.spindle-0 must be address:port");
+        assertRejected("[federation]\nenabled = true\ncell = \"graz\"\nport = 1", "federation.cells must name");
     }
 
     @Test
-    void aBrokenFileEndsTheProgramWithOneLine(@TempDir Path folder) throws Exception {
+    void aFileThatIsNotTomlIsRejectedWithAOneLineError(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("features.toml");
         Files.writeString(file, "[federation\nenabled");
         var failure = assertThrows(MalformedMessageException.class, () -> Features.load(file));
@@ -79,9 +80,9 @@
         assertThrows(MalformedMessageException.class, () -> Features.load(folder.resolve("none.toml")));
     }
 
-    /** Classes loaded by a daemon of its own, on the class path of these tests. */
-    private static final class Isolated extends URLClassLoader {
-        Isolated(URL[] path) {
+    /** Loads its own copies of the classes on the tests' class path and shows which classes a daemon has loaded. */
+    private static final class IsolatedClassLoader extends URLClassLoader {
+        IsolatedClassLoader(URL[] path) {
             super(path, ClassLoader.getPlatformClassLoader());
         }
 
@@ -90,17 +91,17 @@
         }
     }
 
-    private static Isolated isolated() throws Exception {
+    private static IsolatedClassLoader isolatedClassLoader() throws Exception {
         var path = new ArrayList<URL>();
         for (String entry : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
             path.add(Path.of(entry).toUri().toURL());
         }
-        return new Isolated(path.toArray(new URL[0]));
+        return new IsolatedClassLoader(path.toArray(new URL[0]));
     }
 
     @Test
-    void withoutTheFeatureNoneOfItsClassesIsLoaded() throws Exception {
-        List<String> feature = List.of(
+    void noneOfADisabledFeaturesClassesIsLoaded() throws Exception {
+        List<String> featureClasses = List.of(
                 "org.dunespindle.Features",
                 "org.dunespindle.FederationExtension",
                 "org.dunespindle.federation.Federation",
@@ -108,33 +109,33 @@
                 "org.dunespindle.federation.grpc.GrpcCellServer",
                 "io.grpc.netty.NettyServerBuilder",
                 "io.grpc.ManagedChannel");
-        try (Isolated loader = isolated()) {
+        try (IsolatedClassLoader loader = isolatedClassLoader()) {
             Class<?> settings = loader.loadClass("org.dunespindle.protocol.Settings");
             Object parsed = settings.getMethod("parse", loader.loadClass("com.fasterxml.jackson.databind.JsonNode"))
-                    .invoke(null, ownFile(loader));
+                    .invoke(null, settingsFile(loader));
             var daemon = (AutoCloseable) loader.loadClass("org.dunespindle.Daemon")
                     .getConstructor(settings)
                     .newInstance(parsed);
             daemon.close();
-            assertTrue(loader.loaded("org.dunespindle.controller.Controller"), "the check looks at the right loader");
-            for (String name : feature) {
+            assertTrue(loader.loaded("org.dunespindle.controller.Controller"), "the daemon uses this class loader");
+            for (String name : featureClasses) {
                 assertFalse(loader.loaded(name), name);
-                loader.loadClass(name); // it exists: the name above is not misspelt
+                loader.loadClass(name); // fails if the name above is misspelt
             }
         }
     }
 
-    private static Object ownFile(Isolated loader) throws Exception {
+    private static Object settingsFile(IsolatedClassLoader loader) throws Exception {
         return loader.loadClass("org.dunespindle.TestSettings")
                 .getMethod("node", String.class, String.class, String.class, String.class, String.class, String.class)
                 .invoke(null, "a", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:1", "");
     }
 
     @Test
-    void withTheFeatureADaemonListensForOtherCells() throws Exception {
+    void withTheFederationEnabledADaemonListensForOtherCells() throws Exception {
         Settings settings =
                 Settings.parse(TestSettings.node("a", "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:1", ""));
-        var extension = new FederationExtension(parse(GOOD).orElseThrow());
+        var extension = new FederationExtension(parse(VALID).orElseThrow());
         try (var daemon = new Daemon(settings, Optional.of(extension))) {
             assertTrue(extension.port() > 0);
             assertTrue(daemon.frontAddress().getPort() > 0);
--- a/src/test/java/org/dunespindle/TestSettings.java
+++ b/src/test/java/org/dunespindle/TestSettings.java
@@ -4,11 +4,11 @@
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import java.io.IOException;
 
-/** A settings file for tests, in the platform's form. */
+/** Settings files for tests, in the platform's format. */
 public final class TestSettings {
     private TestSettings() {}
 
-    /** The settings of one controller. */
+    /** The settings of one controller; {@code seeds} is TOML text, empty if there are no other controllers. */
     public static JsonNode node(
             String name, String front, String peerListen, String cloud, String state, String seeds) {
         String file = """
--- a/src/test/java/org/dunespindle/api/JobStatusCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/api/JobStatusCompatibilityTest.java
@@ -20,7 +20,7 @@
 import org.dunespindle.storage.OutboundDelegation;
 import org.junit.jupiter.api.Test;
 
-/** What users read of their jobs: neither keys nor words may change with the names in the sources. */
+/** Guards the keys and values of job statuses and rejections that users read: renames in the sources must not change them. */
 class JobStatusCompatibilityTest {
     private static final MachineType ONE_ZONE_TYPE =
             new MachineType("large", new Resources(8, 4, 32), 100, 1, 2, 1, Duration.ofSeconds(60), List.of("east"));
--- a/src/test/java/org/dunespindle/api/package-info.java
+++ b/src/test/java/org/dunespindle/api/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the interfaces for users and operators. */
+/** Tests of the APIs for users and operators. */
 package org.dunespindle.api;
--- a/src/test/java/org/dunespindle/protocol/FormatsTest.java
+++ b/src/test/java/org/dunespindle/protocol/FormatsTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Messages: what is written can be read, and nothing that is read can do more than be refused. */
+/**
+ * Tests that encoded messages can be decoded again, and that arbitrary or damaged input and invalid settings are either read or rejected
+ * with a {@link MalformedMessageException} that names the field, never with another exception.
+ */
 class FormatsTest {
     @Provide
     Arbitrary<Submission> submissions() {
@@ -61,24 +64,25 @@
     }
 
     @Property(seed = "1", tries = 200)
-    void submissionsSurviveTheWire(@ForAll("submissions") Submission submission) throws MalformedMessageException {
+    void submissionsAreUnchangedByEncodingAndDecoding(@ForAll("submissions") Submission submission)
+            throws MalformedMessageException {
         assertEquals(submission, Submission.parse(MessagePackCodec.read(MessagePackCodec.write(submission.toNode()))));
     }
 
     @Property(seed = "2", tries = 500)
-    void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
-        refusedOrRead(bytes);
+    void arbitraryBytesAreReadOrRejected(@ForAll byte[] bytes) {
+        readOrReject(bytes);
     }
 
     @Property(seed = "3", tries = 300)
-    void damagedSubmissionsAreReadOrRefused(
+    void damagedSubmissionsAreReadOrRejected(
             @ForAll("submissions") Submission submission, @ForAll int where, @ForAll byte what) {
         byte[] bytes = MessagePackCodec.write(submission.toNode());
         bytes[Math.floorMod(where, bytes.length)] = what;
-        refusedOrRead(bytes);
+        readOrReject(bytes);
     }
 
-    private static void refusedOrRead(byte[] bytes) {
+    private static void readOrReject(byte[] bytes) {
         try {
             JsonNode node = MessagePackCodec.read(bytes);
             Submission.parse(node);
@@ -89,7 +93,8 @@
     }
 
     @Property(seed = "4", tries = 200)
-    void everyFieldOfASubmissionIsChecked(@ForAll("submissions") Submission submission, @ForAll int which) {
+    void missingOrInvalidFieldsOfASubmissionAreRejected(
+            @ForAll("submissions") Submission submission, @ForAll int which) {
         ObjectNode node = submission.toNode();
         List<String> required = List.of(
                 "id",
@@ -118,14 +123,14 @@
     }
 
     @Test
-    void trailingBytesMakeABodyMalformed() {
+    void aBodyThatIsEmptyOrHasTrailingBytesIsRejected() {
         byte[] two = {(byte) 0x80, (byte) 0x80};
         assertThrows(MalformedMessageException.class, () -> MessagePackCodec.read(two));
         assertThrows(MalformedMessageException.class, () -> MessagePackCodec.read(new byte[0]));
     }
 
     @Test
-    void idsHaveOneForm() {
+    void onlyIdsOfTheDocumentedFormAreAccepted() {
         assertTrue(Submission.wellFormedId("wk-000412"));
         for (String bad : List.of("", "wk-", "-1", "WK-1", "wk-1/2", "wk_1", "wk-1a", "wk-" + "1".repeat(80))) {
             assertEquals(false, Submission.wellFormedId(bad), bad);
@@ -133,7 +138,7 @@
     }
 
     @Property(seed = "5", tries = 200)
-    void taskNamesSurvive(@ForAll("numbers") int index) {
+    void taskIdsAreUnchangedByFormattingAndParsing(@ForAll("numbers") int index) {
         var id = new TaskId("wk-000001", index);
         assertEquals(Optional.of(id), TaskId.parse(id.toString()));
     }
@@ -144,7 +149,7 @@
     }
 
     @Test
-    void reportsCarryPhasesAndCauses() throws MalformedMessageException {
+    void heartbeatsCarryInterruptionNoticesAndExitCauses() throws MalformedMessageException {
         ObjectNode n = MessagePackCodec.map()
                 .put("host", "i-1")
                 .put("address", "a:1")
@@ -170,7 +175,7 @@
     }
 
     @Test
-    void brokenSettingsNameTheField() throws Exception {
+    void invalidSettingsAreRejectedWithTheField() throws Exception {
         JsonNode good = TestSettings.node("a", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "");
         Settings s = Settings.parse(good);
         assertEquals(Double.POSITIVE_INFINITY, s.teams().get("red").cpusMax());
@@ -196,7 +201,7 @@
         "'', front, \"nowhere\"",
         "outside, state, \"x:y\""
     })
-    void impossibleSettingsNameTheField(String table, String field, String value) throws Exception {
+    void settingsOutOfRangeAreRejectedWithTheField(String table, String field, String value) throws Exception {
         JsonNode file = TestSettings.node("a", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "");
         ((ObjectNode) file.path("deployment")).putObject("resources").put("fd_limit", 900);
         Settings.parse(file);
@@ -219,7 +224,7 @@
     }
 
     @Test
-    void announcedLimitsHoldTogetherWithThePresentOnes() throws Exception {
+    void lowestLimitsCombineThePresentAndTheAnnouncedOnes() throws Exception {
         JsonNode file = settingsFile();
         assertEquals(Settings.parse(file).state(), Settings.parse(file).state().lowest());
         stateTable(file)
@@ -246,7 +251,7 @@
         "write_rps, text",
         "rps, -1"
     })
-    void brokenAnnouncedLimitsNameTheField(String field, String value) {
+    void invalidAnnouncedLimitsAreRejectedWithTheField(String field, String value) {
         JsonNode file = settingsFile();
         ObjectNode next = stateTable(file).putObject("next");
         if (value.equals("text")) {
@@ -260,7 +265,7 @@
     }
 
     @Test
-    void announcedLimitsThatAreNoTableAreNamed() {
+    void announcedLimitsThatAreNotATableAreRejected() {
         JsonNode file = settingsFile();
         stateTable(file).put("next", 7);
         String complaint = assertThrows(MalformedMessageException.class, () -> Settings.parse(file))
--- a/src/test/java/org/dunespindle/protocol/SubmissionBuilder.java
+++ b/src/test/java/org/dunespindle/protocol/SubmissionBuilder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Builds submissions for tests; what a test does not set is a small array of one task. */
+/** Builds submissions for tests; the defaults describe a small job array of one task. */
 public final class SubmissionBuilder {
     private final String id;
     private String jobClass = "class";
@@ -34,7 +34,7 @@
         return new SubmissionBuilder(id);
     }
 
-    /** Sets the class of work that service-level objectives are stated for. */
+    /** Sets the job class, which determines the service-level objectives. */
     public SubmissionBuilder jobClass(String value) {
         jobClass = value;
         return this;
@@ -64,7 +64,7 @@
         return this;
     }
 
-    /** Sets what each task needs. */
+    /** Sets the resources of each task. */
     public SubmissionBuilder perTask(Resources value) {
         perTask = value;
         return this;
@@ -76,7 +76,7 @@
         return this;
     }
 
-    /** Sets the zone that the job is bound to. */
+    /** Sets the only zone that the job may use. */
     public SubmissionBuilder zone(Optional<String> value) {
         zone = value;
         return this;
@@ -88,7 +88,7 @@
         return this;
     }
 
-    /** Sets whether the tasks must be on different machines. */
+    /** Sets whether the tasks must be spread over at least two zones. */
     public SubmissionBuilder spread(boolean value) {
         spread = value;
         return this;
@@ -118,7 +118,7 @@
         return this;
     }
 
-    /** Sets the interval of checkpoints; zero for none. */
+    /** Sets the interval between checkpoints; zero for none. */
     public SubmissionBuilder checkpointEvery(Duration value) {
         checkpointEvery = value;
         return this;
@@ -130,13 +130,13 @@
         return this;
     }
 
-    /** Sets the time within which the job is due. */
+    /** Sets the time from submission within which the job should end. */
     public SubmissionBuilder due(Optional<Duration> value) {
         due = value;
         return this;
     }
 
-    /** The submission as set. */
+    /** Builds the submission. */
     public Submission build() {
         return new Submission(
                 id,
--- a/src/test/java/org/dunespindle/protocol/WireVocabularyTest.java
+++ b/src/test/java/org/dunespindle/protocol/WireVocabularyTest.java
@@ -13,15 +13,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The words that only the wire uses stay in the codecs: everywhere else the field's own terms stand. */
+/** Checks that terms which only the wire protocol uses stay inside the package {@code protocol}; other code uses the terms of the field. */
 class WireVocabularyTest {
     private static final Path SOURCES = Path.of("src/main/java/org/dunespindle");
-    /** Words of the protocol page for which the code has a term of its own; found within identifiers too. */
+    /** Words of the wire protocol for which the code uses other terms; they are also found inside identifiers. */
     private static final Pattern WIRE_WORD = Pattern.compile(
             "(?i)(steward|baton|tenure|charter|tether|driftwood|piece|\\bhulls?\\b|\\bdunes?\\b|(?<!@Suppress)warningS|lingerS|flushS|guessS)");
 
     @Test
-    void wireWordsStandInTheCodecsOnly() throws IOException {
+    void wireWordsAreUsedInTheProtocolPackageOnly() throws IOException {
         var found = new ArrayList<String>();
         for (Path file : sources()) {
             if (!file.startsWith(SOURCES.resolve("protocol"))) {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void theCodecsDoUseThem() throws IOException {
+    void thePatternMatchesWireWords() throws IOException {
         assertTrue(
                 wireWords(SOURCES.resolve("protocol/Submission.java")).size() > 3, "the pattern finds what it is for");
     }
--- a/src/test/java/org/dunespindle/transport/NettyHttpClientTest.java
+++ b/src/test/java/org/dunespindle/transport/NettyHttpClientTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Limits of what is taken in and kept open, over real sockets. */
+/** Tests the client's limits on response size, request time and idle connections over real sockets. */
 class NettyHttpClientTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final NioEventLoopGroup GROUP = new NioEventLoopGroup(1);
-    private static final AtomicInteger ASKED = new AtomicInteger();
+    private static final AtomicInteger REQUESTS = new AtomicInteger();
     private static Channel server;
     private static String address;
 
@@ -33,15 +33,15 @@
                 GROUP,
                 new InetSocketAddress("127.0.0.1", 0),
                 1 << 16,
-                (call, answer) -> {
-                    ASKED.incrementAndGet();
-                    int length = Integer.parseInt(call.path().substring(1));
+                (request, answer) -> {
+                    REQUESTS.incrementAndGet();
+                    int length = Integer.parseInt(request.path().substring(1));
                     answer.accept(new HttpServerResponse(
                             200,
                             "text/plain",
                             new byte[length],
                             Optional.empty(),
-                            call.query().equals("last")));
+                            request.query().equals("last")));
                 },
                 status -> new HttpServerResponse(status, "text/plain", new byte[0], Optional.empty()),
                 new ConnectionBudget(100));
@@ -56,13 +56,13 @@
 
     private static HttpClientResponse get(NettyHttpClient http, int length) throws Exception {
         return GROUP.next()
-                .submit(() -> http.send(address, "GET", "/" + length, new byte[0], "text/plain", PATIENCE))
+                .submit(() -> http.send(address, "GET", "/" + length, new byte[0], "text/plain", TIMEOUT))
                 .get()
                 .get();
     }
 
     @Test
-    void anAnswerThatIsTooLongIsToldApartAndTheNextOneIsRead() throws Exception {
+    void aTooLongResponseFailsItsRequestAndTheNextRequestSucceeds() throws Exception {
         var http = new NettyHttpClient(GROUP.next(), 4, new ConnectionBudget(100));
         assertEquals(1 << 20, get(http, 1 << 20).body().length);
         var failure = assertThrows(ExecutionException.class, () -> get(http, 5 << 20));
@@ -70,26 +70,26 @@
         assertEquals(5, get(http, 5).body().length);
     }
 
-    /** A process that stood still finds connects that completed meanwhile before its timers: what it meant to send is out of date. */
+    /** After a pause of the process, the event loop handles completed connects before overdue timers; the request is then outdated. */
     @Test
-    void aConnectThatCompletesAfterItsTimeSendsNothing() throws Exception {
+    void aRequestThatConnectsAfterItsDeadlineIsNotSent() throws Exception {
         var http = new NettyHttpClient(GROUP.next(), 4, new ConnectionBudget(100));
-        int before = ASKED.get();
+        int before = REQUESTS.get();
         var call = GROUP.next()
                 .submit(() -> {
                     var result = http.send(address, "GET", "/7", new byte[0], "text/plain", Duration.ofMillis(1));
-                    Thread.sleep(60); // the loop itself stands still
+                    Thread.sleep(60); // blocks the event loop
                     return result;
                 })
                 .get();
         var failure = assertThrows(ExecutionException.class, call::get);
         assertEquals(false, ((HttpCallException) failure.getCause()).sent());
         assertEquals(3, get(http, 3).body().length);
-        assertEquals(before + 1, ASKED.get());
+        assertEquals(before + 1, REQUESTS.get());
     }
 
     @Test
-    void whileSocketsAreScarceNoneIsKeptIdle() throws Exception {
+    void noConnectionIsKeptIdleWhileSocketsAreScarce() throws Exception {
         var sockets = new ConnectionBudget(60);
         var http = new NettyHttpClient(GROUP.next(), 4, sockets);
         get(http, 1);
@@ -102,7 +102,7 @@
         for (int i = 0; i < 40; i++) {
             GROUP.next().submit(sockets::closed).get();
         }
-        // 30 connections are scarce here: with one kept idle, 29 more would be.
+        // Connections are scarce from 30 on. An idle connection that was kept would be the 30th here.
         for (int i = 0; i < 29; i++) {
             GROUP.next().submit(sockets::opened).get();
         }
@@ -110,9 +110,9 @@
     }
 
     @Test
-    void theLastAnswerEndsTheConnection() throws Exception {
+    void theConnectionIsClosedAfterTheLastResponse() throws Exception {
         try (var socket = new Socket("127.0.0.1", ((InetSocketAddress) server.localAddress()).getPort())) {
-            socket.setSoTimeout((int) PATIENCE.toMillis());
+            socket.setSoTimeout((int) TIMEOUT.toMillis());
             socket.getOutputStream()
                     .write("GET /3?last HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
--- a/src/test/java/org/dunespindle/transport/package-info.java
+++ b/src/test/java/org/dunespindle/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the HTTP caller and listener. */
+/** Tests of the HTTP client and server. */
 package org.dunespindle.transport;
