--- a/src/main/java/org/dunespindle/federation/InboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationService.java
@@ -369,7 +369,7 @@
                             LOG,
                             "inbound job {} job={} origin={}",
                             change.record.inboundDelegation().orElseThrow().withdrawn()
-                                    ? "returned to its origin"
+                                    ? "withdrawn by its origin"
                                     : "cancelled by its user",
                             job,
                             cell);
