--- a/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
+++ b/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
@@ -167,7 +167,7 @@
 
     /** A machine that its owner hears from but gives nothing new, as after a termination notice. */
     private boolean isDrainingElsewhere(MachineRecord machine) {
-        Duration maxSilence = context.settings().workers().report().multipliedBy(2);
+        Duration maxSilence = context.settings().workers().heartbeatInterval().multipliedBy(2);
         Optional<ReportedMachine> reported = sources.peerHeartbeats.currentReport(machine);
         boolean closed = reported.isPresent()
                 && !reported.get().up()
--- a/src/main/java/org/dunespindle/machine/MachineEvaluator.java
+++ b/src/main/java/org/dunespindle/machine/MachineEvaluator.java
@@ -106,7 +106,7 @@
     private boolean isUnreachableForCommands(MachineRecord machine, Duration heartbeatAge, Duration leadingSince) {
         Duration heartbeatTimeout = options.get().silenceTimeout();
         boolean sendsHeartbeats = heartbeatAge.compareTo(
-                        Durations.multiply(context.settings().workers().report(), 2))
+                        Durations.multiply(context.settings().workers().heartbeatInterval(), 2))
                 < 0;
         return context.membership().owns(machine)
                 && sendsHeartbeats
@@ -127,7 +127,7 @@
             return limit;
         }
         Duration shorter = Durations.fraction(limit, REPLICA_TIMEOUT_TENTHS, 10);
-        Duration min = Durations.multiply(context.settings().workers().report(), MAX_MISSED_HEARTBEATS)
+        Duration min = Durations.multiply(context.settings().workers().heartbeatInterval(), MAX_MISSED_HEARTBEATS)
                 .plusSeconds(1);
         Duration bounded = shorter.compareTo(min) > 0 ? shorter : min;
         return bounded.compareTo(limit) < 0 ? bounded : limit;
--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -33,7 +33,7 @@
         this.quarantine = quarantine;
         this.terminator = terminator;
         this.placementTimeout =
-                context.settings().workers().report().multipliedBy(3).plusSeconds(1);
+                context.settings().workers().heartbeatInterval().multipliedBy(3).plusSeconds(1);
     }
 
     /** The status of every owned machine with a heartbeat, sorted by sequence number. A changed status gets a new sequence number. */
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -66,7 +66,8 @@
     public record Objective(String kind, String jobClass, Duration within, double share, double times) {}
 
     /** Intervals and timeouts of the workers. */
-    public record Workers(Duration report, Duration lease, Duration gangWait, Duration gangPeer, Duration cancel) {}
+    public record Workers(
+            Duration heartbeatInterval, Duration lease, Duration gangWait, Duration gangPeer, Duration cancel) {}
 
     /**
      * Limits of the state store.
@@ -205,7 +206,7 @@
                 duration(table, at, "gang_wait_s"),
                 duration(table, at, "gang_peer_s"),
                 duration(table, at, "cancel_s"));
-        if (workers.report.compareTo(workers.lease) >= 0) {
+        if (workers.heartbeatInterval.compareTo(workers.lease) >= 0) {
             throw MalformedMessageException.invalid(
                     at + "lease_s", "longer than report_s (" + table.path("report_s") + ")", table.path("lease_s"));
         }
--- a/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
+++ b/src/main/java/org/dunespindle/worker/GroupOutageDetector.java
@@ -66,8 +66,8 @@
             Duration leadingSince,
             Function<MachineRecord, Optional<Duration>> lastSeen,
             Predicate<MachineRecord> isPastBootTime) {
-        Duration timeout =
-                Durations.multiply(context.settings().workers().report(), 2).plus(MAX_HEARTBEAT_DELAY);
+        Duration timeout = Durations.multiply(context.settings().workers().heartbeatInterval(), 2)
+                .plus(MAX_HEARTBEAT_DELAY);
         var counts = new HashMap<Group, MachineCount>();
         for (MachineRecord machine : context.replica().machines().values()) {
             Optional<Duration> seenAt = lastSeen.apply(machine);
--- a/src/main/java/org/dunespindle/worker/PartitionDetector.java
+++ b/src/main/java/org/dunespindle/worker/PartitionDetector.java
@@ -42,7 +42,7 @@
         // The interval between a worker's heartbeats varies by up to a quarter.
         this.heartbeatTimeout = context.settings()
                 .workers()
-                .report()
+                .heartbeatInterval()
                 .multipliedBy(5)
                 .dividedBy(4)
                 .plus(MAX_HEARTBEAT_DELAY);
--- a/src/main/java/org/dunespindle/worker/PartitionedResponder.java
+++ b/src/main/java/org/dunespindle/worker/PartitionedResponder.java
@@ -55,8 +55,8 @@
      * other controller can answer them.
      */
     private boolean receivesFromOtherZones(Duration now) {
-        Duration maxAge =
-                Durations.multiply(context.settings().workers().report(), 2).plus(MAX_HEARTBEAT_DELAY);
+        Duration maxAge = Durations.multiply(context.settings().workers().heartbeatInterval(), 2)
+                .plus(MAX_HEARTBEAT_DELAY);
         return context.workers().all().stream()
                 .filter(worker -> worker.lastHeartbeatAt()
                         .filter(receivedAt -> now.minus(receivedAt).compareTo(maxAge) < 0)
--- a/src/main/java/org/dunespindle/worker/WorkerReachability.java
+++ b/src/main/java/org/dunespindle/worker/WorkerReachability.java
@@ -80,8 +80,8 @@
     }
 
     private boolean isOlderThan(Optional<Duration> lastSeen, Duration beyondTwoIntervals) {
-        Duration limit =
-                Durations.multiply(context.settings().workers().report(), 2).plus(beyondTwoIntervals);
+        Duration limit = Durations.multiply(context.settings().workers().heartbeatInterval(), 2)
+                .plus(beyondTwoIntervals);
         return lastSeen.isEmpty()
                 || context.pauseDetector().observedTimeSince(lastSeen.get()).compareTo(limit) >= 0;
     }
