--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -89,8 +89,9 @@
             return false;
         }
         WorkerState worker = context.workers().getOrCreate(machine.id());
-        boolean hasInterruptionNotice =
-                worker.lastHeartbeat().flatMap(heartbeat -> heartbeat.notice()).isPresent();
+        boolean hasInterruptionNotice = worker.lastHeartbeat()
+                .flatMap(heartbeat -> heartbeat.interruptionNotice())
+                .isPresent();
         return !hasInterruptionNotice && !workerClient.areHeartbeatsOverdue(worker) && isSeenAlive(worker);
     }
 
@@ -99,7 +100,7 @@
         boolean hasInterruptionNotice = context.workers()
                 .find(machine.id())
                 .flatMap(worker -> worker.lastHeartbeat())
-                .flatMap(heartbeat -> heartbeat.notice())
+                .flatMap(heartbeat -> heartbeat.interruptionNotice())
                 .isPresent();
         return hasInterruptionNotice || machine.draining() || quarantine.isQuarantined(machine.id());
     }
--- a/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
@@ -12,7 +12,7 @@
  * @param agentEpoch the agent's incarnation, which rises whenever the worker has discarded its tasks, as after a lease expiry
  * @param sequence rises with each heartbeat of one agent epoch
  * @param token the highest fencing token that the worker has seen
- * @param notice the time until the spot machine is interrupted, if the cloud has announced it
+ * @param interruptionNotice the time until the spot machine is interrupted, if the cloud has announced it
  */
 public record WorkerHeartbeat(
         String machineId,
@@ -23,7 +23,7 @@
         long agentEpoch,
         long sequence,
         long token,
-        Optional<Duration> notice,
+        Optional<Duration> interruptionNotice,
         List<TaskStatus> tasks) {
     /** Whether this heartbeat is newer than another of the same worker. */
     public boolean newerThan(WorkerHeartbeat other) {
@@ -34,7 +34,7 @@
     public boolean sameAs(WorkerHeartbeat other) {
         return agentEpoch == other.agentEpoch
                 && token == other.token
-                && notice.isPresent() == other.notice.isPresent()
+                && interruptionNotice.isPresent() == other.interruptionNotice.isPresent()
                 && address.equals(other.address)
                 && tasks.equals(other.tasks);
     }
--- a/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
+++ b/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
@@ -70,13 +70,13 @@
     Set<String> machinesWithInterruptionNotice() {
         machinesWithInterruptionNotice.removeIf(machineId -> context.workers()
                 .lastHeartbeat(machineId)
-                .flatMap(WorkerHeartbeat::notice)
+                .flatMap(WorkerHeartbeat::interruptionNotice)
                 .isEmpty());
         return machinesWithInterruptionNotice;
     }
 
     private void recordInterruptionNotice(WorkerHeartbeat status) {
-        if (status.notice().isPresent()) {
+        if (status.interruptionNotice().isPresent()) {
             machinesWithInterruptionNotice.add(status.machineId());
         }
     }
--- a/src/test/java/org/dunespindle/protocol/FormatsTest.java
+++ b/src/test/java/org/dunespindle/protocol/FormatsTest.java
@@ -168,7 +168,7 @@
                 .put("phase", "exited")
                 .put("cause", "no_room");
         WorkerHeartbeat heartbeat = WorkerHeartbeat.parse(MessagePackCodec.read(MessagePackCodec.write(n)));
-        assertEquals(Optional.of(Duration.ofMillis(12_500)), heartbeat.notice());
+        assertEquals(Optional.of(Duration.ofMillis(12_500)), heartbeat.interruptionNotice());
         assertEquals(
                 Optional.of(ExitCause.NO_ROOM),
                 heartbeat.find(new TaskId("wk-1", 3), 4).orElseThrow().cause());
