--- a/src/main/java/org/dunespindle/ClassArchiveTraining.java
+++ b/src/main/java/org/dunespindle/ClassArchiveTraining.java
@@ -132,7 +132,7 @@
 
     private static void send(NettyHttpClient http, String address, String method, String path, ObjectNode body) {
         byte[] bytes = method.equals("GET") ? new byte[0] : MessagePackCodec.write(body);
-        http.send(address, method, path, bytes, MessagePackCodec.TYPE, TIMEOUT);
+        http.send(address, method, path, bytes, MessagePackCodec.CONTENT_TYPE, TIMEOUT);
     }
 
     private static int port(Channel listener) {
@@ -140,7 +140,8 @@
     }
 
     private static HttpServerResponse response(int status, ObjectNode body) {
-        return new HttpServerResponse(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), Optional.empty());
+        return new HttpServerResponse(
+                status, MessagePackCodec.CONTENT_TYPE, MessagePackCodec.write(body), Optional.empty());
     }
 
     private void answer(HttpServerRequest request, Consumer<HttpServerResponse> answer) {
--- a/src/main/java/org/dunespindle/FrontRoutes.java
+++ b/src/main/java/org/dunespindle/FrontRoutes.java
@@ -111,7 +111,7 @@
     }
 
     private static HttpServerResponse encode(int status, ObjectNode body, Optional<Duration> retryAfter) {
-        return new HttpServerResponse(status, MessagePackCodec.TYPE, MessagePackCodec.write(body), retryAfter);
+        return new HttpServerResponse(status, MessagePackCodec.CONTENT_TYPE, MessagePackCodec.write(body), retryAfter);
     }
 
     /** The error text for a status with which a listener itself answers. */
--- a/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
+++ b/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
@@ -19,7 +19,7 @@
 
 /** Encodes and decodes MessagePack bodies, the format of all messages to and from users, workers, the state store and the cloud. */
 public final class MessagePackCodec {
-    public static final String TYPE = "application/msgpack";
+    public static final String CONTENT_TYPE = "application/msgpack";
     private static final int MAX_DEPTH = 32;
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
     private static final ObjectMapper JSON = new ObjectMapper();
--- a/src/main/java/org/dunespindle/storage/RateLimitedHttpClient.java
+++ b/src/main/java/org/dunespindle/storage/RateLimitedHttpClient.java
@@ -47,7 +47,7 @@
     private void send(String method, String target, byte[] body, CompletableFuture<HttpClientResponse> result) {
         Duration startedAt = timeSource.now();
         httpClient
-                .send(address, method, target, body, MessagePackCodec.TYPE, timeout)
+                .send(address, method, target, body, MessagePackCodec.CONTENT_TYPE, timeout)
                 .whenComplete((response, failure) -> {
                     recordLatency(timeSource.now().minus(startedAt));
                     if (failure != null) {
--- a/src/main/java/org/dunespindle/worker/WorkerCommandSender.java
+++ b/src/main/java/org/dunespindle/worker/WorkerCommandSender.java
@@ -88,7 +88,7 @@
         callLimiter.callStarted(unresponsive);
         byte[] body = MessagePackCodec.write(WorkerCommand.command(machine.token(), agentEpoch, commands));
         httpClient
-                .send(address, "POST", "/orders", body, MessagePackCodec.TYPE, COMMAND_TIMEOUT)
+                .send(address, "POST", "/orders", body, MessagePackCodec.CONTENT_TYPE, COMMAND_TIMEOUT)
                 .whenComplete((response, failure) -> callEnded(call, response, failure));
     }
 
--- a/src/main/java/org/dunespindle/worker/WorkerInspector.java
+++ b/src/main/java/org/dunespindle/worker/WorkerInspector.java
@@ -62,7 +62,7 @@
         worker.inspectionStarted();
         callLimiter.callStarted(false);
         httpClient
-                .send(address, "GET", "/inspect", NO_BODY, MessagePackCodec.TYPE, INSPECTION_TIMEOUT)
+                .send(address, "GET", "/inspect", NO_BODY, MessagePackCodec.CONTENT_TYPE, INSPECTION_TIMEOUT)
                 .whenComplete((response, failure) -> {
                     worker.inspectionEnded();
                     callLimiter.callEnded(false, reconciliationQueue::add);
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -102,7 +102,7 @@
 
         @Override
         public void report(int node, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
-            call(front[node], "POST", "/agent/beat", MessagePackCodec.write(report), MessagePackCodec.TYPE)
+            call(front[node], "POST", "/agent/beat", MessagePackCodec.write(report), MessagePackCodec.CONTENT_TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null) {
                             answer.accept(reply.status(), parsed(reply));
@@ -184,7 +184,12 @@
         }
 
         private void offer(Submission job, int node) {
-            call(front[node], "POST", "/submissions", MessagePackCodec.write(job.toNode()), MessagePackCodec.TYPE)
+            call(
+                            front[node],
+                            "POST",
+                            "/submissions",
+                            MessagePackCodec.write(job.toNode()),
+                            MessagePackCodec.CONTENT_TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null && (reply.status() == 200 || reply.status() == 201)) {
                             standIns.told.put(job.id(), "queued");
@@ -196,7 +201,7 @@
         }
 
         private void poll(String id, int node) {
-            call(front[node], "GET", "/submissions/" + id, new byte[0], MessagePackCodec.TYPE)
+            call(front[node], "GET", "/submissions/" + id, new byte[0], MessagePackCodec.CONTENT_TYPE)
                     .whenComplete((reply, failure) -> {
                         String phase = failure == null && reply.status() == 200
                                 ? parsed(reply).path("phase").asText()
@@ -338,7 +343,7 @@
 
     private static HttpServerResponse reply(FakeStateStore.Reply reply) {
         return new HttpServerResponse(
-                reply.status(), MessagePackCodec.TYPE, MessagePackCodec.write(reply.body()), Optional.empty());
+                reply.status(), MessagePackCodec.CONTENT_TYPE, MessagePackCodec.write(reply.body()), Optional.empty());
     }
 
     private static String target(HttpServerRequest call) {
