--- a/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
@@ -31,7 +31,7 @@
     }
 
     /** Whether it differs from another only in its sequence number, as most heartbeats do: they only show that the worker is alive. */
-    public boolean sameAs(WorkerHeartbeat other) {
+    public boolean equalsExceptSequence(WorkerHeartbeat other) {
         return agentEpoch == other.agentEpoch
                 && token == other.token
                 && interruptionNotice.isPresent() == other.interruptionNotice.isPresent()
