--- a/src/main/java/org/dunespindle/api/JobSubmission.java
+++ b/src/main/java/org/dunespindle/api/JobSubmission.java
@@ -108,7 +108,7 @@
 
     private void store(Submission job, Consumer<Answer> answer) {
         JobRecord record = JobRecord.accepted(job, context.timeSource().wallTime());
-        int size = MessagePackCodec.countedSize(record.toNode());
+        int size = MessagePackCodec.jsonSize(record.toNode());
         int maxSize = context.jobWriter().maxDescriptionBytes();
         if (size > maxSize) {
             answer.accept(Answer.error(
--- a/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
+++ b/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
@@ -103,7 +103,7 @@
     }
 
     /** The size of a value as the protocol's limits count it: the number of bytes of its JSON form. */
-    public static int countedSize(JsonNode node) {
+    public static int jsonSize(JsonNode node) {
         try {
             return JSON.writeValueAsBytes(node).length;
         } catch (IOException e) {
--- a/src/main/java/org/dunespindle/storage/ChunkedJobRecordCodec.java
+++ b/src/main/java/org/dunespindle/storage/ChunkedJobRecordCodec.java
@@ -44,7 +44,7 @@
         String text = text(job);
         // The size of the main value is computed with the longest possible chunk count.
         main.put(TEXT_LENGTH, text.length()).put(CHUNK_COUNT, Integer.MAX_VALUE).put(TEXT, "");
-        int mainEnd = endWithin(text, 0, maxValueBytes - MessagePackCodec.countedSize(main));
+        int mainEnd = endWithin(text, 0, maxValueBytes - MessagePackCodec.jsonSize(main));
         main.put(TEXT, text.substring(0, mainEnd));
         List<String> chunks = chunks(text, mainEnd, maxValueBytes - CHUNK_OVERHEAD_BYTES);
         return new ChunkedRecord(main.put(CHUNK_COUNT, chunks.size()), chunks);
--- a/src/main/java/org/dunespindle/storage/JobRecordWriter.java
+++ b/src/main/java/org/dunespindle/storage/JobRecordWriter.java
@@ -79,7 +79,7 @@
     private boolean needsChunks(JobRecord job, ObjectNode value) {
         return chunksAllowed()
                 && job.spec().isPresent()
-                && MessagePackCodec.countedSize(value) > lowestLimits.valueBytes();
+                && MessagePackCodec.jsonSize(value) > lowestLimits.valueBytes();
     }
 
     private boolean chunksAllowed() {
@@ -95,12 +95,12 @@
     public int size(JobRecord job) {
         StoredForm form = storedForm(job);
         if (form instanceof StoredForm.Whole whole) {
-            return MessagePackCodec.countedSize(whole.value);
+            return MessagePackCodec.jsonSize(whole.value);
         }
         ChunkedJobRecordCodec.ChunkedRecord values = ((StoredForm.Chunked) form).values;
-        int size = MessagePackCodec.countedSize(values.main());
+        int size = MessagePackCodec.jsonSize(values.main());
         for (String text : values.chunks()) {
-            size += MessagePackCodec.countedSize(ChunkedJobRecordCodec.chunkNode(text));
+            size += MessagePackCodec.jsonSize(ChunkedJobRecordCodec.chunkNode(text));
         }
         return size;
     }
--- a/src/main/java/org/dunespindle/storage/Transaction.java
+++ b/src/main/java/org/dunespindle/storage/Transaction.java
@@ -49,7 +49,7 @@
 
     private Transaction put(String key, Change change) {
         changes.put(key, change);
-        int valueBytes = change.value().map(MessagePackCodec::countedSize).orElse(0);
+        int valueBytes = change.value().map(MessagePackCodec::jsonSize).orElse(0);
         bytes += key.length() + ENTRY_OVERHEAD_BYTES + valueBytes;
         return this;
     }
--- a/src/test/java/org/dunespindle/job/RecordSizeLimitTest.java
+++ b/src/test/java/org/dunespindle/job/RecordSizeLimitTest.java
@@ -30,7 +30,7 @@
                 places.put(task, "i-%05d".formatted(i++ / perMachine));
             }
             JobRecord placed = job.withPlaced(places);
-            int placedSize = MessagePackCodec.countedSize(placed.toNode());
+            int placedSize = MessagePackCodec.jsonSize(placed.toNode());
             if (!places.isEmpty()
                     && RecordSizeLimit.fits(placedSize, placed.allocations().size(), MAX_VALUE_BYTES)) {
                 job = placed;
@@ -46,7 +46,7 @@
                 }
             }
             job = job.withReleased(ended);
-            int size = MessagePackCodec.countedSize(job.toNode());
+            int size = MessagePackCodec.jsonSize(job.toNode());
             assertTrue(
                     size <= MAX_VALUE_BYTES,
                     size + " bytes with " + job.allocations().size() + " allocations");
--- a/src/test/java/org/dunespindle/sim/FakeStateStore.java
+++ b/src/test/java/org/dunespindle/sim/FakeStateStore.java
@@ -205,12 +205,12 @@
         }
         if (body.path("apply").size() > maxTransactionChanges
                 || body.path("guards").size() > 4 * maxTransactionChanges
-                || MessagePackCodec.countedSize(body) > MAX_TRANSACTION_BYTES) {
+                || MessagePackCodec.jsonSize(body) > MAX_TRANSACTION_BYTES) {
             rejectedForSize++;
             return new Reply(400, MessagePackCodec.map().put("error", "too large"));
         }
         for (JsonNode a : body.path("apply")) {
-            if (MessagePackCodec.countedSize(a.path("v")) > maxValueBytes) {
+            if (MessagePackCodec.jsonSize(a.path("v")) > maxValueBytes) {
                 rejectedForSize++;
                 return new Reply(400, MessagePackCodec.map().put("error", "value too large"));
             }
--- a/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
+++ b/src/test/java/org/dunespindle/storage/ChunkedJobRecordCodecTest.java
@@ -71,7 +71,7 @@
             if (!job.allocations().isEmpty() && random.nextInt(5) == 0) {
                 job = job.withTaskStopping(job.allocations().get(0).task());
             }
-            if (MessagePackCodec.countedSize(job.toNode()) > maxBytes) {
+            if (MessagePackCodec.jsonSize(job.toNode()) > maxBytes) {
                 return longestFitting;
             }
             longestFitting = job;
@@ -90,9 +90,9 @@
         assertTrue(
                 1 + chunked.chunks().size() <= MAX_CHANGES_PER_TRANSACTION,
                 chunked.chunks().size() + " chunks");
-        assertTrue(MessagePackCodec.countedSize(chunked.main()) <= MAX_VALUE_BYTES);
+        assertTrue(MessagePackCodec.jsonSize(chunked.main()) <= MAX_VALUE_BYTES);
         for (String chunk : chunked.chunks()) {
-            assertTrue(MessagePackCodec.countedSize(ChunkedJobRecordCodec.chunkNode(chunk)) <= MAX_VALUE_BYTES);
+            assertTrue(MessagePackCodec.jsonSize(ChunkedJobRecordCodec.chunkNode(chunk)) <= MAX_VALUE_BYTES);
         }
         assertEquals(job.toNode().toString(), readBack(chunked).toNode().toString());
     }
--- a/src/test/java/org/dunespindle/storage/JobRecordTest.java
+++ b/src/test/java/org/dunespindle/storage/JobRecordTest.java
@@ -142,7 +142,7 @@
         for (int i = 0; i < 250; i++) {
             machineIds.put(i, "i-%06d".formatted(i % 30));
         }
-        assertTrue(MessagePackCodec.countedSize(job.withPlaced(machineIds).toNode()) < 8 << 10);
+        assertTrue(MessagePackCodec.jsonSize(job.withPlaced(machineIds).toNode()) < 8 << 10);
     }
 
     /** A gang as large as a team's quota: 800 accelerators on 400 machines, placed in several steps and partly stopping. */
@@ -163,8 +163,7 @@
             job = random.nextBoolean() && t < 100 ? job.withTaskStopping(t) : job;
         }
         assertTrue(
-                MessagePackCodec.countedSize(job.toNode()) < 8 << 10,
-                "bytes: " + MessagePackCodec.countedSize(job.toNode()));
+                MessagePackCodec.jsonSize(job.toNode()) < 8 << 10, "bytes: " + MessagePackCodec.jsonSize(job.toNode()));
         assertEquals(
                 Set.copyOf(job.allocations()),
                 Set.copyOf(JobRecord.parse(job.id(), MessagePackCodec.read(MessagePackCodec.write(job.toNode())))
@@ -185,7 +184,7 @@
                     machineIds.put(t, "i-%06d".formatted(random.nextInt(1300)));
                 }
                 after = job.withPlaced(machineIds);
-                if (MessagePackCodec.countedSize(after.toNode()) > (8 << 10) * 0.7) {
+                if (MessagePackCodec.jsonSize(after.toNode()) > (8 << 10) * 0.7) {
                     after = job; // placement skips records above this part of the limit too
                 } else {
                     written++;
@@ -199,8 +198,8 @@
             }
             job = after;
             assertTrue(
-                    MessagePackCodec.countedSize(job.toNode()) <= 8 << 10,
-                    "bytes: " + MessagePackCodec.countedSize(job.toNode()));
+                    MessagePackCodec.jsonSize(job.toNode()) <= 8 << 10,
+                    "bytes: " + MessagePackCodec.jsonSize(job.toNode()));
         }
         assertTrue(written > 50);
     }
--- a/src/test/java/org/dunespindle/storage/MachinePageTest.java
+++ b/src/test/java/org/dunespindle/storage/MachinePageTest.java
@@ -48,7 +48,7 @@
                     reason);
             page.set(id, machine.toRow());
         }
-        int size = MessagePackCodec.countedSize(page);
+        int size = MessagePackCodec.jsonSize(page);
         assertTrue(size <= LOWERED_MAX_VALUE_BYTES, size + " bytes");
     }
 }
