--- a/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
@@ -30,8 +30,8 @@
         return agentEpoch != other.agentEpoch ? agentEpoch > other.agentEpoch : sequence > other.sequence;
     }
 
-    /** Whether it differs from another only in its sequence number, as most heartbeats do: they only show that the worker is alive. */
-    public boolean equalsExceptSequence(WorkerHeartbeat other) {
+    /** Whether it reports the same state as another, as most heartbeats do; the remaining time of a notice is not compared. */
+    public boolean hasSameStateAs(WorkerHeartbeat other) {
         return agentEpoch == other.agentEpoch
                 && token == other.token
                 && interruptionNotice.isPresent() == other.interruptionNotice.isPresent()
--- a/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
+++ b/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
@@ -82,7 +82,7 @@
     }
 
     private void reconcileIfChanged(WorkerHeartbeat status, Optional<WorkerHeartbeat> previous) {
-        if (previous.filter(earlier -> earlier.equalsExceptSequence(status)).isEmpty()) {
+        if (previous.filter(earlier -> earlier.hasSameStateAs(status)).isEmpty()) {
             reconciliationQueue.incrementVersion();
             reconciliationQueue.addAndWake(status.machineId());
         }
