--- a/src/main/java/org/dunespindle/job/GangLifecycle.java
+++ b/src/main/java/org/dunespindle/job/GangLifecycle.java
@@ -129,7 +129,7 @@
 
     private Duration placementTimeout(boolean allPlaced) {
         Duration timer = options.get().gangPlacementTimeout();
-        return allPlaced ? timer.plus(settings.workers().gangWait()).plus(IMAGE_FETCH_ALLOWANCE) : timer;
+        return allPlaced ? timer.plus(settings.workers().gangAssemblyTimeout()).plus(IMAGE_FETCH_ALLOWANCE) : timer;
     }
 
     private void startRealTasks(JobRecord job, Duration inPhase) {
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -67,7 +67,11 @@
 
     /** Intervals and timeouts of the workers. */
     public record Workers(
-            Duration heartbeatInterval, Duration lease, Duration gangWait, Duration gangPeer, Duration cancel) {}
+            Duration heartbeatInterval,
+            Duration lease,
+            Duration gangAssemblyTimeout,
+            Duration gangPeer,
+            Duration cancel) {}
 
     /**
      * Limits of the state store.
