--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -70,7 +70,7 @@
             Duration heartbeatInterval,
             Duration lease,
             Duration gangAssemblyTimeout,
-            Duration gangPeer,
+            Duration gangPeerTimeout,
             Duration cancel) {}
 
     /**
