--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -71,7 +71,7 @@
             Duration lease,
             Duration gangAssemblyTimeout,
             Duration gangPeerTimeout,
-            Duration cancel) {}
+            Duration cancellationTimeout) {}
 
     /**
      * Limits of the state store.
--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -127,8 +127,8 @@
     }
 
     private static Duration timeoutDuringOutage(Settings.Workers timing) {
-        return timing.cancel().compareTo(timing.lease()) > 0
-                ? timing.cancel().plus(timing.lease().dividedBy(2))
+        return timing.cancellationTimeout().compareTo(timing.lease()) > 0
+                ? timing.cancellationTimeout().plus(timing.lease().dividedBy(2))
                 : timing.lease().multipliedBy(3).dividedBy(2);
     }
 
--- a/src/main/java/org/dunespindle/worker/LeaseRenewal.java
+++ b/src/main/java/org/dunespindle/worker/LeaseRenewal.java
@@ -29,8 +29,10 @@
     }
 
     private static Duration maxCancellationStaleness(Settings settings) {
-        Duration limit =
-                settings.workers().cancel().minus(settings.workers().lease()).minus(LEASE_EXPIRY_MARGIN);
+        Duration limit = settings.workers()
+                .cancellationTimeout()
+                .minus(settings.workers().lease())
+                .minus(LEASE_EXPIRY_MARGIN);
         return limit.compareTo(MIN_CANCELLATION_STALENESS_LIMIT) < 0 ? MIN_CANCELLATION_STALENESS_LIMIT : limit;
     }
 
