--- a/src/main/java/org/dunespindle/controller/SharedParts.java
+++ b/src/main/java/org/dunespindle/controller/SharedParts.java
@@ -48,7 +48,7 @@
         this.pauseDetector = pauseDetector;
         stateStore = new StateStoreClient(httpClient, settings, timeSource);
         replica = new StateReplica(stateStore, timeSource, REPLICA_SYNC_INTERVAL, requestRound);
-        options = new StoredOptions(replica, settings.workers().lease());
+        options = new StoredOptions(replica, settings.workers().leaseDuration());
         membership = new Membership(settings.nodeName(), formats.announced(), stateStore, replica, timeSource);
         commitQueue = new CommitQueue(
                 stateStore, replica, timeSource, settings.state().lowest().txnOps(), requestRound);
--- a/src/main/java/org/dunespindle/machine/ShardFailover.java
+++ b/src/main/java/org/dunespindle/machine/ShardFailover.java
@@ -52,7 +52,7 @@
         this.gangPresence = gangPresence;
         configuredControllers.add(nodeName);
         context.settings().seeds().forEach(seed -> configuredControllers.add(seed.name()));
-        Duration leaseFraction = context.settings().workers().lease().dividedBy(DEFERRAL_LEASE_DIVISOR);
+        Duration leaseFraction = context.settings().workers().leaseDuration().dividedBy(DEFERRAL_LEASE_DIVISOR);
         this.deferralToPeers =
                 leaseFraction.compareTo(MAX_DEFERRAL_TO_PEERS) < 0 ? leaseFraction : MAX_DEFERRAL_TO_PEERS;
     }
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -68,7 +68,7 @@
     /** Intervals and timeouts of the workers. */
     public record Workers(
             Duration heartbeatInterval,
-            Duration lease,
+            Duration leaseDuration,
             Duration gangAssemblyTimeout,
             Duration gangPeerTimeout,
             Duration cancellationTimeout) {}
@@ -210,7 +210,7 @@
                 duration(table, at, "gang_wait_s"),
                 duration(table, at, "gang_peer_s"),
                 duration(table, at, "cancel_s"));
-        if (workers.heartbeatInterval.compareTo(workers.lease) >= 0) {
+        if (workers.heartbeatInterval.compareTo(workers.leaseDuration) >= 0) {
             throw MalformedMessageException.invalid(
                     at + "lease_s", "longer than report_s (" + table.path("report_s") + ")", table.path("lease_s"));
         }
--- a/src/main/java/org/dunespindle/worker/FailureDetector.java
+++ b/src/main/java/org/dunespindle/worker/FailureDetector.java
@@ -127,9 +127,9 @@
     }
 
     private static Duration timeoutDuringOutage(Settings.Workers timing) {
-        return timing.cancellationTimeout().compareTo(timing.lease()) > 0
-                ? timing.cancellationTimeout().plus(timing.lease().dividedBy(2))
-                : timing.lease().multipliedBy(3).dividedBy(2);
+        return timing.cancellationTimeout().compareTo(timing.leaseDuration()) > 0
+                ? timing.cancellationTimeout().plus(timing.leaseDuration().dividedBy(2))
+                : timing.leaseDuration().multipliedBy(3).dividedBy(2);
     }
 
     /** Whether a suspected machine may be alive: its worker answers inspections, or an inspection has just been started. */
--- a/src/main/java/org/dunespindle/worker/LeaseRenewal.java
+++ b/src/main/java/org/dunespindle/worker/LeaseRenewal.java
@@ -31,7 +31,7 @@
     private static Duration maxCancellationStaleness(Settings settings) {
         Duration limit = settings.workers()
                 .cancellationTimeout()
-                .minus(settings.workers().lease())
+                .minus(settings.workers().leaseDuration())
                 .minus(LEASE_EXPIRY_MARGIN);
         return limit.compareTo(MIN_CANCELLATION_STALENESS_LIMIT) < 0 ? MIN_CANCELLATION_STALENESS_LIMIT : limit;
     }
