--- a/src/main/java/org/dunespindle/api/JobSubmission.java
+++ b/src/main/java/org/dunespindle/api/JobSubmission.java
@@ -86,9 +86,10 @@
             answer.accept(Answer.retrySoon("the cloud's machine types have not been read yet"));
             return;
         }
-        Optional<String> whyNever = SubmissionFeasibility.whyNever(job, types.get(), context.settings());
-        if (whyNever.isPresent()) {
-            reject(job.id(), whyNever.get(), answer);
+        Optional<String> infeasibilityReason =
+                SubmissionFeasibility.infeasibilityReason(job, types.get(), context.settings());
+        if (infeasibilityReason.isPresent()) {
+            reject(job.id(), infeasibilityReason.get(), answer);
         } else if (stateStore.isFailing()) {
             answer.accept(Answer.stateServiceUnavailable());
         } else {
--- a/src/main/java/org/dunespindle/api/SubmissionFeasibility.java
+++ b/src/main/java/org/dunespindle/api/SubmissionFeasibility.java
@@ -13,7 +13,7 @@
     private SubmissionFeasibility() {}
 
     /** Why a job can never run, as text for its user; empty if it can. */
-    public static Optional<String> whyNever(Submission job, List<MachineType> types, Settings settings) {
+    public static Optional<String> infeasibilityReason(Submission job, List<MachineType> types, Settings settings) {
         Settings.Team team = settings.teams().get(job.team());
         if (team == null) {
             return Optional.of("team " + job.team() + " is unknown");
--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -124,7 +124,7 @@
         return machines.catalog
                 .types()
                 .map(types -> new DelegationContext.NeverVerdict(
-                        SubmissionFeasibility.whyNever(job, types, shared.settings)));
+                        SubmissionFeasibility.infeasibilityReason(job, types, shared.settings)));
     }
 
     private Map<String, Histogram> latencies() {
--- a/src/test/java/org/dunespindle/api/JobStatusCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/api/JobStatusCompatibilityTest.java
@@ -107,7 +107,7 @@
     private static String whyNever(Submission job) throws MalformedMessageException {
         Settings settings =
                 Settings.parse(TestSettings.node("a", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", ""));
-        return SubmissionFeasibility.whyNever(job, List.of(ONE_ZONE_TYPE), settings)
+        return SubmissionFeasibility.infeasibilityReason(job, List.of(ONE_ZONE_TYPE), settings)
                 .orElse("");
     }
 }
