--- a/src/main/java/org/dunespindle/api/DelegationContext.java
+++ b/src/main/java/org/dunespindle/api/DelegationContext.java
@@ -32,14 +32,14 @@
         CommitQueue commitQueue,
         EventRecorder eventRecorder,
         Supplier<Options> options,
-        Function<Submission, Optional<NeverVerdict>> whyNever,
+        Function<Submission, Optional<FeasibilityResult>> whyNever,
         Function<JobRecord, String> whyWaits,
         Supplier<List<MachineType>> machineTypes) {
 
     /**
      * The result of checking whether a job can ever run in this cell.
      *
-     * @param why the reason why it cannot; empty if it can
+     * @param infeasibilityReason the reason why it cannot; empty if it can
      */
-    public record NeverVerdict(Optional<String> why) {}
+    public record FeasibilityResult(Optional<String> infeasibilityReason) {}
 }
--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -120,10 +120,10 @@
     }
 
     /** Whether a job can ever run here; unknown before the cloud has told its machine types. */
-    private Optional<DelegationContext.NeverVerdict> neverRuns(Submission job) {
+    private Optional<DelegationContext.FeasibilityResult> neverRuns(Submission job) {
         return machines.catalog
                 .types()
-                .map(types -> new DelegationContext.NeverVerdict(
+                .map(types -> new DelegationContext.FeasibilityResult(
                         SubmissionFeasibility.infeasibilityReason(job, types, shared.settings)));
     }
 
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -233,7 +233,7 @@
 
     private Optional<Rejection.Reason> rejectionReason(Submission job) {
         Optional<CapacitySurvey> survey = survey();
-        Optional<DelegationContext.NeverVerdict> never = context.whyNever().apply(job);
+        Optional<DelegationContext.FeasibilityResult> never = context.whyNever().apply(job);
         if (survey.isEmpty() || never.isEmpty()) {
             return Optional.of(Rejection.Reason.NO_ROOM);
         }
@@ -245,7 +245,7 @@
                 job,
                 new AdmissionPolicy.View(
                         survey.get(),
-                        never.get().why(),
+                        never.get().infeasibilityReason(),
                         openJobs,
                         context.options().get().maxInboundJobs(),
                         delegatedKinds()));
