--- a/src/main/java/org/dunespindle/api/DelegationContext.java
+++ b/src/main/java/org/dunespindle/api/DelegationContext.java
@@ -19,7 +19,7 @@
 /**
  * The parts of a controller that its {@link JobDelegation} uses.
  *
- * @param whyNever checks whether a job can ever run in this cell; empty until the machine types have been read
+ * @param feasibility checks whether a job can ever run in this cell; empty until the machine types have been read
  * @param whyWaits explains why an unfinished job waits in this cell
  * @param machineTypes the types that the cell's cloud rents out; empty until they have been read
  */
@@ -32,7 +32,7 @@
         CommitQueue commitQueue,
         EventRecorder eventRecorder,
         Supplier<Options> options,
-        Function<Submission, Optional<FeasibilityResult>> whyNever,
+        Function<Submission, Optional<FeasibilityResult>> feasibility,
         Function<JobRecord, String> whyWaits,
         Supplier<List<MachineType>> machineTypes) {
 
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -233,7 +233,8 @@
 
     private Optional<Rejection.Reason> rejectionReason(Submission job) {
         Optional<CapacitySurvey> survey = survey();
-        Optional<DelegationContext.FeasibilityResult> never = context.whyNever().apply(job);
+        Optional<DelegationContext.FeasibilityResult> never =
+                context.feasibility().apply(job);
         if (survey.isEmpty() || never.isEmpty()) {
             return Optional.of(Rejection.Reason.NO_ROOM);
         }
