--- a/src/main/java/org/dunespindle/api/AdminJobRenderer.java
+++ b/src/main/java/org/dunespindle/api/AdminJobRenderer.java
@@ -30,7 +30,7 @@
             putReplicas(body, job);
         }
         if (isWaiting(job)) {
-            body.put("waits", controller.whyWaits(job));
+            body.put("waits", controller.waitReason(job));
         }
         return body;
     }
--- a/src/main/java/org/dunespindle/api/ControllerStatus.java
+++ b/src/main/java/org/dunespindle/api/ControllerStatus.java
@@ -9,5 +9,5 @@
     Options options();
 
     /** Why an unfinished job waits, as text for its user. */
-    String whyWaits(JobRecord job);
+    String waitReason(JobRecord job);
 }
--- a/src/main/java/org/dunespindle/api/DelegationContext.java
+++ b/src/main/java/org/dunespindle/api/DelegationContext.java
@@ -20,7 +20,7 @@
  * The parts of a controller that its {@link JobDelegation} uses.
  *
  * @param feasibility checks whether a job can ever run in this cell; empty until the machine types have been read
- * @param whyWaits explains why an unfinished job waits in this cell
+ * @param waitReason explains why an unfinished job waits in this cell
  * @param machineTypes the types that the cell's cloud rents out; empty until they have been read
  */
 public record DelegationContext(
@@ -33,7 +33,7 @@
         EventRecorder eventRecorder,
         Supplier<Options> options,
         Function<Submission, Optional<FeasibilityResult>> feasibility,
-        Function<JobRecord, String> whyWaits,
+        Function<JobRecord, String> waitReason,
         Supplier<List<MachineType>> machineTypes) {
 
     /**
--- a/src/main/java/org/dunespindle/api/JobDelegation.java
+++ b/src/main/java/org/dunespindle/api/JobDelegation.java
@@ -52,7 +52,7 @@
     }
 
     /** Why a job that is offered to other cells waits, as text for its user. */
-    default Optional<String> whyWaits(JobRecord job) {
+    default Optional<String> waitReason(JobRecord job) {
         return Optional.empty();
     }
 
--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -100,8 +100,8 @@
     }
 
     @Override
-    public String whyWaits(JobRecord job) {
-        return jobDelegation.whyWaits(job).orElseGet(() -> waitExplainer.explain(job));
+    public String waitReason(JobRecord job) {
+        return jobDelegation.waitReason(job).orElseGet(() -> waitExplainer.explain(job));
     }
 
     private DelegationContext delegationContext() {
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -362,8 +362,8 @@
     }
 
     @Override
-    public Optional<String> whyWaits(JobRecord job) {
-        return admin.whyWaits(job);
+    public Optional<String> waitReason(JobRecord job) {
+        return admin.waitReason(job);
     }
 
     @Override
--- a/src/main/java/org/dunespindle/federation/FederationAdmin.java
+++ b/src/main/java/org/dunespindle/federation/FederationAdmin.java
@@ -175,11 +175,11 @@
                                         .minus(status.requestedAt())
                                         .toMillis()));
         outboundDelegations.contradiction(job.id()).ifPresent(what -> node.put("contradiction", what));
-        whyWaits(job).ifPresent(why -> node.put("waits", why));
+        waitReason(job).ifPresent(why -> node.put("waits", why));
     }
 
     /** Why an open job that was offered to other cells waits; empty for other jobs. */
-    Optional<String> whyWaits(JobRecord job) {
+    Optional<String> waitReason(JobRecord job) {
         Optional<OutboundDelegation> delegation = job.isOpen() ? job.outboundDelegation() : Optional.empty();
         if (delegation.isEmpty()) {
             return Optional.empty();
@@ -193,7 +193,8 @@
         return Optional.of(
                 switch (transfer.phase()) {
                     case HOME ->
-                        context.whyWaits().apply(job) + "; " + cell + " gave it back (transfer " + transfer.transfers()
+                        context.waitReason().apply(job) + "; " + cell + " gave it back (transfer "
+                                + transfer.transfers()
                                 + ")"
                                 + transfer.notBefore()
                                         .map(time -> ", offered again at " + time + " at the earliest")
--- a/src/main/java/org/dunespindle/federation/InboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/InboundDelegationService.java
@@ -171,7 +171,7 @@
 
     private InboundJobStatus report(Transfer transfer, JobRecord job) {
         Optional<String> waitReason =
-                job.unplacedCount() > 0 ? Optional.of(context.whyWaits().apply(job)) : Optional.empty();
+                job.unplacedCount() > 0 ? Optional.of(context.waitReason().apply(job)) : Optional.empty();
         return new InboundJobStatus(
                 transfer, state(job), job.doneCount(), job.runningCount(), job.failures(), waitReason);
     }
