--- a/src/main/java/org/dunespindle/api/JobDelegation.java
+++ b/src/main/java/org/dunespindle/api/JobDelegation.java
@@ -18,10 +18,10 @@
     /**
      * The progress of a job in the cell that holds it, from the latest report of that cell.
      *
-     * @param begun whether any of its tasks has been placed there
+     * @param started whether any of its tasks has been placed there
      * @param age the time since the report was requested
      */
-    record RemoteProgress(String cell, boolean begun, int done, int running, int failures, Duration age) {}
+    record RemoteProgress(String cell, boolean started, int done, int running, int failures, Duration age) {}
 
     /** The outcome of a cancellation that another cell has to store first. */
     enum Cancellation {
--- a/src/main/java/org/dunespindle/api/JobStatusRenderer.java
+++ b/src/main/java/org/dunespindle/api/JobStatusRenderer.java
@@ -24,7 +24,7 @@
     }
 
     private static ObjectNode renderRemote(JobRecord job, JobDelegation.RemoteProgress remote) {
-        ObjectNode body = progress(job, remote.begun() ? RUNNING : QUEUED, remote.done(), remote.running())
+        ObjectNode body = progress(job, remote.started() ? RUNNING : QUEUED, remote.done(), remote.running())
                 .put("cell", remote.cell())
                 .put("ageMs", remote.age().toMillis());
         return withFailures(body, remote.failures());
