--- a/src/main/java/org/dunespindle/api/JobDelegation.java
+++ b/src/main/java/org/dunespindle/api/JobDelegation.java
@@ -30,7 +30,7 @@
         /** The remote cell had finished the job before the cancellation arrived. */
         DONE,
         /** The remote cell has never held the job under this transfer and never will. */
-        NOT_THERE,
+        NEVER_HELD,
         /** The remote cell did not answer. */
         UNKNOWN
     }
--- a/src/main/java/org/dunespindle/federation/CancellationCall.java
+++ b/src/main/java/org/dunespindle/federation/CancellationCall.java
@@ -70,7 +70,7 @@
                 switch (report.get().state()) {
                     case CANCELLED -> JobDelegation.Cancellation.CANCELLED;
                     case DONE -> JobDelegation.Cancellation.DONE;
-                    case WITHDRAWN -> JobDelegation.Cancellation.NOT_THERE;
+                    case WITHDRAWN -> JobDelegation.Cancellation.NEVER_HELD;
                     case UNKNOWN, QUEUED, BEGUN, CLOSED -> JobDelegation.Cancellation.UNKNOWN;
                 });
     }
