--- a/src/main/java/org/dunespindle/api/JobDelegation.java
+++ b/src/main/java/org/dunespindle/api/JobDelegation.java
@@ -39,7 +39,7 @@
     default void start() {}
 
     /** Receives each new plan of this controller; it covers the whole cell while this controller is the leader. */
-    default void planned(ClusterSnapshot snapshot, Plan plan) {}
+    default void onPlan(ClusterSnapshot snapshot, Plan plan) {}
 
     /** Requests the remote cell that may hold a job to store the job's cancellation. */
     default void cancel(JobRecord job, Consumer<Cancellation> onOutcome) {
--- a/src/main/java/org/dunespindle/controller/DecisionLoop.java
+++ b/src/main/java/org/dunespindle/controller/DecisionLoop.java
@@ -173,7 +173,7 @@
         if (parts.shared.membership.isLeader()) {
             parts.machines.shardOwnership.acquireForGangs(plan);
         }
-        parts.jobDelegation.planned(snapshot, plan);
+        parts.jobDelegation.onPlan(snapshot, plan);
         parts.jobs.taskPreemptor.preempt(plan);
         parts.jobs.taskPreemptor.moveReplicas(plan);
         parts.jobs.placementWriter.place(plan, snapshot.projection());
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -198,7 +198,7 @@
     // Capacity, and the jobs that wait for it
 
     @Override
-    public void planned(ClusterSnapshot snapshot, Plan plan) {
+    public void onPlan(ClusterSnapshot snapshot, Plan plan) {
         if (!identityKeeper.isActiveLeader()) {
             return;
         }
