--- a/src/main/java/org/dunespindle/api/AdminApi.java
+++ b/src/main/java/org/dunespindle/api/AdminApi.java
@@ -70,7 +70,7 @@
             return;
         }
         String resource = path.substring(PREFIX.length());
-        if (jobDelegation.administer(method, resource, body, answer)) {
+        if (jobDelegation.handleAdminRequest(method, resource, body, answer)) {
             return;
         }
         if (method.equals("GET")) {
--- a/src/main/java/org/dunespindle/api/JobDelegation.java
+++ b/src/main/java/org/dunespindle/api/JobDelegation.java
@@ -62,7 +62,7 @@
      * @param path the part of the path after the API's version
      * @return false if the request does not concern other cells; it is then not answered
      */
-    default boolean administer(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
+    default boolean handleAdminRequest(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         return false;
     }
 }
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -367,7 +367,7 @@
     }
 
     @Override
-    public boolean administer(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
+    public boolean handleAdminRequest(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         return admin.handle(method, path, body, answer);
     }
 }
