--- a/src/main/java/org/dunespindle/protocol/Submission.java
+++ b/src/main/java/org/dunespindle/protocol/Submission.java
@@ -17,7 +17,7 @@
  * @param spread whether the tasks must be spread over at least two zones
  * @param spot whether the job may run on spot machines
  * @param estimate the expected run time of a task
- * @param checkpointEvery the interval between checkpoints; zero if tasks cannot save their progress
+ * @param checkpointInterval the interval between checkpoints; zero if tasks cannot save their progress
  * @param checkpointTime the time that writing a checkpoint takes
  * @param due the time from submission within which the job should end; empty if none is set
  */
@@ -37,7 +37,7 @@
         String image,
         double imageGb,
         Duration estimate,
-        Duration checkpointEvery,
+        Duration checkpointInterval,
         Duration checkpointTime,
         Optional<Duration> due) {
     public static final int MAX_TASKS = 100_000;
@@ -64,7 +64,7 @@
 
     /** Whether a stopped task can save its progress. */
     public boolean checkpoints() {
-        return !checkpointEvery.isZero();
+        return !checkpointInterval.isZero();
     }
 
     /** Reads and validates a submission; the exception names the field that is missing or invalid. */
@@ -141,7 +141,7 @@
                 .put("bundle", image)
                 .put("imageGb", imageGb);
         n.put("guessS", Fields.inSeconds(estimate))
-                .put("snapshotS", Fields.inSeconds(checkpointEvery))
+                .put("snapshotS", Fields.inSeconds(checkpointInterval))
                 .put("flushS", Fields.inSeconds(checkpointTime));
         due.ifPresent(d -> n.put("dueS", Fields.inSeconds(d)));
         return n;
--- a/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
@@ -111,7 +111,7 @@
         Submission job = victim.job().submission();
         var started = new JobAttempt(victim.job().id(), victim.allocation().attemptBase());
         Duration elapsed = state.snapshot().runtime().apply(started);
-        Duration maxLost = job.checkpoints() ? job.checkpointEvery() : MAX_LOST_WORK;
+        Duration maxLost = job.checkpoints() ? job.checkpointInterval() : MAX_LOST_WORK;
         return elapsed.compareTo(maxLost) > 0 ? maxLost : elapsed;
     }
 }
--- a/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
+++ b/src/test/java/org/dunespindle/control/HeartbeatReconcilerTest.java
@@ -37,7 +37,7 @@
                         .tasks(tasks)
                         .image("i")
                         .estimate(Duration.ofSeconds(1))
-                        .checkpointEvery(checkpointTime)
+                        .checkpointInterval(checkpointTime)
                         .checkpointTime(Duration.ofSeconds(4))
                         .build(),
                 Instant.EPOCH);
--- a/src/test/java/org/dunespindle/protocol/SubmissionBuilder.java
+++ b/src/test/java/org/dunespindle/protocol/SubmissionBuilder.java
@@ -21,7 +21,7 @@
     private String image = "image";
     private double imageGb = 1;
     private Duration estimate = Duration.ofSeconds(20);
-    private Duration checkpointEvery = Duration.ZERO;
+    private Duration checkpointInterval = Duration.ZERO;
     private Duration checkpointTime = Duration.ZERO;
     private Optional<Duration> due = Optional.empty();
 
@@ -119,8 +119,8 @@
     }
 
     /** Sets the interval between checkpoints; zero for none. */
-    public SubmissionBuilder checkpointEvery(Duration value) {
-        checkpointEvery = value;
+    public SubmissionBuilder checkpointInterval(Duration value) {
+        checkpointInterval = value;
         return this;
     }
 
@@ -154,7 +154,7 @@
                 image,
                 imageGb,
                 estimate,
-                checkpointEvery,
+                checkpointInterval,
                 checkpointTime,
                 due);
     }
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -212,7 +212,7 @@
                         .image(image)
                         .imageGb(submission.imageGb())
                         .estimate(submission.estimate())
-                        .checkpointEvery(submission.checkpointEvery())
+                        .checkpointInterval(submission.checkpointInterval())
                         .checkpointTime(submission.checkpointTime())
                         .due(submission.due())
                         .build(),
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -194,7 +194,7 @@
                 .spot(true)
                 .imageGb(2)
                 .estimate(Duration.ofSeconds(25))
-                .checkpointEvery(Duration.ofSeconds(5))
+                .checkpointInterval(Duration.ofSeconds(5))
                 .checkpointTime(Duration.ofSeconds(4))
                 .build();
         cluster.submit(gang);
@@ -456,7 +456,7 @@
                 .image(anywhere.image())
                 .imageGb(anywhere.imageGb())
                 .estimate(anywhere.estimate())
-                .checkpointEvery(anywhere.checkpointEvery())
+                .checkpointInterval(anywhere.checkpointInterval())
                 .checkpointTime(anywhere.checkpointTime())
                 .due(anywhere.due())
                 .build();
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -111,7 +111,7 @@
                     .image("image-" + tasks % 2)
                     .imageGb(2)
                     .estimate(Duration.ofSeconds(5))
-                    .checkpointEvery(saves)
+                    .checkpointInterval(saves)
                     .checkpointTime(saves.isZero() ? saves : Duration.ofSeconds(3))
                     .build();
             cluster.sim.after(500L + i * 3500L + random.nextInt(1500), () -> cluster.submit(job));
