--- a/src/main/java/org/dunespindle/api/SubmissionFeasibility.java
+++ b/src/main/java/org/dunespindle/api/SubmissionFeasibility.java
@@ -22,11 +22,11 @@
         if (zones.isEmpty()) {
             return Optional.of("a task fits no allowed machine type");
         }
-        boolean runsAsWhole = job.runsAsWhole();
-        if (!team.withinLimit(runsAsWhole ? job.totalResources() : job.perTask())) {
+        boolean requiresAllTasks = job.requiresAllTasks();
+        if (!team.withinLimit(requiresAllTasks ? job.totalResources() : job.perTask())) {
             return Optional.of("the job needs more than the limit of team " + job.team());
         }
-        boolean severalTogether = runsAsWhole && job.tasks() > 1;
+        boolean severalTogether = requiresAllTasks && job.tasks() > 1;
         if (severalTogether && job.sameZone() && job.spread()) {
             return Optional.of("samePlace and apart exclude each other");
         }
--- a/src/main/java/org/dunespindle/job/TerminationBatching.java
+++ b/src/main/java/org/dunespindle/job/TerminationBatching.java
@@ -67,7 +67,7 @@
     /** Whether a job's pending terminations must be stored now. */
     boolean isDue(JobRecord job, List<PendingTermination> pending) {
         boolean urgent =
-                job.spec().isEmpty() || !job.isOpen() || job.submission().runsAsWhole();
+                job.spec().isEmpty() || !job.isOpen() || job.submission().requiresAllTasks();
         if (urgent || anyToRequeue(pending)) {
             return true;
         }
--- a/src/main/java/org/dunespindle/job/TerminationWriter.java
+++ b/src/main/java/org/dunespindle/job/TerminationWriter.java
@@ -121,7 +121,7 @@
         if (after == job) {
             return;
         }
-        boolean urgent = !after.isOpen() || after.submission().runsAsWhole();
+        boolean urgent = !after.isOpen() || after.submission().requiresAllTasks();
         if (!urgent && commitQueue.pendingCount() >= MAX_QUEUED_TRANSACTIONS) {
             return; // it would lock the record for a long time; the job's next placement also stores the terminations
         }
--- a/src/main/java/org/dunespindle/protocol/Submission.java
+++ b/src/main/java/org/dunespindle/protocol/Submission.java
@@ -58,7 +58,7 @@
     }
 
     /** Whether all tasks must run at the same time; the job as a whole must then fit within its team's limit. */
-    public boolean runsAsWhole() {
+    public boolean requiresAllTasks() {
         return isGang() || isService();
     }
 
