--- a/src/main/java/org/dunespindle/machine/BootDeadlines.java
+++ b/src/main/java/org/dunespindle/machine/BootDeadlines.java
@@ -44,6 +44,6 @@
     }
 
     private Duration bootTime(MachineRecord machine) {
-        return catalog.type(machine.type()).map(MachineType::boot).orElse(DEFAULT_BOOT_TIME);
+        return catalog.type(machine.type()).map(MachineType::bootTime).orElse(DEFAULT_BOOT_TIME);
     }
 }
--- a/src/main/java/org/dunespindle/protocol/MachineType.java
+++ b/src/main/java/org/dunespindle/protocol/MachineType.java
@@ -10,7 +10,7 @@
  *
  * @param cacheGb the size of the machine's image cache
  * @param fetchGbPerS the rate at which the machine fetches images
- * @param boot the nominal boot time
+ * @param bootTime the nominal boot time
  */
 public record MachineType(
         String name,
@@ -19,7 +19,7 @@
         double fetchGbPerS,
         double price,
         double spotPrice,
-        Duration boot,
+        Duration bootTime,
         List<String> zones) {
     /** The nominal price per hour of an ordinary or a spot machine. */
     public double price(boolean spot) {
