--- a/src/main/java/org/dunespindle/api/DelegationContext.java
+++ b/src/main/java/org/dunespindle/api/DelegationContext.java
@@ -19,8 +19,8 @@
 /**
  * The parts of a controller that its {@link JobDelegation} uses.
  *
- * @param whyNever checks whether a job can ever run in this cell; empty until the machine types have been read
- * @param whyWaits explains why an unfinished job waits in this cell
+ * @param feasibility checks whether a job can ever run in this cell; empty until the machine types have been read
+ * @param waitReason explains why an unfinished job waits in this cell
  * @param machineTypes the types that the cell's cloud rents out; empty until they have been read
  */
 public record DelegationContext(
@@ -32,14 +32,14 @@
         CommitQueue commitQueue,
         EventRecorder eventRecorder,
         Supplier<Options> options,
-        Function<Submission, Optional<NeverVerdict>> whyNever,
-        Function<JobRecord, String> whyWaits,
+        Function<Submission, Optional<FeasibilityResult>> feasibility,
+        Function<JobRecord, String> waitReason,
         Supplier<List<MachineType>> machineTypes) {
 
     /**
      * The result of checking whether a job can ever run in this cell.
      *
-     * @param why the reason why it cannot; empty if it can
+     * @param infeasibilityReason the reason why it cannot; empty if it can
      */
-    public record NeverVerdict(Optional<String> why) {}
+    public record FeasibilityResult(Optional<String> infeasibilityReason) {}
 }
--- a/src/main/java/org/dunespindle/api/JobDelegation.java
+++ b/src/main/java/org/dunespindle/api/JobDelegation.java
@@ -18,10 +18,10 @@
     /**
      * The progress of a job in the cell that holds it, from the latest report of that cell.
      *
-     * @param begun whether any of its tasks has been placed there
+     * @param started whether any of its tasks has been placed there
      * @param age the time since the report was requested
      */
-    record RemoteProgress(String cell, boolean begun, int done, int running, int failures, Duration age) {}
+    record RemoteProgress(String cell, boolean started, int done, int running, int failures, Duration age) {}
 
     /** The outcome of a cancellation that another cell has to store first. */
     enum Cancellation {
@@ -30,7 +30,7 @@
         /** The remote cell had finished the job before the cancellation arrived. */
         DONE,
         /** The remote cell has never held the job under this transfer and never will. */
-        NOT_THERE,
+        NEVER_HELD,
         /** The remote cell did not answer. */
         UNKNOWN
     }
@@ -39,7 +39,7 @@
     default void start() {}
 
     /** Receives each new plan of this controller; it covers the whole cell while this controller is the leader. */
-    default void planned(ClusterSnapshot snapshot, Plan plan) {}
+    default void onPlan(ClusterSnapshot snapshot, Plan plan) {}
 
     /** Requests the remote cell that may hold a job to store the job's cancellation. */
     default void cancel(JobRecord job, Consumer<Cancellation> onOutcome) {
@@ -52,7 +52,7 @@
     }
 
     /** Why a job that is offered to other cells waits, as text for its user. */
-    default Optional<String> whyWaits(JobRecord job) {
+    default Optional<String> waitReason(JobRecord job) {
         return Optional.empty();
     }
 
@@ -62,7 +62,7 @@
      * @param path the part of the path after the API's version
      * @return false if the request does not concern other cells; it is then not answered
      */
-    default boolean administer(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
+    default boolean handleAdminRequest(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         return false;
     }
 }
--- a/src/main/java/org/dunespindle/controller/ControllerParts.java
+++ b/src/main/java/org/dunespindle/controller/ControllerParts.java
@@ -100,8 +100,8 @@
     }
 
     @Override
-    public String whyWaits(JobRecord job) {
-        return jobDelegation.whyWaits(job).orElseGet(() -> waitExplainer.explain(job));
+    public String waitReason(JobRecord job) {
+        return jobDelegation.waitReason(job).orElseGet(() -> waitExplainer.explain(job));
     }
 
     private DelegationContext delegationContext() {
@@ -120,11 +120,11 @@
     }
 
     /** Whether a job can ever run in this cell; empty until the catalog of machine types is available. */
-    private Optional<DelegationContext.NeverVerdict> checkFeasibility(Submission job) {
+    private Optional<DelegationContext.FeasibilityResult> checkFeasibility(Submission job) {
         return machines.catalog
                 .types()
-                .map(types -> new DelegationContext.NeverVerdict(
-                        SubmissionFeasibility.whyNever(job, types, shared.settings)));
+                .map(types -> new DelegationContext.FeasibilityResult(
+                        SubmissionFeasibility.infeasibilityReason(job, types, shared.settings)));
     }
 
     private Map<String, Histogram> latencies() {
--- a/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
+++ b/src/main/java/org/dunespindle/controller/SnapshotBuilder.java
@@ -166,7 +166,7 @@
 
     /** Whether a machine owned by another controller is draining: its worker is reachable but accepts no tasks, as after an interruption notice. */
     private boolean isDrainingElsewhere(MachineRecord machine) {
-        Duration maxSilence = context.settings().workers().report().multipliedBy(2);
+        Duration maxSilence = context.settings().workers().heartbeatInterval().multipliedBy(2);
         Optional<ReportedMachine> reported = sources.peerHeartbeats.currentReport(machine);
         boolean rejectsTasks = reported.isPresent()
                 && !reported.get().up()
--- a/src/main/java/org/dunespindle/federation/Federation.java
+++ b/src/main/java/org/dunespindle/federation/Federation.java
@@ -198,7 +198,7 @@
     // Capacity, and the jobs that wait for it
 
     @Override
-    public void planned(ClusterSnapshot snapshot, Plan plan) {
+    public void onPlan(ClusterSnapshot snapshot, Plan plan) {
         if (!identityKeeper.isActiveLeader()) {
             return;
         }
@@ -233,7 +233,8 @@
 
     private Optional<Rejection.Reason> rejectionReason(Submission job) {
         Optional<CapacitySurvey> survey = survey();
-        Optional<DelegationContext.NeverVerdict> never = context.whyNever().apply(job);
+        Optional<DelegationContext.FeasibilityResult> never =
+                context.feasibility().apply(job);
         if (survey.isEmpty() || never.isEmpty()) {
             return Optional.of(Rejection.Reason.NO_ROOM);
         }
@@ -245,7 +246,7 @@
                 job,
                 new AdmissionPolicy.View(
                         survey.get(),
-                        never.get().why(),
+                        never.get().infeasibilityReason(),
                         openJobs,
                         context.options().get().maxInboundJobs(),
                         delegatedKinds()));
@@ -361,12 +362,12 @@
     }
 
     @Override
-    public Optional<String> whyWaits(JobRecord job) {
-        return admin.whyWaits(job);
+    public Optional<String> waitReason(JobRecord job) {
+        return admin.waitReason(job);
     }
 
     @Override
-    public boolean administer(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
+    public boolean handleAdminRequest(String method, String path, byte[] body, Consumer<AdminResponse> answer) {
         return admin.handle(method, path, body, answer);
     }
 }
--- a/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
+++ b/src/main/java/org/dunespindle/machine/MachineStatusReporter.java
@@ -33,7 +33,7 @@
         this.quarantine = quarantine;
         this.terminator = terminator;
         this.placementTimeout =
-                context.settings().workers().report().multipliedBy(3).plusSeconds(1);
+                context.settings().workers().heartbeatInterval().multipliedBy(3).plusSeconds(1);
     }
 
     /** The status of every owned machine with a heartbeat, sorted by sequence number. A changed status gets a new sequence number. */
@@ -89,8 +89,9 @@
             return false;
         }
         WorkerState worker = context.workers().getOrCreate(machine.id());
-        boolean hasInterruptionNotice =
-                worker.lastHeartbeat().flatMap(heartbeat -> heartbeat.notice()).isPresent();
+        boolean hasInterruptionNotice = worker.lastHeartbeat()
+                .flatMap(heartbeat -> heartbeat.interruptionNotice())
+                .isPresent();
         return !hasInterruptionNotice && !workerClient.areHeartbeatsOverdue(worker) && isSeenAlive(worker);
     }
 
@@ -99,7 +100,7 @@
         boolean hasInterruptionNotice = context.workers()
                 .find(machine.id())
                 .flatMap(worker -> worker.lastHeartbeat())
-                .flatMap(heartbeat -> heartbeat.notice())
+                .flatMap(heartbeat -> heartbeat.interruptionNotice())
                 .isPresent();
         return hasInterruptionNotice || machine.draining() || quarantine.isQuarantined(machine.id());
     }
--- a/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
+++ b/src/main/java/org/dunespindle/protocol/MessagePackCodec.java
@@ -19,7 +19,7 @@
 
 /** Encodes and decodes MessagePack bodies, the format of all messages to and from users, workers, the state store and the cloud. */
 public final class MessagePackCodec {
-    public static final String TYPE = "application/msgpack";
+    public static final String CONTENT_TYPE = "application/msgpack";
     private static final int MAX_DEPTH = 32;
     private static final ObjectMapper MAPPER = new ObjectMapper(new MessagePackFactory());
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -103,7 +103,7 @@
     }
 
     /** The size of a value as the protocol's limits count it: the number of bytes of its JSON form. */
-    public static int countedSize(JsonNode node) {
+    public static int jsonSize(JsonNode node) {
         try {
             return JSON.writeValueAsBytes(node).length;
         } catch (IOException e) {
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -66,7 +66,12 @@
     public record Objective(String kind, String jobClass, Duration within, double share, double times) {}
 
     /** Intervals and timeouts of the workers. */
-    public record Workers(Duration report, Duration lease, Duration gangWait, Duration gangPeer, Duration cancel) {}
+    public record Workers(
+            Duration heartbeatInterval,
+            Duration leaseDuration,
+            Duration gangAssemblyTimeout,
+            Duration gangPeerTimeout,
+            Duration cancellationTimeout) {}
 
     /**
      * Limits of the state store.
@@ -205,7 +210,7 @@
                 duration(table, at, "gang_wait_s"),
                 duration(table, at, "gang_peer_s"),
                 duration(table, at, "cancel_s"));
-        if (workers.report.compareTo(workers.lease) >= 0) {
+        if (workers.heartbeatInterval.compareTo(workers.leaseDuration) >= 0) {
             throw MalformedMessageException.invalid(
                     at + "lease_s", "longer than report_s (" + table.path("report_s") + ")", table.path("lease_s"));
         }
--- a/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
@@ -12,7 +12,7 @@
  * @param agentEpoch the agent's incarnation, which rises whenever the worker has discarded its tasks, as after a lease expiry
  * @param sequence rises with each heartbeat of one agent epoch
  * @param token the highest fencing token that the worker has seen
- * @param notice the time until the spot machine is interrupted, if the cloud has announced it
+ * @param interruptionNotice the time until the spot machine is interrupted, if the cloud has announced it
  */
 public record WorkerHeartbeat(
         String machineId,
@@ -23,18 +23,18 @@
         long agentEpoch,
         long sequence,
         long token,
-        Optional<Duration> notice,
+        Optional<Duration> interruptionNotice,
         List<TaskStatus> tasks) {
     /** Whether this heartbeat is newer than another of the same worker. */
     public boolean newerThan(WorkerHeartbeat other) {
         return agentEpoch != other.agentEpoch ? agentEpoch > other.agentEpoch : sequence > other.sequence;
     }
 
-    /** Whether it differs from another only in its sequence number, as most heartbeats do: they only show that the worker is alive. */
-    public boolean sameAs(WorkerHeartbeat other) {
+    /** Whether it reports the same state as another, as most heartbeats do; the remaining time of a notice is not compared. */
+    public boolean hasSameStateAs(WorkerHeartbeat other) {
         return agentEpoch == other.agentEpoch
                 && token == other.token
-                && notice.isPresent() == other.notice.isPresent()
+                && interruptionNotice.isPresent() == other.interruptionNotice.isPresent()
                 && address.equals(other.address)
                 && tasks.equals(other.tasks);
     }
--- a/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
+++ b/src/main/java/org/dunespindle/worker/WorkerStatusRecorder.java
@@ -70,19 +70,19 @@
     Set<String> machinesWithInterruptionNotice() {
         machinesWithInterruptionNotice.removeIf(machineId -> context.workers()
                 .lastHeartbeat(machineId)
-                .flatMap(WorkerHeartbeat::notice)
+                .flatMap(WorkerHeartbeat::interruptionNotice)
                 .isEmpty());
         return machinesWithInterruptionNotice;
     }
 
     private void recordInterruptionNotice(WorkerHeartbeat status) {
-        if (status.notice().isPresent()) {
+        if (status.interruptionNotice().isPresent()) {
             machinesWithInterruptionNotice.add(status.machineId());
         }
     }
 
     private void reconcileIfChanged(WorkerHeartbeat status, Optional<WorkerHeartbeat> previous) {
-        if (previous.filter(earlier -> earlier.sameAs(status)).isEmpty()) {
+        if (previous.filter(earlier -> earlier.hasSameStateAs(status)).isEmpty()) {
             reconciliationQueue.incrementVersion();
             reconciliationQueue.addAndWake(status.machineId());
         }
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -200,7 +200,7 @@
                 .spot(true)
                 .imageGb(2)
                 .estimate(Duration.ofSeconds(25))
-                .checkpointEvery(Duration.ofSeconds(5))
+                .checkpointInterval(Duration.ofSeconds(5))
                 .checkpointTime(Duration.ofSeconds(4))
                 .build();
         cluster.submit(gang);
@@ -481,7 +481,7 @@
                 .image(anywhere.image())
                 .imageGb(anywhere.imageGb())
                 .estimate(anywhere.estimate())
-                .checkpointEvery(anywhere.checkpointEvery())
+                .checkpointInterval(anywhere.checkpointInterval())
                 .checkpointTime(anywhere.checkpointTime())
                 .due(anywhere.due())
                 .build();
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -102,7 +102,7 @@
 
         @Override
         public void report(int node, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer) {
-            call(userApiPorts[node], "POST", "/agent/beat", MessagePackCodec.write(heartbeat), MessagePackCodec.TYPE)
+            call(userApiPorts[node], "POST", "/agent/beat", MessagePackCodec.write(heartbeat), MessagePackCodec.CONTENT_TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null) {
                             answer.accept(reply.status(), parsed(reply));
@@ -188,7 +188,7 @@
                             "POST",
                             "/submissions",
                             MessagePackCodec.write(job.toNode()),
-                            MessagePackCodec.TYPE)
+                            MessagePackCodec.CONTENT_TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null && (reply.status() == 200 || reply.status() == 201)) {
                             cluster.reportedPhases.put(job.id(), "queued");
@@ -200,7 +200,7 @@
         }
 
         private void poll(String id, int node) {
-            call(userApiPorts[node], "GET", "/submissions/" + id, new byte[0], MessagePackCodec.TYPE)
+            call(userApiPorts[node], "GET", "/submissions/" + id, new byte[0], MessagePackCodec.CONTENT_TYPE)
                     .whenComplete((reply, failure) -> {
                         String phase = failure == null && reply.status() == 200
                                 ? parsed(reply).path("phase").asText()
@@ -344,7 +344,7 @@
 
     private static HttpServerResponse reply(FakeStateStore.Reply reply) {
         return new HttpServerResponse(
-                reply.status(), MessagePackCodec.TYPE, MessagePackCodec.write(reply.body()), Optional.empty());
+                reply.status(), MessagePackCodec.CONTENT_TYPE, MessagePackCodec.write(reply.body()), Optional.empty());
     }
 
     private static String target(HttpServerRequest call) {
