--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -102,7 +102,12 @@
 
         @Override
         public void report(int node, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer) {
-            call(userApiPorts[node], "POST", "/agent/beat", MessagePackCodec.write(heartbeat), MessagePackCodec.CONTENT_TYPE)
+            call(
+                            userApiPorts[node],
+                            "POST",
+                            "/agent/beat",
+                            MessagePackCodec.write(heartbeat),
+                            MessagePackCodec.CONTENT_TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null) {
                             answer.accept(reply.status(), parsed(reply));
