--- a/src/test/java/org/dunespindle/sim/FakeStateStore.java
+++ b/src/test/java/org/dunespindle/sim/FakeStateStore.java
@@ -191,7 +191,7 @@
 
     private Reply txn(JsonNode body) {
         int changes = body.path("apply").size();
-        // Transactions with failed preconditions count against the limit as well.
+        // Transactions with failed preconditions count against the rate limit as well.
         if (writes.filter(limit -> !limit.tryAcquire(changes)).isPresent()) {
             rejectedByRateLimit++;
             return tooManyRequests();
--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -127,7 +127,7 @@
     void hang(Duration length) {
         hungSince = sim.now();
         hungUntil = sim.now().plus(length);
-        sim.after(length.plusMillis(1), this::expireLease); // before messages sent during the hang are processed
+        sim.after(length.plusMillis(1), this::expireLeaseIfDue); // before messages sent during the hang are processed
         tasks.values().forEach(t -> {
             if (t.phase.equals("running")) {
                 t.endsAt = t.endsAt.plus(length);
@@ -144,7 +144,7 @@
         return isHung() && sim.now().minus(hungSince).compareTo(SimulatedCluster.GANG_PEER_TIMEOUT) > 0;
     }
 
-    private void expireLease() {
+    private void expireLeaseIfDue() {
         if (sim.now().minus(leaseFrom).compareTo(SimulatedCluster.LEASE) > 0) {
             tasks.clear();
             session++;
@@ -336,10 +336,10 @@
             sim.after(100, this::step);
             return;
         }
-        expireLease();
+        expireLeaseIfDue();
         for (Task t : tasks.values()) {
             if (t.phase.equals("gathering")) {
-                if (cluster.runs.gangComplete(t)) {
+                if (cluster.runs.isGangComplete(t)) {
                     cluster.runs.startGang(t);
                 } else if (sim.now().compareTo(t.gatherUntil) > 0) {
                     t.exit("incomplete");
@@ -354,7 +354,7 @@
                 if (faulty || cluster.faultyJobs.contains(t.task.job())) {
                     cluster.errors.merge(t.task.job(), 1, Integer::sum);
                     t.exit("error");
-                } else if (cluster.runs.isGang(t.task) && !cluster.runs.gangIntact(t)) {
+                } else if (cluster.runs.isGang(t.task) && !cluster.runs.isGangIntact(t)) {
                     t.exit("peers");
                 } else if (sim.now().compareTo(t.endsAt) >= 0) {
                     cluster.runs.finished(t);
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -62,7 +62,7 @@
 
     private final SimulatedCluster cluster;
     private final Random random;
-    private final List<String> ids = new ArrayList<>();
+    private final List<String> jobIds = new ArrayList<>();
     private final List<String> faultLog = new ArrayList<>();
 
     RandomFaultSchedule(long seed, StateService stateService) {
@@ -85,7 +85,7 @@
     }
 
     List<String> ids() {
-        return ids;
+        return jobIds;
     }
 
     /**
@@ -95,7 +95,7 @@
     void submitJobs(int count) {
         for (int i = 0; i < count; i++) {
             String id = "wk-%06d".formatted(i);
-            ids.add(id);
+            jobIds.add(id);
             boolean gang = i % 3 == 0;
             int tasks = gang ? 1 + random.nextInt(4) : 2 + random.nextInt(6);
             boolean spread = !gang && i % 5 == 4;
@@ -151,7 +151,7 @@
         cluster.sim.run(RUN_LENGTH);
         var failures = new ArrayList<>(cluster.violations);
         failures.addAll(cluster.invariants.failedCriteria());
-        for (String id : ids) {
+        for (String id : jobIds) {
             if (!List.of("done", "cancelled").contains(cluster.lastReportedPhase(id))) {
                 failures.add(id + " is " + cluster.lastReportedPhase(id));
             }
@@ -292,7 +292,7 @@
     private void userFault(Fault fault) {
         switch (fault) {
             case CANCEL_RUNNING_JOBS -> {
-                ids.stream()
+                jobIds.stream()
                         .filter(id -> cluster.lastReportedPhase(id).equals("running"))
                         .limit(4)
                         .forEach(id -> cluster.sim.after(random.nextInt(200), () -> cluster.cancel(id)));
@@ -306,7 +306,7 @@
             }
             case REPEATED_AND_UNKNOWN_REQUESTS -> {
                 for (int k = 0; k < 20; k++) {
-                    String id = ids.get(random.nextInt(ids.size()));
+                    String id = jobIds.get(random.nextInt(jobIds.size()));
                     cluster.sim.after(millis(0, 40_000), () -> cluster.resubmit(id));
                     cluster.sim.after(millis(0, 40_000), () -> cluster.pollUnknownJob("wk-9" + random.nextInt(9999)));
                     cluster.sim.after(millis(0, 40_000), () -> {
--- a/src/test/java/org/dunespindle/sim/ServicesTest.java
+++ b/src/test/java/org/dunespindle/sim/ServicesTest.java
@@ -111,7 +111,7 @@
         cancelAndAssertGone(cluster);
     }
 
-    /** After a spot interruption notice replicas move to another machine before the termination. */
+    /** After a spot interruption notice a replica moves to another machine before the termination, with a short interruption only. */
     @ParameterizedTest
     @ValueSource(longs = {906, 907, 908})
     void replicasMoveBeforeASpotInterruption(long seed) {
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -373,9 +373,9 @@
                 return result;
             }
             for (int copy = 0; copy < (duplicated ? 2 : 1); copy++) {
-                int held = faultDelayMillis(from, address, target);
+                int faultDelay = faultDelayMillis(from, address, target);
                 sim.after(
-                        delay() + held + (long) copy * sim.random.nextInt(8000),
+                        delay() + faultDelay + (long) copy * sim.random.nextInt(8000),
                         () -> deliver(owner, from, address, method, target, body, result));
             }
             return result;
@@ -402,7 +402,7 @@
             byte[] body,
             CompletableFuture<HttpClientResponse> result) {
         FakeWorker worker = address.startsWith("worker") ? workers.get("i-" + address.substring(7)) : null;
-        if (isHeldBack(from, address, worker)) {
+        if (isBlocked(from, address, worker)) {
             if (worker != null && !worker.dead) {
                 sim.after(500, () -> deliver(owner, from, address, method, target, body, result)); // delivered late
             }
@@ -433,20 +433,21 @@
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
-        noteConflict(from, reply);
+        recordConflicts(from, reply);
         if (reply == null || sim.random.nextDouble() < lossRate) {
             return; // the target is down, or the request was executed and its answer is lost
         }
         byte[] bytes =
                 address.startsWith("node") ? JsonCodec.write(reply.body()) : MessagePackCodec.write(reply.body());
-        int slow = maxStateDelayMillis > 0 && address.startsWith("state") ? sim.random.nextInt(maxStateDelayMillis) : 0;
+        int stateDelay =
+                maxStateDelayMillis > 0 && address.startsWith("state") ? sim.random.nextInt(maxStateDelayMillis) : 0;
         sim.after(
-                delay() + slow,
+                delay() + stateDelay,
                 () -> owner.arrive(() -> result.complete(new HttpClientResponse(reply.status(), bytes))));
     }
 
     /** Whether a message is blocked by a partition, a disconnection or a hang. Messages to workers are retried until it ends. */
-    private boolean isHeldBack(int from, String address, FakeWorker worker) {
+    private boolean isBlocked(int from, String address, FakeWorker worker) {
         String area = worker != null
                 ? worker.zone
                 : address.startsWith("node") ? controllerZones[address.charAt(5) - '0'] : "";
@@ -470,7 +471,7 @@
         return fromIsolated || toIsolated || (cloudUnreachable && address.startsWith("cloud"));
     }
 
-    private void noteConflict(int from, FakeStateStore.Reply reply) {
+    private void recordConflicts(int from, FakeStateStore.Reply reply) {
         if (reply != null && reply.status() == CONFLICT) {
             reply.body().path("failed").forEach(key -> recordEvent("conflict of n" + from + " about " + key.asText()));
         }
@@ -503,17 +504,17 @@
                 : target.equals("/inspect") ? new FakeStateStore.Reply(200, w.heartbeat()) : w.commands(body);
     }
 
-    void sendHeartbeat(int node, FakeWorker from, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
+    void sendHeartbeat(int node, FakeWorker from, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer) {
         if (environment.externalControllers().isPresent()) {
-            environment.externalControllers().get().report(node, report, answer);
+            environment.externalControllers().get().report(node, heartbeat, answer);
             return;
         }
         for (int copy = 0; copy < delayedDuplicates; copy++) {
             // A delayed duplicate arrives even if the machine has ended since; its answer is dropped.
             sim.after(2000 + sim.random.nextInt((int) maxDuplicateDelay.toMillis()), () -> {
                 if (controllers[node] != null) {
-                    Controller late = controllers[node];
-                    processes[node].arrive(() -> deliverHeartbeat(late, report, (status, body) -> {}));
+                    Controller receiver = controllers[node];
+                    processes[node].arrive(() -> deliverHeartbeat(receiver, heartbeat, (status, body) -> {}));
                 }
             });
         }
@@ -522,8 +523,8 @@
             sim.after(from.heartbeatDelay, () -> {
                 recordEvent("delayed heartbeat");
                 if (controllers[node] != null) {
-                    Controller late = controllers[node];
-                    processes[node].arrive(() -> deliverHeartbeat(late, report, (status, body) -> {}));
+                    Controller receiver = controllers[node];
+                    processes[node].arrive(() -> deliverHeartbeat(receiver, heartbeat, (status, body) -> {}));
                 }
             });
             return;
@@ -546,7 +547,7 @@
             Duration sentAt = sim.now();
             target.arrive(() -> deliverHeartbeat(
                     c,
-                    report,
+                    heartbeat,
                     (status, body) -> sim.after(delay(), () -> {
                         if (sim.now().minus(sentAt).compareTo(HEARTBEAT_TIMEOUT) < 0
                                 && !from.disconnected
@@ -559,11 +560,11 @@
         });
     }
 
-    private static void deliverHeartbeat(Controller c, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
+    private static void deliverHeartbeat(Controller c, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer) {
         try {
             c.heartbeatHandler()
                     .onHeartbeat(
-                            WorkerHeartbeat.parse(MessagePackCodec.read(MessagePackCodec.write(report))),
+                            WorkerHeartbeat.parse(MessagePackCodec.read(MessagePackCodec.write(heartbeat))),
                             reply -> answer.accept(reply.status(), reply.body()));
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/org/dunespindle/sim/TaskRuns.java
+++ b/src/test/java/org/dunespindle/sim/TaskRuns.java
@@ -17,35 +17,36 @@
         return cluster.jobs.get(task.job()).isGang();
     }
 
-    private List<FakeWorker.Task> members(FakeWorker.Task one) {
+    private List<FakeWorker.Task> members(FakeWorker.Task member) {
         return cluster.invariants.live().stream()
-                .filter(t -> t.task.job().equals(one.task.job()) && t.attempt == one.attempt)
+                .filter(t -> t.task.job().equals(member.task.job()) && t.attempt == member.attempt)
                 .toList();
     }
 
-    boolean gangComplete(FakeWorker.Task one) {
-        return members(one).stream().map(t -> t.task.index()).distinct().count()
-                == cluster.jobs.get(one.task.job()).tasks();
+    boolean isGangComplete(FakeWorker.Task member) {
+        return members(member).stream().map(t -> t.task.index()).distinct().count()
+                == cluster.jobs.get(member.task.job()).tasks();
     }
 
-    boolean gangIntact(FakeWorker.Task one) {
-        return gangComplete(one)
-                && members(one).stream()
+    boolean isGangIntact(FakeWorker.Task member) {
+        return isGangComplete(member)
+                && members(member).stream()
                         .noneMatch(t -> cluster.workers.containsKey(t.host())
                                 && cluster.workers.get(t.host()).hangNoticed());
     }
 
-    void startGang(FakeWorker.Task one) {
-        Duration end =
-                cluster.sim.now().plusSeconds(cluster.checkpointTime(one.task).isZero() ? 5 : 25);
-        members(one).forEach(t -> {
+    void startGang(FakeWorker.Task member) {
+        Duration end = cluster.sim
+                .now()
+                .plusSeconds(cluster.checkpointTime(member.task).isZero() ? 5 : 25);
+        members(member).forEach(t -> {
             t.phase = "running";
             t.endsAt = end;
         });
     }
 
-    void finished(FakeWorker.Task one) {
-        List<FakeWorker.Task> all = isGang(one.task) ? members(one) : List.of(one);
+    void finished(FakeWorker.Task member) {
+        List<FakeWorker.Task> all = isGang(member.task) ? members(member) : List.of(member);
         if (all.stream()
                 .anyMatch(t -> cluster.workers.containsKey(t.host())
                         && cluster.workers.get(t.host()).isHung())) {
@@ -56,7 +57,7 @@
             cluster.environment.watcher().finished(cluster, t);
             t.exit("done");
         });
-        String id = one.task.job();
+        String id = member.task.job();
         if (cluster.done.get(id).size() == cluster.jobs.get(id).tasks()) {
             cluster.completed.putIfAbsent(id, cluster.sim.now());
             if (cluster.requestsAtCompletion) {
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -139,8 +139,7 @@
         cluster.writesRefusedNode = rejectedNode;
         cluster.submit(array(shared, 20, Optional.empty(), false));
         cluster.sim.run(cluster.sim.now().plusSeconds(5));
-        assertTrue(
-                allocated(cluster, shared) >= MIN_STORED_TASKS, () -> "stored by then: " + allocated(cluster, shared));
+        assertTrue(allocated(cluster, shared) >= MIN_STORED_TASKS, () -> "stored tasks: " + allocated(cluster, shared));
         // Only the first controller has capacity for these.
         cluster.submit(array(last, 12, Optional.of("west"), true));
         cluster.sim.run(cluster.sim.now().plusMillis(1500));
