--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -107,11 +107,11 @@
         cluster.environment.watcher().started(cluster, started);
         if (cluster.cancelled.containsKey(started.task.job())) {
             cluster.startsAfterCancel.add(started.task.toString());
-            Duration told = cluster.cancelled.get(started.task.job());
+            Duration confirmedAt = cluster.cancelled.get(started.task.job());
             lateStarts.add(new LateStart(
                     started.task.toString(),
-                    started.commandedAt.compareTo(told) > 0,
-                    cluster.sim.now().minus(told),
+                    started.commandedAt.compareTo(confirmedAt) > 0,
+                    cluster.sim.now().minus(confirmedAt),
                     cluster.isOwnerFrozen(worker)));
         }
     }
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -76,7 +76,7 @@
         ids.forEach(id -> assertEquals(
                 "done",
                 cluster.poll(remaining, id).join().body().path("phase").asText(),
-                id + " while two are silent"));
+                id + " while two controllers are paused"));
         cluster.sim.run(Duration.ofSeconds(220));
         assertEquals(
                 List.of(),
