--- a/src/test/java/org/dunespindle/sim/ControllerProcess.java
+++ b/src/test/java/org/dunespindle/sim/ControllerProcess.java
@@ -70,7 +70,7 @@
     }
 
     /** Returns the peak resident memory in MB. */
-    double mostMemory() throws IOException {
+    double peakMemoryMb() throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
             if (line.startsWith("VmHWM:")) {
                 return Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1024;
--- a/src/test/java/org/dunespindle/sim/FederationLoad.java
+++ b/src/test/java/org/dunespindle/sim/FederationLoad.java
@@ -261,7 +261,7 @@
         double memory = 0;
         for (int i = 0; i < processes.size(); i++) {
             time += processes.get(i).processorTime().minus(before.get(i)).toMillis();
-            memory = Math.max(memory, processes.get(i).mostMemory());
+            memory = Math.max(memory, processes.get(i).peakMemoryMb());
         }
         int done = cells.on(() -> cells.completed().size());
         row(
