--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -101,7 +101,7 @@
         }
 
         @Override
-        public void report(int node, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
+        public void sendHeartbeat(int node, ObjectNode report, BiConsumer<Integer, JsonNode> answer) {
             call(front[node], "POST", "/agent/beat", MessagePackCodec.write(report), MessagePackCodec.TYPE)
                     .whenComplete((reply, failure) -> {
                         if (failure == null) {
--- a/src/test/java/org/dunespindle/sim/SimulatedCluster.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedCluster.java
@@ -506,7 +506,7 @@
 
     void sendHeartbeat(int node, FakeWorker from, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer) {
         if (environment.externalControllers().isPresent()) {
-            environment.externalControllers().get().report(node, heartbeat, answer);
+            environment.externalControllers().get().sendHeartbeat(node, heartbeat, answer);
             return;
         }
         for (int copy = 0; copy < delayedDuplicates; copy++) {
--- a/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
@@ -36,7 +36,7 @@
     /** Transport to controllers that run outside the simulation. */
     interface ExternalControllers {
         /** Sends a worker's heartbeat to a controller; the status is 0 if there is no answer. */
-        void report(int node, ObjectNode report, BiConsumer<Integer, JsonNode> answer);
+        void sendHeartbeat(int node, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer);
 
         /** Returns the address at which controllers reach a worker. */
         String addressOf(FakeWorker worker);
