--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -101,7 +101,7 @@
         }
 
         @Override
-        public void report(int node, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer) {
+        public void sendHeartbeat(int node, ObjectNode heartbeat, BiConsumer<Integer, JsonNode> answer) {
             call(
                             userApiPorts[node],
                             "POST",
