--- a/src/main/java/org/dunespindle/api/AdminJobRenderer.java
+++ b/src/main/java/org/dunespindle/api/AdminJobRenderer.java
@@ -22,8 +22,8 @@
         job.spec()
                 .ifPresent(submission -> body.put("class", submission.jobClass())
                         .put("team", submission.team())
-                        .put("shape", submission.kind().wire())
-                        .put("priority", submission.priority().wire())
+                        .put("shape", submission.kind().wireName())
+                        .put("priority", submission.priority().wireName())
                         .put("tasks", submission.tasks()));
         body.put("accepted", job.arrived().toString());
         if (job.isOpen() && job.submission().isService()) {
--- a/src/main/java/org/dunespindle/control/HeartbeatReconciler.java
+++ b/src/main/java/org/dunespindle/control/HeartbeatReconciler.java
@@ -144,7 +144,7 @@
     }
 
     private static String detail(TaskStatus attempt) {
-        String cause = attempt.cause().map(ExitCause::wire).orElse(DETAIL_WITHOUT_CAUSE);
+        String cause = attempt.cause().map(ExitCause::wireName).orElse(DETAIL_WITHOUT_CAUSE);
         return attempt.saved() ? cause + DETAIL_SAVED_SUFFIX : cause;
     }
 }
--- a/src/main/java/org/dunespindle/controller/LoadReporter.java
+++ b/src/main/java/org/dunespindle/controller/LoadReporter.java
@@ -116,7 +116,7 @@
                 .job(task.task().job())
                 .flatMap(JobRecord::spec)
                 .ifPresent((Submission spec) -> byPhase.merge(
-                        spec.jobClass() + " " + task.phase().wire(),
+                        spec.jobClass() + " " + task.phase().wireName(),
                         spec.perTask().gpus(),
                         Double::sum));
     }
--- a/src/main/java/org/dunespindle/federation/FederationAdmin.java
+++ b/src/main/java/org/dunespindle/federation/FederationAdmin.java
@@ -159,7 +159,7 @@
     private void show(JobRecord job, OutboundDelegation delegation, ObjectNode node) {
         node.put("job", job.id())
                 .put("team", job.submission().team())
-                .put("priority", job.submission().priority().wire())
+                .put("priority", job.submission().priority().wireName())
                 .put("cell", delegation.cell())
                 .put("transfer", delegation.transfer())
                 .put("phase", delegation.phase().name().toLowerCase(java.util.Locale.ROOT))
--- a/src/main/java/org/dunespindle/protocol/ExitCause.java
+++ b/src/main/java/org/dunespindle/protocol/ExitCause.java
@@ -24,7 +24,7 @@
     }
 
     /** The name on the wire. */
-    public String wire() {
+    public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/org/dunespindle/protocol/JobKind.java
+++ b/src/main/java/org/dunespindle/protocol/JobKind.java
@@ -11,21 +11,21 @@
     /** Independent tasks that run until the job is cancelled. */
     SERVICE("daemon");
 
-    private final String wire;
+    private final String wireName;
 
-    JobKind(String wire) {
-        this.wire = wire;
+    JobKind(String wireName) {
+        this.wireName = wireName;
     }
 
     /** The name on the wire. */
-    public String wire() {
-        return wire;
+    public String wireName() {
+        return wireName;
     }
 
     /** Reads the name on the wire; empty if it is unknown. */
     public static Optional<JobKind> parse(String text) {
         for (JobKind kind : values()) {
-            if (kind.wire.equals(text)) {
+            if (kind.wireName.equals(text)) {
                 return Optional.of(kind);
             }
         }
--- a/src/main/java/org/dunespindle/protocol/Priority.java
+++ b/src/main/java/org/dunespindle/protocol/Priority.java
@@ -13,7 +13,7 @@
     /** Reads the name on the wire; empty if it is unknown. */
     public static Optional<Priority> parse(String text) {
         for (Priority p : values()) {
-            if (p.wire().equals(text)) {
+            if (p.wireName().equals(text)) {
                 return Optional.of(p);
             }
         }
@@ -21,7 +21,7 @@
     }
 
     /** The name on the wire. */
-    public String wire() {
+    public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/org/dunespindle/protocol/SampleMessages.java
+++ b/src/main/java/org/dunespindle/protocol/SampleMessages.java
@@ -37,7 +37,7 @@
                 .put("id", id)
                 .put("jobclass", "c")
                 .put("owner", "t")
-                .put("shape", kind.wire())
+                .put("shape", kind.wireName())
                 .put("rank", "urgent")
                 .put("pieces", 2)
                 .put("vcpus", 1.0)
--- a/src/main/java/org/dunespindle/protocol/Submission.java
+++ b/src/main/java/org/dunespindle/protocol/Submission.java
@@ -126,8 +126,8 @@
         n.put("id", id)
                 .put("jobclass", jobClass)
                 .put("owner", team)
-                .put("shape", kind.wire())
-                .put("rank", priority.wire())
+                .put("shape", kind.wireName())
+                .put("rank", priority.wireName())
                 .put("pieces", tasks);
         n.put("vcpus", perTask.cpus()).put("accelerators", perTask.gpus()).put("ramGb", perTask.ramGb());
         types.ifPresent(list -> list.forEach(n.withArray("/hulls")::add));
--- a/src/main/java/org/dunespindle/protocol/TaskPhase.java
+++ b/src/main/java/org/dunespindle/protocol/TaskPhase.java
@@ -10,21 +10,21 @@
     SAVING("saving"),
     EXITED("exited");
 
-    private final String wire;
+    private final String wireName;
 
-    TaskPhase(String wire) {
-        this.wire = wire;
+    TaskPhase(String wireName) {
+        this.wireName = wireName;
     }
 
     /** The name on the wire. */
-    public String wire() {
-        return wire;
+    public String wireName() {
+        return wireName;
     }
 
     /** Reads the name on the wire; empty if it is unknown. */
     public static Optional<TaskPhase> parse(String text) {
         for (TaskPhase phase : values()) {
-            if (phase.wire.equals(text)) {
+            if (phase.wireName.equals(text)) {
                 return Optional.of(phase);
             }
         }
--- a/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/storage/StoredFormsCompatibilityTest.java
@@ -135,7 +135,7 @@
     @Test
     void acceptedJobs() throws MalformedMessageException {
         for (JobKind kind : JobKind.values()) {
-            String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + SUBMISSION.formatted(kind.wire())
+            String text = "{\"at\":1700000000123,\"end\":\"OPEN\",\"job\":" + SUBMISSION.formatted(kind.wireName())
                     + ",\"gen\":1,\"next\":0,\"mode\":\"IDLE\",\"try\":0,\"order\":1700000000123,\"fails\":0,"
                     + "\"again\":\"\",\"claims\":[]}";
             assertStored(text, JobRecord.accepted(submission(kind), ARRIVED));
