--- a/src/main/java/org/dunespindle/protocol/Submission.java
+++ b/src/main/java/org/dunespindle/protocol/Submission.java
@@ -122,29 +122,29 @@
 
     /** Encodes the submission as the map that {@link #parse} reads. */
     public ObjectNode toNode() {
-        ObjectNode n = JsonNodeFactory.instance.objectNode();
-        n.put("id", id)
+        ObjectNode node = JsonNodeFactory.instance.objectNode();
+        node.put("id", id)
                 .put("jobclass", jobClass)
                 .put("owner", team)
                 .put("shape", kind.wireName())
                 .put("rank", priority.wireName())
                 .put("pieces", tasks);
-        n.put("vcpus", perTask.cpus()).put("accelerators", perTask.gpus()).put("ramGb", perTask.ramGb());
-        types.ifPresent(list -> list.forEach(n.withArray("/hulls")::add));
+        node.put("vcpus", perTask.cpus()).put("accelerators", perTask.gpus()).put("ramGb", perTask.ramGb());
+        types.ifPresent(list -> list.forEach(node.withArray("/hulls")::add));
         if (types.isPresent() && types.get().isEmpty()) {
-            n.putArray("hulls");
+            node.putArray("hulls");
         }
-        zone.ifPresent(z -> n.put("dune", z));
-        n.put("samePlace", sameZone)
+        zone.ifPresent(z -> node.put("dune", z));
+        node.put("samePlace", sameZone)
                 .put("apart", spread)
                 .put("driftwood", spot)
                 .put("bundle", image)
                 .put("imageGb", imageGb);
-        n.put("guessS", Fields.inSeconds(estimate))
+        node.put("guessS", Fields.inSeconds(estimate))
                 .put("snapshotS", Fields.inSeconds(checkpointInterval))
                 .put("flushS", Fields.inSeconds(checkpointTime));
-        due.ifPresent(d -> n.put("dueS", Fields.inSeconds(d)));
-        return n;
+        due.ifPresent(d -> node.put("dueS", Fields.inSeconds(d)));
+        return node;
     }
 
     /** Typed access to a map's fields; an invalid field is reported with its name, the allowed values and the given value. */
--- a/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerHeartbeat.java
@@ -30,7 +30,10 @@
         return agentEpoch != other.agentEpoch ? agentEpoch > other.agentEpoch : sequence > other.sequence;
     }
 
-    /** Whether it reports the same state as another, as most heartbeats do; the remaining time of a notice is not compared. */
+    /**
+     * Whether it reports the same state as another of the same worker. Most heartbeats do: they only show that the machine is alive. The
+     * remaining time of an interruption notice is not compared.
+     */
     public boolean hasSameStateAs(WorkerHeartbeat other) {
         return agentEpoch == other.agentEpoch
                 && token == other.token
