--- a/src/main/java/org/dunespindle/ClassArchiveTraining.java
+++ b/src/main/java/org/dunespindle/ClassArchiveTraining.java
@@ -120,11 +120,11 @@
             throws InterruptedException {
         Thread.sleep(RUN_TIME.toMillis() / 2);
         send(http, controller, "GET", "/healthz", MessagePackCodec.map());
-        send(http, controller, "POST", "/agent/beat", SampleMessages.workerReport(worker, 1, 0));
+        send(http, controller, "POST", "/agent/beat", SampleMessages.workerHeartbeat(worker, 1, 0));
         send(http, controller, "POST", "/submissions", SampleMessages.job("wk-1", JobKind.ARRAY));
         send(http, controller, "POST", "/submissions", SampleMessages.job("wk-2", JobKind.GANG));
         Thread.sleep(RUN_TIME.toMillis() / 4);
-        send(http, controller, "POST", "/agent/beat", SampleMessages.workerReport(worker, 2, 2));
+        send(http, controller, "POST", "/agent/beat", SampleMessages.workerHeartbeat(worker, 2, 2));
         send(http, controller, "GET", "/submissions/wk-1", MessagePackCodec.map());
         send(http, controller, "POST", "/submissions/wk-1/withdraw", MessagePackCodec.map());
         Thread.sleep(RUN_TIME.toMillis() / 4);
--- a/src/main/java/org/dunespindle/protocol/SampleMessages.java
+++ b/src/main/java/org/dunespindle/protocol/SampleMessages.java
@@ -12,8 +12,8 @@
     private SampleMessages() {}
 
     /** A worker's heartbeat with one exited task. */
-    public static ObjectNode workerReport(String address, long sequence, long token) {
-        ObjectNode report = MessagePackCodec.map()
+    public static ObjectNode workerHeartbeat(String address, long sequence, long token) {
+        ObjectNode heartbeat = MessagePackCodec.map()
                 .put("host", MACHINE)
                 .put("address", address)
                 .put("hull", TYPE)
@@ -22,13 +22,14 @@
                 .put("tenure", 1)
                 .put("tick", sequence)
                 .put("baton", token);
-        report.putArray("pieces")
+        heartbeat
+                .putArray("pieces")
                 .addObject()
                 .put("piece", "wk-9/0")
                 .put("try", 1)
                 .put("phase", "exited")
                 .put("cause", "done");
-        return report;
+        return heartbeat;
     }
 
     /** A submission of two tasks. */
@@ -58,7 +59,7 @@
         ObjectNode body = MessagePackCodec.map().put("epoch", revision).put("more", false);
         return switch (path) {
             case "/holds" -> body.put("tether", 1);
-            case "/orders" -> workerReport(ADDRESS, 3, 2);
+            case "/orders" -> workerHeartbeat(ADDRESS, 3, 2);
             case "/catalog" -> withMachineType(body);
             case "/rentals" -> withListedMachine(body);
             default -> body;
