--- a/src/main/java/org/dunespindle/transport/NettyHttpServer.java
+++ b/src/main/java/org/dunespindle/transport/NettyHttpServer.java
@@ -192,7 +192,7 @@
         }
 
         private void answer(ChannelHandlerContext ctx, HttpServerResponse response, boolean clientKeepsAlive) {
-            boolean keepAlive = clientKeepsAlive && !response.last();
+            boolean keepAlive = clientKeepsAlive && !response.closesConnection();
             var sent = ctx.writeAndFlush(encode(response, keepAlive));
             if (!keepAlive) {
                 queue.clear();
