--- a/src/main/java/org/dunespindle/api/DelegationContext.java
+++ b/src/main/java/org/dunespindle/api/DelegationContext.java
@@ -37,7 +37,7 @@
         Supplier<List<MachineType>> machineTypes) {
 
     /**
-     * The result of checking whether a job can ever run in this cell.
+     * The result of checking whether a job can ever run in this cell, which is possible once the machine types have been read.
      *
      * @param infeasibilityReason the reason why it cannot; empty if it can
      */
--- a/src/main/java/org/dunespindle/api/JobDelegation.java
+++ b/src/main/java/org/dunespindle/api/JobDelegation.java
@@ -31,7 +31,7 @@
         DONE,
         /** The remote cell has never held the job under this transfer and never will. */
         NEVER_HELD,
-        /** The remote cell did not answer. */
+        /** The outcome is not known, for example because the remote cell did not answer. */
         UNKNOWN
     }
 
--- a/src/main/java/org/dunespindle/api/SubmissionFeasibility.java
+++ b/src/main/java/org/dunespindle/api/SubmissionFeasibility.java
@@ -8,7 +8,7 @@
 import org.dunespindle.protocol.Settings;
 import org.dunespindle.protocol.Submission;
 
-/** Checks whether a job could run in this cell if all of its capacity were free. */
+/** Checks whether a job can ever run in this cell, regardless of the capacity that is free at the moment. */
 public final class SubmissionFeasibility {
     private SubmissionFeasibility() {}
 
--- a/src/main/java/org/dunespindle/protocol/Submission.java
+++ b/src/main/java/org/dunespindle/protocol/Submission.java
@@ -57,7 +57,7 @@
         return kind == JobKind.SERVICE;
     }
 
-    /** Whether all tasks must run at the same time; the job as a whole must then fit within its team's limit. */
+    /** Whether the job is useful only with all of its tasks running; the whole job must then fit within its team's limit. */
     public boolean requiresAllTasks() {
         return isGang() || isService();
     }
--- a/src/main/java/org/dunespindle/transport/HttpStatus.java
+++ b/src/main/java/org/dunespindle/transport/HttpStatus.java
@@ -20,7 +20,7 @@
 
     private HttpStatus() {}
 
-    /** Whether a status is a client error (4xx). */
+    /** Whether a status is a client error (4xx), which means that the request was at fault rather than the server. */
     public static boolean isClientError(int status) {
         return status >= FIRST_CLIENT_ERROR && status < FIRST_SERVER_ERROR;
     }
