--- a/src/main/java/org/dunespindle/protocol/TaskPhase.java
+++ b/src/main/java/org/dunespindle/protocol/TaskPhase.java
@@ -4,9 +4,12 @@
 
 /** The phase of a task as its worker reports it. */
 public enum TaskPhase {
+    /** The worker fetches the task's image. */
     FETCHING("pulling"),
+    /** A gang's task waits until all members of its gang have started. */
     ASSEMBLING("gathering"),
     RUNNING("running"),
+    /** A stopped task writes a checkpoint. */
     SAVING("saving"),
     EXITED("exited");
 
