--- a/src/main/java/org/dunespindle/protocol/WorkerCommand.java
+++ b/src/main/java/org/dunespindle/protocol/WorkerCommand.java
@@ -27,7 +27,7 @@
         return MessagePackCodec.map().put("steward", controller);
     }
 
-    /** The body of commands sent to a worker outside its heartbeats; the worker ignores them if its agent epoch differs. */
+    /** The body of commands sent to a worker outside its heartbeats; the worker rejects them if its agent epoch differs. */
     static ObjectNode command(long token, long agentEpoch, List<WorkerCommand> commands) {
         return reply(token, commands).put("tenure", agentEpoch);
     }
