--- a/src/main/java/org/dunespindle/control/MachineRecordWriter.java
+++ b/src/main/java/org/dunespindle/control/MachineRecordWriter.java
@@ -18,7 +18,7 @@
  * with a conflict and their proposers must decide again.
  */
 public final class MachineRecordWriter {
-    /** From this number of pending proposals on, changes that can be delayed should be. */
+    /** From this number of pending proposals on, changes with low priority should be delayed. */
     private static final int MAX_PENDING_PROPOSALS = 6;
 
     /** How long changes are collected before they are proposed. */
--- a/src/main/java/org/dunespindle/control/WorkerState.java
+++ b/src/main/java/org/dunespindle/control/WorkerState.java
@@ -224,7 +224,10 @@
         return redirects.attempts();
     }
 
-    /** When this controller last rejected the worker's heartbeat while partitioned from the state service. */
+    /**
+     * When this controller last recorded that it rejected the worker's heartbeat while partitioned from the state service. Rejections
+     * soon after a recorded one are not recorded.
+     */
     public Optional<Duration> rejectedWhilePartitionedAt() {
         return rejectedWhilePartitionedAt;
     }
--- a/src/main/java/org/dunespindle/peer/PeerHeartbeatCodec.java
+++ b/src/main/java/org/dunespindle/peer/PeerHeartbeatCodec.java
@@ -37,7 +37,7 @@
     private static final int TOKEN_COLUMN = 1;
     private static final int UP_COLUMN = 2;
     private static final int QUARANTINED_COLUMN = 3;
-    private static final int SILENT_MILLIS_COLUMN = 4;
+    private static final int MILLIS_SINCE_LAST_SEEN_COLUMN = 4;
     private static final int ADDRESS_COLUMN = 5;
     private static final int FIRST_IMAGE_COLUMN = 6;
 
@@ -154,7 +154,7 @@
                 row.path(TOKEN_COLUMN).asLong(),
                 row.path(UP_COLUMN).asBoolean(),
                 row.path(QUARANTINED_COLUMN).asBoolean(),
-                Duration.ofMillis(row.path(SILENT_MILLIS_COLUMN).asLong()),
+                Duration.ofMillis(row.path(MILLIS_SINCE_LAST_SEEN_COLUMN).asLong()),
                 row.path(ADDRESS_COLUMN).asText(),
                 images);
     }
--- a/src/main/java/org/dunespindle/protocol/ExitCause.java
+++ b/src/main/java/org/dunespindle/protocol/ExitCause.java
@@ -21,7 +21,7 @@
     /** Handled as a rejected start, like {@link #NO_ROOM} and {@link #BUSY}. */
     UNKNOWN;
 
-    /** Reads the name on the wire. An unknown cause is read as {@link #STOPPED}: the task has ended without completing. */
+    /** Reads the name on the wire. A name that no constant has is read as {@link #STOPPED}: the task has ended without completing. */
     public static ExitCause parse(String text) {
         for (ExitCause cause : values()) {
             if (cause.name().toLowerCase(Locale.ROOT).equals(text)) {
--- a/src/main/java/org/dunespindle/protocol/Settings.java
+++ b/src/main/java/org/dunespindle/protocol/Settings.java
@@ -169,29 +169,29 @@
         return Map.copyOf(teams);
     }
 
-    private static Team team(JsonNode row, String at) throws MalformedMessageException {
-        String name = text(row, at, "name");
-        double cpusMax = limit(amount(row, at, "cpus_max"));
-        double gpusMax = limit(amount(row, at, "gpus_max"));
-        var team = new Team(name, amount(row, at, "cpus"), cpusMax, amount(row, at, "gpus"), gpusMax);
+    private static Team team(JsonNode row, String prefix) throws MalformedMessageException {
+        String name = text(row, prefix, "name");
+        double cpusMax = limit(amount(row, prefix, "cpus_max"));
+        double gpusMax = limit(amount(row, prefix, "gpus_max"));
+        var team = new Team(name, amount(row, prefix, "cpus"), cpusMax, amount(row, prefix, "gpus"), gpusMax);
         if (team.cpus > team.cpusMax || team.gpus > team.gpusMax) {
             String field = team.gpus > team.gpusMax ? "gpus" : "cpus";
             throw new MalformedMessageException(
-                    at + field + " of team " + name + " must not be above " + field + "_max, its limit");
+                    prefix + field + " of team " + name + " must not be above " + field + "_max, its limit");
         }
         return team;
     }
 
     private static List<Objective> objectives(JsonNode list) throws MalformedMessageException {
         var objectives = new ArrayList<Objective>();
-        String at = "deployment.objectives.";
+        String prefix = "deployment.objectives.";
         for (JsonNode row : list) {
             objectives.add(new Objective(
                     row.path("kind").asText(""),
                     row.path("class").asText(""),
-                    seconds(optional(row, at, "within_s", 0)),
-                    optional(row, at, "share", 0),
-                    optional(row, at, "times", 1)));
+                    seconds(optional(row, prefix, "within_s", 0)),
+                    optional(row, prefix, "share", 0),
+                    optional(row, prefix, "times", 1)));
         }
         return List.copyOf(objectives);
     }
@@ -203,60 +203,61 @@
     }
 
     private static Workers workers(JsonNode table) throws MalformedMessageException {
-        String at = "deployment.workers.";
+        String prefix = "deployment.workers.";
         var workers = new Workers(
-                duration(table, at, "report_s"),
-                duration(table, at, "lease_s"),
-                duration(table, at, "gang_wait_s"),
-                duration(table, at, "gang_peer_s"),
-                duration(table, at, "cancel_s"));
+                duration(table, prefix, "report_s"),
+                duration(table, prefix, "lease_s"),
+                duration(table, prefix, "gang_wait_s"),
+                duration(table, prefix, "gang_peer_s"),
+                duration(table, prefix, "cancel_s"));
         if (workers.heartbeatInterval.compareTo(workers.leaseDuration) >= 0) {
             throw MalformedMessageException.invalid(
-                    at + "lease_s", "longer than report_s (" + table.path("report_s") + ")", table.path("lease_s"));
+                    prefix + "lease_s", "longer than report_s (" + table.path("report_s") + ")", table.path("lease_s"));
         }
         return workers;
     }
 
     private static State state(JsonNode table) throws MalformedMessageException {
-        String at = "deployment.state.";
+        String prefix = "deployment.state.";
         var now = new State(
-                positive(table, at, "rps"),
-                positive(table, at, "write_rps"),
-                (int) (positive(table, at, "value_kb") * BYTES_PER_KB),
-                (int) positive(table, at, "txn_ops"),
+                positive(table, prefix, "rps"),
+                positive(table, prefix, "write_rps"),
+                (int) (positive(table, prefix, "value_kb") * BYTES_PER_KB),
+                (int) positive(table, prefix, "txn_ops"),
                 Optional.empty());
         JsonNode next = table.path("next");
         if (next.isMissingNode()) {
             return now;
         }
         if (!next.isObject()) {
-            throw MalformedMessageException.invalid(at + "next", "a table", next);
+            throw MalformedMessageException.invalid(prefix + "next", "a table", next);
         }
         return new State(now.rps, now.writeRps, now.valueBytes, now.txnOps, Optional.of(nextState(next, now)));
     }
 
     /** Reads the announced limits; limits that the table does not contain stay unchanged. */
     private static State nextState(JsonNode table, State now) throws MalformedMessageException {
-        String at = "deployment.state.next.";
-        double valueKb = table.has("value_kb") ? positive(table, at, "value_kb") : now.valueBytes / BYTES_PER_KB;
-        double txnOps = table.has("txn_ops") ? positive(table, at, "txn_ops") : now.txnOps;
+        String prefix = "deployment.state.next.";
+        double valueKb = table.has("value_kb") ? positive(table, prefix, "value_kb") : now.valueBytes / BYTES_PER_KB;
+        double txnOps = table.has("txn_ops") ? positive(table, prefix, "txn_ops") : now.txnOps;
         if (valueKb < MIN_VALUE_KB) {
-            throw new MalformedMessageException(at + "value_kb must be at least " + MIN_VALUE_KB + ", not " + valueKb);
+            throw new MalformedMessageException(
+                    prefix + "value_kb must be at least " + MIN_VALUE_KB + ", not " + valueKb);
         }
         if (txnOps < MIN_TXN_OPS) {
-            throw new MalformedMessageException(at + "txn_ops must be at least " + MIN_TXN_OPS + ", not " + txnOps);
+            throw new MalformedMessageException(prefix + "txn_ops must be at least " + MIN_TXN_OPS + ", not " + txnOps);
         }
         return new State(
-                table.has("rps") ? positive(table, at, "rps") : now.rps,
-                table.has("write_rps") ? positive(table, at, "write_rps") : now.writeRps,
+                table.has("rps") ? positive(table, prefix, "rps") : now.rps,
+                table.has("write_rps") ? positive(table, prefix, "write_rps") : now.writeRps,
                 (int) (valueKb * BYTES_PER_KB),
                 (int) txnOps,
                 Optional.empty());
     }
 
     private static Cloud cloud(JsonNode table) throws MalformedMessageException {
-        String at = "deployment.cloud.";
-        return new Cloud(positive(table, at, "rps"), seconds(amount(table, at, "list_lag_s")));
+        String prefix = "deployment.cloud.";
+        return new Cloud(positive(table, prefix, "rps"), seconds(amount(table, prefix, "list_lag_s")));
     }
 
     private static int sockets(JsonNode table) throws MalformedMessageException {
@@ -275,37 +276,37 @@
         return table;
     }
 
-    private static String text(JsonNode table, String at, String name) throws MalformedMessageException {
+    private static String text(JsonNode table, String prefix, String name) throws MalformedMessageException {
         JsonNode value = table.path(name);
         if (!value.isTextual() || value.textValue().isBlank()) {
-            throw MalformedMessageException.invalid(at + name, "non-blank text", value);
+            throw MalformedMessageException.invalid(prefix + name, "non-blank text", value);
         }
         return value.textValue();
     }
 
-    private static double amount(JsonNode table, String at, String name) throws MalformedMessageException {
+    private static double amount(JsonNode table, String prefix, String name) throws MalformedMessageException {
         JsonNode value = table.path(name);
         if (!value.isNumber() || !(value.doubleValue() >= 0) || Double.isInfinite(value.doubleValue())) {
-            throw MalformedMessageException.invalid(at + name, "a number of at least 0", value);
+            throw MalformedMessageException.invalid(prefix + name, "a number of at least 0", value);
         }
         return value.doubleValue();
     }
 
-    private static double optional(JsonNode table, String at, String name, double defaultValue)
+    private static double optional(JsonNode table, String prefix, String name, double defaultValue)
             throws MalformedMessageException {
-        return table.path(name).isMissingNode() ? defaultValue : amount(table, at, name);
+        return table.path(name).isMissingNode() ? defaultValue : amount(table, prefix, name);
     }
 
-    private static double positive(JsonNode table, String at, String name) throws MalformedMessageException {
-        double value = amount(table, at, name);
+    private static double positive(JsonNode table, String prefix, String name) throws MalformedMessageException {
+        double value = amount(table, prefix, name);
         if (value <= 0) {
-            throw MalformedMessageException.invalid(at + name, "a number above 0", table.path(name));
+            throw MalformedMessageException.invalid(prefix + name, "a number above 0", table.path(name));
         }
         return value;
     }
 
-    private static Duration duration(JsonNode table, String at, String name) throws MalformedMessageException {
-        return seconds(positive(table, at, name));
+    private static Duration duration(JsonNode table, String prefix, String name) throws MalformedMessageException {
+        return seconds(positive(table, prefix, name));
     }
 
     private static Duration seconds(double s) {
--- a/src/main/java/org/dunespindle/transport/NettyHttpClient.java
+++ b/src/main/java/org/dunespindle/transport/NettyHttpClient.java
@@ -145,7 +145,7 @@
         final DefaultFullHttpRequest request;
         final CompletableFuture<HttpClientResponse> result = new CompletableFuture<>();
         ScheduledFuture<?> timer;
-        /** In the time of {@link System#nanoTime}. */
+        /** On the clock of {@link System#nanoTime}. */
         long deadlineNanos;
 
         /** The connection that the request was sent on; null before that. */
--- a/src/main/java/org/dunespindle/worker/CancellationTracker.java
+++ b/src/main/java/org/dunespindle/worker/CancellationTracker.java
@@ -51,7 +51,7 @@
         answeredRequestAt.merge(controller, requestedAt, CancellationTracker::longer);
         var newlyCancelled = new ArrayList<String>();
         for (String jobId : cancelledJobs) {
-            // A job that the replica lacks has no tasks that this controller started.
+            // A job that the replica lacks is recorded too, although this controller has started none of its tasks.
             if (!isClosed(jobId) && cancelledElsewhere.add(jobId)) {
                 newlyCancelled.add(jobId);
             }
--- a/src/main/java/org/dunespindle/worker/ConcurrentCallLimiter.java
+++ b/src/main/java/org/dunespindle/worker/ConcurrentCallLimiter.java
@@ -5,8 +5,8 @@
 
 /**
  * Limits the number of calls to workers in flight, with a lower limit for calls to unresponsive workers: in a network partition
- * hundreds of these wait for their timeout, and each holds a socket. A machine above the limit is queued; the content of its call is
- * decided when a call becomes available.
+ * hundreds of these wait for their timeout, and each holds a socket. A machine above the limit is queued; its commands
+ * are decided only when it may be called.
  */
 final class ConcurrentCallLimiter {
     /** One call to a worker is allowed per this many sockets; calls to unresponsive workers may use half of the limit. */
--- a/src/main/java/org/dunespindle/worker/LeaseRenewal.java
+++ b/src/main/java/org/dunespindle/worker/LeaseRenewal.java
@@ -9,7 +9,7 @@
 
 /**
  * Renews workers' leases. No lease is renewed while this controller's knowledge of cancellations is too old: a cancellation that
- * another controller confirmed may be unknown here, and its tasks must end in time. A fresh replica is knowledge enough.
+ * another controller confirmed may be unknown here, and its tasks must end in time. A fresh replica alone is sufficient.
  */
 final class LeaseRenewal {
     /** How long a task may outlive its lease because of clock drift and messages in flight. */
--- a/src/main/java/org/dunespindle/worker/OrphanedLeaseResponder.java
+++ b/src/main/java/org/dunespindle/worker/OrphanedLeaseResponder.java
@@ -6,8 +6,8 @@
 
 /**
  * Renews the leases of workers whose controller has ended, under the stored token, until another controller owns their machines:
- * after a crash of all controllers, failover takes longer than the rest of the leases. A reply with an equal token and no commands
- * has no effect other than the renewal.
+ * after a crash of all controllers, failover takes longer than the rest of the leases. Such a reply is safe from any
+ * controller: its token is not higher than the stored one, and its only commands halt tasks of cancelled jobs.
  */
 final class OrphanedLeaseResponder {
     private final ControllerContext context;
--- a/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
+++ b/src/test/java/org/dunespindle/peer/PeerHeartbeatCompatibilityTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The exact messages of heartbeats and replies. Controllers of both versions exchange them during an upgrade, so renames in the sources
- * must not change them.
+ * The exact messages of heartbeats and replies. Controllers of different versions exchange them during an upgrade, so renames in the
+ * sources must not change them.
  */
 class PeerHeartbeatCompatibilityTest {
     private static final Duration REPLICA_STALENESS = Duration.ofMillis(250);
--- a/src/test/java/org/dunespindle/protocol/FormatsTest.java
+++ b/src/test/java/org/dunespindle/protocol/FormatsTest.java
@@ -42,11 +42,11 @@
                         Arbitraries.of(Priority.values()),
                         flags,
                         Arbitraries.longs().between(0, 999_999))
-                .as((name, size, time, tasks, shape, priority, flag, number) -> new Submission(
+                .as((name, size, time, tasks, kind, priority, flag, number) -> new Submission(
                         "wk-%06d".formatted(number),
                         name,
                         name,
-                        shape,
+                        kind,
                         priority,
                         tasks,
                         size,
@@ -116,8 +116,8 @@
                 "flushS");
         String field = required.get(Math.floorMod(which, required.size()));
         node.putObject(field);
-        var complaint = assertThrows(MalformedMessageException.class, () -> Submission.parse(node));
-        assertTrue(complaint.getMessage().contains(field), complaint.getMessage());
+        var exception = assertThrows(MalformedMessageException.class, () -> Submission.parse(node));
+        assertTrue(exception.getMessage().contains(field), exception.getMessage());
         node.remove(field);
         assertThrows(MalformedMessageException.class, () -> Submission.parse(node));
     }
@@ -210,9 +210,9 @@
             at = at.path(part);
         }
         ((ObjectNode) at).set(field, new ObjectMapper().readTree(value));
-        String complaint = assertThrows(MalformedMessageException.class, () -> Settings.parse(file))
+        String message = assertThrows(MalformedMessageException.class, () -> Settings.parse(file))
                 .getMessage();
-        assertTrue(complaint.contains(field) && complaint.lines().count() == 1, complaint);
+        assertTrue(message.contains(field) && message.lines().count() == 1, message);
     }
 
     private static ObjectNode stateTable(JsonNode file) {
@@ -259,17 +259,17 @@
         } else {
             next.put(field, Double.parseDouble(value));
         }
-        String complaint = assertThrows(MalformedMessageException.class, () -> Settings.parse(file))
+        String message = assertThrows(MalformedMessageException.class, () -> Settings.parse(file))
                 .getMessage();
-        assertTrue(complaint.contains("deployment.state.next." + field), complaint);
+        assertTrue(message.contains("deployment.state.next." + field), message);
     }
 
     @Test
     void announcedLimitsThatAreNotATableAreRejected() {
         JsonNode file = settingsFile();
         stateTable(file).put("next", 7);
-        String complaint = assertThrows(MalformedMessageException.class, () -> Settings.parse(file))
+        String message = assertThrows(MalformedMessageException.class, () -> Settings.parse(file))
                 .getMessage();
-        assertTrue(complaint.contains("deployment.state.next"), complaint);
+        assertTrue(message.contains("deployment.state.next"), message);
     }
 }
