--- a/src/main/java/org/dunespindle/federation/CapacityHint.java
+++ b/src/main/java/org/dunespindle/federation/CapacityHint.java
@@ -23,9 +23,9 @@
 
     /** Whether the hint covers machines that a job may use, at the job's priority. */
     public boolean appliesTo(Submission job) {
-        boolean type = job.types().map(list -> list.contains(this.type)).orElse(true);
-        boolean zone = job.zone().map(this.zone::equals).orElse(true);
-        return type && zone && (job.spot() || !spot) && priority == job.priority();
+        boolean typeAllowed = job.types().map(list -> list.contains(type)).orElse(true);
+        boolean zoneAllowed = job.zone().map(zone::equals).orElse(true);
+        return typeAllowed && zoneAllowed && (job.spot() || !spot) && priority == job.priority();
     }
 
     /** An estimate of how many tasks of a job's size fit, regardless of the job's own number of tasks. */
--- a/src/main/java/org/dunespindle/federation/CapacitySurvey.java
+++ b/src/main/java/org/dunespindle/federation/CapacitySurvey.java
@@ -105,8 +105,8 @@
     }
 
     private void addBinding(Binding binding, Map<String, MachineAvailability> byId) {
-        for (String host : binding.machineByTask().values()) {
-            MachineAvailability machine = byId.get(host);
+        for (String machineId : binding.machineByTask().values()) {
+            MachineAvailability machine = byId.get(machineId);
             if (machine != null) {
                 allocate(machine, binding.job(), false);
             }
@@ -169,9 +169,12 @@
     }
 
     private static boolean isUsable(Submission job, MachinePool pool) {
-        boolean kind = job.spot() || !pool.spot();
-        boolean type = job.types().map(list -> list.contains(pool.type())).orElse(true);
-        return kind && type && job.zone().map(pool.zone()::equals).orElse(true);
+        boolean marketAllowed = job.spot() || !pool.spot();
+        boolean typeAllowed =
+                job.types().map(list -> list.contains(pool.type())).orElse(true);
+        return marketAllowed
+                && typeAllowed
+                && job.zone().map(pool.zone()::equals).orElse(true);
     }
 
     private static int countFitting(Submission job, Resources available) {
--- a/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
+++ b/src/main/java/org/dunespindle/federation/OutboundDelegationService.java
@@ -45,7 +45,7 @@
     private final Map<String, CellConnection> connections;
     private final RemoteJobStates remoteStates = new RemoteJobStates();
     private final Map<String, TrackedTransfer> trackedTransfers = new HashMap<>();
-    /** Stored intents with an unknown commit result: they may still be applied, until their job's record changes. */
+    /** Intents whose commit is pending or has an unknown result: they may still be applied, until their job's record changes. */
     private final Map<String, UnresolvedIntent> unresolvedIntents = new HashMap<>();
 
     private final Map<String, Duration> lastPollAt = new HashMap<>();
--- a/src/main/java/org/dunespindle/federation/grpc/GrpcCellServer.java
+++ b/src/main/java/org/dunespindle/federation/grpc/GrpcCellServer.java
@@ -22,7 +22,7 @@
 import org.dunespindle.federation.CellRequest;
 import org.dunespindle.protocol.MalformedMessageException;
 
-/** The gRPC server for requests of other cells, on a port of its own. Requests are handled on the controller's event loop. */
+/** The gRPC server for requests of other cells, on a separate port. Requests are handled on the controller's event loop. */
 public final class GrpcCellServer implements AutoCloseable {
     private static final int MAX_CALLS_IN_PROGRESS = 64;
     private static final int MAX_CALLS_PER_CONNECTION = 16;
--- a/src/main/java/org/dunespindle/federation/grpc/GrpcCellTransport.java
+++ b/src/main/java/org/dunespindle/federation/grpc/GrpcCellTransport.java
@@ -66,7 +66,7 @@
                 .build();
     }
 
-    /** Passes every outcome to the controller's event loop, because gRPC reports expired deadlines on a thread of its own. */
+    /** Passes every outcome to the controller's event loop, because gRPC reports expired deadlines on another thread. */
     private final class ReplyObserver implements StreamObserver<byte[]> {
         private final CompletableFuture<CellReply> result;
 
--- a/src/main/java/org/dunespindle/machine/CloudClient.java
+++ b/src/main/java/org/dunespindle/machine/CloudClient.java
@@ -25,8 +25,8 @@
 public final class CloudClient {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
     private static final int LIST_PAGE_SIZE = 500;
-    /** Only the leader calls the cloud often, so it gets most of the rate; the other controllers read the catalog with the rest. */
-    private static final double LEADER_RATE_SHARE = 0.7;
+    /** The part of the rate limit that each controller may use. Only the leader uses it up; the others just read the catalog. */
+    private static final double MAX_RATE_FRACTION = 0.7;
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -52,7 +52,7 @@
 
     /** Creates a client for the cloud address in the settings. */
     public CloudClient(HttpClient httpClient, Settings settings, TimeSource timeSource) {
-        double rate = LEADER_RATE_SHARE * settings.cloud().rps();
+        double rate = MAX_RATE_FRACTION * settings.cloud().rps();
         this.service = new RateLimitedHttpClient(
                 httpClient, settings.cloudAddress(), timeSource, new RateLimiter(timeSource, rate), CALL_TIMEOUT);
     }
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -114,9 +114,9 @@
     }
 
     /**
-     * The record of a delegation that ended before its job arrived, so that an offer still in transit is declined.
+     * The record of a delegation that ended without a job accepted, so that a delayed or repeated offer is refused.
      *
-     * @param cancelled true if the job was cancelled, false if its origin withdrew it
+     * @param cancelled true if the job was cancelled, false if its origin withdrew it or this cell declined it
      */
     public static JobRecord tombstone(String id, Instant now, InboundDelegation link, boolean cancelled) {
         return finished(id, now, Outcome.CANCELLED, 0, Optional.of(cancelled ? link : link.withdraw()));
--- a/src/main/java/org/dunespindle/storage/StateReplica.java
+++ b/src/main/java/org/dunespindle/storage/StateReplica.java
@@ -128,7 +128,7 @@
         return index.memberVersion();
     }
 
-    /** The value of a key that is neither a job, nor a page of machines, nor a membership record. */
+    /** The value of a key that is neither a job or its chunk, nor a page of machines, nor a membership record. */
     public Optional<JsonNode> value(String key) {
         return index.value(key);
     }
--- a/src/main/java/org/dunespindle/storage/StateStoreClient.java
+++ b/src/main/java/org/dunespindle/storage/StateStoreClient.java
@@ -23,7 +23,7 @@
 public final class StateStoreClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateStoreClient.class);
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1800);
-    /** The part of the rate limit that the controllers use in total, since their clocks differ slightly. */
+    /** The part of the rate limit that all controllers together use; the rest allows for differences between their clocks. */
     private static final double USABLE_RATE_FRACTION = 0.9;
 
     private static final int MIN_CONSECUTIVE_FAILURES_FOR_OUTAGE = 2;
--- a/src/test/java/org/dunespindle/federation/AdmissionTest.java
+++ b/src/test/java/org/dunespindle/federation/AdmissionTest.java
@@ -66,12 +66,12 @@
     }
 
     private static JobRecord running(String id, JobKind kind, Priority priority, String host, int tasks) {
-        var places = new java.util.LinkedHashMap<Integer, String>();
+        var machineIds = new java.util.LinkedHashMap<Integer, String>();
         for (int task = 0; task < tasks; task++) {
-            places.put(task, host);
+            machineIds.put(task, host);
         }
         Submission job = TestJobs.of(id, kind, priority, tasks, Optional.empty(), false);
-        return JobRecord.accepted(job, Instant.EPOCH).withPlaced(places);
+        return JobRecord.accepted(job, Instant.EPOCH).withPlaced(machineIds);
     }
 
     private static Optional<Rejection.Reason> rejectionReason(CapacitySurvey survey, Submission job, int inboundJobs) {
@@ -100,12 +100,12 @@
 
     @Test
     void rentablePoolsCountForOffers() {
-        JobRecord low = running("wk-000001", JobKind.ARRAY, Priority.CRITICAL, "i-1", 4);
+        JobRecord running = running("wk-000001", JobKind.ARRAY, Priority.CRITICAL, "i-1", 4);
         Submission job = TestJobs.gang("wk-000003", Priority.URGENT, 6, true);
         assertEquals(
                 Optional.of(Rejection.Reason.NO_ROOM),
-                rejectionReason(survey(List.of(low), ALL_POOLS_REFUSED), job, 0));
-        assertEquals(Optional.empty(), rejectionReason(survey(List.of(low), Set.of()), job, 0));
+                rejectionReason(survey(List.of(running), ALL_POOLS_REFUSED), job, 0));
+        assertEquals(Optional.empty(), rejectionReason(survey(List.of(running), Set.of()), job, 0));
     }
 
     @Test
