--- a/src/main/java/org/dunespindle/federation/CapacitySurvey.java
+++ b/src/main/java/org/dunespindle/federation/CapacitySurvey.java
@@ -37,12 +37,12 @@
     private final Map<MachinePool, MachineType> rentable = new LinkedHashMap<>();
 
     private static final class MachineAvailability {
-        final MachineSnapshot host;
+        final MachineSnapshot machineSnapshot;
         Resources free;
         final Map<Priority, Resources> preemptibleByPriority = new HashMap<>();
 
         MachineAvailability(MachineSnapshot machine) {
-            this.host = machine;
+            this.machineSnapshot = machine;
             this.free = machine.capacity();
         }
 
@@ -63,10 +63,10 @@
         this.snapshot = snapshot;
         this.usage = snapshot.projection().usage();
         var byId = new HashMap<String, MachineAvailability>();
-        for (MachineSnapshot host : snapshot.machines()) {
-            var machine = new MachineAvailability(host);
+        for (MachineSnapshot machineSnapshot : snapshot.machines()) {
+            var machine = new MachineAvailability(machineSnapshot);
             machines.add(machine);
-            byId.put(host.id(), machine);
+            byId.put(machineSnapshot.id(), machine);
         }
         types.forEach(this::addRentablePools);
         snapshot.jobs().forEach(job -> addAllocations(job, job.allocations(), byId));
@@ -155,9 +155,11 @@
     private Map<String, Integer> tasksByZone(Submission job) {
         var byZone = new TreeMap<String, Integer>();
         for (MachineAvailability machine : machines) {
-            MachineSnapshot host = machine.host;
-            if (isUsable(job, new MachinePool(host.type(), host.zone(), host.spot()))) {
-                byZone.merge(host.zone(), countFitting(job, machine.availableFor(job.priority())), Integer::sum);
+            MachineSnapshot machineSnapshot = machine.machineSnapshot;
+            if (isUsable(
+                    job, new MachinePool(machineSnapshot.type(), machineSnapshot.zone(), machineSnapshot.spot()))) {
+                byZone.merge(
+                        machineSnapshot.zone(), countFitting(job, machine.availableFor(job.priority())), Integer::sum);
             }
         }
         rentable.forEach((pool, type) -> {
@@ -190,8 +192,8 @@
         var byPool = new LinkedHashMap<MachinePool, List<MachineAvailability>>();
         rentable.keySet().forEach(pool -> byPool.put(pool, new ArrayList<>()));
         for (MachineAvailability machine : machines) {
-            MachineSnapshot host = machine.host;
-            var pool = new MachinePool(host.type(), host.zone(), host.spot());
+            MachineSnapshot machineSnapshot = machine.machineSnapshot;
+            var pool = new MachinePool(machineSnapshot.type(), machineSnapshot.zone(), machineSnapshot.spot());
             byPool.computeIfAbsent(pool, key -> new ArrayList<>()).add(machine);
         }
         var hints = new ArrayList<CapacityHint>();
--- a/src/main/java/org/dunespindle/federation/grpc/CellMethods.java
+++ b/src/main/java/org/dunespindle/federation/grpc/CellMethods.java
@@ -47,7 +47,7 @@
         return List.copyOf(BY_REQUEST_TYPE.values());
     }
 
-    /** Passes JSON text through unparsed, so that the server chooses the status that a malformed message is answered with. */
+    /** Passes JSON text through unparsed, so that the server can choose the status for a malformed message. */
     private static final class RawBytesMarshaller implements MethodDescriptor.Marshaller<byte[]> {
         @Override
         public InputStream stream(byte[] value) {
--- a/src/main/java/org/dunespindle/machine/CloudClient.java
+++ b/src/main/java/org/dunespindle/machine/CloudClient.java
@@ -25,7 +25,7 @@
 public final class CloudClient {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
     private static final int LIST_PAGE_SIZE = 500;
-    /** The part of the rate limit that each controller may use. Only the leader uses it up; the others just read the catalog. */
+    /** The part of the rate limit that each controller may use: only the leader calls the cloud often, the others read the catalog. */
     private static final double MAX_RATE_FRACTION = 0.7;
 
     private static final int OK = 200;
--- a/src/main/java/org/dunespindle/storage/JobRecord.java
+++ b/src/main/java/org/dunespindle/storage/JobRecord.java
@@ -114,7 +114,7 @@
     }
 
     /**
-     * The record of a delegation that ended without a job accepted, so that a delayed or repeated offer is refused.
+     * The record of a delegation that ended without the job being accepted, so that a delayed or repeated offer is refused.
      *
      * @param cancelled true if the job was cancelled, false if its origin withdrew it or this cell declined it
      */
--- a/src/main/java/org/dunespindle/storage/SnapshotLoader.java
+++ b/src/main/java/org/dunespindle/storage/SnapshotLoader.java
@@ -52,8 +52,8 @@
     /**
      * A failed attempt.
      *
-     * @param storeUnavailable whether a request was not served, which indicates an outage. The log may be usable again after
-     *     the outage.
+     * @param storeUnavailable false if the log was malformed; otherwise the cause may be an outage, after which the log may
+     *     be usable again
      */
     record Failed(boolean storeUnavailable) implements Result {}
 
--- a/src/test/java/org/dunespindle/federation/AdmissionTest.java
+++ b/src/test/java/org/dunespindle/federation/AdmissionTest.java
@@ -37,7 +37,7 @@
             new MachinePool("box", "west", false),
             new MachinePool("box", "west", true));
 
-    private static MachineSnapshot host(String id, String zone) {
+    private static MachineSnapshot machine(String id, String zone) {
         return new MachineSnapshot(id, "box", zone, false, SIZE, true, true, Set.of());
     }
 
@@ -46,7 +46,7 @@
         return new ClusterSnapshot(
                 now,
                 ProjectedJobs.ofStored(jobs),
-                List.of(host("i-1", "east"), host("i-2", "west")),
+                List.of(machine("i-1", "east"), machine("i-2", "west")),
                 Map.of("red", red),
                 Map.of(),
                 refused,
@@ -65,10 +65,10 @@
         return new CapacitySurvey(snapshot, Planner.plan(snapshot), List.of(BOX));
     }
 
-    private static JobRecord running(String id, JobKind kind, Priority priority, String host, int tasks) {
+    private static JobRecord running(String id, JobKind kind, Priority priority, String machineId, int tasks) {
         var machineIds = new java.util.LinkedHashMap<Integer, String>();
         for (int task = 0; task < tasks; task++) {
-            machineIds.put(task, host);
+            machineIds.put(task, machineId);
         }
         Submission job = TestJobs.of(id, kind, priority, tasks, Optional.empty(), false);
         return JobRecord.accepted(job, Instant.EPOCH).withPlaced(machineIds);
