--- a/src/test/java/org/dunespindle/federation/AdmissionTest.java
+++ b/src/test/java/org/dunespindle/federation/AdmissionTest.java
@@ -37,7 +37,7 @@
             new MachinePool("box", "west", false),
             new MachinePool("box", "west", true));
 
-    private static MachineSnapshot host(String id, String zone) {
+    private static MachineSnapshot machine(String id, String zone) {
         return new MachineSnapshot(id, "box", zone, false, SIZE, true, true, Set.of());
     }
 
@@ -46,7 +46,7 @@
         return new ClusterSnapshot(
                 now,
                 ProjectedJobs.ofStored(jobs),
-                List.of(host("i-1", "east"), host("i-2", "west")),
+                List.of(machine("i-1", "east"), machine("i-2", "west")),
                 Map.of("red", red),
                 Map.of(),
                 refused,
@@ -65,13 +65,13 @@
         return new CapacitySurvey(snapshot, Planner.plan(snapshot), List.of(BOX));
     }
 
-    private static JobRecord running(String id, JobKind kind, Priority priority, String host, int tasks) {
-        var places = new java.util.LinkedHashMap<Integer, String>();
+    private static JobRecord running(String id, JobKind kind, Priority priority, String machineId, int tasks) {
+        var machineIds = new java.util.LinkedHashMap<Integer, String>();
         for (int task = 0; task < tasks; task++) {
-            places.put(task, host);
+            machineIds.put(task, machineId);
         }
         Submission job = TestJobs.of(id, kind, priority, tasks, Optional.empty(), false);
-        return JobRecord.accepted(job, Instant.EPOCH).withPlaced(places);
+        return JobRecord.accepted(job, Instant.EPOCH).withPlaced(machineIds);
     }
 
     private static Optional<Rejection.Reason> rejectionReason(CapacitySurvey survey, Submission job, int inboundJobs) {
@@ -100,12 +100,12 @@
 
     @Test
     void rentablePoolsCountForOffers() {
-        JobRecord low = running("wk-000001", JobKind.ARRAY, Priority.CRITICAL, "i-1", 4);
+        JobRecord running = running("wk-000001", JobKind.ARRAY, Priority.CRITICAL, "i-1", 4);
         Submission job = TestJobs.gang("wk-000003", Priority.URGENT, 6, true);
         assertEquals(
                 Optional.of(Rejection.Reason.NO_ROOM),
-                rejectionReason(survey(List.of(low), ALL_POOLS_REFUSED), job, 0));
-        assertEquals(Optional.empty(), rejectionReason(survey(List.of(low), Set.of()), job, 0));
+                rejectionReason(survey(List.of(running), ALL_POOLS_REFUSED), job, 0));
+        assertEquals(Optional.empty(), rejectionReason(survey(List.of(running), Set.of()), job, 0));
     }
 
     @Test
