--- a/src/main/java/org/dunespindle/job/GangLifecycle.java
+++ b/src/main/java/org/dunespindle/job/GangLifecycle.java
@@ -128,8 +128,10 @@
     }
 
     private Duration placementTimeout(boolean allPlaced) {
-        Duration timer = options.get().gangPlacementTimeout();
-        return allPlaced ? timer.plus(settings.workers().gangAssemblyTimeout()).plus(IMAGE_FETCH_ALLOWANCE) : timer;
+        Duration timeout = options.get().gangPlacementTimeout();
+        return allPlaced
+                ? timeout.plus(settings.workers().gangAssemblyTimeout()).plus(IMAGE_FETCH_ALLOWANCE)
+                : timeout;
     }
 
     private void startRealTasks(JobRecord job, Duration inPhase) {
--- a/src/main/java/org/dunespindle/job/TaskPreemptor.java
+++ b/src/main/java/org/dunespindle/job/TaskPreemptor.java
@@ -35,7 +35,10 @@
         plan.moves().forEach(eviction -> stop(eviction, "moves to another machine"));
     }
 
-    /** Stops preempted tasks once the leader owns their machine; any other owner would immediately place other tasks on the freed capacity. */
+    /**
+     * Stops preempted tasks on machines that this controller owns. Tasks on other machines are stopped only once it owns those too, because any
+     * other owner would immediately place other tasks on the freed capacity.
+     */
     public void preempt(Plan plan) {
         plan.evictions().forEach(eviction -> stop(eviction, "gives way to " + eviction.forJob()));
     }
--- a/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ArrayPlanner.java
@@ -13,7 +13,7 @@
 final class ArrayPlanner {
     private final PlanState state;
     private final ZoneChooser zoneChooser;
-    /** Jobs with tasks that fit on no machine. Stays valid, because free capacity only shrinks while arrays are planned. */
+    /** Jobs with tasks that fit on no machine. Stays valid: placements reduce free capacity, and what preemption frees is reserved. */
     private final List<Submission> unplaceable = new ArrayList<>();
 
     ArrayPlanner(PlanState state, ZoneChooser zoneChooser) {
--- a/src/main/java/org/dunespindle/scheduling/GangQueues.java
+++ b/src/main/java/org/dunespindle/scheduling/GangQueues.java
@@ -7,12 +7,12 @@
 import org.dunespindle.storage.JobRecord;
 
 /**
- * The queue of each team's gangs, in the order of arrival; only the gang at its head is placed. A gang whose placeholders are all allocated
- * has left the queue, since its whole request counts as usage from then on. A gang with a single task does not queue, because it never holds
- * partial capacity.
+ * The queue of each team's gangs, in the order of their queue positions; only the gang at its head is placed. A gang whose placeholders are
+ * all allocated has left the queue, since its whole request counts as usage from then on. A gang with a single task does not queue, because it
+ * never holds partial capacity.
  */
 final class GangQueues {
-    /** A gang at the head of its queue that has waited longer for quota has it reserved, so that later jobs of its team cannot use it. */
+    /** Quota is reserved for a gang at the head of its queue that lacks it after this time, so that later jobs of its team cannot use it. */
     private static final Duration MAX_WAIT_BEFORE_QUOTA_RESERVATION = Duration.ofSeconds(20);
 
     private final PlanState state;
--- a/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/PreemptionPlanner.java
@@ -109,8 +109,8 @@
     /** The work that is lost by stopping a task: its running time, but at most one checkpoint interval, or the maximum without checkpoints. */
     private Duration lostWork(MachineCapacity.Victim victim) {
         Submission job = victim.job().submission();
-        var started = new JobAttempt(victim.job().id(), victim.allocation().attemptBase());
-        Duration elapsed = state.snapshot().runtime().apply(started);
+        var attempt = new JobAttempt(victim.job().id(), victim.allocation().attemptBase());
+        Duration elapsed = state.snapshot().runtime().apply(attempt);
         Duration maxLost = job.checkpoints() ? job.checkpointInterval() : MAX_LOST_WORK;
         return elapsed.compareTo(maxLost) > 0 ? maxLost : elapsed;
     }
--- a/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/ServicePlanner.java
@@ -26,11 +26,11 @@
     /** Score of a machine that has the image, in addition to the score that applies to all jobs. */
     private static final double IMAGE_SCORE = 4;
     /** Penalty for a machine with image fetches in progress, which share its transfer rate. */
-    private static final double OTHER_FETCHES_PENALTY = 2;
+    private static final double PENDING_FETCHES_PENALTY = 2;
     /** Penalty for each replica of the service in the machine's zone. */
     private static final double SAME_ZONE_PENALTY = 2;
-    /** Score of a machine with replicas of other services, if fewer than the maximum below. */
-    private static final double OTHER_SERVICES_SCORE = 2;
+    /** Score of a machine with replicas of any service, if fewer than the maximum below. */
+    private static final double SHARED_MACHINE_SCORE = 2;
     /** A machine with this many replicas is no longer preferred, because its failure would affect too many of them. */
     private static final int MAX_SHARED_REPLICAS = 6;
     /** Penalty for a machine on which an accelerator task fits without the replica but not beside it. */
@@ -174,7 +174,7 @@
         score -= SAME_ZONE_PENALTY
                 * service.perZone.getOrDefault(machine.snapshot().zone(), 0);
         if (machine.replicas() > 0 && machine.replicas() < MAX_SHARED_REPLICAS) {
-            score += OTHER_SERVICES_SCORE;
+            score += SHARED_MACHINE_SCORE;
         }
         if (machine.replicas() == 0 && !machine.isUsed()) {
             score -= UNUSED_MACHINE_PENALTY;
@@ -189,7 +189,7 @@
         if (machine.hasImage(submission.image())) {
             return IMAGE_SCORE;
         }
-        return machine.pendingFetches().isEmpty() ? 0 : -OTHER_FETCHES_PENALTY;
+        return machine.pendingFetches().isEmpty() ? 0 : -PENDING_FETCHES_PENALTY;
     }
 
     private boolean displacesAcceleratorTask(Resources replica, MachineCapacity machine) {
--- a/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
+++ b/src/main/java/org/dunespindle/scheduling/ServiceRebalancer.java
@@ -83,11 +83,11 @@
     /** Whether a replica has run long enough, and its machine could be terminated without the few replicas on it. */
     private boolean isConsolidatable(JobRecord job, Allocation allocation) {
         Optional<MachineCapacity> machine = state.machines().machine(allocation.machineId());
-        var started = new JobAttempt(job.id(), allocation.attemptBase());
+        var attempt = new JobAttempt(job.id(), allocation.attemptBase());
         return machine.isPresent()
                 && machine.get().holdsOnlyReplicas()
                 && machine.get().replicas() <= MAX_REPLICAS_TO_CONSOLIDATE
-                && state.snapshot().runtime().apply(started).compareTo(MIN_RUNTIME_BEFORE_CONSOLIDATION) > 0;
+                && state.snapshot().runtime().apply(attempt).compareTo(MIN_RUNTIME_BEFORE_CONSOLIDATION) > 0;
     }
 
     /** The best machine to move a replica to; empty if no machine is suitable or worth the move. */
--- a/src/test/java/org/dunespindle/scheduling/PlannerTest.java
+++ b/src/test/java/org/dunespindle/scheduling/PlannerTest.java
@@ -219,7 +219,7 @@
                 job.arrived());
     }
 
-    /** Concurrent image fetches share a machine's transfer rate; otherwise a gang would wait for its image behind other fetches. */
+    /** Concurrent image fetches share a machine's transfer rate, so a gang would wait longer for its image beside another fetch. */
     @Test
     void aMachineThatFetchesAnotherImageIsRankedLower() {
         JobRecord fetching = withImage(job(1, "red", JobKind.ARRAY, Priority.NORMAL, 1, ANYWHERE), "another")
--- a/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
+++ b/src/test/java/org/dunespindle/scheduling/QuotaAdmissionTest.java
@@ -169,7 +169,8 @@
         boolean applied = store.commit(controller.reservationRevision, change, written);
         if (applied) {
             controller.accountedUsage += change;
-            // The own change is replicated at once; earlier changes of others may be missing, which the bound covers.
+            // The own change is replicated at once or, if it writes no reservation, possibly late. The bound covers
+            // changes of others that are missing until then.
             if (written == null && random.nextBoolean()) {
                 controller.unacknowledged += change; // replicated late: counted as unacknowledged until then
             } else {
