--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -352,12 +352,12 @@
                     () -> cluster.crash(Math.max(0, cluster.leader()), Duration.ofMillis(300)));
         }
         cluster.sim.run(Duration.ofSeconds(55));
-        Duration lastCrash = cluster.sim.now();
+        Duration afterLastCrash = cluster.sim.now();
         cluster.sim.run(Duration.ofSeconds(200));
         ClusterTest.assertAllDone(cluster, ids);
         for (String id : ids) {
             Duration last = cluster.completedAt(id).orElseThrow();
-            if (last.compareTo(lastCrash) > 0) {
+            if (last.compareTo(afterLastCrash) > 0) {
                 // The simulated user polls about every five seconds.
                 assertEquals(200, cluster.poll(0, id).join().status());
             }
--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -123,7 +123,7 @@
         cannotSend = yes;
     }
 
-    /** Hangs: its tasks make no progress and messages to it are delayed, while its lease keeps running out. */
+    /** Hangs: its tasks make no progress and messages to it are delayed, but its lease still expires. */
     void hang(Duration length) {
         hungSince = sim.now();
         hungUntil = sim.now().plus(length);
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -116,7 +116,7 @@
         return federation;
     }
 
-    /** A delegated job preempts the remote cell's own work of a lower priority, but not that of the duplicate priority. */
+    /** A delegated job preempts the remote cell's own work of a lower priority, but not that of the same priority. */
     @Test
     void aDelegatedJobKeepsItsPriority() {
         SimulatedFederation federation = withFullOrigin(2, 2, 2, 2);
@@ -161,7 +161,7 @@
         assertTrue(
                 List.of("b", "c").contains(own.body().path("cell").asText()),
                 own.body().toString());
-        // The id is in use there, so a submission with the duplicate id is not accepted, nor confused with the inbound
+        // The id is in use there, so a submission with the same id is not accepted, nor confused with the inbound
         // job.
         Submission duplicate = job(JOB_ID, "red", JobKind.ARRAY, Priority.LOW, 1);
         CompletableFuture<UserApi.Answer> refused = remote.submitBodyTo(2, duplicate.toNode());
@@ -393,10 +393,9 @@
         federation.interceptor = new SimulatedFederation.MessageInterceptor() {
             @Override
             public CellReply reply(int from, CellReply reply) {
-                if (from == 1 && reply instanceof CellReply.Greeting reportedPhases) {
-                    var other = new CellId("b", "another", reportedPhases.self().incarnation(), "mark");
-                    return new CellReply.Greeting(
-                            other, reportedPhases.leads(), reportedPhases.leader(), reportedPhases.capacityHints());
+                if (from == 1 && reply instanceof CellReply.Greeting greeting) {
+                    var other = new CellId("b", "another", greeting.self().incarnation(), "mark");
+                    return new CellReply.Greeting(other, greeting.leads(), greeting.leader(), greeting.capacityHints());
                 }
                 return reply;
             }
--- a/src/test/java/org/dunespindle/sim/InvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/InvariantChecker.java
@@ -123,7 +123,7 @@
         }
         List<FakeWorker.Task> live = live();
         for (Submission job : cluster.jobs.values()) {
-            boolean isOver = cluster.isOver(job.id())
+            boolean isExempt = cluster.isOver(job.id())
                     || cluster.cancelRequested.contains(job.id())
                     || !cluster.reportedPhases.containsKey(job.id());
             int ended = cluster.done.getOrDefault(job.id(), Set.of()).size();
@@ -135,7 +135,7 @@
             long needs = job.isGang() ? job.tasks() - here : 1;
             boolean underLimit =
                     used + needs <= cluster.shape.limits().getOrDefault(job.team(), SimulatedCluster.LIMIT_BLUE);
-            if (isOver || !missing || !underLimit || freeCapacity(job) < needs) {
+            if (isExempt || !missing || !underLimit || freeCapacity(job) < needs) {
                 waitingSince.remove(job.id());
             } else if (cluster.sim
                             .now()
--- a/src/test/java/org/dunespindle/sim/LoopbackCells.java
+++ b/src/test/java/org/dunespindle/sim/LoopbackCells.java
@@ -184,10 +184,10 @@
         /** Submits a job, retrying until it is accepted, and polls it until it has ended. */
         void submit(Submission job) {
             cluster.jobs.put(job.id(), job);
-            offer(job, 0);
+            trySubmit(job, 0);
         }
 
-        private void offer(Submission job, int node) {
+        private void trySubmit(Submission job, int node) {
             call(
                             userApiPorts[node],
                             "POST",
@@ -199,7 +199,7 @@
                             cluster.reportedPhases.put(job.id(), "queued");
                             poll(job.id(), node);
                         } else {
-                            sim.after(500, () -> offer(job, (node + 1) % CONTROLLERS));
+                            sim.after(500, () -> trySubmit(job, (node + 1) % CONTROLLERS));
                         }
                     });
         }
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Two of three controllers are paused at once for longer than any lease. The third serves users and keeps all machines and their
-     * tasks.
+     * Two of three controllers are paused at once for longer than any lease. The third serves users, and no machine is
+     * terminated because of the pauses.
      */
     @ParameterizedTest
     @MethodSource("seeds")
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -101,7 +101,7 @@
             boolean spread = !gang && i % 5 == 4;
             Optional<String> zone =
                     i % 7 == 2 && !spread ? Optional.of(i % 2 == 0 ? "east" : "west") : Optional.empty();
-            Duration saves = i % 4 == 1 ? Duration.ofSeconds(5) : Duration.ZERO;
+            Duration checkpointInterval = i % 4 == 1 ? Duration.ofSeconds(5) : Duration.ZERO;
             var job = SubmissionBuilder.submission(id)
                     .jobClass(gang ? "gang" : "array")
                     .team(i % 2 == 0 ? "red" : "blue")
@@ -115,8 +115,8 @@
                     .image("image-" + tasks % 2)
                     .imageGb(2)
                     .estimate(Duration.ofSeconds(5))
-                    .checkpointInterval(saves)
-                    .checkpointTime(saves.isZero() ? saves : Duration.ofSeconds(3))
+                    .checkpointInterval(checkpointInterval)
+                    .checkpointTime(checkpointInterval.isZero() ? checkpointInterval : Duration.ofSeconds(3))
                     .build();
             cluster.sim.after(500L + i * 3500L + random.nextInt(1500), () -> cluster.submit(job));
         }
--- a/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
+++ b/src/test/java/org/dunespindle/sim/SimulatedEnvironment.java
@@ -21,7 +21,7 @@
  *
  * @param connector links controllers to other cells
  * @param watcher called for every task that starts or completes
- * @param externalControllers transport between workers and controllers that run as separate processes; empty if controllers are simulated
+ * @param externalControllers transport between workers and controllers outside the simulation; empty if the cluster runs its own
  */
 record SimulatedEnvironment(
         VirtualTime sim,
