--- a/src/test/java/org/dunespindle/sim/CellInvariantChecker.java
+++ b/src/test/java/org/dunespindle/sim/CellInvariantChecker.java
@@ -39,8 +39,8 @@
             cellNames.add(name(cluster));
         }
         if (cellNames.size() > 1) {
-            // A job is delegated or returned only before any of its tasks is placed, so its tasks never start in a
-            // second cell.
+            // A job is delegated or returned only before any of its tasks is placed, so its tasks never
+            // start in a second cell.
             violations.add("started in two cells: " + job + " in " + cellNames);
         }
     }
--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -535,8 +535,8 @@
     }
 
     /**
-     * The state store is slow, then rejects the leader, then all controllers for longer than {@code cancel_s}, while users cancel and poll
-     * jobs.
+     * The state store is slow, then rejects the leader, then all controllers for longer than {@code cancel_s}, while
+     * users cancel and poll jobs.
      */
     @ParameterizedTest
     @ValueSource(longs = {471, 472, 473, 474})
--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -186,8 +186,8 @@
     }
 
     /**
-     * A spot interruption notice for a machine of a running gang makes the gang write a checkpoint; all controllers crash during those
-     * seconds.
+     * A spot interruption notice for a machine of a running gang makes the gang write a checkpoint; all
+     * controllers crash during those seconds.
      */
     @ParameterizedTest
     @ValueSource(longs = {105, 106, 107, 108, 109, 110})
@@ -210,11 +210,11 @@
             cluster.sim.run(cluster.sim.now().plusSeconds(1));
         }
         cluster.sim.run(cluster.sim.now().plusSeconds(3));
-        FakeWorker taken = cluster.alive().stream()
+        FakeWorker interrupted = cluster.alive().stream()
                 .filter(w -> w.hasTaskOf("wk-000001"))
                 .findFirst()
                 .orElseThrow();
-        cluster.interruptMachine(taken, Duration.ofSeconds(12));
+        cluster.interruptMachine(interrupted, Duration.ofSeconds(12));
         for (int n = 0; n < 3; n++) {
             int node = n;
             cluster.sim.after(
@@ -249,8 +249,8 @@
 
     @Test
     void jobOnMoreMachinesThanATransactionHasPreconditionsIsStored() {
-        // A name step of 10 gives every machine its own record: more records than one transaction may have
-        // preconditions.
+        // A name step of 10 gives every machine its own record: more records than
+        // one transaction may have preconditions.
         var cluster = new SimulatedCluster(121, 90, 10);
         cluster.submit(SubmissionBuilder.submission("wk-000001")
                 .priority(Priority.LOW)
@@ -309,8 +309,8 @@
     }
 
     /**
-     * Controllers freeze while their clocks advance, the leader first, at any stage of placing, rescheduling, checkpointing and
-     * cancelling.
+     * Controllers freeze while their clocks advance, the leader first, at any stage of
+     * placing, rescheduling, checkpointing and cancelling.
      */
     @ParameterizedTest
     @ValueSource(longs = {141, 142, 143, 144, 145, 146, 147, 148, 149, 150})
@@ -438,8 +438,8 @@
     }
 
     /**
-     * The leader gets no information on machines of other controllers for far longer than a lease, while those controllers receive their
-     * heartbeats throughout.
+     * The leader gets no information on machines of other controllers for far longer than a lease, while those
+     * controllers receive their heartbeats throughout.
      */
     @ParameterizedTest
     @ValueSource(longs = {181, 182, 183})
--- a/src/test/java/org/dunespindle/sim/FakeStateStore.java
+++ b/src/test/java/org/dunespindle/sim/FakeStateStore.java
@@ -150,8 +150,8 @@
     }
 
     /**
-     * Restores an older snapshot without leased keys, as an operator would. The change log restarts just above the snapshot's highest
-     * revision.
+     * Restores an older snapshot without leased keys, as an operator would. The change log restarts just
+     * above the snapshot's highest revision.
      */
     void restore(Map<String, Row> before) {
         rows.clear();
--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -161,8 +161,8 @@
         assertTrue(
                 List.of("b", "c").contains(own.body().path("cell").asText()),
                 own.body().toString());
-        // The id is in use there, so a submission with the same id is not accepted, nor confused with the inbound
-        // job.
+        // The id is in use there, so a submission with the same id is not accepted, nor
+        // confused with the inbound job.
         Submission duplicate = job(JOB_ID, "red", JobKind.ARRAY, Priority.LOW, 1);
         CompletableFuture<UserApi.Answer> refused = remote.submitBodyTo(2, duplicate.toNode());
         run(federation, 2);
--- a/src/test/java/org/dunespindle/sim/PausedControllersTest.java
+++ b/src/test/java/org/dunespindle/sim/PausedControllersTest.java
@@ -84,8 +84,8 @@
                         .filter(w -> w.session() > 1)
                         .map(FakeWorker::id)
                         .toList());
-        // A machine that lost its tasks with its lease may be terminated as idle, but none because its controllers were
-        // paused.
+        // A machine that lost its tasks with its lease may be terminated as idle, but none
+        // because its controllers were paused.
         String decisions = cluster.decisions();
         List.of("has been silent", "no controller hears", "takes no commands")
                 .forEach(why -> assertTrue(!decisions.contains(why), decisions));
@@ -114,8 +114,8 @@
         cluster.sim.run(Duration.ofSeconds(300));
         assertEquals(List.of(), cluster.violations);
         // While the only controller that may stop a task is paused, an image that was being fetched may arrive and the
-        // task starts. No start command may be sent, and no task may start that a running controller had the time to
-        // stop.
+        // task starts. No start command may be sent, and no task may start that a running controller
+        // had the time to stop.
         assertEquals(
                 List.of(),
                 cluster.invariants.lateStarts.stream()
--- a/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFailuresTest.java
@@ -13,7 +13,10 @@
  */
 class RandomFailuresTest {
     private static final int JOBS = 14;
-    /** Seeds that once failed: the loss or the end of a task showed only in the answer to an inspection or in a heartbeat during an outage. */
+    /**
+     * Seeds that once failed: the loss or the end of a task showed only in the answer to an inspection or in a heartbeat
+     * during an outage.
+     */
     private static final long[] FORMERLY_FAILING = {25645, 22145, 24021, 23629, 20279, 41553};
 
     static LongStream seeds() {
--- a/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
+++ b/src/test/java/org/dunespindle/sim/RandomFaultSchedule.java
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Submits jobs of all kinds: with and without zone, same-zone and spread constraints, on spot and other machines, with and without
-     * checkpoints.
+     * Submits jobs of all kinds: with and without zone, same-zone and spread constraints, on spot and other
+     * machines, with and without checkpoints.
      */
     void submitJobs(int count) {
         for (int i = 0; i < count; i++) {
--- a/src/test/java/org/dunespindle/sim/TeamLimitTest.java
+++ b/src/test/java/org/dunespindle/sim/TeamLimitTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A team must never be allocated more than its limit. Guards against an incident in which a team with a limit of 60 accelerators had 61
- * on machines.
+ * A team must never be allocated more than its limit. Guards against an incident in which a team with a limit of 60
+ * accelerators had 61 on machines.
  *
  * <p>Several controllers placed two arrays of the team at once while the state store limited the write rate. Transactions conflicted on
  * the team's record and on a job together. No controller had crashed and no fencing token had changed.
@@ -129,8 +129,8 @@
         cluster.taskDuration = Optional.of(TASK_DURATION);
         cluster.userNode = other;
         cluster.sim.run(Duration.ofSeconds(15));
-        // Grants the quota shares: from now on each controller may place up to seven tasks without writing the team
-        // record.
+        // Grants the quota shares: from now on each controller may place up to seven tasks
+        // without writing the team record.
         cluster.submit(array(first, 1, Optional.of("west"), false));
         cluster.sim.run(cluster.sim.now().plusSeconds(6));
         assertTrue(cluster.startedAt.containsKey(first));
--- a/src/test/java/org/dunespindle/sim/UpgradeTest.java
+++ b/src/test/java/org/dunespindle/sim/UpgradeTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Rolling upgrades: controllers of the older and the newer stored format run at the same time, and the limits of the state store are
- * lowered.
+ * Rolling upgrades: controllers of the older and the newer stored format run at the same time, and the limits of
+ * the state store are lowered.
  */
 class UpgradeTest {
     /** Too few bytes for a job's description and a few allocations in one value. */
--- a/src/test/java/org/dunespindle/sim/VirtualTime.java
+++ b/src/test/java/org/dunespindle/sim/VirtualTime.java
@@ -86,8 +86,8 @@
         }
 
         /**
-         * Stops execution and the monotonic clock for a while, like a suspended virtual machine. Afterwards only the wall-clock time has
-         * advanced.
+         * Stops execution and the monotonic clock for a while, like a suspended virtual machine. Afterwards only
+         * the wall-clock time has advanced.
          */
         public void suspend(Duration length) {
             freeze(length);
