--- a/src/test/java/org/dunespindle/sim/FailureTest.java
+++ b/src/test/java/org/dunespindle/sim/FailureTest.java
@@ -499,12 +499,13 @@
         cluster.submit(serviceIn("east", "wk-000001", "red", 10));
         cluster.submit(serviceIn("east", "wk-000002", "blue", 6));
         cluster.sim.run(Duration.ofSeconds(70));
-        List<FakeWorker> cut =
+        List<FakeWorker> disconnected =
                 cluster.alive().stream().filter(w -> w.zone.equals("east")).toList();
-        List<FakeWorker> used =
-                cut.stream().filter(w -> w.tasks().iterator().hasNext()).toList();
-        assertTrue(cut.size() >= 4 && !used.isEmpty());
-        cut.forEach(w -> cluster.disconnect(w, Duration.ofSeconds(seconds)));
+        List<FakeWorker> used = disconnected.stream()
+                .filter(w -> w.tasks().iterator().hasNext())
+                .toList();
+        assertTrue(disconnected.size() >= 4 && !used.isEmpty());
+        disconnected.forEach(w -> cluster.disconnect(w, Duration.ofSeconds(seconds)));
         // The next leader takes over machines that it cannot reach yet.
         cluster.crash(cluster.leader(), Duration.ofSeconds(8));
         cluster.sim.run(Duration.ofSeconds(125));
--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -110,7 +110,7 @@
                 + sim.now().minus(leaseFrom).toMillis();
     }
 
-    /** Returns the number of occupied slots. */
+    /** Returns the number of slots occupied by tasks that have not exited, including those fetching their image. */
     long occupiedSlots() {
         return tasks.values().stream().filter(t -> !t.phase.equals("exited")).count();
     }
--- a/src/test/java/org/dunespindle/sim/VirtualTime.java
+++ b/src/test/java/org/dunespindle/sim/VirtualTime.java
@@ -42,7 +42,7 @@
         afterEach.add(check);
     }
 
-    /** Schedules work. */
+    /** Schedules work after a delay; a negative delay counts as zero. */
     public void after(Duration delay, Runnable work) {
         queue.add(new Event(now.plus(delay.isNegative() ? Duration.ZERO : delay), sequence++, work));
     }
