--- a/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
+++ b/src/test/java/org/dunespindle/sim/CombinedFailuresTest.java
@@ -352,12 +352,12 @@
                     () -> cluster.crash(Math.max(0, cluster.leader()), Duration.ofMillis(300)));
         }
         cluster.sim.run(Duration.ofSeconds(55));
-        Duration lastCrash = cluster.sim.now();
+        Duration afterLastCrash = cluster.sim.now();
         cluster.sim.run(Duration.ofSeconds(200));
         ClusterTest.assertAllDone(cluster, ids);
         for (String id : ids) {
             Duration last = cluster.completedAt(id).orElseThrow();
-            if (last.compareTo(lastCrash) > 0) {
+            if (last.compareTo(afterLastCrash) > 0) {
                 // The simulated user polls about every five seconds.
                 assertEquals(200, cluster.poll(0, id).join().status());
             }
@@ -535,8 +535,8 @@
     }
 
     /**
-     * The state store is slow, then rejects the leader, then all controllers for longer than {@code cancel_s}, while users cancel and poll
-     * jobs.
+     * The state store is slow, then rejects the leader, then all controllers for longer than {@code cancel_s}, while
+     * users cancel and poll jobs.
      */
     @ParameterizedTest
     @ValueSource(longs = {471, 472, 473, 474})
--- a/src/test/java/org/dunespindle/sim/FakeWorker.java
+++ b/src/test/java/org/dunespindle/sim/FakeWorker.java
@@ -110,7 +110,7 @@
                 + sim.now().minus(leaseFrom).toMillis();
     }
 
-    /** Returns the number of occupied slots. */
+    /** Returns the number of slots occupied by tasks that have not exited, including those fetching their image. */
     long occupiedSlots() {
         return tasks.values().stream().filter(t -> !t.phase.equals("exited")).count();
     }
@@ -123,7 +123,7 @@
         cannotSend = yes;
     }
 
-    /** Hangs: its tasks make no progress and messages to it are delayed, while its lease keeps running out. */
+    /** Hangs: its tasks make no progress and messages to it are delayed, but its lease still expires. */
     void hang(Duration length) {
         hungSince = sim.now();
         hungUntil = sim.now().plus(length);
--- a/src/test/java/org/dunespindle/sim/VirtualTime.java
+++ b/src/test/java/org/dunespindle/sim/VirtualTime.java
@@ -42,7 +42,7 @@
         afterEach.add(check);
     }
 
-    /** Schedules work. */
+    /** Schedules work after a delay; a negative delay counts as zero. */
     public void after(Duration delay, Runnable work) {
         queue.add(new Event(now.plus(delay.isNegative() ? Duration.ZERO : delay), sequence++, work));
     }
@@ -86,8 +86,8 @@
         }
 
         /**
-         * Stops execution and the monotonic clock for a while, like a suspended virtual machine. Afterwards only the wall-clock time has
-         * advanced.
+         * Stops execution and the monotonic clock for a while, like a suspended virtual machine. Afterwards only
+         * the wall-clock time has advanced.
          */
         public void suspend(Duration length) {
             freeze(length);
