--- a/src/main/java/org/dunespindle/scheduling/GangPlanner.java
+++ b/src/main/java/org/dunespindle/scheduling/GangPlanner.java
@@ -33,7 +33,7 @@
                 preferWithImage(gang, state.machines().candidates(job), zones, missing);
         var progress = new GangProgress(gang, missing);
         fill(progress, state.withCapacity(job, candidates, zones, true), zones);
-        // Preemption is faster than waiting for a machine to boot; the preempted tasks can then run on that machine.
+        // Preemption is faster than waiting for a booting machine, on which the preempted tasks can run later.
         if (progress.remaining > 0) {
             progress.remaining = preemption.preemptFor(gang, candidates, zones, progress.remaining);
         }
