--- a/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
+++ b/src/test/java/org/dunespindle/sim/RandomFederationFaultsTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Property test of the federation: faults of all kinds within and between three cells, at times drawn from a seed. A longer run with
- * more seeds:
+ * Property test of the federation: faults of all kinds within and between three cells, at times drawn from a seed.
+ * A longer run with more seeds:
  * {@code mvn test -Dtest=RandomFederationFaultsTest -Dcells.from=1000 -Dcells.count=500}.
  */
 class RandomFederationFaultsTest {
