--- a/src/test/java/org/dunespindle/sim/FederationTest.java
+++ b/src/test/java/org/dunespindle/sim/FederationTest.java
@@ -50,9 +50,9 @@
         var federation = new SimulatedFederation(seed, machines);
         SimulatedCluster a = federation.cell("a");
         federation.cells.forEach(cell -> cell.taskDurationOverride = task ->
-                task.job().startsWith("filler-") ? Optional.of(FILLER_DURATION) : Optional.of(Duration.ofSeconds(20)));
+                task.job().startsWith("fill-") ? Optional.of(FILLER_DURATION) : Optional.of(Duration.ofSeconds(20)));
         for (int i = 0; i < 2; i++) {
-            Submission filler = job("filler-00000" + i, "red", JobKind.ARRAY, Priority.CRITICAL, 4);
+            Submission filler = job("fill-00000" + i, "red", JobKind.ARRAY, Priority.CRITICAL, 4);
             federation.sim.after(2000, () -> a.submit(filler));
         }
         return federation;
@@ -110,7 +110,7 @@
     private static SimulatedFederation withOneDelegableJob(long seed, Duration length) {
         SimulatedFederation federation = withFullOrigin(seed, 2, 3, 3);
         federation.cells.forEach(cell -> cell.taskDurationOverride =
-                task -> Optional.of(task.job().startsWith("filler-") ? FILLER_DURATION : length));
+                task -> Optional.of(task.job().startsWith("fill-") ? FILLER_DURATION : length));
         Submission job = job(JOB_ID, "blue", JobKind.ARRAY, Priority.URGENT, 2);
         federation.sim.after(15_000, () -> federation.cell("a").submit(job));
         return federation;
@@ -217,8 +217,8 @@
                 boolean accepted = reply instanceof CellReply.Reports reports
                         && reports.reports().stream().anyMatch(r -> r.state() == InboundJobState.QUEUED);
                 SimulatedCluster cell = federation.cells.get(from);
-                if (accepted && !cell.reportedPhases.containsKey("filler-00010" + from)) {
-                    cell.submit(job("filler-00010" + from, "red", JobKind.ARRAY, Priority.CRITICAL, 8));
+                if (accepted && !cell.reportedPhases.containsKey("fill-00010" + from)) {
+                    cell.submit(job("fill-00010" + from, "red", JobKind.ARRAY, Priority.CRITICAL, 8));
                 }
                 return reply;
             }
@@ -274,7 +274,7 @@
             @Override
             public CellReply reply(int from, CellReply reply) {
                 if (from != 0 && reply instanceof CellReply.Reports reports) {
-                    reports.reports().forEach(report -> crashAt("reportedPhases " + report.state(), from));
+                    reports.reports().forEach(report -> crashAt("reported " + report.state(), from));
                 }
                 return reply;
             }
@@ -286,12 +286,7 @@
     }
 
     static Stream<Arguments> steps() {
-        return Stream.of(
-                        "before Offer",
-                        "reportedPhases QUEUED",
-                        "before Progress",
-                        "reportedPhases BEGUN",
-                        "reportedPhases DONE")
+        return Stream.of("before Offer", "reported QUEUED", "before Progress", "reported BEGUN", "reported DONE")
                 .flatMap(step -> Stream.of(Arguments.of(step, true), Arguments.of(step, false)));
     }
 
